--- a/crates/core/tests/size.rs
+++ b/crates/balancer/core/tests/size.rs
@@ -1,8 +1,8 @@
 //! The decision module stays small enough to be read in one sitting.
 use std::collections::BTreeSet;
 
-const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-const FOLDER: &str = "crates/core/src/policy/";
+const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../..");
+const FOLDER: &str = "crates/balancer/core/src/policy/";
 
 /// The module's files: the path from the repository's root, and what is in it.
 fn files() -> Vec<(String, String)> {
--- a/crates/wicket/tests/gate.rs
+++ b/crates/control/admission/tests/gate.rs
@@ -1,6 +1,6 @@
 //! Single decisions of the gate.
 
-use silvercross_wicket::*;
+use silvercross_admission::*;
 
 const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
--- a/crates/wicket/tests/recount.rs
+++ b/crates/control/admission/tests/recount.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bolero::generator::*;
-use silvercross_wicket::*;
+use silvercross_admission::*;
 
 const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
--- a/crates/control-store/src/lib.rs
+++ b/crates/control/control-store/src/lib.rs
@@ -1,6 +1,6 @@
 //! The mesh's control state, decided without I/O: each key has one owner at a time, which copies a change to others
 //! before it answers and hands the key over under a rising epoch. No common log, no leader for all.
-//! The argument why nothing acknowledged is lost: `docs/design/ledger.md`.
+//! The argument why nothing acknowledged is lost: `docs/design/control-store.md`.
 #![forbid(unsafe_code)]
 
 mod batch;
--- a/crates/gazette/src/lib.rs
+++ b/crates/control/event-feed/src/lib.rs
@@ -9,7 +9,7 @@
 //!   ([`Line::Gap`]).
 //! - The newest event of every key is kept, so whoever reads to the end knows the present state.
 //!
-//! Why this holds: `docs/design/gazette.md`.
+//! Why this holds: `docs/design/event-feed.md`.
 #![forbid(unsafe_code)]
 
 mod cursor;
--- a/crates/gazette/tests/moves.rs
+++ b/crates/control/event-feed/tests/moves.rs
@@ -1,6 +1,6 @@
 //! Drawn schedules: keys change, nodes learn of it late and in jumps, lose their memory, and a reader goes from one to the other.
 //! A plain model knows every state of every key and holds the reader's lines against it.
-use silvercross_gazette::{kind, Bounds, Cursor, Filter, Gazette, Line, Place, Reader, Told, Why};
+use silvercross_event_feed::{kind, Bounds, Cursor, Filter, Gazette, Line, Place, Reader, Told, Why};
 use std::collections::BTreeMap;
 
 const KEYS: [&str; 4] = ["node/1", "node/2", "item/a", "item/b"];
@@ -193,7 +193,7 @@
     let mut cursor = Cursor::default();
     for n in 0..200u64 {
         let place = Place { epoch: n << 40, owner: 7, version: n, mark: n % 2 == 0 };
-        let mark = silvercross_gazette::Mark { place, hash: n as u32, ended: n % 3 == 0, out: n % 5 == 0 };
+        let mark = silvercross_event_feed::Mark { place, hash: n as u32, ended: n % 3 == 0, out: n % 5 == 0 };
         cursor.merge(Cursor::of(&format!("node/10.0.0.{n}"), mark));
     }
     let text = cursor.write();
--- a/crates/records/src/holder.rs
+++ b/crates/control/idempotency-store/src/holder.rs
@@ -3,7 +3,7 @@
 use crate::machine::{Logged, Machine};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use silvercross_replica::{Apply, Ended, Entry, Index, Payload, Refused, Replica, Term};
+use silvercross_raft::{Apply, Ended, Entry, Index, Payload, Refused, Replica, Term};
 use std::collections::BTreeMap;
 
 /// Entries behind the last snapshot before the next one is made.
--- a/crates/records/src/placement.rs
+++ b/crates/control/idempotency-store/src/placement.rs
@@ -1,6 +1,6 @@
 //! Who is to hold copies of a group: the next single step from the group as it is, as its leader takes it through the log. A
 //! step is taken by the group's agreement, one at a time, and never in haste.
-use silvercross_replica::{Group, Node};
+use silvercross_raft::{Group, Node};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
--- a/crates/records/src/records.rs
+++ b/crates/control/idempotency-store/src/records.rs
@@ -9,7 +9,7 @@
 use crate::{group_of, Micros};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use silvercross_replica::{
+use silvercross_raft::{
     Durable, Ended, Envelope, Index, Message, Node, Payload, Refused, Replica, Snapshot, Write,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -33,7 +33,7 @@
     /// Entries between snapshots.
     pub snapshot_every: usize,
     /// Of each replica.
-    pub replica: silvercross_replica::Config,
+    pub replica: silvercross_raft::Config,
     /// Where all chance starts.
     pub seed: u64,
     /// Snapshots forget the sessions; heeded only with the feature `mutants`.
@@ -51,7 +51,7 @@
             replace_after: 30_000_000,
             patience: 150_000,
             snapshot_every: SNAPSHOT_EVERY,
-            replica: silvercross_replica::Config::default(),
+            replica: silvercross_raft::Config::default(),
             seed,
             forget_sessions: false,
             mark_early: false,
--- a/crates/records/src/said.rs
+++ b/crates/control/idempotency-store/src/said.rs
@@ -1,7 +1,7 @@
 //! What processes say to each other about records.
 use crate::command::{Command, Outcome};
 use serde::{Deserialize, Serialize};
-use silvercross_replica::Envelope;
+use silvercross_raft::Envelope;
 
 /// Which founding or recovery of the records: the upper 24 bits count, the lower 40 are drawn. A greater count holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/records/tests/machine.rs
+++ b/crates/control/idempotency-store/tests/machine.rs
@@ -1,9 +1,9 @@
 //! The state machine by hand: takes, windows, sessions, documents, bounds; snapshots; who is to hold.
-use silvercross_records::command::BYTES_MOST;
-use silvercross_records::machine::{Logged, Machine, OUTCOMES, SESSION_MS};
-use silvercross_records::placement::{next, Facts, Place};
-use silvercross_records::{group_of, Answer, Command, Outcome, Take};
-use silvercross_replica::{Group, Node};
+use silvercross_idempotency_store::command::BYTES_MOST;
+use silvercross_idempotency_store::machine::{Logged, Machine, OUTCOMES, SESSION_MS};
+use silvercross_idempotency_store::placement::{next, Facts, Place};
+use silvercross_idempotency_store::{group_of, Answer, Command, Outcome, Take};
+use silvercross_raft::{Group, Node};
 use std::collections::BTreeMap;
 
 struct Log {
--- a/crates/sorting/src/history.rs
+++ b/crates/control/mesh-config/src/history.rs
@@ -63,7 +63,7 @@
         Said { kind: ItemKind::Limits, name: "", edition: item.parsed.edition, content }
     }
 
-    pub fn member(stated: silvercross_tariff::Stated<'a>) -> Said<'a> {
+    pub fn member(stated: silvercross_throttle::Stated<'a>) -> Said<'a> {
         let kind = if stated.name.is_some() { ItemKind::Member } else { ItemKind::Membership };
         let content = stated.raw.map(|raw| (raw, ""));
         Said { kind, name: stated.name.unwrap_or_default(), edition: stated.edition, content }
--- a/crates/sorting/src/read.rs
+++ b/crates/control/mesh-config/src/read.rs
@@ -8,7 +8,7 @@
 use serde::de::{DeserializeOwned, Visitor};
 use serde::{Deserialize, Deserializer};
 use serde_json::{Map, Value};
-use silvercross_tariff::Sent;
+use silvercross_throttle::Sent;
 
 use crate::items::{
     host_key, Change, Destination, Entries, Entry, Fault, Item, Kind, Limits, Route, Versioned, MAX_TIME_US,
@@ -109,7 +109,7 @@
     drop(places);
     let members = match members {
         true => {
-            silvercross_tariff::read(deliver, withdraw).map_err(|f| Fault::new(f.item, f.key, f.reason))?
+            silvercross_throttle::read(deliver, withdraw).map_err(|f| Fault::new(f.item, f.key, f.reason))?
         }
         false => Sent::default(),
     };
--- a/crates/sorting/src/tracked.rs
+++ b/crates/control/mesh-config/src/tracked.rs
@@ -2,7 +2,7 @@
 
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Refusal, State};
-use silvercross_tariff::Sent;
+use silvercross_throttle::Sent;
 
 use crate::configuration::conflict;
 use crate::history::{History, ItemKind, Note, Said};
--- a/crates/sorting/src/whole.rs
+++ b/crates/control/mesh-config/src/whole.rs
@@ -2,7 +2,7 @@
 
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Refusal, State};
-use silvercross_tariff::{Roll, Sent};
+use silvercross_throttle::{Roll, Sent};
 
 use crate::configuration::Configuration;
 use crate::history::{Forgotten, ItemKind, Said};
--- a/crates/sorting/tests/capacity.rs
+++ b/crates/control/mesh-config/tests/capacity.rs
@@ -1,9 +1,9 @@
 //! What a configuration costs by its size. Run by hand:
-//! `cargo test --release -p silvercross-sorting --test capacity -- --ignored --nocapture`
+//! `cargo test --release -p silvercross-mesh-config --test capacity -- --ignored --nocapture`
 
 use serde_json::{json, Value};
 use silvercross_control_store::State;
-use silvercross_sorting::{read_patch, Change, Configuration, Table};
+use silvercross_mesh_config::{read_patch, Change, Configuration, Table};
 use std::time::Instant;
 
 /// Services, routes and remembered drops of each row; the last but one is the size that is expected in two years.
--- a/crates/sorting/tests/repeats/main.rs
+++ b/crates/control/mesh-config/tests/repeats/main.rs
@@ -9,8 +9,8 @@
 use serde_json::{json, Value};
 use silvercross_control_store::State;
 #[cfg(feature = "mutants")]
-use silvercross_sorting::mutant::Broken;
-use silvercross_sorting::{read_call, Call, Tracked, MAX_DROPPED, MAX_ITEMS, MAX_OVERTAKEN};
+use silvercross_mesh_config::mutant::Broken;
+use silvercross_mesh_config::{read_call, Call, Tracked, MAX_DROPPED, MAX_ITEMS, MAX_OVERTAKEN};
 
 fn call(body: Value) -> Call {
     read_call(body.to_string().as_bytes()).unwrap()
@@ -406,7 +406,7 @@
 
 #[cfg(feature = "mutants")]
 fn caught(broken: Broken) -> String {
-    silvercross_sorting::mutant::break_it(Some(broken));
+    silvercross_mesh_config::mutant::break_it(Some(broken));
     let mut dice = 1;
     let why = (0..2_000).find_map(|_| {
         let drawn = drawn(&mut dice);
@@ -415,7 +415,7 @@
             .unwrap_or_else(|_| Err("a refused call left something behind".to_string()))
             .err()
     });
-    silvercross_sorting::mutant::break_it(None);
+    silvercross_mesh_config::mutant::break_it(None);
     let why = why.unwrap_or_else(|| panic!("{broken:?} was not found"));
     println!("{broken:?}: {why}");
     why
@@ -443,9 +443,9 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn a_dropped_item_that_comes_back_is_caught() {
-    silvercross_sorting::mutant::break_it(Some(Broken::DropsForgotten));
+    silvercross_mesh_config::mutant::break_it(Some(Broken::DropsForgotten));
     let outcome = std::panic::catch_unwind(after_65536_drops_nothing_comes_back);
-    silvercross_sorting::mutant::break_it(None);
+    silvercross_mesh_config::mutant::break_it(None);
     let why = outcome.expect_err("not found");
     assert!(why.downcast_ref::<String>().is_some_and(|why| why.contains("destinations")));
 }
--- a/crates/sorting/tests/sorting.rs
+++ b/crates/control/mesh-config/tests/sorting.rs
@@ -4,7 +4,9 @@
 
 use serde_json::{json, Value};
 use silvercross_control_store::{Refusal, State};
-use silvercross_sorting::{read_patch, Change, Configuration, Kind, Limits, Table, MAX_DROPPED, MAX_ITEMS};
+use silvercross_mesh_config::{
+    read_patch, Change, Configuration, Kind, Limits, Table, MAX_DROPPED, MAX_ITEMS,
+};
 
 fn patch(body: Value) -> Change {
     read_patch(body.to_string().as_bytes()).unwrap()
--- a/crates/rounds/tests/capacity.rs
+++ b/crates/control/mesh-membership/tests/capacity.rs
@@ -1,5 +1,5 @@
 //! What one node of a large mesh costs, from the deciding code in simulated time, many nodes in one process. Run by hand:
-//! `NODES=100,300,1000 cargo test --release -p silvercross-rounds --test capacity -- --ignored --nocapture`
+//! `NODES=100,300,1000 cargo test --release -p silvercross-mesh-membership --test capacity -- --ignored --nocapture`
 mod common;
 
 use common::{core, side, World, MS, S};
--- a/crates/rounds/tests/common/mod.rs
+++ b/crates/control/mesh-membership/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 pub mod starts;
 
-use silvercross_rounds::*;
+use silvercross_mesh_membership::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const MS: Micros = 1_000;
--- a/crates/rounds/tests/common/starts.rs
+++ b/crates/control/mesh-membership/tests/common/starts.rs
@@ -1,6 +1,6 @@
 //! Schedules in which nodes start while a core machine is in trouble.
 use super::{core, side, World, MS, S};
-use silvercross_rounds::*;
+use silvercross_mesh_membership::*;
 
 pub const OLD: Revision = (1, 0, 0);
 pub const NEW: Revision = (2, 0, 0);
--- a/crates/rounds/tests/days.rs
+++ b/crates/control/mesh-membership/tests/days.rs
@@ -1,7 +1,7 @@
 //! The mesh as a whole, in simulated time.
 mod common;
 use common::{core, side, World, MS, S};
-use silvercross_rounds::*;
+use silvercross_mesh_membership::*;
 
 fn calm(sides: usize, seed: u64) -> World {
     let mut world = World::new(sides, seed, 500 * MS);
--- a/crates/rounds/tests/freshness.rs
+++ b/crates/control/mesh-membership/tests/freshness.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::starts::{calm, page, run, starts_during_a_read, Case, Outcome, Trouble, Ways, Who, NEW, OLD};
 use common::{core, side, World, MS, S};
-use silvercross_rounds::*;
+use silvercross_mesh_membership::*;
 use Trouble::*;
 use Ways::*;
 use Who::*;
--- a/crates/rounds/tests/mutants.rs
+++ b/crates/control/mesh-membership/tests/mutants.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::starts::{run, starts_during_a_read, Case, Trouble, Ways, Who};
 use common::S;
-use silvercross_rounds::Broken;
+use silvercross_mesh_membership::Broken;
 
 fn caught(found: &[String]) {
     assert!(found.iter().any(|found| found.contains("is current with k Some((1, 0, 0))")), "{found:?}");
--- a/crates/rounds/tests/rules.rs
+++ b/crates/control/mesh-membership/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Single rules of one node.
 use bolero::generator::TypeGenerator;
-use silvercross_rounds::*;
+use silvercross_mesh_membership::*;
 
 const ME: Node = Node(10);
 const LINKED: [Node; 3] = [Node(1), Node(20), Node(21)];
--- a/crates/rounds/tests/vouching.rs
+++ b/crates/control/mesh-membership/tests/vouching.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{core, side, World, MS, S};
-use silvercross_rounds::{Datagram, Effect, Letter, Node, Record, Rounds, Standing, Start};
+use silvercross_mesh_membership::{Datagram, Effect, Letter, Node, Record, Rounds, Standing, Start};
 
 /// All that is left of a mesh agrees within this after a zone was lost.
 const ZONE_LOST: i64 = 10 * S;
--- a/crates/franking/examples/cost.rs
+++ b/crates/control/quota/examples/cost.rs
@@ -1,7 +1,7 @@
 //! Prints what the shared allowance costs: messages, exchanges, bytes, time. `cargo run --release --example cost`.
 
 use silvercross_control_store::State;
-use silvercross_franking::*;
+use silvercross_quota::*;
 use std::time::Instant;
 
 const S: Micros = 1_000_000;
--- a/crates/franking/src/lib.rs
+++ b/crates/control/quota/src/lib.rs
@@ -1,6 +1,6 @@
 //! The shared allowance, decided without I/O: what a member may use in a window ([`Allowance`], merged in a [`Book`]),
 //! the one count of it under a key of the ledger ([`Count`]), what a node holds of it ([`Purse`]) and what the key's
-//! owner has to do ([`Clerk`]). The argument: `docs/design/franking.md`.
+//! owner has to do ([`Clerk`]). The argument: `docs/design/quota.md`.
 #![forbid(unsafe_code)]
 
 mod broken;
--- a/crates/franking/tests/common/mod.rs
+++ b/crates/control/quota/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use silvercross_control_store::State;
-use silvercross_franking::*;
+use silvercross_quota::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const MEMBER: &str = "workshop-7";
--- a/crates/franking/tests/common/plain.rs
+++ b/crates/control/quota/tests/common/plain.rs
@@ -1,7 +1,7 @@
 //! The slow plain counter: it sees every change in the owner's order and works everything out anew from lists.
 
 use silvercross_control_store::Refusal;
-use silvercross_franking::{Change, Count, Kind, Mark, Order, Why, CLAIMS};
+use silvercross_quota::{Change, Count, Kind, Mark, Order, Why, CLAIMS};
 
 struct Try {
     order: Order,
--- a/crates/franking/tests/exhaustive.rs
+++ b/crates/control/quota/tests/exhaustive.rs
@@ -5,7 +5,7 @@
 
 use common::{allowance, MEMBER};
 use silvercross_control_store::State as _;
-use silvercross_franking::*;
+use silvercross_quota::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
--- a/crates/franking/tests/mutants.rs
+++ b/crates/control/quota/tests/mutants.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::World;
-use silvercross_franking::{break_on_purpose, Broken};
+use silvercross_quota::{break_on_purpose, Broken};
 
 fn caught(broken: Broken, word: &str) {
     break_on_purpose(Some(broken));
--- a/crates/franking/tests/rules.rs
+++ b/crates/control/quota/tests/rules.rs
@@ -4,7 +4,7 @@
 
 use common::{allowance, MEMBER};
 use silvercross_control_store::State;
-use silvercross_franking::*;
+use silvercross_quota::*;
 
 const S: Micros = 1_000_000;
 
--- a/crates/replica/tests/explore.rs
+++ b/crates/control/raft/tests/explore.rs
@@ -3,7 +3,7 @@
 //! leader in a term, one entry at a place, no rule broken inside. `SILVERCROSS_STATES` is how many states at most, `SILVERCROSS_OFTEN`
 //! how many stands, proposals, crashes and doubled messages there may be (by hand).
 mod table;
-use silvercross_replica::Mutant;
+use silvercross_raft::Mutant;
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
 use table::Table;
--- a/crates/replica/tests/rules.rs
+++ b/crates/control/raft/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Each rule of the log stepped by hand, on whole replicas and (with the feature `mutants`) on ones that break it.
 mod table;
-use silvercross_replica::{Ended, Group, Message, Mutant, Node, Refused};
+use silvercross_raft::{Ended, Group, Message, Mutant, Node, Refused};
 use table::Table;
 
 /// Run a schedule on whole replicas, which keep to the rule, and on broken ones, which don't.
@@ -173,7 +173,7 @@
 
 #[test]
 fn one_that_is_far_behind_gets_the_snapshot_in_pieces() {
-    let mut t = Table::with(3, 0, silvercross_replica::Config { election: 1_000_000, ..table::config(None) });
+    let mut t = Table::with(3, 0, silvercross_raft::Config { election: 1_000_000, ..table::config(None) });
     t.stand(0);
     t.among(&[1, 2]);
     for n in 0..20 {
--- a/crates/replica/tests/table/mod.rs
+++ b/crates/control/raft/tests/table/mod.rs
@@ -1,6 +1,6 @@
 //! Replicas on a table: messages lie there until a test delivers, doubles or drops them; disks are played by hand.
 #![allow(dead_code)]
-use silvercross_replica::{
+use silvercross_raft::{
     Apply, Config, Durable, Entry, Group, Hard, Message, Mutant, Node, Payload, Replica, Snapshot,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
     pub replica: Replica,
     pub disk: Durable,
     /// Writes that are under way.
-    pub writing: Vec<silvercross_replica::Write>,
+    pub writing: Vec<silvercross_raft::Write>,
     pub up: bool,
 }
 
--- a/crates/members/src/config.rs
+++ b/crates/control/swim/src/config.rs
@@ -58,7 +58,7 @@
     pub mutant: Option<Mutant>,
 }
 
-/// Ways to break a member on purpose, each caught by a script (`crates/rehearse/tests/fleet.rs`).
+/// Ways to break a member on purpose, each caught by a script (`crates/tools/scenario-runner/tests/fleet.rs`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     /// It does not refute what is said of it.
--- a/crates/tariff/tests/common/mod.rs
+++ b/crates/control/throttle/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use silvercross_control_store::{Epoch, Node, State};
-use silvercross_tariff::{
+use silvercross_throttle::{
     delay, standing, Asked, Board, Change, Clerk, Clock, Guard, Kind, Lapse, Lapses, Member, Mutant, Plan,
     Slow, Slowing, Stage, Standing, Voice,
 };
@@ -151,9 +151,9 @@
         match self.mutant {
             Some(Mutant::DelayByNode(_)) => {
                 let mutant = Mutant::DelayByNode(_node as u32);
-                return silvercross_tariff::delay_broken(mutant, member, at, asked);
+                return silvercross_throttle::delay_broken(mutant, member, at, asked);
             }
-            Some(mutant) => return silvercross_tariff::delay_broken(mutant, member, at, asked),
+            Some(mutant) => return silvercross_throttle::delay_broken(mutant, member, at, asked),
             None => {}
         }
         delay(member, at, asked)
--- a/crates/tariff/tests/mutants.rs
+++ b/crates/control/throttle/tests/mutants.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{schedule, World};
-use silvercross_tariff::Mutant;
+use silvercross_throttle::Mutant;
 
 /// The model finds it within so many schedules, in these words.
 fn caught(mutant: Mutant, schedules: u64, words: &str) {
--- a/crates/tariff/tests/rules.rs
+++ b/crates/control/throttle/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Map, Value};
 use silvercross_control_store::{Epoch, Node, State};
-use silvercross_tariff::{
+use silvercross_throttle::{
     delay, key, name_of, read, Advice, Asked, Board, Change, Clerk, Clock, Directory, Fault, Guard, Kind,
     Lapse, Lapses, Member, Parked, Plan, Roll, Sent, Slow, Slowing, Stage, Standing, Terms, Voice, Waits,
     Whose,
--- a/crates/tariff/tests/schedules.rs
+++ b/crates/control/throttle/tests/schedules.rs
@@ -51,7 +51,7 @@
     assert_eq!(World::new(15083530161350803441, None).run(&schedule), Ok(()));
 }
 
-/// `cargo test -p silvercross-tariff --release --test schedules -- --ignored --nocapture`
+/// `cargo test -p silvercross-throttle --release --test schedules -- --ignored --nocapture`
 #[test]
 #[ignore = "minutes without optimisation"]
 fn a_hundred_thousand_schedules() {
--- a/crates/posthouse/src/carriers.rs
+++ b/crates/daemon/mesh/src/carriers.rs
@@ -1,4 +1,4 @@
-//! Between sidecars: hands `silvercross-rounds` and `silvercross-control-store` what comes on links and datagrams, lets their time
+//! Between sidecars: hands `silvercross-mesh-membership` and `silvercross-control-store` what comes on links and datagrams, lets their time
 //! pass, and does what they say; decides nothing.
 #[cfg(test)]
 mod alone;
@@ -16,7 +16,7 @@
 use frames::Parcel;
 use link::Link;
 use silvercross_control_store::{ControlStore, Verdict};
-use silvercross_rounds::{Datagram, Node, Revision, Rounds};
+use silvercross_mesh_membership::{Datagram, Node, Revision, Rounds};
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/posthouse/src/carriers/alone.rs
+++ b/crates/daemon/mesh/src/carriers/alone.rs
@@ -5,10 +5,10 @@
 use crate::settings;
 use crate::{disk, gate};
 use rand_core::SeedableRng;
+use silvercross_admission::Wicket;
 use silvercross_control_store::{Disk, Epoch, Metadata, ReplicaSet, Start, State, Stored};
 use silvercross_facade::Clock;
-use silvercross_rounds::{Freshness, READY_BOUND};
-use silvercross_wicket::Wicket;
+use silvercross_mesh_membership::{Freshness, READY_BOUND};
 use slog::{o, Discard, Logger};
 use tokio::net::TcpListener;
 
@@ -26,7 +26,7 @@
     let mut leaf = Leaf::Blank;
     for edition in 1..=changes {
         let item = format!("{{\"withdraw\":{{\"routes\":[{{\"name\":\"r\",\"edition\":{edition}}}]}}}}");
-        let patch = silvercross_sorting::read_patch(item.as_bytes()).expect("well-formed");
+        let patch = silvercross_mesh_config::read_patch(item.as_bytes()).expect("well-formed");
         leaf.apply(&Order::Patch(patch)).expect("valid");
     }
     leaf
@@ -75,8 +75,14 @@
     let body = Body { inbound: 1, control: 1, leaving: false, roster: Vec::new(), station: None };
     // The seeds name the first control machine alone.
     let seeds = vec![Node(address(CONTROL[0]).to_bits())];
-    let start =
-        silvercross_rounds::Start { me, zone: "a".into(), core, seeds, life: 1, seed: u64::from(last) };
+    let start = silvercross_mesh_membership::Start {
+        me,
+        zone: "a".into(),
+        core,
+        seeds,
+        life: 1,
+        seed: u64::from(last),
+    };
     let rounds = Rounds::new(clock.now(), start, body);
     let udp = UdpSocket::bind((ip, port)).await.expect("the port");
     let links = TcpListener::bind((ip, port)).await.expect("the port");
--- a/crates/posthouse/src/carriers/confirm.rs
+++ b/crates/daemon/mesh/src/carriers/confirm.rs
@@ -3,7 +3,7 @@
 use crate::leaf::{Leaf, CONFIGURATION, EVACUATION};
 use crate::post::Post;
 use silvercross_control_store::Verdict;
-use silvercross_rounds::Revision;
+use silvercross_mesh_membership::Revision;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/crates/posthouse/src/carriers/effects.rs
+++ b/crates/daemon/mesh/src/carriers/effects.rs
@@ -7,7 +7,7 @@
 use crate::leaf::Leaf;
 use crate::post::Post;
 use silvercross_control_store::{Effect as StoreEffect, Verdict};
-use silvercross_rounds::{Effect, Node, Record};
+use silvercross_mesh_membership::{Effect, Node, Record};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
--- a/crates/posthouse/src/carriers/frames.rs
+++ b/crates/daemon/mesh/src/carriers/frames.rs
@@ -3,7 +3,7 @@
 use crate::leaf::{Leaf, Order};
 use bitcode::{Decode, Encode};
 use silvercross_control_store::Message as StoreMessage;
-use silvercross_rounds::Letter;
+use silvercross_mesh_membership::Letter;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/posthouse/src/carriers/link.rs
+++ b/crates/daemon/mesh/src/carriers/link.rs
@@ -3,8 +3,8 @@
 use super::{ip, Carriers};
 use crate::hop;
 use crate::post::{Counted, Door, Post};
-use silvercross_rounds::Node;
-use silvercross_tariff::Voice;
+use silvercross_mesh_membership::Node;
+use silvercross_throttle::Voice;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/posthouse/src/carriers/tests.rs
+++ b/crates/daemon/mesh/src/carriers/tests.rs
@@ -3,7 +3,7 @@
 use super::link::GREETING;
 use super::Carriers;
 use crate::trial::{self, Talk, Terms};
-use silvercross_rounds::Letter;
+use silvercross_mesh_membership::Letter;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -42,8 +42,11 @@
         let (mut here, mut there) = tokio::io::duplex(4 * 1024);
         let (out, waiting) = mpsc::channel(4);
         let (first, waiting_first) = mpsc::channel(4);
-        let page =
-            silvercross_rounds::Page { key: "k".to_string(), revision: (1, 2, 3), bytes: vec![7; 1 << 20] };
+        let page = silvercross_mesh_membership::Page {
+            key: "k".to_string(),
+            revision: (1, 2, 3),
+            bytes: vec![7; 1 << 20],
+        };
         let news = Letter::News { records: Vec::new(), pages: vec![page] };
         let large = Rc::new(framed(&Parcel::Round(news.clone())));
         let writing = async move { write_lanes(&mut here, waiting, waiting_first).await };
--- a/crates/posthouse/src/changes.rs
+++ b/crates/daemon/mesh/src/changes.rs
@@ -103,7 +103,7 @@
 #[test]
 fn what_is_open_ends_well_whatever_changes_meanwhile() {
     trial::run(async {
-        let path = std::env::temp_dir().join(format!("posthouse-changes-{}.yaml", std::process::id()));
+        let path = std::env::temp_dir().join(format!("silvercross-mesh-changes-{}.yaml", std::process::id()));
         for change in CHANGES {
             for (method, of, body, answer) in REQUESTS {
                 let case = format!("{change:?} {method} {of} {body} {answer}");
--- a/crates/posthouse/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -123,7 +123,7 @@
 }
 
 async fn patched(post: &Rc<Post>, body: &[u8], path: &str) -> Said {
-    let order = match silvercross_sorting::read_call(body) {
+    let order = match silvercross_mesh_config::read_call(body) {
         Ok(call) if call.members.is_empty() => Order::Patch(call.change),
         Ok(call) => Order::Call(Box::new(call)),
         Err(fault) => return Said::fault(400, &fault.to_string()),
@@ -336,7 +336,7 @@
 }
 
 async fn one(post: &Rc<Post>, line: &mut Line, calls: &[&Call]) -> Next {
-    let asked = match line.request(IDLE, COMES, silvercross_sorting::MAX_BODY).await {
+    let asked = match line.request(IDLE, COMES, silvercross_mesh_config::MAX_BODY).await {
         Ok(asked) => asked,
         Err(Wrong::Bad(bad)) => {
             return refused(line, &bad).await;
@@ -346,7 +346,7 @@
     if asked.waits && line.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
         return Next::End;
     }
-    let body = match timeout(COMES, line.body(asked.framing, silvercross_sorting::MAX_BODY)).await {
+    let body = match timeout(COMES, line.body(asked.framing, silvercross_mesh_config::MAX_BODY)).await {
         Ok(Ok(body)) => body,
         Ok(Err(Wrong::Bad(bad))) => {
             return refused(line, &bad).await;
--- a/crates/posthouse/src/cut_points_tests.rs
+++ b/crates/daemon/mesh/src/cut_points_tests.rs
@@ -133,7 +133,7 @@
     judged(&few_cases(), 2);
 }
 
-/// `cargo test --profile mesh -p silvercross-posthouse -- --ignored --nocapture at_each_byte`
+/// `cargo test --profile mesh -p silvercross-mesh -- --ignored --nocapture at_each_byte`
 #[test]
 #[ignore = "minutes; each byte of each head"]
 fn a_request_that_is_cut_at_each_byte_runs_once_and_is_answered_truly() {
--- a/crates/posthouse/src/data_path_tests.rs
+++ b/crates/daemon/mesh/src/data_path_tests.rs
@@ -212,7 +212,7 @@
         let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
         let (listener, at) = trial::station().await;
         tokio::task::spawn_local(control::listen(sidecar.post.clone(), listener, &control::CALLS));
-        let large = silvercross_sorting::MAX_BODY + 1;
+        let large = silvercross_mesh_config::MAX_BODY + 1;
         for (framing, want) in
             [(format!("Content-Length: {large}"), "413"), ("Transfer-Encoding: gzip".to_string(), "400")]
         {
--- a/crates/posthouse/src/desk.rs
+++ b/crates/daemon/mesh/src/desk.rs
@@ -3,9 +3,9 @@
 use crate::hop::Came;
 use silvercross_core::interface::{Class, Effect, Prices, Settings};
 use silvercross_facade::{Attempt, Balancer, Clock, Host, News, Report, Request, Step, Turn};
+use silvercross_mesh_config::{Kind, Table};
 use silvercross_net::table::{Handle, Table as Slots};
 use silvercross_settings::Front;
-use silvercross_sorting::{Kind, Table};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -77,7 +77,7 @@
 
 impl Terms<'_> {
     fn settings(&self) -> (Settings, Front) {
-        let of_service = |r: &&silvercross_sorting::Route| r.split.iter().any(|(d, _)| d == self.service);
+        let of_service = |r: &&silvercross_mesh_config::Route| r.split.iter().any(|(d, _)| d == self.service);
         let mut classes = Vec::new();
         let mut names = Vec::new();
         let mut cap = 1;
--- a/crates/posthouse/src/feed.rs
+++ b/crates/daemon/mesh/src/feed.rs
@@ -1,13 +1,13 @@
 //! What happens in the mesh as events, for other tools: JSON lines at `control`, as pages or followed. Off unless the role is
-//! started with `--feed`; `silvercross-gazette` decides what is told.
+//! started with `--feed`; `silvercross-event-feed` decides what is told.
 use crate::carriers::Body;
 use crate::leaf::{Leaf, CONFIGURATION, EVACUATION};
 use crate::post::Post;
 use crate::wire::{self, Asked, Line as Connection};
 use serde_json::{json, Value};
-use silvercross_gazette::{kind, Bounds, Cursor, Filter, Gazette, Line, Place, Reader, Told};
-use silvercross_rounds::Record;
-use silvercross_sorting::Configuration;
+use silvercross_event_feed::{kind, Bounds, Cursor, Filter, Gazette, Line, Place, Reader, Told};
+use silvercross_mesh_config::Configuration;
+use silvercross_mesh_membership::Record;
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
--- a/crates/posthouse/src/figures.rs
+++ b/crates/daemon/mesh/src/figures.rs
@@ -4,7 +4,7 @@
 use crate::post::Post;
 use serde_json::{json, Value};
 use silvercross_control_store::{ControlStore, Role};
-use silvercross_rounds::{Freshness, Record};
+use silvercross_mesh_membership::{Freshness, Record};
 use std::net::Ipv4Addr;
 
 /// The counters, by name.
--- a/crates/posthouse/src/front/route.rs
+++ b/crates/daemon/mesh/src/front/route.rs
@@ -5,7 +5,7 @@
 use crate::members::{self, Head};
 use crate::post::Post;
 use crate::wire::Asked;
-use silvercross_sorting::Route;
+use silvercross_mesh_config::Route;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/posthouse/src/front/run.rs
+++ b/crates/daemon/mesh/src/front/run.rs
@@ -8,7 +8,7 @@
 use crate::waybill::{self, Waybill, Word};
 use crate::wire::{Answer, Asked};
 use silvercross_facade::{Attempt, Report, Step};
-use silvercross_sorting::{Kind, Route};
+use silvercross_mesh_config::{Kind, Route};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/posthouse/src/gate.rs
+++ b/crates/daemon/mesh/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate: the one way to the upstream on this machine. What passes is `silvercross-wicket`'s to say; here it is done on
+//! The gate: the one way to the upstream on this machine. What passes is `silvercross-admission`'s to say; here it is done on
 //! sockets, and it is known for certain whether a byte was written.
 mod delivery;
 mod hops;
@@ -12,7 +12,7 @@
 
 use crate::post::Post;
 use crate::waybill::Word;
-use silvercross_wicket::{Effect, Turned, Wicket};
+use silvercross_admission::{Effect, Turned, Wicket};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/posthouse/src/gate/delivery.rs
+++ b/crates/daemon/mesh/src/gate/delivery.rs
@@ -7,7 +7,7 @@
 use crate::receipts::Receipt;
 use crate::waybill::{Waybill, Word};
 use crate::wire::{self, Answer, Asked, End, Size};
-use silvercross_wicket::{Arrival, Verdict};
+use silvercross_admission::{Arrival, Verdict};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/crates/posthouse/src/leaf.rs
+++ b/crates/daemon/mesh/src/leaf.rs
@@ -1,8 +1,8 @@
 //! What stands under a key of the ledger: the configuration, whether a zone is evacuated, or how far a member's lapse has come.
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Refusal, State};
-use silvercross_sorting::{Call, Change, Configuration, Tracked, Whole};
-use silvercross_tariff::{Lapse, Sent};
+use silvercross_mesh_config::{Call, Change, Configuration, Tracked, Whole};
+use silvercross_throttle::{Lapse, Sent};
 
 /// The key of the whole configuration: one key, so that a call over many items is one change.
 pub const CONFIGURATION: &str = "configuration";
@@ -37,7 +37,7 @@
     /// Items set and dropped, members among them.
     Call(Box<Call>),
     /// A member's lapse goes on.
-    Lapse(silvercross_tariff::Change),
+    Lapse(silvercross_throttle::Change),
 }
 
 impl Leaf {
@@ -46,7 +46,7 @@
         match self {
             Leaf::Whole(whole) => {
                 let lapsing = whole.roll.members().filter(|member| member.lapses.is_some());
-                lapsing.map(|member| silvercross_tariff::key(&member.name)).collect()
+                lapsing.map(|member| silvercross_throttle::key(&member.name)).collect()
             }
             _ => Vec::new(),
         }
@@ -137,9 +137,9 @@
         let mut zone = Leaf::Blank;
         assert_eq!(zone.apply(&Order::Evacuate(true)), Ok(true));
         assert_eq!(zone.apply(&Order::Evacuate(true)), Ok(false));
-        let patch = silvercross_sorting::read_patch(b"{}").expect("well-formed");
+        let patch = silvercross_mesh_config::read_patch(b"{}").expect("well-formed");
         assert!(zone.apply(&Order::Patch(patch)).is_err());
-        assert!(zone.apply(&Order::Lapse(silvercross_tariff::Change::Begin { edition: 1 })).is_err());
+        assert!(zone.apply(&Order::Lapse(silvercross_throttle::Change::Begin { edition: 1 })).is_err());
         assert!(zone.apply(&Order::Call(Box::default())).is_err());
         assert_eq!(zone, Leaf::Evacuation(true));
     }
@@ -159,7 +159,7 @@
     #[test]
     fn without_members_disk_and_links_hold_the_bytes_they_held_before_there_were_any() {
         let patch = br#"{"withdraw":{"routes":[{"name":"r","edition":2}]}}"#;
-        let patch = silvercross_sorting::read_patch(patch).expect("well-formed");
+        let patch = silvercross_mesh_config::read_patch(patch).expect("well-formed");
         let mut page = Leaf::Blank;
         page.apply(&Order::Patch(patch.clone())).expect("valid");
         let before: [(Leaf, &[u8]); 3] = [
@@ -180,8 +180,9 @@
     /// What was overtaken is kept where the key is, and nobody else gets it.
     #[test]
     fn nodes_get_what_stands_alone() {
-        let patch =
-            |body: &str| Order::Patch(silvercross_sorting::read_patch(body.as_bytes()).expect("well-formed"));
+        let patch = |body: &str| {
+            Order::Patch(silvercross_mesh_config::read_patch(body.as_bytes()).expect("well-formed"))
+        };
         let at = |edition: u64, path: &str| {
             patch(&format!(
                 r#"{{"deliver":{{"destinations":[{{"name":"d","healthPath":"{path}","edition":{edition}}}]}}}}"#
@@ -205,7 +206,7 @@
         assert_eq!(again, leaf);
         // Members, sent later.
         let members = br#"{"deliver":{"members":[{"name":"ana","key":"k","plan":"full","edition":1}]}}"#;
-        let members = silvercross_sorting::read_call(members).expect("well-formed");
+        let members = silvercross_mesh_config::read_call(members).expect("well-formed");
         assert_eq!(leaf.apply(&Order::Call(Box::new(members))), Ok(true));
         assert!(matches!(leaf.published(), Leaf::Whole(_)));
     }
--- a/crates/posthouse/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -1,4 +1,4 @@
-//! silvercross' mesh: one program for all machines. `posthouse carrier` on machines with an upstream, `posthouse office` on
+//! silvercross' mesh: one program for all machines. `silvercross-mesh sidecar` on machines with an upstream, `silvercross-mesh control` on
 //! those that hold the control state. What a process does follows from its settings file; the two words only say it in
 //! listings.
 #![forbid(unsafe_code)]
@@ -44,10 +44,10 @@
 use post::Post;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+use silvercross_admission::Wicket;
 use silvercross_control_store::ControlStore;
 use silvercross_facade::Clock;
-use silvercross_rounds::{Node, Rounds};
-use silvercross_wicket::Wicket;
+use silvercross_mesh_membership::{Node, Rounds};
 use slog::{error, info, o, warn, Drain, Logger};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
@@ -58,20 +58,20 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::JoinHandle;
 
-const HELP: &str = "posthouse carrier|office [--settings FILE] [--check] [--feed] | members ...
-  carrier   beside an upstream: carries requests
-  office    on a machine with a disk: holds the control state
+const HELP: &str = "silvercross-mesh sidecar|control [--settings FILE] [--check] [--feed] | members ...
+  sidecar   beside an upstream: carries requests
+  control   on a machine with a disk: holds the control state
   --settings FILE   the machine's settings (YAML); else the file named in SILVERCROSS_NODE_FILE
   --feed            tell other tools what happens, at control: GET /-/Post.Events
   --check           read the settings, say what is wrong with them, and end
-  members   members and how far their slowing has come; posthouse members --help
+  members   members and how far their slowing has come; silvercross-mesh members --help
 Logs are JSON lines on standard error; SILVERCROSS_LOG=debug|info|warning says how many.";
 
 fn main() {
     match run() {
         Ok(()) => {}
         Err(e) => {
-            eprintln!("posthouse: {e:#}");
+            eprintln!("silvercross-mesh: {e:#}");
             std::process::exit(e.downcast_ref::<disk::Failed>().map_or(2, disk::Failed::code));
         }
     }
@@ -80,7 +80,7 @@
 fn run() -> Result<()> {
     let mut args = pico_args::Arguments::from_env();
     if args.contains("--version") {
-        println!("posthouse {}", env!("CARGO_PKG_VERSION"));
+        println!("silvercross-mesh {}", env!("CARGO_PKG_VERSION"));
         return Ok(());
     }
     let role = args.subcommand()?;
@@ -98,7 +98,7 @@
     if let Some(extra) = args.finish().first() {
         bail!("{}: not understood\n{HELP}", extra.to_string_lossy());
     }
-    if !matches!(role.as_deref(), Some("carrier" | "office")) {
+    if !matches!(role.as_deref(), Some("sidecar" | "control")) {
         bail!("say which it is\n{HELP}");
     }
     let file = file.or_else(|| std::env::var_os(settings::VARIABLE).map(PathBuf::from));
@@ -143,7 +143,7 @@
         roster: Vec::new(),
         station: None,
     };
-    let start = silvercross_rounds::Start {
+    let start = silvercross_mesh_membership::Start {
         me: Node(boot.ip.to_bits()),
         zone: boot.zone.clone(),
         core: boot.core,
--- a/crates/posthouse/src/members.rs
+++ b/crates/daemon/mesh/src/members.rs
@@ -1,13 +1,13 @@
 //! Members on one node: whose a request is and how long it waits, how far each member's lapse has come, and, where this node
-//! owns a lapse's key, the duty to take it on. Everything is decided in `silvercross-tariff`. Where no member stands, a request
+//! owns a lapse's key, the duty to take it on. Everything is decided in `silvercross-throttle`. Where no member stands, a request
 //! costs one look at a flag here, and nothing runs.
 use crate::leaf::{Order, CONFIGURATION};
 use crate::post::Post;
 use crate::wire::Asked;
 use serde_json::{json, Map, Value};
 use silvercross_control_store::{Epoch, Verdict};
-use silvercross_sorting::Route;
-use silvercross_tariff::{
+use silvercross_mesh_config::Route;
+use silvercross_throttle::{
     key, name_of, Board, Clerk, Clock, Directory, Guard, Kind, Lapse, Lapses, Member, Parked, Plan, Roll,
     Slow, Standing, Terms, Ticket, Turn, Voice, Whose,
 };
@@ -306,9 +306,9 @@
     let from = post.now();
     let standing = members.board.borrow().row(from, member).standing;
     let kind = match route.kind {
-        silvercross_sorting::Kind::Safe => Kind::Safe,
-        silvercross_sorting::Kind::Unsafe => Kind::Unsafe,
-        silvercross_sorting::Kind::Upload => Kind::Upload,
+        silvercross_mesh_config::Kind::Safe => Kind::Safe,
+        silvercross_mesh_config::Kind::Unsafe => Kind::Unsafe,
+        silvercross_mesh_config::Kind::Upload => Kind::Upload,
     };
     let terms = Terms::at_head(member, standing, kind, id.as_bytes(), route.target_us, budget);
     let standing = terms.standing();
--- a/crates/posthouse/src/membership.rs
+++ b/crates/daemon/mesh/src/membership.rs
@@ -1,4 +1,4 @@
-//! `posthouse members`: asks one sidecar where the others are, and each of them how far its members are slowed. One moment's
+//! `silvercross-mesh members`: asks one sidecar where the others are, and each of them how far its members are slowed. One moment's
 //! table, or one each second.
 use crate::hop;
 use anyhow::{anyhow, bail, Context, Result};
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-const HELP: &str = "posthouse members list|show|renew|lapse --at ADDRESS
+const HELP: &str = "silvercross-mesh members list|show|renew|lapse --at ADDRESS
   list              every member, and its step over all nodes
   show NAME         one member, node by node
   renew NAME        its slowing ends, and its trial or plan begins anew
@@ -78,7 +78,7 @@
         }
     });
     if let Err(e) = done {
-        eprintln!("posthouse: {e:#}");
+        eprintln!("silvercross-mesh: {e:#}");
         std::process::exit(1);
     }
     Ok(())
--- a/crates/posthouse/src/post.rs
+++ b/crates/daemon/mesh/src/post.rs
@@ -29,7 +29,7 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use silvercross_facade::Clock;
-use silvercross_rounds::Record;
+use silvercross_mesh_membership::Record;
 use slog::{debug, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/posthouse/src/post/in_force.rs
+++ b/crates/daemon/mesh/src/post/in_force.rs
@@ -1,8 +1,8 @@
 //! The control state in force here: the routing table, evacuated zones, revisions, and whether that makes this process ready.
 use super::Post;
 use crate::leaf::{Leaf, CONFIGURATION, EVACUATION};
-use silvercross_rounds::Freshness;
-use silvercross_sorting::{Configuration, Table};
+use silvercross_mesh_config::{Configuration, Table};
+use silvercross_mesh_membership::Freshness;
 use slog::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/posthouse/src/post/other_sidecars.rs
+++ b/crates/daemon/mesh/src/post/other_sidecars.rs
@@ -1,7 +1,7 @@
 //! The other sidecars as this one knows them: their records, how many there are, and which of them holds the control store.
 use super::Post;
 use crate::carriers::Body;
-use silvercross_rounds::Record;
+use silvercross_mesh_membership::Record;
 use std::cmp::Reverse;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/posthouse/src/post/own_record.rs
+++ b/crates/daemon/mesh/src/post/own_record.rs
@@ -44,7 +44,7 @@
     /// This sidecar's own record, for the feed.
     pub(super) fn feed_own(&self) {
         if let Some(feed) = self.feed.get() {
-            let me = silvercross_rounds::Node(self.boot.ip.to_bits());
+            let me = silvercross_mesh_membership::Node(self.boot.ip.to_bits());
             self.carriers.rounds(|r| r.record(me).into_iter().for_each(|own| feed.record(own)));
         }
     }
--- a/crates/posthouse/src/post/own_upstream.rs
+++ b/crates/daemon/mesh/src/post/own_upstream.rs
@@ -3,7 +3,7 @@
 use crate::carriers::Station;
 use crate::hop;
 use serde::Deserialize;
-use silvercross_wicket::{Allowance, Facts};
+use silvercross_admission::{Allowance, Facts};
 use slog::info;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/posthouse/src/post/upstream_lists.rs
+++ b/crates/daemon/mesh/src/post/upstream_lists.rs
@@ -5,7 +5,7 @@
 use crate::desk::{self, Desk, Terms};
 use rand_core::RngCore;
 use silvercross_facade::{Health, Host};
-use silvercross_sorting::Table;
+use silvercross_mesh_config::Table;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/posthouse/src/reload.rs
+++ b/crates/daemon/mesh/src/reload.rs
@@ -90,7 +90,7 @@
 mod tests {
     use super::*;
     use crate::trial::{self, Terms};
-    use silvercross_wicket::State;
+    use silvercross_admission::State;
 
     #[test]
     fn what_can_change_takes_hold_the_rest_is_named_and_a_broken_file_changes_nothing() {
@@ -98,7 +98,8 @@
             let (_, at) = trial::station().await;
             let (sidecar, text) = trial::sidecar_of(1, at, Terms::default()).await;
             let post = &sidecar.post;
-            let path = std::env::temp_dir().join(format!("posthouse-reload-{}.yaml", std::process::id()));
+            let path =
+                std::env::temp_dir().join(format!("silvercross-mesh-reload-{}.yaml", std::process::id()));
             let write = |text: &str| std::fs::write(&path, text).expect("written");
             write(&text);
             post.reload.begin(&path);
--- a/crates/posthouse/src/settings.rs
+++ b/crates/daemon/mesh/src/settings.rs
@@ -163,9 +163,9 @@
 
 impl Bounds {
     /// Those that the gate keeps.
-    pub fn of_gate(&self) -> silvercross_wicket::Bounds {
+    pub fn of_gate(&self) -> silvercross_admission::Bounds {
         let Bounds { drain, cold_overrun, cold_slack, .. } = *self;
-        silvercross_wicket::Bounds { drain, cold_overrun, cold_slack }
+        silvercross_admission::Bounds { drain, cold_overrun, cold_slack }
     }
 }
 
--- a/crates/posthouse/src/trial.rs
+++ b/crates/daemon/mesh/src/trial.rs
@@ -5,9 +5,9 @@
 use crate::post::{Beat, Post};
 use crate::{front, gate, settings};
 use rand_core::SeedableRng;
+use silvercross_admission::Wicket;
 use silvercross_control_store::State;
-use silvercross_rounds::{Effect, Letter, Node, Record, Rounds, Standing, Start};
-use silvercross_wicket::Wicket;
+use silvercross_mesh_membership::{Effect, Letter, Node, Record, Rounds, Standing, Start};
 use slog::{o, Discard, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -120,7 +120,7 @@
          \"routeKind\":\"upload\",\"deadlineS\":20,\"targetS\":1,\"priority\":1,\"destination\":\"{SERVICE}\",\"attempts\":2,\
          \"edition\":1}}]}}]}}}}"
     );
-    let patch = silvercross_sorting::read_patch(items.as_bytes()).expect("a configuration");
+    let patch = silvercross_mesh_config::read_patch(items.as_bytes()).expect("a configuration");
     let mut leaf = Leaf::Blank;
     leaf.apply(&Order::Patch(patch)).expect("applies");
     post.page(CONFIGURATION, (1, 1, 1), leaf.clone());
@@ -162,7 +162,7 @@
 
     /// Another page of the configuration: this change, on top of what stands.
     pub fn patch(&self, change: &str) {
-        let patch = silvercross_sorting::read_patch(change.as_bytes()).expect("a change");
+        let patch = silvercross_mesh_config::read_patch(change.as_bytes()).expect("a change");
         let mut leaf = self.leaf.borrow_mut();
         leaf.apply(&Order::Patch(patch)).expect("applies");
         let change = self.post.revisions().get(CONFIGURATION).map_or(0, |r| r.2) + 1;
--- a/crates/sidecar/src/event_loop.rs
+++ b/crates/daemon/sidecar/src/event_loop.rs
@@ -205,7 +205,7 @@
     ordered: Vec<String>,
     /// The records were asked or told something in this turn.
     stirred: bool,
-    view: Option<silvercross_members::View>,
+    view: Option<silvercross_swim::View>,
     view_told: Paced,
     members_told: Paced,
     /// Another process of this sidecar lives: what the two may hold is shared.
--- a/crates/sidecar/src/event_loop/fleet_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/fleet_side.rs
@@ -1,13 +1,13 @@
 //! The loop's side towards other sidecars of the fleet: datagrams read and sent, exchanges begun and answered, what membership
-//! says handed to the facade. It translates; who is there is decided in `crates/members`. Work for peers comes after answers
+//! says handed to the facade. It translates; who is there is decided in `crates/control/swim`. Work for peers comes after answers
 //! to clients, and is bounded in each turn.
 use super::{EventLoop, Wake};
 use crate::lifecycle::fleet::{Folder, Peers};
 use crate::wire::fleet::{Conn, Got};
 use silvercross_core::interface::Micros;
 use silvercross_facade::{Health, News};
-use silvercross_members::{Event, Members, State};
 use silvercross_net::registry::{Interest, Registry, Watched};
+use silvercross_swim::{Event, Members, State};
 use slog::{debug, info, warn};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
--- a/crates/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -1,6 +1,6 @@
 //! The loop's side towards the records: what is said to and by other holders, what is written and synced, requests of held
 //! classes that wait for the records before their first attempt and before their answer goes out. It translates: what is held
-//! and who holds is decided in `crates/records`, where a request goes by the module. No request waits longer than the fleet's
+//! and who holds is decided in `crates/control/idempotency-store`, where a request goes by the module. No request waits longer than the fleet's
 //! file says, nor longer than its client.
 use super::{EventLoop, Wake};
 use crate::lifecycle::fleet::{HeldClass, RecordsParts, Without};
@@ -9,14 +9,14 @@
 use crate::wire::batches::Link;
 use silvercross_core::interface::Micros;
 use silvercross_facade::Request as Placed;
+use silvercross_idempotency_store::command::BYTES_MOST;
+use silvercross_idempotency_store::placement::Place;
+use silvercross_idempotency_store::{Answer, Command, Outcome, Records, Said, Take, Want, Why};
 use silvercross_management::answer;
-use silvercross_members::{Identity, State};
 use silvercross_net::registry::{Interest, Registry, Watched};
 use silvercross_net::table::Handle;
-use silvercross_records::command::BYTES_MOST;
-use silvercross_records::placement::Place;
-use silvercross_records::{Answer, Command, Outcome, Records, Said, Take, Want, Why};
-use silvercross_replica::Node;
+use silvercross_raft::Node;
+use silvercross_swim::{Identity, State};
 use slog::{error, info, warn};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Read};
@@ -167,7 +167,7 @@
         let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return };
         if now >= h.places_at {
             h.places_at = now + PLACES;
-            let place = |s: &silvercross_members::table::Slot| Place {
+            let place = |s: &silvercross_swim::table::Slot| Place {
                 node: Node(s.card.id.0),
                 zone: s.card.zone.clone(),
                 alive: matches!(s.state, State::Alive | State::Suspect),
@@ -653,7 +653,7 @@
                     let r = &copy.replica;
                     let (records, documents, sessions, bytes) = copy.machine.size();
                     let far = r.progress().map(|p| {
-                        let line = |(n, p): (&Node, &silvercross_replica::Progress)| {
+                        let line = |(n, p): (&Node, &silvercross_raft::Progress)| {
                             (hex(&n.0), serde_json::json!({"matched": p.matched, "heard_s": (now - p.heard) as f64 / 1e6}))
                         };
                         p.iter().map(line).collect::<BTreeMap<_, _>>()
--- a/crates/sidecar/src/lifecycle/fleet.rs
+++ b/crates/daemon/sidecar/src/lifecycle/fleet.rs
@@ -2,10 +2,10 @@
 //! it exists: no listener, no datagram, no disk, no thread.
 use super::store::{self, OpenDisk, Store};
 use serde::{Deserialize, Serialize};
-use silvercross_members::wire::Fleet;
-use silvercross_members::{Config, Identity, Members, Micros, Start};
-use silvercross_records::command::WINDOW_MOST;
-use silvercross_records::Records;
+use silvercross_idempotency_store::command::WINDOW_MOST;
+use silvercross_idempotency_store::Records;
+use silvercross_swim::wire::Fleet;
+use silvercross_swim::{Config, Identity, Members, Micros, Start};
 use std::fs::{File, TryLockError};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -139,7 +139,7 @@
     60.0
 }
 fn snapshot_every() -> usize {
-    silvercross_records::holder::SNAPSHOT_EVERY
+    silvercross_idempotency_store::holder::SNAPSHOT_EVERY
 }
 
 fn second() -> f64 {
@@ -371,7 +371,7 @@
         folder.kept.store = store::which(&path);
         folder.write_now()?;
     }
-    let mut config = silvercross_records::Config::new(file.groups, file.holders, draw()?);
+    let mut config = silvercross_idempotency_store::Config::new(file.groups, file.holders, draw()?);
     config.replace_after = (file.replace_after_s * 1e6) as Micros;
     config.snapshot_every = file.snapshot_every;
     config.replica.election = (file.election_ms * 1e3) as Micros;
--- a/crates/sidecar/src/lifecycle/gateway.rs
+++ b/crates/daemon/sidecar/src/lifecycle/gateway.rs
@@ -245,7 +245,7 @@
 
     #[test]
     fn the_example_is_good_and_each_fault_is_told_by_its_key() {
-        let example = include_str!("../../../../deploy/gateway.example.toml");
+        let example = include_str!("../../../../../deploy/gateway.example.toml");
         parse(example).expect("good");
         let cases = [
             ("site = \"home\"", "site = \"ho me\"", "site:"),
--- a/crates/sidecar/src/lifecycle/store.rs
+++ b/crates/daemon/sidecar/src/lifecycle/store.rs
@@ -4,8 +4,8 @@
 //! another store stand under it, which rehearsals use to break disks.
 use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use serde::{Deserialize, Serialize};
-use silvercross_records::Epoch;
-use silvercross_replica::{Durable, Entry, Hard, Snapshot, Write};
+use silvercross_idempotency_store::Epoch;
+use silvercross_raft::{Durable, Entry, Hard, Snapshot, Write};
 use std::io::{self, Write as _};
 use std::os::unix::fs::MetadataExt;
 use std::os::unix::net::UnixStream;
@@ -243,7 +243,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use silvercross_replica::{Group, Node, Payload};
+    use silvercross_raft::{Group, Node, Payload};
 
     fn entry(n: u8) -> Entry {
         Entry { term: 1, at_ms: 5, payload: Payload::Command(vec![n]) }
--- a/crates/sidecar/src/wire/batches.rs
+++ b/crates/daemon/sidecar/src/wire/batches.rs
@@ -1,10 +1,10 @@
 //! What one member says to another beside membership: batches, each one HTTP/1.1 call on a connection that stays. One is under
 //! way at a time; what comes meanwhile goes with the next, and what is too much is lost, as it may be.
 use silvercross_core::interface::Micros;
-use silvercross_members::Identity;
+use silvercross_idempotency_store::Said;
 use silvercross_net::http;
 use silvercross_net::registry::{Interest, Watched};
-use silvercross_records::Said;
+use silvercross_swim::Identity;
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
--- a/crates/sidecar/src/wire/fleet.rs
+++ b/crates/daemon/sidecar/src/wire/fleet.rs
@@ -1,9 +1,9 @@
 //! An exchange between members: one HTTP/1.1 call with a body, one answer, then the connection ends.
 use super::batches;
 use silvercross_core::interface::Micros;
-use silvercross_members::wire::EXCHANGE_MOST;
 use silvercross_net::http;
 use silvercross_net::registry::{Interest, Watched};
+use silvercross_swim::wire::EXCHANGE_MOST;
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
--- a/crates/sidecar/tests/boundaries.rs
+++ b/crates/daemon/sidecar/tests/boundaries.rs
@@ -25,11 +25,19 @@
     found
 }
 
-/// The sources of all packages, this file's own folder left out.
+/// The sources of all packages, in whatever group of `crates/` they are.
 fn workspace() -> Vec<(PathBuf, String)> {
-    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("a folder of packages");
-    let packages = fs::read_dir(crates).expect("a folder").map(|e| e.expect("an entry").path().join("src"));
-    packages.filter(|p| p.is_dir()).flat_map(|p| sources(&p)).collect()
+    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).ancestors().nth(2).expect("the folder of all groups");
+    let folders = |folder: &Path| -> Vec<PathBuf> {
+        fs::read_dir(folder)
+            .expect("a folder")
+            .map(|e| e.expect("an entry").path())
+            .filter(|p| p.is_dir())
+            .collect()
+    };
+    let packages: Vec<PathBuf> = folders(crates).iter().flat_map(|group| folders(group)).collect();
+    assert!(packages.len() >= 25, "the packages have moved: {packages:?}");
+    packages.iter().map(|p| p.join("src")).filter(|p| p.is_dir()).flat_map(|p| sources(&p)).collect()
 }
 
 #[test]
--- a/crates/control-sim/src/event.rs
+++ b/crates/testing/control-sim/src/event.rs
@@ -3,7 +3,7 @@
 use crate::faults::Undo;
 use crate::network::Parcel;
 use crate::world::Micros;
-use silvercross_rounds::Datagram;
+use silvercross_mesh_membership::Datagram;
 
 /// What happens at some time.
 pub enum Event {
--- a/crates/control-sim/src/faults.rs
+++ b/crates/testing/control-sim/src/faults.rs
@@ -4,7 +4,7 @@
 use crate::machine::Machine;
 use crate::world::{Micros, World};
 use silvercross_control_store::{Node, ReplicaSet};
-use silvercross_rounds as rounds;
+use silvercross_mesh_membership as rounds;
 
 /// How a fault ends.
 #[derive(Clone, Debug)]
--- a/crates/control-sim/src/machine.rs
+++ b/crates/testing/control-sim/src/machine.rs
@@ -7,7 +7,7 @@
 use crate::wiring::Confirm;
 use crate::world::{Body, Micros};
 use silvercross_control_store::ControlStore;
-use silvercross_rounds::Rounds;
+use silvercross_mesh_membership::Rounds;
 use std::collections::BTreeMap;
 
 /// One machine and the process on it.
--- a/crates/control-sim/src/network.rs
+++ b/crates/testing/control-sim/src/network.rs
@@ -6,7 +6,7 @@
 use crate::items::{Change, Items};
 use crate::world::{Body, World};
 use silvercross_control_store as control;
-use silvercross_rounds::{Datagram, Letter};
+use silvercross_mesh_membership::{Datagram, Letter};
 
 /// A connection that nobody takes fails after this.
 const CONNECT: i64 = 400_000;
@@ -154,7 +154,7 @@
         let (now, id) = (self.local(node), self.machines[peer].id);
         let machine = &mut self.machines[node];
         if let Some(rounds) = &mut machine.rounds {
-            rounds.link_down(now, silvercross_rounds::Node(id));
+            rounds.link_down(now, silvercross_mesh_membership::Node(id));
         }
         if let Some(store) = &mut machine.store {
             store.reachable(now, control::Node(id), false);
@@ -167,7 +167,7 @@
         let machine = &mut self.machines[node];
         machine.links.entry(peer).or_default().push(connection);
         if let Some(rounds) = &mut machine.rounds {
-            rounds.link_up(now, silvercross_rounds::Node(id));
+            rounds.link_up(now, silvercross_mesh_membership::Node(id));
         }
         if let Some(store) = &mut machine.store {
             store.reachable(now, control::Node(id), true);
--- a/crates/control-sim/src/wiring.rs
+++ b/crates/testing/control-sim/src/wiring.rs
@@ -1,4 +1,4 @@
-//! A machine's deciders wired to each other and to the world, as the mesh's program does it (`posthouse`'s `carriers.rs` and
+//! A machine's deciders wired to each other and to the world, as the mesh's program does it (`silvercross-mesh`'s `carriers.rs` and
 //! `post.rs`).
 
 use crate::disk::Write;
@@ -9,7 +9,7 @@
 use crate::world::{key_name, Body, Micros, World, LOOK};
 use silvercross_control_store as control;
 use silvercross_control_store::ControlStore;
-use silvercross_rounds::{Freshness, Rounds};
+use silvercross_mesh_membership::{Freshness, Rounds};
 use std::collections::BTreeMap;
 
 /// Tokens of reads that a control machine makes for a sidecar that started; operators' are below.
@@ -104,8 +104,8 @@
         }
     }
 
-    fn round_effect(&mut self, node: usize, effect: silvercross_rounds::Effect<Body>) {
-        use silvercross_rounds::Effect;
+    fn round_effect(&mut self, node: usize, effect: silvercross_mesh_membership::Effect<Body>) {
+        use silvercross_mesh_membership::Effect;
         match effect {
             Effect::Link { to } => {
                 if let Some(to) = self.index(to.0) {
--- a/crates/control-sim/src/world.rs
+++ b/crates/testing/control-sim/src/world.rs
@@ -10,7 +10,7 @@
 use crate::schedule::Report;
 use silvercross_control_store as control;
 use silvercross_control_store::{Broken, ControlStore};
-use silvercross_rounds::{Node, Rounds};
+use silvercross_mesh_membership::{Node, Rounds};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -49,7 +49,7 @@
     /// Which rule of the control stores is broken on purpose.
     pub broken: Option<Broken>,
     /// Which rule of readiness is broken on purpose.
-    pub unready: Option<silvercross_rounds::Broken>,
+    pub unready: Option<silvercross_mesh_membership::Broken>,
 }
 
 impl Plan {
@@ -176,7 +176,7 @@
         machine.looked = now;
         machine.revisions.clear();
         machine.life = self.history.lives.len();
-        let start = silvercross_rounds::Start {
+        let start = silvercross_mesh_membership::Start {
             me: Node(machine.id),
             zone: ["a", "b", "c"][machine.zone].to_string(),
             core: machine.core,
@@ -425,7 +425,10 @@
 }
 
 #[allow(unused_mut, unused_variables)]
-fn unready_on_purpose(mut rounds: Rounds<Body>, broken: Option<silvercross_rounds::Broken>) -> Rounds<Body> {
+fn unready_on_purpose(
+    mut rounds: Rounds<Body>,
+    broken: Option<silvercross_mesh_membership::Broken>,
+) -> Rounds<Body> {
     #[cfg(feature = "mutants")]
     if let Some(broken) = broken {
         rounds.break_it(broken);
--- a/crates/emulator/src/lib.rs
+++ b/crates/testing/emulator/src/lib.rs
@@ -1,6 +1,6 @@
 //! An emulator of the fleet that a sidecar lives in: order servers, the list service, the network, clients, and what goes
 //! wrong with them, played from a script. No I/O and no clock: two drivers step the one model, [`virtual_time`] here in
-//! simulated time with the real facade and module in-process, and the sockets driver of `crates/rehearse` in real time
+//! simulated time with the real facade and module in-process, and the sockets driver of `crates/tools/scenario-runner` in real time
 //! against real processes. `docs/design/rehearsal.md` says what is modelled and what is not; begin with [`script`], then
 //! [`world`].
 #![forbid(unsafe_code)]
--- a/crates/emulator/tests/broken_on_purpose.rs
+++ b/crates/testing/emulator/tests/broken_on_purpose.rs
@@ -67,7 +67,7 @@
 }
 
 fn scenario(name: &str) -> Script {
-    let path = format!("{}/../../scenarios/{name}.toml", env!("CARGO_MANIFEST_DIR"));
+    let path = format!("{}/../../../scenarios/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     Script::parse(&std::fs::read_to_string(path).expect("a scenario")).expect("a good one")
 }
 
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/testing/emulator/tests/scenarios.rs
@@ -5,7 +5,7 @@
 use silvercross_emulator::Policy;
 
 fn all() -> Vec<Script> {
-    let folder = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
+    let folder = format!("{}/../../../scenarios", env!("CARGO_MANIFEST_DIR"));
     let mut paths: Vec<_> =
         std::fs::read_dir(folder).expect("a folder").map(|e| e.expect("an entry").path()).collect();
     paths.sort();
--- a/crates/witness/tests/membership.rs
+++ b/crates/testing/history-checker/tests/membership.rs
@@ -1,6 +1,6 @@
 //! The judge on histories written by hand: a sound one passes, and one small change for each property breaks that one.
-use silvercross_witness::membership::check;
-use silvercross_witness::{Held, History, Look, Seen, What};
+use silvercross_history_checker::membership::check;
+use silvercross_history_checker::{Held, History, Look, Seen, What};
 
 const SETTLE: i64 = 100;
 
--- a/crates/witness/tests/records.rs
+++ b/crates/testing/history-checker/tests/records.rs
@@ -1,7 +1,7 @@
 //! The judge of records itself: histories by hand, each with one thing wrong, and what it says of them.
-use silvercross_witness::linear::{self, Operation, Verdict};
-use silvercross_witness::records::{check, Answer, Call, Key};
-use silvercross_witness::{History, What};
+use silvercross_history_checker::linear::{self, Operation, Verdict};
+use silvercross_history_checker::records::{check, Answer, Call, Key};
+use silvercross_history_checker::{History, What};
 
 fn op(began: i64, ended: i64, call: Call, answer: Option<Answer>) -> Operation<Call, Answer> {
     Operation { began, ended: answer.is_some().then_some(ended), call, answer }
--- a/crates/drill/tests/codec.rs
+++ b/crates/tools/bench-adapter/tests/codec.rs
@@ -1,5 +1,5 @@
 //! The wire's lines, good and malformed, through the whole adapter.
-use silvercross_drill::Drill;
+use silvercross_bench_adapter::Drill;
 
 const INFO: &str = r#"{"areas": ["a", "b"], "balancers": 2, "classes": [{"aim_s": 0.5, "deadline_s": 2.0, "effect": "repeatable", "importance": 1.0, "late_value": 0.0, "name": "x", "stream": false}], "discovery": "on_request", "limits": {"attempts_cap": 3, "may_cancel": true, "retry_after": true, "max_retry_after_s": 2.0, "second_copies": true, "novelty": 7}, "rules": {"cold_from": 0.3, "drain_grace_s": 1.0, "fall_multiple": 3.0, "fall_s": 3.0, "must_ask_in_s": 10.0, "warm_within_s": 9.0}, "my_zone": 0, "surprise": [1, {"x": 2}]}"#;
 
--- a/crates/postmaster/src/apply.rs
+++ b/crates/tools/ctl/src/apply.rs
@@ -244,7 +244,7 @@
     if value["form"] != 1 {
         return Err(end(
             UNUSABLE,
-            format!("{named}: no backup of form 1 (use a file that `postmaster backup` wrote)"),
+            format!("{named}: no backup of form 1 (use a file that `silvercrossctl backup` wrote)"),
         ));
     }
     let now = standing(door)?;
@@ -273,7 +273,7 @@
         return Ok(code);
     }
     for zone in list(&value, "evacuated").filter_map(Value::as_str) {
-        println!("{zone} was evacuated when the backup was made; that is not brought back (`postmaster evacuate {zone}`)");
+        println!("{zone} was evacuated when the backup was made; that is not brought back (`silvercrossctl evacuate {zone}`)");
     }
     Ok(code)
 }
--- a/crates/postmaster/src/call.rs
+++ b/crates/tools/ctl/src/call.rs
@@ -122,5 +122,7 @@
         };
         (at, path) = (host, format!("/{rest}"));
     }
-    bail!("{at}: the call is passed on again and again (look at who is an office with `postmaster nodes`)")
+    bail!(
+        "{at}: the call is passed on again and again (look at who is an office with `silvercrossctl nodes`)"
+    )
 }
--- a/crates/postmaster/src/doctor.rs
+++ b/crates/tools/ctl/src/doctor.rs
@@ -174,7 +174,7 @@
         let all = self.states.len();
         for (zone, at) in zones {
             if at.len() == all {
-                let likely = "an operator began it (`postmaster evacuate ZONE --end` ends it)";
+                let likely = "an operator began it (`silvercrossctl evacuate ZONE --end` ends it)";
                 self.put(
                     Weight::Note,
                     "evacuated",
--- a/crates/postmaster/src/events.rs
+++ b/crates/tools/ctl/src/events.rs
@@ -4,7 +4,7 @@
 use crate::outcome::{end, DONE, UNREACHED, UNUSABLE};
 use anyhow::Result;
 use serde_json::Value;
-use silvercross_gazette::Cursor;
+use silvercross_event_feed::Cursor;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
--- a/crates/postmaster/src/main.rs
+++ b/crates/tools/ctl/src/main.rs
@@ -23,13 +23,13 @@
 use std::time::Duration;
 
 /// Where the address stands if the command line has none.
-const VARIABLE: &str = "POSTMASTER_AT";
+const VARIABLE: &str = "SILVERCROSSCTL_AT";
 /// How long a change may take until every node goes by it, unless told.
 const WAIT_S: f64 = 15.0;
 /// Between two looks of the doctor.
 const LOOK_AGAIN: Duration = Duration::from_millis(1500);
 
-const HELP: &str = "postmaster COMMAND --at ADDRESS [--json]
+const HELP: &str = "silvercrossctl COMMAND --at ADDRESS [--json]
   nodes                  all nodes, whether they answer, where their news comes from
   upstreams              all upstreams, what they do now
   routes                 the routes that stand
@@ -44,7 +44,7 @@
   backup FILE            write what stands to a file
   restore FILE           put a backup in force; --exact drops what came after it; --dry-run as above
   report FILE            watch for --seconds N (30) and write load, refusals, owners and events as one HTML file
-  --at ADDRESS     a control address of any node; may be given more than once; else POSTMASTER_AT
+  --at ADDRESS     a control address of any node; may be given more than once; else SILVERCROSSCTL_AT
   --json           one JSON value, for scripts
   --wait SECONDS   how long a change may take until every node goes by it (15)
 Codes: 0 as asked; 1 something is not so (findings, not in force everywhere); 2 the command line or a file can't be used;
@@ -52,14 +52,14 @@
 
 fn main() -> ExitCode {
     let code = run().unwrap_or_else(|e| {
-        eprintln!("postmaster: {e:#}");
+        eprintln!("silvercrossctl: {e:#}");
         e.downcast_ref::<End>().map_or(outcome::UNREACHED, |end| end.code)
     });
     ExitCode::from(code)
 }
 
 fn wrong(e: impl std::fmt::Display) -> anyhow::Error {
-    end(UNUSABLE, format!("{e} (`postmaster --help`)"))
+    end(UNUSABLE, format!("{e} (`silvercrossctl --help`)"))
 }
 
 fn run() -> Result<u8> {
@@ -69,7 +69,7 @@
         return Ok(DONE);
     }
     if args.contains("--version") {
-        println!("postmaster {}", env!("CARGO_PKG_VERSION"));
+        println!("silvercrossctl {}", env!("CARGO_PKG_VERSION"));
         return Ok(DONE);
     }
     let mut at: Vec<SocketAddr> = args.values_from_str("--at").map_err(wrong)?;
@@ -102,14 +102,14 @@
     if let Some(extra) = rest.next() {
         return Err(end(
             UNUSABLE,
-            format!("{}: not understood (`postmaster --help`)", extra.to_string_lossy()),
+            format!("{}: not understood (`silvercrossctl --help`)", extra.to_string_lossy()),
         ));
     }
     let takes = matches!(command.as_str(), "apply" | "evacuate" | "backup" | "restore" | "report");
     let given = of.as_ref().map(|o| o.to_string_lossy().into_owned()).unwrap_or_default();
     if takes && (given.is_empty() || given.starts_with('-')) || !takes && of.is_some() {
         let what = if takes { "name the file or zone after it" } else { "it takes nothing more" };
-        return Err(end(UNUSABLE, format!("{command} {given}: {what} (`postmaster --help`)")));
+        return Err(end(UNUSABLE, format!("{command} {given}: {what} (`silvercrossctl --help`)")));
     }
     if at.is_empty() {
         let text = std::env::var(VARIABLE).unwrap_or_default();
@@ -139,7 +139,7 @@
         "events" => events::events(&door, &events::Wish { follow, within, filters, kept, json }),
         "report" => report::report(&door, &path, within.unwrap_or(Duration::from_secs(30)), json),
         "doctor" => examine(&door, json),
-        other => Err(end(UNUSABLE, format!("{other}: no such command (`postmaster --help`)"))),
+        other => Err(end(UNUSABLE, format!("{other}: no such command (`silvercrossctl --help`)"))),
     }
 }
 
--- a/crates/postmaster/src/mesh.rs
+++ b/crates/tools/ctl/src/mesh.rs
@@ -167,7 +167,7 @@
         }
         let why = format!(
             "not settled within {} s, it may or may not be in force: {last} (two of three offices have to be up; \
-             `postmaster ledger`, then the same again)",
+             `silvercrossctl ledger`, then the same again)",
             SETTLES.as_secs()
         );
         Err(end(UNREACHED, why))
--- a/crates/postmaster/src/plan.rs
+++ b/crates/tools/ctl/src/plan.rs
@@ -2,7 +2,7 @@
 use crate::file::{items, Fault, Kind, Wanted};
 use serde_json::{json, Map, Value};
 use silvercross_control_store::State;
-use silvercross_sorting::{read_patch, Configuration};
+use silvercross_mesh_config::{read_patch, Configuration};
 use std::collections::BTreeMap;
 
 /// What becomes of one name.
@@ -233,7 +233,7 @@
                 (set, Some(found)) => {
                     let (now, equal) = (found.edition.unwrap_or(0), differences(found, &line.item).is_empty());
                     if !set || now > edition || !equal {
-                        out.push(format!("{kind} {name}: edition {now} of another call stands (`postmaster get`, then again)"));
+                        out.push(format!("{kind} {name}: edition {now} of another call stands (`silvercrossctl get`, then again)"));
                     }
                 }
             }
--- a/crates/postmaster/tests/against.rs
+++ b/crates/tools/ctl/tests/against.rs
@@ -1,9 +1,9 @@
 //! The client against a mesh of the real program.
 use serde_json::{json, Value};
-use silvercross_village::mesh::Plan;
-use silvercross_village::station::Manner;
-use silvercross_village::village::LIMIT;
-use silvercross_village::{program, until, Village};
+use silvercross_testbed::mesh::Plan;
+use silvercross_testbed::station::Manner;
+use silvercross_testbed::village::LIMIT;
+use silvercross_testbed::{program, until, Village};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
@@ -19,7 +19,7 @@
 }
 
 fn run(v: &Village, at: usize, args: &[&str]) -> Ran {
-    let said: Output = Command::new(env!("CARGO_BIN_EXE_postmaster"))
+    let said: Output = Command::new(env!("CARGO_BIN_EXE_silvercrossctl"))
         .args(args)
         .args(["--at", &v.mesh.control(at).to_string()])
         .output()
@@ -117,7 +117,7 @@
             let text =
                 format!("[destinations.bakery]\nline_cap = {cap}\n[destinations.smithy]\nline_cap = {cap}\n");
             let path = file(&v, &format!("race-{cap}.toml"), &text);
-            let mut command = Command::new(env!("CARGO_BIN_EXE_postmaster"));
+            let mut command = Command::new(env!("CARGO_BIN_EXE_silvercrossctl"));
             command.args(["apply", named(&path), "--at", &v.mesh.control(at).to_string()]);
             (cap, command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs"))
         })
--- a/crates/postmaster/tests/feed.rs
+++ b/crates/tools/ctl/tests/feed.rs
@@ -1,11 +1,11 @@
 //! The feed against real processes: owners change, nodes are killed, the reader's own node among them.
 use serde_json::{json, Value};
-use silvercross_village::line::call;
-use silvercross_village::mesh::Plan;
-use silvercross_village::operator::{patch, Route};
-use silvercross_village::station::Manner;
-use silvercross_village::village::{told, LIMIT};
-use silvercross_village::{client::Kind, program, until, Village};
+use silvercross_testbed::line::call;
+use silvercross_testbed::mesh::Plan;
+use silvercross_testbed::operator::{patch, Route};
+use silvercross_testbed::station::Manner;
+use silvercross_testbed::village::{told, LIMIT};
+use silvercross_testbed::{client::Kind, program, until, Village};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::path::Path;
@@ -23,7 +23,7 @@
 
 /// Follow at these nodes, into a file.
 fn follow(v: &Village, at: &[usize], to: &Path, more: &[&str]) -> Follower {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_postmaster"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_silvercrossctl"));
     command.args(["events", "--follow", "--json"]).args(more);
     for m in at {
         command.args(["--at", &v.mesh.control(*m).to_string()]);
--- a/crates/rehearse/src/commands.rs
+++ b/crates/tools/scenario-runner/src/commands.rs
@@ -14,7 +14,7 @@
 
 /// Rehearse incidents of a fleet of order servers before they happen.
 #[derive(Debug, Parser)]
-#[command(name = "silvercross-rehearse", version, about)]
+#[command(name = "silvercross-scenario-runner", version, about)]
 pub struct Cli {
     /// Log progress and events in this form to standard error; else only a terminal sees them.
     #[arg(long, global = true, value_enum)]
--- a/crates/rehearse/src/fleet/figures.rs
+++ b/crates/tools/scenario-runner/src/fleet/figures.rs
@@ -1,8 +1,8 @@
 //! What a run of a fleet comes to: the judge's verdict and what it cost, by names that scripts expect things of.
 use super::script::{Expect, FleetScript};
 use serde::Serialize;
-use silvercross_witness::membership::{self, Verdict};
-use silvercross_witness::{History, What};
+use silvercross_history_checker::membership::{self, Verdict};
+use silvercross_history_checker::{History, What};
 use std::collections::BTreeMap;
 
 /// All figures of a run. Times are in protocol periods.
--- a/crates/rehearse/src/fleet/sim.rs
+++ b/crates/tools/scenario-runner/src/fleet/sim.rs
@@ -1,14 +1,14 @@
-//! A fleet in simulated time: the deciding code of `silvercross-members` on machines with folders, over the links of
+//! A fleet in simulated time: the deciding code of `silvercross-swim` on machines with folders, over the links of
 //! [`super::links`]. One heap of events; equal seeds give equal runs.
 use super::figures::FleetFigures;
 use super::links::Links;
 use super::script::{Fault, FleetScript, Kind};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use silvercross_members::rumours::Rumour;
-use silvercross_members::wire::{Fleet, From, Message, Packet};
-use silvercross_members::{Config, Event, Identity, Incarnation, Members, Mutant, Start, State};
-use silvercross_witness::{Held, History, Look, Seen, What};
+use silvercross_history_checker::{Held, History, Look, Seen, What};
+use silvercross_swim::rumours::Rumour;
+use silvercross_swim::wire::{Fleet, From, Message, Packet};
+use silvercross_swim::{Config, Event, Identity, Incarnation, Members, Mutant, Start, State};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
@@ -537,7 +537,7 @@
                 State::Failed => Held::Failed,
                 State::Left => Held::Left,
             };
-            let seen = |s: &silvercross_members::table::Slot| Seen {
+            let seen = |s: &silvercross_swim::table::Slot| Seen {
                 id: s.card.id.to_string(),
                 state: state(s.state),
                 incarnation: s.card.incarnation.0,
@@ -558,7 +558,7 @@
         let length = (self.now + (self.script.fleet.gather * self.period as f64) as Micros) as f64;
         let (periods, seconds) = (length / self.period as f64, length / 1e6);
         let per = self.script.fleet.members as f64;
-        let sum = |f: fn(&silvercross_members::Figures) -> u64| -> f64 {
+        let sum = |f: fn(&silvercross_swim::Figures) -> u64| -> f64 {
             self.procs.iter().map(|p| f(&p.members.figures)).sum::<u64>() as f64
         };
         let mut all = BTreeMap::new();
--- a/crates/rehearse/src/fleet/sockets.rs
+++ b/crates/tools/scenario-runner/src/fleet/sockets.rs
@@ -10,8 +10,8 @@
 use crate::records::clients::{self, Shared, Target};
 use crate::records::disk;
 use crate::sockets::{write_config, Files, Process, Program, Started};
-use silvercross_members::wire::Fleet;
-use silvercross_witness::{Event, Held, History, Look, Seen, What};
+use silvercross_history_checker::{Event, Held, History, Look, Seen, What};
+use silvercross_swim::wire::Fleet;
 use slog::{info, Logger};
 use std::collections::BTreeMap;
 use std::io::Read;
--- a/crates/rehearse/src/fleet/stand_ins.rs
+++ b/crates/tools/scenario-runner/src/fleet/stand_ins.rs
@@ -1,6 +1,6 @@
 //! What a sidecar of the fleet has besides its peers: upstreams that answer, a list service of its own that can be dark, and
 //! clients. Threads and blocking sockets: few connections, and nothing is measured through them but whether answers come.
-use silvercross_witness::{History, What};
+use silvercross_history_checker::{History, What};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/rehearse/src/main.rs
+++ b/crates/tools/scenario-runner/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use silvercross_rehearse::commands::{self, Cli};
+use silvercross_scenario_runner::commands::{self, Cli};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -11,7 +11,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(3),
         Err(why) => {
-            eprintln!("silvercross-rehearse: {why}");
+            eprintln!("silvercross-scenario-runner: {why}");
             ExitCode::from(1)
         }
     }
--- a/crates/rehearse/src/records/clients.rs
+++ b/crates/tools/scenario-runner/src/records/clients.rs
@@ -3,8 +3,8 @@
 use crate::fleet::relay::chance;
 use rand_core::RngCore;
 use serde_json::Value;
-use silvercross_witness::records::{Answer, Call};
-use silvercross_witness::{History, What};
+use silvercross_history_checker::records::{Answer, Call};
+use silvercross_history_checker::{History, What};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/rehearse/src/records/mod.rs
+++ b/crates/tools/scenario-runner/src/records/mod.rs
@@ -7,8 +7,8 @@
 pub mod sim;
 
 use crate::fleet::{FleetFigures, FleetScript};
-use silvercross_witness::records::{check, Verdict};
-use silvercross_witness::History;
+use silvercross_history_checker::records::{check, Verdict};
+use silvercross_history_checker::History;
 use std::collections::BTreeMap;
 
 /// The judge's verdict on what was held, beside the figures of a run.
--- a/crates/rehearse/src/records/sim.rs
+++ b/crates/tools/scenario-runner/src/records/sim.rs
@@ -1,4 +1,4 @@
-//! What a fleet holds, in simulated time: the deciding code of `silvercross-records` on machines with disks, over the links of
+//! What a fleet holds, in simulated time: the deciding code of `silvercross-idempotency-store` on machines with disks, over the links of
 //! [`crate::fleet::links`], with clients that ask processes by chance. Who is there is told by an oracle that sees what each
 //! process could have heard, a few periods late. One heap of events; equal seeds give equal runs.
 use crate::fleet::links::Links;
@@ -6,11 +6,11 @@
 use crate::fleet::FleetFigures;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use silvercross_records::placement::Place;
-use silvercross_records::{Answer, Command, Config, Epoch, Outcome, Records, Said, Take, Want};
-use silvercross_replica::{Durable, Mutant, Node, Write};
-use silvercross_witness::records::{Answer as Says, Call};
-use silvercross_witness::{History, What};
+use silvercross_history_checker::records::{Answer as Says, Call};
+use silvercross_history_checker::{History, What};
+use silvercross_idempotency_store::placement::Place;
+use silvercross_idempotency_store::{Answer, Command, Config, Epoch, Outcome, Records, Said, Take, Want};
+use silvercross_raft::{Durable, Mutant, Node, Write};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -122,7 +122,7 @@
     let mut put = |n: &str, v: f64| {
         figures.insert(n.to_string(), v);
     };
-    let sum = |f: fn(&silvercross_replica::Figures) -> u64| -> f64 {
+    let sum = |f: fn(&silvercross_raft::Figures) -> u64| -> f64 {
         let copies = sim.procs.iter().flat_map(|p| (0..holding.groups).filter_map(|g| p.records.copy(g)));
         copies.map(|(_, h)| f(&h.replica.figures)).sum::<u64>() as f64
     };
--- a/crates/rehearse/tests/fleet.rs
+++ b/crates/tools/scenario-runner/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! Fleets: every script of one in simulated time, schedules drawn by seed, and real processes with faults between them. Nothing
 //! here asserts this machine's clock: times are in protocol periods of the run, and a run that the machine was too busy for is
 //! void and played again.
-use silvercross_rehearse::fleet::{hunt, sim, FleetScript};
+use silvercross_scenario_runner::fleet::{hunt, sim, FleetScript};
 use std::path::PathBuf;
 use std::process::Command;
 
 fn folder() -> PathBuf {
-    PathBuf::from(format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR")))
+    PathBuf::from(format!("{}/../../../scenarios", env!("CARGO_MANIFEST_DIR")))
 }
 
 fn script(name: &str) -> FleetScript {
@@ -50,7 +50,7 @@
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
     std::fs::write(&path, text).expect("written");
     for _ in 0..4 {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_silvercross-rehearse"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_silvercross-scenario-runner"));
         let out =
             command.arg("run").arg(&path).args(["--mode", "sockets", "--json", "-"]).output().expect("run");
         let said = String::from_utf8_lossy(&out.stdout).into_owned();
--- a/crates/rehearse/tests/mutants.rs
+++ b/crates/tools/scenario-runner/tests/mutants.rs
@@ -1,10 +1,10 @@
 //! The judge is judged: members broken on purpose, each caught by the script that stands for the rule, and by the property
-//! meant. Run by `cargo test -p silvercross-rehearse --features mutants --test mutants`.
-use silvercross_members::Mutant;
-use silvercross_rehearse::fleet::{sim, FleetScript};
+//! meant. Run by `cargo test -p silvercross-scenario-runner --features mutants --test mutants`.
+use silvercross_scenario_runner::fleet::{sim, FleetScript};
+use silvercross_swim::Mutant;
 
 fn script(name: &str) -> FleetScript {
-    let path = format!("{}/../../scenarios/{name}.toml", env!("CARGO_MANIFEST_DIR"));
+    let path = format!("{}/../../../scenarios/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     FleetScript::parse(&std::fs::read_to_string(path).expect("there")).expect("good")
 }
 
--- a/crates/rehearse/tests/program.rs
+++ b/crates/tools/scenario-runner/tests/program.rs
@@ -8,7 +8,7 @@
 const LONG: Duration = Duration::from_secs(60);
 
 fn program() -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_silvercross-rehearse"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_silvercross-scenario-runner"));
     command.current_dir(env!("CARGO_TARGET_TMPDIR"));
     command
 }
--- a/crates/rehearse/tests/records.rs
+++ b/crates/tools/scenario-runner/tests/records.rs
@@ -1,12 +1,12 @@
 //! What a fleet holds: every script in simulated time, schedules drawn by seed, and real processes robbed of their disks. Times
 //! are in periods of the run; a run that the machine was too busy for is void and played again.
-use silvercross_rehearse::fleet::{hunt, FleetScript};
-use silvercross_rehearse::records::{draw::draw, sim};
+use silvercross_scenario_runner::fleet::{hunt, FleetScript};
+use silvercross_scenario_runner::records::{draw::draw, sim};
 use std::path::PathBuf;
 use std::process::Command;
 
 fn path(name: &str) -> PathBuf {
-    PathBuf::from(format!("{}/../../scenarios/records-{name}.toml", env!("CARGO_MANIFEST_DIR")))
+    PathBuf::from(format!("{}/../../../scenarios/records-{name}.toml", env!("CARGO_MANIFEST_DIR")))
 }
 
 fn script(name: &str) -> FleetScript {
@@ -47,7 +47,7 @@
 #[test]
 fn processes_that_lose_their_disks_lose_nothing_that_was_marked() {
     for _ in 0..3 {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_silvercross-rehearse"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_silvercross-scenario-runner"));
         let out = command.arg("run").arg(path("quick")).args(["--mode", "sockets", "--json", "-"]).output();
         let out = out.expect("run");
         let said = String::from_utf8_lossy(&out.stdout).into_owned();
--- a/crates/rehearse/tests/records_mutants.rs
+++ b/crates/tools/scenario-runner/tests/records_mutants.rs
@@ -1,13 +1,13 @@
 //! The judge of records is judged: processes broken on purpose, each caught by schedules drawn by seed, and the whole ones not.
 //! Only with the feature `mutants`.
-use silvercross_rehearse::fleet::FleetScript;
-use silvercross_rehearse::records::draw::draw;
-use silvercross_rehearse::records::sim::{play, Broken};
-use silvercross_replica::Mutant;
+use silvercross_raft::Mutant;
+use silvercross_scenario_runner::fleet::FleetScript;
+use silvercross_scenario_runner::records::draw::draw;
+use silvercross_scenario_runner::records::sim::{play, Broken};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 fn script() -> FleetScript {
-    let path = format!("{}/../../scenarios/records-hunt.toml", env!("CARGO_MANIFEST_DIR"));
+    let path = format!("{}/../../../scenarios/records-hunt.toml", env!("CARGO_MANIFEST_DIR"));
     FleetScript::parse(&std::fs::read_to_string(path).expect("there")).expect("good")
 }
 
@@ -58,8 +58,8 @@
     all_are_caught(&all, 400);
 }
 
-/// These take thousands of schedules; they are also stepped by hand, in `crates/replica/tests/rules.rs` and
-/// `crates/records/tests/machine.rs`.
+/// These take thousands of schedules; they are also stepped by hand, in `crates/control/raft/tests/rules.rs` and
+/// `crates/control/idempotency-store/tests/machine.rs`.
 #[test]
 #[ignore = "minutes; by hand, in release"]
 fn what_breaks_a_rule_of_the_log_is_caught_by_chance_too() {
--- a/crates/village/src/main.rs
+++ b/crates/tools/testbed/src/main.rs
@@ -2,11 +2,11 @@
 #![forbid(unsafe_code)]
 
 use anyhow::Result;
-use silvercross_village::{control, faults, lapse, load, program, show};
+use silvercross_testbed::{control, faults, lapse, load, program, show};
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
 
-const HELP: &str = "village show | load | faults | control | lapse
+const HELP: &str = "silvercross-testbed show | load | faults | control | lapse
   show      start a small mesh, have a request served, and tell what happened
   load      what a request costs through two sidecars, beside two bare forwarders
     --seconds S       each way is loaded for so long (6)
@@ -75,7 +75,7 @@
             return ExitCode::from(2);
         }
         Err(e) => {
-            eprintln!("village: {e}\n{HELP}");
+            eprintln!("silvercross-testbed: {e}\n{HELP}");
             return ExitCode::from(2);
         }
     };
@@ -83,7 +83,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(3),
         Err(e) => {
-            eprintln!("village: {e:#}");
+            eprintln!("silvercross-testbed: {e:#}");
             ExitCode::from(1)
         }
     }
@@ -91,7 +91,7 @@
 
 fn run(command: Command) -> Result<bool> {
     if let Command::Forward(to) = command {
-        return silvercross_rehearse::load::forward(to).map(|()| true).map_err(anyhow::Error::msg);
+        return silvercross_scenario_runner::load::forward(to).map(|()| true).map_err(anyhow::Error::msg);
     }
     let program = program::find()?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
--- a/crates/village/src/mesh.rs
+++ b/crates/tools/testbed/src/mesh.rs
@@ -136,7 +136,7 @@
         }
         let ([a, b], first, mark) = block(count)?;
         let dir = std::env::temp_dir().join(format!(
-            "silvercross-village-{}-{:08x}",
+            "silvercross-testbed-{}-{:08x}",
             std::process::id(),
             crate::fresh() as u32
         ));
@@ -302,7 +302,7 @@
         let log = File::options().create(true).append(true).open(me.dir.join("log"))?;
         let starting = STARTING.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let child = Command::new(&program)
-            .arg(if me.core { "office" } else { "carrier" })
+            .arg(if me.core { "control" } else { "sidecar" })
             .args(&self.plan.words)
             .env_clear()
             .env("SILVERCROSS_NODE_FILE", &file)
--- a/crates/village/src/program.rs
+++ b/crates/tools/testbed/src/program.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-const PROGRAM: &str = "posthouse";
-const PACKAGE: &str = "silvercross-posthouse";
+const PROGRAM: &str = "silvercross-mesh";
+const PACKAGE: &str = "silvercross-mesh";
 
 fn folder() -> Result<PathBuf> {
     let own = std::env::current_exe().context("where this program is")?;
@@ -48,7 +48,7 @@
 pub fn build(cargo: &Path) -> Result<PathBuf> {
     let dir = folder()?;
     let Some(target) = dir.parent() else { bail!("{}: no target folder", dir.display()) };
-    let manifest = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../Cargo.toml");
+    let manifest = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../Cargo.toml");
     let done = Command::new(cargo)
         .args(["build", "--quiet", "--locked", "-p", PACKAGE, "--bin", PROGRAM, "--profile", &profile(&dir)])
         .arg("--manifest-path")
--- a/crates/village/tests/chain.rs
+++ b/crates/tools/testbed/tests/chain.rs
@@ -1,13 +1,13 @@
 //! The real program, many processes of it on loopback, with stand-ins around them.
-use silvercross_village::client::{self, Client, Kind};
-use silvercross_village::faults::{ask, Clients};
-use silvercross_village::line::call;
-use silvercross_village::mesh::Plan;
-use silvercross_village::operator::{patch, Route};
-use silvercross_village::station::Manner;
-use silvercross_village::village::{told, LIMIT};
-use silvercross_village::witness::{judge, Tried};
-use silvercross_village::{program, until, Village};
+use silvercross_testbed::client::{self, Client, Kind};
+use silvercross_testbed::faults::{ask, Clients};
+use silvercross_testbed::line::call;
+use silvercross_testbed::mesh::Plan;
+use silvercross_testbed::operator::{patch, Route};
+use silvercross_testbed::station::Manner;
+use silvercross_testbed::village::{told, LIMIT};
+use silvercross_testbed::witness::{judge, Tried};
+use silvercross_testbed::{program, until, Village};
 use std::path::PathBuf;
 use std::sync::OnceLock;
 use std::time::Duration;
--- a/crates/village/tests/control.rs
+++ b/crates/tools/testbed/tests/control.rs
@@ -1,7 +1,7 @@
 //! Control machines of the real program that are cut off, replaced and restarted under load, shortened: a cut lasts until a
 //! number of changes were acknowledged by the others. `village control` plays them at full size.
-use silvercross_village::control::{play, Extent, Seen};
-use silvercross_village::program;
+use silvercross_testbed::control::{play, Extent, Seen};
+use silvercross_testbed::program;
 
 async fn kept(name: &str) -> Seen {
     let program = program::find().expect("the program is built");
--- a/crates/village/tests/lapse.rs
+++ b/crates/tools/testbed/tests/lapse.rs
@@ -1,10 +1,10 @@
 //! A member's trial lapses on the real program: alike on every node, for reads alone, until it is renewed.
 use serde_json::json;
-use silvercross_village::client::{self, Came, Client, Kind};
-use silvercross_village::mesh::Plan;
-use silvercross_village::station::Manner;
-use silvercross_village::village::{told, LIMIT};
-use silvercross_village::{program, until, Village};
+use silvercross_testbed::client::{self, Came, Client, Kind};
+use silvercross_testbed::mesh::Plan;
+use silvercross_testbed::station::Manner;
+use silvercross_testbed::village::{told, LIMIT};
+use silvercross_testbed::{program, until, Village};
 use std::time::{Duration, Instant};
 
 /// The step in an answer, and how long it took.
