--- /dev/null
+++ b/crates/balancer/time/src/lib.rs
@@ -0,0 +1,17 @@
+//! Time as the deciders see it: an [`Instant`] on the caller's monotonic clock and a signed [`Duration`], both in whole
+//! microseconds.
+//!
+//! No clock is read here: the caller passes the present instant into every call, so that one test can step a decider
+//! through hours. Both types are encoded exactly as the integer they hold, so they may stand in stored data and in
+//! messages between nodes.
+#![forbid(unsafe_code)]
+#![deny(missing_docs, unreachable_pub)]
+
+mod duration;
+mod instant;
+
+pub use duration::Duration;
+pub use instant::Instant;
+
+const MICROS_PER_MILLI: i64 = 1_000;
+const MICROS_PER_SECOND: i64 = 1_000_000;
