--- a/crates/control/admission/src/wicket.rs
+++ b/crates/control/admission/src/controller.rs
@@ -51,7 +51,7 @@
 /// turned away. Those out are at most the limit of work at a time for each life of the station whose requests the
 /// caller has not yet told to be done. Effects are bounded by those that waited, as long as the caller takes them.
 #[derive(Debug)]
-pub struct Wicket {
+pub struct AdmissionController {
     bounds: Bounds,
     allowance: Allowance,
     now: Micros,
@@ -86,7 +86,7 @@
     figures: Figures,
 }
 
-impl Wicket {
+impl AdmissionController {
     /// A gate before a station that is not there yet.
     pub fn new(bounds: Bounds) -> Self {
         Self {
@@ -342,7 +342,7 @@
         }
     }
 
-    /// When [`Wicket::tick`] has something to do, if nothing else happens before.
+    /// When [`AdmissionController::tick`] has something to do, if nothing else happens before.
     pub fn wake(&self) -> Option<Micros> {
         let mut next = self.untils.first().map(|&(until, _)| until)?;
         let now = self.now;
--- a/crates/control/admission/src/lib.rs
+++ b/crates/control/admission/src/lib.rs
@@ -7,10 +7,10 @@
 //! There is no clock, no thread and no I/O here: time comes with each call, and what is decided goes back as values.
 
 mod cold;
+mod controller;
 mod seen;
-mod wicket;
 
-pub use wicket::Wicket;
+pub use controller::AdmissionController;
 
 /// A moment or a span in microseconds, by a clock that never steps.
 pub type Micros = i64;
--- a/crates/control/admission/tests/gate.rs
+++ b/crates/control/admission/tests/gate.rs
@@ -5,8 +5,8 @@
 const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
 
-fn gate(slots: u32) -> Wicket {
-    let mut w = Wicket::new(Bounds { drain: 4 * S, cold_overrun: 1.0, cold_slack: 5.0 });
+fn gate(slots: u32) -> AdmissionController {
+    let mut w = AdmissionController::new(Bounds { drain: 4 * S, cold_overrun: 1.0, cold_slack: 5.0 });
     w.allowance(0, Allowance { line_cap: 130, cold_rate: 20.0, cold_span: 3 * S });
     w.beat(0, facts("a", slots), 0);
     w
@@ -182,7 +182,7 @@
 #[test]
 fn a_warm_station_is_not_paced_because_its_gate_is_new() {
     let mut w = gate(40);
-    let went = |w: &mut Wicket, n: u64| w.arrive(n as i64 * MS, ask(n, 0, 0)) == Verdict::Go;
+    let went = |w: &mut AdmissionController, n: u64| w.arrive(n as i64 * MS, ask(n, 0, 0)) == Verdict::Go;
     assert!((1..=30).all(|n| went(&mut w, n)), "its first beat said that it is warm");
     w.beat(S, facts("b", 40), 2 * S);
     let other = |n| Arrival { expects: Some("b".into()), ..ask(n, 0, 0) };
--- a/crates/control/admission/tests/recount.rs
+++ b/crates/control/admission/tests/recount.rs
@@ -20,7 +20,7 @@
 
 /// What the checker knows: plain facts, recounted at each step.
 struct Checker {
-    wicket: Wicket,
+    admission: AdmissionController,
     bounds: Bounds,
     allowance: Allowance,
     now: Micros,
@@ -51,10 +51,10 @@
             cold_rate: [0.0, 0.4, 3.0, 21.0, 90.0][usize::from(b % 5)],
             cold_span: Micros::from(b % 4) * S,
         };
-        let mut wicket = Wicket::new(bounds);
-        wicket.allowance(0, allowance);
+        let mut admission = AdmissionController::new(bounds);
+        admission.allowance(0, allowance);
         Checker {
-            wicket,
+            admission,
             bounds,
             allowance,
             now: 0,
@@ -120,7 +120,7 @@
 
     /// Takes the effects in order.
     fn settle(&mut self) {
-        for effect in self.wicket.effects() {
+        for effect in self.admission.effects() {
             let (Effect::Go(number) | Effect::Turn { number, .. }) = effect;
             let at =
                 self.waiting.iter().position(|(n, _)| *n == number).expect("it waited, and was not answered");
@@ -144,9 +144,9 @@
             self.waiting.iter().all(|(_, w)| w.latest > self.now && w.life == self.life),
             "waits too long"
         );
-        assert_eq!(self.wicket.load(), (self.out_here(), self.waiting.len()));
-        assert_eq!(self.wicket.wake().is_some(), !self.waiting.is_empty());
-        if let Some(wake) = self.wicket.wake() {
+        assert_eq!(self.admission.load(), (self.out_here(), self.waiting.len()));
+        assert_eq!(self.admission.wake().is_some(), !self.waiting.is_empty());
+        if let Some(wake) = self.admission.wake() {
             assert!(wake > self.now, "asks to be woken at once, for ever");
             assert!(
                 self.leaving.is_none_or(|since| wake <= since + self.bounds.drain),
@@ -187,7 +187,7 @@
         let known = self.ran.get(&asked.id).is_some_and(|&t| t + IDS_SPAN > self.now)
             || here.any(|o| o.id == asked.id && !(o.repeatable && asked.repeatable));
         let meant = arrival.service == "huvo" && arrival.expects.as_deref() != Some("other");
-        let verdict = self.wicket.arrive(self.now, arrival);
+        let verdict = self.admission.arrive(self.now, arrival);
         // No promise is given for one that may have run, whatever else is wrong.
         assert_eq!(known, matches!(verdict, Verdict::Turn { why: Turned::Twice, .. }));
         match verdict {
@@ -211,7 +211,7 @@
         self.evacuated = false;
         self.told[0] = self.told[0].max(self.now + self.allowance.cold_span);
         self.told[2] = self.told[2].max(self.now + S);
-        self.wicket.evacuated(self.now, false);
+        self.admission.evacuated(self.now, false);
     }
 
     fn beat(&mut self, cold: u8) {
@@ -223,13 +223,13 @@
         }
         let facts = Facts { id: self.id(), service: "huvo".into(), slots: self.slots };
         if self.life > 0 {
-            self.wicket.beat(self.now, facts, left);
+            self.admission.beat(self.now, facts, left);
         }
     }
 
     fn step(&mut self, (kind, pause, x, y): (u8, u8, u8, u8)) {
         self.now += [0, 0, MS, 7 * MS, 40 * MS, 250 * MS, S, S + 1][usize::from(pause % 8)];
-        self.wicket.tick(self.now);
+        self.admission.tick(self.now);
         self.settle();
         let now = self.now;
         let chosen = self.out.keys().copied().nth(usize::from(x) % self.out.len().max(1));
@@ -253,19 +253,19 @@
                     // A beat too, if one that says that it leaves.
                     (self.there, self.leaving) = (true, self.leaving.or(Some(now)));
                 }
-                self.wicket.draining(now, &self.id());
+                self.admission.draining(now, &self.id());
             }
             5 if x < 64 => {
                 self.signed_off |= self.life > 0;
-                self.wicket.signed_off(now, &self.id());
+                self.admission.signed_off(now, &self.id());
             }
             6 if x < 128 => {
                 self.there = false;
-                self.wicket.silent(now);
+                self.admission.silent(now);
             }
             7 => {
                 self.evacuated = true;
-                self.wicket.evacuated(now, true);
+                self.admission.evacuated(now, true);
                 self.settle();
                 if x < 192 {
                     self.end_evacuation();
@@ -273,24 +273,24 @@
             }
             8 => {
                 self.told[1] = now + Micros::from(x % 4) * S;
-                self.wicket.cold(now, Micros::from(x % 4) * S);
+                self.admission.cold(now, Micros::from(x % 4) * S);
             }
             9 => {
                 if let Some((n, _)) = self.waiting.pop() {
                     self.answered += 1;
-                    self.wicket.gone(now, n);
+                    self.admission.gone(now, n);
                 }
             }
             10..=14 => {
                 if let Some(n) = chosen {
                     self.out.get_mut(&n).expect("chosen").begun = true;
-                    self.wicket.begun(now, n);
+                    self.admission.begun(now, n);
                 }
             }
             15 | 16 => {
                 if let Some(n) = chosen {
                     self.out.remove(&n);
-                    self.wicket.turned_by_station(now, n);
+                    self.admission.turned_by_station(now, n);
                 }
             }
             17..=21 => {
@@ -299,7 +299,7 @@
                     if o.begun && !o.repeatable {
                         self.ran.insert(o.id, now);
                     }
-                    self.wicket.done(now, n);
+                    self.admission.done(now, n);
                 }
             }
             _ => self.arrive(x, y),
@@ -323,9 +323,9 @@
             }
             // Woken only when it asks, everything that waits is answered in the end.
             for _ in 0..10_000 {
-                let Some(next) = checker.wicket.wake() else { break };
+                let Some(next) = checker.admission.wake() else { break };
                 checker.now = next;
-                checker.wicket.tick(next);
+                checker.admission.tick(next);
                 checker.settle();
             }
             assert_eq!(checker.answered, checker.next, "each is answered once");
--- a/crates/control/event-feed/src/gazette.rs
+++ b/crates/control/event-feed/src/feed.rs
@@ -192,7 +192,7 @@
 }
 
 /// The events of a node.
-pub struct Gazette {
+pub struct EventFeed {
     bounds: Bounds,
     tracks: BTreeMap<String, Track>,
     log: BTreeMap<u64, Rc<Event>>,
@@ -204,10 +204,10 @@
     figures: Figures,
 }
 
-impl Gazette {
+impl EventFeed {
     /// Nothing yet.
     pub fn new(bounds: Bounds) -> Self {
-        Gazette {
+        EventFeed {
             bounds,
             tracks: BTreeMap::new(),
             log: BTreeMap::new(),
@@ -468,7 +468,7 @@
             .then_some((Some(after), missed))
     }
 
-    /// How far a reader was told, to go on at any node. To be asked for right after [`Gazette::read`].
+    /// How far a reader was told, to go on at any node. To be asked for right after [`EventFeed::read`].
     pub fn cursor(&self, reader: &Reader) -> Cursor {
         let mut cursor = Cursor::default();
         for (key, track) in self.tracks.iter().filter(|(key, _)| reader.filter.kind(key)) {
--- a/crates/control/event-feed/src/lib.rs
+++ b/crates/control/event-feed/src/lib.rs
@@ -13,10 +13,10 @@
 #![forbid(unsafe_code)]
 
 mod cursor;
-mod gazette;
+mod feed;
 
 pub use cursor::{Cursor, Mark, Unreadable};
-pub use gazette::{Bounds, Event, Figures, Filter, Gazette, Line, Reader, Told, Why};
+pub use feed::{Bounds, Event, EventFeed, Figures, Filter, Line, Reader, Told, Why};
 
 /// Where an event stands in its key's history. Ordered from the left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/control/event-feed/tests/moves.rs
+++ b/crates/control/event-feed/tests/moves.rs
@@ -1,6 +1,6 @@
 //! Drawn schedules: keys change, nodes learn of it late and in jumps, lose their memory, and a reader goes from one to the other.
 //! A plain model knows every state of every key and holds the reader's lines against it.
-use silvercross_event_feed::{kind, Bounds, Cursor, Filter, Gazette, Line, Place, Reader, Told, Why};
+use silvercross_event_feed::{kind, Bounds, Cursor, EventFeed, Filter, Line, Place, Reader, Told, Why};
 use std::collections::BTreeMap;
 
 const KEYS: [&str; 4] = ["node/1", "node/2", "item/a", "item/b"];
@@ -33,13 +33,13 @@
 }
 
 struct Node {
-    gazette: Gazette,
+    event_feed: EventFeed,
     knows: [usize; 4],
 }
 
 impl Node {
     fn new() -> Self {
-        Node { gazette: Gazette::new(Bounds { keys: 8, events: 3, dropped: 64 }), knows: [0; 4] }
+        Node { event_feed: EventFeed::new(Bounds { keys: 8, events: 3, dropped: 64 }), knows: [0; 4] }
     }
 }
 
@@ -96,7 +96,7 @@
 fn reader(node: &Node, cursor: &Cursor) -> Reader {
     // By its text, as it travels.
     let cursor = Cursor::read(&cursor.write()).expect("its own text");
-    node.gazette.open(cursor, Filter::default())
+    node.event_feed.open(cursor, Filter::default())
 }
 
 fn play(draws: &[(u8, u8, u8)]) {
@@ -118,17 +118,17 @@
                     node.knows[k] += by;
                     let (place, state) = truths[k].states[node.knows[k] - 1];
                     let (key, state) = (KEYS[k].to_string(), state.to_string());
-                    node.gazette.tell(Told { key, place, state, ..Told::default() });
+                    node.event_feed.tell(Told { key, place, state, ..Told::default() });
                 }
             }
             5 => {
-                let lines = nodes[at].gazette.read(&mut open, 1 + usize::from(b % 4));
+                let lines = nodes[at].event_feed.read(&mut open, 1 + usize::from(b % 4));
                 lines.iter().for_each(|l| model.take(&truths, l));
-                cursor = nodes[at].gazette.cursor(&open);
+                cursor = nodes[at].event_feed.cursor(&open);
             }
             6 => {
                 // The connection breaks within a page: what came is folded into the last cursor.
-                let lines = nodes[at].gazette.read(&mut open, 4);
+                let lines = nodes[at].event_feed.read(&mut open, 4);
                 let came = usize::from(b % 5).min(lines.len());
                 for line in &lines[..came] {
                     model.take(&truths, line);
@@ -152,13 +152,13 @@
     }
     // Read to the end, the reader knows what the node knows, or more.
     loop {
-        let lines = nodes[at].gazette.read(&mut open, 2);
+        let lines = nodes[at].event_feed.read(&mut open, 2);
         if lines.is_empty() {
             break;
         }
         lines.iter().for_each(|l| model.take(&truths, l));
     }
-    let end = nodes[at].gazette.cursor(&open);
+    let end = nodes[at].event_feed.cursor(&open);
     for (k, key) in KEYS.iter().enumerate() {
         let known = nodes[at].knows[k];
         if known > 0 {
@@ -220,7 +220,7 @@
 
 #[test]
 fn a_filter_tells_once_when_a_key_leaves_it() {
-    let mut g = Gazette::new(Bounds::default());
+    let mut g = EventFeed::new(Bounds::default());
     let filter = Filter { kinds: vec!["upstream".into()], services: vec!["a".into()], ..Filter::default() };
     let mut r = g.open(Cursor::default(), filter.clone());
     for (v, service) in ["b", "a", "b", "b", "a"].iter().enumerate() {
@@ -240,7 +240,7 @@
 
 #[test]
 fn a_slow_reader_is_told_how_many_were_dropped_and_memory_is_bounded() {
-    let mut g = Gazette::new(Bounds { keys: 3, events: 2, dropped: 16 });
+    let mut g = EventFeed::new(Bounds { keys: 3, events: 2, dropped: 16 });
     g.tell(told("node/1", 1, ""));
     let mut r = g.open(Cursor::default(), Filter::default());
     assert_eq!(g.read(&mut r, 9).len(), 1);
--- a/crates/control/mesh-membership/src/freshness.rs
+++ b/crates/control/mesh-membership/src/freshness.rs
@@ -4,7 +4,7 @@
 //! store confirm its revisions with a majority. The answer goes down the same way, and the node is current once its own
 //! pages are at least at the revisions that were told. A request that comes while one is under way waits for the next
 //! one: the one under way may have read before it was asked. Nothing is sent at rest: only nodes that started ask.
-use crate::rounds::Rounds;
+use crate::membership::Membership;
 use crate::{Effect, Letter, Micros, Node, Revision, MOST_PAGES};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -131,7 +131,7 @@
     }
 }
 
-impl<T: Clone + PartialEq + Debug> Rounds<T> {
+impl<T: Clone + PartialEq + Debug> Membership<T> {
     /// Whether this node has what a majority had acknowledged before it started. Never goes back to waiting.
     pub fn freshness(&self) -> Freshness {
         self.check.state
--- a/crates/control/mesh-membership/src/lib.rs
+++ b/crates/control/mesh-membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Who is in the mesh, who watches whom, the tree of relays that news goes down, and how news is kept in step.
 //!
 //! No I/O, no clock, no threads: the caller hands in letters, datagrams, links and the time, and carries out the
-//! [`Effect`]s that [`Rounds::effects`] gives back. Equal calls give equal effects.
+//! [`Effect`]s that [`Membership::effects`] gives back. Equal calls give equal effects.
 //!
 //! - A node's [`Record`] is written by the node itself; the highest (life, seq, gone) wins everywhere. Watchers may
 //!   only add `gone` to what the node wrote last, and the node takes that back with a higher `seq`.
@@ -14,8 +14,8 @@
 #![forbid(unsafe_code)]
 
 mod freshness;
+mod membership;
 mod places;
-mod rounds;
 mod table;
 mod tree;
 mod watch;
@@ -23,7 +23,7 @@
 use bitcode::{Decode, Encode};
 pub use freshness::{Broken, Freshness};
 pub use freshness::{FRESHNESS_PACE, FRESHNESS_RETRY, FRESHNESS_WAIT, READY_BOUND, READY_LATE};
-pub use rounds::{Figures, Rounds};
+pub use membership::{Figures, Membership};
 
 /// Time in microseconds on a clock that only moves forward.
 pub type Micros = i64;
--- a/crates/control/mesh-membership/src/rounds.rs
+++ b/crates/control/mesh-membership/src/membership.rs
@@ -56,7 +56,7 @@
 ///
 /// Bounded: [`crate::MOST_NODES`] records, [`crate::MOST_PAGES`] pages, links to nodes that could be in the mesh (4,096;
 /// further ones are dropped at once), news not yet taken up to one item for each record and page.
-pub struct Rounds<T> {
+pub struct Membership<T> {
     pub(crate) start: Start,
     pub(crate) table: Table<T>,
     pub(crate) places: Places,
@@ -100,13 +100,13 @@
     }
 }
 
-impl<T: Clone + PartialEq + Debug> Rounds<T> {
+impl<T: Clone + PartialEq + Debug> Membership<T> {
     /// A node that knows itself and its seeds.
     pub fn new(now: Micros, start: Start, body: T) -> Self {
         let me = start.me;
         let seeds = start.in_order(&start.seeds);
         let phase = (mix(start.seed) % BEAT as u64) as Micros;
-        let mut rounds = Rounds {
+        let mut membership = Membership {
             table: Table::new(),
             places: Places::default(),
             moved: true,
@@ -138,17 +138,17 @@
         };
         let record = Record {
             node: me,
-            life: rounds.start.life,
+            life: membership.start.life,
             // Drawn, so that two starts with the same life can be told apart.
-            seq: mix(rounds.start.seed) >> 44,
-            zone: rounds.start.zone.clone(),
-            core: rounds.start.core,
+            seq: mix(membership.start.seed) >> 44,
+            zone: membership.start.zone.clone(),
+            core: membership.start.core,
             gone: false,
             body,
         };
-        rounds.put(now, record);
-        rounds.pending.clear();
-        rounds
+        membership.put(now, record);
+        membership.pending.clear();
+        membership
     }
 
     /// Other seeds than at the start; nodes met meanwhile stay known.
@@ -170,7 +170,7 @@
     }
 
     /// A page in its newest version, by its owner. An older one than is known changes nothing.
-    pub fn post(&mut self, now: Micros, key: &str, revision: Revision, bytes: Vec<u8>) {
+    pub fn publish(&mut self, now: Micros, key: &str, revision: Revision, bytes: Vec<u8>) {
         self.at(now);
         match self.table.put_page(now, key, revision, bytes) {
             Put::Newer => drop(self.pending.insert(Subject::Page(key.to_string()), None)),
--- a/crates/control/mesh-membership/src/tree.rs
+++ b/crates/control/mesh-membership/src/tree.rs
@@ -1,5 +1,5 @@
 //! The tree: whom a node has links to.
-use crate::rounds::Rounds;
+use crate::membership::Membership;
 use crate::{Effect, Micros, Node, Standing};
 use crate::{
     CORE_PULSE, CORE_SILENCE, LINK_NEXT, LINK_RETRY, LINK_SILENCE, LINK_TRY, PARENT_RETRY, PULSE, UNROOTED,
@@ -54,7 +54,7 @@
     tries: u32,
 }
 
-impl<T: Clone + PartialEq + Debug> Rounds<T> {
+impl<T: Clone + PartialEq + Debug> Membership<T> {
     fn is_core(&self, node: Node) -> bool {
         self.places.cores.contains_key(&node)
     }
--- a/crates/control/mesh-membership/src/watch.rs
+++ b/crates/control/mesh-membership/src/watch.rs
@@ -1,5 +1,5 @@
 //! Watchers: each node listens for the few before it on the ring.
-use crate::rounds::Rounds;
+use crate::membership::Membership;
 use crate::{Datagram, Effect, Micros, Node, Record, Version};
 use crate::{ASK_WAIT, BEAT, SILENCE, WATCHERS};
 use std::fmt::Debug;
@@ -37,7 +37,7 @@
     }
 }
 
-impl<T: Clone + PartialEq + Debug> Rounds<T> {
+impl<T: Clone + PartialEq + Debug> Membership<T> {
     fn send_datagram(&mut self, to: Node, datagram: Datagram) {
         self.figures.datagrams += 1;
         self.out.push(Effect::Datagram { to, datagram });
--- a/crates/control/mesh-membership/tests/capacity.rs
+++ b/crates/control/mesh-membership/tests/capacity.rs
@@ -41,7 +41,7 @@
     let processor = began.elapsed().as_secs_f64() / 10.0 / nodes as f64;
     let rest = world.traffic;
     let sent = (rest.letters + rest.datagrams) - (before.letters + before.datagrams);
-    world.post(core(0), "k", (0, 1, 0));
+    world.publish(core(0), "k", (0, 1, 0));
     let page = world.until_page("k", (0, 1, 0), 10 * S).expect("everywhere");
     let core_links = world.children(core(0)).len();
     // One node joins: what its snapshot takes, beside what flows anyhow in that time.
--- a/crates/control/mesh-membership/tests/common/mod.rs
+++ b/crates/control/mesh-membership/tests/common/mod.rs
@@ -28,7 +28,7 @@
     pub zone: usize,
     pub core: bool,
     pub on: bool,
-    pub rounds: Option<Rounds<Body>>,
+    pub membership: Option<Membership<Body>>,
     frozen_until: Micros,
     tick_at: Micros,
     starts: u64,
@@ -85,12 +85,12 @@
 }
 
 #[cfg(feature = "mutants")]
-fn break_it(rounds: &mut Rounds<Body>, broken: Option<Broken>) {
-    broken.into_iter().for_each(|broken| rounds.break_it(broken));
+fn break_it(membership: &mut Membership<Body>, broken: Option<Broken>) {
+    broken.into_iter().for_each(|broken| membership.break_it(broken));
 }
 
 #[cfg(not(feature = "mutants"))]
-fn break_it(_: &mut Rounds<Body>, broken: Option<Broken>) {
+fn break_it(_: &mut Membership<Body>, broken: Option<Broken>) {
     assert_eq!(broken, None, "without the feature nothing can be broken");
 }
 
@@ -152,7 +152,7 @@
             zone,
             core,
             on: true,
-            rounds: None,
+            membership: None,
             frozen_until: 0,
             tick_at: Micros::MAX,
             starts: 0,
@@ -169,19 +169,23 @@
         (self.draws >> 33) % bound.max(1)
     }
 
-    pub fn rounds(&self, node: Node) -> &Rounds<Body> {
-        self.machines[&node].rounds.as_ref().expect("it runs")
+    pub fn membership(&self, node: Node) -> &Membership<Body> {
+        self.machines[&node].membership.as_ref().expect("it runs")
     }
 
     /// All nodes, and those that start later, are broken so.
     pub fn break_all(&mut self, broken: Option<Broken>) {
         self.broken = broken;
-        let running = self.machines.values_mut().filter_map(|machine| machine.rounds.as_mut());
-        running.for_each(|rounds| break_it(rounds, broken));
+        let running = self.machines.values_mut().filter_map(|machine| machine.membership.as_mut());
+        running.for_each(|membership| break_it(membership, broken));
     }
 
     pub fn living(&self) -> Vec<Node> {
-        self.machines.iter().filter(|(_, machine)| machine.rounds.is_some()).map(|(node, _)| *node).collect()
+        self.machines
+            .iter()
+            .filter(|(_, machine)| machine.membership.is_some())
+            .map(|(node, _)| *node)
+            .collect()
     }
 
     pub fn start(&mut self, node: Node, life: u64) {
@@ -204,18 +208,18 @@
             life,
             seed,
         };
-        let mut rounds = Rounds::new(now, start, u64::from(node.0) * 1_000 + machine.starts);
-        break_it(&mut rounds, self.broken);
-        (machine.started, machine.freshness) = (now, rounds.freshness());
+        let mut membership = Membership::new(now, start, u64::from(node.0) * 1_000 + machine.starts);
+        break_it(&mut membership, self.broken);
+        (machine.started, machine.freshness) = (now, membership.freshness());
         machine.must.clone_from(&self.acked);
-        machine.rounds = Some(rounds);
+        machine.membership = Some(membership);
         self.carry(node);
     }
 
     /// Ends the process; with `power`, nobody is told.
     pub fn kill(&mut self, node: Node, power: bool) {
         let machine = self.machines.get_mut(&node).expect("known");
-        machine.rounds = None;
+        machine.membership = None;
         machine.on = !power;
         self.events.retain(|_, (at, _)| *at != node);
         self.dials.retain(|(from, _), _| *from != node);
@@ -301,7 +305,7 @@
             Event::Up { peer, conn } if !current(self, *peer, *conn) => {
                 // It was dropped meanwhile: the other side's end is told as well.
                 let (peer, conn) = (*peer, *conn);
-                self.with(node, |rounds| rounds.link_up(now, peer));
+                self.with(node, |membership| membership.link_up(now, peer));
                 self.push(now, node, Event::Down { peer, conn });
                 return;
             }
@@ -319,25 +323,26 @@
             Event::Tick if self.machines[&node].tick_at > now => return,
             _ => (),
         }
-        self.with(node, |rounds| match event {
-            Event::Tick => rounds.tick(now),
-            Event::Up { peer, .. } => rounds.link_up(now, peer),
-            Event::Down { peer, .. } => rounds.link_down(now, peer),
-            Event::Letter { from, letter, .. } => rounds.letter(now, from, letter),
-            Event::Datagram { from, datagram } => rounds.datagram(now, from, datagram),
-            Event::Tried { about, ok } => rounds.tried(now, about, ok),
-            Event::Confirm { ticket, revisions } => rounds.confirmed(now, ticket, Some(revisions)),
-            Event::Unconfirmed { ticket } => rounds.confirmed(now, ticket, None),
+        self.with(node, |membership| match event {
+            Event::Tick => membership.tick(now),
+            Event::Up { peer, .. } => membership.link_up(now, peer),
+            Event::Down { peer, .. } => membership.link_down(now, peer),
+            Event::Letter { from, letter, .. } => membership.letter(now, from, letter),
+            Event::Datagram { from, datagram } => membership.datagram(now, from, datagram),
+            Event::Tried { about, ok } => membership.tried(now, about, ok),
+            Event::Confirm { ticket, revisions } => membership.confirmed(now, ticket, Some(revisions)),
+            Event::Unconfirmed { ticket } => membership.confirmed(now, ticket, None),
             Event::Dial { .. } => (),
         });
     }
 
     /// Something happens at a node, and what it wants is carried out.
-    pub fn with(&mut self, node: Node, act: impl FnOnce(&mut Rounds<Body>)) {
-        let Some(rounds) = self.machines.get_mut(&node).and_then(|machine| machine.rounds.as_mut()) else {
+    pub fn with(&mut self, node: Node, act: impl FnOnce(&mut Membership<Body>)) {
+        let Some(membership) = self.machines.get_mut(&node).and_then(|machine| machine.membership.as_mut())
+        else {
             return;
         };
-        act(rounds);
+        act(membership);
         self.carry(node);
     }
 
@@ -346,7 +351,7 @@
             return;
         }
         let Some(target) = self.machines.get(&to) else { return };
-        let (on, runs) = (target.on, target.rounds.is_some());
+        let (on, runs) = (target.on, target.membership.is_some());
         if !on || self.cuts.contains(&(node, to)) || self.cuts.contains(&(to, node)) {
             let again = self.now + S;
             return self.push(again, node, Event::Dial { to, id });
@@ -354,7 +359,7 @@
         self.dials.remove(&(node, to));
         let now = self.now;
         if !runs {
-            return self.with(node, |rounds| rounds.link_down(now, to));
+            return self.with(node, |membership| membership.link_down(now, to));
         }
         self.count += 1;
         let conn = self.count;
@@ -365,11 +370,12 @@
 
     fn carry(&mut self, node: Node) {
         let now = self.now;
-        let Some(rounds) = self.machines.get_mut(&node).and_then(|machine| machine.rounds.as_mut()) else {
+        let Some(membership) = self.machines.get_mut(&node).and_then(|machine| machine.membership.as_mut())
+        else {
             return;
         };
-        let effects = rounds.effects();
-        let wake = rounds.wake().max(now + 1);
+        let effects = membership.effects();
+        let wake = membership.wake().max(now + 1);
         if self.machines[&node].tick_at <= now || wake < self.machines[&node].tick_at {
             self.machines.get_mut(&node).expect("known").tick_at = wake;
             let late = self.below(200) as Micros;
@@ -401,7 +407,7 @@
                     self.traffic.datagrams += 1;
                     self.count_bytes(node, to, bytes, false);
                     let lost = self.below(1_000) < self.loss;
-                    let open = self.machines.get(&to).is_some_and(|machine| machine.rounds.is_some());
+                    let open = self.machines.get(&to).is_some_and(|machine| machine.membership.is_some());
                     if open && !lost && !self.cuts.contains(&(node, to)) {
                         let at = now + self.delay(node, to);
                         self.push(at, to, Event::Datagram { from: node, datagram });
@@ -410,7 +416,7 @@
                 Effect::Try { node: about } => {
                     let machine = &self.machines[&about];
                     let cut = self.cuts.contains(&(node, about)) || self.cuts.contains(&(about, node));
-                    let ok = machine.rounds.is_some() && !cut;
+                    let ok = machine.membership.is_some() && !cut;
                     let at = now + if machine.on && !cut { 2 * self.delay(node, about) } else { 500 * MS };
                     self.push(at, node, Event::Tried { about, ok });
                 }
@@ -432,8 +438,8 @@
     fn judge_freshness(&mut self, node: Node) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&node) else { return };
-        let Some(rounds) = &machine.rounds else { return };
-        let (before, after) = (machine.freshness, rounds.freshness());
+        let Some(membership) = &machine.membership else { return };
+        let (before, after) = (machine.freshness, membership.freshness());
         if before == after {
             return;
         }
@@ -442,7 +448,7 @@
             Freshness::Current { .. } => {
                 self.judged.0 += u64::from(!machine.must.is_empty());
                 for (key, revision) in &machine.must {
-                    let has = rounds.page(key).map(|page| *page.0);
+                    let has = membership.page(key).map(|page| *page.0);
                     if has < Some(*revision) {
                         let found = format!("{node:?} is current with {key} {has:?}, not {revision:?}");
                         assert!(self.broken.is_some(), "{found}");
@@ -463,7 +469,7 @@
         let reached = |other: &Node| {
             let machine = &self.machines[other];
             let cut = self.cuts.contains(&(node, *other)) || self.cuts.contains(&(*other, node));
-            machine.rounds.is_some() && machine.frozen_until <= self.now && !cut
+            machine.membership.is_some() && machine.frozen_until <= self.now && !cut
         };
         (0..3).map(core).filter(reached).count() >= 2
     }
@@ -473,7 +479,7 @@
         let done = self.majority(node);
         if done {
             self.acked.insert(key.to_string(), revision);
-            self.post(node, key, revision);
+            self.publish(node, key, revision);
         }
         done
     }
@@ -523,24 +529,25 @@
     pub fn disagreement(&self) -> Option<String> {
         let living = self.living();
         let truth: Vec<Record<Body>> =
-            living.iter().map(|node| self.rounds(*node).record(*node).expect("own").clone()).collect();
+            living.iter().map(|node| self.membership(*node).record(*node).expect("own").clone()).collect();
         let truth: Vec<_> = truth.into_iter().filter(|record| !record.gone).collect();
         let mut pages: BTreeMap<String, Revision> = BTreeMap::new();
         for node in &living {
-            for (key, revision, _) in self.rounds(*node).pages() {
+            for (key, revision, _) in self.membership(*node).pages() {
                 let newest = pages.entry(key.to_string()).or_insert(*revision);
                 *newest = (*newest).max(*revision);
             }
         }
         for node in &living {
-            let known: Vec<_> = self.rounds(*node).records().filter(|record| !record.gone).cloned().collect();
+            let known: Vec<_> =
+                self.membership(*node).records().filter(|record| !record.gone).cloned().collect();
             if known != truth {
                 let wrong = truth.iter().filter(|record| !known.contains(record)).map(|record| record.node.0);
                 let extra = known.iter().filter(|record| !truth.contains(record)).map(|record| record.node.0);
                 let (wrong, extra): (Vec<_>, Vec<_>) = (wrong.collect(), extra.collect());
                 return Some(format!("{node:?} misses {wrong:?}, believes {extra:?}"));
             }
-            let held = self.rounds(*node).pages().map(|(key, revision, _)| (key.to_string(), *revision));
+            let held = self.membership(*node).pages().map(|(key, revision, _)| (key.to_string(), *revision));
             if held.collect::<BTreeMap<_, _>>() != pages {
                 return Some(format!("{node:?} has old pages"));
             }
@@ -564,7 +571,7 @@
     pub fn until_page(&mut self, key: &str, revision: Revision, most: Micros) -> Result<Micros, Vec<Node>> {
         let begin = self.now;
         loop {
-            let lacks = |node: &Node| self.rounds(*node).page(key).is_none_or(|page| *page.0 < revision);
+            let lacks = |node: &Node| self.membership(*node).page(key).is_none_or(|page| *page.0 < revision);
             let lacking: Vec<Node> = self.living().into_iter().filter(lacks).collect();
             if lacking.is_empty() {
                 return Ok(self.now - begin);
@@ -576,9 +583,9 @@
         }
     }
 
-    pub fn post(&mut self, node: Node, key: &str, revision: Revision) {
+    pub fn publish(&mut self, node: Node, key: &str, revision: Revision) {
         let now = self.now;
-        self.with(node, |rounds| rounds.post(now, key, revision, vec![7; 100]));
+        self.with(node, |membership| membership.publish(now, key, revision, vec![7; 100]));
     }
 
     /// Links between zones.
@@ -587,6 +594,6 @@
     }
 
     pub fn children(&self, node: Node) -> Vec<Node> {
-        self.living().into_iter().filter(|other| self.rounds(*other).parent() == Some(node)).collect()
+        self.living().into_iter().filter(|other| self.membership(*other).parent() == Some(node)).collect()
     }
 }
--- a/crates/control/mesh-membership/tests/common/starts.rs
+++ b/crates/control/mesh-membership/tests/common/starts.rs
@@ -17,7 +17,7 @@
 }
 
 pub fn page(world: &World, node: Node) -> Option<Revision> {
-    world.rounds(node).page("k").map(|page| *page.0)
+    world.membership(node).page("k").map(|page| *page.0)
 }
 
 /// What becomes of core(0).
@@ -133,11 +133,11 @@
     world.heal();
     if alone {
         [core(1), core(2)].into_iter().for_each(|other| world.start(other, 2));
-        world.post(core(1), "k", NEW);
+        world.publish(core(1), "k", NEW);
     }
     world.run(5 * S);
     assert!(broken.is_some() || page(&world, subject) == Some(NEW), "{case:?}: after all");
-    (Outcome { had_old, unconfirmed, freshness: world.rounds(subject).freshness() }, world)
+    (Outcome { had_old, unconfirmed, freshness: world.membership(subject).freshness() }, world)
 }
 
 /// One starts while a read is under way that began before a change was acknowledged.
@@ -163,7 +163,7 @@
     world.heal();
     world.run(3 * S);
     for node in [first, second] {
-        assert!(matches!(world.rounds(node).freshness(), Freshness::Current { .. }), "{node:?}");
+        assert!(matches!(world.membership(node).freshness(), Freshness::Current { .. }), "{node:?}");
     }
     world
 }
--- a/crates/control/mesh-membership/tests/days.rs
+++ b/crates/control/mesh-membership/tests/days.rs
@@ -22,8 +22,8 @@
         let mut world = calm(sides, 1);
         assert_eq!(world.crossing_links(), 3, "only the core nodes' links leave a zone");
         for node in world.living() {
-            assert!(world.rounds(node).in_touch(world.now));
-            assert!(world.rounds(node).news_age(world.now).is_some_and(|age| age < S));
+            assert!(world.membership(node).in_touch(world.now));
+            assert!(world.membership(node).news_age(world.now).is_some_and(|age| age < S));
             assert!(world.children(node).len() <= if node.0 < 100 { FAN } else { 2 * FAN + 1 });
         }
         assert!(world.gone.is_empty());
@@ -31,7 +31,7 @@
         let crossed = world.traffic.news_crossing;
         let from = side(sides - 1);
         let now = world.now;
-        world.with(from, |rounds| rounds.tell(now, 5));
+        world.with(from, |membership| membership.tell(now, 5));
         let took = world.until_agreed(S).expect("agreed");
         assert!(took <= 10 * MS, "{took}");
         assert_eq!(world.traffic.news - before, sides as u64 + 2, "one letter for each other node");
@@ -45,7 +45,7 @@
     let relay = (0..60).map(side).find(|node| world.children(*node).len() >= 2).expect("a relay");
     world.kill(relay, true);
     world.run(50 * MS);
-    world.post(core(0), "k", (1, 0, 0));
+    world.publish(core(0), "k", (1, 0, 0));
     let took = world.until_page("k", (1, 0, 0), 4 * S).expect("all have it");
     assert!(took <= LINK_SILENCE + 300 * MS, "{took}");
     let took = world.until_agreed(5 * S).expect("all know that it is gone");
@@ -55,7 +55,7 @@
         (0..60).map(side).filter(|node| *node != relay).find(|node| !world.children(*node).is_empty());
     world.kill(relay.expect("a relay"), false);
     world.run(50 * MS);
-    world.post(core(1), "k", (2, 0, 0));
+    world.publish(core(1), "k", (2, 0, 0));
     let took = world.until_page("k", (2, 0, 0), 4 * S).expect("all have it");
     assert!(took <= 50 * MS, "{took}");
 }
@@ -66,10 +66,10 @@
     let node = side(4);
     world.cut_off(node, &all(&world));
     world.run(10 * S);
-    assert_eq!(world.rounds(node).figures().gone, 0);
-    assert!(!world.rounds(node).in_touch(world.now));
+    assert_eq!(world.membership(node).figures().gone, 0);
+    assert!(!world.membership(node).in_touch(world.now));
     assert!(world.gone.iter().all(|found| found.2 == node) && !world.gone.is_empty());
-    world.post(core(0), "k", (1, 0, 0));
+    world.publish(core(0), "k", (1, 0, 0));
     world.heal();
     let took = world.until_agreed(3 * S).expect("agreed");
     assert!(took <= 2 * S, "{took}");
@@ -92,7 +92,7 @@
     world.cut_off(node, &[core(0), core(1), core(2)]);
     world.run(5 * S);
     assert!(world.gone.is_empty(), "{:?}", world.gone);
-    world.post(core(2), "k", (1, 0, 0));
+    world.publish(core(2), "k", (1, 0, 0));
     let took = world.until_page("k", (1, 0, 0), S).expect("all have it");
     assert!(took <= 20 * MS, "{took}");
     world.heal();
@@ -109,11 +109,11 @@
         let others: Vec<Node> = [core(0), core(1), core(2)].into_iter().filter(|c| *c != lone).collect();
         world.cut_off(lone, &others);
         world.run(100 * MS);
-        world.post(others[0], "k", (1, 0, 0));
+        world.publish(others[0], "k", (1, 0, 0));
         let (from, mut missing) = (world.now, Vec::new());
         while world.now < from + 2 * S {
             world.run(20 * MS);
-            let lacks = |node: &Node| *node != lone && world.rounds(*node).page("k").is_none();
+            let lacks = |node: &Node| *node != lone && world.membership(*node).page("k").is_none();
             missing = world.living().into_iter().filter(lacks).collect();
             if missing.is_empty() {
                 break;
@@ -132,7 +132,7 @@
         world.cut(from, to);
         world.run(8 * S);
         assert!(world.gone.is_empty(), "{from:?} {to:?} {:?}", world.gone);
-        world.post(core(1), "k", (1, 0, 0));
+        world.publish(core(1), "k", (1, 0, 0));
         assert!(world.until_page("k", (1, 0, 0), S).is_ok());
     }
 }
@@ -157,7 +157,7 @@
     world.run(10 * S);
     assert!(world.gone.iter().all(|found| found.2 .0 < 100), "{:?}", world.gone);
     let now = world.now;
-    world.with(side(0), |rounds| rounds.tell(now, 9));
+    world.with(side(0), |membership| membership.tell(now, 9));
     assert!(world.until_agreed(S).is_ok(), "news goes round among them");
     (0..3).for_each(|zone| world.start(core(zone), 2));
     let took = world.until_agreed(4 * S).expect("agreed");
@@ -172,8 +172,8 @@
     world.kill(core(2), false);
     world.start(core(2), 0);
     assert!(world.until_agreed(2 * S).is_ok());
-    assert_eq!(world.rounds(side(2)).life(), 2);
-    assert_eq!(world.rounds(core(2)).life(), 2);
+    assert_eq!(world.membership(side(2)).life(), 2);
+    assert_eq!(world.membership(core(2)).life(), 2);
     assert!(world.gone.is_empty());
 }
 
@@ -181,13 +181,16 @@
 fn one_that_signs_off_is_gone_everywhere_at_once() {
     let mut world = calm(12, 10);
     let now = world.now;
-    world.with(side(5), |rounds| rounds.leave(now));
+    world.with(side(5), |membership| membership.leave(now));
     world.run(20 * MS);
-    assert!(world.living().iter().all(|node| world.rounds(*node).record(side(5)).is_some_and(|it| it.gone)));
+    assert!(world
+        .living()
+        .iter()
+        .all(|node| world.membership(*node).record(side(5)).is_some_and(|it| it.gone)));
     world.kill(side(5), false);
     world.run(70 * S);
     assert!(
-        world.living().iter().all(|node| world.rounds(*node).record(side(5)).is_none()),
+        world.living().iter().all(|node| world.membership(*node).record(side(5)).is_none()),
         "it is forgotten"
     );
     world.start(side(5), 2);
@@ -196,9 +199,10 @@
 
 /// A core machine that reaches a majority tells what that has acknowledged.
 fn told_anew(world: &mut World) {
-    let owner = (0..3).map(core).find(|node| world.machines[node].rounds.is_some() && world.majority(*node));
+    let owner =
+        (0..3).map(core).find(|node| world.machines[node].membership.is_some() && world.majority(*node));
     if let (Some(owner), Some(at)) = (owner, world.acked.get("c").copied()) {
-        world.post(owner, "c", at);
+        world.publish(owner, "c", at);
     }
 }
 
@@ -213,7 +217,7 @@
     for (kind, who, span) in troubles {
         let node = nodes[usize::from(*who) % nodes.len()];
         match kind % 9 {
-            0 | 1 if world.machines[&node].rounds.is_some() => {
+            0 | 1 if world.machines[&node].membership.is_some() => {
                 world.kill(node, kind % 9 == 0);
                 down.push(node);
             }
@@ -238,9 +242,9 @@
         }
         let now = world.now;
         revision += 1;
-        world.with(node, |rounds| rounds.tell(now, revision));
-        if world.machines[&core(0)].rounds.is_some() {
-            world.post(core(0), "k", (0, revision, 0));
+        world.with(node, |membership| membership.tell(now, revision));
+        if world.machines[&core(0)].membership.is_some() {
+            world.publish(core(0), "k", (0, revision, 0));
         }
         world.acknowledge(core(usize::from(who % 3)), "c", (1, revision, 0));
         world.run(Micros::from(*span) * 15 * MS);
@@ -259,7 +263,7 @@
     world.run(8 * S);
     assert_eq!(world.disagreement(), None, "seed {seed}");
     assert_eq!(world.crossing_links(), 3, "seed {seed}: {troubles:?}");
-    let waits = |node: &Node| world.rounds(*node).freshness() == Freshness::Waiting;
+    let waits = |node: &Node| world.membership(*node).freshness() == Freshness::Waiting;
     assert!(!world.living().iter().any(waits), "seed {seed}: {troubles:?}");
     world.judged
 }
@@ -316,7 +320,7 @@
         let a_second = |now: u64, before: u64| (now - before) as f64 / 10.0;
         let messages = a_second(rest.letters + rest.datagrams, before.letters + before.datagrams);
         let now = world.now;
-        world.with(side(0), |rounds| rounds.tell(now, 1));
+        world.with(side(0), |membership| membership.tell(now, 1));
         let took = world.until_agreed(S).expect("agreed");
         println!(
             "{:>5}  {:>11.2}  {:>12.0}  {:>15.0}  {:>16.0} | {:>12}  {:>8}  {:>4}",
--- a/crates/control/mesh-membership/tests/freshness.rs
+++ b/crates/control/mesh-membership/tests/freshness.rs
@@ -81,7 +81,7 @@
         world.start(*node, 2);
     }
     world.run(2 * S);
-    let after = |node: &Node| match world.rounds(*node).freshness() {
+    let after = |node: &Node| match world.membership(*node).freshness() {
         Freshness::Current { after } => after,
         other => panic!("{node:?} {other:?}"),
     };
@@ -104,18 +104,18 @@
     Letter::Hello { record, digest: 0, known: 9, standing }
 }
 
-fn node(core: bool) -> Rounds<u32> {
+fn node(core: bool) -> Membership<u32> {
     let start = Start { me: ME, zone: "a".into(), core, seeds: vec![PARENTS[0]], life: 5, seed: 1 };
-    let mut rounds = Rounds::new(0, start, 0);
+    let mut membership = Membership::new(0, start, 0);
     for node in PARENTS.into_iter().chain(CHILDREN) {
-        rounds.link_up(0, node);
-        rounds.letter(0, node, hello(node));
+        membership.link_up(0, node);
+        membership.letter(0, node, hello(node));
     }
-    rounds
+    membership
 }
 
 /// Requests and answers sent, to whom, under which number; reads begun are told by the node itself.
-fn sent(rounds: &mut Rounds<u32>) -> Vec<(Node, u64, Option<Option<usize>>)> {
+fn sent(membership: &mut Membership<u32>) -> Vec<(Node, u64, Option<Option<usize>>)> {
     let ours = |effect| match effect {
         Effect::Send { to, letter: Letter::FreshnessRequest { number } } => Some((to, number, None)),
         Effect::Send { to, letter: Letter::FreshnessReply { number, revisions } } => {
@@ -124,11 +124,11 @@
         Effect::ConfirmRevisions { ticket } => Some((ME, ticket, None)),
         _ => None,
     };
-    rounds.effects().into_iter().filter_map(ours).collect()
+    membership.effects().into_iter().filter_map(ours).collect()
 }
 
-fn ask(rounds: &mut Rounds<u32>, now: Micros, child: usize, number: u64) {
-    rounds.letter(now, CHILDREN[child], Letter::FreshnessRequest { number });
+fn ask(membership: &mut Membership<u32>, now: Micros, child: usize, number: u64) {
+    membership.letter(now, CHILDREN[child], Letter::FreshnessRequest { number });
 }
 
 fn revisions(count: usize) -> Vec<(String, Revision)> {
@@ -210,7 +210,7 @@
         let mut world = calm(12, 6, None);
         let nodes: Vec<Node> = world.living().into_iter().filter(|node| *node != lone).collect();
         let named = |world: &World, named: Node| {
-            let names = |node: &&Node| world.rounds(**node).reached_cores().contains(&named);
+            let names = |node: &&Node| world.membership(**node).reached_cores().contains(&named);
             nodes.iter().filter(names).count()
         };
         assert!(named(&world, lone) > 0, "the schedule is reached");
@@ -222,8 +222,8 @@
         }
         world.run(2 * S);
         assert_eq!(named(&world, lone), 0, "{lone:?}");
-        assert!(nodes.iter().all(|node| !world.rounds(*node).reached_cores().is_empty()));
-        assert!(world.rounds(lone).reached_cores().is_empty());
+        assert!(nodes.iter().all(|node| !world.membership(*node).reached_cores().is_empty()));
+        assert!(world.membership(lone).reached_cores().is_empty());
         world.heal();
         world.run(10 * S);
         assert!(named(&world, lone) > 0, "{lone:?} again");
--- a/crates/control/mesh-membership/tests/vouching.rs
+++ b/crates/control/mesh-membership/tests/vouching.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{core, side, World, MS, S};
-use silvercross_mesh_membership::{Datagram, Effect, Letter, Node, Record, Rounds, Standing, Start};
+use silvercross_mesh_membership::{Datagram, Effect, Letter, Membership, Node, Record, Standing, Start};
 
 /// All that is left of a mesh agrees within this after a zone was lost.
 const ZONE_LOST: i64 = 10 * S;
@@ -24,20 +24,20 @@
 }
 
 /// A node that knows nodes 2, 3 and 9, the last as its parent.
-fn watcher() -> Rounds<u64> {
-    let mut rounds = Rounds::new(0, start(1), 1);
-    rounds.link_up(0, Node(9));
+fn watcher() -> Membership<u64> {
+    let mut membership = Membership::new(0, start(1), 1);
+    membership.link_up(0, Node(9));
     let standing = Standing { path: vec![Node(9)], ..Standing::default() };
-    rounds.letter(0, Node(9), Letter::Hello { record: record(9), digest: 0, known: 4, standing });
+    membership.letter(0, Node(9), Letter::Hello { record: record(9), digest: 0, known: 4, standing });
     let records = vec![record(2), record(3), record(9)];
-    rounds.letter(0, Node(9), Letter::Snapshot { records, pages: Vec::new() });
-    rounds.tick(0);
-    rounds.effects();
-    rounds
+    membership.letter(0, Node(9), Letter::Snapshot { records, pages: Vec::new() });
+    membership.tick(0);
+    membership.effects();
+    membership
 }
 
-fn answers(rounds: &mut Rounds<u64>) -> Vec<Datagram> {
-    let effects = rounds.effects().into_iter();
+fn answers(membership: &mut Membership<u64>) -> Vec<Datagram> {
+    let effects = membership.effects().into_iter();
     effects
         .filter_map(|effect| match effect {
             Effect::Datagram {
@@ -50,34 +50,34 @@
 }
 
 /// Time goes on; the parent and node 3 are heard all the while.
-fn pass(rounds: &mut Rounds<u64>, from: i64, to: i64) {
+fn pass(membership: &mut Membership<u64>, from: i64, to: i64) {
     for now in (from..to).step_by(100_000) {
         let standing = Standing { path: vec![Node(9)], ..Standing::default() };
-        rounds.letter(now, Node(9), Letter::Pulse { digest: 0, ask: false, standing });
-        rounds.datagram(now, Node(3), Datagram::Beat { life: 1, seq: 1 });
-        rounds.tick(now);
+        membership.letter(now, Node(9), Letter::Pulse { digest: 0, ask: false, standing });
+        membership.datagram(now, Node(3), Datagram::Beat { life: 1, seq: 1 });
+        membership.tick(now);
     }
 }
 
 #[test]
 fn a_watcher_tells_how_long_ago_it_heard_and_hearsay_grows_no_younger() {
-    let mut rounds = watcher();
+    let mut membership = watcher();
     let ask = Datagram::Ask { about: Node(2), life: 1 };
     let heard = |ago| Datagram::Heard { about: Node(2), life: 1, ago };
-    pass(&mut rounds, 0, S);
-    rounds.datagram(S, Node(2), Datagram::Beat { life: 1, seq: 1 });
-    pass(&mut rounds, S, S + 500 * MS);
-    rounds.effects();
-    rounds.datagram(S + 500 * MS, Node(3), ask.clone());
-    assert_eq!(answers(&mut rounds), [heard(500 * MS)]);
-    pass(&mut rounds, S + 500 * MS, S + 1_600 * MS);
+    pass(&mut membership, 0, S);
+    membership.datagram(S, Node(2), Datagram::Beat { life: 1, seq: 1 });
+    pass(&mut membership, S, S + 500 * MS);
+    membership.effects();
+    membership.datagram(S + 500 * MS, Node(3), ask.clone());
+    assert_eq!(answers(&mut membership), [heard(500 * MS)]);
+    pass(&mut membership, S + 500 * MS, S + 1_600 * MS);
     // Another has heard it no later than this node: that changes nothing, however late it is told.
-    rounds.datagram(S + 1_600 * MS, Node(3), heard(1_600 * MS));
-    rounds.datagram(S + 1_650 * MS, Node(3), ask.clone());
-    assert_eq!(answers(&mut rounds), [heard(1_650 * MS)]);
-    pass(&mut rounds, S + 1_600 * MS, S + 1_800 * MS);
-    rounds.datagram(S + 1_800 * MS, Node(3), ask);
-    assert_eq!(answers(&mut rounds), [Datagram::Agree { about: Node(2), life: 1 }]);
+    membership.datagram(S + 1_600 * MS, Node(3), heard(1_600 * MS));
+    membership.datagram(S + 1_650 * MS, Node(3), ask.clone());
+    assert_eq!(answers(&mut membership), [heard(1_650 * MS)]);
+    pass(&mut membership, S + 1_600 * MS, S + 1_800 * MS);
+    membership.datagram(S + 1_800 * MS, Node(3), ask);
+    assert_eq!(answers(&mut membership), [Datagram::Agree { about: Node(2), life: 1 }]);
 }
 
 /// A node rejoins, then a zone loses its power: nobody that was lost is believed there for ever.
--- a/crates/daemon/mesh/src/freight.rs
+++ b/crates/daemon/mesh/src/body_buffer.rs
@@ -141,7 +141,7 @@
 }
 
 /// A request's body.
-pub struct Freight {
+pub struct BodyBuffer {
     /// Its first part, or all of it.
     pub held: RefCell<Rc<Vec<u8>>>,
     /// What comes behind that.
@@ -149,10 +149,10 @@
     share: RefCell<Share>,
 }
 
-impl Freight {
+impl BodyBuffer {
     /// One that is here whole.
     pub fn whole(held: Vec<u8>, share: Share) -> Rc<Self> {
-        Rc::new(Freight { held: RefCell::new(Rc::new(held)), rest: None, share: RefCell::new(share) })
+        Rc::new(BodyBuffer { held: RefCell::new(Rc::new(held)), rest: None, share: RefCell::new(share) })
     }
 
     /// One that is still coming; the second part brings the rest.
@@ -166,7 +166,7 @@
             ended: Cell::new(false),
         });
         let (held, share) = (RefCell::new(Rc::new(held)), RefCell::new(share));
-        (Rc::new(Freight { held, rest: Some(rest.clone()), share }), Bringer { to, rest })
+        (Rc::new(BodyBuffer { held, rest: Some(rest.clone()), share }), Bringer { to, rest })
     }
 
     /// What is held.
@@ -241,8 +241,11 @@
                 gate.beat();
                 let (sent, back) = (bytes(LARGE), bytes(LARGE - 77));
                 let most = Rc::new(Cell::new(0));
-                let (stores, peak, answer) =
-                    ([origin.post.stores.clone(), gate.post.stores.clone()], most.clone(), back.clone());
+                let (stores, peak, answer) = (
+                    [origin.node_state.stores.clone(), gate.node_state.stores.clone()],
+                    most.clone(),
+                    back.clone(),
+                );
                 let upstream = tokio::task::spawn_local(async move {
                     let (stream, _) = listener.accept().await.expect("a connection");
                     let mut talk = Talk::over(stream);
@@ -297,7 +300,7 @@
                 // The same connection serves on.
                 client.say(format!("GET /none HTTP/1.1\r\nHost: h\r\n{ID}\r\n").as_bytes()).await;
                 assert_eq!(status(&client.head().await), "404");
-                assert_eq!((origin.post.stores.held(), gate.post.stores.held()), (0, 0));
+                assert_eq!((origin.node_state.stores.held(), gate.node_state.stores.held()), (0, 0));
             }
         });
     }
@@ -335,7 +338,7 @@
                 assert_eq!(status(&head), "200", "{head}");
             }
             upstream.await.expect("it ends");
-            assert!(first.post.stores.held() == 0 && second.post.counts.delivered.get() == 4);
+            assert!(first.node_state.stores.held() == 0 && second.node_state.counts.delivered.get() == 4);
         });
     }
 
@@ -405,7 +408,7 @@
                 let closed = value(&head, "connection").is_some();
                 assert_eq!(closed, n > 100_000, "{head}");
             }
-            assert_eq!((origin.post.counts.no_room.get(), origin.post.stores.held()), (1, 0));
+            assert_eq!((origin.node_state.counts.no_room.get(), origin.node_state.stores.held()), (1, 0));
         });
     }
 }
--- a/crates/daemon/mesh/src/changes.rs
+++ b/crates/daemon/mesh/src/changes.rs
@@ -77,8 +77,8 @@
                 let (path, text) = settings;
                 std::fs::write(path, format!("{text}seeds: ['127.0.0.9:1']\nbounds: ['drainS=0.1', 'graceS=2']\n"))
                     .expect("written");
-                at.post.reload.begin(path);
-                assert!(matches!(reload::look(&at.post, true), reload::Looked::Taken(took, _) if took.len() == 2));
+                at.node_state.reload.begin(path);
+                assert!(matches!(reload::look(&at.node_state, true), reload::Looked::Taken(took, _) if took.len() == 2));
             }
             Change::Dropped => at.patch(&withdrawn(&[of])),
             Change::AllDropped => at.patch(&withdrawn(&["safe", "once", "up"])),
@@ -95,7 +95,7 @@
                 "{\"deliver\":{\"sizeLimits\":{\"envelopeBytes\":10,\"contentBytes\":1,\"envelopeS\":0.001,\"idleS\":0.001,\
                  \"edition\":5}}}",
             ),
-            Change::Stop => at.post.begin_stop(),
+            Change::Stop => at.node_state.begin_stop(),
         }
     }
 }
@@ -152,7 +152,7 @@
                     let (got, whole) = client.body(&head).await;
                     assert!(status(&head) == "200" && whole && got == back, "{case}: {head}");
                 }
-                assert_eq!(gate.post.counts.delivered.get(), 1, "{case}");
+                assert_eq!(gate.node_state.counts.delivered.get(), 1, "{case}");
             }
         }
         std::fs::remove_file(&path).expect("removed");
@@ -255,7 +255,7 @@
         let sidecar = trial::sidecar(1, station, Terms::default()).await;
         sidecar.beat();
         let (calls, at) = trial::station().await;
-        tokio::task::spawn_local(control::listen(sidecar.post.clone(), calls, &CALLS));
+        tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
         // The upstream takes connections and answers nothing.
         let mut held: Vec<Talk> = Vec::new();
         for n in 0..40 {
@@ -290,7 +290,7 @@
             assert_eq!(status(&head), *wanted, "{name}");
             assert!(head.len() + said.len() <= 4096, "{name}: {}", said.len());
         }
-        sidecar.post.begin_stop();
+        sidecar.node_state.begin_stop();
         let (head, _) = call(&mut talk, "POST", "/-/Stations.SignOff/i-127.0.0.1", "").await;
         assert_eq!((status(&head), value(&head, "connection").as_deref()), ("200", Some("close")));
         let (head, _) =
@@ -312,15 +312,15 @@
         gate.beat();
         sidecar.hears_of(&gate);
         let (calls, ready) = trial::station().await;
-        tokio::task::spawn_local(control::listen(sidecar.post.clone(), calls, &READY_CALLS));
+        tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &READY_CALLS));
         let (mut platform, mut client) = (Talk::to(ready).await, Talk::to(sidecar.at).await);
         for stopping in [false, true] {
             if stopping {
-                sidecar.post.begin_stop();
+                sidecar.node_state.begin_stop();
             }
             let (head, why) = call(&mut platform, "GET", "/-/ready", "").await;
             let says = status(&head) == "503" && String::from_utf8_lossy(&why).contains("stopping");
-            assert_eq!((says, sidecar.post.stopping()), (stopping, stopping), "{head}");
+            assert_eq!((says, sidecar.node_state.stopping()), (stopping, stopping), "{head}");
             client.say(format!("GET /safe/x HTTP/1.1\r\nHost: h\r\n{ID}\r\n").as_bytes()).await;
             let said = client.head().await;
             client.body(&said).await;
@@ -328,7 +328,7 @@
             for head in [head, said] {
                 assert_eq!(value(&head, "connection").is_some(), stopping, "{head}");
             }
-            assert_eq!(sidecar.post.body().leaving, stopping);
+            assert_eq!(sidecar.node_state.body().leaving, stopping);
         }
         assert_eq!(client.more().await, 0);
     });
@@ -357,13 +357,13 @@
         let mut sidecars = Vec::new();
         for last in [1, 2] {
             let sidecar = trial::sidecar(last, nobody, Terms::default()).await;
-            let calls = TcpListener::bind((sidecar.post.boot.ip, 0)).await.expect("a port");
+            let calls = TcpListener::bind((sidecar.node_state.boot.ip, 0)).await.expect("a port");
             at.push(calls.local_addr().expect("bound"));
-            tokio::task::spawn_local(control::listen(sidecar.post.clone(), calls, &CALLS));
+            tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
             sidecars.push(sidecar);
         }
         assert_eq!(follow(at[0], "/-/Config.Get").await, ["503"]);
-        let both: Vec<Ipv4Addr> = sidecars.iter().map(|s| s.post.boot.ip).collect();
+        let both: Vec<Ipv4Addr> = sidecars.iter().map(|s| s.node_state.boot.ip).collect();
         sidecars[0].hears_of_core(at[1], "a", false, &both);
         sidecars[1].hears_of_core(at[0], "a", false, &both);
         for path in ["/-/Config.Get", "/-/Config.Get?x=1", "/-/Config.Get?x=1&via=0"] {
@@ -406,7 +406,7 @@
                 let roster: Vec<Ipv4Addr> = roster.iter().map(ip).collect();
                 sidecar.hears_of_core((ip(last), 9).into(), zone, *leaving, &roster);
             }
-            let to = sidecar.post.core().map(|at| at.ip());
+            let to = sidecar.node_state.core().map(|at| at.ip());
             assert_eq!(to, wanted.map(|w| ip(&w).into()), "case {n}");
         }
     });
--- a/crates/daemon/mesh/src/front.rs
+++ b/crates/daemon/mesh/src/client_listener.rs
@@ -1,13 +1,13 @@
 //! Where the machine's clients, and its upstream, bring their requests: one connection a task, one request at a time on it.
-//! Where the request goes, whether again and when not is the module's to say (`desk`).
+//! Where the request goes, whether again and when not is the module's to say (`service_balancer`).
 mod attempt;
 mod reply;
 mod route;
 mod run;
 
-use crate::freight::{Bringer, Freight};
-use crate::post::{Counted, Door, Post};
-use crate::rests;
+use crate::body_buffer::{BodyBuffer, Bringer};
+use crate::idle_timeout;
+use crate::node_state::{Counted, Door, NodeState};
 use crate::wire::{self, Asked, End, Line, Size, Wrong};
 use reply::{begin, Reply};
 use route::serve;
@@ -26,38 +26,38 @@
 pub const CONNECTIONS: u64 = 2;
 
 /// Take clients, for as long as the process lives.
-pub async fn listen(post: Rc<Post>, listener: TcpListener) {
+pub async fn listen(node_state: Rc<NodeState>, listener: TcpListener) {
     loop {
         let next = tokio::select! {
             next = listener.accept() => next,
             // Connections that nobody has taken by now end with the listener, and their requests unread.
-            _ = post.is_shut() => return,
+            _ = node_state.is_shut() => return,
         };
         let Ok((stream, _)) = next else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if post.counts.clients.get() >= post.boot.descriptors / CONNECTIONS {
-            post.shut_out(Door::Outbound);
+        if node_state.counts.clients.get() >= node_state.boot.descriptors / CONNECTIONS {
+            node_state.shut_out(Door::Outbound);
             continue;
         }
-        let post = post.clone();
-        let counted = Counted::new(&post, |c| &c.clients);
+        let node_state = node_state.clone();
+        let counted = Counted::new(&node_state, |c| &c.clients);
         tokio::task::spawn_local(async move {
             let _counted = counted;
             let mut line = Line::new(stream, End::Outer(0));
-            while one(&post, &mut line).await {}
+            while one(&node_state, &mut line).await {}
         });
     }
 }
 
 /// One request of a connection; whether another may come.
-async fn one(post: &Rc<Post>, line: &mut Line) -> bool {
-    if !rests::taken_up(post, line).await {
+async fn one(node_state: &Rc<NodeState>, line: &mut Line) -> bool {
+    if !idle_timeout::taken_up(node_state, line).await {
         return false;
     }
     // Those in force as the request comes.
-    let limits = post.table().limits();
+    let limits = node_state.table().limits();
     let span = |us: i64| Duration::from_micros(us.max(1) as u64);
     let most = limits.content_bytes.min(usize::MAX as u64) as usize;
     line.end = End::Outer(limits.envelope_bytes);
@@ -75,42 +75,47 @@
         _ => None,
     };
     let until = Instant::now() + span(asked.deadline.unwrap_or(60_000_000));
-    let (mut decoder, mut share) = (Decoder::new(asked.framing, most), post.stores.share());
+    let (mut decoder, mut share) = (Decoder::new(asked.framing, most), node_state.stores.share());
     let held = timeout_at(until, line.held(&mut decoder, stated, &mut share, false)).await;
-    asked.waybill = None;
+    asked.forwarding_headers = None;
     asked.expects = None;
-    asked.sender = Some(post.boot.destination.clone());
+    asked.sender = Some(node_state.boot.destination.clone());
     let (held, whole) = match held.unwrap_or(Err(Wrong::Late)) {
         Ok(held) => held,
         Err(wrong) => {
             if matches!(wrong, Wrong::NoRoom) {
-                post.counts.no_room.set(post.counts.no_room.get() + 1);
+                node_state.counts.no_room.set(node_state.counts.no_room.get() + 1);
             }
             return refuse(line, wrong).await;
         }
     };
     if !whole {
-        let (freight, bringer) = Freight::coming(held, stated.map(|n| n as u64), share);
-        return large(post, line, &asked, freight, bringer, &mut decoder, until).await;
+        let (body_buffer, bringer) = BodyBuffer::coming(held, stated.map(|n| n as u64), share);
+        return large(node_state, line, &asked, body_buffer, bringer, &mut decoder, until).await;
     }
-    answer_whole(post, line, &asked, Freight::whole(held, share)).await
+    answer_whole(node_state, line, &asked, BodyBuffer::whole(held, share)).await
 }
 
 /// A request that is here whole; whether another may come.
-async fn answer_whole(post: &Rc<Post>, line: &mut Line, asked: &Asked, freight: Rc<Freight>) -> bool {
-    let open = Open::new(post);
-    let mut reply = serve(post, asked, &freight).await;
-    drop(freight);
+async fn answer_whole(
+    node_state: &Rc<NodeState>,
+    line: &mut Line,
+    asked: &Asked,
+    body_buffer: Rc<BodyBuffer>,
+) -> bool {
+    let open = Open::new(node_state);
+    let mut reply = serve(node_state, asked, &body_buffer).await;
+    drop(body_buffer);
     drop(open);
-    let close = !asked.keep_alive || asked.old || post.stopping();
-    let (bytes, size) = begin(post, &mut reply, asked, close);
+    let close = !asked.keep_alive || asked.old || node_state.stopping();
+    let (bytes, size) = begin(node_state, &mut reply, asked, close);
     let close = close || size == Size::Close && reply.tail.is_some();
     if line.write(&bytes).await.is_err() {
         return false;
     }
     if reply.tail.is_some() {
         let Some(mut write) = line.split() else { return false };
-        let passed = reply.pass(post, &mut write, size).await;
+        let passed = reply.pass(node_state, &mut write, size).await;
         line.join(write);
         if !passed {
             line.abort();
@@ -126,26 +131,27 @@
 
 /// One request whose body is still coming: it is read on while the request is served, no faster than it is passed on.
 async fn large(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     line: &mut Line,
     asked: &Asked,
-    freight: Rc<Freight>,
+    body_buffer: Rc<BodyBuffer>,
     bringer: Bringer,
     decoder: &mut Decoder,
     until: Instant,
 ) -> bool {
     let Some(mut write) = line.split() else { return false };
-    let _open = Open::new(post);
+    let _open = Open::new(node_state);
     let replies = Cell::new(false);
     let ended = {
         let work = async {
-            let mut reply = serve(post, asked, &freight).await;
+            let mut reply = serve(node_state, asked, &body_buffer).await;
             replies.set(true);
             // Where part of the body was not read, the connection carries nothing more.
-            let close = !asked.keep_alive || asked.old || post.stopping() || !freight.at_end();
-            let (bytes, size) = begin(post, &mut reply, asked, close);
+            let close = !asked.keep_alive || asked.old || node_state.stopping() || !body_buffer.at_end();
+            let (bytes, size) = begin(node_state, &mut reply, asked, close);
             let close = close || size == Size::Close && reply.tail.is_some();
-            let passed = write.write_all(&bytes).await.is_ok() && reply.pass(post, &mut write, size).await;
+            let passed =
+                write.write_all(&bytes).await.is_ok() && reply.pass(node_state, &mut write, size).await;
             (passed, close)
         };
         let read = async {
@@ -202,13 +208,13 @@
 }
 
 /// A request counts as open for as long as this lives.
-struct Open<'p>(&'p Post);
+struct Open<'p>(&'p NodeState);
 
 impl<'p> Open<'p> {
-    fn new(post: &'p Post) -> Self {
-        post.counts.requests.set(post.counts.requests.get() + 1);
-        post.open.set(post.open.get() + 1);
-        Open(post)
+    fn new(node_state: &'p NodeState) -> Self {
+        node_state.counts.requests.set(node_state.counts.requests.get() + 1);
+        node_state.open.set(node_state.open.get() + 1);
+        Open(node_state)
     }
 }
 
--- a/crates/daemon/mesh/src/front/reply.rs
+++ b/crates/daemon/mesh/src/client_listener/reply.rs
@@ -1,9 +1,9 @@
 //! What a client is answered: this program's own words, an upstream's answer passed on, and both as bytes.
-use crate::desk::Ticket;
-use crate::freight::Share;
-use crate::hop::Tail;
-use crate::post::Post;
-use crate::rests;
+use crate::body_buffer::Share;
+use crate::idle_timeout;
+use crate::node_state::NodeState;
+use crate::peer_connection::Tail;
+use crate::service_balancer::Ticket;
 use crate::wire::{self, Answer, Asked, Size};
 use silvercross_facade::{Attempt, Report};
 use std::rc::Rc;
@@ -48,11 +48,13 @@
     }
 
     /// Pass on what comes behind the first part; `false` if it broke off.
-    pub(super) async fn pass(self, post: &Rc<Post>, to: &mut OwnedWriteHalf, size: Size) -> bool {
+    pub(super) async fn pass(self, node_state: &Rc<NodeState>, to: &mut OwnedWriteHalf, size: Size) -> bool {
         let Some(tail) = self.tail else { return true };
-        let passed = tail.pass(&post.pool, to, size).await;
+        let passed = tail.pass(&node_state.pool, to, size).await;
         if let Some(flow) = self.flow {
-            flow.ticket.desk.report(flow.attempt, if passed { Report::Served } else { Report::Broken });
+            flow.ticket
+                .service_balancer
+                .report(flow.attempt, if passed { Report::Served } else { Report::Broken });
         }
         passed
     }
@@ -67,13 +69,20 @@
 }
 
 /// An answer's first bytes, or all of them.
-pub(super) fn begin(post: &Post, reply: &mut Reply, asked: &Asked, close: bool) -> (Vec<u8>, Size) {
+pub(super) fn begin(
+    node_state: &NodeState,
+    reply: &mut Reply,
+    asked: &Asked,
+    close: bool,
+) -> (Vec<u8>, Size) {
     let mut lines = std::mem::take(&mut reply.lines);
     if let Some(id) = asked.id.as_ref().filter(|_| !has_id(&lines)) {
         lines.extend_from_slice(format!("Attempt-Id: {id}\r\n").as_bytes());
     }
-    if let Some(rests) = rests::line(post.rests.borrow().stated()).filter(|_| !close) {
-        lines.extend_from_slice(rests.as_bytes());
+    if let Some(idle_timeout) =
+        idle_timeout::line(node_state.idle_timeout.borrow().stated()).filter(|_| !close)
+    {
+        lines.extend_from_slice(idle_timeout.as_bytes());
     }
     let bodiless = asked.method == "HEAD";
     if reply.tail.is_none() {
--- a/crates/daemon/mesh/src/front/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -1,9 +1,9 @@
 //! The way to a request's service: its route, what its member's standing says, and the service drawn from the split.
 use super::reply::Reply;
 use super::run::Run;
-use crate::freight::Freight;
-use crate::members::{self, Head};
-use crate::post::Post;
+use crate::body_buffer::BodyBuffer;
+use crate::member_throttle::{self, Head};
+use crate::node_state::NodeState;
 use crate::wire::Asked;
 use silvercross_mesh_config::Route;
 use std::rc::Rc;
@@ -17,13 +17,13 @@
 const WAIT_AIM: i64 = 4;
 
 /// Find the route and the service, and have the request served.
-pub(super) async fn serve(post: &Rc<Post>, asked: &Asked, freight: &Rc<Freight>) -> Reply {
+pub(super) async fn serve(node_state: &Rc<NodeState>, asked: &Asked, body_buffer: &Rc<BodyBuffer>) -> Reply {
     // A process that has just started knows the configuration and the upstreams within a moment: that is cheaper to wait for
     // than a client's second try. No longer than a part of what the client, or the aim, allows.
     let patience = asked.deadline.map_or(0, |d| d / WAIT_DEADLINE).min(WAIT_MOST);
-    post.until(patience, || post.configured()).await;
-    let table = post.table();
-    if !post.configured() {
+    node_state.until(patience, || node_state.configured()).await;
+    let table = node_state.table();
+    if !node_state.configured() {
         return Reply::promise(503, "no configuration has come yet", None);
     }
     let Some(route) = table.find(&asked.host, &asked.target) else {
@@ -32,48 +32,53 @@
     let Some(id) = asked.id.clone() else { return Reply::own(400, "a request needs an Attempt-Id") };
     let budget = asked.deadline.map_or(route.deadline_us, |d| d.min(route.deadline_us));
     let (mut step, mut waited) = (None, 0);
-    if post.members.looks() {
-        match members::at_head(post, asked, route, &id, budget, freight.held().len()).await {
+    if node_state.members.looks() {
+        match member_throttle::at_head(node_state, asked, route, &id, budget, body_buffer.held().len()).await
+        {
             Head::Goes { standing, after } => (step, waited) = (standing, after),
             Head::Turned { standing, after } => {
                 let mut reply =
                     Reply::promise(429, "a lapsed trial's request has too little time", Some(after));
-                members::mark(&mut reply.lines, Some(standing));
+                member_throttle::mark(&mut reply.lines, Some(standing));
                 return reply;
             }
             Head::Unknown => return Reply::own(403, "the request names no member"),
         }
     }
-    let mut reply = send(post, asked, freight, route, id, budget, waited).await;
-    if post.members.looks() {
-        members::mark(&mut reply.lines, step);
+    let mut reply = send(node_state, asked, body_buffer, route, id, budget, waited).await;
+    if node_state.members.looks() {
+        member_throttle::mark(&mut reply.lines, step);
     }
     reply
 }
 
 /// Find the service and have the request served; it waited for so long already.
 async fn send(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     asked: &Asked,
-    freight: &Rc<Freight>,
+    body_buffer: &Rc<BodyBuffer>,
     route: &Route,
     id: String,
     budget: i64,
     waited: i64,
 ) -> Reply {
-    let service = post.draw(&route.split);
-    post.until(route.target_us / WAIT_AIM, || post.desk(&service).is_some_and(|d| d.ready())).await;
-    let Some(desk) = post.desk(&service) else {
+    let service = node_state.draw(&route.split);
+    node_state
+        .until(route.target_us / WAIT_AIM, || {
+            node_state.service_balancer(&service).is_some_and(|d| d.ready())
+        })
+        .await;
+    let Some(service_balancer) = node_state.service_balancer(&service) else {
         return Reply::promise(503, "no upstream of this service is known", None);
     };
     if budget <= waited {
         return Reply::promise(503, "its time is up", None);
     }
     let run = Run {
-        post: post.clone(),
-        desk,
+        node_state: node_state.clone(),
+        service_balancer,
         asked: Rc::new(asked.clone()),
-        freight: freight.clone(),
+        body_buffer: body_buffer.clone(),
         service,
         id,
         route: route.clone(),
--- a/crates/daemon/mesh/src/front/run.rs
+++ b/crates/daemon/mesh/src/client_listener/run.rs
@@ -1,11 +1,11 @@
 //! One request on its way: what the module says is done, and what its attempts bring is told to the module.
 use super::attempt::go;
 use super::reply::{passed, Flow, Reply};
-use crate::desk::{Desk, Mail};
-use crate::freight::Freight;
-use crate::hop::Came;
-use crate::post::Post;
-use crate::waybill::{self, Waybill, Word};
+use crate::body_buffer::BodyBuffer;
+use crate::forwarding_headers::{self, ForwardingHeaders, Word};
+use crate::node_state::NodeState;
+use crate::peer_connection::Came;
+use crate::service_balancer::{RequestEvent, ServiceBalancer};
 use crate::wire::{Answer, Asked};
 use silvercross_facade::{Attempt, Report, Step};
 use silvercross_mesh_config::{Kind, Route};
@@ -19,10 +19,10 @@
 
 /// One request on its way.
 pub(super) struct Run {
-    pub(super) post: Rc<Post>,
-    pub(super) desk: Rc<Desk>,
+    pub(super) node_state: Rc<NodeState>,
+    pub(super) service_balancer: Rc<ServiceBalancer>,
     pub(super) asked: Rc<Asked>,
-    pub(super) freight: Rc<Freight>,
+    pub(super) body_buffer: Rc<BodyBuffer>,
     pub(super) service: String,
     pub(super) id: String,
     pub(super) route: Route,
@@ -85,10 +85,12 @@
 impl Run {
     /// Send it as the module says, until there is an answer.
     pub(super) async fn serve(self) -> Reply {
-        let (mail, mut inbox) = unbounded_channel();
-        let Some(ticket) =
-            self.desk.take(&self.route.name, self.budget - self.waited, (mail.clone(), &mut inbox))
-        else {
+        let (request_event, mut inbox) = unbounded_channel();
+        let Some(ticket) = self.service_balancer.take(
+            &self.route.name,
+            self.budget - self.waited,
+            (request_event.clone(), &mut inbox),
+        ) else {
             return Reply::promise(503, "too much is open here", None);
         };
         let mut progress = Progress::default();
@@ -96,11 +98,11 @@
             // The sender is ours too, so the box never ends.
             let Some(mail_in) = inbox.recv().await else { return Reply::own(502, "lost") };
             let next = match mail_in {
-                Mail::Ended(number, came) => {
+                RequestEvent::Ended(number, came) => {
                     let attempt = Attempt { request: ticket.handle, number };
-                    self.ended(&mut progress, attempt, came, &mail, &inbox)
+                    self.ended(&mut progress, attempt, came, &request_event, &inbox)
                 }
-                Mail::Step(step) => self.step(&mut progress, step, &mail),
+                RequestEvent::Step(step) => self.step(&mut progress, step, &request_event),
             };
             match next {
                 Next::More => {}
@@ -119,8 +121,8 @@
         progress: &mut Progress,
         attempt: Attempt,
         came: Came,
-        mail: &UnboundedSender<Mail>,
-        inbox: &UnboundedReceiver<Mail>,
+        request_event: &UnboundedSender<RequestEvent>,
+        inbox: &UnboundedReceiver<RequestEvent>,
     ) -> Next {
         let Progress { brought, behind, out } = progress;
         let number = attempt.number;
@@ -130,20 +132,20 @@
         let (report, what) = judge(came);
         if report == Report::Served && what.answer.as_ref().is_some_and(|a| a.tail.is_some()) {
             // So much has come that no other answer can be had: it goes on as it comes.
-            self.desk.begun(attempt);
+            self.service_balancer.begun(attempt);
             let mut reply = what.answer.map_or_else(|| Reply::own(502, "lost"), passed);
             let left = Duration::from_micros(self.budget.max(0) as u64);
             reply.tail.iter_mut().for_each(|t| t.until = Some(self.started + left));
             return Next::Pass(reply, attempt);
         }
         brought.insert(number, what);
-        self.desk.report(attempt, report);
-        if self.freight.rest.is_some() && out.0.is_empty() && inbox.is_empty() {
+        self.service_balancer.report(attempt, report);
+        if self.body_buffer.rest.is_some() && out.0.is_empty() && inbox.is_empty() {
             // The module awaits a copy that could not go out so far.
-            match behind.pop().filter(|_| !self.freight.spent()) {
+            match behind.pop().filter(|_| !self.body_buffer.spent()) {
                 Some((number, to, name)) => {
                     let further = brought.values().any(|b| b.met);
-                    let task = self.attempt(number, to, name, further, mail.clone());
+                    let task = self.attempt(number, to, name, further, request_event.clone());
                     out.0.insert(number, task);
                 }
                 None => return Next::Answer(self.given_up(std::mem::take(brought), None, false)),
@@ -153,19 +155,24 @@
     }
 
     /// Do what the module says.
-    fn step(&self, progress: &mut Progress, step: Step<()>, mail: &UnboundedSender<Mail>) -> Next {
+    fn step(
+        &self,
+        progress: &mut Progress,
+        step: Step<()>,
+        request_event: &UnboundedSender<RequestEvent>,
+    ) -> Next {
         let Progress { brought, behind, out } = progress;
         let open = !out.0.is_empty();
         let reply = match step {
             Step::Send { attempt, upstream, to, .. } => {
                 let further = brought.values().any(|b| b.met) || open;
-                let name = self.desk.name_of(upstream);
-                if self.freight.rest.is_some() && open {
+                let name = self.service_balancer.name_of(upstream);
+                if self.body_buffer.rest.is_some() && open {
                     behind.push((attempt.number, to, name));
                     return Next::More;
                 }
-                if !self.freight.spent() {
-                    let task = self.attempt(attempt.number, to, name, further, mail.clone());
+                if !self.body_buffer.spent() {
+                    let task = self.attempt(attempt.number, to, name, further, request_event.clone());
                     out.0.insert(attempt.number, task);
                     return Next::More;
                 }
@@ -193,8 +200,8 @@
     /// The last word on a request that was given up: an upstream's own where there is one, a promise where nothing ran. `out`: an
     /// attempt has not ended, so it may still run.
     fn given_up(&self, mut brought: BTreeMap<u32, Brought>, retry_after: Option<i64>, out: bool) -> Reply {
-        let counts = &self.post.counts;
-        slog::debug!(self.post.log, "given up"; "route" => &self.route.name, "service" => &self.service,
+        let counts = &self.node_state.counts;
+        slog::debug!(self.node_state.log, "given up"; "route" => &self.route.name, "service" => &self.service,
             "after" => self.started.elapsed().as_millis() as u64, "budget" => self.budget / 1000,
             "attempts" => brought.values().map(|b| b.how).collect::<Vec<_>>().join(" "));
         let last = brought.values_mut().rev().find(|b| b.answer.is_some());
@@ -219,24 +226,25 @@
         to: SocketAddr,
         name: String,
         further: bool,
-        mail: UnboundedSender<Mail>,
+        request_event: UnboundedSender<RequestEvent>,
     ) -> AbortHandle {
-        let (post, asked, freight) = (self.post.clone(), self.asked.clone(), self.freight.clone());
+        let (node_state, asked, body_buffer) =
+            (self.node_state.clone(), self.asked.clone(), self.body_buffer.clone());
         let (id, spent) = (self.id.clone(), self.started.elapsed().as_micros() as i64);
-        let bill = Waybill {
-            version: waybill::VERSION,
+        let bill = ForwardingHeaders {
+            version: forwarding_headers::VERSION,
             service: self.service.clone(),
             further,
             priority: self.route.priority,
             repeatable: self.route.kind == Kind::Safe,
             aim: self.route.target_us - spent,
-            ticket: if self.route.kind == Kind::Safe { 0 } else { self.post.ticket() },
+            ticket: if self.route.kind == Kind::Safe { 0 } else { self.node_state.ticket() },
             asks: false,
         };
         let left = self.budget - spent;
         let task = tokio::task::spawn_local(async move {
-            let came = go(&post, &asked, &freight, &id, &bill, left, to, &name).await;
-            let _ = mail.send(Mail::Ended(number, came));
+            let came = go(&node_state, &asked, &body_buffer, &id, &bill, left, to, &name).await;
+            let _ = request_event.send(RequestEvent::Ended(number, came));
         });
         task.abort_handle()
     }
@@ -250,7 +258,7 @@
         Came::Answer(answer) => answer,
     };
     if let Some(text) = &answer.word {
-        let (report, arrived, after, how) = match waybill::read::<Word>(text) {
+        let (report, arrived, after, how) = match forwarding_headers::read::<Word>(text) {
             Some(Word::Absent) => (Report::NotConnected, false, None, "absent"),
             Some(Word::Full(after)) => (Report::TurnedAway, false, Some(after).filter(|a| *a > 0), "full"),
             Some(Word::Shut) => (Report::TurnedAway, false, None, "shut"),
--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -1,9 +1,9 @@
 //! Calls of upstreams, operators and the platform: each is declared beside its handler. One connection a task, one call at a
 //! time on it.
-use crate::feed;
-use crate::leaf::{Leaf, Order, CONFIGURATION, EVACUATION};
-use crate::members;
-use crate::post::{Beat, Counted, Door, Post};
+use crate::control_value::{ControlValue, Order, CONFIGURATION, EVACUATION};
+use crate::event_stream;
+use crate::member_throttle;
+use crate::node_state::{Beat, Counted, Door, NodeState};
 use crate::wire::{self, Asked, End, Line, Wrong};
 use serde_json::json;
 use silvercross_control_store::Verdict;
@@ -66,14 +66,17 @@
 pub struct Call {
     method: &'static str,
     path: &'static str,
-    run: for<'c> fn(&'c Rc<Post>, &'c str, &'c [u8]) -> Answering<'c>,
+    run: for<'c> fn(&'c Rc<NodeState>, &'c str, &'c [u8]) -> Answering<'c>,
 }
 
 macro_rules! call {
     ($name:ident, $method:literal, $path:literal, $run:ident) => {
         #[doc = concat!("`", $method, " ", $path, "`")]
-        pub const $name: Call =
-            Call { method: $method, path: $path, run: |post, name, body| Box::pin($run(post, name, body)) };
+        pub const $name: Call = Call {
+            method: $method,
+            path: $path,
+            run: |node_state, name, body| Box::pin($run(node_state, name, body)),
+        };
     };
 }
 
@@ -95,13 +98,13 @@
 pub const READY_CALLS: [&Call; 2] = [&READY, &FIGURES];
 
 call!(HEARTBEAT, "POST", "/-/Stations.Heartbeat/{}", heartbeat);
-async fn heartbeat(post: &Rc<Post>, id: &str, body: &[u8]) -> Said {
-    if post.boot.station.is_none() {
+async fn heartbeat(node_state: &Rc<NodeState>, id: &str, body: &[u8]) -> Said {
+    if node_state.boot.station.is_none() {
         return Said::fault(404, "no upstream belongs to this machine (call the sidecar beside it)");
     }
     match serde_json::from_slice::<Beat>(body) {
         Ok(beat) => {
-            if post.beat(id, beat) {
+            if node_state.beat(id, beat) {
                 Said::ok()
             } else {
                 Said::fault(409, "this life has signed off (start under another id)")
@@ -112,75 +115,78 @@
 }
 
 call!(SIGN_OFF, "POST", "/-/Stations.SignOff/{}", sign_off);
-async fn sign_off(post: &Rc<Post>, id: &str, _: &[u8]) -> Said {
-    post.signed_off(id);
+async fn sign_off(node_state: &Rc<NodeState>, id: &str, _: &[u8]) -> Said {
+    node_state.signed_off(id);
     Said::ok()
 }
 
 call!(PATCH, "POST", "/-/Config.Patch", patch);
-async fn patch(post: &Rc<Post>, _: &str, body: &[u8]) -> Said {
-    patched(post, body, "/-/Config.Patch").await
+async fn patch(node_state: &Rc<NodeState>, _: &str, body: &[u8]) -> Said {
+    patched(node_state, body, "/-/Config.Patch").await
 }
 
-async fn patched(post: &Rc<Post>, body: &[u8], path: &str) -> Said {
+async fn patched(node_state: &Rc<NodeState>, body: &[u8], path: &str) -> Said {
     let order = match silvercross_mesh_config::read_call(body) {
         Ok(call) if call.members.is_empty() => Order::Patch(call.change),
         Ok(call) => Order::Call(Box::new(call)),
         Err(fault) => return Said::fault(400, &fault.to_string()),
     };
-    ordered(post, CONFIGURATION, order, path).await
+    ordered(node_state, CONFIGURATION, order, path).await
 }
 
 call!(GET, "GET", "/-/Config.Get", get);
-async fn get(post: &Rc<Post>, _: &str, _: &[u8]) -> Said {
-    match post.carriers.ask(post, CONFIGURATION, None).await {
-        Some(Verdict::Value { value: Leaf::Configuration(c), .. }) => Said::json(200, c.to_json()),
-        Some(Verdict::Value { value: Leaf::Whole(w), .. }) => Said::json(200, w.to_json()),
+async fn get(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> Said {
+    match node_state.peers.ask(node_state, CONFIGURATION, None).await {
+        Some(Verdict::Value { value: ControlValue::Configuration(c), .. }) => Said::json(200, c.to_json()),
+        Some(Verdict::Value { value: ControlValue::Whole(w), .. }) => Said::json(200, w.to_json()),
         Some(Verdict::Value { .. }) => Said::json(200, "{}".to_string()),
         Some(_) => Said::later(),
-        None => elsewhere(post, "/-/Config.Get"),
+        None => elsewhere(node_state, "/-/Config.Get"),
     }
 }
 
 call!(EVACUATE_START, "POST", "/-/Evacuate.Start/{}", evacuate_start);
-async fn evacuate_start(post: &Rc<Post>, zone: &str, _: &[u8]) -> Said {
-    evacuate(post, zone, true).await
+async fn evacuate_start(node_state: &Rc<NodeState>, zone: &str, _: &[u8]) -> Said {
+    evacuate(node_state, zone, true).await
 }
 
 call!(EVACUATE_END, "POST", "/-/Evacuate.End/{}", evacuate_end);
-async fn evacuate_end(post: &Rc<Post>, zone: &str, _: &[u8]) -> Said {
-    evacuate(post, zone, false).await
+async fn evacuate_end(node_state: &Rc<NodeState>, zone: &str, _: &[u8]) -> Said {
+    evacuate(node_state, zone, false).await
 }
 
-async fn evacuate(post: &Rc<Post>, zone: &str, on: bool) -> Said {
-    if !post.boot.zones.iter().any(|z| z == zone) {
-        return Said::fault(400, &format!("zone {zone:?}: unknown (name one of {:?})", post.boot.zones));
+async fn evacuate(node_state: &Rc<NodeState>, zone: &str, on: bool) -> Said {
+    if !node_state.boot.zones.iter().any(|z| z == zone) {
+        return Said::fault(
+            400,
+            &format!("zone {zone:?}: unknown (name one of {:?})", node_state.boot.zones),
+        );
     }
     let path = format!("/-/Evacuate.{}/{zone}", if on { "Start" } else { "End" });
-    ordered(post, &format!("{EVACUATION}{zone}"), Order::Evacuate(on), &path).await
+    ordered(node_state, &format!("{EVACUATION}{zone}"), Order::Evacuate(on), &path).await
 }
 
-async fn ordered(post: &Rc<Post>, key: &str, order: Order, path: &str) -> Said {
-    post.counts.calls.set(post.counts.calls.get() + 1);
-    let _open = Counted::new(post, |c| &c.calls_open);
-    match post.carriers.ask(post, key, Some(order)).await {
+async fn ordered(node_state: &Rc<NodeState>, key: &str, order: Order, path: &str) -> Said {
+    node_state.counts.calls.set(node_state.counts.calls.get() + 1);
+    let _open = Counted::new(node_state, |c| &c.calls_open);
+    match node_state.peers.ask(node_state, key, Some(order)).await {
         Some(Verdict::Done { revision, changed }) => {
             if changed {
-                info!(post.log, "acknowledged"; "key" => key, "round" => revision.epoch.round, "change" => revision.seq);
+                info!(node_state.log, "acknowledged"; "key" => key, "round" => revision.epoch.round, "change" => revision.seq);
             }
             Said::ok()
         }
         Some(Verdict::Refused(refusal)) => {
-            if let Some(n) = post.refusals.due(post.now()) {
-                info!(post.log, "refused"; "key" => key, "why" => &refusal.reason, "count" => n);
+            if let Some(n) = node_state.refusals.due(node_state.now()) {
+                info!(node_state.log, "refused"; "key" => key, "why" => &refusal.reason, "count" => n);
             }
-            if let Some(feed) = post.feed.get() {
-                feed.refused(post, key, &refusal.reason);
+            if let Some(event_stream) = node_state.event_stream.get() {
+                event_stream.refused(node_state, key, &refusal.reason);
             }
             Said::fault(if refusal.conflict { 409 } else { 400 }, &refusal.reason)
         }
         Some(Verdict::Value { .. } | Verdict::Unsettled) => Said::later(),
-        None => elsewhere(post, path),
+        None => elsewhere(node_state, path),
     }
 }
 
@@ -209,8 +215,8 @@
 }
 
 /// This machine holds no ledger: one that does is named.
-fn elsewhere(post: &Post, path: &str) -> Said {
-    match post.core() {
+fn elsewhere(node_state: &NodeState, path: &str) -> Said {
+    match node_state.core() {
         Some(at) => {
             let to = Some(format!("http://{at}{path}"));
             Said { status: 307, lines: String::new(), body: String::new(), to }
@@ -220,60 +226,60 @@
 }
 
 call!(STATE, "GET", "/-/Post.State", state);
-async fn state(post: &Rc<Post>, _: &str, _: &[u8]) -> Said {
-    Said::json(200, crate::figures::state(post).to_string())
+async fn state(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> Said {
+    Said::json(200, crate::metrics::state(node_state).to_string())
 }
 
 call!(FIGURES, "GET", "/-/Post.Figures", figures);
-async fn figures(post: &Rc<Post>, _: &str, _: &[u8]) -> Said {
-    Said::json(200, crate::figures::figures(post).to_string())
+async fn figures(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> Said {
+    Said::json(200, crate::metrics::figures(node_state).to_string())
 }
 
 call!(MEMBERS_LIST, "GET", "/-/Members.List", members_list);
-async fn members_list(post: &Rc<Post>, _: &str, _: &[u8]) -> Said {
-    Said::json(200, members::list(post).to_string())
+async fn members_list(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> Said {
+    Said::json(200, member_throttle::list(node_state).to_string())
 }
 
 call!(MEMBERS_RENEW, "POST", "/-/Members.Renew/{}", members_renew);
-async fn members_renew(post: &Rc<Post>, name: &str, body: &[u8]) -> Said {
-    member_changed(post, "/-/Members.Renew/", name, |item| members::renewed(item, body)).await
+async fn members_renew(node_state: &Rc<NodeState>, name: &str, body: &[u8]) -> Said {
+    member_changed(node_state, "/-/Members.Renew/", name, |item| member_throttle::renewed(item, body)).await
 }
 
 call!(MEMBERS_LAPSE, "POST", "/-/Members.Lapse/{}", members_lapse);
-async fn members_lapse(post: &Rc<Post>, name: &str, _: &[u8]) -> Said {
-    member_changed(post, "/-/Members.Lapse/", name, members::lapsed).await
+async fn members_lapse(node_state: &Rc<NodeState>, name: &str, _: &[u8]) -> Said {
+    member_changed(node_state, "/-/Members.Lapse/", name, member_throttle::lapsed).await
 }
 
 /// Read a member's item as it stands, change it, and send it at the next edition. Of two that do so at once, one holds and
 /// the other is a conflict, unless both say the same.
 async fn member_changed(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     call: &str,
     name: &str,
     change: impl FnOnce(&str) -> Result<String, String>,
 ) -> Said {
     let path = format!("{call}{name}");
-    let whole = match post.carriers.ask(post, CONFIGURATION, None).await {
-        Some(Verdict::Value { value: Leaf::Whole(whole), .. }) => whole,
+    let whole = match node_state.peers.ask(node_state, CONFIGURATION, None).await {
+        Some(Verdict::Value { value: ControlValue::Whole(whole), .. }) => whole,
         Some(Verdict::Value { .. }) => return Said::fault(404, "no member was ever sent"),
         Some(_) => return Said::later(),
-        None => return elsewhere(post, &path),
+        None => return elsewhere(node_state, &path),
     };
-    let Some(item) = members::plain(name).and_then(|name| whole.roll.raw(&name)) else {
+    let Some(item) = member_throttle::plain(name).and_then(|name| whole.roll.raw(&name)) else {
         return Said::fault(404, &format!("{name:?} is no member here (see /-/Members.List)"));
     };
     match change(item) {
-        Ok(patch) => patched(post, patch.as_bytes(), &path).await,
+        Ok(patch) => patched(node_state, patch.as_bytes(), &path).await,
         Err(why) => Said::fault(400, &why),
     }
 }
 
 call!(READY, "GET", "/-/ready", ready);
-async fn ready(post: &Rc<Post>, _: &str, _: &[u8]) -> Said {
-    match post.unready() {
+async fn ready(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> Said {
+    match node_state.unready() {
         None => Said::json(200, "{\"ready\":true}".to_string()),
         Some(why) => {
-            post.denied();
+            node_state.denied();
             Said::fault(503, why)
         }
     }
@@ -297,7 +303,7 @@
 }
 
 /// Take calls, for as long as the process lives.
-pub async fn listen(post: Rc<Post>, listener: TcpListener, calls: &'static [&'static Call]) {
+pub async fn listen(node_state: Rc<NodeState>, listener: TcpListener, calls: &'static [&'static Call]) {
     let open = Rc::new(std::cell::Cell::new(0));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -305,24 +311,24 @@
             continue;
         };
         if open.get() >= CONNECTIONS {
-            post.shut_out(Door::Call);
+            node_state.shut_out(Door::Call);
             continue;
         }
         open.set(open.get() + 1);
-        let (post, open) = (post.clone(), open.clone());
+        let (node_state, open) = (node_state.clone(), open.clone());
         tokio::task::spawn_local(async move {
             let mut line = Line::new(stream, End::Outer(HEAD));
-            let feed = loop {
-                match one(&post, &mut line, calls).await {
+            let event_stream = loop {
+                match one(&node_state, &mut line, calls).await {
                     Next::Call => {}
                     Next::End => break None,
-                    Next::Feed(asked, body) => break Some((asked, body)),
+                    Next::EventStream(asked, body) => break Some((asked, body)),
                 }
             };
             open.set(open.get() - 1);
             // Readers of the feed have a bound of their own.
-            if let Some((asked, body)) = feed {
-                feed::serve(post, line, *asked, body).await;
+            if let Some((asked, body)) = event_stream {
+                event_stream::serve(node_state, line, *asked, body).await;
             }
         });
     }
@@ -332,10 +338,10 @@
 enum Next {
     Call,
     End,
-    Feed(Box<Asked>, Vec<u8>),
+    EventStream(Box<Asked>, Vec<u8>),
 }
 
-async fn one(post: &Rc<Post>, line: &mut Line, calls: &[&Call]) -> Next {
+async fn one(node_state: &Rc<NodeState>, line: &mut Line, calls: &[&Call]) -> Next {
     let asked = match line.request(IDLE, COMES, silvercross_mesh_config::MAX_BODY).await {
         Ok(asked) => asked,
         Err(Wrong::Bad(bad)) => {
@@ -353,15 +359,15 @@
         }
         _ => return Next::End,
     };
-    if feed::meant(&asked) && find(calls, "GET", STATE.path).is_ok() {
-        return Next::Feed(Box::new(asked), body);
+    if event_stream::meant(&asked) && find(calls, "GET", STATE.path).is_ok() {
+        return Next::EventStream(Box::new(asked), body);
     }
     let said = match find(calls, &asked.method, &asked.target) {
-        Ok((call, name)) => bounded((call.run)(post, &name, &body).await, &asked.target),
+        Ok((call, name)) => bounded((call.run)(node_state, &name, &body).await, &asked.target),
         Err(status) => Said::fault(status, "no such call"),
     };
     // Who calls again goes elsewhere.
-    let close = !asked.keep_alive || post.stopping();
+    let close = !asked.keep_alive || node_state.stopping();
     let bytes = wire::whole(said.status, said.lines.as_bytes(), said.body.as_bytes(), close, false);
     if line.write(&bytes).await.is_ok() && !close {
         Next::Call
@@ -391,13 +397,13 @@
             let (_, nobody) = trial::station().await;
             let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
             let (listener, at) = trial::station().await;
-            tokio::task::spawn_local(listen(sidecar.post.clone(), listener, &READY_CALLS));
+            tokio::task::spawn_local(listen(sidecar.node_state.clone(), listener, &READY_CALLS));
             let mut open = Vec::new();
             for _ in 0..CONNECTIONS {
                 open.push(Talk::to(at).await);
             }
             assert_eq!(Talk::to(at).await.more().await, 0);
-            assert_eq!(sidecar.post.counts.calls_shut_out.get(), 1);
+            assert_eq!(sidecar.node_state.counts.calls_shut_out.get(), 1);
             open[0].say(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
             assert_eq!(trial::status(&open[0].head().await), "200");
         });
--- a/crates/daemon/mesh/src/leaf.rs
+++ b/crates/daemon/mesh/src/control_value.rs
@@ -11,7 +11,7 @@
 
 /// The content of a key. What was there before members is encoded as it was: a form is only added at the end.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub enum Leaf {
+pub enum ControlValue {
     /// Nothing was ever written.
     #[default]
     Blank,
@@ -40,11 +40,11 @@
     Lapse(silvercross_throttle::Change),
 }
 
-impl Leaf {
+impl ControlValue {
     /// The keys that exist because of this content, besides those that always do: of members whose slowing has a date.
     pub fn names(&self) -> Vec<String> {
         match self {
-            Leaf::Whole(whole) => {
+            ControlValue::Whole(whole) => {
                 let lapsing = whole.roll.members().filter(|member| member.lapses.is_some());
                 lapsing.map(|member| silvercross_throttle::key(&member.name)).collect()
             }
@@ -53,7 +53,7 @@
     }
 }
 
-impl State for Leaf {
+impl State for ControlValue {
     type Change = Order;
 
     fn apply(&mut self, order: &Order) -> Result<bool, Refusal> {
@@ -61,22 +61,25 @@
             Order::Patch(change) => self.take(change, &Sent::default()),
             Order::Call(call) => self.take(&call.change, &call.members),
             Order::Evacuate(on) => match self {
-                Leaf::Configuration(_) | Leaf::Whole(_) | Leaf::Tracked(_) | Leaf::Lapse(_) => Err(strange()),
-                Leaf::Evacuation(was) if was == on => Ok(false),
+                ControlValue::Configuration(_)
+                | ControlValue::Whole(_)
+                | ControlValue::Tracked(_)
+                | ControlValue::Lapse(_) => Err(strange()),
+                ControlValue::Evacuation(was) if was == on => Ok(false),
                 _ => {
-                    *self = Leaf::Evacuation(*on);
+                    *self = ControlValue::Evacuation(*on);
                     Ok(true)
                 }
             },
             Order::Lapse(change) => {
                 let mut new = match self {
-                    Leaf::Blank => Lapse::default(),
-                    Leaf::Lapse(lapse) => lapse.clone(),
+                    ControlValue::Blank => Lapse::default(),
+                    ControlValue::Lapse(lapse) => lapse.clone(),
                     _ => return Err(strange()),
                 };
                 let changed = new.apply(change)?;
                 if changed {
-                    *self = Leaf::Lapse(new);
+                    *self = ControlValue::Lapse(new);
                 }
                 Ok(changed)
             }
@@ -88,17 +91,17 @@
     Refusal { conflict: false, reason: "the key holds something else".to_string() }
 }
 
-impl Leaf {
+impl ControlValue {
     /// Sets and drops items. A form that knows more is taken only when there is more to know: what was taken before once
     /// something was overtaken, members once a call said something of them.
     fn take(&mut self, change: &Change, members: &Sent) -> Result<bool, Refusal> {
         let whole = |configuration| Whole { configuration, ..Whole::default() };
         let before = std::mem::take(self);
         let (form, mut tracked) = match before {
-            Leaf::Blank => (0, Tracked::default()),
-            Leaf::Configuration(c) => (1, Tracked { whole: whole(c), ..Tracked::default() }),
-            Leaf::Whole(w) => (2, Tracked { whole: *w, ..Tracked::default() }),
-            Leaf::Tracked(tracked) => (3, *tracked),
+            ControlValue::Blank => (0, Tracked::default()),
+            ControlValue::Configuration(c) => (1, Tracked { whole: whole(c), ..Tracked::default() }),
+            ControlValue::Whole(w) => (2, Tracked { whole: *w, ..Tracked::default() }),
+            ControlValue::Tracked(tracked) => (3, *tracked),
             other => {
                 *self = other;
                 return Err(strange());
@@ -107,21 +110,23 @@
         let outcome = tracked.take(change, members);
         let changed = outcome == Ok(true);
         *self = match form {
-            _ if !tracked.history.is_empty() => Leaf::Tracked(Box::new(tracked)),
-            0 if !changed => Leaf::Blank,
-            0 | 1 if !changed || members.is_empty() => Leaf::Configuration(tracked.whole.configuration),
-            _ => Leaf::Whole(Box::new(tracked.whole)),
+            _ if !tracked.history.is_empty() => ControlValue::Tracked(Box::new(tracked)),
+            0 if !changed => ControlValue::Blank,
+            0 | 1 if !changed || members.is_empty() => {
+                ControlValue::Configuration(tracked.whole.configuration)
+            }
+            _ => ControlValue::Whole(Box::new(tracked.whole)),
         };
         outcome
     }
 
     /// What nodes and readers get: what stands, without what was taken before.
-    pub fn published(self) -> Leaf {
+    pub fn published(self) -> ControlValue {
         match self {
-            Leaf::Tracked(tracked) if tracked.whole.roll == Default::default() => {
-                Leaf::Configuration(tracked.whole.configuration)
+            ControlValue::Tracked(tracked) if tracked.whole.roll == Default::default() => {
+                ControlValue::Configuration(tracked.whole.configuration)
             }
-            Leaf::Tracked(tracked) => Leaf::Whole(Box::new(tracked.whole)),
+            ControlValue::Tracked(tracked) => ControlValue::Whole(Box::new(tracked.whole)),
             other => other,
         }
     }
@@ -134,24 +139,24 @@
 
     #[test]
     fn a_key_takes_only_what_it_holds() {
-        let mut zone = Leaf::Blank;
+        let mut zone = ControlValue::Blank;
         assert_eq!(zone.apply(&Order::Evacuate(true)), Ok(true));
         assert_eq!(zone.apply(&Order::Evacuate(true)), Ok(false));
         let patch = silvercross_mesh_config::read_patch(b"{}").expect("well-formed");
         assert!(zone.apply(&Order::Patch(patch)).is_err());
         assert!(zone.apply(&Order::Lapse(silvercross_throttle::Change::Begin { edition: 1 })).is_err());
         assert!(zone.apply(&Order::Call(Box::default())).is_err());
-        assert_eq!(zone, Leaf::Evacuation(true));
+        assert_eq!(zone, ControlValue::Evacuation(true));
     }
 
     /// Orders for a zone carry no version: one that comes again while it holds changes nothing, and one that comes after its
     /// opposite is a new one, for nothing tells it from a late one.
     #[test]
     fn an_evacuation_again_is_acknowledged_and_the_last_order_holds() {
-        let mut zone = Leaf::Blank;
+        let mut zone = ControlValue::Blank;
         for (on, changed) in [(true, true), (true, false), (false, true), (false, false), (true, true)] {
             assert_eq!(zone.apply(&Order::Evacuate(on)), Ok(changed));
-            assert_eq!(zone, Leaf::Evacuation(on));
+            assert_eq!(zone, ControlValue::Evacuation(on));
         }
     }
 
@@ -160,18 +165,18 @@
     fn without_members_disk_and_links_hold_the_bytes_they_held_before_there_were_any() {
         let patch = br#"{"withdraw":{"routes":[{"name":"r","edition":2}]}}"#;
         let patch = silvercross_mesh_config::read_patch(patch).expect("well-formed");
-        let mut page = Leaf::Blank;
+        let mut page = ControlValue::Blank;
         page.apply(&Order::Patch(patch.clone())).expect("valid");
-        let before: [(Leaf, &[u8]); 3] = [
-            (Leaf::Blank, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 0]),
-            (Leaf::Evacuation(true), &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 2, 1]),
+        let before: [(ControlValue, &[u8]); 3] = [
+            (ControlValue::Blank, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 0]),
+            (ControlValue::Evacuation(true), &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 2, 1]),
             (page, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 1, 1, 1, 114, 1, 6, 2, 6, 1, 0, 0, 6, 1]),
         ];
         for (page, bytes) in before {
             let (promised, accepted) = Default::default();
             let stored = Stored { key: "k".to_string(), promised, accepted, value: page };
             assert_eq!(bitcode::encode(&stored), bytes, "{:?}", stored.value);
-            assert_eq!(bitcode::decode::<Stored<Leaf>>(bytes).ok(), Some(stored));
+            assert_eq!(bitcode::decode::<Stored<ControlValue>>(bytes).ok(), Some(stored));
         }
         assert_eq!(bitcode::encode(&Order::Evacuate(true)), [1, 1]);
         assert_eq!(bitcode::encode(&Order::Patch(patch)), [0, 1, 1, 114, 1, 6, 2, 6, 0, 0, 0]);
@@ -188,26 +193,27 @@
                 r#"{{"deliver":{{"destinations":[{{"name":"d","healthPath":"{path}","edition":{edition}}}]}}}}"#
             ))
         };
-        let mut leaf = Leaf::Blank;
-        assert_eq!(leaf.apply(&patch("{}")), Ok(false));
-        assert_eq!(leaf, Leaf::Blank);
-        assert_eq!(leaf.apply(&at(1, "/a")), Ok(true));
-        assert!(matches!(leaf, Leaf::Configuration(_)));
-        assert_eq!(leaf.apply(&at(2, "/b")), Ok(true));
-        assert!(matches!(leaf, Leaf::Tracked(_)));
-        let mut plain = Leaf::Blank;
+        let mut control_value = ControlValue::Blank;
+        assert_eq!(control_value.apply(&patch("{}")), Ok(false));
+        assert_eq!(control_value, ControlValue::Blank);
+        assert_eq!(control_value.apply(&at(1, "/a")), Ok(true));
+        assert!(matches!(control_value, ControlValue::Configuration(_)));
+        assert_eq!(control_value.apply(&at(2, "/b")), Ok(true));
+        assert!(matches!(control_value, ControlValue::Tracked(_)));
+        let mut plain = ControlValue::Blank;
         assert_eq!(plain.apply(&at(2, "/b")), Ok(true));
-        assert_eq!(bitcode::encode(&leaf.clone().published()), bitcode::encode(&plain));
+        assert_eq!(bitcode::encode(&control_value.clone().published()), bitcode::encode(&plain));
         // On disk it is one value.
-        let mut again: Leaf = bitcode::decode(&bitcode::encode(&leaf)).expect("as it was written");
-        assert_eq!(again, leaf);
+        let mut again: ControlValue =
+            bitcode::decode(&bitcode::encode(&control_value)).expect("as it was written");
+        assert_eq!(again, control_value);
         assert_eq!(again.apply(&at(1, "/a")), Ok(false));
         assert!(again.apply(&at(1, "/c")).expect_err("another content").conflict);
-        assert_eq!(again, leaf);
+        assert_eq!(again, control_value);
         // Members, sent later.
         let members = br#"{"deliver":{"members":[{"name":"ana","key":"k","plan":"full","edition":1}]}}"#;
         let members = silvercross_mesh_config::read_call(members).expect("well-formed");
-        assert_eq!(leaf.apply(&Order::Call(Box::new(members))), Ok(true));
-        assert!(matches!(leaf.published(), Leaf::Whole(_)));
+        assert_eq!(control_value.apply(&Order::Call(Box::new(members))), Ok(true));
+        assert!(matches!(control_value.published(), ControlValue::Whole(_)));
     }
 }
--- a/crates/daemon/mesh/src/cut_points_tests/world.rs
+++ b/crates/daemon/mesh/src/cut_points_tests/world.rs
@@ -244,8 +244,11 @@
                     };
                     let relay = Relay::before(one.ip, one.inbound, Link::Hop, &plan).await;
                     if matches!(case.strike, Some((.., Cut::Restart))) {
-                        let next =
-                            trial::sidecar_at(one.ip, one.post.boot.station.expect("one"), Terms::default());
+                        let next = trial::sidecar_at(
+                            one.ip,
+                            one.node_state.boot.station.expect("one"),
+                            Terms::default(),
+                        );
                         let next = next.await.0;
                         next.beat();
                         relay.next.set(Some(next.inbound));
--- a/crates/daemon/mesh/src/data_path_tests.rs
+++ b/crates/daemon/mesh/src/data_path_tests.rs
@@ -1,9 +1,9 @@
 //! Answers and connections as they should not be, at the places where the data path has to see it. Every cut of a request on its
 //! way: `cut_points_tests`.
+use crate::forwarding_headers::{self, Word};
 use crate::trial::{self, status, value, Sidecar, Talk, Terms};
-use crate::waybill::{self, Word};
 use crate::wire::{End, Line, HELD};
-use crate::{control, hop};
+use crate::{control, peer_connection};
 use std::cell::{Cell, RefCell};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -103,7 +103,7 @@
 
 const OWN: &str = "HTTP/1.1 200 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 2\r\n\r\nok";
 
-fn post(id: &str, length: usize) -> String {
+fn node_state(id: &str, length: usize) -> String {
     format!("POST /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {id}\r\nContent-Length: {length}\r\n\r\n")
 }
 
@@ -115,8 +115,8 @@
     const CHUNKS: &str =
         "POST /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n\
                           2;x=y\r\nok\r\n0\r\nAttempt-Id: t\r\n\r\n";
-    let inner = post("smuggled", 0);
-    let two = format!("{}{}", post("a", 0), post("b", 0));
+    let inner = node_state("smuggled", 0);
+    let two = format!("{}{}", node_state("a", 0), node_state("b", 0));
     let none =
         format!("POST /none HTTP/1.1\r\nHost: h\r\nAttempt-Id: n\r\nContent-Length: {}\r\n\r\n", 2 * HELD);
     let twice = format!(
@@ -125,15 +125,27 @@
     );
     let unread = format!("{none}{}{inner}", "x".repeat(HELD + HELD / 2));
     let cases: [Written<'_>; 9] = [
-        ("half closed", post("a", 0), true, &["200"], &["a"]),
+        ("half closed", node_state("a", 0), true, &["200"], &["a"]),
         ("pipelined", two.clone(), false, &["200", "200"], &["a", "b"]),
         ("pipelined, half closed", two, true, &["200", "200"], &["a", "b"]),
-        ("trailers, then another", format!("{CHUNKS}{}", post("b", 0)), false, &["200", "200"], &["a", "b"]),
-        ("a request within a body", format!("{}{inner}", post("a", inner.len())), false, &["200"], &["a"]),
+        (
+            "trailers, then another",
+            format!("{CHUNKS}{}", node_state("b", 0)),
+            false,
+            &["200", "200"],
+            &["a", "b"],
+        ),
+        (
+            "a request within a body",
+            format!("{}{inner}", node_state("a", inner.len())),
+            false,
+            &["200"],
+            &["a"],
+        ),
         ("an answer before a body's end", unread, false, &["404"], &[]),
         ("two framings", twice, false, &["400"], &[]),
-        ("cut in its body", format!("{}abc", post("a", 4)), true, &[], &[]),
-        ("no id", post("", 0), false, &["400"], &[]),
+        ("cut in its body", format!("{}abc", node_state("a", 4)), true, &[], &[]),
+        ("no id", node_state("", 0), false, &["400"], &[]),
     ];
     for (name, bytes, closes, want, ids) in cases {
         trial::run(async move {
@@ -150,7 +162,7 @@
                 client.body(&head).await;
             }
             // Nothing else comes of it: it is closed, or serves the next request.
-            if !closes && client.stream.write_all(post("last", 0).as_bytes()).await.is_ok() {
+            if !closes && client.stream.write_all(node_state("last", 0).as_bytes()).await.is_ok() {
                 let head = client.head().await;
                 assert!(
                     head.is_empty() || value(&head, "attempt-id").as_deref() == Some("last"),
@@ -189,8 +201,9 @@
         for closes in [false, true] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let at = listener.local_addr().expect("bound");
-            let stream =
-                hop::connect(None, at, std::time::Duration::from_secs(5)).await.expect("a connection");
+            let stream = peer_connection::connect(None, at, std::time::Duration::from_secs(5))
+                .await
+                .expect("a connection");
             let (mut other, _) = listener.accept().expect("a connection");
             let line = Line::new(stream, End::Hop);
             assert!(line.is_fresh());
@@ -211,7 +224,7 @@
         let (_, nobody) = trial::station().await;
         let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
         let (listener, at) = trial::station().await;
-        tokio::task::spawn_local(control::listen(sidecar.post.clone(), listener, &control::CALLS));
+        tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), listener, &control::CALLS));
         let large = silvercross_mesh_config::MAX_BODY + 1;
         for (framing, want) in
             [(format!("Content-Length: {large}"), "413"), ("Transfer-Encoding: gzip".to_string(), "400")]
@@ -238,7 +251,7 @@
             let mut hop = Talk::to(gate.inbound).await;
             let text = format!("GET / HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: a\r\nWaybill: ffff\r\n\r\n");
             hop.say(text.as_bytes()).await;
-            let word = value(&hop.head().await, "waybill-return").and_then(|t| waybill::read(&t));
+            let word = value(&hop.head().await, "waybill-return").and_then(|t| forwarding_headers::read(&t));
             assert_eq!(word, Some(want), "{host}");
         }
     });
@@ -277,7 +290,7 @@
                 });
                 for id in ["a", "b"] {
                     let mut client = Talk::to(origin.at).await;
-                    let head = post(id, length)
+                    let head = node_state(id, length)
                         .replace("\r\n\r\n", "\r\nDeadline-Ms: 3000\r\n\r\n")
                         .replace("once", "up");
                     client.say(head.as_bytes()).await;
@@ -318,8 +331,9 @@
         trial::run_paused(async move {
             let (origin, _, seen) = mesh(&[OWN]).await;
             let mut client = Talk::to(origin.at).await;
-            let head =
-                post("a", length).replace("\r\n\r\n", "\r\nDeadline-Ms: 3000\r\n\r\n").replace("once", "up");
+            let head = node_state("a", length)
+                .replace("\r\n\r\n", "\r\nDeadline-Ms: 3000\r\n\r\n")
+                .replace("once", "up");
             client.say(head.as_bytes()).await;
             client.say(&vec![b'x'; sent]).await;
             let head = client.head().await;
--- a/crates/daemon/mesh/src/disk.rs
+++ b/crates/daemon/mesh/src/disk.rs
@@ -8,7 +8,7 @@
 mod trial;
 mod watched;
 
-use crate::leaf::Leaf;
+use crate::control_value::ControlValue;
 use folder::{Folder, OnDisk};
 use redb::backends::InMemoryBackend;
 use redb::{Database, Error, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError};
@@ -50,7 +50,7 @@
     /// The metadata record, if it is to be written.
     pub metadata: Option<Metadata>,
     /// The keys' new content.
-    pub keys: Vec<Stored<Leaf>>,
+    pub keys: Vec<Stored<ControlValue>>,
 }
 
 /// Writes go in here.
@@ -72,7 +72,7 @@
 /// What is on the disk, and what goes on there.
 pub struct Opened {
     /// As it was read.
-    pub disk: Disk<Leaf>,
+    pub disk: Disk<ControlValue>,
     /// A file was set aside, now or at an earlier start: an empty disk is a lost one and no new one, whatever the settings say.
     pub lost: bool,
     /// Why a file was set aside now.
@@ -194,7 +194,7 @@
 
 /// What was found at the start.
 struct Found<F: Folder> {
-    disk: Disk<Leaf>,
+    disk: Disk<ControlValue>,
     lost: bool,
     set_aside: Option<String>,
     keeper: Keeper<F>,
@@ -292,7 +292,7 @@
 }
 
 /// What stands in the file, read through a copy in memory: redb writes when it opens, and there is no room for that.
-fn read_copy<F: Folder>(folder: &F) -> Result<Disk<Leaf>, Failed> {
+fn read_copy<F: Folder>(folder: &F) -> Result<Disk<ControlValue>, Failed> {
     let place = place_of(folder);
     let io = |e: std::io::Error| Failed::io(&place, &e);
     let Some(content) = folder.open(FILE).map_err(io)? else { return Ok(Disk::default()) };
@@ -327,7 +327,7 @@
 }
 
 /// All that stands in it.
-fn read_in(open: &Open) -> Result<Disk<Leaf>, Failed> {
+fn read_in(open: &Open) -> Result<Disk<ControlValue>, Failed> {
     let failed = |e: Error| Failed::redb(&open.place, e, &open.notes);
     let damaged = |e: bitcode::Error| Failed::Damaged(format!("{}: a record: {e}", open.place));
     let mut disk = Disk { metadata: None, keys: Vec::new() };
--- a/crates/daemon/mesh/src/disk/tests.rs
+++ b/crates/daemon/mesh/src/disk/tests.rs
@@ -11,7 +11,7 @@
         key: (*key).to_string(),
         promised: Epoch { round: *round, owner: 1 },
         accepted: Revision::default(),
-        value: Leaf::Evacuation(round % 2 == 0),
+        value: ControlValue::Evacuation(round % 2 == 0),
     };
     let metadata = metadata.then(|| Metadata {
         replica_set: ReplicaSet { version: number, ..ReplicaSet::default() },
@@ -31,7 +31,7 @@
 }
 
 /// What stands after the first so many of them.
-fn standing(many: usize) -> Disk<Leaf> {
+fn standing(many: usize) -> Disk<ControlValue> {
     let mut disk = Disk::default();
     for w in writes().into_iter().take(many) {
         disk.metadata = w.metadata.or(disk.metadata);
--- a/crates/daemon/mesh/src/feed.rs
+++ b/crates/daemon/mesh/src/event_stream.rs
@@ -1,11 +1,11 @@
 //! What happens in the mesh as events, for other tools: JSON lines at `control`, as pages or followed. Off unless the role is
-//! started with `--feed`; `silvercross-event-feed` decides what is told.
-use crate::carriers::Body;
-use crate::leaf::{Leaf, CONFIGURATION, EVACUATION};
-use crate::post::Post;
+//! started with `--event_stream`; `silvercross-event-event_stream` decides what is told.
+use crate::control_value::{ControlValue, CONFIGURATION, EVACUATION};
+use crate::node_state::NodeState;
+use crate::peers::Body;
 use crate::wire::{self, Asked, Line as Connection};
 use serde_json::{json, Value};
-use silvercross_event_feed::{kind, Bounds, Cursor, Filter, Gazette, Line, Place, Reader, Told};
+use silvercross_event_feed::{kind, Bounds, Cursor, EventFeed, Filter, Line, Place, Reader, Told};
 use silvercross_mesh_config::Configuration;
 use silvercross_mesh_membership::Record;
 use std::cell::{Cell, RefCell};
@@ -38,8 +38,8 @@
 const NAMED: usize = 8;
 
 /// The events of this process.
-pub struct Feed {
-    gazette: RefCell<Gazette>,
+pub struct EventStream {
+    event_feed: RefCell<EventFeed>,
     news: Notify,
     followers: Cell<usize>,
     refused: Cell<u64>,
@@ -53,11 +53,11 @@
     Ipv4Addr::from_bits(bits).to_string()
 }
 
-impl Feed {
+impl EventStream {
     /// Nothing has happened yet.
     pub fn new() -> Self {
-        Feed {
-            gazette: RefCell::new(Gazette::new(Bounds::default())),
+        EventStream {
+            event_feed: RefCell::new(EventFeed::new(Bounds::default())),
             news: Notify::new(),
             followers: Cell::new(0),
             refused: Cell::new(0),
@@ -66,13 +66,13 @@
 
     /// Counters.
     pub fn figures(&self) -> Value {
-        let f = self.gazette.borrow().figures();
+        let f = self.event_feed.borrow().figures();
         json!({ "followers": self.followers.get(), "keys": f.keys, "events": f.events, "dropped": f.dropped,
             "forgotten": f.forgotten })
     }
 
     fn tell(&self, told: Told) {
-        if self.gazette.borrow_mut().tell(told) {
+        if self.event_feed.borrow_mut().tell(told) {
             self.news.notify_waiters();
         }
     }
@@ -110,14 +110,14 @@
     }
 
     /// A page of the control state is in force here.
-    pub fn page(&self, key: &str, revision: (u64, u64, u64), leaf: &Leaf) {
+    pub fn page(&self, key: &str, revision: (u64, u64, u64), control_value: &ControlValue) {
         let (round, owner, change) = revision;
         let place = Place { epoch: round, owner, ..Place::default() };
         let state = json!({ "owner": ip(owner as u32), "round": round }).to_string();
         self.tell(Told { key: format!("owner/{key}"), place, state, rises: true, ..Told::default() });
-        match leaf {
-            Leaf::Configuration(c) if key == CONFIGURATION => self.items(c),
-            Leaf::Evacuation(on) => {
+        match control_value {
+            ControlValue::Configuration(c) if key == CONFIGURATION => self.items(c),
+            ControlValue::Evacuation(on) => {
                 let zone = key.strip_prefix(EVACUATION).unwrap_or(key).to_string();
                 let place = Place { version: change.saturating_add(1), ..place };
                 let state = json!({ "on": on }).to_string();
@@ -133,7 +133,7 @@
                 let key = format!("item/{of}/{name}");
                 let place = Place { version: edition.saturating_add(1), ..Place::default() };
                 // Most stand as they stood: nothing is made of them.
-                if self.gazette.borrow().seen(&key).is_some_and(|seen| seen >= place) {
+                if self.event_feed.borrow().seen(&key).is_some_and(|seen| seen >= place) {
                     return;
                 }
                 let mut state = state();
@@ -182,13 +182,13 @@
     }
 
     /// A call was refused here. Only this node tells of it.
-    pub fn refused(&self, post: &Post, key: &str, why: &str) {
+    pub fn refused(&self, node_state: &NodeState, key: &str, why: &str) {
         let n = self.refused.get() + 1;
         self.refused.set(n);
-        let life = post.carriers.rounds(|r| r.life());
+        let life = node_state.peers.membership(|r| r.life());
         let place = Place { epoch: life, owner: 0, version: n, mark: false };
         let state = json!({ "number": n, "key": key, "why": cut(why) }).to_string();
-        self.tell(Told { key: format!("refused/{}", post.boot.ip), place, state, ..Told::default() });
+        self.tell(Told { key: format!("refused/{}", node_state.boot.ip), place, state, ..Told::default() });
     }
 }
 
@@ -196,10 +196,10 @@
     format!("{}.{}.{}{}", p.epoch, p.owner, p.version, if p.mark { "!" } else { "" })
 }
 
-fn rendered(post: &Post, line: &Line, out: &mut Vec<u8>) {
+fn rendered(node_state: &NodeState, line: &Line, out: &mut Vec<u8>) {
     let value = match line {
         Line::Gap { kind, count, more, why } => {
-            let at = post.boot.control.map(|at| format!("http://{at}/-/Post.State"));
+            let at = node_state.boot.control.map(|at| format!("http://{at}/-/Post.State"));
             json!({ "gap": kind, "count": count, "more": more, "why": why.word(), "snapshot": at })
         }
         Line::Event { event, after, missed, mark } => {
@@ -214,8 +214,8 @@
     out.push(b'\n');
 }
 
-fn cursor_line(feed: &Feed, reader: &Reader, out: &mut Vec<u8>) {
-    let cursor = feed.gazette.borrow().cursor(reader).write();
+fn cursor_line(event_stream: &EventStream, reader: &Reader, out: &mut Vec<u8>) {
+    let cursor = event_stream.event_feed.borrow().cursor(reader).write();
     out.extend_from_slice(json!({ "cursor": cursor }).to_string().as_bytes());
     out.push(b'\n');
 }
@@ -288,45 +288,45 @@
 }
 
 /// Answer a call of the feed's; the connection ends with it.
-pub async fn serve(post: Rc<Post>, mut line: Connection, asked: Asked, body: Vec<u8>) {
-    let bytes = match (post.feed.get(), wish(&asked.target, &body)) {
+pub async fn serve(node_state: Rc<NodeState>, mut line: Connection, asked: Asked, body: Vec<u8>) {
+    let bytes = match (node_state.event_stream.get(), wish(&asked.target, &body)) {
         (None, _) => fault(404, "no feed here (start the role with --feed, or ask another node)", ""),
         (_, Err(why)) => fault(400, &why, ""),
-        (Some(feed), Ok(wish)) if wish.follow => {
-            if feed.followers.get() < FOLLOWERS {
-                feed.followers.set(feed.followers.get() + 1);
-                follow(&post, feed, &mut line, wish).await;
-                feed.followers.set(feed.followers.get() - 1);
+        (Some(event_stream), Ok(wish)) if wish.follow => {
+            if event_stream.followers.get() < FOLLOWERS {
+                event_stream.followers.set(event_stream.followers.get() + 1);
+                follow(&node_state, event_stream, &mut line, wish).await;
+                event_stream.followers.set(event_stream.followers.get() - 1);
                 return;
             }
             fault(503, "enough readers follow here (ask another node)", "Retry-After: 5\r\n")
         }
-        (Some(feed), Ok(wish)) => page(&post, feed, wish),
+        (Some(event_stream), Ok(wish)) => page(&node_state, event_stream, wish),
     };
     let _ = timeout(UNTAKEN, line.write(&bytes)).await;
 }
 
-fn page(post: &Post, feed: &Feed, wish: Wish) -> Vec<u8> {
-    let mut reader = feed.gazette.borrow().open(wish.cursor, wish.filter);
-    let lines = feed.gazette.borrow().read(&mut reader, wish.limit);
+fn page(node_state: &NodeState, event_stream: &EventStream, wish: Wish) -> Vec<u8> {
+    let mut reader = event_stream.event_feed.borrow().open(wish.cursor, wish.filter);
+    let lines = event_stream.event_feed.borrow().read(&mut reader, wish.limit);
     let mut out = Vec::new();
-    lines.iter().for_each(|l| rendered(post, l, &mut out));
-    cursor_line(feed, &reader, &mut out);
+    lines.iter().for_each(|l| rendered(node_state, l, &mut out));
+    cursor_line(event_stream, &reader, &mut out);
     wire::whole(200, b"Content-Type: application/x-ndjson\r\n", &out, true, false)
 }
 
-async fn follow(post: &Rc<Post>, feed: &Feed, line: &mut Connection, wish: Wish) {
-    let mut reader = feed.gazette.borrow().open(wish.cursor, wish.filter);
+async fn follow(node_state: &Rc<NodeState>, event_stream: &EventStream, line: &mut Connection, wish: Wish) {
+    let mut reader = event_stream.event_feed.borrow().open(wish.cursor, wish.filter);
     let mut out =
         b"HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\n\r\n".to_vec();
     let (mut since, mut told, mut first) = (0, Instant::now(), true);
     loop {
-        let lines = feed.gazette.borrow().read(&mut reader, AT_A_TIME);
-        lines.iter().for_each(|l| rendered(post, l, &mut out));
+        let lines = event_stream.event_feed.borrow().read(&mut reader, AT_A_TIME);
+        lines.iter().for_each(|l| rendered(node_state, l, &mut out));
         since += lines.len();
         let all = lines.len() < AT_A_TIME;
         if first && all || since >= CURSOR_AFTER || since > 0 && told.elapsed() >= CURSOR_EVERY {
-            cursor_line(feed, &reader, &mut out);
+            cursor_line(event_stream, &reader, &mut out);
             (since, told, first) = (0, Instant::now(), false);
         }
         if !out.is_empty() && !matches!(timeout(UNTAKEN, line.write(&out)).await, Ok(Ok(()))) {
@@ -337,13 +337,13 @@
         if !all {
             continue;
         }
-        let news = feed.news.notified();
-        if !feed.gazette.borrow().has_more(&reader) {
+        let news = event_stream.news.notified();
+        if !event_stream.event_feed.borrow().has_more(&reader) {
             tokio::select! {
                 _ = news => tokio::time::sleep(GATHER).await,
                 // A follower says nothing; if it does, or ends, it is over.
                 _ = line.stirs() => return,
-                _ = post.idle_ends() => return,
+                _ = node_state.idle_ends() => return,
                 _ = tokio::time::sleep(STILL) => out.push(b'\n'),
             }
         }
--- a/crates/daemon/mesh/src/waybill.rs
+++ b/crates/daemon/mesh/src/forwarding_headers.rs
@@ -11,7 +11,7 @@
 
 /// What a gate is to know of a request.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Waybill {
+pub struct ForwardingHeaders {
     /// [`VERSION`].
     pub version: u8,
     /// The service it is for.
@@ -67,7 +67,7 @@
 
     #[test]
     fn words_come_back_as_they_went_and_strange_ones_are_none() {
-        let bill = Waybill {
+        let bill = ForwardingHeaders {
             version: VERSION,
             service: "s".into(),
             further: true,
@@ -82,7 +82,7 @@
             assert_eq!(read(&write(&word)), Some(word));
         }
         for text in ["", "0", "zz", "ffffffffffffffff", "é0", &"0".repeat(MOST + 2)] {
-            assert_eq!(read::<Waybill>(text), None, "{text}");
+            assert_eq!(read::<ForwardingHeaders>(text), None, "{text}");
         }
     }
 }
--- a/crates/daemon/mesh/src/ending.rs
+++ b/crates/daemon/mesh/src/graceful_stop.rs
@@ -31,7 +31,7 @@
 
 /// A process on its way out.
 #[derive(Debug)]
-pub struct Ending {
+pub struct GracefulStop {
     from: i64,
     last: i64,
     denied: u32,
@@ -39,12 +39,12 @@
     quiet: Option<i64>,
 }
 
-impl Ending {
+impl GracefulStop {
     /// It heard so at `heard`, and had looked around at `looked` before; it is killed after `grace`.
     pub fn new(looked: i64, heard: i64, grace: i64) -> Self {
         let from = if heard - looked > STILL { looked } else { heard };
         let last = from + (grace - SPARE).max(0);
-        Ending { from, last, denied: 0, denied_at: None, quiet: None }
+        GracefulStop { from, last, denied: 0, denied_at: None, quiet: None }
     }
 
     /// All that is open, and all that still comes, is answered by then.
@@ -100,14 +100,14 @@
         let awake = |t: i64| if t >= still.0 && t < still.1 { still.1 } else { t };
         let looked = (1..).map(|n| -n * WATCH).find(|t| awake(*t) == *t).expect("once awake");
         let heard = awake(0);
-        let mut ending = Ending::new(looked, heard, 6_000_000);
+        let mut graceful_stop = GracefulStop::new(looked, heard, 6_000_000);
         let (mut now, mut asked) = (heard, asked.iter().copied().filter(|a| *a >= heard).peekable());
         loop {
             now = awake(now + LOOK);
             while asked.next_if(|a| *a <= now).is_some() {
-                ending.denied(now);
+                graceful_stop.denied(now);
             }
-            if ending.phase(now, now < open) == Phase::Shut {
+            if graceful_stop.phase(now, now < open) == Phase::Shut {
                 return now;
             }
         }
@@ -144,9 +144,9 @@
     #[test]
     fn a_short_grace_is_kept_too() {
         for grace in [0, 400_000, 600_000, 1_500_000] {
-            let mut ending = Ending::new(0, 0, grace);
-            assert!(ending.answer_by() <= ending.last() && ending.last() <= grace);
-            assert_eq!(ending.phase(grace, true), Phase::Shut);
+            let mut graceful_stop = GracefulStop::new(0, 0, grace);
+            assert!(graceful_stop.answer_by() <= graceful_stop.last() && graceful_stop.last() <= grace);
+            assert_eq!(graceful_stop.phase(grace, true), Phase::Shut);
         }
     }
 }
--- a/crates/daemon/mesh/src/rests.rs
+++ b/crates/daemon/mesh/src/idle_timeout.rs
@@ -1,6 +1,6 @@
 //! How long a client's connection may rest between two requests. A change of the operator's limit cuts nothing: who began to
 //! rest under a longer one keeps it.
-use crate::post::Post;
+use crate::node_state::NodeState;
 use crate::wire::{Line, Stir};
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 
 /// The limit in force, and a longer one that some still rest under.
 #[derive(Debug, Default)]
-pub struct Rests {
+pub struct IdleTimeout {
     idle: Option<i64>,
     before: Option<(i64, i64)>,
 }
 
-impl Rests {
+impl IdleTimeout {
     /// This limit holds from now on, in microseconds.
     pub fn set(&mut self, now: i64, idle: i64) {
         if let Some(old) = self.idle.replace(idle).filter(|old| *old > idle) {
@@ -45,23 +45,23 @@
 }
 
 /// Wait for a client's next request; `false`: none comes on this connection.
-pub async fn taken_up(post: &Rc<Post>, line: &mut Line) -> bool {
-    let (began, at) = (post.now(), Instant::now());
+pub async fn taken_up(node_state: &Rc<NodeState>, line: &mut Line) -> bool {
+    let (began, at) = (node_state.now(), Instant::now());
     while !line.has_surplus() {
-        let span = |now: i64| post.rests.borrow().span(now, post.table().limits().idle_us);
-        let rests = span(post.now());
+        let span = |now: i64| node_state.idle_timeout.borrow().span(now, node_state.table().limits().idle_us);
+        let idle_timeout = span(node_state.now());
         tokio::select! {
             biased;
             // What has come by its end is looked at first.
-            came = timeout_at(at + Duration::from_micros(rests as u64), line.stirs()) => match came {
+            came = timeout_at(at + Duration::from_micros(idle_timeout as u64), line.stirs()) => match came {
                 Ok(Stir::More) => return true,
                 Ok(Stir::Closed | Stir::Broke) => return false,
                 // A longer limit may hold by now.
-                Err(_) if post.now() - began < span(post.now()) => {}
+                Err(_) if node_state.now() - began < span(node_state.now()) => {}
                 Err(_) => return false,
             },
             // Between two requests a process that stops closes at once; clients open new ones.
-            _ = post.idle_ends() => return line.has_surplus(),
+            _ = node_state.idle_ends() => return line.has_surplus(),
         }
     }
     true
@@ -89,9 +89,9 @@
             (&[(0, 9 * S), (S, 15 * S), (2 * S, 9 * S), (16 * S, 3 * S)], 24 * S, 15 * S),
         ];
         for (n, (set, now, span)) in cases.into_iter().enumerate() {
-            let mut rests = Rests::default();
-            set.iter().for_each(|(at, idle)| rests.set(*at, *idle));
-            assert_eq!(rests.span(now, 60 * S), span + LATE, "case {n}");
+            let mut idle_timeout = IdleTimeout::default();
+            set.iter().for_each(|(at, idle)| idle_timeout.set(*at, *idle));
+            assert_eq!(idle_timeout.span(now, 60 * S), span + LATE, "case {n}");
         }
         for (idle, said) in [(None, None), (Some(900_000), None), (Some(15_700_000), Some(15))] {
             assert_eq!(line(idle), said.map(|s| format!("Keep-Alive: timeout={s}\r\n")));
@@ -137,7 +137,7 @@
                 trial::sidecar(2, nobody, Terms::default()).await,
             );
             for sidecar in [&one, &other] {
-                *sidecar.post.rests.borrow_mut() = Rests::default();
+                *sidecar.node_state.idle_timeout.borrow_mut() = IdleTimeout::default();
                 sidecar.limits(2, 0.05, 16384);
             }
             let (mut kept, mut ends) = (Talk::to(one.at).await, Talk::to(other.at).await);
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -3,27 +3,27 @@
 //! listings.
 #![forbid(unsafe_code)]
 
-mod broken;
-mod carriers;
+mod body_buffer;
+mod client_listener;
 mod control;
-mod desk;
+mod control_value;
 mod disk;
-mod ending;
-mod feed;
-mod figures;
-mod freight;
-mod front;
-mod gate;
-mod hop;
-mod leaf;
-mod members;
-mod membership;
-mod paced;
-mod post;
-mod receipts;
+mod event_stream;
+mod graceful_stop;
+mod idle_timeout;
+mod member_throttle;
+mod members_command;
+mod metrics;
+mod mutation;
+mod node_state;
+mod peer_connection;
+mod peers;
+mod rate_limited_log;
 mod reload;
-mod rests;
+mod response_replay_cache;
+mod service_balancer;
 mod settings;
+mod upstream_gate;
 
 #[cfg(test)]
 mod changes;
@@ -31,23 +31,23 @@
 mod cut_points_tests;
 #[cfg(test)]
 mod data_path_tests;
+mod forwarding_headers;
 #[cfg(all(test, feature = "mutants"))]
 mod mutants_tests;
 #[cfg(test)]
 mod trial;
-mod waybill;
 mod wire;
 
 use anyhow::{anyhow, bail, Context, Result};
-use carriers::{Body, Carriers};
-use ending::Phase;
-use post::Post;
+use graceful_stop::Phase;
+use node_state::NodeState;
+use peers::{Body, Peers};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use silvercross_admission::Wicket;
+use silvercross_admission::AdmissionController;
 use silvercross_control_store::ControlStore;
 use silvercross_facade::Clock;
-use silvercross_mesh_membership::{Node, Rounds};
+use silvercross_mesh_membership::{Membership, Node};
 use slog::{error, info, o, warn, Drain, Logger};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
@@ -85,14 +85,14 @@
     }
     let role = args.subcommand()?;
     if role.as_deref() == Some("members") {
-        return membership::run(args);
+        return members_command::run(args);
     }
     if args.contains(["-h", "--help"]) {
         println!("{HELP}");
         return Ok(());
     }
     let check = args.contains("--check");
-    let feed = args.contains("--feed");
+    let event_stream = args.contains("--feed");
     let file: Option<PathBuf> =
         args.opt_value_from_os_str("--settings", |s| Ok::<_, String>(PathBuf::from(s)))?;
     if let Some(extra) = args.finish().first() {
@@ -120,14 +120,14 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
     let (ended, logged) = (log.clone(), boot.node.clone());
-    let result = local.block_on(&runtime, serve(boot, log, file, feed));
+    let result = local.block_on(&runtime, serve(boot, log, file, event_stream));
     if let Err(e) = &result {
         error!(ended, "cannot run"; "why" => format!("{e:#}"), "at" => logged);
     }
     result
 }
 
-async fn serve(boot: settings::Boot, log: Logger, file: PathBuf, feed: bool) -> Result<()> {
+async fn serve(boot: settings::Boot, log: Logger, file: PathBuf, event_stream: bool) -> Result<()> {
     let clock = Clock::system();
     let now = clock.now();
     let seed = RandomState::new().build_hasher().finish();
@@ -151,7 +151,7 @@
         life: now as u64,
         seed,
     };
-    let rounds = Rounds::new(now, start, body);
+    let membership = Membership::new(now, start, body);
     let mut synced = None;
     let ledger = match &boot.data {
         None => None,
@@ -163,52 +163,52 @@
                 warn!(log, "the disk's content is set aside, the others will repair it"; "why" => why);
             }
             synced = Some(opened.told);
-            let mut keys = vec![leaf::CONFIGURATION.to_string()];
-            keys.extend(boot.zones.iter().map(|z| format!("{}{z}", leaf::EVACUATION)));
+            let mut keys = vec![control_value::CONFIGURATION.to_string()];
+            keys.extend(boot.zones.iter().map(|z| format!("{}{z}", control_value::EVACUATION)));
             let replica_set = seeds.iter().map(|s| silvercross_control_store::Node(*s)).collect();
             let me = silvercross_control_store::Node(boot.ip.to_bits());
             let start = silvercross_control_store::Start { me, replica_set, keys, fresh, seed };
             Some((ControlStore::new(now, start, opened.disk), opened.writes))
         }
     };
-    let gate = gate::Gate::new(Wicket::new(boot.live.bounds.of_gate()));
-    let carriers = Carriers::new(boot.ip, boot.ports.0, rounds, ledger, udp);
-    let post = Post::new(boot, log, gate, carriers, clock, chance);
-    post.reload.begin(&file);
-    if feed {
-        let _ = post.feed.set(feed::Feed::new());
+    let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(boot.live.bounds.of_gate()));
+    let peers = Peers::new(boot.ip, boot.ports.0, membership, ledger, udp);
+    let node_state = NodeState::new(boot, log, gate, peers, clock, chance);
+    node_state.reload.begin(&file);
+    if event_stream {
+        let _ = node_state.event_stream.set(event_stream::EventStream::new());
     }
     let mut listeners = Vec::new();
-    for (key, at) in [("outbound", post.boot.outbound), ("inbound", post.boot.inbound)] {
+    for (key, at) in [("outbound", node_state.boot.outbound), ("inbound", node_state.boot.inbound)] {
         if let Some(at) = at {
             listeners.push((key, bind(at).await.with_context(|| format!("countersAt.{key}"))?));
         }
     }
     for (key, listener) in listeners {
         if key == "outbound" {
-            tokio::task::spawn_local(front::listen(post.clone(), listener));
+            tokio::task::spawn_local(client_listener::listen(node_state.clone(), listener));
         } else {
-            tokio::task::spawn_local(gate::listen(post.clone(), listener));
+            tokio::task::spawn_local(upstream_gate::listen(node_state.clone(), listener));
         }
     }
-    if let Some(at) = post.boot.ready {
+    if let Some(at) = node_state.boot.ready {
         let listener = bind(at).await.context("countersAt.ready")?;
-        tokio::task::spawn_local(control::listen(post.clone(), listener, &control::READY_CALLS));
+        tokio::task::spawn_local(control::listen(node_state.clone(), listener, &control::READY_CALLS));
     }
-    if let Some(at) = post.boot.control {
+    if let Some(at) = node_state.boot.control {
         let listener = bind(at).await.context("countersAt.control")?;
-        tokio::task::spawn_local(control::listen(post.clone(), listener, &control::CALLS));
+        tokio::task::spawn_local(control::listen(node_state.clone(), listener, &control::CALLS));
     }
-    tokio::task::spawn_local(Carriers::listen(post.clone(), links));
-    tokio::task::spawn_local(Carriers::datagrams(post.clone()));
-    tokio::task::spawn_local(Carriers::tick(post.clone()));
-    tokio::task::spawn_local(gate::Gate::tick(post.clone()));
-    tokio::task::spawn_local(post.clone().watch());
-    if post.boot.core {
-        tokio::task::spawn_local(members::duty(post.clone()));
+    tokio::task::spawn_local(Peers::listen(node_state.clone(), links));
+    tokio::task::spawn_local(Peers::datagrams(node_state.clone()));
+    tokio::task::spawn_local(Peers::tick(node_state.clone()));
+    tokio::task::spawn_local(upstream_gate::UpstreamGate::tick(node_state.clone()));
+    tokio::task::spawn_local(node_state.clone().watch());
+    if node_state.boot.core {
+        tokio::task::spawn_local(member_throttle::duty(node_state.clone()));
     }
-    let mut disk = synced.map(|told| tokio::task::spawn_local(Carriers::synced(post.clone(), told)));
-    info!(post.log, "started"; "core" => post.boot.core, "first" => post.boot.fresh);
+    let mut disk = synced.map(|told| tokio::task::spawn_local(Peers::synced(node_state.clone(), told)));
+    info!(node_state.log, "started"; "core" => node_state.boot.core, "first" => node_state.boot.fresh);
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut hup = signal(SignalKind::hangup())?;
@@ -218,11 +218,11 @@
             _ = int.recv() => break,
             why = failed(&mut disk) => return Err(disk::Failed::Sync(why).into()),
             _ = hup.recv() => {
-                reload::look(&post, true);
+                reload::look(&node_state, true);
             }
         }
     }
-    stop(&post).await;
+    stop(&node_state).await;
     Ok(())
 }
 
@@ -240,36 +240,36 @@
 const LEAVES: Duration = Duration::from_millis(60);
 
 /// The platform asks once a second and must be told no twice; what was read is answered; then the end, within the grace.
-async fn stop(post: &Rc<Post>) {
-    post.begin_stop();
-    let (mut idle_ends, mut last) = (false, post.now());
+async fn stop(node_state: &Rc<NodeState>) {
+    node_state.begin_stop();
+    let (mut idle_ends, mut last) = (false, node_state.now());
     loop {
         tokio::time::sleep(LOOK).await;
-        let Some((phase, at)) = post.ending() else { break };
+        let Some((phase, at)) = node_state.graceful_stop() else { break };
         last = at;
         match phase {
             Phase::Serve => {}
             Phase::EndIdle if idle_ends => {}
             Phase::EndIdle => {
                 idle_ends = true;
-                post.end_idle();
+                node_state.end_idle();
             }
             Phase::Shut => break,
         }
     }
     // From now on nobody gets in; whoever did meanwhile is answered before the end.
-    post.end_idle();
-    post.shut();
+    node_state.end_idle();
+    node_state.shut();
     // A replica that can be replaced stays until it is, for a second loss would leave no majority.
-    while post.carriers.needed() && post.now() < last {
+    while node_state.peers.needed() && node_state.now() < last {
         tokio::time::sleep(LOOK / 2).await;
     }
-    post.carriers.leave(post);
+    node_state.peers.leave(node_state);
     tokio::time::sleep(LEAVES).await;
-    while post.busy() && post.now() < last {
+    while node_state.busy() && node_state.now() < last {
         tokio::time::sleep(LOOK / 2).await;
     }
-    info!(post.log, "ended"; "open" => post.open.get());
+    info!(node_state.log, "ended"; "open" => node_state.open.get());
 }
 
 async fn bind(at: SocketAddr) -> Result<TcpListener> {
--- a/crates/daemon/mesh/src/members.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -1,8 +1,8 @@
 //! Members on one node: whose a request is and how long it waits, how far each member's lapse has come, and, where this node
 //! owns a lapse's key, the duty to take it on. Everything is decided in `silvercross-throttle`. Where no member stands, a request
 //! costs one look at a flag here, and nothing runs.
-use crate::leaf::{Order, CONFIGURATION};
-use crate::post::Post;
+use crate::control_value::{Order, CONFIGURATION};
+use crate::node_state::NodeState;
 use crate::wire::Asked;
 use serde_json::{json, Map, Value};
 use silvercross_control_store::{Epoch, Verdict};
@@ -134,7 +134,7 @@
     }
 
     /// These members stand from now on.
-    pub fn roll(&self, post: &Post, roll: &Roll) {
+    pub fn roll(&self, node_state: &NodeState, roll: &Roll) {
         let directory = Rc::new(Directory::new(roll));
         self.looks.set(directory.header().is_some());
         {
@@ -142,7 +142,7 @@
             board.keep(|name| directory.member(name).is_some());
             for (name, (_, lapse)) in self.told.borrow().iter() {
                 if directory.member(name).is_some() {
-                    tell(post, name, board.follow(post.now(), name, lapse));
+                    tell(node_state, name, board.follow(node_state.now(), name, lapse));
                 }
             }
         }
@@ -152,10 +152,10 @@
     }
 
     /// A key's content is told; `None`: nothing was written there yet.
-    pub fn lapse(&self, post: &Post, key: &str, revision: (u64, u64, u64), lapse: Option<Lapse>) {
+    pub fn lapse(&self, node_state: &NodeState, key: &str, revision: (u64, u64, u64), lapse: Option<Lapse>) {
         let Some(name) = name_of(key) else { return };
         let lapse = lapse.unwrap_or_default();
-        tell(post, name, self.board.borrow_mut().follow(post.now(), name, &lapse));
+        tell(node_state, name, self.board.borrow_mut().follow(node_state.now(), name, &lapse));
         let epoch = Epoch { round: revision.0, owner: revision.1 as u32 };
         self.told.borrow_mut().insert(name.to_string(), (epoch, lapse));
         self.duty.borrow_mut().stirred.insert(name.to_string());
@@ -196,14 +196,14 @@
     }
 
     /// Look after the lapses whose keys this node owns, and, where it owns the configuration, after those that have none yet.
-    fn look(&self, post: &Rc<Post>) {
-        let now = post.now();
+    fn look(&self, node_state: &Rc<NodeState>) {
+        let now = node_state.now();
         let mut duty = self.duty.borrow_mut();
         let duty = &mut *duty;
         if now - duty.read >= READ {
             duty.read = now;
             if duty.clock.read(now, wall()) {
-                info!(post.log, "the time of day was set");
+                info!(node_state.log, "the time of day was set");
             }
         }
         let known = duty.clock.time(now).is_some();
@@ -214,11 +214,11 @@
         duty.known = known;
         if now - duty.asked >= if known { ASK } else { READ } {
             duty.asked = now;
-            post.carriers.ask_time(post);
+            node_state.peers.ask_time(node_state);
         }
         let directory = self.directory();
         let told = self.told.borrow();
-        let settled = post.carriers.control_store(|l| l.settled()).unwrap_or_default();
+        let settled = node_state.peers.control_store(|l| l.settled()).unwrap_or_default();
         let mut mine: BTreeMap<String, Epoch> = BTreeMap::new();
         for (key, epoch, _) in settled {
             if key == CONFIGURATION {
@@ -253,12 +253,12 @@
             duty.stirred.remove(&name);
             let advice = duty.clerk.decide(now, &name, epoch, page, directory.member(&name), &duty.clock);
             if let Some(change) = advice.ask {
-                let post = post.clone();
+                let node_state = node_state.clone();
                 tokio::task::spawn_local(async move {
                     let order = Order::Lapse(change.clone());
-                    let verdict = post.carriers.ask(&post, &key(&name), Some(order)).await;
+                    let verdict = node_state.peers.ask(&node_state, &key(&name), Some(order)).await;
                     if let Some(Verdict::Refused(refusal)) = verdict {
-                        debug!(post.log, "a lapse's change is refused"; "member" => &name,
+                        debug!(node_state.log, "a lapse's change is refused"; "member" => &name,
                             "change" => format!("{change:?}"), "why" => refusal.reason);
                     }
                 });
@@ -268,9 +268,9 @@
 }
 
 /// One line for each change.
-fn tell(post: &Post, name: &str, turn: Option<Turn>) {
+fn tell(node_state: &NodeState, name: &str, turn: Option<Turn>) {
     let Some(Turn { to, .. }) = turn else { return };
-    info!(post.log, "member"; "name" => name, "step" => to.step, "of" => to.of, "lapsed" => to.begun, "edition" => to.edition);
+    info!(node_state.log, "member"; "name" => name, "step" => to.step, "of" => to.of, "lapsed" => to.begun, "edition" => to.edition);
 }
 
 fn wall() -> i64 {
@@ -279,20 +279,27 @@
 }
 
 /// Look after lapses, for as long as the process lives; sleeps while no member stands.
-pub async fn duty(post: Rc<Post>) {
+pub async fn duty(node_state: Rc<NodeState>) {
     loop {
-        if post.members.stand() {
-            post.members.look(&post);
+        if node_state.members.stand() {
+            node_state.members.look(&node_state);
             tokio::time::sleep(DUTY).await;
         } else {
-            post.members.changed.notified().await;
+            node_state.members.changed.notified().await;
         }
     }
 }
 
 /// Find out whose a request is, and have it wait. Its body was taken but it was sent nowhere.
-pub async fn at_head(post: &Post, asked: &Asked, route: &Route, id: &str, budget: i64, bytes: usize) -> Head {
-    let members = &post.members;
+pub async fn at_head(
+    node_state: &NodeState,
+    asked: &Asked,
+    route: &Route,
+    id: &str,
+    budget: i64,
+    bytes: usize,
+) -> Head {
+    let members = &node_state.members;
     let directory = members.directory();
     let Some(header) = directory.header() else { return Head::Goes { standing: None, after: 0 } };
     let member = match directory.whose(values(&asked.lines, header)) {
@@ -303,7 +310,7 @@
     if member.plan == Plan::Full {
         return Head::Goes { standing: None, after: 0 };
     }
-    let from = post.now();
+    let from = node_state.now();
     let standing = members.board.borrow().row(from, member).standing;
     let kind = match route.kind {
         silvercross_mesh_config::Kind::Safe => Kind::Safe,
@@ -328,7 +335,7 @@
     members.waits[tenth].set(members.waits[tenth].get() + 1);
     let _ = tokio::time::timeout(Duration::from_micros(wait as u64), released).await;
     drop(seat);
-    Head::Goes { standing: Some(standing), after: (post.now() - from).max(0) }
+    Head::Goes { standing: Some(standing), after: (node_state.now() - from).max(0) }
 }
 
 /// The values of a header among lines that go on.
@@ -356,9 +363,9 @@
     }
 }
 
-fn row(post: &Post, member: &Member, owners: &BTreeMap<String, (u64, u64, u64)>) -> Value {
-    let members = &post.members;
-    let row = members.board.borrow().row(post.now(), member);
+fn row(node_state: &NodeState, member: &Member, owners: &BTreeMap<String, (u64, u64, u64)>) -> Value {
+    let members = &node_state.members;
+    let row = members.board.borrow().row(node_state.now(), member);
     let due = match member.lapses {
         Some(Lapses::At(at)) => Some(at),
         _ => members
@@ -378,22 +385,22 @@
 }
 
 /// The members as they stand on this node, and where the others can be asked the same.
-pub fn list(post: &Post) -> Value {
-    let directory = post.members.directory();
-    let owners = post.revisions();
-    let rows: Vec<Value> = directory.members().map(|member| row(post, member, &owners)).collect();
-    let nodes: Vec<Value> = post.carriers.rounds(|r| {
+pub fn list(node_state: &NodeState) -> Value {
+    let directory = node_state.members.directory();
+    let owners = node_state.revisions();
+    let rows: Vec<Value> = directory.members().map(|member| row(node_state, member, &owners)).collect();
+    let nodes: Vec<Value> = node_state.peers.membership(|r| {
         let there = r.records().filter(|n| !n.gone && n.body.control > 0);
         let at = |ip: u32, port: u16| format!("{}:{port}", Ipv4Addr::from_bits(ip));
         there
             .map(|n| json!({ "zone": n.zone, "core": n.core, "control": at(n.node.0, n.body.control) }))
             .collect()
     });
-    let (stand, duty) = (post.members.stand(), post.members.duty.borrow());
-    let clock = (post.boot.core && stand).then(
-        || json!({ "known": duty.clock.time(post.now()).is_some(), "set": duty.clock.stepped(post.now()) }),
+    let (stand, duty) = (node_state.members.stand(), node_state.members.duty.borrow());
+    let clock = (node_state.boot.core && stand).then(
+        || json!({ "known": duty.clock.time(node_state.now()).is_some(), "set": duty.clock.stepped(node_state.now()) }),
     );
-    json!({ "node": post.boot.node, "zone": post.boot.zone, "core": post.boot.core, "control": post.boot.control,
+    json!({ "node": node_state.boot.node, "zone": node_state.boot.zone, "core": node_state.boot.core, "control": node_state.boot.control,
         "header": directory.header(), "clock": clock, "members": rows, "nodes": nodes })
 }
 
--- a/crates/daemon/mesh/src/membership.rs
+++ b/crates/daemon/mesh/src/members_command.rs
@@ -1,6 +1,6 @@
 //! `silvercross-mesh members`: asks one sidecar where the others are, and each of them how far its members are slowed. One moment's
 //! table, or one each second.
-use crate::hop;
+use crate::peer_connection;
 use anyhow::{anyhow, bail, Context, Result};
 use serde_json::{json, Value};
 use silvercross_net::http;
@@ -94,7 +94,7 @@
         "{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\
          Connection: close\r\n\r\n{body}"
     );
-    let mut stream = hop::connect(None, at, LIMIT).await.context("not reached")?;
+    let mut stream = peer_connection::connect(None, at, LIMIT).await.context("not reached")?;
     stream.write_all(request.as_bytes()).await?;
     let mut bytes = Vec::new();
     stream.take(LARGEST).read_to_end(&mut bytes).await?;
--- a/crates/daemon/mesh/src/figures.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -1,22 +1,22 @@
 //! What a process tells of itself: counters, and the state that operators ask for.
-use crate::carriers::Body;
-use crate::leaf::Leaf;
-use crate::post::Post;
+use crate::control_value::ControlValue;
+use crate::node_state::NodeState;
+use crate::peers::Body;
 use serde_json::{json, Value};
 use silvercross_control_store::{ControlStore, Role};
 use silvercross_mesh_membership::{Freshness, Record};
 use std::net::Ipv4Addr;
 
 /// The counters, by name.
-pub fn figures(post: &Post) -> Value {
-    let c = &post.counts;
-    let (out, waiting) = post.gate.with(|w| w.load());
-    let desks: Vec<Value> = post
-        .desks()
+pub fn figures(node_state: &NodeState) -> Value {
+    let c = &node_state.counts;
+    let (out, waiting) = node_state.gate.with(|w| w.load());
+    let service_balancers: Vec<Value> = node_state
+        .service_balancers()
         .iter()
-        .map(|(name, desk)| {
-            let (listed, avoided) = desk.rotation();
-            json!({ "service": name, "listed": listed, "avoided": avoided, "open": desk.open() })
+        .map(|(name, service_balancer)| {
+            let (listed, avoided) = service_balancer.rotation();
+            json!({ "service": name, "listed": listed, "avoided": avoided, "open": service_balancer.open() })
         })
         .collect();
     let mut all = json!({
@@ -25,13 +25,13 @@
         "refused": c.refused.get(), "failed": c.failed.get(), "delivered": c.delivered.get(),
         "turned": c.turned.get(), "beats": c.beats.get(), "calls": c.calls.get(),
         "letters": c.letters.get(), "datagrams": c.datagrams.get(), "strangers": c.strangers.get(),
-        "gateOut": out, "gateWaiting": waiting, "idle": post.pool.idle(),
+        "gateOut": out, "gateWaiting": waiting, "idle": node_state.pool.idle(),
         "asked": c.asked.get(), "recovered": c.recovered.get(), "orphans": c.orphans.get(),
-        "receipts": post.receipts.load().0, "keptBytes": post.receipts.load().1,
-        "freshnessAsked": post.carriers.rounds(|r| r.figures().freshness), "noRoom": c.no_room.get(), "heldBytes": post.stores.held(), "desks": desks,
-        "feed": post.feed.get().map(|f| f.figures()),
+        "receipts": node_state.response_replay_cache.load().0, "keptBytes": node_state.response_replay_cache.load().1,
+        "freshnessAsked": node_state.peers.membership(|r| r.figures().freshness), "noRoom": c.no_room.get(), "heldBytes": node_state.stores.held(), "desks": service_balancers,
+        "feed": node_state.event_stream.get().map(|f| f.figures()),
     });
-    if let Some(members) = post.members.figures() {
+    if let Some(members) = node_state.members.figures() {
         all["members"] = members;
     }
     all
@@ -58,7 +58,7 @@
 }
 
 /// What the ledger on this machine holds: each key as it stands here, and what this holder is to it.
-fn ledger(ledger: &ControlStore<Leaf>) -> Value {
+fn ledger(ledger: &ControlStore<ControlValue>) -> Value {
     let keys: Vec<Value> = ledger
         .state()
         .iter()
@@ -86,39 +86,40 @@
 }
 
 /// The disk under the ledger: whether it takes writes, and if not what an operator has to do.
-fn disk(post: &Post) -> Value {
-    match post.carriers.disk_full() {
+fn disk(node_state: &NodeState) -> Value {
+    match node_state.peers.disk_full() {
         None => json!({ "state": "ok" }),
         Some(why) => json!({ "state": "full", "why": why, "mend": "free room on the disk of dataDir" }),
     }
 }
 
 /// Who is there, what is in force, and, where this machine holds the ledger, its keys.
-pub fn state(post: &Post) -> Value {
-    let revisions: Vec<Value> = post
+pub fn state(node_state: &NodeState) -> Value {
+    let revisions: Vec<Value> = node_state
         .revisions()
         .iter()
         .map(|(key, r)| json!({ "key": key, "round": r.0, "owner": address(r.1 as u32), "change": r.2 }))
         .collect();
-    let nodes: Vec<Value> = post.carriers.rounds(|r| r.records().map(node).collect());
-    let parent = post.carriers.rounds(|r| r.parent()).map(|p| address(p.0));
-    let linked: Vec<String> = post.carriers.rounds(|r| r.linked().iter().map(|n| address(n.0)).collect());
-    let age = post.carriers.rounds(|r| r.news_age(post.now()));
-    let keys = post.carriers.control_store(|l| {
+    let nodes: Vec<Value> = node_state.peers.membership(|r| r.records().map(node).collect());
+    let parent = node_state.peers.membership(|r| r.parent()).map(|p| address(p.0));
+    let linked: Vec<String> =
+        node_state.peers.membership(|r| r.linked().iter().map(|n| address(n.0)).collect());
+    let age = node_state.peers.membership(|r| r.news_age(node_state.now()));
+    let keys = node_state.peers.control_store(|l| {
         l.settled()
             .iter()
             .map(|(key, epoch, at)| json!({ "key": key, "round": epoch.round, "change": at.seq }))
             .collect::<Vec<_>>()
     });
-    let (freshness, after) = match post.freshness() {
+    let (freshness, after) = match node_state.freshness() {
         Freshness::Waiting => ("waiting", None),
         Freshness::Current { after } => ("current", Some(after)),
         Freshness::BoundPassed { after } => ("bound passed", Some(after)),
     };
-    json!({ "node": post.boot.node, "ip": post.boot.ip.to_string(), "zone": post.boot.zone, "zones": post.boot.zones,
-        "core": post.boot.core, "version": env!("CARGO_PKG_VERSION"), "parent": parent, "linked": linked,
-        "newsAgeUs": age, "ready": post.ready(), "unready": post.unready(), "freshness": freshness, "freshnessUs": after,
-        "configured": post.configured(), "evacuated": post.evacuated(),
-        "revisions": revisions, "nodes": nodes, "owns": keys, "ledger": post.carriers.control_store(ledger),
-        "disk": post.carriers.control_store(|_| disk(post)) })
+    json!({ "node": node_state.boot.node, "ip": node_state.boot.ip.to_string(), "zone": node_state.boot.zone, "zones": node_state.boot.zones,
+        "core": node_state.boot.core, "version": env!("CARGO_PKG_VERSION"), "parent": parent, "linked": linked,
+        "newsAgeUs": age, "ready": node_state.ready(), "unready": node_state.unready(), "freshness": freshness, "freshnessUs": after,
+        "configured": node_state.configured(), "evacuated": node_state.evacuated(),
+        "revisions": revisions, "nodes": nodes, "owns": keys, "ledger": node_state.peers.control_store(ledger),
+        "disk": node_state.peers.control_store(|_| disk(node_state)) })
 }
--- a/crates/daemon/mesh/src/broken.rs
+++ b/crates/daemon/mesh/src/mutation.rs
@@ -3,7 +3,7 @@
 
 /// One rule that is not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum Mutation {
     /// A gate forgets a ticket as soon as its attempt has ended.
     TicketForgotten,
     /// A connection on which something came behind an answer is used again.
@@ -18,22 +18,22 @@
 
 #[cfg(all(test, feature = "mutants"))]
 thread_local! {
-    static BROKEN: std::cell::Cell<Option<Broken>> = const { std::cell::Cell::new(None) };
+    static BROKEN: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
 /// Breaks one rule on this thread, or none.
 #[cfg(all(test, feature = "mutants"))]
-pub fn set(broken: Option<Broken>) {
+pub fn set(broken: Option<Mutation>) {
     BROKEN.set(broken);
 }
 
 #[cfg(all(test, feature = "mutants"))]
-pub fn is(broken: Broken) -> bool {
+pub fn is(broken: Mutation) -> bool {
     BROKEN.get() == Some(broken)
 }
 
 #[cfg(not(all(test, feature = "mutants")))]
 #[inline(always)]
-pub fn is(_: Broken) -> bool {
+pub fn is(_: Mutation) -> bool {
     false
 }
--- a/crates/daemon/mesh/src/post.rs
+++ b/crates/daemon/mesh/src/node_state.rs
@@ -1,5 +1,5 @@
 //! What one process of the mesh knows and shares between its tasks. Each part stands behind a borrow that never outlives a
-//! statement; what is done with the parts is in the files of `post/`, one for each concern.
+//! statement; what is done with the parts is in the files of `node_state/`, one for each concern.
 mod counters;
 mod in_force;
 mod other_sidecars;
@@ -11,19 +11,19 @@
 pub use counters::{Counted, Counts, Door};
 pub use own_upstream::Beat;
 
-use crate::carriers::{Body, Carriers};
-use crate::desk::Desk;
-use crate::ending::Ending;
-use crate::feed::Feed;
-use crate::freight::Stores;
-use crate::gate::Gate;
-use crate::hop::Pool;
-use crate::members::Members;
-use crate::paced::Paced;
-use crate::receipts::Receipts;
+use crate::body_buffer::Stores;
+use crate::event_stream::EventStream;
+use crate::graceful_stop::GracefulStop;
+use crate::idle_timeout::IdleTimeout;
+use crate::member_throttle::Members;
+use crate::peer_connection::Pool;
+use crate::peers::{Body, Peers};
+use crate::rate_limited_log::RateLimitedLog;
 use crate::reload::{self, Reload};
-use crate::rests::Rests;
+use crate::response_replay_cache::ResponseReplayCache;
+use crate::service_balancer::ServiceBalancer;
 use crate::settings::{Boot, Live};
+use crate::upstream_gate::UpstreamGate;
 use in_force::InForce;
 use own_upstream::Own;
 use rand_core::RngCore;
@@ -45,7 +45,7 @@
 const LOOK: i64 = 1_000_000;
 
 /// One process of the mesh.
-pub struct Post {
+pub struct NodeState {
     /// What its machine told it.
     pub boot: Boot,
     /// What of that can change, as it holds now.
@@ -61,25 +61,25 @@
     /// Room for the bodies held here.
     pub stores: Rc<Stores>,
     /// What is remembered of requests that may run once.
-    pub receipts: Rc<Receipts>,
+    pub response_replay_cache: Rc<ResponseReplayCache>,
     /// What stands before the upstream on this machine.
-    pub gate: Gate,
+    pub gate: UpstreamGate,
     /// Links and who decides about them.
-    pub carriers: Carriers,
+    pub peers: Peers,
     /// Members and how far each is slowed.
     pub members: Members,
     /// Events for other tools, where they are asked for.
-    pub feed: std::cell::OnceCell<Feed>,
+    pub event_stream: std::cell::OnceCell<EventStream>,
     /// Requests open now.
     pub open: Cell<u64>,
     /// How long clients' connections may rest.
-    pub rests: RefCell<Rests>,
+    pub idle_timeout: RefCell<IdleTimeout>,
     /// Operators' calls refused, for the log.
-    pub refusals: Paced,
-    paces: [Paced; 4],
+    pub refusals: RateLimitedLog,
+    paces: [RateLimitedLog; 4],
     clock: Clock,
     force: RefCell<InForce>,
-    desks: RefCell<BTreeMap<String, Rc<Desk>>>,
+    service_balancers: RefCell<BTreeMap<String, Rc<ServiceBalancer>>>,
     others: RefCell<BTreeMap<u32, Record<Body>>>,
     colds: RefCell<BTreeMap<String, Cold>>,
     own: RefCell<Option<Own>>,
@@ -89,7 +89,7 @@
     seeds: RefCell<Vec<SocketAddr>>,
     /// When this process looked around last.
     looked: Cell<i64>,
-    ending: RefCell<Option<Ending>>,
+    graceful_stop: RefCell<Option<GracefulStop>>,
     asking: Cell<bool>,
     began: i64,
     told_ready: Cell<bool>,
@@ -99,26 +99,26 @@
     news: Notify,
 }
 
-impl Post {
+impl NodeState {
     /// A process that knows itself only.
     pub fn new(
         boot: Boot,
         log: Logger,
-        gate: Gate,
-        carriers: Carriers,
+        gate: UpstreamGate,
+        peers: Peers,
         clock: Clock,
         mut chance: Pcg64Mcg,
     ) -> Rc<Self> {
         let began = clock.now();
-        let receipts = Receipts::new(clock.clone(), &mut chance, boot.memory);
+        let response_replay_cache = ResponseReplayCache::new(clock.clone(), &mut chance, boot.memory);
         let tickets = Cell::new(chance.next_u64());
         let looked = Cell::new(clock.now());
         let pool = Pool::default();
         pool.hold((boot.descriptors / 4) as usize);
-        let members = Members::new(carriers.control_store(|l| l.replica_set().len() == 1).unwrap_or(false));
-        Rc::new(Post {
+        let members = Members::new(peers.control_store(|l| l.replica_set().len() == 1).unwrap_or(false));
+        Rc::new(NodeState {
             stores: Stores::new(boot.memory),
-            receipts,
+            response_replay_cache,
             tickets,
             live: Cell::new(boot.live),
             seeds: RefCell::new(boot.seeds.clone()),
@@ -128,23 +128,23 @@
             counts: Counts::default(),
             pool,
             gate,
-            carriers,
+            peers,
             members,
-            feed: std::cell::OnceCell::new(),
+            event_stream: std::cell::OnceCell::new(),
             open: Cell::new(0),
-            rests: RefCell::default(),
-            refusals: Paced::default(),
+            idle_timeout: RefCell::default(),
+            refusals: RateLimitedLog::default(),
             paces: Default::default(),
             clock,
             force: RefCell::default(),
-            desks: RefCell::default(),
+            service_balancers: RefCell::default(),
             others: RefCell::default(),
             colds: RefCell::default(),
             own: RefCell::default(),
             ended: RefCell::default(),
             chance: RefCell::new(chance),
             looked,
-            ending: RefCell::default(),
+            graceful_stop: RefCell::default(),
             asking: Cell::new(false),
             began,
             told_ready: Cell::new(false),
@@ -190,7 +190,7 @@
         if *self.seeds.borrow() != boot.seeds {
             took.push("seeds");
             self.seeds.borrow_mut().clone_from(&boot.seeds);
-            self.carriers.seeds(self, &boot.seed_nodes());
+            self.peers.seeds(self, &boot.seed_nodes());
         }
         let (old, new) = (self.live.replace(boot.live), boot.live);
         if old.beat != new.beat {
@@ -216,7 +216,7 @@
             let now = self.now();
             self.looked.set(now);
             self.look_at_upstream(now);
-            let times = self.carriers.control_store(|l| l.figures().went_back).unwrap_or(0);
+            let times = self.peers.control_store(|l| l.figures().went_back).unwrap_or(0);
             if times > went_back {
                 went_back = times;
                 warn!(self.log, "the disk went back to an older state, the other replicas repair it"; "times" => times);
@@ -226,7 +226,7 @@
                 self.tell();
             }
             self.pool.sweep();
-            self.receipts.forget();
+            self.response_replay_cache.forget();
             if now - looked >= LOOK {
                 looked = now;
                 reload::look(&self, false);
@@ -234,7 +234,7 @@
             self.feed_own();
             if now - told >= FIGURES {
                 told = now;
-                debug!(self.log, "figures"; "all" => crate::figures::figures(&self).to_string());
+                debug!(self.log, "figures"; "all" => crate::metrics::figures(&self).to_string());
             }
         }
     }
--- a/crates/daemon/mesh/src/post/counters.rs
+++ b/crates/daemon/mesh/src/node_state/counters.rs
@@ -1,5 +1,5 @@
 //! Counters of what this process does, and the connections it turned away.
-use super::Post;
+use super::NodeState;
 use slog::warn;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -70,27 +70,27 @@
 
 /// One more of something for as long as it lives.
 pub struct Counted {
-    post: Rc<Post>,
+    node_state: Rc<NodeState>,
     of: fn(&Counts) -> &Cell<u64>,
 }
 
 impl Counted {
     /// Count it.
-    pub fn new(post: &Rc<Post>, of: fn(&Counts) -> &Cell<u64>) -> Self {
-        let cell = of(&post.counts);
+    pub fn new(node_state: &Rc<NodeState>, of: fn(&Counts) -> &Cell<u64>) -> Self {
+        let cell = of(&node_state.counts);
         cell.set(cell.get() + 1);
-        Counted { post: post.clone(), of }
+        Counted { node_state: node_state.clone(), of }
     }
 }
 
 impl Drop for Counted {
     fn drop(&mut self) {
-        let cell = (self.of)(&self.post.counts);
+        let cell = (self.of)(&self.node_state.counts);
         cell.set(cell.get().saturating_sub(1));
     }
 }
 
-impl Post {
+impl NodeState {
     /// A connection was turned away: counted, and told now and then.
     pub fn shut_out(&self, door: Door) {
         let c = &self.counts;
--- a/crates/daemon/mesh/src/post/in_force.rs
+++ b/crates/daemon/mesh/src/node_state/in_force.rs
@@ -1,6 +1,6 @@
 //! The control state in force here: the routing table, evacuated zones, revisions, and whether that makes this process ready.
-use super::Post;
-use crate::leaf::{Leaf, CONFIGURATION, EVACUATION};
+use super::NodeState;
+use crate::control_value::{ControlValue, CONFIGURATION, EVACUATION};
 use silvercross_mesh_config::{Configuration, Table};
 use silvercross_mesh_membership::Freshness;
 use slog::{info, warn};
@@ -16,7 +16,7 @@
     pub(super) evacuated: BTreeSet<String>,
 }
 
-impl Post {
+impl NodeState {
     /// The routing table in force.
     pub fn table(&self) -> Rc<Table> {
         self.force.borrow().table.clone()
@@ -58,7 +58,7 @@
 
     /// Whether what is in force is what a majority had acknowledged before the start.
     pub fn freshness(&self) -> Freshness {
-        self.carriers.rounds(|r| r.freshness())
+        self.peers.membership(|r| r.freshness())
     }
 
     /// Tell the log once when this sidecar gets ready, and on what grounds.
@@ -77,7 +77,7 @@
     }
 
     /// News of the control state; older than what is in force changes nothing.
-    pub fn page(self: &Rc<Self>, key: &str, revision: (u64, u64, u64), leaf: Leaf) {
+    pub fn page(self: &Rc<Self>, key: &str, revision: (u64, u64, u64), control_value: ControlValue) {
         {
             let mut force = self.force.borrow_mut();
             if force.revisions.get(key).is_some_and(|r| *r >= revision) {
@@ -85,20 +85,20 @@
             }
             force.revisions.insert(key.to_string(), revision);
         }
-        if let Some(feed) = self.feed.get() {
-            feed.page(key, revision, &leaf);
+        if let Some(event_stream) = self.event_stream.get() {
+            event_stream.page(key, revision, &control_value);
         }
-        match leaf {
-            Leaf::Blank => self.members.lapse(self, key, revision, None),
-            Leaf::Configuration(configuration) if key == CONFIGURATION => {
+        match control_value {
+            ControlValue::Blank => self.members.lapse(self, key, revision, None),
+            ControlValue::Configuration(configuration) if key == CONFIGURATION => {
                 self.configure(&configuration, revision);
             }
-            Leaf::Whole(whole) if key == CONFIGURATION => {
+            ControlValue::Whole(whole) if key == CONFIGURATION => {
                 self.members.roll(self, &whole.roll);
                 self.configure(&whole.configuration, revision);
             }
-            Leaf::Lapse(lapse) => self.members.lapse(self, key, revision, Some(lapse)),
-            Leaf::Evacuation(on) => {
+            ControlValue::Lapse(lapse) => self.members.lapse(self, key, revision, Some(lapse)),
+            ControlValue::Evacuation(on) => {
                 let Some(zone) = key.strip_prefix(EVACUATION) else { return };
                 {
                     let mut force = self.force.borrow_mut();
@@ -115,7 +115,7 @@
                 }
                 self.relist();
             }
-            Leaf::Configuration(_) | Leaf::Whole(_) | Leaf::Tracked(_) => {}
+            ControlValue::Configuration(_) | ControlValue::Whole(_) | ControlValue::Tracked(_) => {}
         }
     }
 
@@ -125,7 +125,7 @@
             force.table = Rc::new(Table::new(configuration));
             force.configured = true;
         }
-        self.rests.borrow_mut().set(self.now(), self.table().limits().idle_us);
+        self.idle_timeout.borrow_mut().set(self.now(), self.table().limits().idle_us);
         info!(self.log, "configuration in force"; "round" => revision.0, "change" => revision.2);
         self.allow();
         self.reset_terms();
--- a/crates/daemon/mesh/src/post/other_sidecars.rs
+++ b/crates/daemon/mesh/src/node_state/other_sidecars.rs
@@ -1,16 +1,16 @@
 //! The other sidecars as this one knows them: their records, how many there are, and which of them holds the control store.
-use super::Post;
-use crate::carriers::Body;
+use super::NodeState;
+use crate::peers::Body;
 use silvercross_mesh_membership::Record;
 use std::cmp::Reverse;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-impl Post {
+impl NodeState {
     /// News of another sidecar.
     pub fn record(self: &Rc<Self>, record: Record<Body>) {
-        if let Some(feed) = self.feed.get() {
-            feed.record(&record);
+        if let Some(event_stream) = self.event_stream.get() {
+            event_stream.record(&record);
         }
         let before = self.sides();
         if record.gone {
@@ -46,7 +46,7 @@
     /// The control address of a machine that holds the ledger: one that is known to reach most of them and that most of them name,
     /// in this zone if there is one. One that is cut off answers that nothing is settled.
     pub fn core(&self) -> Option<SocketAddr> {
-        let reached = self.carriers.rounds(|r| r.reached_cores());
+        let reached = self.peers.membership(|r| r.reached_cores());
         let others = self.others.borrow();
         let holders: Vec<_> = others.values().filter(|r| r.body.roster.contains(&r.node.0)).collect();
         let named = |r: &Record<Body>| holders.iter().filter(|h| h.body.roster.contains(&r.node.0)).count();
--- a/crates/daemon/mesh/src/post/own_record.rs
+++ b/crates/daemon/mesh/src/node_state/own_record.rs
@@ -1,10 +1,10 @@
 //! What this sidecar tells the others of itself.
-use super::Post;
-use crate::carriers::{Body, Station};
-use crate::leaf::Leaf;
+use super::NodeState;
+use crate::control_value::ControlValue;
+use crate::peers::{Body, Station};
 use std::rc::Rc;
 
-impl Post {
+impl NodeState {
     /// What this sidecar tells of itself.
     pub fn body(&self) -> Body {
         self.body_of(self.own.borrow().as_ref().map(|o| o.station.clone()))
@@ -24,28 +24,28 @@
     /// Those that hold the ledger, as this machine knows for certain; empty where there is none, or it is not repaired yet.
     /// A machine that has a disk and doesn't find itself among them says so by it: it may come for one that is lost.
     pub(super) fn roster(&self) -> Vec<u32> {
-        let of = |l: &silvercross_control_store::ControlStore<Leaf>| match l.voter()
+        let of = |l: &silvercross_control_store::ControlStore<ControlValue>| match l.voter()
             || (l.outside() && l.replicas().version > 0)
         {
             true => l.replica_set().iter().map(|n| n.0).collect(),
             false => Vec::new(),
         };
-        self.carriers.control_store(of).unwrap_or_default()
+        self.peers.control_store(of).unwrap_or_default()
     }
 
     /// Tell the others, the feed and the balancers here.
     pub(super) fn tell(self: &Rc<Self>) {
         let body = self.body();
-        self.carriers.tell(self, body);
+        self.peers.tell(self, body);
         self.feed_own();
         self.relist();
     }
 
     /// This sidecar's own record, for the feed.
     pub(super) fn feed_own(&self) {
-        if let Some(feed) = self.feed.get() {
+        if let Some(event_stream) = self.event_stream.get() {
             let me = silvercross_mesh_membership::Node(self.boot.ip.to_bits());
-            self.carriers.rounds(|r| r.record(me).into_iter().for_each(|own| feed.record(own)));
+            self.peers.membership(|r| r.record(me).into_iter().for_each(|own| event_stream.record(own)));
         }
     }
 }
--- a/crates/daemon/mesh/src/post/own_upstream.rs
+++ b/crates/daemon/mesh/src/node_state/own_upstream.rs
@@ -1,7 +1,7 @@
 //! The upstream on this machine: its heartbeats and sign-off, asking its health after a restart, and what its gate is told.
-use super::Post;
-use crate::carriers::Station;
-use crate::hop;
+use super::NodeState;
+use crate::peer_connection;
+use crate::peers::Station;
 use serde::Deserialize;
 use silvercross_admission::{Allowance, Facts};
 use slog::info;
@@ -93,7 +93,7 @@
     }
 }
 
-impl Post {
+impl NodeState {
     /// A beat of the upstream on this machine; `false` if it is of a life that has ended.
     pub fn beat(self: &Rc<Self>, id: &str, beat: Beat) -> bool {
         self.counts.beats.set(self.counts.beats.get() + 1);
@@ -183,18 +183,23 @@
             return;
         }
         let Some(station) = self.boot.station else { return };
-        let post = self.clone();
+        let node_state = self.clone();
         tokio::task::spawn_local(async move {
             for _ in 0..ASKED {
-                if post.own.borrow().is_some() || post.stopping() {
+                if node_state.own.borrow().is_some() || node_state.stopping() {
                     return;
                 }
-                let path = post.table().destination(&post.boot.destination).map(|d| d.health_path.clone());
+                let path = node_state
+                    .table()
+                    .destination(&node_state.boot.destination)
+                    .map(|d| d.health_path.clone());
                 let path = path.unwrap_or_else(|| "/health".to_string());
-                let told = hop::health(&post.pool, station, &path, post.stores.share()).await;
-                if let Some((id, cold)) = told.filter(|_| post.own.borrow().is_none()) {
-                    if !post.ended.borrow().contains(&id) {
-                        post.met(id, cold);
+                let told =
+                    peer_connection::health(&node_state.pool, station, &path, node_state.stores.share())
+                        .await;
+                if let Some((id, cold)) = told.filter(|_| node_state.own.borrow().is_none()) {
+                    if !node_state.ended.borrow().contains(&id) {
+                        node_state.met(id, cold);
                     }
                     return;
                 }
--- a/crates/daemon/mesh/src/post/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -1,14 +1,14 @@
 //! The stop of the process: what is told to the platform and the others, and who waits for which step of it.
-use super::Post;
-use crate::ending::{Ending, Phase};
+use super::NodeState;
+use crate::graceful_stop::{GracefulStop, Phase};
 use slog::info;
 use std::rc::Rc;
 use std::time::Duration;
 
-impl Post {
+impl NodeState {
     /// Whether the process is on its way out.
     pub fn stopping(&self) -> bool {
-        self.ending.borrow().is_some()
+        self.graceful_stop.borrow().is_some()
     }
 
     /// From now on the platform is told no, and the others that nothing more is to be sent here. All that is open, and all that
@@ -18,26 +18,27 @@
             return;
         }
         info!(self.log, "stopping");
-        let ending = Ending::new(self.looked.get(), self.now(), self.live.get().bounds.grace.max(0));
-        for (_, desk) in self.desks() {
-            desk.answer_by(ending.answer_by());
+        let graceful_stop =
+            GracefulStop::new(self.looked.get(), self.now(), self.live.get().bounds.grace.max(0));
+        for (_, service_balancer) in self.service_balancers() {
+            service_balancer.answer_by(graceful_stop.answer_by());
         }
-        *self.ending.borrow_mut() = Some(ending);
+        *self.graceful_stop.borrow_mut() = Some(graceful_stop);
         self.members.release();
         self.tell();
-        self.carriers.leave_replicas(self);
+        self.peers.leave_replicas(self);
     }
 
     /// What a process that stops is to do now, and by when it ends whatever is open; `None`: it does not stop.
-    pub fn ending(&self) -> Option<(Phase, i64)> {
+    pub fn graceful_stop(&self) -> Option<(Phase, i64)> {
         let (now, busy) = (self.now(), self.busy());
-        self.ending.borrow_mut().as_mut().map(|e| (e.phase(now, busy), e.last()))
+        self.graceful_stop.borrow_mut().as_mut().map(|e| (e.phase(now, busy), e.last()))
     }
 
     /// The platform asked whether this machine's clients may be given work, and was told no.
     pub fn denied(&self) {
         let now = self.now();
-        self.ending.borrow_mut().iter_mut().for_each(|e| e.denied(now));
+        self.graceful_stop.borrow_mut().iter_mut().for_each(|e| e.denied(now));
     }
 
     /// Whether a request or an operator's call is open here, or a request at the upstream behind the gate.
@@ -52,7 +53,7 @@
         self.stop.notify_waiters();
     }
 
-    /// Waits until [`Post::end_idle`].
+    /// Waits until [`NodeState::end_idle`].
     pub async fn idle_ends(&self) {
         let told = self.stop.notified();
         if !self.idle_ends.get() {
@@ -66,7 +67,7 @@
         self.stop.notify_waiters();
     }
 
-    /// Waits until [`Post::shut`].
+    /// Waits until [`NodeState::shut`].
     pub async fn is_shut(&self) {
         loop {
             let told = self.stop.notified();
--- a/crates/daemon/mesh/src/post/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -1,8 +1,8 @@
 //! The upstreams of each service, listed for its balancer: from the records of the other sidecars and the upstream here.
 use super::in_force::InForce;
-use super::Post;
-use crate::carriers::{Body, Station};
-use crate::desk::{self, Desk, Terms};
+use super::NodeState;
+use crate::peers::{Body, Station};
+use crate::service_balancer::{self, ServiceBalancer, Terms};
 use rand_core::RngCore;
 use silvercross_facade::{Health, Host};
 use silvercross_mesh_config::Table;
@@ -40,7 +40,7 @@
         let health = if shut { Health::Draining } else { Health::Ready };
         let renewed = self.colds.get(&station.id).is_some_and(|k| k.life != life);
         let born_ms = self.born(life, station);
-        let host = desk::host(&station.id, gate, zone, health, station.slots, born_ms);
+        let host = service_balancer::host(&station.id, gate, zone, health, station.slots, born_ms);
         if renewed {
             let gone = Host { health: Health::Gone, ..host.clone() };
             self.renewed.entry(station.service.clone()).or_default().push(gone);
@@ -65,22 +65,22 @@
     }
 }
 
-impl Post {
+impl NodeState {
     /// The desk of a service, if an upstream of it is known.
-    pub fn desk(&self, service: &str) -> Option<Rc<Desk>> {
-        self.desks.borrow().get(service).cloned()
+    pub fn service_balancer(&self, service: &str) -> Option<Rc<ServiceBalancer>> {
+        self.service_balancers.borrow().get(service).cloned()
     }
 
     /// All desks.
-    pub fn desks(&self) -> Vec<(String, Rc<Desk>)> {
-        self.desks.borrow().iter().map(|(n, d)| (n.clone(), d.clone())).collect()
+    pub fn service_balancers(&self) -> Vec<(String, Rc<ServiceBalancer>)> {
+        self.service_balancers.borrow().iter().map(|(n, d)| (n.clone(), d.clone())).collect()
     }
 
     /// Set each balancer to the configuration, the bounds and the number of sidecars in force.
     pub(super) fn reset_terms(self: &Rc<Self>) {
         let table = self.table();
-        for (service, desk) in self.desks() {
-            desk.set(&self.terms(&service, &table));
+        for (service, service_balancer) in self.service_balancers() {
+            service_balancer.set(&self.terms(&service, &table));
         }
         self.relist();
     }
@@ -109,16 +109,16 @@
         let (mut lists, mut renewed) = self.known_upstreams();
         let table = self.table();
         // A service whose last upstream has gone is told so.
-        for (service, _) in self.desks() {
+        for (service, _) in self.service_balancers() {
             lists.entry(service).or_default();
         }
         for (service, hosts) in lists {
-            match self.desk(&service) {
-                Some(desk) => {
+            match self.service_balancer(&service) {
+                Some(service_balancer) => {
                     if let Some(gone) = renewed.remove(&service) {
-                        desk.fresh(gone);
+                        service_balancer.fresh(gone);
                     }
-                    desk.list(hosts);
+                    service_balancer.list(hosts);
                 }
                 None => self.open_desk(service, &hosts, &table),
             }
@@ -151,10 +151,11 @@
     /// The first upstreams of a service have come.
     fn open_desk(&self, service: String, hosts: &[Host], table: &Table) {
         let seed = self.chance.borrow_mut().next_u64();
-        let desk = Desk::new(&self.terms(&service, table), hosts, seed, self.clock.clone());
-        if let Some(ending) = &*self.ending.borrow() {
-            desk.answer_by(ending.answer_by());
+        let service_balancer =
+            ServiceBalancer::new(&self.terms(&service, table), hosts, seed, self.clock.clone());
+        if let Some(graceful_stop) = &*self.graceful_stop.borrow() {
+            service_balancer.answer_by(graceful_stop.answer_by());
         }
-        self.desks.borrow_mut().insert(service, desk);
+        self.service_balancers.borrow_mut().insert(service, service_balancer);
     }
 }
--- a/crates/daemon/mesh/src/hop.rs
+++ b/crates/daemon/mesh/src/peer_connection.rs
@@ -1,6 +1,6 @@
 //! Connections to gates and to the upstream on this machine, kept for more than one request, and one exchange on one of them.
 //! Says how far a failed exchange had come; decides nothing.
-use crate::freight::{Freight, Share};
+use crate::body_buffer::{BodyBuffer, Share};
 use crate::wire::{self, Answer, End, Line, Size, Wrong};
 use bytes::Bytes;
 use silvercross_net::stream::Decoder;
@@ -192,7 +192,7 @@
     /// The request's head, and its body if that is here whole.
     pub bytes: &'o [u8],
     /// Its body, if that is still coming.
-    pub coming: Option<&'o Rc<Freight>>,
+    pub coming: Option<&'o Rc<BodyBuffer>>,
     /// The body is sent once the other end asks for it.
     pub awaits: bool,
     /// The request's id; empty: it has none, and neither has its answer.
@@ -214,7 +214,7 @@
     if line.write(order.bytes).await.is_err() {
         return Came::NotConnected;
     }
-    let Some(freight) = order.coming else {
+    let Some(body_buffer) = order.coming else {
         return match line.answer(order.id, order.bodiless, false, share).await {
             Ok((answer, rest)) => taken(pool, line, None, &order, answer, rest),
             Err(_) => Came::Broken,
@@ -234,7 +234,7 @@
         }
     }
     let (Some(write), Some(share)) = (line.split(), room) else { return Came::Broken };
-    let mut sending = Sending(tokio::task::spawn_local(send(write, freight.clone())));
+    let mut sending = Sending(tokio::task::spawn_local(send(write, body_buffer.clone())));
     match line.answer(order.id, order.bodiless, false, share).await {
         // Both ways are done with: the connection is whole again.
         Ok((answer, None)) => {
@@ -267,14 +267,14 @@
     }
 }
 
-async fn send(mut write: OwnedWriteHalf, freight: Rc<Freight>) -> Option<OwnedWriteHalf> {
-    let size = freight.size();
-    let held = freight.held();
+async fn send(mut write: OwnedWriteHalf, body_buffer: Rc<BodyBuffer>) -> Option<OwnedWriteHalf> {
+    let size = body_buffer.size();
+    let held = body_buffer.held();
     wire::write_piece(&mut write, &held, size).await.ok()?;
     drop(held);
-    if let Some(rest) = &freight.rest {
+    if let Some(rest) = &body_buffer.rest {
         while let Some(bytes) = rest.next().await.ok()? {
-            freight.let_go();
+            body_buffer.let_go();
             wire::write_piece(&mut write, &bytes, size).await.ok()?;
         }
     }
