--- a/crates/daemon/mesh/src/carriers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -1,22 +1,22 @@
 //! Between sidecars: hands `silvercross-mesh-membership` and `silvercross-control-store` what comes on links and datagrams, lets their time
 //! pass, and does what they say; decides nothing.
-#[cfg(test)]
-mod alone;
-mod confirm;
 mod effects;
 mod frames;
+#[cfg(test)]
+mod isolated_control_tests;
 mod link;
+mod majority_read;
 #[cfg(test)]
 mod tests;
 
+use crate::control_value::{ControlValue, Order};
 use crate::disk::{Told, Writes};
-use crate::leaf::{Leaf, Order};
-use crate::post::Post;
+use crate::node_state::NodeState;
 use bitcode::{Decode, Encode};
 use frames::Parcel;
 use link::Link;
 use silvercross_control_store::{ControlStore, Verdict};
-use silvercross_mesh_membership::{Datagram, Node, Revision, Rounds};
+use silvercross_mesh_membership::{Datagram, Membership, Node, Revision};
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -62,15 +62,15 @@
 }
 
 /// What goes between sidecars, and who decides about it.
-pub struct Carriers {
+pub struct Peers {
     me: u32,
     port: u16,
-    rounds: RefCell<Rounds<Body>>,
-    ledger: Option<RefCell<ControlStore<Leaf>>>,
+    membership: RefCell<Membership<Body>>,
+    ledger: Option<RefCell<ControlStore<ControlValue>>>,
     writes: Option<Writes>,
     /// Why the disk takes no writes.
     full: RefCell<Option<String>>,
-    asked: RefCell<BTreeMap<u64, oneshot::Sender<Verdict<Leaf>>>>,
+    asked: RefCell<BTreeMap<u64, oneshot::Sender<Verdict<ControlValue>>>>,
     links: RefCell<BTreeMap<u32, Vec<Link>>>,
     numbers: Cell<u64>,
     udp: UdpSocket,
@@ -86,23 +86,23 @@
     IpAddr::V4(Ipv4Addr::from_bits(node))
 }
 
-impl Carriers {
+impl Peers {
     /// On this machine, with its own deciders.
     pub fn new(
         me: Ipv4Addr,
         port: u16,
-        rounds: Rounds<Body>,
-        ledger: Option<(ControlStore<Leaf>, Writes)>,
+        membership: Membership<Body>,
+        ledger: Option<(ControlStore<ControlValue>, Writes)>,
         udp: UdpSocket,
     ) -> Self {
         let (ledger, writes) = match ledger {
             Some((l, w)) => (Some(RefCell::new(l)), Some(w)),
             None => (None, None),
         };
-        Carriers {
+        Peers {
             me: me.to_bits(),
             port,
-            rounds: RefCell::new(rounds),
+            membership: RefCell::new(membership),
             ledger,
             writes,
             full: RefCell::default(),
@@ -115,40 +115,40 @@
     }
 
     /// Look at membership.
-    pub fn rounds<R>(&self, look: impl FnOnce(&Rounds<Body>) -> R) -> R {
-        look(&self.rounds.borrow())
+    pub fn membership<R>(&self, look: impl FnOnce(&Membership<Body>) -> R) -> R {
+        look(&self.membership.borrow())
     }
 
     /// Look at the ledger, where this machine holds one.
-    pub fn control_store<R>(&self, look: impl FnOnce(&ControlStore<Leaf>) -> R) -> Option<R> {
+    pub fn control_store<R>(&self, look: impl FnOnce(&ControlStore<ControlValue>) -> R) -> Option<R> {
         self.ledger.as_ref().map(|l| look(&l.borrow()))
     }
 
     /// Tell the others of this sidecar.
-    pub fn tell(&self, post: &Rc<Post>, body: Body) {
-        self.rounds.borrow_mut().tell(post.now(), body);
-        self.pump(post);
+    pub fn tell(&self, node_state: &Rc<NodeState>, body: Body) {
+        self.membership.borrow_mut().tell(node_state.now(), body);
+        self.pump(node_state);
     }
 
     /// Other seeds than at the start.
-    pub fn seeds(&self, post: &Rc<Post>, seeds: &[u32]) {
+    pub fn seeds(&self, node_state: &Rc<NodeState>, seeds: &[u32]) {
         let seeds: Vec<Node> = seeds.iter().map(|s| Node(*s)).collect();
-        self.rounds.borrow_mut().seeds(post.now(), &seeds);
-        self.pump(post);
+        self.membership.borrow_mut().seeds(node_state.now(), &seeds);
+        self.pump(node_state);
     }
 
     /// This sidecar goes.
-    pub fn leave(&self, post: &Rc<Post>) {
-        self.rounds.borrow_mut().leave(post.now());
-        self.pump(post);
+    pub fn leave(&self, node_state: &Rc<NodeState>) {
+        self.membership.borrow_mut().leave(node_state.now());
+        self.pump(node_state);
     }
 
     /// This process is told to stop: its replica is to be replaced while it is still there.
-    pub fn leave_replicas(&self, post: &Rc<Post>) {
+    pub fn leave_replicas(&self, node_state: &Rc<NodeState>) {
         if let Some(l) = &self.ledger {
-            l.borrow_mut().leave(post.now());
+            l.borrow_mut().leave(node_state.now());
         }
-        self.pump(post);
+        self.pump(node_state);
     }
 
     /// Whether this process, which stops, is still wanted as a replica.
@@ -157,83 +157,91 @@
     }
 
     /// Ask the other holders for their time of day.
-    pub fn ask_time(&self, post: &Rc<Post>) {
+    pub fn ask_time(&self, node_state: &Rc<NodeState>) {
         let holders = self.control_store(|l| l.replica_set()).unwrap_or_default();
         for holder in holders.into_iter().filter(|h| h.0 != self.me) {
-            self.send(post, holder.0, &Parcel::Time { asked: post.now() });
+            self.send(node_state, holder.0, &Parcel::Time { asked: node_state.now() });
         }
     }
 
     /// An operator's call; `None` where this machine holds no ledger.
-    pub async fn ask(&self, post: &Rc<Post>, key: &str, order: Option<Order>) -> Option<Verdict<Leaf>> {
-        let ledger = self.ledger.as_ref().filter(|l| !l.borrow().outside() && !post.is_outsider())?;
-        let asked = self.begin(post, ledger, key, order);
-        self.pump(post);
+    pub async fn ask(
+        &self,
+        node_state: &Rc<NodeState>,
+        key: &str,
+        order: Option<Order>,
+    ) -> Option<Verdict<ControlValue>> {
+        let ledger = self.ledger.as_ref().filter(|l| !l.borrow().outside() && !node_state.is_outsider())?;
+        let asked = self.begin(node_state, ledger, key, order);
+        self.pump(node_state);
         Some(self.answer(asked).await)
     }
 
     /// Hand a call or read to the control store; it begins with the next `pump`.
     fn begin(
         &self,
-        post: &Post,
-        store: &RefCell<ControlStore<Leaf>>,
+        node_state: &NodeState,
+        store: &RefCell<ControlStore<ControlValue>>,
         key: &str,
         order: Option<Order>,
-    ) -> (u64, oneshot::Receiver<Verdict<Leaf>>) {
+    ) -> (u64, oneshot::Receiver<Verdict<ControlValue>>) {
         let token = self.numbers.get();
         self.numbers.set(token + 1);
         let (to, answer) = oneshot::channel();
         self.asked.borrow_mut().insert(token, to);
         match order {
-            Some(order) => store.borrow_mut().call(post.now(), token, key, order),
-            None => store.borrow_mut().read(post.now(), token, key),
+            Some(order) => store.borrow_mut().call(node_state.now(), token, key, order),
+            None => store.borrow_mut().read(node_state.now(), token, key),
         }
         (token, answer)
     }
 
-    async fn answer(&self, (token, answer): (u64, oneshot::Receiver<Verdict<Leaf>>)) -> Verdict<Leaf> {
+    async fn answer(
+        &self,
+        (token, answer): (u64, oneshot::Receiver<Verdict<ControlValue>>),
+    ) -> Verdict<ControlValue> {
         let said = timeout(Duration::from_secs(2), answer).await;
         self.asked.borrow_mut().remove(&token);
         said.ok().and_then(Result::ok).unwrap_or(Verdict::Unsettled)
     }
 
     /// Do what the deciders want done, until they want nothing more.
-    fn pump(&self, post: &Rc<Post>) {
+    fn pump(&self, node_state: &Rc<NodeState>) {
         loop {
-            let effects = self.rounds.borrow_mut().effects();
+            let effects = self.membership.borrow_mut().effects();
             let deeds = self.ledger.as_ref().map(|l| l.borrow_mut().effects()).unwrap_or_default();
             if effects.is_empty() && deeds.is_empty() {
                 break;
             }
             for effect in effects {
-                self.effect(post, effect);
+                self.effect(node_state, effect);
             }
             for deed in deeds {
-                self.deed(post, deed);
+                self.deed(node_state, deed);
             }
         }
-        post.look_ready();
+        node_state.look_ready();
         self.changed.notify_one();
     }
 
     /// Let the deciders' time pass, for as long as the process lives.
-    pub async fn tick(post: Rc<Post>) {
-        let c = &post.carriers;
+    pub async fn tick(node_state: Rc<NodeState>) {
+        let c = &node_state.peers;
         loop {
-            let now = post.now();
-            let mut wake = c.rounds.borrow().wake();
+            let now = node_state.now();
+            let mut wake = c.membership.borrow().wake();
             if let Some(at) = c.ledger.as_ref().and_then(|l| l.borrow().wake()) {
                 wake = wake.min(at);
             }
             let span = (wake - now).clamp(0, 1_000_000) as u64;
             tokio::select! {
                 _ = tokio::time::sleep(Duration::from_micros(span)) => {
-                    let now = post.now();
-                    c.rounds.borrow_mut().tick(now);
+                    let now = node_state.now();
+                    c.membership.borrow_mut().tick(now);
                     if let Some(l) = &c.ledger {
                         l.borrow_mut().tick(now);
                     }
-                    c.pump(&post);
+                    c.pump(&node_state);
                 }
                 _ = c.changed.notified() => {}
             }
@@ -246,34 +254,34 @@
     }
 
     /// Hand on what the disk tells, for as long as the process lives, or until the disk has failed: why.
-    pub async fn synced(post: Rc<Post>, mut told: mpsc::UnboundedReceiver<Told>) -> String {
-        let c = &post.carriers;
+    pub async fn synced(node_state: Rc<NodeState>, mut told: mpsc::UnboundedReceiver<Told>) -> String {
+        let c = &node_state.peers;
         while let Some(told) = told.recv().await {
             let Some(l) = &c.ledger else { continue };
             match told {
-                Told::Synced(write) => l.borrow_mut().stored(post.now(), write),
+                Told::Synced(write) => l.borrow_mut().stored(node_state.now(), write),
                 Told::Full(why) => {
-                    warn!(post.log, "the disk is full: this machine promises nothing and hands its keys over until there is room";
+                    warn!(node_state.log, "the disk is full: this machine promises nothing and hands its keys over until there is room";
                         "why" => why.as_str(), "mend" => "free room on the disk of dataDir");
                     *c.full.borrow_mut() = Some(why);
-                    l.borrow_mut().room(post.now(), false);
+                    l.borrow_mut().room(node_state.now(), false);
                 }
                 Told::Room => {
-                    info!(post.log, "the disk has room again");
+                    info!(node_state.log, "the disk has room again");
                     *c.full.borrow_mut() = None;
-                    l.borrow_mut().room(post.now(), true);
+                    l.borrow_mut().room(node_state.now(), true);
                 }
                 Told::Failed(why) => return why,
             }
-            c.pump(&post);
+            c.pump(&node_state);
         }
         "its thread has ended".to_string()
     }
 
     /// Take datagrams, for as long as the process lives.
-    pub async fn datagrams(post: Rc<Post>) {
+    pub async fn datagrams(node_state: Rc<NodeState>) {
         let mut room = [0; 2048];
-        let c = &post.carriers;
+        let c = &node_state.peers;
         loop {
             let Ok((n, from)) = c.udp.recv_from(&mut room).await else {
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -282,10 +290,10 @@
             let IpAddr::V4(from) = from.ip() else { continue };
             match bitcode::decode::<Datagram>(&room[..n]) {
                 Ok(datagram) => {
-                    c.rounds.borrow_mut().datagram(post.now(), Node(from.to_bits()), datagram);
-                    c.pump(&post);
+                    c.membership.borrow_mut().datagram(node_state.now(), Node(from.to_bits()), datagram);
+                    c.pump(&node_state);
                 }
-                Err(_) => post.counts.strangers.set(post.counts.strangers.get() + 1),
+                Err(_) => node_state.counts.strangers.set(node_state.counts.strangers.get() + 1),
             }
         }
     }
--- a/crates/daemon/mesh/src/carriers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -1,82 +1,82 @@
 //! What membership and the control store want done, done: sent, written, answered, handed on.
 use super::frames::Parcel;
 use super::link::CONNECT;
-use super::{ip, told, Body, Carriers};
+use super::{ip, told, Body, Peers};
+use crate::control_value::ControlValue;
 use crate::disk::Write;
-use crate::hop;
-use crate::leaf::Leaf;
-use crate::post::Post;
+use crate::node_state::NodeState;
+use crate::peer_connection;
 use silvercross_control_store::{Effect as StoreEffect, Verdict};
 use silvercross_mesh_membership::{Effect, Node, Record};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-impl Carriers {
+impl Peers {
     /// Do what membership wants done.
-    pub(super) fn effect(&self, post: &Rc<Post>, effect: Effect<Body>) {
+    pub(super) fn effect(&self, node_state: &Rc<NodeState>, effect: Effect<Body>) {
         match effect {
-            Effect::Link { to } => self.link(post, to.0),
+            Effect::Link { to } => self.link(node_state, to.0),
             Effect::Unlink { to } => {
                 self.links.borrow_mut().remove(&to.0);
-                self.down(post, to.0);
+                self.down(node_state, to.0);
             }
-            Effect::Send { to, letter } => self.send(post, to.0, &Parcel::Round(letter)),
+            Effect::Send { to, letter } => self.send(node_state, to.0, &Parcel::Round(letter)),
             Effect::Datagram { to, datagram } => {
                 let bytes = bitcode::encode(&datagram);
                 let _ = self.udp.try_send_to(&bytes, SocketAddr::new(ip(to.0), self.port));
-                post.counts.datagrams.set(post.counts.datagrams.get() + 1);
+                node_state.counts.datagrams.set(node_state.counts.datagrams.get() + 1);
             }
-            Effect::Try { node } => self.try_link(post, node),
+            Effect::Try { node } => self.try_link(node_state, node),
             Effect::ConfirmRevisions { ticket } => {
-                let post = post.clone();
+                let node_state = node_state.clone();
                 tokio::task::spawn_local(async move {
-                    let revisions = post.carriers.confirm(&post).await;
-                    post.carriers.rounds.borrow_mut().confirmed(post.now(), ticket, revisions);
-                    post.carriers.pump(&post);
+                    let revisions = node_state.peers.confirm(&node_state).await;
+                    node_state.peers.membership.borrow_mut().confirmed(node_state.now(), ticket, revisions);
+                    node_state.peers.pump(&node_state);
                 });
             }
             Effect::Record(record) => {
-                self.tell_store(post, &record);
-                post.record(record);
+                self.tell_store(node_state, &record);
+                node_state.record(record);
             }
             Effect::Page { key, revision, bytes } => {
-                if let Ok(leaf) = bitcode::decode::<Leaf>(&bytes) {
-                    post.page(&key, revision, leaf);
+                if let Ok(control_value) = bitcode::decode::<ControlValue>(&bytes) {
+                    node_state.page(&key, revision, control_value);
                 }
             }
         }
     }
 
     /// Whether a link to this node could be made.
-    fn try_link(&self, post: &Rc<Post>, node: Node) {
-        let (post, to) = (post.clone(), SocketAddr::new(ip(node.0), self.port));
+    fn try_link(&self, node_state: &Rc<NodeState>, node: Node) {
+        let (node_state, to) = (node_state.clone(), SocketAddr::new(ip(node.0), self.port));
         let from = ip(self.me);
         tokio::task::spawn_local(async move {
-            let ok = hop::connect(Some(from), to, CONNECT).await.is_some();
-            post.carriers.rounds.borrow_mut().tried(post.now(), node, ok);
-            post.carriers.pump(&post);
+            let ok = peer_connection::connect(Some(from), to, CONNECT).await.is_some();
+            node_state.peers.membership.borrow_mut().tried(node_state.now(), node, ok);
+            node_state.peers.pump(&node_state);
         });
     }
 
     /// Tell the control store of a machine that may come for a lost replica, or that stops.
-    fn tell_store(&self, post: &Rc<Post>, record: &Record<Body>) {
+    fn tell_store(&self, node_state: &Rc<NodeState>, record: &Record<Body>) {
         let Some(l) = &self.ledger else { return };
         // It has a disk, knows who the holders are, and is none of them.
         let told = &record.body;
         let spare = !told.roster.is_empty() && !told.roster.contains(&record.node.0);
         let up = record.core && !record.gone && !told.leaving && spare;
         let node = silvercross_control_store::Node(record.node.0);
-        l.borrow_mut().candidate(post.now(), node, up);
+        l.borrow_mut().candidate(node_state.now(), node, up);
         if record.core {
-            l.borrow_mut().leaves(post.now(), node, told.leaving);
+            l.borrow_mut().leaves(node_state.now(), node, told.leaving);
         }
     }
 
     /// Do what the control store wants done.
-    pub(super) fn deed(&self, post: &Rc<Post>, deed: StoreEffect<Leaf>) {
+    pub(super) fn deed(&self, node_state: &Rc<NodeState>, deed: StoreEffect<ControlValue>) {
         match deed {
             StoreEffect::Send { to, version, message } => {
-                self.send(post, to.0, &Parcel::Store(version, message))
+                self.send(node_state, to.0, &Parcel::Store(version, message))
             }
             StoreEffect::Store { write, metadata, keys } => {
                 if let Some(writes) = &self.writes {
@@ -98,8 +98,8 @@
                 let at = told(revision);
                 let value = value.published();
                 let bytes = bitcode::encode(&value);
-                self.rounds.borrow_mut().post(post.now(), &key, at, bytes);
-                post.page(&key, at, value);
+                self.membership.borrow_mut().publish(node_state.now(), &key, at, bytes);
+                node_state.page(&key, at, value);
             }
         }
     }
--- a/crates/daemon/mesh/src/carriers/frames.rs
+++ b/crates/daemon/mesh/src/peers/frames.rs
@@ -1,6 +1,6 @@
 //! What goes on a link between sidecars: its form, in frames of `bitcode`, and the two lanes in which frames are written.
 use super::Body;
-use crate::leaf::{Leaf, Order};
+use crate::control_value::{ControlValue, Order};
 use bitcode::{Decode, Encode};
 use silvercross_control_store::Message as StoreMessage;
 use silvercross_mesh_membership::Letter;
@@ -34,7 +34,7 @@
     },
     Round(Letter<Body>),
     /// Under which version of the roster, and what.
-    Store(u64, StoreMessage<Leaf, Order>),
+    Store(u64, StoreMessage<ControlValue, Order>),
     /// What time of day is it? Between holders, where there are members.
     Time {
         asked: i64,
--- a/crates/daemon/mesh/src/carriers/alone.rs
+++ b/crates/daemon/mesh/src/peers/isolated_control_tests.rs
@@ -1,11 +1,11 @@
 //! Control machines and sidecars of one process, with links on loopback: what a sidecar makes of a control machine that is
 //! left alone with an old configuration.
 use super::*;
-use crate::leaf::CONFIGURATION;
+use crate::control_value::CONFIGURATION;
 use crate::settings;
-use crate::{disk, gate};
+use crate::{disk, upstream_gate};
 use rand_core::SeedableRng;
-use silvercross_admission::Wicket;
+use silvercross_admission::AdmissionController;
 use silvercross_control_store::{Disk, Epoch, Metadata, ReplicaSet, Start, State, Stored};
 use silvercross_facade::Clock;
 use silvercross_mesh_membership::{Freshness, READY_BOUND};
@@ -22,18 +22,18 @@
 const CONTROL: [u8; 3] = [1, 2, 3];
 
 /// The configuration after so many changes.
-fn configuration(changes: u64) -> Leaf {
-    let mut leaf = Leaf::Blank;
+fn configuration(changes: u64) -> ControlValue {
+    let mut control_value = ControlValue::Blank;
     for edition in 1..=changes {
         let item = format!("{{\"withdraw\":{{\"routes\":[{{\"name\":\"r\",\"edition\":{edition}}}]}}}}");
         let patch = silvercross_mesh_config::read_patch(item.as_bytes()).expect("well-formed");
-        leaf.apply(&Order::Patch(patch)).expect("valid");
+        control_value.apply(&Order::Patch(patch)).expect("valid");
     }
-    leaf
+    control_value
 }
 
 /// A disk with the configuration after so many changes, each taken over anew.
-fn disk_of(last: u8, changes: u64) -> Disk<Leaf> {
+fn disk_of(last: u8, changes: u64) -> Disk<ControlValue> {
     let members =
         CONTROL.iter().map(|c| (silvercross_control_store::Node(address(*c).to_bits()), 1)).collect();
     let replica_set = ReplicaSet { version: 1, members, leaving: None, coming: None };
@@ -63,7 +63,7 @@
 }
 
 /// A process at its address: its listener and datagrams at the port that all share.
-async fn process(last: u8, port: u16, clock: Clock, disk: Option<Disk<Leaf>>) -> Rc<Post> {
+async fn process(last: u8, port: u16, clock: Clock, disk: Option<Disk<ControlValue>>) -> Rc<NodeState> {
     let ip = address(last);
     let data = if disk.is_some() { "dataDir: /nowhere\n" } else { "" };
     let text = format!(
@@ -83,7 +83,7 @@
         life: 1,
         seed: u64::from(last),
     };
-    let rounds = Rounds::new(clock.now(), start, body);
+    let membership = Membership::new(clock.now(), start, body);
     let udp = UdpSocket::bind((ip, port)).await.expect("the port");
     let links = TcpListener::bind((ip, port)).await.expect("the port");
     let (writes, todo) = std::sync::mpsc::channel::<disk::Write>();
@@ -98,15 +98,15 @@
         let start = Start { me, replica_set: vec![], keys, fresh: false, seed: u64::from(last) };
         (ControlStore::new(clock.now(), start, disk), writes)
     });
-    let carriers = Carriers::new(ip, port, rounds, store, udp);
-    let gate = gate::Gate::new(Wicket::new(boot.live.bounds.of_gate()));
+    let peers = Peers::new(ip, port, membership, store, udp);
+    let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(boot.live.bounds.of_gate()));
     let chance = rand_pcg::Pcg64Mcg::seed_from_u64(u64::from(last));
-    let post = Post::new(boot, Logger::root(Discard, o!()), gate, carriers, clock, chance);
-    tokio::task::spawn_local(Carriers::listen(post.clone(), links));
-    tokio::task::spawn_local(Carriers::datagrams(post.clone()));
-    tokio::task::spawn_local(Carriers::tick(post.clone()));
-    tokio::task::spawn_local(Carriers::synced(post.clone(), synced));
-    post
+    let node_state = NodeState::new(boot, Logger::root(Discard, o!()), gate, peers, clock, chance);
+    tokio::task::spawn_local(Peers::listen(node_state.clone(), links));
+    tokio::task::spawn_local(Peers::datagrams(node_state.clone()));
+    tokio::task::spawn_local(Peers::tick(node_state.clone()));
+    tokio::task::spawn_local(Peers::synced(node_state.clone(), synced));
+    node_state
 }
 
 /// A port that is free at all the addresses.
@@ -132,8 +132,8 @@
     }
 }
 
-fn change(post: &Post) -> u64 {
-    post.revisions().get(CONFIGURATION).map_or(0, |revision| revision.0)
+fn change(node_state: &NodeState) -> u64 {
+    node_state.revisions().get(CONFIGURATION).map_or(0, |revision| revision.0)
 }
 
 /// It had the configuration after one change and stood still; the others acknowledged a second one and stopped; it goes on.
@@ -144,13 +144,13 @@
         let alone = process(1, port, Clock::system(), Some(disk_of(1, 1))).await;
         let page = bitcode::encode(&configuration(1));
         let at = (1, u64::from(address(1).to_bits()), 1);
-        alone.carriers.rounds.borrow_mut().post(alone.now(), CONFIGURATION, at, page);
+        alone.peers.membership.borrow_mut().publish(alone.now(), CONFIGURATION, at, page);
         let ((slow, _), (quick, moved)) = (clock(), clock());
         let waits = process(11, port, slow, None).await;
         let serves = process(12, port, quick, None).await;
         // Both have the old configuration, and have been told again and again that no majority is reached.
         until(|| change(&waits) == 1 && change(&serves) == 1).await;
-        let unsettled = || alone.carriers.control_store(|l| l.figures().unsettled).unwrap_or(0);
+        let unsettled = || alone.peers.control_store(|l| l.figures().unsettled).unwrap_or(0);
         until(|| unsettled() >= 2).await;
         for sidecar in [&waits, &serves] {
             assert_eq!((sidecar.ready(), sidecar.unready()), (false, Some("not yet known to be current")));
@@ -166,7 +166,7 @@
         assert!(change(&waits) >= 2, "{:?}", waits.revisions());
         assert!(matches!(waits.freshness(), Freshness::Current { .. }));
         until(|| change(&serves) >= 2).await;
-        assert!(serves.ready() && back.carriers.control_store(|l| l.voter()) == Some(true));
+        assert!(serves.ready() && back.peers.control_store(|l| l.voter()) == Some(true));
         // It stays ready, whatever becomes of the others, until it stops.
         waits.begin_stop();
         assert_eq!((waits.ready(), waits.unready()), (false, Some("stopping")));
--- a/crates/daemon/mesh/src/carriers/link.rs
+++ b/crates/daemon/mesh/src/peers/link.rs
@@ -1,8 +1,8 @@
 //! Links between sidecars: made and taken, greeted, read and written, until they end.
 use super::frames::{framed, parcel, write_lanes, Parcel, HELLO, LARGEST, PART, VERSION};
-use super::{ip, Carriers};
-use crate::hop;
-use crate::post::{Counted, Door, Post};
+use super::{ip, Peers};
+use crate::node_state::{Counted, Door, NodeState};
+use crate::peer_connection;
 use silvercross_mesh_membership::Node;
 use silvercross_throttle::Voice;
 use std::net::SocketAddr;
@@ -30,11 +30,11 @@
     first: mpsc::Sender<Rc<Vec<u8>>>,
 }
 
-impl Carriers {
+impl Peers {
     /// Send this to a node that is linked; to another one it is lost.
-    pub(super) fn send(&self, post: &Rc<Post>, to: u32, parcel: &Parcel) {
+    pub(super) fn send(&self, node_state: &Rc<NodeState>, to: u32, parcel: &Parcel) {
         let bytes = framed(parcel);
-        post.counts.letters.set(post.counts.letters.get() + 1);
+        node_state.counts.letters.set(node_state.counts.letters.get() + 1);
         let full = {
             let links = self.links.borrow();
             let Some(link) = links.get(&to).and_then(|l| l.last()) else { return };
@@ -44,14 +44,14 @@
         if full {
             // It takes nothing: what it lacks it gets by snapshot, on another link.
             self.links.borrow_mut().remove(&to);
-            self.down(post, to);
+            self.down(node_state, to);
         }
     }
 
     /// No link to this node is left.
-    pub(super) fn down(&self, post: &Rc<Post>, node: u32) {
-        let now = post.now();
-        self.rounds.borrow_mut().link_down(now, Node(node));
+    pub(super) fn down(&self, node_state: &Rc<NodeState>, node: u32) {
+        let now = node_state.now();
+        self.membership.borrow_mut().link_down(now, Node(node));
         if let Some(l) = &self.ledger {
             l.borrow_mut().reachable(now, silvercross_control_store::Node(node), false);
         }
@@ -59,20 +59,20 @@
     }
 
     /// Make a link to this node.
-    pub(super) fn link(&self, post: &Rc<Post>, to: u32) {
+    pub(super) fn link(&self, node_state: &Rc<NodeState>, to: u32) {
         if to == self.me {
             return;
         }
-        let post = post.clone();
+        let node_state = node_state.clone();
         tokio::task::spawn_local(async move {
-            let c = &post.carriers;
+            let c = &node_state.peers;
             let at = SocketAddr::new(ip(to), c.port);
-            match hop::connect(Some(ip(c.me)), at, CONNECT).await {
-                Some(stream) => carry(post.clone(), stream, Some(to), None).await,
+            match peer_connection::connect(Some(ip(c.me)), at, CONNECT).await {
+                Some(stream) => carry(node_state.clone(), stream, Some(to), None).await,
                 None => {
                     if !c.links.borrow().contains_key(&to) {
-                        c.down(&post, to);
-                        c.pump(&post);
+                        c.down(&node_state, to);
+                        c.pump(&node_state);
                     }
                 }
             }
@@ -80,68 +80,69 @@
     }
 
     /// Take links, for as long as the process lives.
-    pub async fn listen(post: Rc<Post>, listener: TcpListener) {
+    pub async fn listen(node_state: Rc<NodeState>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            if post.carriers.links.borrow().len() >= LINKS || post.counts.greeting.get() >= GREETING {
-                post.shut_out(Door::Link);
+            if node_state.peers.links.borrow().len() >= LINKS || node_state.counts.greeting.get() >= GREETING
+            {
+                node_state.shut_out(Door::Link);
                 continue;
             }
-            hop::guard(&stream);
-            let greeting = Counted::new(&post, |c| &c.greeting);
-            tokio::task::spawn_local(carry(post.clone(), stream, None, Some(greeting)));
+            peer_connection::guard(&stream);
+            let greeting = Counted::new(&node_state, |c| &c.greeting);
+            tokio::task::spawn_local(carry(node_state.clone(), stream, None, Some(greeting)));
         }
     }
 
     /// A link to this node is up; its number, and what is to be written on it.
-    fn up(&self, post: &Rc<Post>, node: u32) -> (u64, Lane, Lane) {
+    fn up(&self, node_state: &Rc<NodeState>, node: u32) -> (u64, Lane, Lane) {
         let number = self.numbers.get();
         self.numbers.set(number + 1);
         let (out, waiting) = mpsc::channel(WAITING);
         let (first, waiting_first) = mpsc::channel(WAITING);
         self.links.borrow_mut().entry(node).or_default().push(Link { number, out, first });
-        let now = post.now();
-        self.rounds.borrow_mut().link_up(now, Node(node));
+        let now = node_state.now();
+        self.membership.borrow_mut().link_up(now, Node(node));
         if let Some(l) = &self.ledger {
             l.borrow_mut().reachable(now, silvercross_control_store::Node(node), true);
         }
-        self.pump(post);
+        self.pump(node_state);
         (number, waiting, waiting_first)
     }
 
     /// Hand on what came on a link; `false` if it has no place there.
-    fn received(&self, post: &Rc<Post>, node: u32, parcel: Parcel) -> bool {
-        let now = post.now();
+    fn received(&self, node_state: &Rc<NodeState>, node: u32, parcel: Parcel) -> bool {
+        let now = node_state.now();
         match parcel {
             Parcel::Hello { .. } => return false,
-            Parcel::Round(letter) => self.rounds.borrow_mut().letter(now, Node(node), letter),
+            Parcel::Round(letter) => self.membership.borrow_mut().letter(now, Node(node), letter),
             Parcel::Store(version, message) => {
                 if let Some(l) = &self.ledger {
                     l.borrow_mut().receive(now, silvercross_control_store::Node(node), version, message);
                 }
             }
             Parcel::Time { asked } => {
-                if let Some((wall, stepped)) = post.members.time_told(now) {
-                    self.send(post, node, &Parcel::Told { asked, wall, stepped });
+                if let Some((wall, stepped)) = node_state.members.time_told(now) {
+                    self.send(node_state, node, &Parcel::Told { asked, wall, stepped });
                 }
             }
             Parcel::Told { asked, wall, stepped } => {
                 let holder = silvercross_control_store::Node(node);
                 if self.control_store(|l| l.replica_set().contains(&holder)) == Some(true) {
                     let answered = now;
-                    post.members.heard(Voice { node: holder, asked, answered, wall, stepped });
+                    node_state.members.heard(Voice { node: holder, asked, answered, wall, stepped });
                 }
             }
         }
-        self.pump(post);
+        self.pump(node_state);
         true
     }
 
     /// A link has ended.
-    fn ended(&self, post: &Rc<Post>, node: u32, number: u64) {
+    fn ended(&self, node_state: &Rc<NodeState>, node: u32, number: u64) {
         let last = {
             let mut links = self.links.borrow_mut();
             let Some(list) = links.get_mut(&node) else { return };
@@ -153,8 +154,8 @@
             last
         };
         if last {
-            self.down(post, node);
-            self.pump(post);
+            self.down(node_state, node);
+            self.pump(node_state);
         }
     }
 }
@@ -163,8 +164,8 @@
 type Lane = mpsc::Receiver<Rc<Vec<u8>>>;
 
 /// One link, until it ends.
-async fn carry(post: Rc<Post>, stream: TcpStream, to: Option<u32>, greeting: Option<Counted>) {
-    let c = &post.carriers;
+async fn carry(node_state: Rc<NodeState>, stream: TcpStream, to: Option<u32>, greeting: Option<Counted>) {
+    let c = &node_state.peers;
     let peer = stream.peer_addr().ok().map(|a| a.ip());
     // What is handed over and not sent can't be passed any more.
     let _ = socket2::SockRef::from(&stream).set_tcp_notsent_lowat(2 * PART as u32);
@@ -172,17 +173,17 @@
     // Many small parcels come at a time: one read for them.
     let mut read = tokio::io::BufReader::with_capacity(8 * 1024, read);
     let mut parts = Vec::new();
-    let greeted = greet(&post, &mut read, &mut write, &mut parts).await;
-    let Some(node) = greeted else { return gone(&post, to) };
+    let greeted = greet(&node_state, &mut read, &mut write, &mut parts).await;
+    let Some(node) = greeted else { return gone(&node_state, to) };
     if peer != Some(ip(node)) || to.is_some_and(|to| to != node) {
-        post.counts.strangers.set(post.counts.strangers.get() + 1);
-        return gone(&post, to);
+        node_state.counts.strangers.set(node_state.counts.strangers.get() + 1);
+        return gone(&node_state, to);
     }
     drop(greeting);
-    let (number, waiting, waiting_first) = c.up(&post, node);
+    let (number, waiting, waiting_first) = c.up(&node_state, node);
     let reading = async {
         while let Some(parcel) = parcel(&mut read, &mut parts, LARGEST).await {
-            if !c.received(&post, node, parcel) {
+            if !c.received(&node_state, node, parcel) {
                 break;
             }
         }
@@ -192,31 +193,31 @@
         _ = reading => {}
         _ = writing => {}
     }
-    c.ended(&post, node, number);
+    c.ended(&node_state, node, number);
 }
 
 /// Say who this is, and hear who is at the other end.
 async fn greet(
-    post: &Post,
+    node_state: &NodeState,
     read: &mut (impl AsyncReadExt + Unpin),
     write: &mut (impl AsyncWriteExt + Unpin),
     parts: &mut Vec<u8>,
 ) -> Option<u32> {
-    let hello = framed(&Parcel::Hello { version: VERSION, node: post.carriers.me });
+    let hello = framed(&Parcel::Hello { version: VERSION, node: node_state.peers.me });
     write.write_all(&hello).await.ok()?;
     match timeout(CONNECT * 2, parcel(read, parts, HELLO)).await.ok().flatten() {
         Some(Parcel::Hello { version: VERSION, node }) => Some(node),
         _ => {
-            post.counts.strangers.set(post.counts.strangers.get() + 1);
+            node_state.counts.strangers.set(node_state.counts.strangers.get() + 1);
             None
         }
     }
 }
 
 /// A link ended before it was up.
-fn gone(post: &Rc<Post>, to: Option<u32>) {
-    if let Some(to) = to.filter(|to| !post.carriers.links.borrow().contains_key(to)) {
-        post.carriers.down(post, to);
-        post.carriers.pump(post);
+fn gone(node_state: &Rc<NodeState>, to: Option<u32>) {
+    if let Some(to) = to.filter(|to| !node_state.peers.links.borrow().contains_key(to)) {
+        node_state.peers.down(node_state, to);
+        node_state.peers.pump(node_state);
     }
 }
--- a/crates/daemon/mesh/src/carriers/tests.rs
+++ b/crates/daemon/mesh/src/peers/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the links: large parcels and small ones, ends that take nothing, links that nobody greets on.
 use super::frames::{framed, parcel, taken, write_lanes, Parcel, HELLO, LARGEST, PART, UNTAKEN};
 use super::link::GREETING;
-use super::Carriers;
+use super::Peers;
 use crate::trial::{self, Talk, Terms};
 use silvercross_mesh_membership::Letter;
 use std::rc::Rc;
@@ -78,8 +78,8 @@
         let (_, nobody) = trial::station().await;
         let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
         let (listener, at) = trial::station().await;
-        tokio::task::spawn_local(Carriers::listen(sidecar.post.clone(), listener));
-        let counts = &sidecar.post.counts;
+        tokio::task::spawn_local(Peers::listen(sidecar.node_state.clone(), listener));
+        let counts = &sidecar.node_state.counts;
         let mut open = Vec::new();
         for _ in 0..GREETING {
             open.push(Talk::to(at).await);
--- a/crates/daemon/mesh/src/paced.rs
+++ b/crates/daemon/mesh/src/rate_limited_log.rs
@@ -6,12 +6,12 @@
 
 /// One kind of line.
 #[derive(Default)]
-pub struct Paced {
+pub struct RateLimitedLog {
     last: Cell<Option<i64>>,
     since: Cell<u64>,
 }
 
-impl Paced {
+impl RateLimitedLog {
     /// It happened once more: for how many a line is due now, if one is.
     pub fn due(&self, now: i64) -> Option<u64> {
         let count = self.since.get() + 1;
@@ -31,7 +31,7 @@
 
     #[test]
     fn a_flood_is_a_line_now_and_then_that_counts_it() {
-        let paced = Paced::default();
+        let paced = RateLimitedLog::default();
         let lines: Vec<u64> = (0..=2 * APART).step_by(1_000_000).filter_map(|t| paced.due(t)).collect();
         assert_eq!(lines, [1, 10, 10]);
     }
--- a/crates/daemon/mesh/src/reload.rs
+++ b/crates/daemon/mesh/src/reload.rs
@@ -1,6 +1,6 @@
 //! Other settings in a running process: at SIGHUP, and when the file has changed. What can change takes hold; the rest is named; a
 //! file that can't be used changes nothing.
-use crate::post::Post;
+use crate::node_state::NodeState;
 use crate::settings::{self, Boot};
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -40,27 +40,27 @@
 }
 
 /// Look at the file; `asked`: read it even if it looks the same.
-pub fn look(post: &Rc<Post>, asked: bool) -> Looked {
-    let Some(path) = post.reload.path.borrow().clone() else { return Looked::Same };
+pub fn look(node_state: &Rc<NodeState>, asked: bool) -> Looked {
+    let Some(path) = node_state.reload.path.borrow().clone() else { return Looked::Same };
     let stamp = stamp(&path);
-    if !asked && stamp == post.reload.seen.get() {
+    if !asked && stamp == node_state.reload.seen.get() {
         return Looked::Same;
     }
-    post.reload.seen.set(stamp);
+    node_state.reload.seen.set(stamp);
     let boot = match settings::read(&path) {
         Ok(boot) => boot,
         Err(why) => {
-            warn!(post.log, "the settings file can't be used, nothing is changed"; "why" => &why);
+            warn!(node_state.log, "the settings file can't be used, nothing is changed"; "why" => &why);
             return Looked::Unusable(why);
         }
     };
-    let took = post.take(&boot);
-    let later = fixed(&post.boot, &boot);
+    let took = node_state.take(&boot);
+    let later = fixed(&node_state.boot, &boot);
     if !took.is_empty() {
-        info!(post.log, "settings in force"; "keys" => took.join(" "));
+        info!(node_state.log, "settings in force"; "keys" => took.join(" "));
     }
     if !later.is_empty() {
-        info!(post.log, "settings that need a restart"; "keys" => later.join(" "));
+        info!(node_state.log, "settings that need a restart"; "keys" => later.join(" "));
     }
     Looked::Taken(took, later)
 }
@@ -97,33 +97,33 @@
         trial::run(async {
             let (_, at) = trial::station().await;
             let (sidecar, text) = trial::sidecar_of(1, at, Terms::default()).await;
-            let post = &sidecar.post;
+            let node_state = &sidecar.node_state;
             let path =
                 std::env::temp_dir().join(format!("silvercross-mesh-reload-{}.yaml", std::process::id()));
             let write = |text: &str| std::fs::write(&path, text).expect("written");
             write(&text);
-            post.reload.begin(&path);
-            assert_eq!(look(post, false), Looked::Same);
-            assert_eq!(look(post, true), Looked::Taken(vec![], vec![]));
+            node_state.reload.begin(&path);
+            assert_eq!(look(node_state, false), Looked::Same);
+            assert_eq!(look(node_state, true), Looked::Taken(vec![], vec![]));
             let more = "heartbeatS: 0.7\nseeds: ['127.0.0.9:1']\nbounds: ['drainS=0', 'retrySlack=6']\n";
             write(&format!("{text}{more}"));
-            assert_eq!(look(post, false), Looked::Taken(vec!["seeds", "heartbeatS", "bounds"], vec![]));
-            let live = post.live.get();
+            assert_eq!(look(node_state, false), Looked::Taken(vec!["seeds", "heartbeatS", "bounds"], vec![]));
+            let live = node_state.live.get();
             assert_eq!((live.beat, live.bounds.drain, live.bounds.retry_slack), (700_000, 0, 6.0));
             // The gate goes by it: a leaving upstream gets nothing from here on.
             sidecar.beat();
             let draining = "{\"destination\":\"quotes\",\"state\":\"draining\",\"slots\":8,\"sequence\":2}";
-            post.beat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
-            let state = post.gate.with(|w| w.station().map(|s| s.state));
-            assert!(matches!(state, Some(State::Draining(until)) if until <= post.now()), "{state:?}");
+            node_state.beat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
+            let state = node_state.gate.with(|w| w.station().map(|s| s.state));
+            assert!(matches!(state, Some(State::Draining(until)) if until <= node_state.now()), "{state:?}");
             write("zone: ''\n");
-            assert!(matches!(look(post, false), Looked::Unusable(_)));
-            assert_eq!(look(post, false), Looked::Same);
-            assert_eq!(post.live.get(), live);
+            assert!(matches!(look(node_state, false), Looked::Unusable(_)));
+            assert_eq!(look(node_state, false), Looked::Same);
+            assert_eq!(node_state.live.get(), live);
             write(&format!("{text}{more}").replace("destination: quotes", "destination: other"));
-            assert_eq!(look(post, false), Looked::Taken(vec![], vec!["destination"]));
+            assert_eq!(look(node_state, false), Looked::Taken(vec![], vec!["destination"]));
             std::fs::remove_file(&path).expect("removed");
-            assert!(matches!(look(post, false), Looked::Unusable(_)));
+            assert!(matches!(look(node_state, false), Looked::Unusable(_)));
         });
     }
 }
--- a/crates/daemon/mesh/src/receipts.rs
+++ b/crates/daemon/mesh/src/response_replay_cache.rs
@@ -1,6 +1,6 @@
 //! What a gate remembers of requests that may run once, so that an origin whose hop broke can ask what became of one: at work, its
 //! answer, or that it was never begun here. A request that was asked for before it came is barred.
-use crate::broken::{self, Broken};
+use crate::mutation::{self, Mutation};
 use rand_core::RngCore;
 use silvercross_facade::Clock;
 use std::cell::{Cell, RefCell};
@@ -64,7 +64,7 @@
 }
 
 /// The receipts of one gate.
-pub struct Receipts {
+pub struct ResponseReplayCache {
     /// Tells this process from those before it.
     pub life: u64,
     clock: Clock,
@@ -73,7 +73,7 @@
     ends: Notify,
 }
 
-impl Receipts {
+impl ResponseReplayCache {
     /// With nothing remembered, for a process of so many bytes of memory.
     pub fn new(clock: Clock, chance: &mut impl RngCore, memory: u64) -> Rc<Self> {
         let inner = Inner {
@@ -85,11 +85,11 @@
         };
         let ends = Notify::new();
         let (life, most, inner) = (chance.next_u64(), memory / PART, RefCell::new(inner));
-        Rc::new(Receipts { life, clock, most, inner, ends })
+        Rc::new(ResponseReplayCache { life, clock, most, inner, ends })
     }
 
     /// A request has come; `Err` if it was asked for before, or is known already: it must not begin.
-    pub fn enter(self: &Rc<Self>, ticket: u64) -> Result<Receipt, ()> {
+    pub fn enter(self: &Rc<Self>, ticket: u64) -> Result<ReplayEntry, ()> {
         let now = self.forget();
         let mut inner = self.inner.borrow_mut();
         if inner.states.contains_key(&ticket) {
@@ -101,7 +101,7 @@
         } else {
             inner.blind_until = now + SPAN;
         }
-        Ok(Receipt { all: self.clone(), ticket, written, begun: Cell::new(false) })
+        Ok(ReplayEntry { all: self.clone(), ticket, written, begun: Cell::new(false) })
     }
 
     /// What became of a request; waits for its end while it is at work.
@@ -121,7 +121,7 @@
                     Some(State::Off) => return Known::Off,
                     None if now < inner.blind_until || inner.states.len() >= MOST => return Known::Begun,
                     None => {
-                        if broken::is(Broken::NotBarred) {
+                        if mutation::is(Mutation::NotBarred) {
                             return Known::Unseen;
                         }
                         // It may still be on its way.
@@ -171,7 +171,7 @@
         while let Some((_, ticket)) = inner.kept.pop_front_if(|k| k.0 + KEPT <= now) {
             inner.let_go(ticket);
         }
-        let span = if broken::is(Broken::TicketForgotten) { 0 } else { SPAN };
+        let span = if mutation::is(Mutation::TicketForgotten) { 0 } else { SPAN };
         while let Some((_, ticket)) = inner.ended.pop_front_if(|e| e.0 + span <= now) {
             inner.let_go(ticket);
             inner.states.remove(&ticket);
@@ -191,15 +191,15 @@
 }
 
 /// One request's entry. Dropped without an answer it says whether it may have run.
-pub struct Receipt {
-    all: Rc<Receipts>,
+pub struct ReplayEntry {
+    all: Rc<ResponseReplayCache>,
     /// The request's ticket.
     pub ticket: u64,
     written: bool,
     begun: Cell<bool>,
 }
 
-impl Receipt {
+impl ReplayEntry {
     /// From now on it may have run.
     pub fn begun(&self) {
         self.begun.set(true);
@@ -213,7 +213,7 @@
     }
 }
 
-impl Drop for Receipt {
+impl Drop for ReplayEntry {
     fn drop(&mut self) {
         if self.written {
             let state = if self.begun.get() { State::Begun } else { State::Off };
@@ -302,7 +302,7 @@
             self.up.go.add_permits(1);
             assert_eq!(status(&self.ask("first").await.head().await), "200");
             self.up.came.acquire().await.expect("open").forget();
-            self.origin.post.pool.close(self.relay.at);
+            self.origin.node_state.pool.close(self.relay.at);
         }
 
         fn ran(&self, id: &str) -> usize {
@@ -321,7 +321,9 @@
                 if way == Way::CutWhenTold {
                     m.relay.cut.notify_one();
                     // It goes on, and the origin's question waits for it.
-                    while m.gate.post.counts.orphans.get() == 0 || m.origin.post.counts.asked.get() == 0 {
+                    while m.gate.node_state.counts.orphans.get() == 0
+                        || m.origin.node_state.counts.asked.get() == 0
+                    {
                         tokio::task::yield_now().await;
                     }
                 }
@@ -330,7 +332,7 @@
                 assert_eq!(status(&head), "200", "{head}");
                 assert!(trial::value(&head, "waybill-life").is_none());
                 assert_eq!((client.bytes(2).await, m.ran("a")), (b"ok".to_vec(), 1));
-                assert_eq!(m.origin.post.counts.recovered.get(), 1);
+                assert_eq!(m.origin.node_state.counts.recovered.get(), 1);
             }
         });
     }
@@ -355,7 +357,7 @@
             late.say(&kept).await;
             assert_eq!(late.head().await, "");
             assert_eq!(m.ran("b"), ran);
-            assert_eq!(m.origin.post.counts.recovered.get(), 1);
+            assert_eq!(m.origin.node_state.counts.recovered.get(), 1);
         });
     }
 
@@ -386,8 +388,8 @@
     fn what_the_origin_calls_off_is_not_run_on() {
         trial::run(async {
             let m = mesh().await;
-            let bill = crate::waybill::Waybill {
-                version: crate::waybill::VERSION,
+            let bill = crate::forwarding_headers::ForwardingHeaders {
+                version: crate::forwarding_headers::VERSION,
                 service: "quotes".into(),
                 further: false,
                 priority: 1,
@@ -397,21 +399,28 @@
                 asks: false,
             };
             let ask = |asks: bool| {
-                let bill = crate::waybill::write(&crate::waybill::Waybill { asks, ..bill.clone() });
+                let bill = crate::forwarding_headers::write(&crate::forwarding_headers::ForwardingHeaders {
+                    asks,
+                    ..bill.clone()
+                });
                 format!("GET /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: d\r\nWaybill: {bill}\r\n\r\n")
             };
             let mut hop = Talk::to(m.gate.inbound).await;
             hop.say(ask(false).as_bytes()).await;
             m.up.came.acquire().await.expect("open").forget();
             drop(hop);
-            while m.gate.post.gate.with(|w| w.load()).0 > 0 {
+            while m.gate.node_state.gate.with(|w| w.load()).0 > 0 {
                 tokio::task::yield_now().await;
             }
             let mut asking = Talk::to(m.gate.inbound).await;
             asking.say(ask(true).as_bytes()).await;
             let head = asking.head().await;
-            let word = trial::value(&head, "waybill-return").and_then(|t| crate::waybill::read(&t));
-            assert_eq!((word, m.gate.post.counts.orphans.get()), (Some(crate::waybill::Word::Begun), 0));
+            let word =
+                trial::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
+            assert_eq!(
+                (word, m.gate.node_state.counts.orphans.get()),
+                (Some(crate::forwarding_headers::Word::Begun), 0)
+            );
         });
     }
 
@@ -419,11 +428,11 @@
     fn answers_are_kept_within_their_bound_and_the_rest_may_have_run() {
         trial::run(async {
             let clock = silvercross_facade::Clock::system();
-            let all = Receipts::new(clock, &mut rand_pcg::Pcg64Mcg::seed_from_u64(1), 100 * PART);
+            let all = ResponseReplayCache::new(clock, &mut rand_pcg::Pcg64Mcg::seed_from_u64(1), 100 * PART);
             for ticket in 1..=3 {
-                let receipt = all.enter(ticket).unwrap_or_else(|()| panic!("known"));
-                receipt.begun();
-                receipt.answered(Kept { bytes: Rc::new(vec![0; 40]), lived: false });
+                let replay_entry = all.enter(ticket).unwrap_or_else(|()| panic!("known"));
+                replay_entry.begun();
+                replay_entry.answered(Kept { bytes: Rc::new(vec![0; 40]), lived: false });
             }
             assert_eq!(all.load(), (3, 80));
             assert!(matches!(all.ask(1).await, Known::Begun));
--- a/crates/daemon/mesh/src/desk.rs
+++ b/crates/daemon/mesh/src/service_balancer.rs
@@ -1,6 +1,6 @@
 //! The origin's side of one service: the decision module behind its facade, and the requests that wait for what it says.
 //! Translates between the module's steps and tasks; decides nothing.
-use crate::hop::Came;
+use crate::peer_connection::Came;
 use silvercross_core::interface::{Class, Effect, Prices, Settings};
 use silvercross_facade::{Attempt, Balancer, Clock, Host, News, Report, Request, Step, Turn};
 use silvercross_mesh_config::{Kind, Table};
@@ -26,7 +26,7 @@
 const OPEN: usize = 4096;
 
 /// What comes to a request that waits.
-pub enum Mail {
+pub enum RequestEvent {
     /// To be done.
     Step(Step<()>),
     /// An exchange has ended.
@@ -34,21 +34,21 @@
 }
 
 /// One service, as this sidecar sends to it.
-pub struct Desk {
+pub struct ServiceBalancer {
     inner: RefCell<Inner>,
     changed: Notify,
 }
 
 struct Inner {
     balancer: Balancer<()>,
-    open: Slots<UnboundedSender<Mail>>,
+    open: Slots<UnboundedSender<RequestEvent>>,
     wake: Option<i64>,
 }
 
 /// A request that the module was told of; ends with it.
 pub struct Ticket {
     /// Where it is.
-    pub desk: Rc<Desk>,
+    pub service_balancer: Rc<ServiceBalancer>,
     /// Its handle.
     pub handle: Handle,
 }
@@ -139,34 +139,35 @@
     }
 }
 
-impl Desk {
+impl ServiceBalancer {
     /// A desk for a service that was not sent to before.
     pub fn new(terms: &Terms, hosts: &[Host], seed: u64, clock: Clock) -> Rc<Self> {
         let (settings, front) = terms.settings();
         let balancer = Balancer::new(settings, front, seed, hosts, clock);
         let inner = Inner { balancer, open: Slots::default(), wake: None };
-        let desk = Rc::new(Desk { inner: RefCell::new(inner), changed: Notify::new() });
-        let ticking = Rc::downgrade(&desk);
+        let service_balancer =
+            Rc::new(ServiceBalancer { inner: RefCell::new(inner), changed: Notify::new() });
+        let ticking = Rc::downgrade(&service_balancer);
         tokio::task::spawn_local(async move {
             loop {
-                let Some(desk) = ticking.upgrade() else { return };
+                let Some(service_balancer) = ticking.upgrade() else { return };
                 let (now, wake) = {
-                    let inner = desk.inner.borrow();
+                    let inner = service_balancer.inner.borrow();
                     (inner.balancer.now(), inner.wake)
                 };
                 let span =
                     wake.map_or(Duration::from_secs(5), |w| Duration::from_micros((w - now).max(0) as u64));
                 tokio::select! {
                     _ = tokio::time::sleep(span) => {}
-                    _ = desk.changed.notified() => {}
+                    _ = service_balancer.changed.notified() => {}
                 }
-                let now = desk.now();
+                let now = service_balancer.now();
                 if wake.is_some_and(|w| w <= now) {
-                    desk.with(|b| b.tick(now));
+                    service_balancer.with(|b| b.tick(now));
                 }
             }
         });
-        desk
+        service_balancer
     }
 
     /// The module's time, in microseconds.
@@ -187,8 +188,8 @@
                 // The mesh's news comes unasked; what is idle is looked at before it is used again.
                 _ => continue,
             };
-            if let Some(mail) = inner.open.get(to) {
-                let _ = mail.send(Mail::Step(step));
+            if let Some(request_event) = inner.open.get(to) {
+                let _ = request_event.send(RequestEvent::Step(step));
             }
         }
         let sooner = match (turn.wake, inner.wake) {
@@ -244,7 +245,7 @@
         self: &Rc<Self>,
         class: &str,
         budget: i64,
-        mail: (UnboundedSender<Mail>, &mut UnboundedReceiver<Mail>),
+        request_event: (UnboundedSender<RequestEvent>, &mut UnboundedReceiver<RequestEvent>),
     ) -> Option<Ticket> {
         let handle = {
             let mut inner = self.inner.borrow_mut();
@@ -252,9 +253,9 @@
             if inner.open.len() >= OPEN {
                 return None;
             }
-            inner.open.insert_with(|_| Ok::<_, ()>(mail.0)).ok().flatten()?
+            inner.open.insert_with(|_| Ok::<_, ()>(request_event.0)).ok().flatten()?
         };
-        let ticket = Ticket { desk: self.clone(), handle };
+        let ticket = Ticket { service_balancer: self.clone(), handle };
         self.with(|b| {
             let class = b.class_named(class).unwrap_or(0);
             b.pick(Request {
@@ -294,8 +295,8 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         let handle = self.handle;
-        self.desk.with(|b| b.hung_up(handle));
-        self.desk.inner.borrow_mut().open.remove(handle);
+        self.service_balancer.with(|b| b.hung_up(handle));
+        self.service_balancer.inner.borrow_mut().open.remove(handle);
     }
 }
 
--- a/crates/daemon/mesh/src/trial.rs
+++ b/crates/daemon/mesh/src/trial.rs
@@ -1,13 +1,13 @@
 //! Sidecars of one process on real sockets of loopback, with clients and upstreams of the test's own. What the tree would bring,
 //! records and the configuration, is handed to them.
-use crate::carriers::{Body, Carriers, Station};
-use crate::leaf::{Leaf, Order, CONFIGURATION};
-use crate::post::{Beat, Post};
-use crate::{front, gate, settings};
+use crate::control_value::{ControlValue, Order, CONFIGURATION};
+use crate::node_state::{Beat, NodeState};
+use crate::peers::{Body, Peers, Station};
+use crate::{client_listener, settings, upstream_gate};
 use rand_core::SeedableRng;
-use silvercross_admission::Wicket;
+use silvercross_admission::AdmissionController;
 use silvercross_control_store::State;
-use silvercross_mesh_membership::{Effect, Letter, Node, Record, Rounds, Standing, Start};
+use silvercross_mesh_membership::{Effect, Letter, Membership, Node, Record, Standing, Start};
 use slog::{o, Discard, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -44,11 +44,11 @@
 /// A sidecar, where its clients connect, and where others bring requests.
 #[derive(Clone)]
 pub struct Sidecar {
-    pub post: Rc<Post>,
+    pub node_state: Rc<NodeState>,
     pub at: SocketAddr,
     pub inbound: SocketAddr,
     pub ip: Ipv4Addr,
-    pub leaf: Rc<RefCell<Leaf>>,
+    pub control_value: Rc<RefCell<ControlValue>>,
 }
 
 /// Settings that a test changes.
@@ -100,16 +100,16 @@
         Body { inbound: inbound.port(), control: 0, leaving: false, roster: Vec::new(), station: None };
     let me = Node(ip.to_bits());
     let start = Start { me, zone: "a".into(), core: false, seeds: vec![], life: 1, seed: u64::from(last) };
-    let mut rounds = Rounds::new(clock.now(), start, body);
-    become_current(&mut rounds, clock.now());
+    let mut membership = Membership::new(clock.now(), start, body);
+    become_current(&mut membership, clock.now());
     let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
-    let gate = gate::Gate::new(Wicket::new(boot.live.bounds.of_gate()));
-    let carriers = Carriers::new(ip, 1, rounds, None, udp);
+    let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(boot.live.bounds.of_gate()));
+    let peers = Peers::new(ip, 1, membership, None, udp);
     let chance = rand_pcg::Pcg64Mcg::seed_from_u64(u64::from(inbound.port()));
-    let post = Post::new(boot, Logger::root(Discard, o!()), gate, carriers, clock, chance);
-    tokio::task::spawn_local(front::listen(post.clone(), outer));
-    tokio::task::spawn_local(gate::listen(post.clone(), inner));
-    tokio::task::spawn_local(gate::Gate::tick(post.clone()));
+    let node_state = NodeState::new(boot, Logger::root(Discard, o!()), gate, peers, clock, chance);
+    tokio::task::spawn_local(client_listener::listen(node_state.clone(), outer));
+    tokio::task::spawn_local(upstream_gate::listen(node_state.clone(), inner));
+    tokio::task::spawn_local(upstream_gate::UpstreamGate::tick(node_state.clone()));
     let items = format!(
         "{{\"deliver\":{{\"destinations\":[{{\"name\":\"{SERVICE}\",\"healthPath\":\"/health\",\"lineCap\":50,\"coldS\":0,\
          \"coldRateS\":0,\"edition\":1}}],\"sizeLimits\":{{\"envelopeBytes\":16384,\"contentBytes\":268435456,\"envelopeS\":3,\
@@ -121,33 +121,33 @@
          \"edition\":1}}]}}]}}}}"
     );
     let patch = silvercross_mesh_config::read_patch(items.as_bytes()).expect("a configuration");
-    let mut leaf = Leaf::Blank;
-    leaf.apply(&Order::Patch(patch)).expect("applies");
-    post.page(CONFIGURATION, (1, 1, 1), leaf.clone());
-    (Sidecar { post, at, inbound, ip, leaf: Rc::new(RefCell::new(leaf)) }, text)
+    let mut control_value = ControlValue::Blank;
+    control_value.apply(&Order::Patch(patch)).expect("applies");
+    node_state.page(CONFIGURATION, (1, 1, 1), control_value.clone());
+    (Sidecar { node_state, at, inbound, ip, control_value: Rc::new(RefCell::new(control_value)) }, text)
 }
 
 /// A core machine links with the sidecar, says that a majority has acknowledged nothing so far, and goes.
-fn become_current(rounds: &mut Rounds<Body>, now: i64) {
+fn become_current(membership: &mut Membership<Body>, now: i64) {
     let node = Node(Ipv4Addr::new(127, 0, 0, 250).to_bits());
     let body = Body { inbound: 0, control: 0, leaving: false, roster: Vec::new(), station: None };
     let record = Record { node, life: 1, seq: 1, zone: "a".into(), core: true, gone: false, body };
     let standing = Standing { path: vec![node], ..Standing::default() };
-    rounds.link_up(now, node);
-    rounds.letter(now, node, Letter::Hello { record: record.clone(), digest: 0, known: 2, standing });
-    let asked = rounds.effects().into_iter().find_map(|effect| match effect {
+    membership.link_up(now, node);
+    membership.letter(now, node, Letter::Hello { record: record.clone(), digest: 0, known: 2, standing });
+    let asked = membership.effects().into_iter().find_map(|effect| match effect {
         Effect::Send { letter: Letter::FreshnessRequest { number }, .. } => Some(number),
         _ => None,
     });
     let number = asked.expect("a sidecar that starts asks");
-    rounds.letter(now, node, Letter::FreshnessReply { number, revisions: Some(Vec::new()) });
-    rounds.letter(
+    membership.letter(now, node, Letter::FreshnessReply { number, revisions: Some(Vec::new()) });
+    membership.letter(
         now,
         node,
         Letter::News { records: vec![Record { gone: true, ..record }], pages: Vec::new() },
     );
-    rounds.link_down(now, node);
-    rounds.effects();
+    membership.link_down(now, node);
+    membership.effects();
 }
 
 impl Sidecar {
@@ -157,16 +157,16 @@
             "{{\"destination\":\"{SERVICE}\",\"zone\":\"a\",\"slots\":8,\"state\":\"ready\",\"coldLeftS\":0,\"sequence\":1}}"
         );
         let beat: Beat = serde_json::from_str(&text).expect("a beat");
-        assert!(self.post.beat(&format!("i-{}", self.ip), beat));
+        assert!(self.node_state.beat(&format!("i-{}", self.ip), beat));
     }
 
     /// Another page of the configuration: this change, on top of what stands.
     pub fn patch(&self, change: &str) {
         let patch = silvercross_mesh_config::read_patch(change.as_bytes()).expect("a change");
-        let mut leaf = self.leaf.borrow_mut();
-        leaf.apply(&Order::Patch(patch)).expect("applies");
-        let change = self.post.revisions().get(CONFIGURATION).map_or(0, |r| r.2) + 1;
-        self.post.page(CONFIGURATION, (1, 1, change), leaf.clone().published());
+        let mut control_value = self.control_value.borrow_mut();
+        control_value.apply(&Order::Patch(patch)).expect("applies");
+        let change = self.node_state.revisions().get(CONFIGURATION).map_or(0, |r| r.2) + 1;
+        self.node_state.page(CONFIGURATION, (1, 1, change), control_value.clone().published());
     }
 
     /// Other limits for clients: seconds idle, and bytes of a head.
@@ -183,7 +183,15 @@
         let roster = roster.iter().map(|r| r.to_bits()).collect();
         let body = Body { inbound: 0, control: at.port(), leaving, roster, station: None };
         let node = Node(ip.to_bits());
-        self.post.record(Record { node, life: 1, seq: 1, zone: zone.into(), core: true, gone: false, body });
+        self.node_state.record(Record {
+            node,
+            life: 1,
+            seq: 1,
+            zone: zone.into(),
+            core: true,
+            gone: false,
+            body,
+        });
     }
 
     /// Tell this one of another and its upstream.
@@ -206,7 +214,7 @@
         };
         let node = Node(other.ip.to_bits());
         let record = Record { node, life: 1, seq: 1, zone: "a".into(), core: false, gone: false, body };
-        self.post.record(record);
+        self.node_state.record(record);
     }
 }
 
--- a/crates/daemon/mesh/src/gate.rs
+++ b/crates/daemon/mesh/src/upstream_gate.rs
@@ -10,9 +10,9 @@
 pub use delivery::{request, serve};
 pub use hops::listen;
 
-use crate::post::Post;
-use crate::waybill::Word;
-use silvercross_admission::{Effect, Turned, Wicket};
+use crate::forwarding_headers::Word;
+use crate::node_state::NodeState;
+use silvercross_admission::{AdmissionController, Effect, Turned};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -27,8 +27,8 @@
 const PATIENCE: i64 = 4;
 
 /// The gate's state.
-pub struct Gate {
-    wicket: RefCell<Wicket>,
+pub struct UpstreamGate {
+    admission: RefCell<AdmissionController>,
     waiting: RefCell<BTreeMap<u64, oneshot::Sender<Result<(), Word>>>>,
     next: Cell<u64>,
     changed: Notify,
@@ -49,11 +49,11 @@
     }
 }
 
-impl Gate {
+impl UpstreamGate {
     /// With nothing behind it yet.
-    pub fn new(wicket: Wicket) -> Self {
-        Gate {
-            wicket: RefCell::new(wicket),
+    pub fn new(admission: AdmissionController) -> Self {
+        UpstreamGate {
+            admission: RefCell::new(admission),
             waiting: RefCell::default(),
             next: Cell::new(0),
             changed: Notify::new(),
@@ -64,10 +64,10 @@
     }
 
     /// Tell the decider something, and those that waited what came of it.
-    pub fn with<R>(&self, act: impl FnOnce(&mut Wicket) -> R) -> R {
+    pub fn with<R>(&self, act: impl FnOnce(&mut AdmissionController) -> R) -> R {
         let (out, effects) = {
-            let mut wicket = self.wicket.borrow_mut();
-            (act(&mut wicket), wicket.effects())
+            let mut admission = self.admission.borrow_mut();
+            (act(&mut admission), admission.effects())
         };
         for effect in effects {
             let (number, said) = match effect {
@@ -83,17 +83,17 @@
     }
 
     /// Let its time pass, for as long as the process lives.
-    pub async fn tick(post: Rc<Post>) {
+    pub async fn tick(node_state: Rc<NodeState>) {
         loop {
-            let wake = post.gate.wicket.borrow().wake();
-            let now = post.now();
+            let wake = node_state.gate.admission.borrow().wake();
+            let now = node_state.now();
             let span = wake.map_or(5_000_000, |w| (w - now).clamp(0, 5_000_000));
             tokio::select! {
                 _ = tokio::time::sleep(Duration::from_micros(span as u64)) => {
-                    let now = post.now();
-                    post.gate.with(|w| w.tick(now));
+                    let now = node_state.now();
+                    node_state.gate.with(|w| w.tick(now));
                 }
-                _ = post.gate.changed.notified() => {}
+                _ = node_state.gate.changed.notified() => {}
             }
         }
     }
--- a/crates/daemon/mesh/src/gate/delivery.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery.rs
@@ -1,11 +1,11 @@
 //! A request's way through the gate to the upstream on this machine: its place, the exchange, and what its answer is worth.
 use super::replies::says;
 use super::{word, PATIENCE};
-use crate::freight::Freight;
-use crate::hop::{self, Came, Order};
-use crate::post::Post;
-use crate::receipts::Receipt;
-use crate::waybill::{Waybill, Word};
+use crate::body_buffer::BodyBuffer;
+use crate::forwarding_headers::{ForwardingHeaders, Word};
+use crate::node_state::NodeState;
+use crate::peer_connection::{self, Came, Order};
+use crate::response_replay_cache::ReplayEntry;
 use crate::wire::{self, Answer, Asked, End, Size};
 use silvercross_admission::{Arrival, Verdict};
 use std::rc::Rc;
@@ -20,20 +20,20 @@
 
 /// A place that is given back, however its request ends.
 struct Place {
-    post: Rc<Post>,
+    node_state: Rc<NodeState>,
     number: u64,
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let (now, number) = (self.post.now(), self.number);
-        self.post.gate.with(|w| w.done(now, number));
+        let (now, number) = (self.node_state.now(), self.number);
+        self.node_state.gate.with(|w| w.done(now, number));
     }
 }
 
 /// One that waits; gone unless it got its place.
 struct Waits<'p> {
-    post: &'p Post,
+    node_state: &'p NodeState,
     number: u64,
     waits: bool,
 }
@@ -41,36 +41,36 @@
 impl Drop for Waits<'_> {
     fn drop(&mut self) {
         if self.waits {
-            let (now, number) = (self.post.now(), self.number);
-            self.post.gate.waiting.borrow_mut().remove(&number);
-            self.post.gate.with(|w| w.gone(now, number));
+            let (now, number) = (self.node_state.now(), self.number);
+            self.node_state.gate.waiting.borrow_mut().remove(&number);
+            self.node_state.gate.with(|w| w.gone(now, number));
         }
     }
 }
 
 /// Take a request to the upstream on this machine, if it may pass.
 pub async fn serve(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     asked: &Asked,
-    bill: &Waybill,
-    freight: &Rc<Freight>,
-    receipt: Option<&Receipt>,
+    bill: &ForwardingHeaders,
+    body_buffer: &Rc<BodyBuffer>,
+    replay_entry: Option<&ReplayEntry>,
 ) -> Answer {
-    let (Some(station), Some(id)) = (post.boot.station, asked.id.clone()) else {
+    let (Some(station), Some(id)) = (node_state.boot.station, asked.id.clone()) else {
         return says(Word::Absent);
     };
     let started = Instant::now();
     let deadline = asked.deadline.unwrap_or(60_000_000);
-    let place = match admit(post, asked, &id, bill, deadline).await {
+    let place = match admit(node_state, asked, &id, bill, deadline).await {
         Ok(place) => place,
         Err(word) => return says(word),
     };
     let number = place.number;
-    let Some(line) = post.pool.line(None, station, CONNECT, End::Outer(wire::HEAD)).await else {
+    let Some(line) = node_state.pool.line(None, station, CONNECT, End::Outer(wire::HEAD)).await else {
         // A refused connection is a sign that it is gone; its next beat says otherwise.
-        let now = post.now();
-        post.gate.with(|w| w.silent(now));
-        post.station_silent();
+        let now = node_state.now();
+        node_state.gate.with(|w| w.silent(now));
+        node_state.station_silent();
         return says(Word::Absent);
     };
     let left = deadline - started.elapsed().as_micros() as i64;
@@ -78,23 +78,23 @@
         return says(Word::Full(0));
     }
     // While it connected the station may have been shut, or another life begun.
-    let now = post.now();
-    if !post.gate.with(|w| w.may_begin(now, number)) {
+    let now = node_state.now();
+    if !node_state.gate.with(|w| w.may_begin(now, number)) {
         return says(Word::Shut);
     }
-    let request = request(asked, left, asked.expects.as_deref(), freight, false);
-    let now = post.now();
-    post.gate.with(|w| w.begun(now, number));
-    receipt.iter().for_each(|r| r.begun());
-    post.counts.delivered.set(post.counts.delivered.get() + 1);
-    let coming = freight.rest.as_ref().map(|_| freight);
+    let request = request(asked, left, asked.expects.as_deref(), body_buffer, false);
+    let now = node_state.now();
+    node_state.gate.with(|w| w.begun(now, number));
+    replay_entry.iter().for_each(|r| r.begun());
+    node_state.counts.delivered.set(node_state.counts.delivered.get() + 1);
+    let coming = body_buffer.rest.as_ref().map(|_| body_buffer);
     let bodiless = asked.method == "HEAD";
     let order = Order { to: station, bytes: &request, coming, awaits: false, id: &id, bodiless };
-    let went = hop::exchange(&post.pool, line, order, post.stores.share());
+    let went = peer_connection::exchange(&node_state.pool, line, order, node_state.stores.share());
     let until = Instant::now() + Duration::from_micros((left + LAST_WORD) as u64);
     let came = timeout_at(until, went).await;
     match came {
-        Ok(Came::Answer(answer)) => judged(post, *answer, bill, place, until),
+        Ok(Came::Answer(answer)) => judged(node_state, *answer, bill, place, until),
         // Bytes may have gone out before the connection broke: not certain, so it may have run.
         Ok(Came::NotConnected | Came::Broken) | Err(_) => says(Word::Begun),
     }
@@ -102,14 +102,14 @@
 
 /// Ask the decider for a place, and wait for it where that is to be; or the word for the origin.
 async fn admit(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     asked: &Asked,
     id: &str,
-    bill: &Waybill,
+    bill: &ForwardingHeaders,
     deadline: i64,
 ) -> Result<Place, Word> {
-    let number = post.gate.next.get();
-    post.gate.next.set(number + 1);
+    let number = node_state.gate.next.get();
+    node_state.gate.next.set(number + 1);
     let arrival = Arrival {
         number,
         id: id.to_string(),
@@ -122,50 +122,56 @@
         patience: (bill.aim / PATIENCE).clamp(0, deadline.max(0)),
         deadline,
     };
-    let now = post.now();
+    let now = node_state.now();
     // The place in the list of those that wait is there before the decider may call it.
     let (to, mut at) = oneshot::channel();
-    post.gate.waiting.borrow_mut().insert(number, to);
-    match post.gate.with(|w| w.arrive(now, arrival)) {
+    node_state.gate.waiting.borrow_mut().insert(number, to);
+    match node_state.gate.with(|w| w.arrive(now, arrival)) {
         Verdict::Go => {
-            post.gate.waiting.borrow_mut().remove(&number);
+            node_state.gate.waiting.borrow_mut().remove(&number);
         }
         Verdict::Turn { why, retry_after } => {
-            post.gate.waiting.borrow_mut().remove(&number);
-            post.counts.turned.set(post.counts.turned.get() + 1);
+            node_state.gate.waiting.borrow_mut().remove(&number);
+            node_state.counts.turned.set(node_state.counts.turned.get() + 1);
             return Err(word(why, retry_after));
         }
         Verdict::Wait => {
-            let mut waits = Waits { post, number, waits: true };
+            let mut waits = Waits { node_state, number, waits: true };
             let said = (&mut at).await;
             waits.waits = false;
             match said {
                 Ok(Ok(())) => {}
                 Ok(Err(word)) => {
-                    post.counts.turned.set(post.counts.turned.get() + 1);
+                    node_state.counts.turned.set(node_state.counts.turned.get() + 1);
                     return Err(word);
                 }
                 Err(_) => return Err(Word::Absent),
             }
         }
     }
-    Ok(Place { post: post.clone(), number })
+    Ok(Place { node_state: node_state.clone(), number })
 }
 
 /// The upstream's answer, as it is passed on; the decider hears what it says of the upstream and of the request.
-fn judged(post: &Rc<Post>, mut answer: Answer, bill: &Waybill, place: Place, until: Instant) -> Answer {
-    let (now, number) = (post.now(), place.number);
+fn judged(
+    node_state: &Rc<NodeState>,
+    mut answer: Answer,
+    bill: &ForwardingHeaders,
+    place: Place,
+    until: Instant,
+) -> Answer {
+    let (now, number) = (node_state.now(), place.number);
     if let Some(left) = answer.cold {
-        post.gate.with(|w| w.cold(now, left));
+        node_state.gate.with(|w| w.cold(now, left));
     }
     if spoilt(&answer, bill.repeatable) {
         return says(Word::Begun);
     }
     // Its own word that it did not run: its id is free again. This has to be told before the place is given back.
     match answer.status {
-        503 if answer.not_delivered => post.gate.with(|w| w.turned_by_station(now, number)),
-        421 => post.gate.with(|w| w.not_run(now, number)),
-        _ if answer.not_delivered => post.gate.with(|w| w.not_run(now, number)),
+        503 if answer.not_delivered => node_state.gate.with(|w| w.turned_by_station(now, number)),
+        421 => node_state.gate.with(|w| w.not_run(now, number)),
+        _ if answer.not_delivered => node_state.gate.with(|w| w.not_run(now, number)),
         _ => {}
     }
     // While its answer is passed on, a request keeps its place.
@@ -188,9 +194,15 @@
 
 /// A request's bytes, to an upstream or to a gate: its head, and its body if that is here whole. `awaits`: the body is sent once
 /// it is asked for.
-pub fn request(asked: &Asked, left: i64, expects: Option<&str>, freight: &Freight, awaits: bool) -> Vec<u8> {
-    let held = freight.held();
-    let body: &[u8] = if freight.rest.is_some() || awaits { &[] } else { &held };
+pub fn request(
+    asked: &Asked,
+    left: i64,
+    expects: Option<&str>,
+    body_buffer: &BodyBuffer,
+    awaits: bool,
+) -> Vec<u8> {
+    let held = body_buffer.held();
+    let body: &[u8] = if body_buffer.rest.is_some() || awaits { &[] } else { &held };
     let mut out = Vec::with_capacity(asked.lines.len() + body.len() + 512);
     out.extend_from_slice(format!("{} {} HTTP/1.1\r\n", asked.method, asked.target).as_bytes());
     out.extend_from_slice(format!("Host: {}\r\n", asked.host).as_bytes());
@@ -202,10 +214,10 @@
     if let Some(expects) = expects {
         out.extend_from_slice(format!("Expect-Station: {expects}\r\n").as_bytes());
     }
-    if let Some(bill) = &asked.waybill {
+    if let Some(bill) = &asked.forwarding_headers {
         out.extend_from_slice(format!("Waybill: {bill}\r\n").as_bytes());
     }
-    match freight.size() {
+    match body_buffer.size() {
         Size::Length(0) if matches!(asked.method.as_str(), "GET" | "HEAD" | "DELETE" | "OPTIONS") => {}
         Size::Length(n) => out.extend_from_slice(format!("Content-Length: {n}\r\n").as_bytes()),
         Size::Chunks | Size::Close => out.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
--- a/crates/daemon/mesh/src/gate/hops.rs
+++ b/crates/daemon/mesh/src/upstream_gate/hops.rs
@@ -2,11 +2,11 @@
 use super::delivery::serve;
 use super::replies::{back, keep, says, told};
 use super::{large, NO_ROOM};
-use crate::freight::Freight;
-use crate::hop;
-use crate::post::{Counted, Door, Post};
-use crate::receipts::Receipt;
-use crate::waybill::{self, Waybill, Word};
+use crate::body_buffer::BodyBuffer;
+use crate::forwarding_headers::{self, ForwardingHeaders, Word};
+use crate::node_state::{Counted, Door, NodeState};
+use crate::peer_connection;
+use crate::response_replay_cache::ReplayEntry;
 use crate::wire::{self, Asked, End, Line, Stir, Wrong};
 use silvercross_net::http::Framing;
 use silvercross_net::stream::Decoder;
@@ -26,23 +26,23 @@
 const TURNING: u64 = 32;
 
 /// Take hops from other sidecars, for as long as the process lives.
-pub async fn listen(post: Rc<Post>, listener: TcpListener) {
+pub async fn listen(node_state: Rc<NodeState>, listener: TcpListener) {
     let turning = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        hop::guard(&stream);
-        let open = post.counts.hops.get();
-        let leaving = post.gate.leaving.get();
-        let full = open - leaving.min(open) >= (post.boot.descriptors / CONNECTIONS).max(1);
-        if full && post.counts.hops_idle.get() > leaving {
+        peer_connection::guard(&stream);
+        let open = node_state.counts.hops.get();
+        let leaving = node_state.gate.leaving.get();
+        let full = open - leaving.min(open) >= (node_state.boot.descriptors / CONNECTIONS).max(1);
+        if full && node_state.counts.hops_idle.get() > leaving {
             // The one that has been idle for longest makes place.
-            post.gate.leaving.set(leaving + 1);
-            post.gate.room.notify_one();
+            node_state.gate.leaving.set(leaving + 1);
+            node_state.gate.room.notify_one();
         } else if full {
-            post.shut_out(Door::Inbound);
+            node_state.shut_out(Door::Inbound);
             if turning.get() < TURNING {
                 turning.set(turning.get() + 1);
                 let turning = turning.clone();
@@ -53,13 +53,13 @@
             }
             continue;
         }
-        let post = post.clone();
-        let counted = Counted::new(&post, |c| &c.hops);
+        let node_state = node_state.clone();
+        let counted = Counted::new(&node_state, |c| &c.hops);
         tokio::task::spawn_local(async move {
             let _counted = counted;
             let mut line = Line::new(stream, End::Hop);
             let mut before = Before::default();
-            while one(&post, &mut line, &mut before).await {}
+            while one(&node_state, &mut line, &mut before).await {}
         });
     }
 }
@@ -67,7 +67,7 @@
 /// A hop for which there is no room: nothing of it is read before it is told to go elsewhere.
 async fn turn(stream: tokio::net::TcpStream) {
     let mut line = Line::new(stream, End::Hop);
-    let word = waybill::write(&Word::Full(NO_ROOM));
+    let word = forwarding_headers::write(&Word::Full(NO_ROOM));
     let bytes = wire::whole(503, format!("Waybill-Return: {word}\r\n").as_bytes(), b"", true, false);
     if line.write(&bytes).await.is_ok() {
         line.finish().await;
@@ -85,38 +85,41 @@
 }
 
 /// One request of a hop's connection; whether another may come.
-async fn one(post: &Rc<Post>, line: &mut Line, before: &mut Before) -> bool {
-    if !requested(post, line).await {
+async fn one(node_state: &Rc<NodeState>, line: &mut Line, before: &mut Before) -> bool {
+    if !requested(node_state, line).await {
         return false;
     }
     let Ok(mut asked) = line.request(IDLE, COMES, usize::MAX).await else { return false };
-    let bill = asked.waybill.take().and_then(|t| waybill::read::<Waybill>(&t));
-    let bill = bill.filter(|b| b.version == waybill::VERSION);
+    let bill =
+        asked.forwarding_headers.take().and_then(|t| forwarding_headers::read::<ForwardingHeaders>(&t));
+    let bill = bill.filter(|b| b.version == forwarding_headers::VERSION);
     if let Some(ticket) = before.last.take() {
-        post.receipts.taken(ticket);
+        node_state.response_replay_cache.taken(ticket);
     }
     if let Some(bill) = bill.as_ref().filter(|b| b.asks) {
-        return told(post, line, &asked, bill.ticket).await;
+        return told(node_state, line, &asked, bill.ticket).await;
     }
-    let life = (!std::mem::replace(&mut before.told, true)).then_some(post.receipts.life);
-    let receipt = match &bill {
-        Some(bill) if !bill.repeatable && bill.ticket != 0 => match post.receipts.enter(bill.ticket) {
-            Ok(receipt) => Some(receipt),
-            // It was asked for before it came, and its origin has gone elsewhere.
-            Err(()) => return false,
-        },
+    let life = (!std::mem::replace(&mut before.told, true)).then_some(node_state.response_replay_cache.life);
+    let replay_entry = match &bill {
+        Some(bill) if !bill.repeatable && bill.ticket != 0 => {
+            match node_state.response_replay_cache.enter(bill.ticket) {
+                Ok(replay_entry) => Some(replay_entry),
+                // It was asked for before it came, and its origin has gone elsewhere.
+                Err(()) => return false,
+            }
+        }
         _ => None,
     };
-    before.last = receipt.as_ref().map(|r| r.ticket);
+    before.last = replay_entry.as_ref().map(|r| r.ticket);
     let stated = match asked.framing {
         Framing::Length(n) => Some(n),
         _ => None,
     };
     if asked.waits || stated.is_none_or(|n| n > wire::HELD) {
-        return large::pass(post, line, &asked, bill, receipt, life, stated).await;
+        return large::pass(node_state, line, &asked, bill, replay_entry, life, stated).await;
     }
     // How large a body may be was for the origin to say.
-    let (mut decoder, mut share) = (Decoder::new(asked.framing, wire::HELD), post.stores.share());
+    let (mut decoder, mut share) = (Decoder::new(asked.framing, wire::HELD), node_state.stores.share());
     let body = match timeout(COMES, line.held(&mut decoder, stated, &mut share, false)).await {
         Ok(Ok((body, true))) => body,
         Ok(Err(Wrong::NoRoom)) => {
@@ -130,20 +133,20 @@
     };
     let Some(bill) = bill else {
         // A question that can't be read is no request that was turned away: what it asks for may have run.
-        let word = if asked.host == waybill::ASKED { Word::Begun } else { Word::Absent };
+        let word = if asked.host == forwarding_headers::ASKED { Word::Begun } else { Word::Absent };
         let (bytes, _) = back(&asked, &mut says(word), life, false);
         return line.write(&bytes).await.is_ok();
     };
-    whole(post, line, &asked, &bill, &Freight::whole(body, share), receipt, life).await
+    whole(node_state, line, &asked, &bill, &BodyBuffer::whole(body, share), replay_entry, life).await
 }
 
 /// Whether a request has come; an idle connection may have to make place for another.
-async fn requested(post: &Rc<Post>, line: &mut Line) -> bool {
-    let _idle = Counted::new(post, |c| &c.hops_idle);
+async fn requested(node_state: &Rc<NodeState>, line: &mut Line) -> bool {
+    let _idle = Counted::new(node_state, |c| &c.hops_idle);
     tokio::select! {
         came = line.awaits(IDLE) => came,
-        () = post.gate.room.notified() => {
-            post.gate.leaving.set(post.gate.leaving.get().saturating_sub(1));
+        () = node_state.gate.room.notified() => {
+            node_state.gate.leaving.set(node_state.gate.leaving.get().saturating_sub(1));
             false
         }
     }
@@ -151,26 +154,26 @@
 
 /// A request that is here whole; whether the connection may carry another one.
 async fn whole(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     line: &mut Line,
     asked: &Asked,
-    bill: &Waybill,
-    freight: &Rc<Freight>,
-    receipt: Option<Receipt>,
+    bill: &ForwardingHeaders,
+    body_buffer: &Rc<BodyBuffer>,
+    replay_entry: Option<ReplayEntry>,
     life: Option<u64>,
 ) -> bool {
     let mut broke = false;
     let mut answer = {
-        let serving = serve(post, asked, bill, freight, receipt.as_ref());
+        let serving = serve(node_state, asked, bill, body_buffer, replay_entry.as_ref());
         tokio::pin!(serving);
         loop {
             tokio::select! {
                 answer = &mut serving => break answer,
                 stir = line.stirs(), if !broke => match stir {
                     // Its origin will ask for it.
-                    Stir::Broke if receipt.is_some() => {
+                    Stir::Broke if replay_entry.is_some() => {
                         broke = true;
-                        post.counts.orphans.set(post.counts.orphans.get() + 1);
+                        node_state.counts.orphans.set(node_state.counts.orphans.get() + 1);
                     }
                     // An origin that hangs up has called the attempt off.
                     Stir::Broke | Stir::Closed | Stir::More => return false,
@@ -179,14 +182,14 @@
         }
     };
     let (bytes, size) = back(asked, &mut answer, life, false);
-    let bytes = keep(receipt, &answer, bytes, life.is_some());
+    let bytes = keep(replay_entry, &answer, bytes, life.is_some());
     if broke || line.write(&bytes).await.is_err() {
         return false;
     }
     let Some(tail) = answer.tail.take() else { return true };
     drop(answer);
     let Some(mut write) = line.split() else { return false };
-    let passed = tail.pass(&post.pool, &mut write, size).await;
+    let passed = tail.pass(&node_state.pool, &mut write, size).await;
     line.join(write);
     passed
 }
--- a/crates/daemon/mesh/src/gate/large.rs
+++ b/crates/daemon/mesh/src/upstream_gate/large.rs
@@ -3,10 +3,10 @@
 use super::hops::COMES;
 use super::replies::{back, keep, says};
 use super::PATIENCE;
-use crate::freight::{Bringer, Freight};
-use crate::post::Post;
-use crate::receipts::Receipt;
-use crate::waybill::{Waybill, Word};
+use crate::body_buffer::{BodyBuffer, Bringer};
+use crate::forwarding_headers::{ForwardingHeaders, Word};
+use crate::node_state::NodeState;
+use crate::response_replay_cache::ReplayEntry;
 use crate::wire::{Answer, Asked, Line, Stir, Wrong};
 use silvercross_net::http::Framing;
 use silvercross_net::stream::Decoder;
@@ -21,31 +21,32 @@
 /// A request whose body is passed on as it comes. The origin holds it back until it is asked for: before the request has its place,
 /// and a connection to the upstream is up, none of it is taken.
 pub(super) async fn pass(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     line: &mut Line,
     asked: &Asked,
-    bill: Option<Waybill>,
-    receipt: Option<Receipt>,
+    bill: Option<ForwardingHeaders>,
+    replay_entry: Option<ReplayEntry>,
     life: Option<u64>,
     stated: Option<usize>,
 ) -> bool {
     let mut decoder = Decoder::new(asked.framing, usize::MAX);
     let patience = bill.as_ref().map_or(0, |b| (b.aim / PATIENCE).max(0));
-    let turn = match turn_of(post, line, asked, patience, life).await {
+    let turn = match turn_of(node_state, line, asked, patience, life).await {
         Ok(turn) => turn,
         Err(goes_on) => return goes_on,
     };
-    let (freight, bringer) = Freight::coming(Vec::new(), stated.map(|n| n as u64), post.stores.share());
+    let (body_buffer, bringer) =
+        BodyBuffer::coming(Vec::new(), stated.map(|n| n as u64), node_state.stores.share());
     let Some(write) = line.split() else { return false };
     let write = Mutex::new(write);
     let answered = Cell::new(false);
     let work = async {
         let answer = match &bill {
-            Some(bill) => serve(post, asked, bill, &freight, receipt.as_ref()).await,
+            Some(bill) => serve(node_state, asked, bill, &body_buffer, replay_entry.as_ref()).await,
             None => says(Word::Absent),
         };
         answered.set(true);
-        reply(post, &write, asked, answer, receipt, life).await
+        reply(node_state, &write, asked, answer, replay_entry, life).await
     };
     let once = bill.as_ref().is_some_and(|b| !b.repeatable);
     let took = async {
@@ -56,7 +57,7 @@
             Ok(()) => {
                 if line.stirs().await == Stir::Broke && once {
                     // It is here whole: its origin will ask for it.
-                    post.counts.orphans.set(post.counts.orphans.get() + 1);
+                    node_state.counts.orphans.set(node_state.counts.orphans.get() + 1);
                     std::future::pending().await
                 }
             }
@@ -81,7 +82,7 @@
 /// Wait until this body may cross the link: many together would hold up all that is small behind them. Else whether the
 /// connection may carry another request.
 async fn turn_of(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     line: &mut Line,
     asked: &Asked,
     patience: i64,
@@ -90,13 +91,13 @@
     if !asked.waits {
         return Ok(None);
     }
-    let lane = post.gate.lane.clone().acquire_owned();
+    let lane = node_state.gate.lane.clone().acquire_owned();
     tokio::select! {
         turn = timeout(Duration::from_micros(patience as u64), lane) => {
             if let Ok(Ok(turn)) = turn {
                 return Ok(Some(turn));
             }
-            post.counts.turned.set(post.counts.turned.get() + 1);
+            node_state.counts.turned.set(node_state.counts.turned.get() + 1);
             let (bytes, _) = back(asked, &mut says(Word::Full(patience)), life, false);
             Err(line.write(&bytes).await.is_ok())
         }
@@ -106,21 +107,21 @@
 
 /// Pass an answer on to the origin; whether it went whole.
 async fn reply(
-    post: &Rc<Post>,
+    node_state: &Rc<NodeState>,
     write: &Mutex<OwnedWriteHalf>,
     asked: &Asked,
     mut answer: Answer,
-    receipt: Option<Receipt>,
+    replay_entry: Option<ReplayEntry>,
     life: Option<u64>,
 ) -> bool {
     let mut write = write.lock().await;
     let (bytes, size) = back(asked, &mut answer, life, false);
-    let bytes = keep(receipt, &answer, bytes, life.is_some());
+    let bytes = keep(replay_entry, &answer, bytes, life.is_some());
     if write.write_all(&bytes).await.is_err() {
         return false;
     }
     match answer.tail.take() {
-        Some(tail) => tail.pass(&post.pool, &mut *write, size).await,
+        Some(tail) => tail.pass(&node_state.pool, &mut *write, size).await,
         None => true,
     }
 }
--- a/crates/daemon/mesh/src/gate/replies.rs
+++ b/crates/daemon/mesh/src/upstream_gate/replies.rs
@@ -1,7 +1,7 @@
 //! What the gate says to origins: its own word, answers as bytes, and what became of an attempt.
-use crate::post::Post;
-use crate::receipts::{Kept, Known, Receipt};
-use crate::waybill::{self, Word};
+use crate::forwarding_headers::{self, Word};
+use crate::node_state::NodeState;
+use crate::response_replay_cache::{Kept, Known, ReplayEntry};
 use crate::wire::{self, Answer, Asked, Line, Size};
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
         not_delivered: false,
         coded: false,
         cold: None,
-        word: Some(waybill::write(&word)),
+        word: Some(forwarding_headers::write(&word)),
         life: None,
         keep_alive: true,
         idle: None,
@@ -29,28 +29,35 @@
 }
 
 /// Keep an answer for an origin that may have to ask for it, if it is whole.
-pub(super) fn keep(receipt: Option<Receipt>, answer: &Answer, bytes: Vec<u8>, lived: bool) -> Rc<Vec<u8>> {
+pub(super) fn keep(
+    replay_entry: Option<ReplayEntry>,
+    answer: &Answer,
+    bytes: Vec<u8>,
+    lived: bool,
+) -> Rc<Vec<u8>> {
     let bytes = Rc::new(bytes);
-    if let Some(receipt) = receipt.filter(|_| answer.tail.is_none()) {
-        receipt.answered(Kept { bytes: bytes.clone(), lived });
+    if let Some(replay_entry) = replay_entry.filter(|_| answer.tail.is_none()) {
+        replay_entry.answered(Kept { bytes: bytes.clone(), lived });
     }
     bytes
 }
 
 /// Tell an origin what became of its attempt.
-pub(super) async fn told(post: &Rc<Post>, line: &mut Line, asked: &Asked, ticket: u64) -> bool {
+pub(super) async fn told(node_state: &Rc<NodeState>, line: &mut Line, asked: &Asked, ticket: u64) -> bool {
     let known = tokio::select! {
-        known = post.receipts.ask(ticket) => known,
+        known = node_state.response_replay_cache.ask(ticket) => known,
         _ = line.stirs() => return false,
     };
-    let life = Some(post.receipts.life);
+    let life = Some(node_state.response_replay_cache.life);
     let bytes = match known {
         Known::Answered(kept) if kept.lived => kept.bytes.to_vec(),
         Known::Answered(kept) => {
             // Behind the status line.
             let at = kept.bytes.windows(2).position(|w| w == b"\r\n").map_or(0, |at| at + 2);
             let mut bytes = kept.bytes[..at].to_vec();
-            bytes.extend_from_slice(format!("Waybill-Life: {:x}\r\n", post.receipts.life).as_bytes());
+            bytes.extend_from_slice(
+                format!("Waybill-Life: {:x}\r\n", node_state.response_replay_cache.life).as_bytes(),
+            );
             bytes.extend_from_slice(&kept.bytes[at..]);
             bytes
         }
--- a/crates/daemon/mesh/src/gate/tests.rs
+++ b/crates/daemon/mesh/src/upstream_gate/tests.rs
@@ -43,7 +43,7 @@
         let (_, at) = trial::station().await;
         let terms = Terms { descriptors: 2 * super::hops::CONNECTIONS, ..Terms::default() };
         let gate = trial::sidecar(2, at, terms).await;
-        let counts = &gate.post.counts;
+        let counts = &gate.node_state.counts;
         let (mut one, mut two) = (Talk::to(gate.inbound).await, Talk::to(gate.inbound).await);
         // Neither is idle.
         one.say(b"GET").await;
@@ -53,8 +53,8 @@
         }
         let mut three = Talk::to(gate.inbound).await;
         let head = three.head().await;
-        let word = trial::value(&head, "waybill-return").and_then(|t| crate::waybill::read(&t));
-        assert_eq!(word, Some(crate::waybill::Word::Full(super::NO_ROOM)));
+        let word = trial::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
+        assert_eq!(word, Some(crate::forwarding_headers::Word::Full(super::NO_ROOM)));
         assert_eq!((counts.hops.get(), counts.hops_shut_out.get()), (2, 1));
         drop(one);
         while counts.hops.get() > 1 {
--- a/crates/daemon/mesh/src/wire/heads.rs
+++ b/crates/daemon/mesh/src/wire/heads.rs
@@ -1,6 +1,6 @@
 //! Heads of requests and answers as they are read: the lines that matter here by name, the rest to be passed on.
 use super::Wrong;
-use crate::freight::Share;
+use crate::body_buffer::Share;
 use httparse::{Header, EMPTY_HEADER};
 use silvercross_net::http::{self, Bad, Framing, Limits};
 
@@ -36,7 +36,7 @@
     /// The upstream that it is meant for.
     pub expects: Option<String>,
     /// On a hop: the origin's waybill.
-    pub waybill: Option<String>,
+    pub forwarding_headers: Option<String>,
     /// On a hop: the service it began at.
     pub sender: Option<String>,
     /// Header lines that go on, each with its line end.
@@ -83,7 +83,7 @@
     /// Its body, up to [`HELD`].
     pub body: Vec<u8>,
     /// What comes behind that.
-    pub tail: Option<Box<crate::hop::Tail>>,
+    pub tail: Option<Box<crate::peer_connection::Tail>>,
     /// Its place among the bodies held here.
     pub share: Option<Share>,
 }
@@ -115,7 +115,7 @@
         id: text(h.one("attempt-id")?).filter(|id| !id.is_empty()),
         deadline,
         expects: text(h.one("expect-station")?),
-        waybill: text(h.one(WAYBILL)?),
+        forwarding_headers: text(h.one(WAYBILL)?),
         sender: h.all("sender").last().and_then(|v| std::str::from_utf8(v).ok()).map(str::to_string),
         lines,
         framing: head.framing,
--- a/crates/daemon/mesh/src/wire/line.rs
+++ b/crates/daemon/mesh/src/wire/line.rs
@@ -1,6 +1,6 @@
 //! One connection: its halves, whether it is fresh, what comes on it, and its end.
 use super::End;
-use crate::broken::{self, Broken};
+use crate::mutation::{self, Mutation};
 use bytes::BytesMut;
 use std::io;
 use std::mem::MaybeUninit;
@@ -53,7 +53,7 @@
     /// only of what had come when it last looked.
     pub fn is_fresh(&self) -> bool {
         let Side::Whole(stream) = &self.side else { return false };
-        if broken::is(Broken::SurplusKept) {
+        if mutation::is(Mutation::SurplusKept) {
             return true;
         }
         let mut byte = [MaybeUninit::uninit(); 1];
@@ -63,7 +63,7 @@
 
     /// Something came behind the last message.
     pub fn has_surplus(&self) -> bool {
-        !self.come.is_empty() && !broken::is(Broken::SurplusKept)
+        !self.come.is_empty() && !mutation::is(Mutation::SurplusKept)
     }
 
     /// Whether both halves are here.
--- a/crates/daemon/mesh/src/wire/reading.rs
+++ b/crates/daemon/mesh/src/wire/reading.rs
@@ -1,7 +1,7 @@
 //! Messages as they are read from a connection: a request's head, an answer, and bodies whole, in part or piece by piece.
 use super::heads::{answered, asked};
 use super::{Answer, Asked, End, Line, Wrong, HELD};
-use crate::freight::Share;
+use crate::body_buffer::Share;
 use bytes::{Buf, Bytes};
 use silvercross_net::http::{Bad, Framing, Limits};
 use silvercross_net::stream::Decoder;
--- a/crates/testing/control-sim/src/faults.rs
+++ b/crates/testing/control-sim/src/faults.rs
@@ -4,7 +4,7 @@
 use crate::machine::Machine;
 use crate::world::{Micros, World};
 use silvercross_control_store::{Node, ReplicaSet};
-use silvercross_mesh_membership as rounds;
+use silvercross_mesh_membership as membership;
 
 /// How a fault ends.
 #[derive(Clone, Debug)]
@@ -75,8 +75,8 @@
         if (machine.frozen || wanted) && self.now < last {
             return self.later(20_000, Undo::SignOff { node, incarnation, last });
         }
-        if let Some(rounds) = machine.rounds.as_mut().filter(|_| !machine.frozen) {
-            rounds.leave(now);
+        if let Some(membership) = machine.membership.as_mut().filter(|_| !machine.frozen) {
+            membership.leave(now);
             self.pump(node);
         }
     }
@@ -84,13 +84,14 @@
     /// A machine's configuration names other control machines to ask.
     pub fn reseed(&mut self, node: usize, seeds: Vec<usize>) {
         let now = self.local(node);
-        let ids: Vec<rounds::Node> = seeds.iter().map(|core| rounds::Node(self.machines[*core].id)).collect();
+        let ids: Vec<membership::Node> =
+            seeds.iter().map(|core| membership::Node(self.machines[*core].id)).collect();
         self.machines[node].seeds = seeds;
         if self.machines[node].frozen {
             return;
         }
-        if let Some(rounds) = &mut self.machines[node].rounds {
-            rounds.seeds(now, &ids);
+        if let Some(membership) = &mut self.machines[node].membership {
+            membership.seeds(now, &ids);
             self.pump(node);
         }
     }
--- a/crates/testing/control-sim/src/lib.rs
+++ b/crates/testing/control-sim/src/lib.rs
@@ -1,6 +1,6 @@
 //! Control machines and sidecars in one world of simulated time, on the deciding code that the mesh's program runs.
 //!
-//! Each control machine runs a `ControlStore` and a `Rounds`, each sidecar a `Rounds`; they are wired to each other as
+//! Each control machine runs a `ControlStore` and a `Membership`, each sidecar a `Membership`; they are wired to each other as
 //! `silvercross-mesh`'s `carriers.rs` does it. Everything around them is a model here: connections that keep the order of what
 //! they carry, cuts that hold it back, datagrams that get lost, processes that crash or stand still, disks that lose what
 //! was not synced. Operators change and read the state; faults strike meanwhile; then all is healed.
--- a/crates/testing/control-sim/src/machine.rs
+++ b/crates/testing/control-sim/src/machine.rs
@@ -7,7 +7,7 @@
 use crate::wiring::Confirm;
 use crate::world::{Body, Micros};
 use silvercross_control_store::ControlStore;
-use silvercross_mesh_membership::Rounds;
+use silvercross_mesh_membership::Membership;
 use std::collections::BTreeMap;
 
 /// One machine and the process on it.
@@ -25,7 +25,7 @@
     /// It stands still.
     pub frozen: bool,
     /// Its process, if it runs.
-    pub rounds: Option<Rounds<Body>>,
+    pub membership: Option<Membership<Body>>,
     /// Of a control machine.
     pub store: Option<ControlStore<Items>>,
     /// Of a control machine.
@@ -62,7 +62,7 @@
             on: true,
             destroyed: false,
             frozen: false,
-            rounds: None,
+            membership: None,
             store: None,
             storage: Storage::default(),
             incarnation: 0,
@@ -83,6 +83,6 @@
 
     /// Whether its process runs, be it that it stands still.
     pub fn runs(&self) -> bool {
-        self.rounds.is_some()
+        self.membership.is_some()
     }
 }
--- a/crates/testing/control-sim/src/network.rs
+++ b/crates/testing/control-sim/src/network.rs
@@ -153,8 +153,8 @@
     pub(crate) fn down(&mut self, node: usize, peer: usize) {
         let (now, id) = (self.local(node), self.machines[peer].id);
         let machine = &mut self.machines[node];
-        if let Some(rounds) = &mut machine.rounds {
-            rounds.link_down(now, silvercross_mesh_membership::Node(id));
+        if let Some(membership) = &mut machine.membership {
+            membership.link_down(now, silvercross_mesh_membership::Node(id));
         }
         if let Some(store) = &mut machine.store {
             store.reachable(now, control::Node(id), false);
@@ -166,8 +166,8 @@
         let (now, id) = (self.local(node), self.machines[peer].id);
         let machine = &mut self.machines[node];
         machine.links.entry(peer).or_default().push(connection);
-        if let Some(rounds) = &mut machine.rounds {
-            rounds.link_up(now, silvercross_mesh_membership::Node(id));
+        if let Some(membership) = &mut machine.membership {
+            membership.link_up(now, silvercross_mesh_membership::Node(id));
         }
         if let Some(store) = &mut machine.store {
             store.reachable(now, control::Node(id), true);
--- a/crates/testing/control-sim/src/wiring.rs
+++ b/crates/testing/control-sim/src/wiring.rs
@@ -9,7 +9,7 @@
 use crate::world::{key_name, Body, Micros, World, LOOK};
 use silvercross_control_store as control;
 use silvercross_control_store::ControlStore;
-use silvercross_mesh_membership::{Freshness, Rounds};
+use silvercross_mesh_membership::{Freshness, Membership};
 use std::collections::BTreeMap;
 
 /// Tokens of reads that a control machine makes for a sidecar that started; operators' are below.
@@ -36,8 +36,8 @@
         };
         let roster = machine.store.as_ref().map(knows).unwrap_or_default();
         let body = Body { roster: roster.into_iter().map(|n| n.0).collect(), leaving: machine.leaving };
-        if let Some(rounds) = &mut machine.rounds {
-            rounds.tell(now, body);
+        if let Some(membership) = &mut machine.membership {
+            membership.tell(now, body);
         }
     }
 
@@ -77,12 +77,12 @@
     pub(crate) fn pump(&mut self, node: usize) {
         loop {
             let machine = &mut self.machines[node];
-            let rounds = machine.rounds.as_mut().map(Rounds::effects).unwrap_or_default();
+            let membership = machine.membership.as_mut().map(Membership::effects).unwrap_or_default();
             let store = machine.store.as_mut().map(ControlStore::effects).unwrap_or_default();
-            if rounds.is_empty() && store.is_empty() {
+            if membership.is_empty() && store.is_empty() {
                 break;
             }
-            rounds.into_iter().for_each(|effect| self.round_effect(node, effect));
+            membership.into_iter().for_each(|effect| self.round_effect(node, effect));
             store.into_iter().for_each(|effect| self.store_effect(node, effect));
         }
         self.note_store(node);
@@ -93,10 +93,10 @@
     fn schedule_wake(&mut self, node: usize) {
         let (now, local) = (self.now, self.local(node));
         let machine = &mut self.machines[node];
-        let Some(rounds) = &machine.rounds else { return };
+        let Some(membership) = &machine.membership else { return };
         let store = machine.store.as_ref().and_then(ControlStore::wake).unwrap_or(Micros::MAX);
         let look = if machine.core { LOOK } else { 1_000_000 };
-        let wake = now + (rounds.wake().min(store).saturating_sub(local)).clamp(1, look);
+        let wake = now + (membership.wake().min(store).saturating_sub(local)).clamp(1, look);
         if wake < machine.wake {
             machine.wake = wake;
             let incarnation = machine.incarnation;
@@ -178,8 +178,8 @@
             Effect::Committed { key, revision, value } => {
                 let at = (revision.epoch.round, u64::from(revision.epoch.owner), revision.seq);
                 let (now, bytes) = (self.local(node), bitcode::encode(&value));
-                if let Some(rounds) = &mut self.machines[node].rounds {
-                    rounds.post(now, &key, at, bytes);
+                if let Some(membership) = &mut self.machines[node].membership {
+                    membership.publish(now, &key, at, bytes);
                 }
                 self.take(node, &key, at, value);
             }
@@ -232,20 +232,20 @@
             return;
         }
         let Some(confirm) = machine.confirms.remove(&ticket) else { return };
-        if let Some(rounds) = &mut machine.rounds {
-            rounds.confirmed(now, ticket, whole.then_some(confirm.revisions));
+        if let Some(membership) = &mut machine.membership {
+            membership.confirmed(now, ticket, whole.then_some(confirm.revisions));
         }
     }
 
     /// Whether a process says that it is ready, and why. A control machine has its state from the control store.
     fn readiness(&mut self, node: usize) {
         let machine = &self.machines[node];
-        let Some(rounds) = &machine.rounds else { return };
+        let Some(membership) = &machine.membership else { return };
         let life = &mut self.history.lives[machine.life];
         if life.ready.is_some() || !machine.revisions.contains_key(&0) {
             return;
         }
-        let why = match rounds.freshness() {
+        let why = match membership.freshness() {
             _ if machine.core => Why::Configured,
             Freshness::Waiting => return,
             Freshness::Current { .. } => Why::Fresh,
--- a/crates/testing/control-sim/src/world.rs
+++ b/crates/testing/control-sim/src/world.rs
@@ -10,7 +10,7 @@
 use crate::schedule::Report;
 use silvercross_control_store as control;
 use silvercross_control_store::{Broken, ControlStore};
-use silvercross_mesh_membership::{Node, Rounds};
+use silvercross_mesh_membership::{Membership, Node};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -185,8 +185,8 @@
             seed,
         };
         machine.confirms.clear();
-        let rounds = Rounds::new(now, start, Body { roster: Vec::new(), leaving: false });
-        machine.rounds = Some(unready_on_purpose(rounds, unready));
+        let membership = Membership::new(now, start, Body { roster: Vec::new(), leaving: false });
+        machine.membership = Some(unready_on_purpose(membership, unready));
         if machine.core {
             let start = control::Start {
                 me: control::Node(machine.id),
@@ -225,7 +225,7 @@
         if !machine.runs() {
             return;
         }
-        machine.rounds = None;
+        machine.membership = None;
         machine.store = None;
         machine.frozen = false;
         machine.held.clear();
@@ -291,8 +291,8 @@
         let now = self.local(node);
         let machine = &mut self.machines[node];
         machine.wake = Micros::MAX;
-        if let Some(rounds) = &mut machine.rounds {
-            rounds.tick(now);
+        if let Some(membership) = &mut machine.membership {
+            membership.tick(now);
         }
         if let Some(store) = &mut machine.store {
             store.tick(now);
@@ -343,15 +343,15 @@
             Event::Arrive { from, to, connection, parcel } => self.arrived(from, to, connection, *parcel),
             Event::Datagram { from, to, datagram } => {
                 let (now, from) = (self.local(to), Node(self.machines[from].id));
-                if let Some(rounds) = &mut self.machines[to].rounds {
-                    rounds.datagram(now, from, datagram);
+                if let Some(membership) = &mut self.machines[to].membership {
+                    membership.datagram(now, from, datagram);
                     self.pump(to);
                 }
             }
             Event::Tried { node, incarnation, about, ok } if same(self, node, incarnation) => {
                 let (now, about) = (self.local(node), Node(self.machines[about].id));
-                if let Some(rounds) = &mut self.machines[node].rounds {
-                    rounds.tried(now, about, ok);
+                if let Some(membership) = &mut self.machines[node].membership {
+                    membership.tried(now, about, ok);
                     self.pump(node);
                 }
             }
@@ -395,8 +395,8 @@
         let machine = &mut self.machines[to];
         match parcel {
             Parcel::Round(letter) => {
-                if let Some(rounds) = &mut machine.rounds {
-                    rounds.letter(now, Node(id), letter);
+                if let Some(membership) = &mut machine.membership {
+                    membership.letter(now, Node(id), letter);
                 }
             }
             Parcel::Store(version, message) => {
@@ -426,12 +426,12 @@
 
 #[allow(unused_mut, unused_variables)]
 fn unready_on_purpose(
-    mut rounds: Rounds<Body>,
+    mut membership: Membership<Body>,
     broken: Option<silvercross_mesh_membership::Broken>,
-) -> Rounds<Body> {
+) -> Membership<Body> {
     #[cfg(feature = "mutants")]
     if let Some(broken) = broken {
-        rounds.break_it(broken);
+        membership.break_it(broken);
     }
-    rounds
+    membership
 }
