--- /dev/null
+++ b/crates/control/idempotency-store/tests/wire_bytes.rs
@@ -0,0 +1,150 @@
+//! The bytes of everything that holders of records say to each other, log and keep, held fixed: processes of different builds
+//! talk to each other and read each other's disks.
+
+use serde::{de::DeserializeOwned, Serialize};
+use silvercross_idempotency_store::holder::Line;
+use silvercross_idempotency_store::machine::{Logged, Machine};
+use silvercross_idempotency_store::{Answer, Card, Command, Epoch, Outcome, Said, Take};
+use silvercross_raft::{Entry, Envelope, Group, Hard, Message, Node, Payload, Snapshot};
+use std::fmt::{Debug, Write};
+
+/// One line per value: its name, then its bytes in hexadecimal.
+const TABLE: &str = include_str!("data/wire.hex");
+
+/// Adds the line of a value to `lines`, after reading the value back from its bytes.
+fn add<T: Serialize + DeserializeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
+    let bytes = postcard::to_allocvec(&value).expect("encoded");
+    assert_eq!(postcard::from_bytes::<T>(&bytes).as_ref(), Ok(&value), "{name}");
+    add_bytes(lines, name, &bytes);
+}
+
+fn add_bytes(lines: &mut String, name: &str, bytes: &[u8]) {
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    writeln!(lines, "{name} {hex}").expect("a string grows");
+}
+
+fn answer(body: Option<&[u8]>) -> Answer {
+    Answer { status: 201, lines: b"content-type: text/plain\r\n".to_vec(), body: body.map(<[u8]>::to_vec) }
+}
+
+fn commands() -> Vec<(&'static str, Command)> {
+    let (key, name) = (|| "orders/k-1".to_string(), || "upstream-1".to_string());
+    vec![
+        ("open", Command::Open),
+        ("take", Command::Take { key: key(), window_ms: 60_000 }),
+        ("hold", Command::Hold { key: key(), window_ms: 60_000, answer: answer(Some(b"ok")) }),
+        ("give", Command::Give { key: key(), may_have_run: true }),
+        ("drain", Command::Drain { name: name(), on: true }),
+        ("put", Command::Put { name: "doc".into(), expect: Some(3), bytes: Some(vec![1, 2]) }),
+        ("put-removes", Command::Put { name: "doc".into(), expect: None, bytes: None }),
+        ("get", Command::Get { name: "doc".into() }),
+    ]
+}
+
+fn outcomes() -> Vec<(&'static str, Outcome)> {
+    vec![
+        ("session", Outcome::Session(9)),
+        ("take-yours", Outcome::Take(Take::Yours)),
+        ("take-held", Outcome::Take(Take::Held(answer(None)))),
+        ("take-busy", Outcome::Take(Take::Busy { by: 4, passed_ms: Some(700), over: true })),
+        ("done", Outcome::Done(300)),
+        ("document", Outcome::Document(2, Some(vec![1]))),
+        ("other", Outcome::Other(5)),
+        ("not-yours", Outcome::NotYours),
+        ("full", Outcome::Full),
+        ("no-session", Outcome::NoSession),
+        ("bad", Outcome::Bad),
+    ]
+}
+
+fn group() -> Group {
+    Group { voters: vec![Node(1), Node(300)], learners: vec![Node(5)] }
+}
+
+fn entries() -> Vec<Entry> {
+    let entry = |payload| Entry { term: 3, at_ms: 70_000, payload };
+    vec![entry(Payload::Nothing), entry(Payload::Change(group())), entry(Payload::Command(vec![0, 255]))]
+}
+
+/// What replicas of a log say.
+fn messages() -> Vec<(&'static str, Message)> {
+    let (term, last, last_term, round) = (3, 400, 2, 9);
+    vec![
+        ("hello", Message::Hello),
+        ("hello-back", Message::HelloBack { seen: 5 }),
+        ("ask-vote", Message::AskVote { term, last, last_term, trial: true, transfer: false }),
+        ("vote", Message::Vote { term, granted: true, trial: false }),
+        ("append", Message::Append { term, prev: 397, prev_term: 2, entries: entries(), commit: 390, round }),
+        ("appended", Message::Appended { term, matched: Some(400), last, round, gone: vec![Node(2)] }),
+        ("appended-none", Message::Appended { term, matched: None, last, round, gone: vec![] }),
+        (
+            "piece",
+            Message::Piece {
+                term,
+                index: 400,
+                index_term: 2,
+                at_ms: 70_000,
+                group: group(),
+                offset: 65_536,
+                data: vec![1, 2, 3],
+                done: true,
+                round,
+            },
+        ),
+        ("piece-taken", Message::PieceTaken { term, index: 400, next: 65_539, round }),
+        ("stand-now", Message::StandNow { term }),
+        ("older", Message::Older { seen: 6 }),
+    ]
+}
+
+fn said() -> Vec<(&'static str, Said)> {
+    let (group, epoch) = (2, Epoch(1 << 40 | 77));
+    let card =
+        Card { group, epoch, changed: 9, voters: vec![1, 300], learners: vec![5], term: 3, leader: Some(1) };
+    vec![
+        ("not-here", Said::NotHere { group, number: 8, leader: Some(1) }),
+        ("over", Said::Over { group, epoch }),
+        ("who", Said::Who),
+        ("known", Said::Known(vec![card], 12, vec!["upstream-1".to_string()])),
+    ]
+}
+
+#[test]
+fn what_is_said_logged_and_kept_has_the_bytes_it_always_had() {
+    let mut lines = String::new();
+    let epoch = Epoch(1 << 40 | 77);
+    for (name, message) in messages() {
+        let envelope =
+            Envelope { group: 2, epoch: epoch.0, from: Node(1), to: Node(300), writes: 17, message };
+        add(&mut lines, &format!("said/replica-{name}"), Said::Replica(envelope));
+    }
+    for (name, command) in commands() {
+        let said = Said::Ask { group: 2, epoch, session: 11, number: 8, below: 6, command };
+        add(&mut lines, &format!("said/ask-{name}"), said);
+    }
+    for (name, outcome) in outcomes() {
+        let said = Said::Told { group: 2, epoch, session: 11, number: 8, outcome };
+        add(&mut lines, &format!("said/told-{name}"), said);
+    }
+    for (name, said) in said() {
+        add(&mut lines, &format!("said/{name}"), said);
+    }
+    for (i, entry) in entries().into_iter().enumerate() {
+        add(&mut lines, &format!("disk/entry-{i}"), entry);
+    }
+    add(&mut lines, "disk/hard", Hard { term: 3, vote: Some(Node(300)) });
+    let snapshot = Snapshot { index: 400, term: 2, at_ms: 70_000, group: group(), data: vec![1, 2, 3] };
+    add(&mut lines, "disk/snapshot", snapshot);
+
+    let mut machine = Machine::default();
+    for (i, (name, command)) in commands().into_iter().enumerate() {
+        let (number, session) = (i as u64, u64::from(i > 0));
+        let logged = Logged { by: 4, session, number, below: 0, command };
+        add(&mut lines, &format!("log/{name}"), Line { office_ms: 500, logged: logged.clone() });
+        machine.apply(number + 1, 1_000 + number, 500, logged);
+    }
+    let kept = machine.snapshot();
+    assert_eq!(Machine::restore(&kept).as_ref(), Some(&machine));
+    add_bytes(&mut lines, "disk/machine", &kept);
+    assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
+}
--- /dev/null
+++ b/crates/control/throttle/tests/wire_bytes.rs
@@ -0,0 +1,57 @@
+//! The encoding of members, of their lapses and of changes of both, held to fixed bytes: they are kept on disks and sent
+//! between machines of different builds.
+
+use bitcode::{DecodeOwned, Encode};
+use silvercross_control_store::State;
+use silvercross_throttle::{read, Change, Lapse, Roll};
+use std::fmt::{Debug, Write};
+
+/// One line per value: its name, then its encoding in hexadecimal.
+const TABLE: &str = include_str!("data/wire.hex");
+
+/// Adds the line of a value to `lines`, after reading the value back from its encoding.
+fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
+    let bytes = bitcode::encode(&value);
+    assert_eq!(bitcode::decode::<T>(&bytes).as_ref().ok(), Some(&value), "{name}");
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    writeln!(lines, "{name} {hex}").expect("a string grows");
+}
+
+const DELIVER: &str = r#"{
+    "members": [
+        {"name": "ana", "key": "k1", "plan": "full", "edition": 1},
+        {"name": "ben", "keys": ["k2", "k3"], "plan": "trial", "lapsesInS": 60, "edition": 2,
+         "slowing": {"fullShare": 0.1, "spanS": 3600, "steps": 6}},
+        {"name": "cai", "key": "k4", "plan": "trial", "lapsesAt": 1700000000.5, "edition": 3}
+    ],
+    "membership": {"header": "X-Member", "unknown": "refuse", "edition": 1}
+}"#;
+const WITHDRAW: &str = r#"{"members": [{"name": "dee", "edition": 7}]}"#;
+
+#[test]
+fn members_and_lapses_are_encoded_as_they_always_were() {
+    let map = |text: &str| serde_json::from_str(text).expect("an object");
+    let sent = read(&map(DELIVER), &map(WITHDRAW)).expect("valid");
+    let mut roll = Roll::default();
+    assert_eq!(roll.apply(&sent), Ok(true));
+    let lapse = Lapse {
+        edition: Some(2),
+        due: Some(1_700_000_000_000_000),
+        begun: true,
+        step: 3,
+        of: 6,
+        renewals: 1,
+    };
+
+    let mut lines = String::new();
+    add(&mut lines, "sent", sent);
+    add(&mut lines, "roll", roll);
+    add(&mut lines, "roll/empty", Roll::default());
+    add(&mut lines, "lapse", lapse);
+    add(&mut lines, "lapse/none", Lapse::default());
+    add(&mut lines, "change/renew", Change::Renew { edition: 2, of: 6 });
+    add(&mut lines, "change/due", Change::Due { edition: 2, at: 1_700_000_000_000_000 });
+    add(&mut lines, "change/begin", Change::Begin { edition: 2 });
+    add(&mut lines, "change/step", Change::Step { edition: 2, to: 4 });
+    assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
+}
