--- a/crates/daemon/mesh/src/body_buffer.rs
+++ b/crates/daemon/mesh/src/body_buffer.rs
@@ -1,6 +1,6 @@
-//! Bodies: a request's is held whole up to [`wire::HELD`], the rest of a larger one passed on as it comes, at the pace of
+//! Bodies: a request's is held whole up to [`wire::MAX_BUFFERED_BODY_BYTES`], the rest of a larger one passed on as it comes, at the pace of
 //! whoever takes it. What is held by all requests together is bounded.
-use crate::wire::{self, Line, Wrong};
+use crate::wire::{self, Connection, ReadError};
 use bytes::Bytes;
 use silvercross_net::stream::Decoder;
 use std::cell::{Cell, RefCell};
@@ -14,15 +14,15 @@
 
 /// What all bodies held here take together.
 #[derive(Debug, Default)]
-pub struct Stores {
+pub struct BodyBudget {
     most: Cell<u64>,
     held: Cell<u64>,
 }
 
-impl Stores {
+impl BodyBudget {
     /// For a process of so many bytes of memory.
     pub fn new(memory: u64) -> Rc<Self> {
-        Rc::new(Stores { most: Cell::new(memory / PART), held: Cell::new(0) })
+        Rc::new(BodyBudget { most: Cell::new(memory / PART), held: Cell::new(0) })
     }
 
     /// Bytes held now.
@@ -31,19 +31,19 @@
     }
 
     /// Room for one body, none of it taken yet.
-    pub fn share(self: &Rc<Self>) -> Share {
-        Share { stores: self.clone(), bytes: 0 }
+    pub fn share(self: &Rc<Self>) -> BodyReservation {
+        BodyReservation { stores: self.clone(), bytes: 0 }
     }
 }
 
 /// One body's part of the stores; given back when it is dropped.
 #[derive(Debug)]
-pub struct Share {
-    stores: Rc<Stores>,
+pub struct BodyReservation {
+    stores: Rc<BodyBudget>,
     bytes: u64,
 }
 
-impl Share {
+impl BodyReservation {
     /// Take so many bytes more; `false`, and nothing taken, if there is no room.
     pub fn more(&mut self, bytes: u64) -> bool {
         let held = self.stores.held.get() + bytes;
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Share {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.empty();
     }
@@ -75,7 +75,7 @@
 }
 
 /// What is still to come of a body, taken by one attempt at a time.
-pub struct Rest {
+pub struct BodyStream {
     /// Bytes of the whole body, where that is stated.
     pub length: Option<u64>,
     pieces: Mutex<mpsc::Receiver<Piece>>,
@@ -84,7 +84,7 @@
     ended: Cell<bool>,
 }
 
-impl Rest {
+impl BodyStream {
     /// Whether any of it was taken: from then on it can't be sent again.
     pub fn spent(&self) -> bool {
         self.spent.get()
@@ -112,23 +112,23 @@
     }
 }
 
-/// Brings what [`Rest`] hands out.
-pub struct Bringer {
+/// Brings what [`BodyStream`] hands out.
+pub struct BodyStreamWriter {
     to: mpsc::Sender<Piece>,
-    rest: Rc<Rest>,
+    rest: Rc<BodyStream>,
 }
 
-impl Bringer {
+impl BodyStreamWriter {
     /// Returns once somebody wants the rest.
     pub async fn wanted(&self) {
         self.rest.wanted.notified().await;
     }
 
     /// Read the rest of a body from its connection, no faster than it is taken.
-    pub async fn bring(&self, line: &mut Line, decoder: &mut Decoder) -> Result<(), Wrong> {
+    pub async fn bring(&self, line: &mut Connection, decoder: &mut Decoder) -> Result<(), ReadError> {
         loop {
             // Nobody takes any more: the connection is left as it is.
-            let Ok(room) = self.to.reserve().await else { return Err(Wrong::Closed) };
+            let Ok(room) = self.to.reserve().await else { return Err(ReadError::Closed) };
             match line.next(decoder).await? {
                 Some(bytes) => room.send(Piece::Bytes(bytes)),
                 None => {
@@ -145,20 +145,24 @@
     /// Its first part, or all of it.
     pub held: RefCell<Rc<Vec<u8>>>,
     /// What comes behind that.
-    pub rest: Option<Rc<Rest>>,
-    share: RefCell<Share>,
+    pub rest: Option<Rc<BodyStream>>,
+    share: RefCell<BodyReservation>,
 }
 
 impl BodyBuffer {
     /// One that is here whole.
-    pub fn whole(held: Vec<u8>, share: Share) -> Rc<Self> {
+    pub fn whole(held: Vec<u8>, share: BodyReservation) -> Rc<Self> {
         Rc::new(BodyBuffer { held: RefCell::new(Rc::new(held)), rest: None, share: RefCell::new(share) })
     }
 
     /// One that is still coming; the second part brings the rest.
-    pub fn coming(held: Vec<u8>, length: Option<u64>, share: Share) -> (Rc<Self>, Bringer) {
+    pub fn coming(
+        held: Vec<u8>,
+        length: Option<u64>,
+        share: BodyReservation,
+    ) -> (Rc<Self>, BodyStreamWriter) {
         let (to, pieces) = mpsc::channel(AHEAD);
-        let rest = Rc::new(Rest {
+        let rest = Rc::new(BodyStream {
             length,
             pieces: Mutex::new(pieces),
             wanted: Notify::new(),
@@ -166,7 +170,7 @@
             ended: Cell::new(false),
         });
         let (held, share) = (RefCell::new(Rc::new(held)), RefCell::new(share));
-        (Rc::new(BodyBuffer { held, rest: Some(rest.clone()), share }), Bringer { to, rest })
+        (Rc::new(BodyBuffer { held, rest: Some(rest.clone()), share }), BodyStreamWriter { to, rest })
     }
 
     /// What is held.
@@ -201,21 +205,21 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::trial::{self, bytes, stamped, status, value, Talk, Terms, ID};
-    use crate::wire::HELD;
+    use crate::trial::{self, bytes, stamped, status, value, SidecarOptions, TestConnection, ID};
+    use crate::wire::MAX_BUFFERED_BODY_BYTES;
     use std::cell::Cell;
     use std::rc::Rc;
 
-    const LARGE: usize = 6 * HELD + 12_345;
+    const LARGE: usize = 6 * MAX_BUFFERED_BODY_BYTES + 12_345;
 
     /// An origin that knows of `gates` sidecars, each with its own upstream.
     async fn mesh(gates: u8) -> (trial::Sidecar, Vec<(trial::Sidecar, tokio::net::TcpListener)>) {
         let (_, nobody) = trial::station().await;
-        let origin = trial::sidecar(1, nobody, Terms::default()).await;
+        let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
         let mut all = Vec::new();
         for last in 2..2 + gates {
             let (listener, at) = trial::station().await;
-            let gate = trial::sidecar(last, at, Terms::default()).await;
+            let gate = trial::sidecar(last, at, SidecarOptions::default()).await;
             origin.hears_of(&gate);
             all.push((gate, listener));
         }
@@ -229,7 +233,7 @@
                 let (origin, gate, listener) = match here {
                     true => {
                         let (listener, at) = trial::station().await;
-                        let origin = trial::sidecar(1, at, Terms::default()).await;
+                        let origin = trial::sidecar(1, at, SidecarOptions::default()).await;
                         (origin.clone(), origin, listener)
                     }
                     false => {
@@ -248,7 +252,7 @@
                 );
                 let upstream = tokio::task::spawn_local(async move {
                     let (stream, _) = listener.accept().await.expect("a connection");
-                    let mut talk = Talk::over(stream);
+                    let mut talk = TestConnection::over(stream);
                     let head = talk.head().await;
                     let (body, whole) = talk.body(&head).await;
                     peak.set(stores.iter().map(|s| s.held()).max().unwrap_or(0));
@@ -272,7 +276,7 @@
                     }
                     (head, body, whole)
                 });
-                let mut client = Talk::to(origin.at).await;
+                let mut client = TestConnection::to(origin.at).await;
                 let framing = match chunked {
                     true => "Transfer-Encoding: chunked\r\n".to_string(),
                     false => format!("Content-Length: {LARGE}\r\n"),
@@ -296,7 +300,7 @@
                 assert!(whole && body == sent);
                 assert_eq!(value(&head, "sender").as_deref(), Some("quotes"));
                 assert!(value(&head, "expect").is_none() && value(&head, "waybill").is_none(), "{head}");
-                assert!(most.get() <= 2 * (HELD as u64 + 65_536), "{}", most.get());
+                assert!(most.get() <= 2 * (MAX_BUFFERED_BODY_BYTES as u64 + 65_536), "{}", most.get());
                 // The same connection serves on.
                 client.say(format!("GET /none HTTP/1.1\r\nHost: h\r\n{ID}\r\n").as_bytes()).await;
                 assert_eq!(status(&client.head().await), "404");
@@ -319,7 +323,7 @@
             let upstream = tokio::task::spawn_local(async move {
                 for _ in 0..4 {
                     let (stream, _) = listener.accept().await.expect("a connection");
-                    let mut talk = Talk::over(stream);
+                    let mut talk = TestConnection::over(stream);
                     let head = talk.head().await;
                     let (body, whole) = talk.body(&head).await;
                     assert!(whole && body == want);
@@ -328,7 +332,7 @@
                 }
             });
             for i in 0..4 {
-                let mut client = Talk::to(origin.at).await;
+                let mut client = TestConnection::to(origin.at).await;
                 let head = format!(
                     "POST /up/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {i}\r\nContent-Length: {LARGE}\r\n\r\n"
                 );
@@ -355,16 +359,16 @@
                 gate.beat();
                 tokio::task::spawn_local(async move {
                     let (stream, _) = listener.accept().await.expect("a connection");
-                    let mut talk = Talk::over(stream);
+                    let mut talk = TestConnection::over(stream);
                     let head = talk.head().await;
                     talk.say(stamped(&head, 200, framing).as_bytes()).await;
-                    let piece = bytes(2 * HELD);
+                    let piece = bytes(2 * MAX_BUFFERED_BODY_BYTES);
                     if framing.starts_with('T') {
                         talk.say(format!("{:x}\r\n", piece.len()).as_bytes()).await;
                     }
                     talk.say(&piece).await;
                 });
-                let mut client = Talk::to(origin.at).await;
+                let mut client = TestConnection::to(origin.at).await;
                 let ask = format!("GET /safe/x HTTP/{version}\r\nHost: h\r\n{ID}\r\n");
                 client.say(ask.as_bytes()).await;
                 let head = client.head().await;
@@ -391,10 +395,10 @@
     fn bodies_beyond_the_room_for_all_are_told_to_come_back() {
         trial::run(async {
             let (_, nobody) = trial::station().await;
-            let terms = Terms { memory: 4 * 100_000, ..Terms::default() };
+            let terms = SidecarOptions { memory: 4 * 100_000, ..SidecarOptions::default() };
             let origin = trial::sidecar(1, nobody, terms).await;
             for n in [99_000, 200_000, 99_000] {
-                let mut client = Talk::to(origin.at).await;
+                let mut client = TestConnection::to(origin.at).await;
                 client
                     .say(
                         format!("POST /up/x HTTP/1.1\r\nHost: h\r\n{ID}Content-Length: {n}\r\n\r\n")
--- a/crates/daemon/mesh/src/changes.rs
+++ b/crates/daemon/mesh/src/changes.rs
@@ -2,8 +2,8 @@
 //! comes new is treated as what was there.
 use crate::control::{self, CALLS, READY_CALLS};
 use crate::reload;
-use crate::trial::{self, bytes, stamped, status, value, Sidecar, Talk, Terms, ID};
-use crate::wire::HELD;
+use crate::trial::{self, bytes, stamped, status, value, Sidecar, SidecarOptions, TestConnection, ID};
+use crate::wire::MAX_BUFFERED_BODY_BYTES;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -44,8 +44,8 @@
 const REQUESTS: [(&str, &str, usize, usize); 4] = [
     ("GET", "safe", 0, 500),
     ("POST", "once", 900, 500),
-    ("POST", "up", 2 * HELD, 500),
-    ("GET", "safe", 0, 2 * HELD),
+    ("POST", "up", 2 * MAX_BUFFERED_BODY_BYTES, 500),
+    ("GET", "safe", 0, 2 * MAX_BUFFERED_BODY_BYTES),
 ];
 
 /// A route of host `h`.
@@ -109,8 +109,8 @@
                 let case = format!("{change:?} {method} {of} {body} {answer}");
                 let (listener, station) = trial::station().await;
                 let (_, nobody) = trial::station().await;
-                let (origin, text) = trial::sidecar_of(1, nobody, Terms::default()).await;
-                let (gate, gates) = trial::sidecar_of(2, station, Terms::default()).await;
+                let (origin, text) = trial::sidecar_of(1, nobody, SidecarOptions::default()).await;
+                let (gate, gates) = trial::sidecar_of(2, station, SidecarOptions::default()).await;
                 gate.beat();
                 origin.hears_of(&gate);
                 let settings = [(path.clone(), text), (path.clone(), gates)];
@@ -119,18 +119,22 @@
                         change.happen(at, of, settings);
                     }
                 };
-                let mut client = Talk::to(origin.at).await;
+                let mut client = TestConnection::to(origin.at).await;
                 let sent = bytes(body);
                 let head =
                     format!("{method} /{of}/x HTTP/1.1\r\nHost: h\r\n{ID}Content-Length: {body}\r\n\r\n");
                 client.say(head.as_bytes()).await;
                 // A large body is at its upstream in part; a small one whole.
-                let first = if body > HELD { HELD + HELD / 2 } else { body };
+                let first = if body > MAX_BUFFERED_BODY_BYTES {
+                    MAX_BUFFERED_BODY_BYTES + MAX_BUFFERED_BODY_BYTES / 2
+                } else {
+                    body
+                };
                 client.say(&sent[..first]).await;
                 let (stream, _) = listener.accept().await.expect("a connection");
-                let mut upstream = Talk::over(stream);
+                let mut upstream = TestConnection::over(stream);
                 let asked = upstream.head().await;
-                if answer < HELD {
+                if answer < MAX_BUFFERED_BODY_BYTES {
                     happen();
                 }
                 client.say(&sent[first..]).await;
@@ -139,12 +143,15 @@
                 let back = bytes(answer);
                 let framing = format!("Content-Length: {answer}\r\n");
                 upstream.say(stamped(&asked, 200, &framing).as_bytes()).await;
-                if answer > HELD {
+                if answer > MAX_BUFFERED_BODY_BYTES {
                     // A part of the answer is at the client.
-                    let told = upstream.say(&back[..HELD + HELD / 2]);
+                    let told = upstream.say(&back[..MAX_BUFFERED_BODY_BYTES + MAX_BUFFERED_BODY_BYTES / 2]);
                     let (head, ()) = tokio::join!(client.head(), told);
                     happen();
-                    let (got, ()) = tokio::join!(client.body(&head), upstream.say(&back[HELD + HELD / 2..]));
+                    let (got, ()) = tokio::join!(
+                        client.body(&head),
+                        upstream.say(&back[MAX_BUFFERED_BODY_BYTES + MAX_BUFFERED_BODY_BYTES / 2..])
+                    );
                     assert!(status(&head) == "200" && got.1 && got.0 == back, "{case}: {head}");
                 } else {
                     upstream.say(&back).await;
@@ -161,7 +168,7 @@
 
 /// An upstream on a connection: answers each request whole.
 async fn answers(stream: TcpStream) {
-    let mut talk = Talk::over(stream);
+    let mut talk = TestConnection::over(stream);
     loop {
         let head = talk.head().await;
         if head.is_empty() {
@@ -190,12 +197,12 @@
         let (listener, station) = trial::station().await;
         serves(listener);
         let (_, nobody) = trial::station().await;
-        let origin = trial::sidecar(1, nobody, Terms::default()).await;
-        let gate = trial::sidecar(2, station, Terms::default()).await;
+        let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = trial::sidecar(2, station, SidecarOptions::default()).await;
         gate.beat();
         origin.hears_of(&gate);
         // The first routes have their figures by the time the others come.
-        let mut talk = Talk::to(origin.at).await;
+        let mut talk = TestConnection::to(origin.at).await;
         for _ in 0..200 {
             talk.say(format!("GET /safe/x HTTP/1.1\r\nHost: h\r\n{ID}\r\n").as_bytes()).await;
             let head = talk.head().await;
@@ -211,7 +218,7 @@
         for c in 0..CLIENTS {
             let (at, served, lane) = (origin.at, served.clone(), later[c % ROUTES].clone());
             clients.push(tokio::task::spawn_local(async move {
-                let mut talk = Talk::to(at).await;
+                let mut talk = TestConnection::to(at).await;
                 for n in 0..EACH {
                     let new = n % 2 == 0;
                     let lane = if new { lane.as_str() } else { "safe" };
@@ -237,7 +244,7 @@
 }
 
 /// Say something to a listener of calls, on a connection that is kept.
-async fn call(talk: &mut Talk, method: &str, path: &str, body: &str) -> (String, Vec<u8>) {
+async fn call(talk: &mut TestConnection, method: &str, path: &str, body: &str) -> (String, Vec<u8>) {
     let n = body.len();
     talk.say(format!("{method} {path} HTTP/1.1\r\nHost: c\r\nContent-Length: {n}\r\n\r\n{body}").as_bytes())
         .await;
@@ -252,14 +259,14 @@
 fn beats_are_answered_in_few_bytes_while_all_else_waits() {
     trial::run(async {
         let (listener, station) = trial::station().await;
-        let sidecar = trial::sidecar(1, station, Terms::default()).await;
+        let sidecar = trial::sidecar(1, station, SidecarOptions::default()).await;
         sidecar.beat();
         let (calls, at) = trial::station().await;
         tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
         // The upstream takes connections and answers nothing.
-        let mut held: Vec<Talk> = Vec::new();
+        let mut held: Vec<TestConnection> = Vec::new();
         for n in 0..40 {
-            let mut talk = Talk::to(sidecar.at).await;
+            let mut talk = TestConnection::to(sidecar.at).await;
             let id = format!("Attempt-Id: h{n}\r\n");
             talk.say(format!("POST /once/x HTTP/1.1\r\nHost: h\r\n{id}Content-Length: 0\r\n\r\n").as_bytes())
                 .await;
@@ -284,7 +291,7 @@
             ("draining", ("Heartbeat/i-127.0.0.1".into(), beat("draining", 3), "200")),
         ]
         .into();
-        let mut talk = Talk::to(at).await;
+        let mut talk = TestConnection::to(at).await;
         for (name, (path, body, wanted)) in &cases {
             let (head, said) = call(&mut talk, "POST", &format!("/-/Stations.{path}"), body).await;
             assert_eq!(status(&head), *wanted, "{name}");
@@ -293,9 +300,13 @@
         sidecar.node_state.begin_stop();
         let (head, _) = call(&mut talk, "POST", "/-/Stations.SignOff/i-127.0.0.1", "").await;
         assert_eq!((status(&head), value(&head, "connection").as_deref()), ("200", Some("close")));
-        let (head, _) =
-            call(&mut Talk::to(at).await, "POST", "/-/Stations.Heartbeat/i-127.0.0.1", &beat("ready", 4))
-                .await;
+        let (head, _) = call(
+            &mut TestConnection::to(at).await,
+            "POST",
+            "/-/Stations.Heartbeat/i-127.0.0.1",
+            &beat("ready", 4),
+        )
+        .await;
         assert_eq!(status(&head), "409");
     });
 }
@@ -307,13 +318,14 @@
         let (listener, station) = trial::station().await;
         serves(listener);
         let (_, nobody) = trial::station().await;
-        let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
-        let gate = trial::sidecar(2, station, Terms::default()).await;
+        let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = trial::sidecar(2, station, SidecarOptions::default()).await;
         gate.beat();
         sidecar.hears_of(&gate);
         let (calls, ready) = trial::station().await;
         tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &READY_CALLS));
-        let (mut platform, mut client) = (Talk::to(ready).await, Talk::to(sidecar.at).await);
+        let (mut platform, mut client) =
+            (TestConnection::to(ready).await, TestConnection::to(sidecar.at).await);
         for stopping in [false, true] {
             if stopping {
                 sidecar.node_state.begin_stop();
@@ -338,7 +350,7 @@
 async fn follow(at: SocketAddr, path: &str) -> Vec<String> {
     let (mut at, mut path, mut all) = (at, path.to_string(), Vec::new());
     loop {
-        let (head, _) = call(&mut Talk::to(at).await, "GET", &path, "").await;
+        let (head, _) = call(&mut TestConnection::to(at).await, "GET", &path, "").await;
         all.push(status(&head).to_string());
         let Some(to) = value(&head, "location") else {
             return all;
@@ -356,7 +368,7 @@
         let mut at = Vec::new();
         let mut sidecars = Vec::new();
         for last in [1, 2] {
-            let sidecar = trial::sidecar(last, nobody, Terms::default()).await;
+            let sidecar = trial::sidecar(last, nobody, SidecarOptions::default()).await;
             let calls = TcpListener::bind((sidecar.node_state.boot.ip, 0)).await.expect("a port");
             at.push(calls.local_addr().expect("bound"));
             tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
@@ -400,7 +412,7 @@
             (&[(11, "a", false, &[11, 12]), (12, "a", false, &[])], Some(11)),
         ];
         for (n, (known, wanted)) in cases.into_iter().enumerate() {
-            let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
+            let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
             let ip = |last: &u8| Ipv4Addr::new(127, 0, 0, *last);
             for (last, zone, leaving, roster) in known {
                 let roster: Vec<Ipv4Addr> = roster.iter().map(ip).collect();
--- a/crates/daemon/mesh/src/client_listener.rs
+++ b/crates/daemon/mesh/src/client_listener.rs
@@ -5,10 +5,10 @@
 mod route;
 mod run;
 
-use crate::body_buffer::{BodyBuffer, Bringer};
+use crate::body_buffer::{BodyBuffer, BodyStreamWriter};
 use crate::idle_timeout;
 use crate::node_state::{Counted, Door, NodeState};
-use crate::wire::{self, Asked, End, Line, Size, Wrong};
+use crate::wire::{self, Connection, PeerKind, ReadError, RequestHead, Size};
 use reply::{begin, Reply};
 use route::serve;
 use silvercross_net::http::{Bad, Framing};
@@ -45,14 +45,14 @@
         let counted = Counted::new(&node_state, |c| &c.clients);
         tokio::task::spawn_local(async move {
             let _counted = counted;
-            let mut line = Line::new(stream, End::Outer(0));
+            let mut line = Connection::new(stream, PeerKind::External(0));
             while one(&node_state, &mut line).await {}
         });
     }
 }
 
 /// One request of a connection; whether another may come.
-async fn one(node_state: &Rc<NodeState>, line: &mut Line) -> bool {
+async fn one(node_state: &Rc<NodeState>, line: &mut Connection) -> bool {
     if !idle_timeout::taken_up(node_state, line).await {
         return false;
     }
@@ -60,7 +60,7 @@
     let limits = node_state.table().limits();
     let span = |us: i64| Duration::from_micros(us.max(1) as u64);
     let most = limits.content_bytes.min(usize::MAX as u64) as usize;
-    line.end = End::Outer(limits.envelope_bytes);
+    line.end = PeerKind::External(limits.envelope_bytes);
     let whole = span(limits.envelope_us);
     let request = line.request(whole, whole, most).await;
     let mut asked = match request {
@@ -80,10 +80,10 @@
     asked.forwarding_headers = None;
     asked.expects = None;
     asked.sender = Some(node_state.boot.destination.clone());
-    let (held, whole) = match held.unwrap_or(Err(Wrong::Late)) {
+    let (held, whole) = match held.unwrap_or(Err(ReadError::Late)) {
         Ok(held) => held,
         Err(wrong) => {
-            if matches!(wrong, Wrong::NoRoom) {
+            if matches!(wrong, ReadError::NoRoom) {
                 node_state.counts.no_room.set(node_state.counts.no_room.get() + 1);
             }
             return refuse(line, wrong).await;
@@ -99,8 +99,8 @@
 /// A request that is here whole; whether another may come.
 async fn answer_whole(
     node_state: &Rc<NodeState>,
-    line: &mut Line,
-    asked: &Asked,
+    line: &mut Connection,
+    asked: &RequestHead,
     body_buffer: Rc<BodyBuffer>,
 ) -> bool {
     let open = Open::new(node_state);
@@ -132,10 +132,10 @@
 /// One request whose body is still coming: it is read on while the request is served, no faster than it is passed on.
 async fn large(
     node_state: &Rc<NodeState>,
-    line: &mut Line,
-    asked: &Asked,
+    line: &mut Connection,
+    asked: &RequestHead,
     body_buffer: Rc<BodyBuffer>,
-    bringer: Bringer,
+    bringer: BodyStreamWriter,
     decoder: &mut Decoder,
     until: Instant,
 ) -> bool {
@@ -156,8 +156,8 @@
         };
         let read = async {
             bringer.wanted().await;
-            match timeout_at(until, bringer.bring(line, decoder)).await.unwrap_or(Err(Wrong::Late)) {
-                Err(wrong) if !replies.get() && !matches!(wrong, Wrong::Closed) => wrong,
+            match timeout_at(until, bringer.bring(line, decoder)).await.unwrap_or(Err(ReadError::Late)) {
+                Err(wrong) if !replies.get() && !matches!(wrong, ReadError::Closed) => wrong,
                 _ => std::future::pending().await,
             }
         };
@@ -179,27 +179,27 @@
             false
         }
         // Part of it may be at an upstream: that it never ran is not for certain, so no promise (408).
-        Err(Wrong::Late) => false,
+        Err(ReadError::Late) => false,
         Err(wrong) => refuse(line, wrong).await,
     }
 }
 
 /// A request that could not be read: say why, if its sender may still listen.
-async fn refuse(line: &mut Line, wrong: Wrong) -> bool {
+async fn refuse(line: &mut Connection, wrong: ReadError) -> bool {
     let (status, text) = match wrong {
-        Wrong::Closed | Wrong::Broken => return false,
-        Wrong::Late => (408, "the request did not come whole in time"),
-        Wrong::NoRoom => (503, "too many bodies are held here"),
-        Wrong::Bad(bad) => match bad {
+        ReadError::Closed | ReadError::Broken => return false,
+        ReadError::Late => (408, "the request did not come whole in time"),
+        ReadError::NoRoom => (503, "too many bodies are held here"),
+        ReadError::Bad(bad) => match bad {
             Bad::Malformed(what) => (400, what),
-            other => (wire::status_of(&other), "larger than the limits allow"),
+            other => (wire::error_status(&other), "larger than the limits allow"),
         },
     };
     let reply = match status {
         503 => Reply::promise(status, text, None),
         _ => Reply::own(status, text),
     };
-    let bytes = wire::whole(status, &reply.lines, &reply.body, true, false);
+    let bytes = wire::encode_response(status, &reply.lines, &reply.body, true, false);
     if line.write(&bytes).await.is_ok() {
         line.finish().await;
         line.drain(AFTER).await;
--- a/crates/daemon/mesh/src/client_listener/attempt.rs
+++ b/crates/daemon/mesh/src/client_listener/attempt.rs
@@ -1,13 +1,13 @@
 //! One attempt of a request: over a hop or through this machine's own gate, and the question what became of it.
 use crate::body_buffer::BodyBuffer;
-use crate::forwarding_headers::{self, ForwardingHeaders, Word};
+use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus};
 use crate::mutation::{self, Mutation};
 use crate::node_state::NodeState;
-use crate::peer_connection::{self, Came, Order, Told};
+use crate::peer_connection::{self, ExchangeOutcome, Order, Told};
 use crate::response_replay_cache;
 use crate::service_balancer::CONNECT;
 use crate::upstream_gate;
-use crate::wire::{Answer, Asked, End};
+use crate::wire::{PeerKind, RequestHead, Response};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,26 +25,26 @@
 #[allow(clippy::too_many_arguments)]
 pub(super) async fn go(
     node_state: &Rc<NodeState>,
-    asked: &Asked,
+    asked: &RequestHead,
     body_buffer: &Rc<BodyBuffer>,
     id: &str,
     bill: &ForwardingHeaders,
     left: i64,
     to: SocketAddr,
     name: &str,
-) -> Came {
+) -> ExchangeOutcome {
     if Some(to) == node_state.boot.inbound {
         let mut mine = asked.clone();
         (mine.deadline, mine.expects) = (Some(left), Some(name.to_string()));
-        return Came::Answer(Box::new(
+        return ExchangeOutcome::Response(Box::new(
             upstream_gate::serve(node_state, &mine, bill, body_buffer, None).await,
         ));
     }
     let started = Instant::now();
     let limit = Duration::from_micros(CONNECT as u64);
     let from = Some(node_state.boot.ip.into());
-    let Some(line) = node_state.pool.line(from, to, limit, End::Hop).await else {
-        return Came::NotConnected;
+    let Some(line) = node_state.pool.acquire(from, to, limit, PeerKind::Sidecar).await else {
+        return ExchangeOutcome::NotConnected;
     };
     let mut hop = asked.clone();
     hop.forwarding_headers = Some(forwarding_headers::write(bill));
@@ -58,11 +58,11 @@
     let life = node_state.pool.life(to);
     let written = Instant::now();
     let came = peer_connection::exchange(&node_state.pool, line, order, node_state.stores.share()).await;
-    if !matches!(came, Came::Broken) || bill.repeatable {
+    if !matches!(came, ExchangeOutcome::Broken) || bill.repeatable {
         return came;
     }
     if mutation::is(Mutation::SentAgain) {
-        return Came::NotConnected;
+        return ExchangeOutcome::NotConnected;
     }
     let until = started + Duration::from_micros(left.max(0) as u64);
     node_state.counts.asked.set(node_state.counts.asked.get() + 1);
@@ -71,15 +71,17 @@
     let known = written.elapsed() < ASKS;
     let same = |of: Option<u64>| of == life || mutation::is(Mutation::AnyLife);
     let came = match told.ok().flatten() {
-        None => Came::Broken,
-        Some(answer) => match answer.word.as_deref().map(forwarding_headers::read::<Word>) {
-            None => Came::Answer(answer),
-            Some(Some(Word::Unseen)) if known && same(answer.life) => Came::NotConnected,
-            Some(Some(Word::Absent | Word::Full(_) | Word::Shut)) => Came::Answer(answer),
-            Some(_) => Came::Broken,
+        None => ExchangeOutcome::Broken,
+        Some(answer) => match answer.word.as_deref().map(forwarding_headers::read::<GateStatus>) {
+            None => ExchangeOutcome::Response(answer),
+            Some(Some(GateStatus::Unseen)) if known && same(answer.life) => ExchangeOutcome::NotConnected,
+            Some(Some(GateStatus::Absent | GateStatus::Full(_) | GateStatus::Shut)) => {
+                ExchangeOutcome::Response(answer)
+            }
+            Some(_) => ExchangeOutcome::Broken,
         },
     };
-    if !matches!(came, Came::Broken) {
+    if !matches!(came, ExchangeOutcome::Broken) {
         node_state.counts.recovered.set(node_state.counts.recovered.get() + 1);
     }
     came
@@ -88,12 +90,12 @@
 /// The hop broke after the request was written: its gate knows what became of it. `None`: nobody there knows.
 async fn ask(
     node_state: &Rc<NodeState>,
-    asked: &Asked,
+    asked: &RequestHead,
     id: &str,
     bill: &ForwardingHeaders,
     to: SocketAddr,
     until: Instant,
-) -> Option<Box<Answer>> {
+) -> Option<Box<Response>> {
     let bill = forwarding_headers::write(&ForwardingHeaders { asks: true, ..bill.clone() });
     let (own, limit) = (node_state.boot.ip.into(), Duration::from_micros(CONNECT as u64));
     let host = forwarding_headers::ASKED;
@@ -102,10 +104,10 @@
     while Instant::now() < until {
         let bodiless = asked.method == "HEAD";
         let order = Order { to, bytes: bytes.as_bytes(), coming: None, awaits: false, id, bodiless };
-        match peer_connection::ask(own, to, limit, order, node_state.stores.share()).await {
+        match peer_connection::query_attempt(own, to, limit, order, node_state.stores.share()).await {
             // A gate that turns hops away at its door knows nothing of the attempt yet.
-            Told::Answer(answer) if answer.word.is_some() && answer.life.is_none() => {}
-            Told::Answer(answer) => return Some(answer),
+            Told::Response(answer) if answer.word.is_some() && answer.life.is_none() => {}
+            Told::Response(answer) => return Some(answer),
             Told::Gone => return None,
             Told::Nothing => {}
         }
--- a/crates/daemon/mesh/src/client_listener/reply.rs
+++ b/crates/daemon/mesh/src/client_listener/reply.rs
@@ -1,10 +1,10 @@
 //! What a client is answered: this program's own words, an upstream's answer passed on, and both as bytes.
-use crate::body_buffer::Share;
+use crate::body_buffer::BodyReservation;
 use crate::idle_timeout;
 use crate::node_state::NodeState;
-use crate::peer_connection::Tail;
+use crate::peer_connection::StreamedBody;
 use crate::service_balancer::Ticket;
-use crate::wire::{self, Answer, Asked, Size};
+use crate::wire::{self, RequestHead, Response, Size};
 use silvercross_facade::{Attempt, Report};
 use std::rc::Rc;
 use tokio::net::tcp::OwnedWriteHalf;
@@ -18,12 +18,12 @@
     pub(super) lines: Vec<u8>,
     pub(super) body: Vec<u8>,
     /// What comes behind that, and the length of both where it is known.
-    pub(super) tail: Option<Box<Tail>>,
+    pub(super) tail: Option<Box<StreamedBody>>,
     length: Option<u64>,
     /// Told how that ended.
     pub(super) flow: Option<Flow>,
     /// The body's place among those held here.
-    _share: Option<Share>,
+    _share: Option<BodyReservation>,
 }
 
 /// A request whose answer is being passed on.
@@ -72,7 +72,7 @@
 pub(super) fn begin(
     node_state: &NodeState,
     reply: &mut Reply,
-    asked: &Asked,
+    asked: &RequestHead,
     close: bool,
 ) -> (Vec<u8>, Size) {
     let mut lines = std::mem::take(&mut reply.lines);
@@ -86,9 +86,9 @@
     }
     let bodiless = asked.method == "HEAD";
     if reply.tail.is_none() {
-        return (wire::whole(reply.status, &lines, &reply.body, close, bodiless), Size::Close);
+        return (wire::encode_response(reply.status, &lines, &reply.body, close, bodiless), Size::Close);
     }
-    wire::begun(reply.status, &lines, &reply.body, reply.length, close, asked.old)
+    wire::encode_response_start(reply.status, &lines, &reply.body, reply.length, close, asked.old)
 }
 
 fn has_id(lines: &[u8]) -> bool {
@@ -97,7 +97,7 @@
 }
 
 /// An upstream's answer, as the client gets it.
-pub(super) fn passed(answer: Answer) -> Reply {
-    let Answer { status, lines, body, tail, length, share, .. } = answer;
+pub(super) fn passed(answer: Response) -> Reply {
+    let Response { status, lines, body, tail, length, share, .. } = answer;
     Reply { status, lines, body, tail, length, flow: None, _share: share }
 }
--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -4,7 +4,7 @@
 use crate::body_buffer::BodyBuffer;
 use crate::member_throttle::{self, Head};
 use crate::node_state::NodeState;
-use crate::wire::Asked;
+use crate::wire::RequestHead;
 use silvercross_mesh_config::Route;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +17,11 @@
 const WAIT_AIM: i64 = 4;
 
 /// Find the route and the service, and have the request served.
-pub(super) async fn serve(node_state: &Rc<NodeState>, asked: &Asked, body_buffer: &Rc<BodyBuffer>) -> Reply {
+pub(super) async fn serve(
+    node_state: &Rc<NodeState>,
+    asked: &RequestHead,
+    body_buffer: &Rc<BodyBuffer>,
+) -> Reply {
     // A process that has just started knows the configuration and the upstreams within a moment: that is cheaper to wait for
     // than a client's second try. No longer than a part of what the client, or the aim, allows.
     let patience = asked.deadline.map_or(0, |d| d / WAIT_DEADLINE).min(WAIT_MOST);
@@ -55,7 +59,7 @@
 /// Find the service and have the request served; it waited for so long already.
 async fn send(
     node_state: &Rc<NodeState>,
-    asked: &Asked,
+    asked: &RequestHead,
     body_buffer: &Rc<BodyBuffer>,
     route: &Route,
     id: String,
@@ -65,7 +69,7 @@
     let service = node_state.draw(&route.split);
     node_state
         .until(route.target_us / WAIT_AIM, || {
-            node_state.service_balancer(&service).is_some_and(|d| d.ready())
+            node_state.service_balancer(&service).is_some_and(|d| d.has_upstreams())
         })
         .await;
     let Some(service_balancer) = node_state.service_balancer(&service) else {
--- a/crates/daemon/mesh/src/client_listener/run.rs
+++ b/crates/daemon/mesh/src/client_listener/run.rs
@@ -2,11 +2,11 @@
 use super::attempt::go;
 use super::reply::{passed, Flow, Reply};
 use crate::body_buffer::BodyBuffer;
-use crate::forwarding_headers::{self, ForwardingHeaders, Word};
+use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus};
 use crate::node_state::NodeState;
-use crate::peer_connection::Came;
+use crate::peer_connection::ExchangeOutcome;
 use crate::service_balancer::{RequestEvent, ServiceBalancer};
-use crate::wire::{Answer, Asked};
+use crate::wire::{RequestHead, Response};
 use silvercross_facade::{Attempt, Report, Step};
 use silvercross_mesh_config::{Kind, Route};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 pub(super) struct Run {
     pub(super) node_state: Rc<NodeState>,
     pub(super) service_balancer: Rc<ServiceBalancer>,
-    pub(super) asked: Rc<Asked>,
+    pub(super) asked: Rc<RequestHead>,
     pub(super) body_buffer: Rc<BodyBuffer>,
     pub(super) service: String,
     pub(super) id: String,
@@ -33,7 +33,7 @@
 
 /// What an attempt brought.
 struct Brought {
-    answer: Option<Answer>,
+    answer: Option<Response>,
     /// It may have run.
     arrived: bool,
     /// It reached, or may have reached, its upstream.
@@ -77,7 +77,7 @@
     /// It goes on.
     More,
     /// Its client is answered.
-    Answer(Reply),
+    Response(Reply),
     /// Its client gets this attempt's answer as it comes.
     Pass(Reply, Attempt),
 }
@@ -106,7 +106,7 @@
             };
             match next {
                 Next::More => {}
-                Next::Answer(reply) => return reply,
+                Next::Response(reply) => return reply,
                 Next::Pass(mut reply, attempt) => {
                     reply.flow = Some(Flow { ticket, attempt });
                     return reply;
@@ -120,7 +120,7 @@
         &self,
         progress: &mut Progress,
         attempt: Attempt,
-        came: Came,
+        came: ExchangeOutcome,
         request_event: &UnboundedSender<RequestEvent>,
         inbox: &UnboundedReceiver<RequestEvent>,
     ) -> Next {
@@ -148,7 +148,7 @@
                     let task = self.attempt(number, to, name, further, request_event.clone());
                     out.0.insert(number, task);
                 }
-                None => return Next::Answer(self.given_up(std::mem::take(brought), None, false)),
+                None => return Next::Response(self.given_up(std::mem::take(brought), None, false)),
             }
         }
         Next::More
@@ -194,7 +194,7 @@
             Step::Fail { .. } => self.given_up(std::mem::take(brought), None, open),
             _ => return Next::More,
         };
-        Next::Answer(reply)
+        Next::Response(reply)
     }
 
     /// The last word on a request that was given up: an upstream's own where there is one, a promise where nothing ran. `out`: an
@@ -251,18 +251,24 @@
 }
 
 /// An exchange's end, as the module hears it, and what is kept of it.
-fn judge(came: Came) -> (Report, Brought) {
+fn judge(came: ExchangeOutcome) -> (Report, Brought) {
     let answer = match came {
-        Came::NotConnected => return (Report::NotConnected, Brought::nothing(false, "no connection")),
-        Came::Broken => return (Report::Broken, Brought::nothing(true, "broken")),
-        Came::Answer(answer) => answer,
+        ExchangeOutcome::NotConnected => {
+            return (Report::NotConnected, Brought::nothing(false, "no connection"))
+        }
+        ExchangeOutcome::Broken => return (Report::Broken, Brought::nothing(true, "broken")),
+        ExchangeOutcome::Response(answer) => answer,
     };
     if let Some(text) = &answer.word {
-        let (report, arrived, after, how) = match forwarding_headers::read::<Word>(text) {
-            Some(Word::Absent) => (Report::NotConnected, false, None, "absent"),
-            Some(Word::Full(after)) => (Report::TurnedAway, false, Some(after).filter(|a| *a > 0), "full"),
-            Some(Word::Shut) => (Report::TurnedAway, false, None, "shut"),
-            Some(Word::Begun | Word::Unseen) | None => (Report::Broken, true, None, "begun, no answer"),
+        let (report, arrived, after, how) = match forwarding_headers::read::<GateStatus>(text) {
+            Some(GateStatus::Absent) => (Report::NotConnected, false, None, "absent"),
+            Some(GateStatus::Full(after)) => {
+                (Report::TurnedAway, false, Some(after).filter(|a| *a > 0), "full")
+            }
+            Some(GateStatus::Shut) => (Report::TurnedAway, false, None, "shut"),
+            Some(GateStatus::Begun | GateStatus::Unseen) | None => {
+                (Report::Broken, true, None, "begun, no answer")
+            }
         };
         return (report, Brought { answer: None, arrived, met: arrived, after, how });
     }
--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -4,7 +4,7 @@
 use crate::event_stream;
 use crate::member_throttle;
 use crate::node_state::{Beat, Counted, Door, NodeState};
-use crate::wire::{self, Asked, End, Line, Wrong};
+use crate::wire::{self, Connection, PeerKind, ReadError, RequestHead};
 use serde_json::json;
 use silvercross_control_store::Verdict;
 use silvercross_net::http::Bad;
@@ -317,7 +317,7 @@
         open.set(open.get() + 1);
         let (node_state, open) = (node_state.clone(), open.clone());
         tokio::task::spawn_local(async move {
-            let mut line = Line::new(stream, End::Outer(HEAD));
+            let mut line = Connection::new(stream, PeerKind::External(HEAD));
             let event_stream = loop {
                 match one(&node_state, &mut line, calls).await {
                     Next::Call => {}
@@ -338,13 +338,13 @@
 enum Next {
     Call,
     End,
-    EventStream(Box<Asked>, Vec<u8>),
+    EventStream(Box<RequestHead>, Vec<u8>),
 }
 
-async fn one(node_state: &Rc<NodeState>, line: &mut Line, calls: &[&Call]) -> Next {
+async fn one(node_state: &Rc<NodeState>, line: &mut Connection, calls: &[&Call]) -> Next {
     let asked = match line.request(IDLE, COMES, silvercross_mesh_config::MAX_BODY).await {
         Ok(asked) => asked,
-        Err(Wrong::Bad(bad)) => {
+        Err(ReadError::Bad(bad)) => {
             return refused(line, &bad).await;
         }
         Err(_) => return Next::End,
@@ -354,7 +354,7 @@
     }
     let body = match timeout(COMES, line.body(asked.framing, silvercross_mesh_config::MAX_BODY)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(Wrong::Bad(bad))) => {
+        Ok(Err(ReadError::Bad(bad))) => {
             return refused(line, &bad).await;
         }
         _ => return Next::End,
@@ -368,7 +368,7 @@
     };
     // Who calls again goes elsewhere.
     let close = !asked.keep_alive || node_state.stopping();
-    let bytes = wire::whole(said.status, said.lines.as_bytes(), said.body.as_bytes(), close, false);
+    let bytes = wire::encode_response(said.status, said.lines.as_bytes(), said.body.as_bytes(), close, false);
     if line.write(&bytes).await.is_ok() && !close {
         Next::Call
     } else {
@@ -377,8 +377,8 @@
 }
 
 /// A call that can't be read: say why. What still comes of it is read away, else the close would reset and cost the answer.
-async fn refused(line: &mut Line, bad: &Bad) -> Next {
-    let bytes = wire::whole(wire::status_of(bad), b"", b"", true, false);
+async fn refused(line: &mut Connection, bad: &Bad) -> Next {
+    let bytes = wire::encode_response(wire::error_status(bad), b"", b"", true, false);
     if line.write(&bytes).await.is_ok() {
         line.finish().await;
         line.drain(AFTER).await;
@@ -389,20 +389,20 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::trial::{self, Talk, Terms};
+    use crate::trial::{self, SidecarOptions, TestConnection};
 
     #[test]
     fn calls_beyond_the_bound_are_closed_and_counted() {
         trial::run(async {
             let (_, nobody) = trial::station().await;
-            let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
+            let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
             let (listener, at) = trial::station().await;
             tokio::task::spawn_local(listen(sidecar.node_state.clone(), listener, &READY_CALLS));
             let mut open = Vec::new();
             for _ in 0..CONNECTIONS {
-                open.push(Talk::to(at).await);
+                open.push(TestConnection::to(at).await);
             }
-            assert_eq!(Talk::to(at).await.more().await, 0);
+            assert_eq!(TestConnection::to(at).await.more().await, 0);
             assert_eq!(sidecar.node_state.counts.calls_shut_out.get(), 1);
             open[0].say(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
             assert_eq!(trial::status(&open[0].head().await), "200");
--- a/crates/daemon/mesh/src/cut_points_tests.rs
+++ b/crates/daemon/mesh/src/cut_points_tests.rs
@@ -89,13 +89,13 @@
 }
 
 /// How often each cut ended in each status.
-type Came = BTreeMap<(String, String), usize>;
+type ExchangeOutcome = BTreeMap<(String, String), usize>;
 
 /// Play them all, on so many threads; what broke, and what came of them.
-fn play_all(cases: &[Case], threads: usize) -> (Vec<String>, Came) {
+fn play_all(cases: &[Case], threads: usize) -> (Vec<String>, ExchangeOutcome) {
     let next = AtomicUsize::new(0);
     let work = || {
-        let (mut broken, mut came) = (Vec::new(), Came::new());
+        let (mut broken, mut came) = (Vec::new(), ExchangeOutcome::new());
         loop {
             let number = next.fetch_add(1, Ordering::Relaxed);
             let Some(case) = cases.get(number) else { return (broken, came) };
@@ -108,7 +108,7 @@
     };
     std::thread::scope(|scope| {
         let all: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
-        let (mut broken, mut came) = (Vec::new(), Came::new());
+        let (mut broken, mut came) = (Vec::new(), ExchangeOutcome::new());
         for one in all {
             let (b, c) = one.join().expect("it ends");
             broken.extend(b);
--- a/crates/daemon/mesh/src/cut_points_tests/world.rs
+++ b/crates/daemon/mesh/src/cut_points_tests/world.rs
@@ -1,7 +1,7 @@
 //! An origin, gates and upstreams, one request that is struck, others before and behind it, and the judge of what was seen.
 use super::relay::{Cut, Link, Plan, Relay, Way};
-use crate::trial::{self, value, Sidecar, Terms};
-use crate::wire::HELD;
+use crate::trial::{self, value, Sidecar, SidecarOptions};
+use crate::wire::MAX_BUFFERED_BODY_BYTES;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -80,7 +80,7 @@
         Ask::Safe => Vec::new(),
         Ask::Once => b"0123456789".to_vec(),
         Ask::Up => trial::bytes(20_000),
-        Ask::Big => trial::bytes(HELD + 70_000),
+        Ask::Big => trial::bytes(MAX_BUFFERED_BODY_BYTES + 70_000),
     }
 }
 
@@ -181,7 +181,7 @@
 
 /// The body of an answer with this stamp.
 fn text(stamp: &str, long: bool) -> String {
-    let fill = if long { HELD + 70_000 } else { 0 };
+    let fill = if long { MAX_BUFFERED_BODY_BYTES + 70_000 } else { 0 };
     format!("{stamp}{}#END", ".".repeat(fill))
 }
 
@@ -216,7 +216,7 @@
 async fn gate(number: usize, last: u8, case: Case, book: &Book, plan: &Rc<Plan>) -> (Sidecar, Relay) {
     let at = upstream(ip(number, last), case.says, book.clone()).await;
     let station = Relay::before(ip(number, last), at, Link::Station, plan).await;
-    let gate = trial::sidecar_at(ip(number, last), station.at, Terms::default()).await.0;
+    let gate = trial::sidecar_at(ip(number, last), station.at, SidecarOptions::default()).await.0;
     gate.beat();
     (gate, station)
 }
@@ -236,7 +236,7 @@
         let origin = match case.own {
             true => first,
             false => {
-                let origin = trial::sidecar_at(ip(number, 1), station.at, Terms::default()).await.0;
+                let origin = trial::sidecar_at(ip(number, 1), station.at, SidecarOptions::default()).await.0;
                 for (last, one) in [(2, Some(first)), (3, None)] {
                     let one = match one {
                         Some(one) => one,
@@ -247,7 +247,7 @@
                         let next = trial::sidecar_at(
                             one.ip,
                             one.node_state.boot.station.expect("one"),
-                            Terms::default(),
+                            SidecarOptions::default(),
                         );
                         let next = next.await.0;
                         next.beat();
--- a/crates/daemon/mesh/src/data_path_tests.rs
+++ b/crates/daemon/mesh/src/data_path_tests.rs
@@ -1,8 +1,8 @@
 //! Answers and connections as they should not be, at the places where the data path has to see it. Every cut of a request on its
 //! way: `cut_points_tests`.
-use crate::forwarding_headers::{self, Word};
-use crate::trial::{self, status, value, Sidecar, Talk, Terms};
-use crate::wire::{End, Line, HELD};
+use crate::forwarding_headers::{self, GateStatus};
+use crate::trial::{self, status, value, Sidecar, SidecarOptions, TestConnection};
+use crate::wire::{Connection, PeerKind, MAX_BUFFERED_BODY_BYTES};
 use crate::{control, peer_connection};
 use std::cell::{Cell, RefCell};
 use std::io::Write;
@@ -28,7 +28,7 @@
             saw.connections.set(saw.connections.get() + 1);
             let (texts, saw) = (texts.clone(), saw.clone());
             tokio::task::spawn_local(async move {
-                let mut talk = Talk::over(stream);
+                let mut talk = TestConnection::over(stream);
                 loop {
                     let head = talk.head().await;
                     if head.is_empty() {
@@ -50,15 +50,15 @@
 async fn mesh(texts: &[&str]) -> (Sidecar, Sidecar, Rc<Seen>) {
     let (_, nobody) = trial::station().await;
     let (at, seen) = scripted(texts).await;
-    let origin = trial::sidecar(1, nobody, Terms::default()).await;
-    let gate = trial::sidecar(2, at, Terms::default()).await;
+    let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
+    let gate = trial::sidecar(2, at, SidecarOptions::default()).await;
     gate.beat();
     origin.hears_of(&gate);
     (origin, gate, seen)
 }
 
 async fn ask(origin: &Sidecar, route: &str, id: &str) -> (String, Vec<u8>) {
-    let mut client = Talk::to(origin.at).await;
+    let mut client = TestConnection::to(origin.at).await;
     let text = format!(
         "POST /{route}/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {id}\r\nDeadline-Ms: 3000\r\nContent-Length: 0\r\n\r\n"
     );
@@ -117,13 +117,16 @@
                           2;x=y\r\nok\r\n0\r\nAttempt-Id: t\r\n\r\n";
     let inner = node_state("smuggled", 0);
     let two = format!("{}{}", node_state("a", 0), node_state("b", 0));
-    let none =
-        format!("POST /none HTTP/1.1\r\nHost: h\r\nAttempt-Id: n\r\nContent-Length: {}\r\n\r\n", 2 * HELD);
+    let none = format!(
+        "POST /none HTTP/1.1\r\nHost: h\r\nAttempt-Id: n\r\nContent-Length: {}\r\n\r\n",
+        2 * MAX_BUFFERED_BODY_BYTES
+    );
     let twice = format!(
         "POST /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\nContent-Length: 0\r\nTransfer-Encoding: \
                          chunked\r\n\r\n0\r\n\r\n{inner}"
     );
-    let unread = format!("{none}{}{inner}", "x".repeat(HELD + HELD / 2));
+    let unread =
+        format!("{none}{}{inner}", "x".repeat(MAX_BUFFERED_BODY_BYTES + MAX_BUFFERED_BODY_BYTES / 2));
     let cases: [Written<'_>; 9] = [
         ("half closed", node_state("a", 0), true, &["200"], &["a"]),
         ("pipelined", two.clone(), false, &["200", "200"], &["a", "b"]),
@@ -150,7 +153,7 @@
     for (name, bytes, closes, want, ids) in cases {
         trial::run(async move {
             let (origin, _, seen) = mesh(&[OWN; 8]).await;
-            let mut client = Talk::to(origin.at).await;
+            let mut client = TestConnection::to(origin.at).await;
             // Where it is answered before its end, the rest finds a closed connection.
             let _ = client.stream.write_all(bytes.as_bytes()).await;
             if closes {
@@ -205,7 +208,7 @@
                 .await
                 .expect("a connection");
             let (mut other, _) = listener.accept().expect("a connection");
-            let line = Line::new(stream, End::Hop);
+            let line = Connection::new(stream, PeerKind::Sidecar);
             assert!(line.is_fresh());
             // No await from here on: the reactor has no chance to hear of it.
             if closes {
@@ -222,14 +225,14 @@
 fn a_call_that_is_refused_unread_gets_its_answer_before_an_orderly_close() {
     trial::run(async {
         let (_, nobody) = trial::station().await;
-        let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
+        let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
         let (listener, at) = trial::station().await;
         tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), listener, &control::CALLS));
         let large = silvercross_mesh_config::MAX_BODY + 1;
         for (framing, want) in
             [(format!("Content-Length: {large}"), "413"), ("Transfer-Encoding: gzip".to_string(), "400")]
         {
-            let mut call = Talk::to(at).await;
+            let mut call = TestConnection::to(at).await;
             let mut bytes =
                 format!("POST /-/Config.Patch HTTP/1.1\r\nHost: h\r\n{framing}\r\n\r\n").into_bytes();
             bytes.extend([b'x'; 64 * 1024]);
@@ -247,8 +250,8 @@
 fn a_question_that_cannot_be_read_is_answered_that_it_may_have_run() {
     trial::run(async {
         let (_, gate, _) = mesh(&[]).await;
-        for (host, want) in [("gate", Word::Begun), ("h", Word::Absent)] {
-            let mut hop = Talk::to(gate.inbound).await;
+        for (host, want) in [("gate", GateStatus::Begun), ("h", GateStatus::Absent)] {
+            let mut hop = TestConnection::to(gate.inbound).await;
             let text = format!("GET / HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: a\r\nWaybill: ffff\r\n\r\n");
             hop.say(text.as_bytes()).await;
             let word = value(&hop.head().await, "waybill-return").and_then(|t| forwarding_headers::read(&t));
@@ -267,12 +270,12 @@
     const OTHER: &str =
         "HTTP/1.1 503 X\r\nAttempt-Id: zz\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n";
     for (text, want) in [(AWAY, "503"), (FAILED, "500"), (OWN, "200"), (OTHER, "504")] {
-        for length in [20_000, HELD + 4_000_000] {
+        for length in [20_000, MAX_BUFFERED_BODY_BYTES + 4_000_000] {
             trial::run_paused(async move {
                 let (_, nobody) = trial::station().await;
                 let (listener, at) = trial::station().await;
-                let origin = trial::sidecar(1, nobody, Terms::default()).await;
-                let gate = trial::sidecar(2, at, Terms::default()).await;
+                let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
+                let gate = trial::sidecar(2, at, SidecarOptions::default()).await;
                 gate.beat();
                 origin.hears_of(&gate);
                 let heads = Rc::new(RefCell::new(Vec::new()));
@@ -280,7 +283,7 @@
                 tokio::task::spawn_local(async move {
                     let mut open = Vec::new();
                     while let Ok((stream, _)) = listener.accept().await {
-                        let mut talk = Talk::over(stream);
+                        let mut talk = TestConnection::over(stream);
                         let head = talk.head().await;
                         let id = value(&head, "attempt-id").unwrap_or_default();
                         talk.say(text.replace("{id}", &id).as_bytes()).await;
@@ -289,7 +292,7 @@
                     }
                 });
                 for id in ["a", "b"] {
-                    let mut client = Talk::to(origin.at).await;
+                    let mut client = TestConnection::to(origin.at).await;
                     let head = node_state(id, length)
                         .replace("\r\n\r\n", "\r\nDeadline-Ms: 3000\r\n\r\n")
                         .replace("once", "up");
@@ -325,12 +328,14 @@
 /// A body that stalls is answered 408 as long as none of it went on; else nothing is promised.
 #[test]
 fn a_body_that_stalls_is_a_promise_only_where_none_of_it_went_on() {
-    for (length, sent, promised) in
-        [(1000, 10, true), (2 * HELD, HELD - 1, true), (3 * HELD, 2 * HELD, false)]
-    {
+    for (length, sent, promised) in [
+        (1000, 10, true),
+        (2 * MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES - 1, true),
+        (3 * MAX_BUFFERED_BODY_BYTES, 2 * MAX_BUFFERED_BODY_BYTES, false),
+    ] {
         trial::run_paused(async move {
             let (origin, _, seen) = mesh(&[OWN]).await;
-            let mut client = Talk::to(origin.at).await;
+            let mut client = TestConnection::to(origin.at).await;
             let head = node_state("a", length)
                 .replace("\r\n\r\n", "\r\nDeadline-Ms: 3000\r\n\r\n")
                 .replace("once", "up");
--- a/crates/daemon/mesh/src/event_stream.rs
+++ b/crates/daemon/mesh/src/event_stream.rs
@@ -3,7 +3,7 @@
 use crate::control_value::{ControlValue, CONFIGURATION, EVACUATION};
 use crate::node_state::NodeState;
 use crate::peers::Body;
-use crate::wire::{self, Asked, Line as Connection};
+use crate::wire::{self, Connection, RequestHead};
 use serde_json::{json, Value};
 use silvercross_event_feed::{kind, Bounds, Cursor, EventFeed, Filter, Line, Place, Reader, Told};
 use silvercross_mesh_config::Configuration;
@@ -250,7 +250,7 @@
 }
 
 /// Whether this is a call of the feed's.
-pub fn meant(asked: &Asked) -> bool {
+pub fn meant(asked: &RequestHead) -> bool {
     matches!(asked.method.as_str(), "GET" | "POST") && asked.target.split('?').next() == Some(PATH)
 }
 
@@ -284,11 +284,11 @@
 fn fault(status: u16, why: &str, lines: &str) -> Vec<u8> {
     let body = json!({ "error": why }).to_string();
     let lines = format!("Content-Type: application/json\r\n{lines}");
-    wire::whole(status, lines.as_bytes(), body.as_bytes(), true, false)
+    wire::encode_response(status, lines.as_bytes(), body.as_bytes(), true, false)
 }
 
 /// Answer a call of the feed's; the connection ends with it.
-pub async fn serve(node_state: Rc<NodeState>, mut line: Connection, asked: Asked, body: Vec<u8>) {
+pub async fn serve(node_state: Rc<NodeState>, mut line: Connection, asked: RequestHead, body: Vec<u8>) {
     let bytes = match (node_state.event_stream.get(), wish(&asked.target, &body)) {
         (None, _) => fault(404, "no feed here (start the role with --feed, or ask another node)", ""),
         (_, Err(why)) => fault(400, &why, ""),
@@ -312,7 +312,7 @@
     let mut out = Vec::new();
     lines.iter().for_each(|l| rendered(node_state, l, &mut out));
     cursor_line(event_stream, &reader, &mut out);
-    wire::whole(200, b"Content-Type: application/x-ndjson\r\n", &out, true, false)
+    wire::encode_response(200, b"Content-Type: application/x-ndjson\r\n", &out, true, false)
 }
 
 async fn follow(node_state: &Rc<NodeState>, event_stream: &EventStream, line: &mut Connection, wish: Wish) {
--- a/crates/daemon/mesh/src/forwarding_headers.rs
+++ b/crates/daemon/mesh/src/forwarding_headers.rs
@@ -32,7 +32,7 @@
 
 /// A gate's own word on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Word {
+pub enum GateStatus {
     /// Nothing was written to the upstream, and nothing will be: the station is not to be had here.
     Absent,
     /// The same: it takes no more work now; come back after so many microseconds.
@@ -78,7 +78,9 @@
             asks: true,
         };
         assert_eq!(read(&write(&bill)), Some(bill));
-        for word in [Word::Absent, Word::Full(7), Word::Shut, Word::Begun, Word::Unseen] {
+        for word in
+            [GateStatus::Absent, GateStatus::Full(7), GateStatus::Shut, GateStatus::Begun, GateStatus::Unseen]
+        {
             assert_eq!(read(&write(&word)), Some(word));
         }
         for text in ["", "0", "zz", "ffffffffffffffff", "é0", &"0".repeat(MOST + 2)] {
--- a/crates/daemon/mesh/src/idle_timeout.rs
+++ b/crates/daemon/mesh/src/idle_timeout.rs
@@ -1,7 +1,7 @@
 //! How long a client's connection may rest between two requests. A change of the operator's limit cuts nothing: who began to
 //! rest under a longer one keeps it.
 use crate::node_state::NodeState;
-use crate::wire::{Line, Stir};
+use crate::wire::{Connection, ConnectionEvent};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
@@ -19,7 +19,7 @@
 
 impl IdleTimeout {
     /// This limit holds from now on, in microseconds.
-    pub fn set(&mut self, now: i64, idle: i64) {
+    pub fn set_limit(&mut self, now: i64, idle: i64) {
         if let Some(old) = self.idle.replace(idle).filter(|old| *old > idle) {
             let (span, until) = self.before.filter(|b| b.1 > now).unwrap_or((0, 0));
             self.before = Some((span.max(old), until.max(now + old + LATE)));
@@ -45,7 +45,7 @@
 }
 
 /// Wait for a client's next request; `false`: none comes on this connection.
-pub async fn taken_up(node_state: &Rc<NodeState>, line: &mut Line) -> bool {
+pub async fn taken_up(node_state: &Rc<NodeState>, line: &mut Connection) -> bool {
     let (began, at) = (node_state.now(), Instant::now());
     while !line.has_surplus() {
         let span = |now: i64| node_state.idle_timeout.borrow().span(now, node_state.table().limits().idle_us);
@@ -54,8 +54,8 @@
             biased;
             // What has come by its end is looked at first.
             came = timeout_at(at + Duration::from_micros(idle_timeout as u64), line.stirs()) => match came {
-                Ok(Stir::More) => return true,
-                Ok(Stir::Closed | Stir::Broke) => return false,
+                Ok(ConnectionEvent::More) => return true,
+                Ok(ConnectionEvent::Closed | ConnectionEvent::Broke) => return false,
                 // A longer limit may hold by now.
                 Err(_) if node_state.now() - began < span(node_state.now()) => {}
                 Err(_) => return false,
@@ -70,7 +70,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::trial::{self, Talk, Terms};
+    use crate::trial::{self, SidecarOptions, TestConnection};
 
     const S: i64 = 1_000_000;
 
@@ -90,7 +90,7 @@
         ];
         for (n, (set, now, span)) in cases.into_iter().enumerate() {
             let mut idle_timeout = IdleTimeout::default();
-            set.iter().for_each(|(at, idle)| idle_timeout.set(*at, *idle));
+            set.iter().for_each(|(at, idle)| idle_timeout.set_limit(*at, *idle));
             assert_eq!(idle_timeout.span(now, 60 * S), span + LATE, "case {n}");
         }
         for (idle, said) in [(None, None), (Some(900_000), None), (Some(15_700_000), Some(15))] {
@@ -98,7 +98,7 @@
         }
     }
 
-    async fn asked(talk: &mut Talk, filler: usize) -> (String, Option<String>) {
+    async fn asked(talk: &mut TestConnection, filler: usize) -> (String, Option<String>) {
         let filler = "x".repeat(filler);
         talk.say(
             format!("GET /none HTTP/1.1\r\nHost: h\r\nFiller: {filler}\r\n{}\r\n", trial::ID).as_bytes(),
@@ -114,9 +114,9 @@
     fn a_connection_that_rests_is_not_cut_by_a_shorter_limit_and_goes_by_the_newest() {
         trial::run(async {
             let (_, nobody) = trial::station().await;
-            let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
+            let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
             sidecar.limits(2, 15.0, 300);
-            let mut talk = Talk::to(sidecar.at).await;
+            let mut talk = TestConnection::to(sidecar.at).await;
             assert_eq!(asked(&mut talk, 1).await, ("404".into(), Some("timeout=15".into())));
             assert!(talk.is_open().await);
             for (edition, idle) in [(3, 0.001), (4, 30.0)] {
@@ -133,14 +133,14 @@
         trial::run(async {
             let (_, nobody) = trial::station().await;
             let (one, other) = (
-                trial::sidecar(1, nobody, Terms::default()).await,
-                trial::sidecar(2, nobody, Terms::default()).await,
+                trial::sidecar(1, nobody, SidecarOptions::default()).await,
+                trial::sidecar(2, nobody, SidecarOptions::default()).await,
             );
             for sidecar in [&one, &other] {
                 *sidecar.node_state.idle_timeout.borrow_mut() = IdleTimeout::default();
                 sidecar.limits(2, 0.05, 16384);
             }
-            let (mut kept, mut ends) = (Talk::to(one.at).await, Talk::to(other.at).await);
+            let (mut kept, mut ends) = (TestConnection::to(one.at).await, TestConnection::to(other.at).await);
             for talk in [&mut kept, &mut ends] {
                 assert_eq!(asked(talk, 1).await, ("404".into(), None));
             }
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -202,7 +202,7 @@
     tokio::task::spawn_local(Peers::listen(node_state.clone(), links));
     tokio::task::spawn_local(Peers::datagrams(node_state.clone()));
     tokio::task::spawn_local(Peers::tick(node_state.clone()));
-    tokio::task::spawn_local(upstream_gate::UpstreamGate::tick(node_state.clone()));
+    tokio::task::spawn_local(upstream_gate::UpstreamGate::run_timer(node_state.clone()));
     tokio::task::spawn_local(node_state.clone().watch());
     if node_state.boot.core {
         tokio::task::spawn_local(member_throttle::duty(node_state.clone()));
--- a/crates/daemon/mesh/src/member_throttle.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -3,7 +3,7 @@
 //! costs one look at a flag here, and nothing runs.
 use crate::control_value::{Order, CONFIGURATION};
 use crate::node_state::NodeState;
-use crate::wire::Asked;
+use crate::wire::RequestHead;
 use serde_json::{json, Map, Value};
 use silvercross_control_store::{Epoch, Verdict};
 use silvercross_mesh_config::Route;
@@ -293,7 +293,7 @@
 /// Find out whose a request is, and have it wait. Its body was taken but it was sent nowhere.
 pub async fn at_head(
     node_state: &NodeState,
-    asked: &Asked,
+    asked: &RequestHead,
     route: &Route,
     id: &str,
     budget: i64,
--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -10,13 +10,13 @@
 /// The counters, by name.
 pub fn figures(node_state: &NodeState) -> Value {
     let c = &node_state.counts;
-    let (out, waiting) = node_state.gate.with(|w| w.load());
+    let (out, waiting) = node_state.gate.with_admission(|w| w.load());
     let service_balancers: Vec<Value> = node_state
         .service_balancers()
         .iter()
         .map(|(name, service_balancer)| {
-            let (listed, avoided) = service_balancer.rotation();
-            json!({ "service": name, "listed": listed, "avoided": avoided, "open": service_balancer.open() })
+            let (listed, avoided) = service_balancer.upstream_counts();
+            json!({ "service": name, "listed": listed, "avoided": avoided, "open": service_balancer.open_requests() })
         })
         .collect();
     let mut all = json!({
@@ -25,7 +25,7 @@
         "refused": c.refused.get(), "failed": c.failed.get(), "delivered": c.delivered.get(),
         "turned": c.turned.get(), "beats": c.beats.get(), "calls": c.calls.get(),
         "letters": c.letters.get(), "datagrams": c.datagrams.get(), "strangers": c.strangers.get(),
-        "gateOut": out, "gateWaiting": waiting, "idle": node_state.pool.idle(),
+        "gateOut": out, "gateWaiting": waiting, "idle": node_state.pool.idle_count(),
         "asked": c.asked.get(), "recovered": c.recovered.get(), "orphans": c.orphans.get(),
         "receipts": node_state.response_replay_cache.load().0, "keptBytes": node_state.response_replay_cache.load().1,
         "freshnessAsked": node_state.peers.membership(|r| r.figures().freshness), "noRoom": c.no_room.get(), "heldBytes": node_state.stores.held(), "desks": service_balancers,
--- a/crates/daemon/mesh/src/node_state.rs
+++ b/crates/daemon/mesh/src/node_state.rs
@@ -11,12 +11,12 @@
 pub use counters::{Counted, Counts, Door};
 pub use own_upstream::Beat;
 
-use crate::body_buffer::Stores;
+use crate::body_buffer::BodyBudget;
 use crate::event_stream::EventStream;
 use crate::graceful_stop::GracefulStop;
 use crate::idle_timeout::IdleTimeout;
 use crate::member_throttle::Members;
-use crate::peer_connection::Pool;
+use crate::peer_connection::ConnectionPool;
 use crate::peers::{Body, Peers};
 use crate::rate_limited_log::RateLimitedLog;
 use crate::reload::{self, Reload};
@@ -57,9 +57,9 @@
     /// Its counters.
     pub counts: Counts,
     /// Connections kept.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Room for the bodies held here.
-    pub stores: Rc<Stores>,
+    pub stores: Rc<BodyBudget>,
     /// What is remembered of requests that may run once.
     pub response_replay_cache: Rc<ResponseReplayCache>,
     /// What stands before the upstream on this machine.
@@ -113,11 +113,11 @@
         let response_replay_cache = ResponseReplayCache::new(clock.clone(), &mut chance, boot.memory);
         let tickets = Cell::new(chance.next_u64());
         let looked = Cell::new(clock.now());
-        let pool = Pool::default();
-        pool.hold((boot.descriptors / 4) as usize);
+        let pool = ConnectionPool::default();
+        pool.set_max_idle((boot.descriptors / 4) as usize);
         let members = Members::new(peers.control_store(|l| l.replica_set().len() == 1).unwrap_or(false));
         Rc::new(NodeState {
-            stores: Stores::new(boot.memory),
+            stores: BodyBudget::new(boot.memory),
             response_replay_cache,
             tickets,
             live: Cell::new(boot.live),
@@ -199,7 +199,7 @@
         if old.bounds != new.bounds {
             took.push("bounds");
             let now = self.now();
-            self.gate.with(|w| w.bounds(now, new.bounds.of_gate()));
+            self.gate.with_admission(|w| w.bounds(now, new.bounds.of_gate()));
             self.reset_terms();
         }
         took
@@ -225,8 +225,8 @@
                 roster = self.roster();
                 self.tell();
             }
-            self.pool.sweep();
-            self.response_replay_cache.forget();
+            self.pool.close_expired();
+            self.response_replay_cache.remove_expired();
             if now - looked >= LOOK {
                 looked = now;
                 reload::look(&self, false);
--- a/crates/daemon/mesh/src/node_state/in_force.rs
+++ b/crates/daemon/mesh/src/node_state/in_force.rs
@@ -111,7 +111,7 @@
                 info!(self.log, "evacuation"; "zone" => zone, "on" => on);
                 if zone == self.boot.zone {
                     let now = self.now();
-                    self.gate.with(|w| w.evacuated(now, on));
+                    self.gate.with_admission(|w| w.evacuated(now, on));
                 }
                 self.relist();
             }
@@ -125,7 +125,7 @@
             force.table = Rc::new(Table::new(configuration));
             force.configured = true;
         }
-        self.idle_timeout.borrow_mut().set(self.now(), self.table().limits().idle_us);
+        self.idle_timeout.borrow_mut().set_limit(self.now(), self.table().limits().idle_us);
         info!(self.log, "configuration in force"; "round" => revision.0, "change" => revision.2);
         self.allow();
         self.reset_terms();
--- a/crates/daemon/mesh/src/node_state/other_sidecars.rs
+++ b/crates/daemon/mesh/src/node_state/other_sidecars.rs
@@ -16,7 +16,7 @@
         if record.gone {
             self.others.borrow_mut().remove(&record.node.0);
             let at = IpAddr::V4(Ipv4Addr::from_bits(record.node.0));
-            self.pool.close(SocketAddr::new(at, record.body.inbound));
+            self.pool.close_idle(SocketAddr::new(at, record.body.inbound));
         } else {
             self.others.borrow_mut().insert(record.node.0, record);
         }
--- a/crates/daemon/mesh/src/node_state/own_upstream.rs
+++ b/crates/daemon/mesh/src/node_state/own_upstream.rs
@@ -130,7 +130,7 @@
         let station = self.own.borrow().as_ref().map(|o| o.station.clone());
         let Some(s) = station else { return };
         let facts = Facts { id: s.id.clone(), service: s.service, slots: s.slots };
-        self.gate.with(|w| {
+        self.gate.with_admission(|w| {
             if draining {
                 w.draining(now, &s.id);
             } else {
@@ -145,7 +145,7 @@
         let silent = self.own.borrow().as_ref().is_some_and(|o| !o.station.silent && now - o.beaten > late);
         if silent {
             info!(self.log, "upstream silent");
-            self.gate.with(|w| w.silent(now));
+            self.gate.with_admission(|w| w.silent(now));
             self.station_silent();
         }
         let untold = self.own.borrow().as_ref().is_some_and(|o| !o.told);
@@ -163,7 +163,7 @@
         if was {
             info!(self.log, "upstream signed off"; "id" => id);
             *self.own.borrow_mut() = None;
-            self.gate.with(|w| w.signed_off(now, id));
+            self.gate.with_admission(|w| w.signed_off(now, id));
             self.tell();
         }
     }
@@ -194,9 +194,13 @@
                     .destination(&node_state.boot.destination)
                     .map(|d| d.health_path.clone());
                 let path = path.unwrap_or_else(|| "/health".to_string());
-                let told =
-                    peer_connection::health(&node_state.pool, station, &path, node_state.stores.share())
-                        .await;
+                let told = peer_connection::check_health(
+                    &node_state.pool,
+                    station,
+                    &path,
+                    node_state.stores.share(),
+                )
+                .await;
                 if let Some((id, cold)) = told.filter(|_| node_state.own.borrow().is_none()) {
                     if !node_state.ended.borrow().contains(&id) {
                         node_state.met(id, cold);
@@ -235,7 +239,7 @@
             let allowance =
                 Allowance { line_cap: d.line_cap, cold_rate: finite(d.cold_rate), cold_span: d.cold_us };
             let now = self.now();
-            self.gate.with(|w| w.allowance(now, allowance));
+            self.gate.with_admission(|w| w.allowance(now, allowance));
         }
     }
 }
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -43,7 +43,7 @@
 
     /// Whether a request or an operator's call is open here, or a request at the upstream behind the gate.
     pub fn busy(&self) -> bool {
-        let (out, waiting) = self.gate.with(|w| w.load());
+        let (out, waiting) = self.gate.with_admission(|w| w.load());
         self.open.get() + self.counts.calls_open.get() > 0 || out + waiting > 0
     }
 
--- a/crates/daemon/mesh/src/node_state/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -2,7 +2,7 @@
 use super::in_force::InForce;
 use super::NodeState;
 use crate::peers::{Body, Station};
-use crate::service_balancer::{self, ServiceBalancer, Terms};
+use crate::service_balancer::{self, ServiceBalancer, ServiceSettings};
 use rand_core::RngCore;
 use silvercross_facade::{Health, Host};
 use silvercross_mesh_config::Table;
@@ -40,7 +40,7 @@
         let health = if shut { Health::Draining } else { Health::Ready };
         let renewed = self.colds.get(&station.id).is_some_and(|k| k.life != life);
         let born_ms = self.born(life, station);
-        let host = service_balancer::host(&station.id, gate, zone, health, station.slots, born_ms);
+        let host = service_balancer::upstream_host(&station.id, gate, zone, health, station.slots, born_ms);
         if renewed {
             let gone = Host { health: Health::Gone, ..host.clone() };
             self.renewed.entry(station.service.clone()).or_default().push(gone);
@@ -80,15 +80,15 @@
     pub(super) fn reset_terms(self: &Rc<Self>) {
         let table = self.table();
         for (service, service_balancer) in self.service_balancers() {
-            service_balancer.set(&self.terms(&service, &table));
+            service_balancer.reconfigure(&self.terms(&service, &table));
         }
         self.relist();
     }
 
-    fn terms<'t>(&'t self, service: &'t str, table: &'t Table) -> Terms<'t> {
+    fn terms<'t>(&'t self, service: &'t str, table: &'t Table) -> ServiceSettings<'t> {
         let (senders, near) = self.sides();
         let b = self.live.get().bounds;
-        Terms {
+        ServiceSettings {
             service,
             table,
             zones: &self.boot.zones,
@@ -116,9 +116,9 @@
             match self.service_balancer(&service) {
                 Some(service_balancer) => {
                     if let Some(gone) = renewed.remove(&service) {
-                        service_balancer.fresh(gone);
+                        service_balancer.reset_upstreams(gone);
                     }
-                    service_balancer.list(hosts);
+                    service_balancer.set_upstreams(hosts);
                 }
                 None => self.open_desk(service, &hosts, &table),
             }
--- a/crates/daemon/mesh/src/peer_connection.rs
+++ b/crates/daemon/mesh/src/peer_connection.rs
@@ -1,7 +1,7 @@
 //! Connections to gates and to the upstream on this machine, kept for more than one request, and one exchange on one of them.
 //! Says how far a failed exchange had come; decides nothing.
-use crate::body_buffer::{BodyBuffer, Share};
-use crate::wire::{self, Answer, End, Line, Size, Wrong};
+use crate::body_buffer::{BodyBuffer, BodyReservation};
+use crate::wire::{self, Connection, PeerKind, ReadError, Response, Size};
 use bytes::Bytes;
 use silvercross_net::stream::Decoder;
 use std::any::Any;
@@ -32,13 +32,13 @@
 const LIVES: usize = 4096;
 
 struct Idle {
-    line: Line,
+    line: Connection,
     until: Instant,
 }
 
 /// Idle connections by address.
 #[derive(Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     /// The lives of gates' processes, as last heard; at most [`LIVES`].
     lives: RefCell<BTreeMap<SocketAddr, u64>>,
     idle: RefCell<BTreeMap<SocketAddr, Vec<Idle>>>,
@@ -47,22 +47,22 @@
 
 /// How an exchange ended.
 #[derive(Debug)]
-pub enum Came {
+pub enum ExchangeOutcome {
     /// An answer: whole, or so much of it that it can only be passed on.
-    Answer(Box<Answer>),
+    Response(Box<Response>),
     /// No connection, or the request was not written whole: it has not run.
     NotConnected,
     /// It may have run.
     Broken,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// The life of the process at an address, as last heard.
     pub fn life(&self, of: SocketAddr) -> Option<u64> {
         self.lives.borrow().get(&of).copied()
     }
 
-    fn take(&self, to: SocketAddr) -> Option<Line> {
+    fn take(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&to)?;
         let now = Instant::now();
@@ -74,7 +74,7 @@
         None
     }
 
-    fn give(&self, to: SocketAddr, line: Line, stated: Option<u64>) {
+    fn give(&self, to: SocketAddr, line: Connection, stated: Option<u64>) {
         let span = stated.map_or(IDLE, |s| IDLE.min(Duration::from_millis(s.saturating_mul(500))));
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(to).or_default();
@@ -94,17 +94,17 @@
     }
 
     /// Keep so many idle in all; the longest idle gives way.
-    pub fn hold(&self, most: usize) {
+    pub fn set_max_idle(&self, most: usize) {
         self.most.set(most);
     }
 
     /// Close what is idle to an address.
-    pub fn close(&self, to: SocketAddr) {
+    pub fn close_idle(&self, to: SocketAddr) {
         self.idle.borrow_mut().remove(&to);
     }
 
     /// Close what has been idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, list| {
             list.retain(|i| i.until > now);
@@ -113,22 +113,22 @@
     }
 
     /// How many are idle.
-    pub fn idle(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
     /// Connect within `limit`, unless one is idle. `from`: the address of this machine.
-    pub async fn line(
+    pub async fn acquire(
         &self,
         from: Option<IpAddr>,
         to: SocketAddr,
         limit: Duration,
-        end: End,
-    ) -> Option<Line> {
+        end: PeerKind,
+    ) -> Option<Connection> {
         if let Some(line) = self.take(to) {
             return Some(line);
         }
-        Some(Line::new(connect(from, to, limit).await?, end))
+        Some(Connection::new(connect(from, to, limit).await?, end))
     }
 }
 
@@ -145,14 +145,14 @@
         socket.bind(SocketAddr::new(from, 0))?;
     }
     let stream = timeout(limit, socket.connect(to)).await.map_err(io::Error::from)??;
-    guard(&stream);
+    set_liveness_options(&stream);
     Ok(stream)
 }
 
 /// What a gate that was asked for an attempt said.
 pub enum Told {
     /// An answer, or its own word.
-    Answer(Box<Answer>),
+    Response(Box<Response>),
     /// Nobody is there: the process that had it has ended.
     Gone,
     /// Nothing yet.
@@ -160,24 +160,30 @@
 }
 
 /// Ask a gate what became of an attempt, on a connection of its own.
-pub async fn ask(from: IpAddr, to: SocketAddr, limit: Duration, order: Order<'_>, share: Share) -> Told {
+pub async fn query_attempt(
+    from: IpAddr,
+    to: SocketAddr,
+    limit: Duration,
+    order: Order<'_>,
+    share: BodyReservation,
+) -> Told {
     let stream = match try_connect(Some(from), to, limit).await {
         Ok(stream) => stream,
         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => return Told::Gone,
         Err(_) => return Told::Nothing,
     };
-    let mut line = Line::new(stream, End::Hop);
+    let mut line = Connection::new(stream, PeerKind::Sidecar);
     if line.write(order.bytes).await.is_err() {
         return Told::Nothing;
     }
     match line.answer(order.id, order.bodiless, false, share).await {
-        Ok((answer, None)) if order.is_of(&answer) => Told::Answer(Box::new(answer)),
+        Ok((answer, None)) if order.is_of(&answer) => Told::Response(Box::new(answer)),
         _ => Told::Nothing,
     }
 }
 
 /// Have the system notice when the other end is gone without a word.
-pub fn guard(stream: &TcpStream) {
+pub fn set_liveness_options(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_tcp_nodelay(true);
     let _ = socket.set_tcp_user_timeout(Some(UNTAKEN));
@@ -204,25 +210,30 @@
 impl Order<'_> {
     /// Whether an answer shows that it is to this request, and to no other. A gate that turns a hop away at its door has read no
     /// id; it says so as the first on a new connection.
-    fn is_of(&self, answer: &Answer) -> bool {
+    fn is_of(&self, answer: &Response) -> bool {
         self.id.is_empty() || answer.id.as_deref() == Some(self.id) || answer.word.is_some()
     }
 }
 
 /// One request and its answer on a connection.
-pub async fn exchange(pool: &Pool, mut line: Line, order: Order<'_>, share: Share) -> Came {
+pub async fn exchange(
+    pool: &ConnectionPool,
+    mut line: Connection,
+    order: Order<'_>,
+    share: BodyReservation,
+) -> ExchangeOutcome {
     if line.write(order.bytes).await.is_err() {
-        return Came::NotConnected;
+        return ExchangeOutcome::NotConnected;
     }
     let Some(body_buffer) = order.coming else {
         return match line.answer(order.id, order.bodiless, false, share).await {
             Ok((answer, rest)) => taken(pool, line, None, &order, answer, rest),
-            Err(_) => Came::Broken,
+            Err(_) => ExchangeOutcome::Broken,
         };
     };
     let mut room = Some(share);
     if order.awaits {
-        let Some(share) = room.take() else { return Came::Broken };
+        let Some(share) = room.take() else { return ExchangeOutcome::Broken };
         match line.answer(order.id, order.bodiless, true, share).await {
             Ok((mut go, None)) if go.status == 100 => room = go.share.take(),
             // Its last word before it took any of the body. What is unsaid on the connection makes it useless.
@@ -230,10 +241,10 @@
                 answer.keep_alive = false;
                 return taken(pool, line, None, &order, answer, rest);
             }
-            Err(_) => return Came::Broken,
+            Err(_) => return ExchangeOutcome::Broken,
         }
     }
-    let (Some(write), Some(share)) = (line.split(), room) else { return Came::Broken };
+    let (Some(write), Some(share)) = (line.split(), room) else { return ExchangeOutcome::Broken };
     let mut sending = Sending(tokio::task::spawn_local(send(write, body_buffer.clone())));
     match line.answer(order.id, order.bodiless, false, share).await {
         // Both ways are done with: the connection is whole again.
@@ -244,7 +255,7 @@
             taken(pool, line, None, &order, answer, None)
         }
         Ok((answer, rest)) => taken(pool, line, Some(sending), &order, answer, rest),
-        Err(_) => Came::Broken,
+        Err(_) => ExchangeOutcome::Broken,
     }
 }
 
@@ -285,15 +296,15 @@
 }
 
 fn taken(
-    pool: &Pool,
-    line: Line,
+    pool: &ConnectionPool,
+    line: Connection,
     sending: Option<Sending>,
     order: &Order<'_>,
-    mut answer: Answer,
+    mut answer: Response,
     rest: Option<Decoder>,
-) -> Came {
+) -> ExchangeOutcome {
     if !order.is_of(&answer) {
-        return Came::Broken;
+        return ExchangeOutcome::Broken;
     }
     let to = order.to;
     if let Some(life) = answer.life {
@@ -306,7 +317,8 @@
     match rest {
         Some(decoder) => {
             let (keep, idle) = (answer.keep_alive, answer.idle);
-            let tail = Tail { line, decoder, sending, to, keep, idle, until: None, holds: Vec::new() };
+            let tail =
+                StreamedBody { line, decoder, sending, to, keep, idle, until: None, holds: Vec::new() };
             answer.tail = Some(Box::new(tail));
         }
         None if answer.keep_alive && !line.has_surplus() && line.is_joined() => {
@@ -314,12 +326,12 @@
         }
         None => {}
     }
-    Came::Answer(Box::new(answer))
+    ExchangeOutcome::Response(Box::new(answer))
 }
 
 /// The rest of an answer that is too large to be held: read as it is passed on.
-pub struct Tail {
-    line: Line,
+pub struct StreamedBody {
+    line: Connection,
     decoder: Decoder,
     sending: Option<Sending>,
     to: SocketAddr,
@@ -331,19 +343,24 @@
     pub holds: Vec<Box<dyn Any>>,
 }
 
-impl std::fmt::Debug for Tail {
+impl std::fmt::Debug for StreamedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "Tail({})", self.to)
     }
 }
 
-impl Tail {
-    async fn next(&mut self) -> Result<Option<Bytes>, Wrong> {
+impl StreamedBody {
+    async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
         self.line.next(&mut self.decoder).await
     }
 
     /// Pass it on to its end; `false` if it broke off, on either side, or its time was up.
-    pub async fn pass(mut self, pool: &Pool, to: &mut (impl AsyncWriteExt + Unpin), size: Size) -> bool {
+    pub async fn pass(
+        mut self,
+        pool: &ConnectionPool,
+        to: &mut (impl AsyncWriteExt + Unpin),
+        size: Size,
+    ) -> bool {
         let until = self.until.unwrap_or_else(|| Instant::now() + LONGEST);
         let all = async {
             while let Some(bytes) = self.next().await.ok()? {
@@ -370,13 +387,20 @@
 }
 
 /// Ask an upstream for its health: its life, and how long it is still cold in microseconds; `None` unless it is well.
-pub async fn health(pool: &Pool, to: SocketAddr, path: &str, share: Share) -> Option<(String, i64)> {
+pub async fn check_health(
+    pool: &ConnectionPool,
+    to: SocketAddr,
+    path: &str,
+    share: BodyReservation,
+) -> Option<(String, i64)> {
     let limit = Duration::from_millis(300);
-    let line = pool.line(None, to, limit, End::Outer(wire::HEAD)).await?;
+    let line = pool.acquire(None, to, limit, PeerKind::External(wire::HEAD)).await?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: {to}\r\n\r\n");
     let order = Order { to, bytes: request.as_bytes(), coming: None, awaits: false, id: "", bodiless: false };
     match timeout(limit, exchange(pool, line, order, share)).await {
-        Ok(Came::Answer(a)) if a.status == 200 && a.tail.is_none() => Some((a.station?, a.cold.unwrap_or(0))),
+        Ok(ExchangeOutcome::Response(a)) if a.status == 200 && a.tail.is_none() => {
+            Some((a.station?, a.cold.unwrap_or(0)))
+        }
         _ => None,
     }
 }
--- a/crates/daemon/mesh/src/peers/link.rs
+++ b/crates/daemon/mesh/src/peers/link.rs
@@ -91,7 +91,7 @@
                 node_state.shut_out(Door::Link);
                 continue;
             }
-            peer_connection::guard(&stream);
+            peer_connection::set_liveness_options(&stream);
             let greeting = Counted::new(&node_state, |c| &c.greeting);
             tokio::task::spawn_local(carry(node_state.clone(), stream, None, Some(greeting)));
         }
--- a/crates/daemon/mesh/src/peers/tests.rs
+++ b/crates/daemon/mesh/src/peers/tests.rs
@@ -2,7 +2,7 @@
 use super::frames::{framed, parcel, taken, write_lanes, Parcel, HELLO, LARGEST, PART, UNTAKEN};
 use super::link::GREETING;
 use super::Peers;
-use crate::trial::{self, Talk, Terms};
+use crate::trial::{self, SidecarOptions, TestConnection};
 use silvercross_mesh_membership::Letter;
 use std::rc::Rc;
 use std::time::Duration;
@@ -76,15 +76,15 @@
 fn links_that_nobody_greets_on_are_bounded_and_end() {
     trial::run(async {
         let (_, nobody) = trial::station().await;
-        let sidecar = trial::sidecar(1, nobody, Terms::default()).await;
+        let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
         let (listener, at) = trial::station().await;
         tokio::task::spawn_local(Peers::listen(sidecar.node_state.clone(), listener));
         let counts = &sidecar.node_state.counts;
         let mut open = Vec::new();
         for _ in 0..GREETING {
-            open.push(Talk::to(at).await);
+            open.push(TestConnection::to(at).await);
         }
-        assert_eq!(Talk::to(at).await.more().await, 0);
+        assert_eq!(TestConnection::to(at).await.more().await, 0);
         assert_eq!((counts.greeting.get(), counts.links_shut_out.get()), (GREETING, 1));
         // A first word that is too large to be one ends its link at once.
         open[0].say(&(HELLO as u32 + 1).to_le_bytes()).await;
--- a/crates/daemon/mesh/src/reload.rs
+++ b/crates/daemon/mesh/src/reload.rs
@@ -89,14 +89,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::trial::{self, Terms};
+    use crate::trial::{self, SidecarOptions};
     use silvercross_admission::State;
 
     #[test]
     fn what_can_change_takes_hold_the_rest_is_named_and_a_broken_file_changes_nothing() {
         trial::run(async {
             let (_, at) = trial::station().await;
-            let (sidecar, text) = trial::sidecar_of(1, at, Terms::default()).await;
+            let (sidecar, text) = trial::sidecar_of(1, at, SidecarOptions::default()).await;
             let node_state = &sidecar.node_state;
             let path =
                 std::env::temp_dir().join(format!("silvercross-mesh-reload-{}.yaml", std::process::id()));
@@ -114,7 +114,7 @@
             sidecar.beat();
             let draining = "{\"destination\":\"quotes\",\"state\":\"draining\",\"slots\":8,\"sequence\":2}";
             node_state.beat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
-            let state = node_state.gate.with(|w| w.station().map(|s| s.state));
+            let state = node_state.gate.with_admission(|w| w.station().map(|s| s.state));
             assert!(matches!(state, Some(State::Draining(until)) if until <= node_state.now()), "{state:?}");
             write("zone: ''\n");
             assert!(matches!(look(node_state, false), Looked::Unusable(_)));
--- a/crates/daemon/mesh/src/response_replay_cache.rs
+++ b/crates/daemon/mesh/src/response_replay_cache.rs
@@ -90,7 +90,7 @@
 
     /// A request has come; `Err` if it was asked for before, or is known already: it must not begin.
     pub fn enter(self: &Rc<Self>, ticket: u64) -> Result<ReplayEntry, ()> {
-        let now = self.forget();
+        let now = self.remove_expired();
         let mut inner = self.inner.borrow_mut();
         if inner.states.contains_key(&ticket) {
             return Err(());
@@ -111,7 +111,7 @@
             tokio::pin!(ends);
             // In line before it is looked at, so that no end is missed.
             ends.as_mut().enable();
-            let now = self.forget();
+            let now = self.remove_expired();
             {
                 let mut inner = self.inner.borrow_mut();
                 match inner.states.get(&ticket) {
@@ -165,7 +165,7 @@
     }
 
     /// Forget what is old enough; the time it is.
-    pub fn forget(&self) -> i64 {
+    pub fn remove_expired(&self) -> i64 {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
         while let Some((_, ticket)) = inner.kept.pop_front_if(|k| k.0 + KEPT <= now) {
@@ -225,7 +225,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::trial::{self, stamped, status, Relay, Sidecar, Talk, Terms, Way};
+    use crate::trial::{self, stamped, status, Relay, Sidecar, SidecarOptions, TestConnection, Way};
     use rand_core::SeedableRng;
     use std::net::SocketAddr;
     use tokio::sync::Semaphore;
@@ -248,7 +248,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let (ran, came, go) = (ran.clone(), came.clone(), go.clone());
                 tokio::task::spawn_local(async move {
-                    let mut talk = Talk::over(stream);
+                    let mut talk = TestConnection::over(stream);
                     loop {
                         let head = talk.head().await;
                         if head.is_empty() {
@@ -276,16 +276,16 @@
     async fn mesh() -> Mesh {
         let (_, nobody) = trial::station().await;
         let up = upstream().await;
-        let origin = trial::sidecar(1, nobody, Terms::default()).await;
-        let gate = trial::sidecar(2, up.at, Terms::default()).await;
+        let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = trial::sidecar(2, up.at, SidecarOptions::default()).await;
         gate.beat();
         let relay = Relay::between(&origin, &gate).await;
         Mesh { origin, gate, relay, up }
     }
 
     impl Mesh {
-        async fn ask(&self, id: &str) -> Talk {
-            let mut client = Talk::to(self.origin.at).await;
+        async fn ask(&self, id: &str) -> TestConnection {
+            let mut client = TestConnection::to(self.origin.at).await;
             client
                 .say(
                     format!(
@@ -302,7 +302,7 @@
             self.up.go.add_permits(1);
             assert_eq!(status(&self.ask("first").await.head().await), "200");
             self.up.came.acquire().await.expect("open").forget();
-            self.origin.node_state.pool.close(self.relay.at);
+            self.origin.node_state.pool.close_idle(self.relay.at);
         }
 
         fn ran(&self, id: &str) -> usize {
@@ -351,7 +351,7 @@
             let ran = m.ran("b");
             assert_eq!(ran, usize::from(status(&head) == "200"));
             // The request itself, late.
-            let mut late = Talk::to(m.gate.inbound).await;
+            let mut late = TestConnection::to(m.gate.inbound).await;
             let kept = m.relay.kept.borrow().clone();
             assert!(!kept.is_empty());
             late.say(&kept).await;
@@ -371,7 +371,7 @@
                 }
                 m.relay.ways.borrow_mut().push_back(Way::KeepRequest);
                 // Another process has taken the gate's place.
-                let other = trial::sidecar(2, m.up.at, Terms::default()).await;
+                let other = trial::sidecar(2, m.up.at, SidecarOptions::default()).await;
                 other.beat();
                 if known {
                     m.relay.to.set(other.inbound);
@@ -405,21 +405,21 @@
                 });
                 format!("GET /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: d\r\nWaybill: {bill}\r\n\r\n")
             };
-            let mut hop = Talk::to(m.gate.inbound).await;
+            let mut hop = TestConnection::to(m.gate.inbound).await;
             hop.say(ask(false).as_bytes()).await;
             m.up.came.acquire().await.expect("open").forget();
             drop(hop);
-            while m.gate.node_state.gate.with(|w| w.load()).0 > 0 {
+            while m.gate.node_state.gate.with_admission(|w| w.load()).0 > 0 {
                 tokio::task::yield_now().await;
             }
-            let mut asking = Talk::to(m.gate.inbound).await;
+            let mut asking = TestConnection::to(m.gate.inbound).await;
             asking.say(ask(true).as_bytes()).await;
             let head = asking.head().await;
             let word =
                 trial::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
             assert_eq!(
                 (word, m.gate.node_state.counts.orphans.get()),
-                (Some(crate::forwarding_headers::Word::Begun), 0)
+                (Some(crate::forwarding_headers::GateStatus::Begun), 0)
             );
         });
     }
--- a/crates/daemon/mesh/src/service_balancer.rs
+++ b/crates/daemon/mesh/src/service_balancer.rs
@@ -1,6 +1,6 @@
 //! The origin's side of one service: the decision module behind its facade, and the requests that wait for what it says.
 //! Translates between the module's steps and tasks; decides nothing.
-use crate::peer_connection::Came;
+use crate::peer_connection::ExchangeOutcome;
 use silvercross_core::interface::{Class, Effect, Prices, Settings};
 use silvercross_facade::{Attempt, Balancer, Clock, Host, News, Report, Request, Step, Turn};
 use silvercross_mesh_config::{Kind, Table};
@@ -30,7 +30,7 @@
     /// To be done.
     Step(Step<()>),
     /// An exchange has ended.
-    Ended(u32, Came),
+    Ended(u32, ExchangeOutcome),
 }
 
 /// One service, as this sidecar sends to it.
@@ -54,7 +54,7 @@
 }
 
 /// What the module is set to for a service.
-pub struct Terms<'t> {
+pub struct ServiceSettings<'t> {
     /// The service's name.
     pub service: &'t str,
     /// The routing table in force.
@@ -75,7 +75,7 @@
     pub retry_cap: f64,
 }
 
-impl Terms<'_> {
+impl ServiceSettings<'_> {
     fn settings(&self) -> (Settings, Front) {
         let of_service = |r: &&silvercross_mesh_config::Route| r.split.iter().any(|(d, _)| d == self.service);
         let mut classes = Vec::new();
@@ -141,7 +141,7 @@
 
 impl ServiceBalancer {
     /// A desk for a service that was not sent to before.
-    pub fn new(terms: &Terms, hosts: &[Host], seed: u64, clock: Clock) -> Rc<Self> {
+    pub fn new(terms: &ServiceSettings, hosts: &[Host], seed: u64, clock: Clock) -> Rc<Self> {
         let (settings, front) = terms.settings();
         let balancer = Balancer::new(settings, front, seed, hosts, clock);
         let inner = Inner { balancer, open: Slots::default(), wake: None };
@@ -205,33 +205,33 @@
     }
 
     /// Other terms hold from now on.
-    pub fn set(&self, terms: &Terms) {
+    pub fn reconfigure(&self, terms: &ServiceSettings) {
         let (settings, front) = terms.settings();
         self.with(|b| b.reconfigure(settings, front));
     }
 
     /// These are the upstreams now.
-    pub fn list(&self, hosts: Vec<Host>) {
+    pub fn set_upstreams(&self, hosts: Vec<Host>) {
         self.with(|b| b.news(&News::List { whole: true, hosts }));
     }
 
     /// These begin anew, as if never met.
-    pub fn fresh(&self, hosts: Vec<Host>) {
+    pub fn reset_upstreams(&self, hosts: Vec<Host>) {
         self.with(|b| b.news(&News::List { whole: false, hosts }));
     }
 
     /// Whether any upstream is listed.
-    pub fn ready(&self) -> bool {
+    pub fn has_upstreams(&self) -> bool {
         self.inner.borrow().balancer.ready()
     }
 
     /// Upstreams listed, and those of them avoided now.
-    pub fn rotation(&self) -> (usize, usize) {
+    pub fn upstream_counts(&self) -> (usize, usize) {
         self.inner.borrow().balancer.rotation()
     }
 
     /// How many requests wait here.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.inner.borrow().open.len()
     }
 
@@ -301,7 +301,7 @@
 }
 
 /// Where a gate is, for hosts of the module.
-pub fn host(
+pub fn upstream_host(
     name: &str,
     gate: SocketAddr,
     zone: &str,
--- a/crates/daemon/mesh/src/trial.rs
+++ b/crates/daemon/mesh/src/trial.rs
@@ -53,14 +53,14 @@
 
 /// Settings that a test changes.
 #[derive(Clone, Copy)]
-pub struct Terms {
+pub struct SidecarOptions {
     pub memory: u64,
     pub descriptors: u64,
 }
 
-impl Default for Terms {
+impl Default for SidecarOptions {
     fn default() -> Self {
-        Terms { memory: 256 << 20, descriptors: 1024 }
+        SidecarOptions { memory: 256 << 20, descriptors: 1024 }
     }
 }
 
@@ -73,17 +73,17 @@
 }
 
 /// A sidecar at 127.0.0.`last`, in front of `station`; the configuration in force, and nothing known of others.
-pub async fn sidecar(last: u8, station: SocketAddr, terms: Terms) -> Sidecar {
+pub async fn sidecar(last: u8, station: SocketAddr, terms: SidecarOptions) -> Sidecar {
     sidecar_of(last, station, terms).await.0
 }
 
 /// The same, and its settings.
-pub async fn sidecar_of(last: u8, station: SocketAddr, terms: Terms) -> (Sidecar, String) {
+pub async fn sidecar_of(last: u8, station: SocketAddr, terms: SidecarOptions) -> (Sidecar, String) {
     sidecar_at(Ipv4Addr::new(127, 0, 0, last), station, terms).await
 }
 
 /// The same, at an address of this machine.
-pub async fn sidecar_at(ip: Ipv4Addr, station: SocketAddr, terms: Terms) -> (Sidecar, String) {
+pub async fn sidecar_at(ip: Ipv4Addr, station: SocketAddr, terms: SidecarOptions) -> (Sidecar, String) {
     let last = ip.octets()[3];
     let bind = || async { TcpListener::bind((ip, 0)).await.expect("a port") };
     let (outer, inner) = (bind().await, bind().await);
@@ -109,7 +109,7 @@
     let node_state = NodeState::new(boot, Logger::root(Discard, o!()), gate, peers, clock, chance);
     tokio::task::spawn_local(client_listener::listen(node_state.clone(), outer));
     tokio::task::spawn_local(upstream_gate::listen(node_state.clone(), inner));
-    tokio::task::spawn_local(upstream_gate::UpstreamGate::tick(node_state.clone()));
+    tokio::task::spawn_local(upstream_gate::UpstreamGate::run_timer(node_state.clone()));
     let items = format!(
         "{{\"deliver\":{{\"destinations\":[{{\"name\":\"{SERVICE}\",\"healthPath\":\"/health\",\"lineCap\":50,\"coldS\":0,\
          \"coldRateS\":0,\"edition\":1}}],\"sizeLimits\":{{\"envelopeBytes\":16384,\"contentBytes\":268435456,\"envelopeS\":3,\
@@ -226,18 +226,18 @@
 }
 
 /// A connection with what was read too far.
-pub struct Talk {
+pub struct TestConnection {
     pub stream: TcpStream,
     come: Vec<u8>,
 }
 
-impl Talk {
-    pub async fn to(at: SocketAddr) -> Talk {
-        Talk::over(TcpStream::connect(at).await.expect("a connection"))
+impl TestConnection {
+    pub async fn to(at: SocketAddr) -> TestConnection {
+        TestConnection::over(TcpStream::connect(at).await.expect("a connection"))
     }
 
-    pub fn over(stream: TcpStream) -> Talk {
-        Talk { stream, come: Vec::new() }
+    pub fn over(stream: TcpStream) -> TestConnection {
+        TestConnection { stream, come: Vec::new() }
     }
 
     pub async fn say(&mut self, bytes: &[u8]) {
@@ -393,7 +393,7 @@
 
     async fn carry(self, mut stream: TcpStream, way: Way) {
         if way == Way::KeepRequest {
-            let mut talk = Talk::over(stream);
+            let mut talk = TestConnection::over(stream);
             let head = talk.head().await;
             self.kept.borrow_mut().extend_from_slice(head.as_bytes());
             return reset(talk.stream);
@@ -401,9 +401,9 @@
         let mut on = TcpStream::connect(self.to.get()).await.expect("a connection");
         match way {
             Way::SwallowAnswer => {
-                let mut talk = Talk::over(stream);
+                let mut talk = TestConnection::over(stream);
                 let head = talk.head().await;
-                let mut on = Talk::over(on);
+                let mut on = TestConnection::over(on);
                 on.say(head.as_bytes()).await;
                 on.head().await;
                 reset(on.stream);
--- a/crates/daemon/mesh/src/upstream_gate.rs
+++ b/crates/daemon/mesh/src/upstream_gate.rs
@@ -10,7 +10,7 @@
 pub use delivery::{request, serve};
 pub use hops::listen;
 
-use crate::forwarding_headers::Word;
+use crate::forwarding_headers::GateStatus;
 use crate::node_state::NodeState;
 use silvercross_admission::{AdmissionController, Effect, Turned};
 use std::cell::{Cell, RefCell};
@@ -29,7 +29,7 @@
 /// The gate's state.
 pub struct UpstreamGate {
     admission: RefCell<AdmissionController>,
-    waiting: RefCell<BTreeMap<u64, oneshot::Sender<Result<(), Word>>>>,
+    waiting: RefCell<BTreeMap<u64, oneshot::Sender<Result<(), GateStatus>>>>,
     next: Cell<u64>,
     changed: Notify,
     /// Tells idle hops' connections to make place, one for each call, the longest idle first.
@@ -40,12 +40,12 @@
     lane: std::sync::Arc<Semaphore>,
 }
 
-fn word(why: Turned, retry_after: Option<i64>) -> Word {
+fn word(why: Turned, retry_after: Option<i64>) -> GateStatus {
     match why {
-        Turned::NoStation | Turned::Another => Word::Absent,
-        Turned::Draining | Turned::Evacuated => Word::Shut,
-        Turned::Cold | Turned::Full | Turned::Late => Word::Full(retry_after.unwrap_or(0)),
-        Turned::Twice => Word::Begun,
+        Turned::NoStation | Turned::Another => GateStatus::Absent,
+        Turned::Draining | Turned::Evacuated => GateStatus::Shut,
+        Turned::Cold | Turned::Full | Turned::Late => GateStatus::Full(retry_after.unwrap_or(0)),
+        Turned::Twice => GateStatus::Begun,
     }
 }
 
@@ -64,7 +64,7 @@
     }
 
     /// Tell the decider something, and those that waited what came of it.
-    pub fn with<R>(&self, act: impl FnOnce(&mut AdmissionController) -> R) -> R {
+    pub fn with_admission<R>(&self, act: impl FnOnce(&mut AdmissionController) -> R) -> R {
         let (out, effects) = {
             let mut admission = self.admission.borrow_mut();
             (act(&mut admission), admission.effects())
@@ -83,7 +83,7 @@
     }
 
     /// Let its time pass, for as long as the process lives.
-    pub async fn tick(node_state: Rc<NodeState>) {
+    pub async fn run_timer(node_state: Rc<NodeState>) {
         loop {
             let wake = node_state.gate.admission.borrow().wake();
             let now = node_state.now();
@@ -91,7 +91,7 @@
             tokio::select! {
                 _ = tokio::time::sleep(Duration::from_micros(span as u64)) => {
                     let now = node_state.now();
-                    node_state.gate.with(|w| w.tick(now));
+                    node_state.gate.with_admission(|w| w.tick(now));
                 }
                 _ = node_state.gate.changed.notified() => {}
             }
--- a/crates/daemon/mesh/src/upstream_gate/delivery.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery.rs
@@ -2,11 +2,11 @@
 use super::replies::says;
 use super::{word, PATIENCE};
 use crate::body_buffer::BodyBuffer;
-use crate::forwarding_headers::{ForwardingHeaders, Word};
+use crate::forwarding_headers::{ForwardingHeaders, GateStatus};
 use crate::node_state::NodeState;
-use crate::peer_connection::{self, Came, Order};
+use crate::peer_connection::{self, ExchangeOutcome, Order};
 use crate::response_replay_cache::ReplayEntry;
-use crate::wire::{self, Answer, Asked, End, Size};
+use crate::wire::{self, PeerKind, RequestHead, Response, Size};
 use silvercross_admission::{Arrival, Verdict};
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 impl Drop for Place {
     fn drop(&mut self) {
         let (now, number) = (self.node_state.now(), self.number);
-        self.node_state.gate.with(|w| w.done(now, number));
+        self.node_state.gate.with_admission(|w| w.done(now, number));
     }
 }
 
@@ -43,7 +43,7 @@
         if self.waits {
             let (now, number) = (self.node_state.now(), self.number);
             self.node_state.gate.waiting.borrow_mut().remove(&number);
-            self.node_state.gate.with(|w| w.gone(now, number));
+            self.node_state.gate.with_admission(|w| w.gone(now, number));
         }
     }
 }
@@ -51,13 +51,13 @@
 /// Take a request to the upstream on this machine, if it may pass.
 pub async fn serve(
     node_state: &Rc<NodeState>,
-    asked: &Asked,
+    asked: &RequestHead,
     bill: &ForwardingHeaders,
     body_buffer: &Rc<BodyBuffer>,
     replay_entry: Option<&ReplayEntry>,
-) -> Answer {
+) -> Response {
     let (Some(station), Some(id)) = (node_state.boot.station, asked.id.clone()) else {
-        return says(Word::Absent);
+        return says(GateStatus::Absent);
     };
     let started = Instant::now();
     let deadline = asked.deadline.unwrap_or(60_000_000);
@@ -66,25 +66,26 @@
         Err(word) => return says(word),
     };
     let number = place.number;
-    let Some(line) = node_state.pool.line(None, station, CONNECT, End::Outer(wire::HEAD)).await else {
+    let Some(line) = node_state.pool.acquire(None, station, CONNECT, PeerKind::External(wire::HEAD)).await
+    else {
         // A refused connection is a sign that it is gone; its next beat says otherwise.
         let now = node_state.now();
-        node_state.gate.with(|w| w.silent(now));
+        node_state.gate.with_admission(|w| w.silent(now));
         node_state.station_silent();
-        return says(Word::Absent);
+        return says(GateStatus::Absent);
     };
     let left = deadline - started.elapsed().as_micros() as i64;
     if left <= 0 {
-        return says(Word::Full(0));
+        return says(GateStatus::Full(0));
     }
     // While it connected the station may have been shut, or another life begun.
     let now = node_state.now();
-    if !node_state.gate.with(|w| w.may_begin(now, number)) {
-        return says(Word::Shut);
+    if !node_state.gate.with_admission(|w| w.may_begin(now, number)) {
+        return says(GateStatus::Shut);
     }
     let request = request(asked, left, asked.expects.as_deref(), body_buffer, false);
     let now = node_state.now();
-    node_state.gate.with(|w| w.begun(now, number));
+    node_state.gate.with_admission(|w| w.begun(now, number));
     replay_entry.iter().for_each(|r| r.begun());
     node_state.counts.delivered.set(node_state.counts.delivered.get() + 1);
     let coming = body_buffer.rest.as_ref().map(|_| body_buffer);
@@ -94,20 +95,20 @@
     let until = Instant::now() + Duration::from_micros((left + LAST_WORD) as u64);
     let came = timeout_at(until, went).await;
     match came {
-        Ok(Came::Answer(answer)) => judged(node_state, *answer, bill, place, until),
+        Ok(ExchangeOutcome::Response(answer)) => judged(node_state, *answer, bill, place, until),
         // Bytes may have gone out before the connection broke: not certain, so it may have run.
-        Ok(Came::NotConnected | Came::Broken) | Err(_) => says(Word::Begun),
+        Ok(ExchangeOutcome::NotConnected | ExchangeOutcome::Broken) | Err(_) => says(GateStatus::Begun),
     }
 }
 
 /// Ask the decider for a place, and wait for it where that is to be; or the word for the origin.
 async fn admit(
     node_state: &Rc<NodeState>,
-    asked: &Asked,
+    asked: &RequestHead,
     id: &str,
     bill: &ForwardingHeaders,
     deadline: i64,
-) -> Result<Place, Word> {
+) -> Result<Place, GateStatus> {
     let number = node_state.gate.next.get();
     node_state.gate.next.set(number + 1);
     let arrival = Arrival {
@@ -126,7 +127,7 @@
     // The place in the list of those that wait is there before the decider may call it.
     let (to, mut at) = oneshot::channel();
     node_state.gate.waiting.borrow_mut().insert(number, to);
-    match node_state.gate.with(|w| w.arrive(now, arrival)) {
+    match node_state.gate.with_admission(|w| w.arrive(now, arrival)) {
         Verdict::Go => {
             node_state.gate.waiting.borrow_mut().remove(&number);
         }
@@ -145,7 +146,7 @@
                     node_state.counts.turned.set(node_state.counts.turned.get() + 1);
                     return Err(word);
                 }
-                Err(_) => return Err(Word::Absent),
+                Err(_) => return Err(GateStatus::Absent),
             }
         }
     }
@@ -155,23 +156,23 @@
 /// The upstream's answer, as it is passed on; the decider hears what it says of the upstream and of the request.
 fn judged(
     node_state: &Rc<NodeState>,
-    mut answer: Answer,
+    mut answer: Response,
     bill: &ForwardingHeaders,
     place: Place,
     until: Instant,
-) -> Answer {
+) -> Response {
     let (now, number) = (node_state.now(), place.number);
     if let Some(left) = answer.cold {
-        node_state.gate.with(|w| w.cold(now, left));
+        node_state.gate.with_admission(|w| w.cold(now, left));
     }
     if spoilt(&answer, bill.repeatable) {
-        return says(Word::Begun);
+        return says(GateStatus::Begun);
     }
     // Its own word that it did not run: its id is free again. This has to be told before the place is given back.
     match answer.status {
-        503 if answer.not_delivered => node_state.gate.with(|w| w.turned_by_station(now, number)),
-        421 => node_state.gate.with(|w| w.not_run(now, number)),
-        _ if answer.not_delivered => node_state.gate.with(|w| w.not_run(now, number)),
+        503 if answer.not_delivered => node_state.gate.with_admission(|w| w.turned_by_station(now, number)),
+        421 => node_state.gate.with_admission(|w| w.not_run(now, number)),
+        _ if answer.not_delivered => node_state.gate.with_admission(|w| w.not_run(now, number)),
         _ => {}
     }
     // While its answer is passed on, a request keeps its place.
@@ -184,7 +185,7 @@
 
 /// An answer that is not passed on, as it would say something that is not so: a success that is not the upstream's own, or that says
 /// that nothing ran; a promise of that where the upstream has not said so, and a new try would be a second run.
-fn spoilt(answer: &Answer, repeatable: bool) -> bool {
+fn spoilt(answer: &Response, repeatable: bool) -> bool {
     let promise = matches!(answer.status, 408 | 429 | 503);
     answer.coded
         || answer.status < 300 && !answer.stamped
@@ -195,7 +196,7 @@
 /// A request's bytes, to an upstream or to a gate: its head, and its body if that is here whole. `awaits`: the body is sent once
 /// it is asked for.
 pub fn request(
-    asked: &Asked,
+    asked: &RequestHead,
     left: i64,
     expects: Option<&str>,
     body_buffer: &BodyBuffer,
--- a/crates/daemon/mesh/src/upstream_gate/hops.rs
+++ b/crates/daemon/mesh/src/upstream_gate/hops.rs
@@ -3,11 +3,11 @@
 use super::replies::{back, keep, says, told};
 use super::{large, NO_ROOM};
 use crate::body_buffer::BodyBuffer;
-use crate::forwarding_headers::{self, ForwardingHeaders, Word};
+use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus};
 use crate::node_state::{Counted, Door, NodeState};
 use crate::peer_connection;
 use crate::response_replay_cache::ReplayEntry;
-use crate::wire::{self, Asked, End, Line, Stir, Wrong};
+use crate::wire::{self, Connection, ConnectionEvent, PeerKind, ReadError, RequestHead};
 use silvercross_net::http::Framing;
 use silvercross_net::stream::Decoder;
 use std::cell::Cell;
@@ -33,7 +33,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        peer_connection::guard(&stream);
+        peer_connection::set_liveness_options(&stream);
         let open = node_state.counts.hops.get();
         let leaving = node_state.gate.leaving.get();
         let full = open - leaving.min(open) >= (node_state.boot.descriptors / CONNECTIONS).max(1);
@@ -57,7 +57,7 @@
         let counted = Counted::new(&node_state, |c| &c.hops);
         tokio::task::spawn_local(async move {
             let _counted = counted;
-            let mut line = Line::new(stream, End::Hop);
+            let mut line = Connection::new(stream, PeerKind::Sidecar);
             let mut before = Before::default();
             while one(&node_state, &mut line, &mut before).await {}
         });
@@ -66,9 +66,10 @@
 
 /// A hop for which there is no room: nothing of it is read before it is told to go elsewhere.
 async fn turn(stream: tokio::net::TcpStream) {
-    let mut line = Line::new(stream, End::Hop);
-    let word = forwarding_headers::write(&Word::Full(NO_ROOM));
-    let bytes = wire::whole(503, format!("Waybill-Return: {word}\r\n").as_bytes(), b"", true, false);
+    let mut line = Connection::new(stream, PeerKind::Sidecar);
+    let word = forwarding_headers::write(&GateStatus::Full(NO_ROOM));
+    let bytes =
+        wire::encode_response(503, format!("Waybill-Return: {word}\r\n").as_bytes(), b"", true, false);
     if line.write(&bytes).await.is_ok() {
         line.finish().await;
         line.drain(COMES / 10).await;
@@ -85,7 +86,7 @@
 }
 
 /// One request of a hop's connection; whether another may come.
-async fn one(node_state: &Rc<NodeState>, line: &mut Line, before: &mut Before) -> bool {
+async fn one(node_state: &Rc<NodeState>, line: &mut Connection, before: &mut Before) -> bool {
     if !requested(node_state, line).await {
         return false;
     }
@@ -115,15 +116,16 @@
         Framing::Length(n) => Some(n),
         _ => None,
     };
-    if asked.waits || stated.is_none_or(|n| n > wire::HELD) {
+    if asked.waits || stated.is_none_or(|n| n > wire::MAX_BUFFERED_BODY_BYTES) {
         return large::pass(node_state, line, &asked, bill, replay_entry, life, stated).await;
     }
     // How large a body may be was for the origin to say.
-    let (mut decoder, mut share) = (Decoder::new(asked.framing, wire::HELD), node_state.stores.share());
+    let (mut decoder, mut share) =
+        (Decoder::new(asked.framing, wire::MAX_BUFFERED_BODY_BYTES), node_state.stores.share());
     let body = match timeout(COMES, line.held(&mut decoder, stated, &mut share, false)).await {
         Ok(Ok((body, true))) => body,
-        Ok(Err(Wrong::NoRoom)) => {
-            let (bytes, _) = back(&asked, &mut says(Word::Full(NO_ROOM)), life, true);
+        Ok(Err(ReadError::NoRoom)) => {
+            let (bytes, _) = back(&asked, &mut says(GateStatus::Full(NO_ROOM)), life, true);
             let _ = line.write(&bytes).await;
             line.finish().await;
             line.drain(COMES / 10).await;
@@ -133,7 +135,8 @@
     };
     let Some(bill) = bill else {
         // A question that can't be read is no request that was turned away: what it asks for may have run.
-        let word = if asked.host == forwarding_headers::ASKED { Word::Begun } else { Word::Absent };
+        let word =
+            if asked.host == forwarding_headers::ASKED { GateStatus::Begun } else { GateStatus::Absent };
         let (bytes, _) = back(&asked, &mut says(word), life, false);
         return line.write(&bytes).await.is_ok();
     };
@@ -141,7 +144,7 @@
 }
 
 /// Whether a request has come; an idle connection may have to make place for another.
-async fn requested(node_state: &Rc<NodeState>, line: &mut Line) -> bool {
+async fn requested(node_state: &Rc<NodeState>, line: &mut Connection) -> bool {
     let _idle = Counted::new(node_state, |c| &c.hops_idle);
     tokio::select! {
         came = line.awaits(IDLE) => came,
@@ -155,8 +158,8 @@
 /// A request that is here whole; whether the connection may carry another one.
 async fn whole(
     node_state: &Rc<NodeState>,
-    line: &mut Line,
-    asked: &Asked,
+    line: &mut Connection,
+    asked: &RequestHead,
     bill: &ForwardingHeaders,
     body_buffer: &Rc<BodyBuffer>,
     replay_entry: Option<ReplayEntry>,
@@ -171,12 +174,12 @@
                 answer = &mut serving => break answer,
                 stir = line.stirs(), if !broke => match stir {
                     // Its origin will ask for it.
-                    Stir::Broke if replay_entry.is_some() => {
+                    ConnectionEvent::Broke if replay_entry.is_some() => {
                         broke = true;
                         node_state.counts.orphans.set(node_state.counts.orphans.get() + 1);
                     }
                     // An origin that hangs up has called the attempt off.
-                    Stir::Broke | Stir::Closed | Stir::More => return false,
+                    ConnectionEvent::Broke | ConnectionEvent::Closed | ConnectionEvent::More => return false,
                 }
             }
         }
--- a/crates/daemon/mesh/src/upstream_gate/large.rs
+++ b/crates/daemon/mesh/src/upstream_gate/large.rs
@@ -3,11 +3,11 @@
 use super::hops::COMES;
 use super::replies::{back, keep, says};
 use super::PATIENCE;
-use crate::body_buffer::{BodyBuffer, Bringer};
-use crate::forwarding_headers::{ForwardingHeaders, Word};
+use crate::body_buffer::{BodyBuffer, BodyStreamWriter};
+use crate::forwarding_headers::{ForwardingHeaders, GateStatus};
 use crate::node_state::NodeState;
 use crate::response_replay_cache::ReplayEntry;
-use crate::wire::{Answer, Asked, Line, Stir, Wrong};
+use crate::wire::{Connection, ConnectionEvent, ReadError, RequestHead, Response};
 use silvercross_net::http::Framing;
 use silvercross_net::stream::Decoder;
 use std::cell::Cell;
@@ -22,8 +22,8 @@
 /// and a connection to the upstream is up, none of it is taken.
 pub(super) async fn pass(
     node_state: &Rc<NodeState>,
-    line: &mut Line,
-    asked: &Asked,
+    line: &mut Connection,
+    asked: &RequestHead,
     bill: Option<ForwardingHeaders>,
     replay_entry: Option<ReplayEntry>,
     life: Option<u64>,
@@ -43,7 +43,7 @@
     let work = async {
         let answer = match &bill {
             Some(bill) => serve(node_state, asked, bill, &body_buffer, replay_entry.as_ref()).await,
-            None => says(Word::Absent),
+            None => says(GateStatus::Absent),
         };
         answered.set(true);
         reply(node_state, &write, asked, answer, replay_entry, life).await
@@ -55,7 +55,7 @@
         match brought {
             // An origin that breaks off, or hangs up behind its body, has called the attempt off.
             Ok(()) => {
-                if line.stirs().await == Stir::Broke && once {
+                if line.stirs().await == ConnectionEvent::Broke && once {
                     // It is here whole: its origin will ask for it.
                     node_state.counts.orphans.set(node_state.counts.orphans.get() + 1);
                     std::future::pending().await
@@ -83,8 +83,8 @@
 /// connection may carry another request.
 async fn turn_of(
     node_state: &Rc<NodeState>,
-    line: &mut Line,
-    asked: &Asked,
+    line: &mut Connection,
+    asked: &RequestHead,
     patience: i64,
     life: Option<u64>,
 ) -> Result<Option<OwnedSemaphorePermit>, bool> {
@@ -98,7 +98,7 @@
                 return Ok(Some(turn));
             }
             node_state.counts.turned.set(node_state.counts.turned.get() + 1);
-            let (bytes, _) = back(asked, &mut says(Word::Full(patience)), life, false);
+            let (bytes, _) = back(asked, &mut says(GateStatus::Full(patience)), life, false);
             Err(line.write(&bytes).await.is_ok())
         }
         _ = line.stirs() => Err(false),
@@ -109,8 +109,8 @@
 async fn reply(
     node_state: &Rc<NodeState>,
     write: &Mutex<OwnedWriteHalf>,
-    asked: &Asked,
-    mut answer: Answer,
+    asked: &RequestHead,
+    mut answer: Response,
     replay_entry: Option<ReplayEntry>,
     life: Option<u64>,
 ) -> bool {
@@ -128,24 +128,24 @@
 
 /// Ask for the body once somebody wants it, and bring it.
 async fn bring(
-    line: &mut Line,
-    bringer: &Bringer,
+    line: &mut Connection,
+    bringer: &BodyStreamWriter,
     decoder: &mut Decoder,
     write: &Mutex<OwnedWriteHalf>,
     answered: &Cell<bool>,
     waits: bool,
-) -> Result<(), Wrong> {
+) -> Result<(), ReadError> {
     tokio::select! {
         () = bringer.wanted() => {}
         stir = line.stirs() => match stir {
-            Stir::More => bringer.wanted().await,
-            Stir::Closed | Stir::Broke => return Err(Wrong::Broken),
+            ConnectionEvent::More => bringer.wanted().await,
+            ConnectionEvent::Closed | ConnectionEvent::Broke => return Err(ReadError::Broken),
         },
     }
     if waits {
         let mut write = write.lock().await;
         if !answered.get() && write.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
-            return Err(Wrong::Broken);
+            return Err(ReadError::Broken);
         }
     }
     bringer.bring(line, decoder).await
--- a/crates/daemon/mesh/src/upstream_gate/replies.rs
+++ b/crates/daemon/mesh/src/upstream_gate/replies.rs
@@ -1,14 +1,14 @@
 //! What the gate says to origins: its own word, answers as bytes, and what became of an attempt.
-use crate::forwarding_headers::{self, Word};
+use crate::forwarding_headers::{self, GateStatus};
 use crate::node_state::NodeState;
 use crate::response_replay_cache::{Kept, Known, ReplayEntry};
-use crate::wire::{self, Answer, Asked, Line, Size};
+use crate::wire::{self, Connection, RequestHead, Response, Size};
 use std::rc::Rc;
 
 /// What the gate answers for itself.
-pub(super) fn says(word: Word) -> Answer {
-    let status = if matches!(word, Word::Begun | Word::Unseen) { 502 } else { 503 };
-    Answer {
+pub(super) fn says(word: GateStatus) -> Response {
+    let status = if matches!(word, GateStatus::Begun | GateStatus::Unseen) { 502 } else { 503 };
+    Response {
         status,
         lines: Vec::new(),
         id: None,
@@ -31,7 +31,7 @@
 /// Keep an answer for an origin that may have to ask for it, if it is whole.
 pub(super) fn keep(
     replay_entry: Option<ReplayEntry>,
-    answer: &Answer,
+    answer: &Response,
     bytes: Vec<u8>,
     lived: bool,
 ) -> Rc<Vec<u8>> {
@@ -43,7 +43,12 @@
 }
 
 /// Tell an origin what became of its attempt.
-pub(super) async fn told(node_state: &Rc<NodeState>, line: &mut Line, asked: &Asked, ticket: u64) -> bool {
+pub(super) async fn told(
+    node_state: &Rc<NodeState>,
+    line: &mut Connection,
+    asked: &RequestHead,
+    ticket: u64,
+) -> bool {
     let known = tokio::select! {
         known = node_state.response_replay_cache.ask(ticket) => known,
         _ = line.stirs() => return false,
@@ -61,9 +66,9 @@
             bytes.extend_from_slice(&kept.bytes[at..]);
             bytes
         }
-        Known::Begun => back(asked, &mut says(Word::Begun), life, false).0,
-        Known::Off => back(asked, &mut says(Word::Absent), life, false).0,
-        Known::Unseen => back(asked, &mut says(Word::Unseen), life, false).0,
+        Known::Begun => back(asked, &mut says(GateStatus::Begun), life, false).0,
+        Known::Off => back(asked, &mut says(GateStatus::Absent), life, false).0,
+        Known::Unseen => back(asked, &mut says(GateStatus::Unseen), life, false).0,
     };
     let _ = line.write(&bytes).await;
     line.finish().await;
@@ -71,7 +76,12 @@
 }
 
 /// An answer's bytes as they go to the origin, and how its end is told.
-pub(super) fn back(asked: &Asked, answer: &mut Answer, life: Option<u64>, close: bool) -> (Vec<u8>, Size) {
+pub(super) fn back(
+    asked: &RequestHead,
+    answer: &mut Response,
+    life: Option<u64>,
+    close: bool,
+) -> (Vec<u8>, Size) {
     let mut lines = std::mem::take(&mut answer.lines);
     if let Some(word) = &answer.word {
         lines.extend_from_slice(format!("Waybill-Return: {word}\r\n").as_bytes());
@@ -84,7 +94,7 @@
     }
     if answer.tail.is_none() {
         let bodiless = asked.method == "HEAD";
-        return (wire::whole(answer.status, &lines, &answer.body, close, bodiless), Size::Close);
+        return (wire::encode_response(answer.status, &lines, &answer.body, close, bodiless), Size::Close);
     }
-    wire::begun(answer.status, &lines, &answer.body, answer.length, close, false)
+    wire::encode_response_start(answer.status, &lines, &answer.body, answer.length, close, false)
 }
--- a/crates/daemon/mesh/src/upstream_gate/tests.rs
+++ b/crates/daemon/mesh/src/upstream_gate/tests.rs
@@ -1,18 +1,18 @@
 //! Tests of the gate as other sidecars meet it: the largest head, hops beyond the bound.
-use crate::trial::{self, stamped, status, Talk, Terms};
+use crate::trial::{self, stamped, status, SidecarOptions, TestConnection};
 
 /// What a sidecar adds to a head must not make it too large for the next one.
 #[test]
 fn the_largest_head_that_a_client_may_send_passes_the_hop() {
     trial::run(async {
         let ((listener, at), (_, nobody)) = (trial::station().await, trial::station().await);
-        let origin = trial::sidecar(1, nobody, Terms::default()).await;
-        let gate = trial::sidecar(2, at, Terms::default()).await;
+        let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = trial::sidecar(2, at, SidecarOptions::default()).await;
         gate.beat();
         origin.hears_of(&gate);
         tokio::task::spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("a connection");
-            let mut talk = Talk::over(stream);
+            let mut talk = TestConnection::over(stream);
             loop {
                 let head = talk.head().await;
                 if head.is_empty() {
@@ -30,7 +30,7 @@
         };
         let room = 16_384 - ask(64, 0).len() - 4;
         for (lines, fill, want) in [(64, room, "200"), (64, room + 20, "431"), (65, 0, "431")] {
-            let mut client = Talk::to(origin.at).await;
+            let mut client = TestConnection::to(origin.at).await;
             client.say(ask(lines, fill).as_bytes()).await;
             assert_eq!(status(&client.head().await), want, "{lines} lines, {fill}");
         }
@@ -41,30 +41,31 @@
 fn hops_beyond_the_bound_are_told_that_nothing_was_begun() {
     trial::run(async {
         let (_, at) = trial::station().await;
-        let terms = Terms { descriptors: 2 * super::hops::CONNECTIONS, ..Terms::default() };
+        let terms = SidecarOptions { descriptors: 2 * super::hops::CONNECTIONS, ..SidecarOptions::default() };
         let gate = trial::sidecar(2, at, terms).await;
         let counts = &gate.node_state.counts;
-        let (mut one, mut two) = (Talk::to(gate.inbound).await, Talk::to(gate.inbound).await);
+        let (mut one, mut two) =
+            (TestConnection::to(gate.inbound).await, TestConnection::to(gate.inbound).await);
         // Neither is idle.
         one.say(b"GET").await;
         two.say(b"GET").await;
         while counts.hops.get() < 2 || counts.hops_idle.get() > 0 {
             tokio::task::yield_now().await;
         }
-        let mut three = Talk::to(gate.inbound).await;
+        let mut three = TestConnection::to(gate.inbound).await;
         let head = three.head().await;
         let word = trial::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
-        assert_eq!(word, Some(crate::forwarding_headers::Word::Full(super::NO_ROOM)));
+        assert_eq!(word, Some(crate::forwarding_headers::GateStatus::Full(super::NO_ROOM)));
         assert_eq!((counts.hops.get(), counts.hops_shut_out.get()), (2, 1));
         drop(one);
         while counts.hops.get() > 1 {
             tokio::task::yield_now().await;
         }
-        let mut four = Talk::to(gate.inbound).await;
+        let mut four = TestConnection::to(gate.inbound).await;
         four.say(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
         assert!(trial::value(&four.head().await, "waybill-life").is_some());
         // An idle one makes place.
-        let mut five = Talk::to(gate.inbound).await;
+        let mut five = TestConnection::to(gate.inbound).await;
         assert_eq!(four.more().await, 0);
         five.say(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
         assert!(trial::value(&five.head().await, "waybill-life").is_some());
--- a/crates/daemon/mesh/src/wire.rs
+++ b/crates/daemon/mesh/src/wire.rs
@@ -5,16 +5,16 @@
 mod reading;
 mod writing;
 
-pub use heads::{Answer, Asked};
-pub use line::{Line, Stir};
-pub use writing::{begun, status_of, whole, write_piece, Size, LAST_CHUNK};
+pub use heads::{RequestHead, Response};
+pub use line::{Connection, ConnectionEvent};
+pub use writing::{encode_response, encode_response_start, error_status, write_piece, Size, LAST_CHUNK};
 
 use heads::{LINES, LINES_ADDED};
 use silvercross_net::http::Bad;
 use std::io;
 
 /// A body up to this is held whole, so that it can be sent again where it did not run; a larger one is passed on as it comes.
-pub const HELD: usize = 1 << 20;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
 /// The largest head of a client's request, or of an upstream's answer, whatever the operator allows.
 pub const HEAD: usize = 64 * 1024;
 /// A hop's head may be so much larger: by what the sidecar before adds.
@@ -22,7 +22,7 @@
 
 /// Why a message could not be read.
 #[derive(Debug)]
-pub enum Wrong {
+pub enum ReadError {
     /// The connection ended between two messages.
     Closed,
     /// It ended, or broke, within one.
@@ -35,33 +35,33 @@
     NoRoom,
 }
 
-impl From<io::Error> for Wrong {
+impl From<io::Error> for ReadError {
     fn from(_: io::Error) -> Self {
-        Wrong::Broken
+        ReadError::Broken
     }
 }
 
-impl From<Bad> for Wrong {
+impl From<Bad> for ReadError {
     fn from(bad: Bad) -> Self {
-        Wrong::Bad(bad)
+        ReadError::Bad(bad)
     }
 }
 
 /// Who is at the other end of a connection: what it may send goes by that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum PeerKind {
     /// A client, an upstream, an operator: heads of so many bytes, [`HEAD`] at most.
-    Outer(usize),
+    External(usize),
     /// Another sidecar: what an outer end may send, and the lines that a sidecar adds.
-    Hop,
+    Sidecar,
 }
 
-impl End {
+impl PeerKind {
     /// Bytes and lines of a head.
     fn most(self) -> (usize, usize) {
         match self {
-            End::Outer(bytes) => (bytes.min(HEAD), LINES),
-            End::Hop => (HEAD + ADDED, LINES + LINES_ADDED),
+            PeerKind::External(bytes) => (bytes.min(HEAD), LINES),
+            PeerKind::Sidecar => (HEAD + ADDED, LINES + LINES_ADDED),
         }
     }
 }
--- a/crates/daemon/mesh/src/wire/heads.rs
+++ b/crates/daemon/mesh/src/wire/heads.rs
@@ -1,6 +1,6 @@
 //! Heads of requests and answers as they are read: the lines that matter here by name, the rest to be passed on.
-use super::Wrong;
-use crate::body_buffer::Share;
+use super::ReadError;
+use crate::body_buffer::BodyReservation;
 use httparse::{Header, EMPTY_HEADER};
 use silvercross_net::http::{self, Bad, Framing, Limits};
 
@@ -22,7 +22,7 @@
 
 /// The head of a request, in owned parts.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestHead {
     /// Its method.
     pub method: String,
     /// Path and query.
@@ -53,7 +53,7 @@
 
 /// An answer: whole, or its head and the first part of its body.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Header lines that go on, each with its line end.
@@ -80,16 +80,20 @@
     pub idle: Option<u64>,
     /// Its length, where it states one.
     pub length: Option<u64>,
-    /// Its body, up to [`HELD`].
+    /// Its body, up to [`MAX_BUFFERED_BODY_BYTES`].
     pub body: Vec<u8>,
     /// What comes behind that.
-    pub tail: Option<Box<crate::peer_connection::Tail>>,
+    pub tail: Option<Box<crate::peer_connection::StreamedBody>>,
     /// Its place among the bodies held here.
-    pub share: Option<Share>,
+    pub share: Option<BodyReservation>,
 }
 
 /// The head of a request and its length, once it has come whole.
-pub(super) fn asked(bytes: &[u8], limits: Limits, lines: usize) -> Result<Option<(usize, Asked)>, Wrong> {
+pub(super) fn asked(
+    bytes: &[u8],
+    limits: Limits,
+    lines: usize,
+) -> Result<Option<(usize, RequestHead)>, ReadError> {
     let mut room: Room = [EMPTY_HEADER; LINES + LINES_ADDED];
     let room = &mut room[..lines];
     let Some(head) = http::request_head_within(bytes, room, limits)? else { return Ok(None) };
@@ -98,7 +102,7 @@
     h.forward(&mut lines, &OURS);
     let host = h.one("host")?;
     if host.is_none() && !head.old {
-        return Err(Wrong::Bad(Bad::Malformed("no Host line")));
+        return Err(ReadError::Bad(Bad::Malformed("no Host line")));
     }
     let deadline = match h.one("deadline-ms")? {
         None => None,
@@ -107,7 +111,7 @@
             Some((ms.ok_or(Bad::Malformed("Deadline-Ms is no number"))?.min(1e9) * 1e3) as i64)
         }
     };
-    let asked = Asked {
+    let asked = RequestHead {
         method: head.method.to_string(),
         target: http::origin_form(head.target).to_string(),
         host: host.unwrap_or("").to_string(),
@@ -132,7 +136,7 @@
     limits: Limits,
     lines: usize,
     hop: bool,
-) -> Result<Option<(usize, Answer, Framing)>, Wrong> {
+) -> Result<Option<(usize, Response, Framing)>, ReadError> {
     let mut room: Room = [EMPTY_HEADER; LINES + LINES_ADDED];
     let room = &mut room[..lines];
     let Some(head) = http::answer_head_within(bytes, room, limits)? else { return Ok(None) };
@@ -143,7 +147,7 @@
         v.split(',').find_map(|p| p.trim().strip_prefix("timeout=")).and_then(|t| t.parse().ok())
     });
     let cold = h.one("cold-ms")?.and_then(|t| t.parse::<f64>().ok()).filter(|ms| ms.is_finite());
-    let answer = Answer {
+    let answer = Response {
         status: head.status,
         lines,
         id: text(h.one("attempt-id")?),
--- a/crates/daemon/mesh/src/wire/line.rs
+++ b/crates/daemon/mesh/src/wire/line.rs
@@ -1,5 +1,5 @@
 //! One connection: its halves, whether it is fresh, what comes on it, and its end.
-use super::End;
+use super::PeerKind;
 use crate::mutation::{self, Mutation};
 use bytes::BytesMut;
 use std::io;
@@ -24,16 +24,16 @@
 
 /// A connection and what has come on it that was not yet read.
 #[derive(Debug)]
-pub struct Line {
+pub struct Connection {
     side: Side,
     pub(super) come: BytesMut,
     /// Who is at its other end.
-    pub end: End,
+    pub end: PeerKind,
 }
 
 /// Who called an exchange off, as seen from the other end of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stir {
+pub enum ConnectionEvent {
     /// Something came.
     More,
     /// The other end closed in order.
@@ -42,11 +42,11 @@
     Broke,
 }
 
-impl Line {
+impl Connection {
     /// Over a connection that is up.
-    pub fn new(stream: TcpStream, end: End) -> Self {
+    pub fn new(stream: TcpStream, end: PeerKind) -> Self {
         let _ = stream.set_nodelay(true);
-        Line { side: Side::Whole(stream), come: BytesMut::new(), end }
+        Connection { side: Side::Whole(stream), come: BytesMut::new(), end }
     }
 
     /// Nothing came that was not asked for, and the other end has not closed. The system is asked, not the reactor: that knows
@@ -104,11 +104,11 @@
     }
 
     /// Wait until something comes or the connection ends. What came is kept.
-    pub async fn stirs(&mut self) -> Stir {
+    pub async fn stirs(&mut self) -> ConnectionEvent {
         match self.fill().await {
-            Ok(0) => Stir::Closed,
-            Ok(_) => Stir::More,
-            Err(_) => Stir::Broke,
+            Ok(0) => ConnectionEvent::Closed,
+            Ok(_) => ConnectionEvent::More,
+            Err(_) => ConnectionEvent::Broke,
         }
     }
 
--- a/crates/daemon/mesh/src/wire/reading.rs
+++ b/crates/daemon/mesh/src/wire/reading.rs
@@ -1,22 +1,27 @@
 //! Messages as they are read from a connection: a request's head, an answer, and bodies whole, in part or piece by piece.
 use super::heads::{answered, asked};
-use super::{Answer, Asked, End, Line, Wrong, HELD};
-use crate::body_buffer::Share;
+use super::{Connection, PeerKind, ReadError, RequestHead, Response, MAX_BUFFERED_BODY_BYTES};
+use crate::body_buffer::BodyReservation;
 use bytes::{Buf, Bytes};
 use silvercross_net::http::{Bad, Framing, Limits};
 use silvercross_net::stream::Decoder;
 use std::time::Duration;
 use tokio::time::timeout;
 
-impl Line {
+impl Connection {
     /// Read the head of a request: at most `idle` for its first byte, `whole` from there on; a stated length of `body` at most.
-    pub async fn request(&mut self, idle: Duration, whole: Duration, body: usize) -> Result<Asked, Wrong> {
+    pub async fn request(
+        &mut self,
+        idle: Duration,
+        whole: Duration,
+        body: usize,
+    ) -> Result<RequestHead, ReadError> {
         let (most, lines) = self.end.most();
         let limits = Limits { head: most, body };
         if self.come.is_empty() {
             match timeout(idle, self.fill()).await {
-                Err(_) | Ok(Ok(0)) => return Err(Wrong::Closed),
-                Ok(r) => r.map_err(|_| Wrong::Closed)?,
+                Err(_) | Ok(Ok(0)) => return Err(ReadError::Closed),
+                Ok(r) => r.map_err(|_| ReadError::Closed)?,
             };
         }
         let read = async {
@@ -30,20 +35,20 @@
                     return Ok(asked);
                 }
                 if self.fill().await? == 0 {
-                    return Err(if self.come.is_empty() { Wrong::Closed } else { Wrong::Broken });
+                    return Err(if self.come.is_empty() { ReadError::Closed } else { ReadError::Broken });
                 }
             }
         };
-        timeout(whole, read).await.unwrap_or(Err(Wrong::Late))
+        timeout(whole, read).await.unwrap_or(Err(ReadError::Late))
     }
 
     /// Read a body whole, of `most` bytes at the most.
-    pub async fn body(&mut self, framing: Framing, most: usize) -> Result<Vec<u8>, Wrong> {
+    pub async fn body(&mut self, framing: Framing, most: usize) -> Result<Vec<u8>, ReadError> {
         let mut decoder = Decoder::new(framing, most);
         let mut body = Vec::new();
         if let Framing::Length(n) = framing {
             if n > most {
-                return Err(Wrong::Bad(Bad::BodyTooLarge));
+                return Err(ReadError::Bad(Bad::BodyTooLarge));
             }
             body.reserve_exact(n);
         }
@@ -52,44 +57,44 @@
                 continue;
             }
             if self.fill().await? == 0 && !decoder.ends_here() {
-                return Err(Wrong::Broken);
+                return Err(ReadError::Broken);
             }
         }
         Ok(body)
     }
 
-    /// Read a body as far as it is held: whole, or its first [`HELD`] bytes and not many more. `false`: there is more of it.
-    /// [`Wrong::NoRoom`] where its share grows no further, unless it can be passed on from there (`passes`).
+    /// Read a body as far as it is held: whole, or its first [`MAX_BUFFERED_BODY_BYTES`] bytes and not many more. `false`: there is more of it.
+    /// [`ReadError::NoRoom`] where its share grows no further, unless it can be passed on from there (`passes`).
     pub async fn held(
         &mut self,
         decoder: &mut Decoder,
         stated: Option<usize>,
-        share: &mut Share,
+        share: &mut BodyReservation,
         passes: bool,
-    ) -> Result<(Vec<u8>, bool), Wrong> {
+    ) -> Result<(Vec<u8>, bool), ReadError> {
         let mut body = Vec::new();
-        body.reserve_exact(stated.unwrap_or(0).min(HELD));
+        body.reserve_exact(stated.unwrap_or(0).min(MAX_BUFFERED_BODY_BYTES));
         while !decoder.is_done() {
             let had = body.len();
             if self.piece(decoder, &mut body)? {
                 match share.more((body.len() - had) as u64) {
                     true => continue,
                     false if decoder.is_done() || passes => return Ok((body, decoder.is_done())),
-                    false => return Err(Wrong::NoRoom),
+                    false => return Err(ReadError::NoRoom),
                 }
             }
-            if body.len() >= HELD {
+            if body.len() >= MAX_BUFFERED_BODY_BYTES {
                 return Ok((body, false));
             }
             if self.fill().await? == 0 && !decoder.ends_here() {
-                return Err(Wrong::Broken);
+                return Err(ReadError::Broken);
             }
         }
         Ok((body, true))
     }
 
     /// The next piece of a body; `None`: it has come whole.
-    pub async fn next(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, Wrong> {
+    pub async fn next(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, ReadError> {
         loop {
             if decoder.is_done() {
                 return Ok(None);
@@ -107,13 +112,13 @@
                 return Ok(None);
             }
             if self.fill().await? == 0 && !decoder.ends_here() {
-                return Err(Wrong::Broken);
+                return Err(ReadError::Broken);
             }
         }
     }
 
     /// Take one piece of a body that has come; `false` if more has to come first.
-    fn piece(&mut self, decoder: &mut Decoder, body: &mut Vec<u8>) -> Result<bool, Wrong> {
+    fn piece(&mut self, decoder: &mut Decoder, body: &mut Vec<u8>) -> Result<bool, ReadError> {
         let Some((skip, n)) = decoder.next(&self.come)? else { return Ok(false) };
         self.come.advance(skip);
         body.extend_from_slice(&self.come[..n]);
@@ -121,7 +126,7 @@
         Ok(skip + n > 0)
     }
 
-    /// Read an answer: whole, if it has not more than [`HELD`] bytes, else the first part of it and how the rest is to be
+    /// Read an answer: whole, if it has not more than [`MAX_BUFFERED_BODY_BYTES`] bytes, else the first part of it and how the rest is to be
     /// read. `of` is the request's id: whole answers that carry another one are passed over, since they belong to a request
     /// before; a connection that brought one carries no further request. `bodiless`: to a HEAD. `go`: a word to go on with the body (100) is returned as well.
     pub async fn answer(
@@ -129,16 +134,17 @@
         of: &str,
         bodiless: bool,
         go: bool,
-        mut share: Share,
-    ) -> Result<(Answer, Option<Decoder>), Wrong> {
+        mut share: BodyReservation,
+    ) -> Result<(Response, Option<Decoder>), ReadError> {
         let (most, lines) = self.end.most();
         let limits = Limits { head: most, body: usize::MAX };
         let mut passed_over = false;
         loop {
-            let Some((len, mut answer, framing)) = answered(&self.come, limits, lines, self.end == End::Hop)?
+            let Some((len, mut answer, framing)) =
+                answered(&self.come, limits, lines, self.end == PeerKind::Sidecar)?
             else {
                 if self.fill().await? == 0 {
-                    return Err(if self.come.is_empty() { Wrong::Closed } else { Wrong::Broken });
+                    return Err(if self.come.is_empty() { ReadError::Closed } else { ReadError::Broken });
                 }
                 continue;
             };
@@ -167,7 +173,7 @@
                 Some(id) if id != of => {
                     if !whole {
                         // Too much to be passed over.
-                        return Err(Wrong::Broken);
+                        return Err(ReadError::Broken);
                     }
                     share.empty();
                     passed_over = true;
--- a/crates/daemon/mesh/src/wire/writing.rs
+++ b/crates/daemon/mesh/src/wire/writing.rs
@@ -43,7 +43,7 @@
 }
 
 /// The bytes of a whole answer: header lines, then a length, then the body; `close`: the connection ends behind it.
-pub fn whole(status: u16, lines: &[u8], body: &[u8], close: bool, bodiless: bool) -> Vec<u8> {
+pub fn encode_response(status: u16, lines: &[u8], body: &[u8], close: bool, bodiless: bool) -> Vec<u8> {
     let room = lines.len() + body.len() + 96;
     let mut out = head(status, lines, Size::Length(body.len() as u64), close, room);
     if !bodiless {
@@ -73,7 +73,7 @@
 
 /// The bytes that an answer begins with whose rest is still coming, and how its end is told. `old`: to a client that knows no
 /// chunks; where no length is stated the connection's end has to do.
-pub fn begun(
+pub fn encode_response_start(
     status: u16,
     lines: &[u8],
     body: &[u8],
@@ -113,7 +113,7 @@
 }
 
 /// What a fault in a message is answered with.
-pub fn status_of(bad: &Bad) -> u16 {
+pub fn error_status(bad: &Bad) -> u16 {
     match bad {
         Bad::HeadTooLarge => 431,
         Bad::BodyTooLarge => 413,
