--- a/crates/daemon/mesh/src/body_buffer.rs
+++ b/crates/daemon/mesh/src/body_buffer.rs
@@ -342,7 +342,10 @@
                 assert_eq!(status(&head), "200", "{head}");
             }
             upstream.await.expect("it ends");
-            assert!(first.node_state.stores.held() == 0 && second.node_state.counts.delivered.get() == 4);
+            assert!(
+                first.node_state.stores.held() == 0
+                    && second.node_state.counters.delivered_requests.get() == 4
+            );
         });
     }
 
@@ -412,7 +415,10 @@
                 let closed = value(&head, "connection").is_some();
                 assert_eq!(closed, n > 100_000, "{head}");
             }
-            assert_eq!((origin.node_state.counts.no_room.get(), origin.node_state.stores.held()), (1, 0));
+            assert_eq!(
+                (origin.node_state.counters.rejected_for_memory.get(), origin.node_state.stores.held()),
+                (1, 0)
+            );
         });
     }
 }
--- a/crates/daemon/mesh/src/changes.rs
+++ b/crates/daemon/mesh/src/changes.rs
@@ -159,7 +159,7 @@
                     let (got, whole) = client.body(&head).await;
                     assert!(status(&head) == "200" && whole && got == back, "{case}: {head}");
                 }
-                assert_eq!(gate.node_state.counts.delivered.get(), 1, "{case}");
+                assert_eq!(gate.node_state.counters.delivered_requests.get(), 1, "{case}");
             }
         }
         std::fs::remove_file(&path).expect("removed");
@@ -340,7 +340,7 @@
             for head in [head, said] {
                 assert_eq!(value(&head, "connection").is_some(), stopping, "{head}");
             }
-            assert_eq!(sidecar.node_state.body().leaving, stopping);
+            assert_eq!(sidecar.node_state.own_record_body().leaving, stopping);
         }
         assert_eq!(client.more().await, 0);
     });
@@ -369,13 +369,13 @@
         let mut sidecars = Vec::new();
         for last in [1, 2] {
             let sidecar = trial::sidecar(last, nobody, SidecarOptions::default()).await;
-            let calls = TcpListener::bind((sidecar.node_state.boot.ip, 0)).await.expect("a port");
+            let calls = TcpListener::bind((sidecar.node_state.settings.ip, 0)).await.expect("a port");
             at.push(calls.local_addr().expect("bound"));
             tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
             sidecars.push(sidecar);
         }
         assert_eq!(follow(at[0], "/-/Config.Get").await, ["503"]);
-        let both: Vec<Ipv4Addr> = sidecars.iter().map(|s| s.node_state.boot.ip).collect();
+        let both: Vec<Ipv4Addr> = sidecars.iter().map(|s| s.node_state.settings.ip).collect();
         sidecars[0].hears_of_core(at[1], "a", false, &both);
         sidecars[1].hears_of_core(at[0], "a", false, &both);
         for path in ["/-/Config.Get", "/-/Config.Get?x=1", "/-/Config.Get?x=1&via=0"] {
@@ -418,7 +418,7 @@
                 let roster: Vec<Ipv4Addr> = roster.iter().map(ip).collect();
                 sidecar.hears_of_core((ip(last), 9).into(), zone, *leaving, &roster);
             }
-            let to = sidecar.node_state.core().map(|at| at.ip());
+            let to = sidecar.node_state.control_address().map(|at| at.ip());
             assert_eq!(to, wanted.map(|w| ip(&w).into()), "case {n}");
         }
     });
--- a/crates/daemon/mesh/src/client_listener.rs
+++ b/crates/daemon/mesh/src/client_listener.rs
@@ -7,7 +7,7 @@
 
 use crate::body_buffer::{BodyBuffer, BodyStreamWriter};
 use crate::idle_timeout;
-use crate::node_state::{Counted, Door, NodeState};
+use crate::node_state::{ConnectionKind, GaugeGuard, NodeState};
 use crate::wire::{self, Connection, PeerKind, ReadError, RequestHead, Size};
 use reply::{begin, Reply};
 use route::serve;
@@ -31,18 +31,18 @@
         let next = tokio::select! {
             next = listener.accept() => next,
             // Connections that nobody has taken by now end with the listener, and their requests unread.
-            _ = node_state.is_shut() => return,
+            _ = node_state.listeners_closing() => return,
         };
         let Ok((stream, _)) = next else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if node_state.counts.clients.get() >= node_state.boot.descriptors / CONNECTIONS {
-            node_state.shut_out(Door::Outbound);
+        if node_state.counters.client_connections.get() >= node_state.settings.descriptors / CONNECTIONS {
+            node_state.reject_connection(ConnectionKind::Outbound);
             continue;
         }
         let node_state = node_state.clone();
-        let counted = Counted::new(&node_state, |c| &c.clients);
+        let counted = GaugeGuard::new(&node_state, |c| &c.client_connections);
         tokio::task::spawn_local(async move {
             let _counted = counted;
             let mut line = Connection::new(stream, PeerKind::External(0));
@@ -57,7 +57,7 @@
         return false;
     }
     // Those in force as the request comes.
-    let limits = node_state.table().limits();
+    let limits = node_state.routing_table().limits();
     let span = |us: i64| Duration::from_micros(us.max(1) as u64);
     let most = limits.content_bytes.min(usize::MAX as u64) as usize;
     line.end = PeerKind::External(limits.envelope_bytes);
@@ -79,12 +79,15 @@
     let held = timeout_at(until, line.held(&mut decoder, stated, &mut share, false)).await;
     asked.forwarding_headers = None;
     asked.expects = None;
-    asked.sender = Some(node_state.boot.destination.clone());
+    asked.sender = Some(node_state.settings.destination.clone());
     let (held, whole) = match held.unwrap_or(Err(ReadError::Late)) {
         Ok(held) => held,
         Err(wrong) => {
             if matches!(wrong, ReadError::NoRoom) {
-                node_state.counts.no_room.set(node_state.counts.no_room.get() + 1);
+                node_state
+                    .counters
+                    .rejected_for_memory
+                    .set(node_state.counters.rejected_for_memory.get() + 1);
             }
             return refuse(line, wrong).await;
         }
@@ -212,14 +215,14 @@
 
 impl<'p> Open<'p> {
     fn new(node_state: &'p NodeState) -> Self {
-        node_state.counts.requests.set(node_state.counts.requests.get() + 1);
-        node_state.open.set(node_state.open.get() + 1);
+        node_state.counters.requests.set(node_state.counters.requests.get() + 1);
+        node_state.open_requests.set(node_state.open_requests.get() + 1);
         Open(node_state)
     }
 }
 
 impl Drop for Open<'_> {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
--- a/crates/daemon/mesh/src/client_listener/attempt.rs
+++ b/crates/daemon/mesh/src/client_listener/attempt.rs
@@ -33,7 +33,7 @@
     to: SocketAddr,
     name: &str,
 ) -> ExchangeOutcome {
-    if Some(to) == node_state.boot.inbound {
+    if Some(to) == node_state.settings.inbound {
         let mut mine = asked.clone();
         (mine.deadline, mine.expects) = (Some(left), Some(name.to_string()));
         return ExchangeOutcome::Response(Box::new(
@@ -42,7 +42,7 @@
     }
     let started = Instant::now();
     let limit = Duration::from_micros(CONNECT as u64);
-    let from = Some(node_state.boot.ip.into());
+    let from = Some(node_state.settings.ip.into());
     let Some(line) = node_state.pool.acquire(from, to, limit, PeerKind::Sidecar).await else {
         return ExchangeOutcome::NotConnected;
     };
@@ -61,15 +61,15 @@
     if !matches!(came, ExchangeOutcome::Broken) || bill.repeatable {
         return came;
     }
-    if mutation::is(Mutation::SentAgain) {
+    if mutation::is_active(Mutation::NonIdempotentRetried) {
         return ExchangeOutcome::NotConnected;
     }
     let until = started + Duration::from_micros(left.max(0) as u64);
-    node_state.counts.asked.set(node_state.counts.asked.get() + 1);
+    node_state.counters.outcome_queries.set(node_state.counters.outcome_queries.get() + 1);
     let told = timeout_at(until.min(written + ASKS), ask(node_state, asked, id, bill, to, until)).await;
     // Past its memory a gate that knows nothing proves nothing.
     let known = written.elapsed() < ASKS;
-    let same = |of: Option<u64>| of == life || mutation::is(Mutation::AnyLife);
+    let same = |of: Option<u64>| of == life || mutation::is_active(Mutation::AnyIncarnation);
     let came = match told.ok().flatten() {
         None => ExchangeOutcome::Broken,
         Some(answer) => match answer.word.as_deref().map(forwarding_headers::read::<GateStatus>) {
@@ -82,7 +82,7 @@
         },
     };
     if !matches!(came, ExchangeOutcome::Broken) {
-        node_state.counts.recovered.set(node_state.counts.recovered.get() + 1);
+        node_state.counters.recovered_requests.set(node_state.counters.recovered_requests.get() + 1);
     }
     came
 }
@@ -97,7 +97,7 @@
     until: Instant,
 ) -> Option<Box<Response>> {
     let bill = forwarding_headers::write(&ForwardingHeaders { asks: true, ..bill.clone() });
-    let (own, limit) = (node_state.boot.ip.into(), Duration::from_micros(CONNECT as u64));
+    let (own, limit) = (node_state.settings.ip.into(), Duration::from_micros(CONNECT as u64));
     let host = forwarding_headers::ASKED;
     let bytes = format!("GET / HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: {id}\r\nWaybill: {bill}\r\n\r\n");
     let mut pause = PAUSE;
--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -2,7 +2,7 @@
 use super::reply::Reply;
 use super::run::Run;
 use crate::body_buffer::BodyBuffer;
-use crate::member_throttle::{self, Head};
+use crate::member_throttle::{self, ThrottleDecision};
 use crate::node_state::NodeState;
 use crate::wire::RequestHead;
 use silvercross_mesh_config::Route;
@@ -25,8 +25,8 @@
     // A process that has just started knows the configuration and the upstreams within a moment: that is cheaper to wait for
     // than a client's second try. No longer than a part of what the client, or the aim, allows.
     let patience = asked.deadline.map_or(0, |d| d / WAIT_DEADLINE).min(WAIT_MOST);
-    node_state.until(patience, || node_state.configured()).await;
-    let table = node_state.table();
+    node_state.wait_until(patience, || node_state.configured()).await;
+    let table = node_state.routing_table();
     if !node_state.configured() {
         return Reply::promise(503, "no configuration has come yet", None);
     }
@@ -36,22 +36,30 @@
     let Some(id) = asked.id.clone() else { return Reply::own(400, "a request needs an Attempt-Id") };
     let budget = asked.deadline.map_or(route.deadline_us, |d| d.min(route.deadline_us));
     let (mut step, mut waited) = (None, 0);
-    if node_state.members.looks() {
-        match member_throttle::at_head(node_state, asked, route, &id, budget, body_buffer.held().len()).await
+    if node_state.member_throttle.is_enabled() {
+        match member_throttle::throttle_request(
+            node_state,
+            asked,
+            route,
+            &id,
+            budget,
+            body_buffer.held().len(),
+        )
+        .await
         {
-            Head::Goes { standing, after } => (step, waited) = (standing, after),
-            Head::Turned { standing, after } => {
+            ThrottleDecision::Proceed { standing, delayed } => (step, waited) = (standing, delayed),
+            ThrottleDecision::Reject { standing, retry_after } => {
                 let mut reply =
-                    Reply::promise(429, "a lapsed trial's request has too little time", Some(after));
-                member_throttle::mark(&mut reply.lines, Some(standing));
+                    Reply::promise(429, "a lapsed trial's request has too little time", Some(retry_after));
+                member_throttle::set_step_header(&mut reply.lines, Some(standing));
                 return reply;
             }
-            Head::Unknown => return Reply::own(403, "the request names no member"),
+            ThrottleDecision::UnknownMember => return Reply::own(403, "the request names no member"),
         }
     }
     let mut reply = send(node_state, asked, body_buffer, route, id, budget, waited).await;
-    if node_state.members.looks() {
-        member_throttle::mark(&mut reply.lines, step);
+    if node_state.member_throttle.is_enabled() {
+        member_throttle::set_step_header(&mut reply.lines, step);
     }
     reply
 }
@@ -66,9 +74,9 @@
     budget: i64,
     waited: i64,
 ) -> Reply {
-    let service = node_state.draw(&route.split);
+    let service = node_state.draw_by_share(&route.split);
     node_state
-        .until(route.target_us / WAIT_AIM, || {
+        .wait_until(route.target_us / WAIT_AIM, || {
             node_state.service_balancer(&service).is_some_and(|d| d.has_upstreams())
         })
         .await;
--- a/crates/daemon/mesh/src/client_listener/run.rs
+++ b/crates/daemon/mesh/src/client_listener/run.rs
@@ -200,7 +200,7 @@
     /// The last word on a request that was given up: an upstream's own where there is one, a promise where nothing ran. `out`: an
     /// attempt has not ended, so it may still run.
     fn given_up(&self, mut brought: BTreeMap<u32, Brought>, retry_after: Option<i64>, out: bool) -> Reply {
-        let counts = &self.node_state.counts;
+        let counters = &self.node_state.counters;
         slog::debug!(self.node_state.log, "given up"; "route" => &self.route.name, "service" => &self.service,
             "after" => self.started.elapsed().as_millis() as u64, "budget" => self.budget / 1000,
             "attempts" => brought.values().map(|b| b.how).collect::<Vec<_>>().join(" "));
@@ -209,11 +209,11 @@
             return passed(answer);
         }
         if !out && !brought.values().any(|b| b.arrived) {
-            counts.refused.set(counts.refused.get() + 1);
+            counters.refused_requests.set(counters.refused_requests.get() + 1);
             let told = brought.values().filter_map(|b| b.after).min();
             return Reply::promise(503, "no upstream can take it now", told.or(retry_after));
         }
-        counts.failed.set(counts.failed.get() + 1);
+        counters.failed_requests.set(counters.failed_requests.get() + 1);
         if self.started.elapsed().as_micros() as i64 + 50_000 >= self.budget {
             return Reply::own(504, "no answer in time");
         }
@@ -238,7 +238,7 @@
             priority: self.route.priority,
             repeatable: self.route.kind == Kind::Safe,
             aim: self.route.target_us - spent,
-            ticket: if self.route.kind == Kind::Safe { 0 } else { self.node_state.ticket() },
+            ticket: if self.route.kind == Kind::Safe { 0 } else { self.node_state.next_attempt_number() },
             asks: false,
         };
         let left = self.budget - spent;
--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -1,9 +1,9 @@
 //! Calls of upstreams, operators and the platform: each is declared beside its handler. One connection a task, one call at a
 //! time on it.
-use crate::control_value::{ControlValue, Order, CONFIGURATION, EVACUATION};
+use crate::control_value::{ControlChange, ControlValue, CONFIGURATION, EVACUATION};
 use crate::event_stream;
 use crate::member_throttle;
-use crate::node_state::{Beat, Counted, Door, NodeState};
+use crate::node_state::{ConnectionKind, GaugeGuard, Heartbeat, NodeState};
 use crate::wire::{self, Connection, PeerKind, ReadError, RequestHead};
 use serde_json::json;
 use silvercross_control_store::Verdict;
@@ -99,12 +99,12 @@
 
 call!(HEARTBEAT, "POST", "/-/Stations.Heartbeat/{}", heartbeat);
 async fn heartbeat(node_state: &Rc<NodeState>, id: &str, body: &[u8]) -> Said {
-    if node_state.boot.station.is_none() {
+    if node_state.settings.station.is_none() {
         return Said::fault(404, "no upstream belongs to this machine (call the sidecar beside it)");
     }
-    match serde_json::from_slice::<Beat>(body) {
+    match serde_json::from_slice::<Heartbeat>(body) {
         Ok(beat) => {
-            if node_state.beat(id, beat) {
+            if node_state.upstream_heartbeat(id, beat) {
                 Said::ok()
             } else {
                 Said::fault(409, "this life has signed off (start under another id)")
@@ -116,7 +116,7 @@
 
 call!(SIGN_OFF, "POST", "/-/Stations.SignOff/{}", sign_off);
 async fn sign_off(node_state: &Rc<NodeState>, id: &str, _: &[u8]) -> Said {
-    node_state.signed_off(id);
+    node_state.upstream_signed_off(id);
     Said::ok()
 }
 
@@ -127,8 +127,8 @@
 
 async fn patched(node_state: &Rc<NodeState>, body: &[u8], path: &str) -> Said {
     let order = match silvercross_mesh_config::read_call(body) {
-        Ok(call) if call.members.is_empty() => Order::Patch(call.change),
-        Ok(call) => Order::Call(Box::new(call)),
+        Ok(call) if call.members.is_empty() => ControlChange::Patch(call.change),
+        Ok(call) => ControlChange::Call(Box::new(call)),
         Err(fault) => return Said::fault(400, &fault.to_string()),
     };
     ordered(node_state, CONFIGURATION, order, path).await
@@ -156,19 +156,19 @@
 }
 
 async fn evacuate(node_state: &Rc<NodeState>, zone: &str, on: bool) -> Said {
-    if !node_state.boot.zones.iter().any(|z| z == zone) {
+    if !node_state.settings.zones.iter().any(|z| z == zone) {
         return Said::fault(
             400,
-            &format!("zone {zone:?}: unknown (name one of {:?})", node_state.boot.zones),
+            &format!("zone {zone:?}: unknown (name one of {:?})", node_state.settings.zones),
         );
     }
     let path = format!("/-/Evacuate.{}/{zone}", if on { "Start" } else { "End" });
-    ordered(node_state, &format!("{EVACUATION}{zone}"), Order::Evacuate(on), &path).await
+    ordered(node_state, &format!("{EVACUATION}{zone}"), ControlChange::Evacuate(on), &path).await
 }
 
-async fn ordered(node_state: &Rc<NodeState>, key: &str, order: Order, path: &str) -> Said {
-    node_state.counts.calls.set(node_state.counts.calls.get() + 1);
-    let _open = Counted::new(node_state, |c| &c.calls_open);
+async fn ordered(node_state: &Rc<NodeState>, key: &str, order: ControlChange, path: &str) -> Said {
+    node_state.counters.control_calls.set(node_state.counters.control_calls.get() + 1);
+    let _open = GaugeGuard::new(node_state, |c| &c.open_control_calls);
     match node_state.peers.ask(node_state, key, Some(order)).await {
         Some(Verdict::Done { revision, changed }) => {
             if changed {
@@ -216,7 +216,7 @@
 
 /// This machine holds no ledger: one that does is named.
 fn elsewhere(node_state: &NodeState, path: &str) -> Said {
-    match node_state.core() {
+    match node_state.control_address() {
         Some(at) => {
             let to = Some(format!("http://{at}{path}"));
             Said { status: 307, lines: String::new(), body: String::new(), to }
@@ -279,7 +279,7 @@
     match node_state.unready() {
         None => Said::json(200, "{\"ready\":true}".to_string()),
         Some(why) => {
-            node_state.denied();
+            node_state.count_not_ready_reply();
             Said::fault(503, why)
         }
     }
@@ -311,7 +311,7 @@
             continue;
         };
         if open.get() >= CONNECTIONS {
-            node_state.shut_out(Door::Call);
+            node_state.reject_connection(ConnectionKind::Call);
             continue;
         }
         open.set(open.get() + 1);
@@ -403,7 +403,7 @@
                 open.push(TestConnection::to(at).await);
             }
             assert_eq!(TestConnection::to(at).await.more().await, 0);
-            assert_eq!(sidecar.node_state.counts.calls_shut_out.get(), 1);
+            assert_eq!(sidecar.node_state.counters.rejected_calls.get(), 1);
             open[0].say(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
             assert_eq!(trial::status(&open[0].head().await), "200");
         });
--- a/crates/daemon/mesh/src/control_value.rs
+++ b/crates/daemon/mesh/src/control_value.rs
@@ -29,7 +29,7 @@
 
 /// A call's change.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Order {
+pub enum ControlChange {
     /// Items set and dropped.
     Patch(Change),
     /// A zone's evacuation begins or ends.
@@ -54,13 +54,13 @@
 }
 
 impl State for ControlValue {
-    type Change = Order;
+    type Change = ControlChange;
 
-    fn apply(&mut self, order: &Order) -> Result<bool, Refusal> {
+    fn apply(&mut self, order: &ControlChange) -> Result<bool, Refusal> {
         match order {
-            Order::Patch(change) => self.take(change, &Sent::default()),
-            Order::Call(call) => self.take(&call.change, &call.members),
-            Order::Evacuate(on) => match self {
+            ControlChange::Patch(change) => self.take(change, &Sent::default()),
+            ControlChange::Call(call) => self.take(&call.change, &call.members),
+            ControlChange::Evacuate(on) => match self {
                 ControlValue::Configuration(_)
                 | ControlValue::Whole(_)
                 | ControlValue::Tracked(_)
@@ -71,7 +71,7 @@
                     Ok(true)
                 }
             },
-            Order::Lapse(change) => {
+            ControlChange::Lapse(change) => {
                 let mut new = match self {
                     ControlValue::Blank => Lapse::default(),
                     ControlValue::Lapse(lapse) => lapse.clone(),
@@ -140,12 +140,14 @@
     #[test]
     fn a_key_takes_only_what_it_holds() {
         let mut zone = ControlValue::Blank;
-        assert_eq!(zone.apply(&Order::Evacuate(true)), Ok(true));
-        assert_eq!(zone.apply(&Order::Evacuate(true)), Ok(false));
+        assert_eq!(zone.apply(&ControlChange::Evacuate(true)), Ok(true));
+        assert_eq!(zone.apply(&ControlChange::Evacuate(true)), Ok(false));
         let patch = silvercross_mesh_config::read_patch(b"{}").expect("well-formed");
-        assert!(zone.apply(&Order::Patch(patch)).is_err());
-        assert!(zone.apply(&Order::Lapse(silvercross_throttle::Change::Begin { edition: 1 })).is_err());
-        assert!(zone.apply(&Order::Call(Box::default())).is_err());
+        assert!(zone.apply(&ControlChange::Patch(patch)).is_err());
+        assert!(zone
+            .apply(&ControlChange::Lapse(silvercross_throttle::Change::Begin { edition: 1 }))
+            .is_err());
+        assert!(zone.apply(&ControlChange::Call(Box::default())).is_err());
         assert_eq!(zone, ControlValue::Evacuation(true));
     }
 
@@ -155,7 +157,7 @@
     fn an_evacuation_again_is_acknowledged_and_the_last_order_holds() {
         let mut zone = ControlValue::Blank;
         for (on, changed) in [(true, true), (true, false), (false, true), (false, false), (true, true)] {
-            assert_eq!(zone.apply(&Order::Evacuate(on)), Ok(changed));
+            assert_eq!(zone.apply(&ControlChange::Evacuate(on)), Ok(changed));
             assert_eq!(zone, ControlValue::Evacuation(on));
         }
     }
@@ -166,7 +168,7 @@
         let patch = br#"{"withdraw":{"routes":[{"name":"r","edition":2}]}}"#;
         let patch = silvercross_mesh_config::read_patch(patch).expect("well-formed");
         let mut page = ControlValue::Blank;
-        page.apply(&Order::Patch(patch.clone())).expect("valid");
+        page.apply(&ControlChange::Patch(patch.clone())).expect("valid");
         let before: [(ControlValue, &[u8]); 3] = [
             (ControlValue::Blank, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 0]),
             (ControlValue::Evacuation(true), &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 2, 1]),
@@ -178,15 +180,15 @@
             assert_eq!(bitcode::encode(&stored), bytes, "{:?}", stored.value);
             assert_eq!(bitcode::decode::<Stored<ControlValue>>(bytes).ok(), Some(stored));
         }
-        assert_eq!(bitcode::encode(&Order::Evacuate(true)), [1, 1]);
-        assert_eq!(bitcode::encode(&Order::Patch(patch)), [0, 1, 1, 114, 1, 6, 2, 6, 0, 0, 0]);
+        assert_eq!(bitcode::encode(&ControlChange::Evacuate(true)), [1, 1]);
+        assert_eq!(bitcode::encode(&ControlChange::Patch(patch)), [0, 1, 1, 114, 1, 6, 2, 6, 0, 0, 0]);
     }
 
     /// What was overtaken is kept where the key is, and nobody else gets it.
     #[test]
     fn nodes_get_what_stands_alone() {
         let patch = |body: &str| {
-            Order::Patch(silvercross_mesh_config::read_patch(body.as_bytes()).expect("well-formed"))
+            ControlChange::Patch(silvercross_mesh_config::read_patch(body.as_bytes()).expect("well-formed"))
         };
         let at = |edition: u64, path: &str| {
             patch(&format!(
@@ -213,7 +215,7 @@
         // Members, sent later.
         let members = br#"{"deliver":{"members":[{"name":"ana","key":"k","plan":"full","edition":1}]}}"#;
         let members = silvercross_mesh_config::read_call(members).expect("well-formed");
-        assert_eq!(control_value.apply(&Order::Call(Box::new(members))), Ok(true));
+        assert_eq!(control_value.apply(&ControlChange::Call(Box::new(members))), Ok(true));
         assert!(matches!(control_value.published(), ControlValue::Whole(_)));
     }
 }
--- a/crates/daemon/mesh/src/cut_points_tests/world.rs
+++ b/crates/daemon/mesh/src/cut_points_tests/world.rs
@@ -246,7 +246,7 @@
                     if matches!(case.strike, Some((.., Cut::Restart))) {
                         let next = trial::sidecar_at(
                             one.ip,
-                            one.node_state.boot.station.expect("one"),
+                            one.node_state.settings.station.expect("one"),
                             SidecarOptions::default(),
                         );
                         let next = next.await.0;
--- a/crates/daemon/mesh/src/event_stream.rs
+++ b/crates/daemon/mesh/src/event_stream.rs
@@ -2,7 +2,7 @@
 //! started with `--event_stream`; `silvercross-event-event_stream` decides what is told.
 use crate::control_value::{ControlValue, CONFIGURATION, EVACUATION};
 use crate::node_state::NodeState;
-use crate::peers::Body;
+use crate::peers::RecordBody;
 use crate::wire::{self, Connection, RequestHead};
 use serde_json::{json, Value};
 use silvercross_event_feed::{kind, Bounds, Cursor, EventFeed, Filter, Line, Place, Reader, Told};
@@ -78,7 +78,7 @@
     }
 
     /// What is known of a node, as its record says.
-    pub fn record(&self, r: &Record<Body>) {
+    pub fn record(&self, r: &Record<RecordBody>) {
         let place = Place { epoch: r.life, owner: 0, version: r.seq, mark: r.gone };
         let (name, zone) = (ip(r.node.0), r.zone.clone());
         let is = match () {
@@ -188,7 +188,12 @@
         let life = node_state.peers.membership(|r| r.life());
         let place = Place { epoch: life, owner: 0, version: n, mark: false };
         let state = json!({ "number": n, "key": key, "why": cut(why) }).to_string();
-        self.tell(Told { key: format!("refused/{}", node_state.boot.ip), place, state, ..Told::default() });
+        self.tell(Told {
+            key: format!("refused/{}", node_state.settings.ip),
+            place,
+            state,
+            ..Told::default()
+        });
     }
 }
 
@@ -199,7 +204,7 @@
 fn rendered(node_state: &NodeState, line: &Line, out: &mut Vec<u8>) {
     let value = match line {
         Line::Gap { kind, count, more, why } => {
-            let at = node_state.boot.control.map(|at| format!("http://{at}/-/Post.State"));
+            let at = node_state.settings.control.map(|at| format!("http://{at}/-/Post.State"));
             json!({ "gap": kind, "count": count, "more": more, "why": why.word(), "snapshot": at })
         }
         Line::Event { event, after, missed, mark } => {
@@ -343,7 +348,7 @@
                 _ = news => tokio::time::sleep(GATHER).await,
                 // A follower says nothing; if it does, or ends, it is over.
                 _ = line.stirs() => return,
-                _ = node_state.idle_ends() => return,
+                _ = node_state.idle_connections_closing() => return,
                 _ = tokio::time::sleep(STILL) => out.push(b'\n'),
             }
         }
--- a/crates/daemon/mesh/src/graceful_stop.rs
+++ b/crates/daemon/mesh/src/graceful_stop.rs
@@ -58,7 +58,7 @@
     }
 
     /// The platform asked and was told no.
-    pub fn denied(&mut self, now: i64) {
+    pub fn not_ready_reply(&mut self, now: i64) {
         if self.denied < MISSES && self.denied_at.is_none_or(|at| now - at >= APART) {
             self.denied += 1;
             self.denied_at = Some(now);
@@ -105,7 +105,7 @@
         loop {
             now = awake(now + LOOK);
             while asked.next_if(|a| *a <= now).is_some() {
-                graceful_stop.denied(now);
+                graceful_stop.not_ready_reply(now);
             }
             if graceful_stop.phase(now, now < open) == Phase::Shut {
                 return now;
--- a/crates/daemon/mesh/src/idle_timeout.rs
+++ b/crates/daemon/mesh/src/idle_timeout.rs
@@ -48,7 +48,9 @@
 pub async fn taken_up(node_state: &Rc<NodeState>, line: &mut Connection) -> bool {
     let (began, at) = (node_state.now(), Instant::now());
     while !line.has_surplus() {
-        let span = |now: i64| node_state.idle_timeout.borrow().span(now, node_state.table().limits().idle_us);
+        let span = |now: i64| {
+            node_state.idle_timeout.borrow().span(now, node_state.routing_table().limits().idle_us)
+        };
         let idle_timeout = span(node_state.now());
         tokio::select! {
             biased;
@@ -61,7 +63,7 @@
                 Err(_) => return false,
             },
             // Between two requests a process that stops closes at once; clients open new ones.
-            _ = node_state.idle_ends() => return line.has_surplus(),
+            _ = node_state.idle_connections_closing() => return line.has_surplus(),
         }
     }
     true
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -41,7 +41,7 @@
 use anyhow::{anyhow, bail, Context, Result};
 use graceful_stop::Phase;
 use node_state::NodeState;
-use peers::{Body, Peers};
+use peers::{Peers, RecordBody};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use silvercross_admission::AdmissionController;
@@ -104,7 +104,7 @@
     let file = file.or_else(|| std::env::var_os(settings::VARIABLE).map(PathBuf::from));
     let file =
         file.ok_or_else(|| anyhow!("{} is not set (name the settings file there)", settings::VARIABLE))?;
-    let boot = settings::read(&file).map_err(|e| anyhow!(e))?;
+    let settings = settings::read(&file).map_err(|e| anyhow!(e))?;
     if check {
         println!("{}: as it should be", file.display());
         return Ok(());
@@ -116,70 +116,76 @@
     };
     let json = slog_json::Json::default(std::io::stderr()).fuse();
     let drain = slog::LevelFilter::new(std::sync::Mutex::new(json), level).fuse();
-    let log = Logger::root(drain, o!("node" => boot.node.clone()));
+    let log = Logger::root(drain, o!("node" => settings.node.clone()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
-    let (ended, logged) = (log.clone(), boot.node.clone());
-    let result = local.block_on(&runtime, serve(boot, log, file, event_stream));
+    let (ended, logged) = (log.clone(), settings.node.clone());
+    let result = local.block_on(&runtime, serve(settings, log, file, event_stream));
     if let Err(e) = &result {
         error!(ended, "cannot run"; "why" => format!("{e:#}"), "at" => logged);
     }
     result
 }
 
-async fn serve(boot: settings::Boot, log: Logger, file: PathBuf, event_stream: bool) -> Result<()> {
+async fn serve(
+    settings: settings::NodeSettings,
+    log: Logger,
+    file: PathBuf,
+    event_stream: bool,
+) -> Result<()> {
     let clock = Clock::system();
     let now = clock.now();
     let seed = RandomState::new().build_hasher().finish();
     let chance = Pcg64Mcg::seed_from_u64(seed);
-    let at = SocketAddr::new(boot.ip.into(), boot.ports.0);
+    let at = SocketAddr::new(settings.ip.into(), settings.ports.0);
     let links = bind(at).await.context("internalPorts")?;
     let udp = UdpSocket::bind(at).await.with_context(|| format!("internalPorts: UDP {at}"))?;
-    let seeds = boot.seed_nodes();
-    let body = Body {
-        inbound: boot.inbound.map_or(0, |a| a.port()),
-        control: boot.control.map_or(0, |a| a.port()),
+    let seeds = settings.seed_nodes();
+    let body = RecordBody {
+        inbound: settings.inbound.map_or(0, |a| a.port()),
+        control: settings.control.map_or(0, |a| a.port()),
         leaving: false,
         roster: Vec::new(),
         station: None,
     };
     let start = silvercross_mesh_membership::Start {
-        me: Node(boot.ip.to_bits()),
-        zone: boot.zone.clone(),
-        core: boot.core,
+        me: Node(settings.ip.to_bits()),
+        zone: settings.zone.clone(),
+        core: settings.core,
         seeds: seeds.iter().map(|s| Node(*s)).collect(),
         life: now as u64,
         seed,
     };
     let membership = Membership::new(now, start, body);
     let mut synced = None;
-    let ledger = match &boot.data {
+    let ledger = match &settings.data {
         None => None,
         Some(dir) => {
             let opened = disk::open(dir)?;
             // A file that was there and can't be read is no fresh disk, whatever the settings say.
-            let fresh = boot.fresh && !opened.lost;
+            let fresh = settings.fresh && !opened.lost;
             if let Some(why) = opened.set_aside {
                 warn!(log, "the disk's content is set aside, the others will repair it"; "why" => why);
             }
             synced = Some(opened.told);
             let mut keys = vec![control_value::CONFIGURATION.to_string()];
-            keys.extend(boot.zones.iter().map(|z| format!("{}{z}", control_value::EVACUATION)));
+            keys.extend(settings.zones.iter().map(|z| format!("{}{z}", control_value::EVACUATION)));
             let replica_set = seeds.iter().map(|s| silvercross_control_store::Node(*s)).collect();
-            let me = silvercross_control_store::Node(boot.ip.to_bits());
+            let me = silvercross_control_store::Node(settings.ip.to_bits());
             let start = silvercross_control_store::Start { me, replica_set, keys, fresh, seed };
             Some((ControlStore::new(now, start, opened.disk), opened.writes))
         }
     };
-    let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(boot.live.bounds.of_gate()));
-    let peers = Peers::new(boot.ip, boot.ports.0, membership, ledger, udp);
-    let node_state = NodeState::new(boot, log, gate, peers, clock, chance);
+    let gate =
+        upstream_gate::UpstreamGate::new(AdmissionController::new(settings.reloadable.bounds.of_gate()));
+    let peers = Peers::new(settings.ip, settings.ports.0, membership, ledger, udp);
+    let node_state = NodeState::new(settings, log, gate, peers, clock, chance);
     node_state.reload.begin(&file);
     if event_stream {
         let _ = node_state.event_stream.set(event_stream::EventStream::new());
     }
     let mut listeners = Vec::new();
-    for (key, at) in [("outbound", node_state.boot.outbound), ("inbound", node_state.boot.inbound)] {
+    for (key, at) in [("outbound", node_state.settings.outbound), ("inbound", node_state.settings.inbound)] {
         if let Some(at) = at {
             listeners.push((key, bind(at).await.with_context(|| format!("countersAt.{key}"))?));
         }
@@ -191,11 +197,11 @@
             tokio::task::spawn_local(upstream_gate::listen(node_state.clone(), listener));
         }
     }
-    if let Some(at) = node_state.boot.ready {
+    if let Some(at) = node_state.settings.ready {
         let listener = bind(at).await.context("countersAt.ready")?;
         tokio::task::spawn_local(control::listen(node_state.clone(), listener, &control::READY_CALLS));
     }
-    if let Some(at) = node_state.boot.control {
+    if let Some(at) = node_state.settings.control {
         let listener = bind(at).await.context("countersAt.control")?;
         tokio::task::spawn_local(control::listen(node_state.clone(), listener, &control::CALLS));
     }
@@ -204,11 +210,11 @@
     tokio::task::spawn_local(Peers::tick(node_state.clone()));
     tokio::task::spawn_local(upstream_gate::UpstreamGate::run_timer(node_state.clone()));
     tokio::task::spawn_local(node_state.clone().watch());
-    if node_state.boot.core {
+    if node_state.settings.core {
         tokio::task::spawn_local(member_throttle::duty(node_state.clone()));
     }
     let mut disk = synced.map(|told| tokio::task::spawn_local(Peers::synced(node_state.clone(), told)));
-    info!(node_state.log, "started"; "core" => node_state.boot.core, "first" => node_state.boot.fresh);
+    info!(node_state.log, "started"; "core" => node_state.settings.core, "first" => node_state.settings.fresh);
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut hup = signal(SignalKind::hangup())?;
@@ -242,34 +248,34 @@
 /// The platform asks once a second and must be told no twice; what was read is answered; then the end, within the grace.
 async fn stop(node_state: &Rc<NodeState>) {
     node_state.begin_stop();
-    let (mut idle_ends, mut last) = (false, node_state.now());
+    let (mut idle_connections_closing, mut last) = (false, node_state.now());
     loop {
         tokio::time::sleep(LOOK).await;
         let Some((phase, at)) = node_state.graceful_stop() else { break };
         last = at;
         match phase {
             Phase::Serve => {}
-            Phase::EndIdle if idle_ends => {}
+            Phase::EndIdle if idle_connections_closing => {}
             Phase::EndIdle => {
-                idle_ends = true;
-                node_state.end_idle();
+                idle_connections_closing = true;
+                node_state.close_idle_connections();
             }
             Phase::Shut => break,
         }
     }
     // From now on nobody gets in; whoever did meanwhile is answered before the end.
-    node_state.end_idle();
-    node_state.shut();
+    node_state.close_idle_connections();
+    node_state.close_listeners();
     // A replica that can be replaced stays until it is, for a second loss would leave no majority.
     while node_state.peers.needed() && node_state.now() < last {
         tokio::time::sleep(LOOK / 2).await;
     }
     node_state.peers.leave(node_state);
     tokio::time::sleep(LEAVES).await;
-    while node_state.busy() && node_state.now() < last {
+    while node_state.is_busy() && node_state.now() < last {
         tokio::time::sleep(LOOK / 2).await;
     }
-    info!(node_state.log, "ended"; "open" => node_state.open.get());
+    info!(node_state.log, "ended"; "open" => node_state.open_requests.get());
 }
 
 async fn bind(at: SocketAddr) -> Result<TcpListener> {
--- a/crates/daemon/mesh/src/member_throttle.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -1,7 +1,7 @@
-//! Members on one node: whose a request is and how long it waits, how far each member's lapse has come, and, where this node
+//! MemberThrottle on one node: whose a request is and how long it waits, how far each member's lapse has come, and, where this node
 //! owns a lapse's key, the duty to take it on. Everything is decided in `silvercross-throttle`. Where no member stands, a request
 //! costs one look at a flag here, and nothing runs.
-use crate::control_value::{Order, CONFIGURATION};
+use crate::control_value::{ControlChange, CONFIGURATION};
 use crate::node_state::NodeState;
 use crate::wire::RequestHead;
 use serde_json::{json, Map, Value};
@@ -38,7 +38,7 @@
 type Told = (Epoch, Lapse);
 
 /// The members, as one node knows them.
-pub struct Members {
+pub struct MemberThrottle {
     /// A header names members.
     looks: Cell<bool>,
     directory: RefCell<Rc<Directory>>,
@@ -67,27 +67,27 @@
 }
 
 /// What becomes of a request at its head.
-pub enum Head {
+pub enum ThrottleDecision {
     /// It goes on, after it has waited for so many microseconds.
-    Goes {
+    Proceed {
         /// The step that holds for it to its end, if it is a member's on trial.
         standing: Option<Standing>,
         /// How long it has waited.
-        after: i64,
+        delayed: i64,
     },
     /// It has too little time left; it is to come back after so many microseconds.
-    Turned {
+    Reject {
         /// The step in force.
         standing: Standing,
         /// When to come back.
-        after: i64,
+        retry_after: i64,
     },
     /// It names no member, and such are refused.
-    Unknown,
+    UnknownMember,
 }
 
 /// Takes a request out of those that wait, however its waiting ends.
-struct Seat<'m>(&'m Members, Ticket);
+struct Seat<'m>(&'m MemberThrottle, Ticket);
 
 impl Drop for Seat<'_> {
     fn drop(&mut self) {
@@ -95,7 +95,7 @@
     }
 }
 
-impl Members {
+impl MemberThrottle {
     /// None stand yet. `single`: this is the only holder of the ledger.
     pub fn new(single: bool) -> Self {
         let duty = Duty {
@@ -107,7 +107,7 @@
             mine: BTreeMap::new(),
             stirred: BTreeSet::new(),
         };
-        Members {
+        MemberThrottle {
             looks: Cell::new(false),
             directory: RefCell::default(),
             board: RefCell::new(Board::new()),
@@ -121,7 +121,7 @@
     }
 
     /// Whether requests are to be looked at. Until a call sends members' header they are not.
-    pub fn looks(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.looks.get()
     }
 
@@ -182,7 +182,7 @@
 
     /// Counters; nothing where no member was ever sent.
     pub fn figures(&self) -> Option<Value> {
-        if !self.looks() && !self.stand() {
+        if !self.is_enabled() && !self.stand() {
             return None;
         }
         let directory = self.directory();
@@ -255,7 +255,7 @@
             if let Some(change) = advice.ask {
                 let node_state = node_state.clone();
                 tokio::task::spawn_local(async move {
-                    let order = Order::Lapse(change.clone());
+                    let order = ControlChange::Lapse(change.clone());
                     let verdict = node_state.peers.ask(&node_state, &key(&name), Some(order)).await;
                     if let Some(Verdict::Refused(refusal)) = verdict {
                         debug!(node_state.log, "a lapse's change is refused"; "member" => &name,
@@ -281,34 +281,36 @@
 /// Look after lapses, for as long as the process lives; sleeps while no member stands.
 pub async fn duty(node_state: Rc<NodeState>) {
     loop {
-        if node_state.members.stand() {
-            node_state.members.look(&node_state);
+        if node_state.member_throttle.stand() {
+            node_state.member_throttle.look(&node_state);
             tokio::time::sleep(DUTY).await;
         } else {
-            node_state.members.changed.notified().await;
+            node_state.member_throttle.changed.notified().await;
         }
     }
 }
 
 /// Find out whose a request is, and have it wait. Its body was taken but it was sent nowhere.
-pub async fn at_head(
+pub async fn throttle_request(
     node_state: &NodeState,
     asked: &RequestHead,
     route: &Route,
     id: &str,
     budget: i64,
     bytes: usize,
-) -> Head {
-    let members = &node_state.members;
+) -> ThrottleDecision {
+    let members = &node_state.member_throttle;
     let directory = members.directory();
-    let Some(header) = directory.header() else { return Head::Goes { standing: None, after: 0 } };
+    let Some(header) = directory.header() else {
+        return ThrottleDecision::Proceed { standing: None, delayed: 0 };
+    };
     let member = match directory.whose(values(&asked.lines, header)) {
         Whose::Member(member) => member,
-        Whose::Nobody => return Head::Goes { standing: None, after: 0 },
-        Whose::Refuse => return Head::Unknown,
+        Whose::Nobody => return ThrottleDecision::Proceed { standing: None, delayed: 0 },
+        Whose::Refuse => return ThrottleDecision::UnknownMember,
     };
     if member.plan == Plan::Full {
-        return Head::Goes { standing: None, after: 0 };
+        return ThrottleDecision::Proceed { standing: None, delayed: 0 };
     }
     let from = node_state.now();
     let standing = members.board.borrow().row(from, member).standing;
@@ -320,22 +322,24 @@
     let terms = Terms::at_head(member, standing, kind, id.as_bytes(), route.target_us, budget);
     let standing = terms.standing();
     let wait = match terms.slow() {
-        Slow::None => return Head::Goes { standing: Some(standing), after: 0 },
+        Slow::None => return ThrottleDecision::Proceed { standing: Some(standing), delayed: 0 },
         Slow::Refuse { retry_after } => {
             members.turned.set(members.turned.get() + 1);
-            return Head::Turned { standing, after: retry_after };
+            return ThrottleDecision::Reject { standing, retry_after };
         }
         Slow::For(wait) => wait,
     };
     let (to, released) = oneshot::channel();
     let parked = members.parked.borrow_mut().park(from, wait, bytes, to);
-    let Ok(ticket) = parked else { return Head::Goes { standing: Some(standing), after: 0 } };
+    let Ok(ticket) = parked else {
+        return ThrottleDecision::Proceed { standing: Some(standing), delayed: 0 };
+    };
     let seat = Seat(members, ticket);
     let tenth = (standing.step * 10).div_ceil(standing.of.max(1)).min(10) as usize;
     members.waits[tenth].set(members.waits[tenth].get() + 1);
     let _ = tokio::time::timeout(Duration::from_micros(wait as u64), released).await;
     drop(seat);
-    Head::Goes { standing: Some(standing), after: (node_state.now() - from).max(0) }
+    ThrottleDecision::Proceed { standing: Some(standing), delayed: (node_state.now() - from).max(0) }
 }
 
 /// The values of a header among lines that go on.
@@ -348,7 +352,7 @@
 }
 
 /// Put the step in an answer's lines; one that came from elsewhere is left out.
-pub fn mark(lines: &mut Vec<u8>, standing: Option<Standing>) {
+pub fn set_step_header(lines: &mut Vec<u8>, standing: Option<Standing>) {
     if values(lines, STEP).next().is_some() {
         let mut kept = Vec::with_capacity(lines.len());
         for line in lines.split_inclusive(|b| *b == b'\n') {
@@ -364,7 +368,7 @@
 }
 
 fn row(node_state: &NodeState, member: &Member, owners: &BTreeMap<String, (u64, u64, u64)>) -> Value {
-    let members = &node_state.members;
+    let members = &node_state.member_throttle;
     let row = members.board.borrow().row(node_state.now(), member);
     let due = match member.lapses {
         Some(Lapses::At(at)) => Some(at),
@@ -386,7 +390,7 @@
 
 /// The members as they stand on this node, and where the others can be asked the same.
 pub fn list(node_state: &NodeState) -> Value {
-    let directory = node_state.members.directory();
+    let directory = node_state.member_throttle.directory();
     let owners = node_state.revisions();
     let rows: Vec<Value> = directory.members().map(|member| row(node_state, member, &owners)).collect();
     let nodes: Vec<Value> = node_state.peers.membership(|r| {
@@ -396,11 +400,11 @@
             .map(|n| json!({ "zone": n.zone, "core": n.core, "control": at(n.node.0, n.body.control) }))
             .collect()
     });
-    let (stand, duty) = (node_state.members.stand(), node_state.members.duty.borrow());
-    let clock = (node_state.boot.core && stand).then(
+    let (stand, duty) = (node_state.member_throttle.stand(), node_state.member_throttle.duty.borrow());
+    let clock = (node_state.settings.core && stand).then(
         || json!({ "known": duty.clock.time(node_state.now()).is_some(), "set": duty.clock.stepped(node_state.now()) }),
     );
-    json!({ "node": node_state.boot.node, "zone": node_state.boot.zone, "core": node_state.boot.core, "control": node_state.boot.control,
+    json!({ "node": node_state.settings.node, "zone": node_state.settings.zone, "core": node_state.settings.core, "control": node_state.settings.control,
         "header": directory.header(), "clock": clock, "members": rows, "nodes": nodes })
 }
 
@@ -481,7 +485,7 @@
         let all: Vec<&[u8]> = values(lines, "club").collect();
         assert_eq!(all, [&b"k 1"[..], b"two"]);
         let mut lines = b"A: 1\r\nmember-step: 9/9\r\nB: 2\r\n".to_vec();
-        mark(&mut lines, Some(Standing { step: 3, of: 24 }));
+        set_step_header(&mut lines, Some(Standing { step: 3, of: 24 }));
         assert_eq!(lines, b"A: 1\r\nB: 2\r\nMember-Step: 3/24\r\n");
     }
 
--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What a process tells of itself: counters, and the state that operators ask for.
 use crate::control_value::ControlValue;
 use crate::node_state::NodeState;
-use crate::peers::Body;
+use crate::peers::RecordBody;
 use serde_json::{json, Value};
 use silvercross_control_store::{ControlStore, Role};
 use silvercross_mesh_membership::{Freshness, Record};
@@ -9,7 +9,7 @@
 
 /// The counters, by name.
 pub fn figures(node_state: &NodeState) -> Value {
-    let c = &node_state.counts;
+    let c = &node_state.counters;
     let (out, waiting) = node_state.gate.with_admission(|w| w.load());
     let service_balancers: Vec<Value> = node_state
         .service_balancers()
@@ -20,18 +20,18 @@
         })
         .collect();
     let mut all = json!({
-        "clients": c.clients.get(), "shutOut": c.shut_out.get(), "hops": c.hops.get(),
-        "hopsIdle": c.hops_idle.get(), "hopsShutOut": c.hops_shut_out.get(), "linksShutOut": c.links_shut_out.get(), "callsShutOut": c.calls_shut_out.get(), "requests": c.requests.get(),
-        "refused": c.refused.get(), "failed": c.failed.get(), "delivered": c.delivered.get(),
-        "turned": c.turned.get(), "beats": c.beats.get(), "calls": c.calls.get(),
-        "letters": c.letters.get(), "datagrams": c.datagrams.get(), "strangers": c.strangers.get(),
+        "clients": c.client_connections.get(), "shutOut": c.rejected_clients.get(), "hops": c.hop_connections.get(),
+        "hopsIdle": c.idle_hop_connections.get(), "hopsShutOut": c.rejected_hops.get(), "linksShutOut": c.rejected_links.get(), "callsShutOut": c.rejected_calls.get(), "requests": c.requests.get(),
+        "refused": c.refused_requests.get(), "failed": c.failed_requests.get(), "delivered": c.delivered_requests.get(),
+        "turned": c.rejected_by_gate.get(), "beats": c.heartbeats.get(), "calls": c.control_calls.get(),
+        "letters": c.frames_sent.get(), "datagrams": c.datagrams_sent.get(), "strangers": c.foreign_messages.get(),
         "gateOut": out, "gateWaiting": waiting, "idle": node_state.pool.idle_count(),
-        "asked": c.asked.get(), "recovered": c.recovered.get(), "orphans": c.orphans.get(),
+        "asked": c.outcome_queries.get(), "recovered": c.recovered_requests.get(), "orphans": c.orphaned_requests.get(),
         "receipts": node_state.response_replay_cache.load().0, "keptBytes": node_state.response_replay_cache.load().1,
-        "freshnessAsked": node_state.peers.membership(|r| r.figures().freshness), "noRoom": c.no_room.get(), "heldBytes": node_state.stores.held(), "desks": service_balancers,
+        "freshnessAsked": node_state.peers.membership(|r| r.figures().freshness), "noRoom": c.rejected_for_memory.get(), "heldBytes": node_state.stores.held(), "desks": service_balancers,
         "feed": node_state.event_stream.get().map(|f| f.figures()),
     });
-    if let Some(members) = node_state.members.figures() {
+    if let Some(members) = node_state.member_throttle.figures() {
         all["members"] = members;
     }
     all
@@ -45,7 +45,7 @@
     (port > 0).then(|| format!("{}:{port}", address(node)))
 }
 
-fn node(n: &Record<Body>) -> Value {
+fn node(n: &Record<RecordBody>) -> Value {
     let upstream = n.body.station.as_ref().map(|s| {
         json!({ "id": s.id, "service": s.service, "slots": s.slots, "draining": s.draining, "silent": s.silent,
             "colds": s.colds })
@@ -116,8 +116,8 @@
         Freshness::Current { after } => ("current", Some(after)),
         Freshness::BoundPassed { after } => ("bound passed", Some(after)),
     };
-    json!({ "node": node_state.boot.node, "ip": node_state.boot.ip.to_string(), "zone": node_state.boot.zone, "zones": node_state.boot.zones,
-        "core": node_state.boot.core, "version": env!("CARGO_PKG_VERSION"), "parent": parent, "linked": linked,
+    json!({ "node": node_state.settings.node, "ip": node_state.settings.ip.to_string(), "zone": node_state.settings.zone, "zones": node_state.settings.zones,
+        "core": node_state.settings.core, "version": env!("CARGO_PKG_VERSION"), "parent": parent, "linked": linked,
         "newsAgeUs": age, "ready": node_state.ready(), "unready": node_state.unready(), "freshness": freshness, "freshnessUs": after,
         "configured": node_state.configured(), "evacuated": node_state.evacuated(),
         "revisions": revisions, "nodes": nodes, "owns": keys, "ledger": node_state.peers.control_store(ledger),
--- a/crates/daemon/mesh/src/mutation.rs
+++ b/crates/daemon/mesh/src/mutation.rs
@@ -5,15 +5,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// A gate forgets a ticket as soon as its attempt has ended.
-    TicketForgotten,
+    ReplayEntryForgotten,
     /// A connection on which something came behind an answer is used again.
-    SurplusKept,
+    SurplusBytesKept,
     /// What another life of a gate's process does not know counts as not begun.
-    AnyLife,
+    AnyIncarnation,
     /// What was asked for before it came may still begin.
-    NotBarred,
+    LateStartAllowed,
     /// What broke after it was written counts as not begun, also where it may run once.
-    SentAgain,
+    NonIdempotentRetried,
 }
 
 #[cfg(all(test, feature = "mutants"))]
@@ -23,17 +23,17 @@
 
 /// Breaks one rule on this thread, or none.
 #[cfg(all(test, feature = "mutants"))]
-pub fn set(broken: Option<Mutation>) {
+pub fn set_mutation(broken: Option<Mutation>) {
     BROKEN.set(broken);
 }
 
 #[cfg(all(test, feature = "mutants"))]
-pub fn is(broken: Mutation) -> bool {
+pub fn is_active(broken: Mutation) -> bool {
     BROKEN.get() == Some(broken)
 }
 
 #[cfg(not(all(test, feature = "mutants")))]
 #[inline(always)]
-pub fn is(_: Mutation) -> bool {
+pub fn is_active(_: Mutation) -> bool {
     false
 }
--- a/crates/daemon/mesh/src/node_state.rs
+++ b/crates/daemon/mesh/src/node_state.rs
@@ -8,21 +8,21 @@
 mod stopping;
 mod upstream_lists;
 
-pub use counters::{Counted, Counts, Door};
-pub use own_upstream::Beat;
+pub use counters::{ConnectionKind, Counters, GaugeGuard};
+pub use own_upstream::Heartbeat;
 
 use crate::body_buffer::BodyBudget;
 use crate::event_stream::EventStream;
 use crate::graceful_stop::GracefulStop;
 use crate::idle_timeout::IdleTimeout;
-use crate::member_throttle::Members;
+use crate::member_throttle::MemberThrottle;
 use crate::peer_connection::ConnectionPool;
-use crate::peers::{Body, Peers};
+use crate::peers::{Peers, RecordBody};
 use crate::rate_limited_log::RateLimitedLog;
 use crate::reload::{self, Reload};
 use crate::response_replay_cache::ResponseReplayCache;
 use crate::service_balancer::ServiceBalancer;
-use crate::settings::{Boot, Live};
+use crate::settings::{NodeSettings, ReloadableSettings};
 use crate::upstream_gate::UpstreamGate;
 use in_force::InForce;
 use own_upstream::Own;
@@ -47,15 +47,15 @@
 /// One process of the mesh.
 pub struct NodeState {
     /// What its machine told it.
-    pub boot: Boot,
+    pub settings: NodeSettings,
     /// What of that can change, as it holds now.
-    pub live: Cell<Live>,
+    pub reloadable: Cell<ReloadableSettings>,
     /// Where it is told from.
     pub reload: Reload,
     /// Its log.
     pub log: Logger,
     /// Its counters.
-    pub counts: Counts,
+    pub counters: Counters,
     /// Connections kept.
     pub pool: ConnectionPool,
     /// Room for the bodies held here.
@@ -66,12 +66,12 @@
     pub gate: UpstreamGate,
     /// Links and who decides about them.
     pub peers: Peers,
-    /// Members and how far each is slowed.
-    pub members: Members,
+    /// MemberThrottle and how far each is slowed.
+    pub member_throttle: MemberThrottle,
     /// Events for other tools, where they are asked for.
     pub event_stream: std::cell::OnceCell<EventStream>,
     /// Requests open now.
-    pub open: Cell<u64>,
+    pub open_requests: Cell<u64>,
     /// How long clients' connections may rest.
     pub idle_timeout: RefCell<IdleTimeout>,
     /// Operators' calls refused, for the log.
@@ -80,7 +80,7 @@
     clock: Clock,
     force: RefCell<InForce>,
     service_balancers: RefCell<BTreeMap<String, Rc<ServiceBalancer>>>,
-    others: RefCell<BTreeMap<u32, Record<Body>>>,
+    others: RefCell<BTreeMap<u32, Record<RecordBody>>>,
     colds: RefCell<BTreeMap<String, Cold>>,
     own: RefCell<Option<Own>>,
     ended: RefCell<Vec<String>>,
@@ -93,7 +93,7 @@
     asking: Cell<bool>,
     began: i64,
     told_ready: Cell<bool>,
-    idle_ends: Cell<bool>,
+    idle_connections_closing: Cell<bool>,
     shut: Cell<bool>,
     stop: Notify,
     news: Notify,
@@ -102,7 +102,7 @@
 impl NodeState {
     /// A process that knows itself only.
     pub fn new(
-        boot: Boot,
+        settings: NodeSettings,
         log: Logger,
         gate: UpstreamGate,
         peers: Peers,
@@ -110,28 +110,29 @@
         mut chance: Pcg64Mcg,
     ) -> Rc<Self> {
         let began = clock.now();
-        let response_replay_cache = ResponseReplayCache::new(clock.clone(), &mut chance, boot.memory);
+        let response_replay_cache = ResponseReplayCache::new(clock.clone(), &mut chance, settings.memory);
         let tickets = Cell::new(chance.next_u64());
         let looked = Cell::new(clock.now());
         let pool = ConnectionPool::default();
-        pool.set_max_idle((boot.descriptors / 4) as usize);
-        let members = Members::new(peers.control_store(|l| l.replica_set().len() == 1).unwrap_or(false));
+        pool.set_max_idle((settings.descriptors / 4) as usize);
+        let member_throttle =
+            MemberThrottle::new(peers.control_store(|l| l.replica_set().len() == 1).unwrap_or(false));
         Rc::new(NodeState {
-            stores: BodyBudget::new(boot.memory),
+            stores: BodyBudget::new(settings.memory),
             response_replay_cache,
             tickets,
-            live: Cell::new(boot.live),
-            seeds: RefCell::new(boot.seeds.clone()),
+            reloadable: Cell::new(settings.reloadable),
+            seeds: RefCell::new(settings.seeds.clone()),
             reload: Reload::default(),
-            boot,
+            settings,
             log,
-            counts: Counts::default(),
+            counters: Counters::default(),
             pool,
             gate,
             peers,
-            members,
+            member_throttle,
             event_stream: std::cell::OnceCell::new(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             idle_timeout: RefCell::default(),
             refusals: RateLimitedLog::default(),
             paces: Default::default(),
@@ -148,7 +149,7 @@
             asking: Cell::new(false),
             began,
             told_ready: Cell::new(false),
-            idle_ends: Cell::new(false),
+            idle_connections_closing: Cell::new(false),
             shut: Cell::new(false),
             stop: Notify::new(),
             news: Notify::new(),
@@ -161,7 +162,7 @@
     }
 
     /// One of a split, drawn by its share.
-    pub fn draw(&self, split: &[(String, f64)]) -> String {
+    pub fn draw_by_share(&self, split: &[(String, f64)]) -> String {
         if let [(only, _)] = split {
             return only.clone();
         }
@@ -178,21 +179,21 @@
     }
 
     /// A number for an attempt that no other one has: drawn once, and counted on from there.
-    pub fn ticket(&self) -> u64 {
+    pub fn next_attempt_number(&self) -> u64 {
         let ticket = self.tickets.get().wrapping_add(1).max(1);
         self.tickets.set(ticket);
         ticket
     }
 
     /// Go by other settings, as far as that can be; the keys that differed.
-    pub fn take(self: &Rc<Self>, boot: &Boot) -> Vec<&'static str> {
+    pub fn take(self: &Rc<Self>, settings: &NodeSettings) -> Vec<&'static str> {
         let mut took = Vec::new();
-        if *self.seeds.borrow() != boot.seeds {
+        if *self.seeds.borrow() != settings.seeds {
             took.push("seeds");
-            self.seeds.borrow_mut().clone_from(&boot.seeds);
-            self.peers.seeds(self, &boot.seed_nodes());
+            self.seeds.borrow_mut().clone_from(&settings.seeds);
+            self.peers.seeds(self, &settings.seed_nodes());
         }
-        let (old, new) = (self.live.replace(boot.live), boot.live);
+        let (old, new) = (self.reloadable.replace(settings.reloadable), settings.reloadable);
         if old.beat != new.beat {
             took.push("heartbeatS");
         }
--- a/crates/daemon/mesh/src/node_state/counters.rs
+++ b/crates/daemon/mesh/src/node_state/counters.rs
@@ -6,58 +6,58 @@
 
 /// Plain counters; what each means is told in `docs/operators/mesh.md`.
 #[derive(Default)]
-pub struct Counts {
+pub struct Counters {
     /// Connections of clients now.
-    pub clients: Cell<u64>,
+    pub client_connections: Cell<u64>,
     /// Connections of clients turned away for want of descriptors.
-    pub shut_out: Cell<u64>,
+    pub rejected_clients: Cell<u64>,
     /// Connections of other sidecars' hops now.
-    pub hops: Cell<u64>,
+    pub hop_connections: Cell<u64>,
     /// Of these, those on which no request is.
-    pub hops_idle: Cell<u64>,
+    pub idle_hop_connections: Cell<u64>,
     /// Those turned away beyond the bound.
-    pub hops_shut_out: Cell<u64>,
+    pub rejected_hops: Cell<u64>,
     /// Links on which nobody has said who they are.
-    pub greeting: Cell<u64>,
+    pub unidentified_links: Cell<u64>,
     /// Links turned away beyond the bounds.
-    pub links_shut_out: Cell<u64>,
+    pub rejected_links: Cell<u64>,
     /// Connections for calls turned away beyond the bound.
-    pub calls_shut_out: Cell<u64>,
+    pub rejected_calls: Cell<u64>,
     /// Requests read.
     pub requests: Cell<u64>,
     /// Hops that broke after the request was written, and whose gate was asked what became of it.
-    pub asked: Cell<u64>,
+    pub outcome_queries: Cell<u64>,
     /// Of these, those whose answer came after all, and those that were not begun for certain.
-    pub recovered: Cell<u64>,
+    pub recovered_requests: Cell<u64>,
     /// Requests that went on here after their origin's connection had broken.
-    pub orphans: Cell<u64>,
+    pub orphaned_requests: Cell<u64>,
     /// Requests told to come back for want of room for their bodies.
-    pub no_room: Cell<u64>,
+    pub rejected_for_memory: Cell<u64>,
     /// Requests told to come back.
-    pub refused: Cell<u64>,
+    pub refused_requests: Cell<u64>,
     /// Requests that failed here after they may have run.
-    pub failed: Cell<u64>,
+    pub failed_requests: Cell<u64>,
     /// Requests written to the upstream on this machine.
-    pub delivered: Cell<u64>,
+    pub delivered_requests: Cell<u64>,
     /// Requests that the gate turned away.
-    pub turned: Cell<u64>,
+    pub rejected_by_gate: Cell<u64>,
     /// Beats taken.
-    pub beats: Cell<u64>,
+    pub heartbeats: Cell<u64>,
     /// Operators' calls taken.
-    pub calls: Cell<u64>,
+    pub control_calls: Cell<u64>,
     /// Of these, those that are not answered yet.
-    pub calls_open: Cell<u64>,
+    pub open_control_calls: Cell<u64>,
     /// Parcels sent on links.
-    pub letters: Cell<u64>,
+    pub frames_sent: Cell<u64>,
     /// Datagrams sent.
-    pub datagrams: Cell<u64>,
+    pub datagrams_sent: Cell<u64>,
     /// Parcels and datagrams that are none of ours.
-    pub strangers: Cell<u64>,
+    pub foreign_messages: Cell<u64>,
 }
 
 /// Where connections are bounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum ConnectionKind {
     /// Clients.
     Outbound,
     /// Hops of other sidecars.
@@ -69,36 +69,36 @@
 }
 
 /// One more of something for as long as it lives.
-pub struct Counted {
+pub struct GaugeGuard {
     node_state: Rc<NodeState>,
-    of: fn(&Counts) -> &Cell<u64>,
+    of: fn(&Counters) -> &Cell<u64>,
 }
 
-impl Counted {
+impl GaugeGuard {
     /// Count it.
-    pub fn new(node_state: &Rc<NodeState>, of: fn(&Counts) -> &Cell<u64>) -> Self {
-        let cell = of(&node_state.counts);
+    pub fn new(node_state: &Rc<NodeState>, of: fn(&Counters) -> &Cell<u64>) -> Self {
+        let cell = of(&node_state.counters);
         cell.set(cell.get() + 1);
-        Counted { node_state: node_state.clone(), of }
+        GaugeGuard { node_state: node_state.clone(), of }
     }
 }
 
-impl Drop for Counted {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
-        let cell = (self.of)(&self.node_state.counts);
+        let cell = (self.of)(&self.node_state.counters);
         cell.set(cell.get().saturating_sub(1));
     }
 }
 
 impl NodeState {
     /// A connection was turned away: counted, and told now and then.
-    pub fn shut_out(&self, door: Door) {
-        let c = &self.counts;
+    pub fn reject_connection(&self, door: ConnectionKind) {
+        let c = &self.counters;
         let (count, name) = match door {
-            Door::Outbound => (&c.shut_out, "outbound"),
-            Door::Inbound => (&c.hops_shut_out, "inbound"),
-            Door::Link => (&c.links_shut_out, "links"),
-            Door::Call => (&c.calls_shut_out, "calls"),
+            ConnectionKind::Outbound => (&c.rejected_clients, "outbound"),
+            ConnectionKind::Inbound => (&c.rejected_hops, "inbound"),
+            ConnectionKind::Link => (&c.rejected_links, "links"),
+            ConnectionKind::Call => (&c.rejected_calls, "calls"),
         };
         count.set(count.get() + 1);
         if let Some(n) = self.paces[door as usize].due(self.now()) {
--- a/crates/daemon/mesh/src/node_state/in_force.rs
+++ b/crates/daemon/mesh/src/node_state/in_force.rs
@@ -18,7 +18,7 @@
 
 impl NodeState {
     /// The routing table in force.
-    pub fn table(&self) -> Rc<Table> {
+    pub fn routing_table(&self) -> Rc<Table> {
         self.force.borrow().table.clone()
     }
 
@@ -63,7 +63,7 @@
 
     /// Tell the log once when this sidecar gets ready, and on what grounds.
     pub fn look_ready(&self) {
-        if self.told_ready.get() || self.boot.ready.is_none() || !self.ready() {
+        if self.told_ready.get() || self.settings.ready.is_none() || !self.ready() {
             return;
         }
         self.told_ready.set(true);
@@ -77,7 +77,12 @@
     }
 
     /// News of the control state; older than what is in force changes nothing.
-    pub fn page(self: &Rc<Self>, key: &str, revision: (u64, u64, u64), control_value: ControlValue) {
+    pub fn apply_control_entry(
+        self: &Rc<Self>,
+        key: &str,
+        revision: (u64, u64, u64),
+        control_value: ControlValue,
+    ) {
         {
             let mut force = self.force.borrow_mut();
             if force.revisions.get(key).is_some_and(|r| *r >= revision) {
@@ -89,15 +94,15 @@
             event_stream.page(key, revision, &control_value);
         }
         match control_value {
-            ControlValue::Blank => self.members.lapse(self, key, revision, None),
+            ControlValue::Blank => self.member_throttle.lapse(self, key, revision, None),
             ControlValue::Configuration(configuration) if key == CONFIGURATION => {
                 self.configure(&configuration, revision);
             }
             ControlValue::Whole(whole) if key == CONFIGURATION => {
-                self.members.roll(self, &whole.roll);
+                self.member_throttle.roll(self, &whole.roll);
                 self.configure(&whole.configuration, revision);
             }
-            ControlValue::Lapse(lapse) => self.members.lapse(self, key, revision, Some(lapse)),
+            ControlValue::Lapse(lapse) => self.member_throttle.lapse(self, key, revision, Some(lapse)),
             ControlValue::Evacuation(on) => {
                 let Some(zone) = key.strip_prefix(EVACUATION) else { return };
                 {
@@ -109,7 +114,7 @@
                     }
                 }
                 info!(self.log, "evacuation"; "zone" => zone, "on" => on);
-                if zone == self.boot.zone {
+                if zone == self.settings.zone {
                     let now = self.now();
                     self.gate.with_admission(|w| w.evacuated(now, on));
                 }
@@ -125,7 +130,7 @@
             force.table = Rc::new(Table::new(configuration));
             force.configured = true;
         }
-        self.idle_timeout.borrow_mut().set_limit(self.now(), self.table().limits().idle_us);
+        self.idle_timeout.borrow_mut().set_limit(self.now(), self.routing_table().limits().idle_us);
         info!(self.log, "configuration in force"; "round" => revision.0, "change" => revision.2);
         self.allow();
         self.reset_terms();
--- a/crates/daemon/mesh/src/node_state/other_sidecars.rs
+++ b/crates/daemon/mesh/src/node_state/other_sidecars.rs
@@ -1,6 +1,6 @@
 //! The other sidecars as this one knows them: their records, how many there are, and which of them holds the control store.
 use super::NodeState;
-use crate::peers::Body;
+use crate::peers::RecordBody;
 use silvercross_mesh_membership::Record;
 use std::cmp::Reverse;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -8,7 +8,7 @@
 
 impl NodeState {
     /// News of another sidecar.
-    pub fn record(self: &Rc<Self>, record: Record<Body>) {
+    pub fn apply_record(self: &Rc<Self>, record: Record<RecordBody>) {
         if let Some(event_stream) = self.event_stream.get() {
             event_stream.record(&record);
         }
@@ -32,27 +32,29 @@
     pub(super) fn sides(&self) -> (u32, u32) {
         let others = self.others.borrow();
         let sides = others.values().filter(|r| !r.core);
-        let near = sides.clone().filter(|r| r.zone == self.boot.zone).count() as u32;
+        let near = sides.clone().filter(|r| r.zone == self.settings.zone).count() as u32;
         (sides.count() as u32 + 1, near + 1)
     }
 
     /// Whether this machine has a disk, but those that hold the ledger don't count it among them.
     pub fn is_outsider(&self) -> bool {
-        let (me, others) = (self.boot.ip.to_bits(), self.others.borrow());
+        let (me, others) = (self.settings.ip.to_bits(), self.others.borrow());
         let mut holders = others.values().filter(|r| r.body.roster.contains(&r.node.0)).peekable();
         holders.peek().is_some() && holders.all(|r| !r.body.roster.contains(&me))
     }
 
     /// The control address of a machine that holds the ledger: one that is known to reach most of them and that most of them name,
     /// in this zone if there is one. One that is cut off answers that nothing is settled.
-    pub fn core(&self) -> Option<SocketAddr> {
+    pub fn control_address(&self) -> Option<SocketAddr> {
         let reached = self.peers.membership(|r| r.reached_cores());
         let others = self.others.borrow();
         let holders: Vec<_> = others.values().filter(|r| r.body.roster.contains(&r.node.0)).collect();
-        let named = |r: &Record<Body>| holders.iter().filter(|h| h.body.roster.contains(&r.node.0)).count();
+        let named =
+            |r: &Record<RecordBody>| holders.iter().filter(|h| h.body.roster.contains(&r.node.0)).count();
         let up = holders.iter().filter(|r| r.body.control > 0);
-        let far = |r: &Record<Body>| !reached.contains(&r.node);
-        let best = up.min_by_key(|r| (r.body.leaving, far(r), Reverse(named(r)), r.zone != self.boot.zone));
+        let far = |r: &Record<RecordBody>| !reached.contains(&r.node);
+        let best =
+            up.min_by_key(|r| (r.body.leaving, far(r), Reverse(named(r)), r.zone != self.settings.zone));
         best.map(|r| SocketAddr::new(IpAddr::V4(Ipv4Addr::from_bits(r.node.0)), r.body.control))
     }
 }
--- a/crates/daemon/mesh/src/node_state/own_record.rs
+++ b/crates/daemon/mesh/src/node_state/own_record.rs
@@ -1,20 +1,20 @@
 //! What this sidecar tells the others of itself.
 use super::NodeState;
 use crate::control_value::ControlValue;
-use crate::peers::{Body, Station};
+use crate::peers::{RecordBody, UpstreamRecord};
 use std::rc::Rc;
 
 impl NodeState {
     /// What this sidecar tells of itself.
-    pub fn body(&self) -> Body {
+    pub fn own_record_body(&self) -> RecordBody {
         self.body_of(self.own.borrow().as_ref().map(|o| o.station.clone()))
     }
 
     /// That, with this upstream beside it.
-    pub(super) fn body_of(&self, station: Option<Station>) -> Body {
-        Body {
-            inbound: self.boot.inbound.map_or(0, |a| a.port()),
-            control: self.boot.control.map_or(0, |a| a.port()),
+    pub(super) fn body_of(&self, station: Option<UpstreamRecord>) -> RecordBody {
+        RecordBody {
+            inbound: self.settings.inbound.map_or(0, |a| a.port()),
+            control: self.settings.control.map_or(0, |a| a.port()),
             leaving: self.stopping(),
             roster: self.roster(),
             station,
@@ -35,7 +35,7 @@
 
     /// Tell the others, the feed and the balancers here.
     pub(super) fn tell(self: &Rc<Self>) {
-        let body = self.body();
+        let body = self.own_record_body();
         self.peers.tell(self, body);
         self.feed_own();
         self.relist();
@@ -44,7 +44,7 @@
     /// This sidecar's own record, for the feed.
     pub(super) fn feed_own(&self) {
         if let Some(event_stream) = self.event_stream.get() {
-            let me = silvercross_mesh_membership::Node(self.boot.ip.to_bits());
+            let me = silvercross_mesh_membership::Node(self.settings.ip.to_bits());
             self.peers.membership(|r| r.record(me).into_iter().for_each(|own| event_stream.record(own)));
         }
     }
--- a/crates/daemon/mesh/src/node_state/own_upstream.rs
+++ b/crates/daemon/mesh/src/node_state/own_upstream.rs
@@ -1,7 +1,7 @@
 //! The upstream on this machine: its heartbeats and sign-off, asking its health after a restart, and what its gate is told.
 use super::NodeState;
 use crate::peer_connection;
-use crate::peers::Station;
+use crate::peers::UpstreamRecord;
 use serde::Deserialize;
 use silvercross_admission::{Allowance, Facts};
 use slog::info;
@@ -23,7 +23,7 @@
 /// A beat, as an upstream sends it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Beat {
+pub struct Heartbeat {
     destination: String,
     #[serde(default)]
     zone: String,
@@ -39,14 +39,14 @@
 
 /// The upstream on this machine, as its heartbeats tell it.
 pub(super) struct Own {
-    pub(super) station: Station,
+    pub(super) station: UpstreamRecord,
     sequence: u64,
     beaten: i64,
     cold_until: i64,
     told: bool,
 }
 
-impl Beat {
+impl Heartbeat {
     fn draining(&self) -> bool {
         self.state == "draining"
     }
@@ -59,9 +59,9 @@
 
 impl Own {
     /// The first heartbeat of a life.
-    fn first(id: &str, beat: Beat, now: i64) -> Self {
+    fn first(id: &str, beat: Heartbeat, now: i64) -> Self {
         let (draining, cold) = (beat.draining(), beat.cold());
-        let station = Station {
+        let station = UpstreamRecord {
             id: id.to_string(),
             service: beat.destination,
             slots: beat.slots,
@@ -74,7 +74,7 @@
     }
 
     /// A further heartbeat of the same life; whether the other sidecars are to hear of it.
-    fn renew(&mut self, beat: Beat, now: i64) -> bool {
+    fn renew(&mut self, beat: Heartbeat, now: i64) -> bool {
         let (draining, cold) = (beat.draining(), beat.cold());
         let before = self.station.clone();
         (self.sequence, self.beaten) = (beat.sequence, now);
@@ -95,8 +95,8 @@
 
 impl NodeState {
     /// A beat of the upstream on this machine; `false` if it is of a life that has ended.
-    pub fn beat(self: &Rc<Self>, id: &str, beat: Beat) -> bool {
-        self.counts.beats.set(self.counts.beats.get() + 1);
+    pub fn upstream_heartbeat(self: &Rc<Self>, id: &str, beat: Heartbeat) -> bool {
+        self.counters.heartbeats.set(self.counters.heartbeats.get() + 1);
         if self.ended.borrow().iter().any(|e| e == id) {
             return false;
         }
@@ -141,12 +141,12 @@
 
     /// Look whether its heartbeats have stopped, and tell the others what they have not heard of it yet.
     pub(super) fn look_at_upstream(self: &Rc<Self>, now: i64) {
-        let late = (self.live.get().beat as f64 * SILENT_BEATS) as i64;
+        let late = (self.reloadable.get().beat as f64 * SILENT_BEATS) as i64;
         let silent = self.own.borrow().as_ref().is_some_and(|o| !o.station.silent && now - o.beaten > late);
         if silent {
             info!(self.log, "upstream silent");
             self.gate.with_admission(|w| w.silent(now));
-            self.station_silent();
+            self.mark_upstream_silent();
         }
         let untold = self.own.borrow().as_ref().is_some_and(|o| !o.told);
         if untold {
@@ -156,7 +156,7 @@
     }
 
     /// The upstream on this machine has signed off.
-    pub fn signed_off(self: &Rc<Self>, id: &str) {
+    pub fn upstream_signed_off(self: &Rc<Self>, id: &str) {
         let now = self.now();
         remember(&mut self.ended.borrow_mut(), id.to_string());
         let was = self.own.borrow().as_ref().is_some_and(|o| o.station.id == id);
@@ -169,7 +169,7 @@
     }
 
     /// The upstream on this machine refuses connections, or its beats have stopped.
-    pub fn station_silent(&self) {
+    pub fn mark_upstream_silent(&self) {
         if let Some(own) = self.own.borrow_mut().as_mut().filter(|o| !o.station.silent) {
             own.station.silent = true;
             own.told = false;
@@ -179,10 +179,10 @@
     /// After a restart the upstream on this machine may be at work already, and its next beat a while away: its health answer
     /// names its life.
     pub(super) fn ask_station(self: &Rc<Self>) {
-        if self.boot.fresh || self.asking.replace(true) {
+        if self.settings.fresh || self.asking.replace(true) {
             return;
         }
-        let Some(station) = self.boot.station else { return };
+        let Some(station) = self.settings.station else { return };
         let node_state = self.clone();
         tokio::task::spawn_local(async move {
             for _ in 0..ASKED {
@@ -190,8 +190,8 @@
                     return;
                 }
                 let path = node_state
-                    .table()
-                    .destination(&node_state.boot.destination)
+                    .routing_table()
+                    .destination(&node_state.settings.destination)
                     .map(|d| d.health_path.clone());
                 let path = path.unwrap_or_else(|| "/health".to_string());
                 let told = peer_connection::check_health(
@@ -217,24 +217,24 @@
         let slots = {
             let others = self.others.borrow();
             let like = others.values().filter_map(|r| r.body.station.as_ref());
-            like.filter(|s| s.service == self.boot.destination).map(|s| s.slots).max()
+            like.filter(|s| s.service == self.settings.destination).map(|s| s.slots).max()
         };
-        let beat = Beat {
-            destination: self.boot.destination.clone(),
-            zone: self.boot.zone.clone(),
+        let beat = Heartbeat {
+            destination: self.settings.destination.clone(),
+            zone: self.settings.zone.clone(),
             slots: slots.unwrap_or(SLOTS_UNTOLD),
             state: "ready".to_string(),
             cold_left_s: cold as f64 / 1e6,
             sequence: 0,
         };
-        self.beat(&id, beat);
+        self.upstream_heartbeat(&id, beat);
     }
 
     /// Set the gate to what the configuration allows this upstream.
     pub(super) fn allow(&self) {
-        let table = self.table();
+        let table = self.routing_table();
         let service = self.own.borrow().as_ref().map(|o| o.station.service.clone());
-        let service = service.unwrap_or_else(|| self.boot.destination.clone());
+        let service = service.unwrap_or_else(|| self.settings.destination.clone());
         if let Some(d) = table.destination(&service) {
             let allowance =
                 Allowance { line_cap: d.line_cap, cold_rate: finite(d.cold_rate), cold_span: d.cold_us };
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -19,56 +19,56 @@
         }
         info!(self.log, "stopping");
         let graceful_stop =
-            GracefulStop::new(self.looked.get(), self.now(), self.live.get().bounds.grace.max(0));
+            GracefulStop::new(self.looked.get(), self.now(), self.reloadable.get().bounds.grace.max(0));
         for (_, service_balancer) in self.service_balancers() {
             service_balancer.answer_by(graceful_stop.answer_by());
         }
         *self.graceful_stop.borrow_mut() = Some(graceful_stop);
-        self.members.release();
+        self.member_throttle.release();
         self.tell();
         self.peers.leave_replicas(self);
     }
 
     /// What a process that stops is to do now, and by when it ends whatever is open; `None`: it does not stop.
     pub fn graceful_stop(&self) -> Option<(Phase, i64)> {
-        let (now, busy) = (self.now(), self.busy());
+        let (now, busy) = (self.now(), self.is_busy());
         self.graceful_stop.borrow_mut().as_mut().map(|e| (e.phase(now, busy), e.last()))
     }
 
     /// The platform asked whether this machine's clients may be given work, and was told no.
-    pub fn denied(&self) {
+    pub fn count_not_ready_reply(&self) {
         let now = self.now();
-        self.graceful_stop.borrow_mut().iter_mut().for_each(|e| e.denied(now));
+        self.graceful_stop.borrow_mut().iter_mut().for_each(|e| e.not_ready_reply(now));
     }
 
     /// Whether a request or an operator's call is open here, or a request at the upstream behind the gate.
-    pub fn busy(&self) -> bool {
+    pub fn is_busy(&self) -> bool {
         let (out, waiting) = self.gate.with_admission(|w| w.load());
-        self.open.get() + self.counts.calls_open.get() > 0 || out + waiting > 0
+        self.open_requests.get() + self.counters.open_control_calls.get() > 0 || out + waiting > 0
     }
 
     /// Connections between two requests end from now on.
-    pub fn end_idle(&self) {
-        self.idle_ends.set(true);
+    pub fn close_idle_connections(&self) {
+        self.idle_connections_closing.set(true);
         self.stop.notify_waiters();
     }
 
-    /// Waits until [`NodeState::end_idle`].
-    pub async fn idle_ends(&self) {
+    /// Waits until [`NodeState::close_idle_connections`].
+    pub async fn idle_connections_closing(&self) {
         let told = self.stop.notified();
-        if !self.idle_ends.get() {
+        if !self.idle_connections_closing.get() {
             told.await;
         }
     }
 
     /// Clients are let in no more.
-    pub fn shut(&self) {
+    pub fn close_listeners(&self) {
         self.shut.set(true);
         self.stop.notify_waiters();
     }
 
-    /// Waits until [`NodeState::shut`].
-    pub async fn is_shut(&self) {
+    /// Waits until [`NodeState::close_listeners`].
+    pub async fn listeners_closing(&self) {
         loop {
             let told = self.stop.notified();
             if self.shut.get() {
@@ -79,7 +79,7 @@
     }
 
     /// Wait until that is so, at most for so many microseconds; looked at whenever news has come.
-    pub async fn until(&self, span: i64, so: impl Fn() -> bool) {
+    pub async fn wait_until(&self, span: i64, so: impl Fn() -> bool) {
         if so() || span <= 0 {
             return;
         }
--- a/crates/daemon/mesh/src/node_state/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -1,7 +1,7 @@
 //! The upstreams of each service, listed for its balancer: from the records of the other sidecars and the upstream here.
 use super::in_force::InForce;
 use super::NodeState;
-use crate::peers::{Body, Station};
+use crate::peers::{RecordBody, UpstreamRecord};
 use crate::service_balancer::{self, ServiceBalancer, ServiceSettings};
 use rand_core::RngCore;
 use silvercross_facade::{Health, Host};
@@ -31,7 +31,7 @@
 }
 
 impl Lists<'_> {
-    fn add(&mut self, ip: Ipv4Addr, zone: &str, life: u64, body: &Body, station: &Station) {
+    fn add(&mut self, ip: Ipv4Addr, zone: &str, life: u64, body: &RecordBody, station: &UpstreamRecord) {
         if station.silent {
             return;
         }
@@ -49,7 +49,7 @@
     }
 
     /// Since when it has been cold, in milliseconds; 0: it is not.
-    fn born(&mut self, life: u64, station: &Station) -> u64 {
+    fn born(&mut self, life: u64, station: &UpstreamRecord) -> u64 {
         let span = self.force.table.destination(&station.service).map_or(0, |d| d.cold_us);
         let known = self.colds.get(&station.id);
         if let Some(k) = known.filter(|k| k.colds == station.colds && k.life == life) {
@@ -78,7 +78,7 @@
 
     /// Set each balancer to the configuration, the bounds and the number of sidecars in force.
     pub(super) fn reset_terms(self: &Rc<Self>) {
-        let table = self.table();
+        let table = self.routing_table();
         for (service, service_balancer) in self.service_balancers() {
             service_balancer.reconfigure(&self.terms(&service, &table));
         }
@@ -87,12 +87,12 @@
 
     fn terms<'t>(&'t self, service: &'t str, table: &'t Table) -> ServiceSettings<'t> {
         let (senders, near) = self.sides();
-        let b = self.live.get().bounds;
+        let b = self.reloadable.get().bounds;
         ServiceSettings {
             service,
             table,
-            zones: &self.boot.zones,
-            zone: &self.boot.zone,
+            zones: &self.settings.zones,
+            zone: &self.settings.zone,
             senders,
             near,
             drain: b.drain,
@@ -103,11 +103,11 @@
 
     /// Tell each desk which upstreams there are.
     pub(super) fn relist(self: &Rc<Self>) {
-        if self.boot.outbound.is_none() {
+        if self.settings.outbound.is_none() {
             return;
         }
         let (mut lists, mut renewed) = self.known_upstreams();
-        let table = self.table();
+        let table = self.routing_table();
         // A service whose last upstream has gone is told so.
         for (service, _) in self.service_balancers() {
             lists.entry(service).or_default();
@@ -140,7 +140,7 @@
         }
         if let Some(own) = own.as_ref() {
             let body = self.body_of(Some(own.station.clone()));
-            lists.add(self.boot.ip, &self.boot.zone, 0, &body, &own.station);
+            lists.add(self.settings.ip, &self.settings.zone, 0, &body, &own.station);
         }
         let Lists { hosts, renewed, .. } = lists;
         let listed: BTreeSet<&String> = hosts.values().flatten().map(|h| &h.name).collect();
--- a/crates/daemon/mesh/src/peers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -9,11 +9,11 @@
 #[cfg(test)]
 mod tests;
 
-use crate::control_value::{ControlValue, Order};
+use crate::control_value::{ControlChange, ControlValue};
 use crate::disk::{Told, Writes};
 use crate::node_state::NodeState;
 use bitcode::{Decode, Encode};
-use frames::Parcel;
+use frames::Frame;
 use link::Link;
 use silvercross_control_store::{ControlStore, Verdict};
 use silvercross_mesh_membership::{Datagram, Membership, Node, Revision};
@@ -29,7 +29,7 @@
 
 /// What a sidecar tells all others of itself.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Body {
+pub struct RecordBody {
     /// Port of its gate; 0: it has none.
     pub inbound: u16,
     /// Port where it takes control calls; 0: none.
@@ -39,12 +39,12 @@
     /// Of a machine with a disk: those that hold the ledger, as it knows.
     pub roster: Vec<u32>,
     /// The upstream beside it.
-    pub station: Option<Station>,
+    pub station: Option<UpstreamRecord>,
 }
 
 /// An upstream, as the sidecar beside it knows it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Station {
+pub struct UpstreamRecord {
     /// Its life.
     pub id: String,
     /// Its service.
@@ -65,7 +65,7 @@
 pub struct Peers {
     me: u32,
     port: u16,
-    membership: RefCell<Membership<Body>>,
+    membership: RefCell<Membership<RecordBody>>,
     ledger: Option<RefCell<ControlStore<ControlValue>>>,
     writes: Option<Writes>,
     /// Why the disk takes no writes.
@@ -91,7 +91,7 @@
     pub fn new(
         me: Ipv4Addr,
         port: u16,
-        membership: Membership<Body>,
+        membership: Membership<RecordBody>,
         ledger: Option<(ControlStore<ControlValue>, Writes)>,
         udp: UdpSocket,
     ) -> Self {
@@ -115,7 +115,7 @@
     }
 
     /// Look at membership.
-    pub fn membership<R>(&self, look: impl FnOnce(&Membership<Body>) -> R) -> R {
+    pub fn membership<R>(&self, look: impl FnOnce(&Membership<RecordBody>) -> R) -> R {
         look(&self.membership.borrow())
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Tell the others of this sidecar.
-    pub fn tell(&self, node_state: &Rc<NodeState>, body: Body) {
+    pub fn tell(&self, node_state: &Rc<NodeState>, body: RecordBody) {
         self.membership.borrow_mut().tell(node_state.now(), body);
         self.pump(node_state);
     }
@@ -160,7 +160,7 @@
     pub fn ask_time(&self, node_state: &Rc<NodeState>) {
         let holders = self.control_store(|l| l.replica_set()).unwrap_or_default();
         for holder in holders.into_iter().filter(|h| h.0 != self.me) {
-            self.send(node_state, holder.0, &Parcel::Time { asked: node_state.now() });
+            self.send(node_state, holder.0, &Frame::Time { asked: node_state.now() });
         }
     }
 
@@ -169,7 +169,7 @@
         &self,
         node_state: &Rc<NodeState>,
         key: &str,
-        order: Option<Order>,
+        order: Option<ControlChange>,
     ) -> Option<Verdict<ControlValue>> {
         let ledger = self.ledger.as_ref().filter(|l| !l.borrow().outside() && !node_state.is_outsider())?;
         let asked = self.begin(node_state, ledger, key, order);
@@ -183,7 +183,7 @@
         node_state: &NodeState,
         store: &RefCell<ControlStore<ControlValue>>,
         key: &str,
-        order: Option<Order>,
+        order: Option<ControlChange>,
     ) -> (u64, oneshot::Receiver<Verdict<ControlValue>>) {
         let token = self.numbers.get();
         self.numbers.set(token + 1);
@@ -293,7 +293,9 @@
                     c.membership.borrow_mut().datagram(node_state.now(), Node(from.to_bits()), datagram);
                     c.pump(&node_state);
                 }
-                Err(_) => node_state.counts.strangers.set(node_state.counts.strangers.get() + 1),
+                Err(_) => {
+                    node_state.counters.foreign_messages.set(node_state.counters.foreign_messages.get() + 1)
+                }
             }
         }
     }
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -1,7 +1,7 @@
 //! What membership and the control store want done, done: sent, written, answered, handed on.
-use super::frames::Parcel;
+use super::frames::Frame;
 use super::link::CONNECT;
-use super::{ip, told, Body, Peers};
+use super::{ip, told, Peers, RecordBody};
 use crate::control_value::ControlValue;
 use crate::disk::Write;
 use crate::node_state::NodeState;
@@ -13,18 +13,18 @@
 
 impl Peers {
     /// Do what membership wants done.
-    pub(super) fn effect(&self, node_state: &Rc<NodeState>, effect: Effect<Body>) {
+    pub(super) fn effect(&self, node_state: &Rc<NodeState>, effect: Effect<RecordBody>) {
         match effect {
             Effect::Link { to } => self.link(node_state, to.0),
             Effect::Unlink { to } => {
                 self.links.borrow_mut().remove(&to.0);
                 self.down(node_state, to.0);
             }
-            Effect::Send { to, letter } => self.send(node_state, to.0, &Parcel::Round(letter)),
+            Effect::Send { to, letter } => self.send(node_state, to.0, &Frame::Round(letter)),
             Effect::Datagram { to, datagram } => {
                 let bytes = bitcode::encode(&datagram);
                 let _ = self.udp.try_send_to(&bytes, SocketAddr::new(ip(to.0), self.port));
-                node_state.counts.datagrams.set(node_state.counts.datagrams.get() + 1);
+                node_state.counters.datagrams_sent.set(node_state.counters.datagrams_sent.get() + 1);
             }
             Effect::Try { node } => self.try_link(node_state, node),
             Effect::ConfirmRevisions { ticket } => {
@@ -37,11 +37,11 @@
             }
             Effect::Record(record) => {
                 self.tell_store(node_state, &record);
-                node_state.record(record);
+                node_state.apply_record(record);
             }
             Effect::Page { key, revision, bytes } => {
                 if let Ok(control_value) = bitcode::decode::<ControlValue>(&bytes) {
-                    node_state.page(&key, revision, control_value);
+                    node_state.apply_control_entry(&key, revision, control_value);
                 }
             }
         }
@@ -59,7 +59,7 @@
     }
 
     /// Tell the control store of a machine that may come for a lost replica, or that stops.
-    fn tell_store(&self, node_state: &Rc<NodeState>, record: &Record<Body>) {
+    fn tell_store(&self, node_state: &Rc<NodeState>, record: &Record<RecordBody>) {
         let Some(l) = &self.ledger else { return };
         // It has a disk, knows who the holders are, and is none of them.
         let told = &record.body;
@@ -76,7 +76,7 @@
     pub(super) fn deed(&self, node_state: &Rc<NodeState>, deed: StoreEffect<ControlValue>) {
         match deed {
             StoreEffect::Send { to, version, message } => {
-                self.send(node_state, to.0, &Parcel::Store(version, message))
+                self.send(node_state, to.0, &Frame::Store(version, message))
             }
             StoreEffect::Store { write, metadata, keys } => {
                 if let Some(writes) = &self.writes {
@@ -99,7 +99,7 @@
                 let value = value.published();
                 let bytes = bitcode::encode(&value);
                 self.membership.borrow_mut().publish(node_state.now(), &key, at, bytes);
-                node_state.page(&key, at, value);
+                node_state.apply_control_entry(&key, at, value);
             }
         }
     }
--- a/crates/daemon/mesh/src/peers/frames.rs
+++ b/crates/daemon/mesh/src/peers/frames.rs
@@ -1,6 +1,6 @@
 //! What goes on a link between sidecars: its form, in frames of `bitcode`, and the two lanes in which frames are written.
-use super::Body;
-use crate::control_value::{ControlValue, Order};
+use super::RecordBody;
+use crate::control_value::{ControlChange, ControlValue};
 use bitcode::{Decode, Encode};
 use silvercross_control_store::Message as StoreMessage;
 use silvercross_mesh_membership::Letter;
@@ -27,14 +27,14 @@
 pub(super) const HELLO: usize = 64;
 
 #[derive(Encode, Decode)]
-pub(super) enum Parcel {
+pub(super) enum Frame {
     Hello {
         version: u16,
         node: u32,
     },
-    Round(Letter<Body>),
+    Round(Letter<RecordBody>),
     /// Under which version of the roster, and what.
-    Store(u64, StoreMessage<ControlValue, Order>),
+    Store(u64, StoreMessage<ControlValue, ControlChange>),
     /// What time of day is it? Between holders, where there are members.
     Time {
         asked: i64,
@@ -48,8 +48,8 @@
 }
 
 /// The frame of a parcel: its length, then its bytes.
-pub(super) fn framed(parcel: &Parcel) -> Vec<u8> {
-    let body = bitcode::encode(parcel);
+pub(super) fn framed(frame: &Frame) -> Vec<u8> {
+    let body = bitcode::encode(frame);
     let mut bytes = Vec::with_capacity(body.len() + 4);
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&body);
@@ -115,11 +115,11 @@
 }
 
 /// The next parcel of at most so many bytes; `parts` is what is there of a large one.
-pub(super) async fn parcel(
+pub(super) async fn frame(
     stream: &mut (impl AsyncReadExt + Unpin),
     parts: &mut Vec<u8>,
     most: usize,
-) -> Option<Parcel> {
+) -> Option<Frame> {
     loop {
         let mut head = [0; 4];
         stream.read_exact(&mut head).await.ok()?;
--- a/crates/daemon/mesh/src/peers/isolated_control_tests.rs
+++ b/crates/daemon/mesh/src/peers/isolated_control_tests.rs
@@ -27,7 +27,7 @@
     for edition in 1..=changes {
         let item = format!("{{\"withdraw\":{{\"routes\":[{{\"name\":\"r\",\"edition\":{edition}}}]}}}}");
         let patch = silvercross_mesh_config::read_patch(item.as_bytes()).expect("well-formed");
-        control_value.apply(&Order::Patch(patch)).expect("valid");
+        control_value.apply(&ControlChange::Patch(patch)).expect("valid");
     }
     control_value
 }
@@ -70,9 +70,9 @@
         "node: n{last}\nmachineClass: c\nip: {ip}\nzone: a\ninternalPorts: [{port}, {port}]\n{data}\
          countersAt: {{inbound: '{ip}:1', outbound: '{ip}:1', ready: '{ip}:1'}}\n"
     );
-    let boot = settings::parse(&text).expect("settings");
-    let (me, core) = (Node(ip.to_bits()), boot.core);
-    let body = Body { inbound: 1, control: 1, leaving: false, roster: Vec::new(), station: None };
+    let settings = settings::parse(&text).expect("settings");
+    let (me, core) = (Node(ip.to_bits()), settings.core);
+    let body = RecordBody { inbound: 1, control: 1, leaving: false, roster: Vec::new(), station: None };
     // The seeds name the first control machine alone.
     let seeds = vec![Node(address(CONTROL[0]).to_bits())];
     let start = silvercross_mesh_membership::Start {
@@ -99,9 +99,10 @@
         (ControlStore::new(clock.now(), start, disk), writes)
     });
     let peers = Peers::new(ip, port, membership, store, udp);
-    let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(boot.live.bounds.of_gate()));
+    let gate =
+        upstream_gate::UpstreamGate::new(AdmissionController::new(settings.reloadable.bounds.of_gate()));
     let chance = rand_pcg::Pcg64Mcg::seed_from_u64(u64::from(last));
-    let node_state = NodeState::new(boot, Logger::root(Discard, o!()), gate, peers, clock, chance);
+    let node_state = NodeState::new(settings, Logger::root(Discard, o!()), gate, peers, clock, chance);
     tokio::task::spawn_local(Peers::listen(node_state.clone(), links));
     tokio::task::spawn_local(Peers::datagrams(node_state.clone()));
     tokio::task::spawn_local(Peers::tick(node_state.clone()));
--- a/crates/daemon/mesh/src/peers/link.rs
+++ b/crates/daemon/mesh/src/peers/link.rs
@@ -1,7 +1,7 @@
 //! Links between sidecars: made and taken, greeted, read and written, until they end.
-use super::frames::{framed, parcel, write_lanes, Parcel, HELLO, LARGEST, PART, VERSION};
+use super::frames::{frame, framed, write_lanes, Frame, HELLO, LARGEST, PART, VERSION};
 use super::{ip, Peers};
-use crate::node_state::{Counted, Door, NodeState};
+use crate::node_state::{ConnectionKind, GaugeGuard, NodeState};
 use crate::peer_connection;
 use silvercross_mesh_membership::Node;
 use silvercross_throttle::Voice;
@@ -32,13 +32,13 @@
 
 impl Peers {
     /// Send this to a node that is linked; to another one it is lost.
-    pub(super) fn send(&self, node_state: &Rc<NodeState>, to: u32, parcel: &Parcel) {
-        let bytes = framed(parcel);
-        node_state.counts.letters.set(node_state.counts.letters.get() + 1);
+    pub(super) fn send(&self, node_state: &Rc<NodeState>, to: u32, frame: &Frame) {
+        let bytes = framed(frame);
+        node_state.counters.frames_sent.set(node_state.counters.frames_sent.get() + 1);
         let full = {
             let links = self.links.borrow();
             let Some(link) = links.get(&to).and_then(|l| l.last()) else { return };
-            let lane = if matches!(parcel, Parcel::Round(_)) { &link.out } else { &link.first };
+            let lane = if matches!(frame, Frame::Round(_)) { &link.out } else { &link.first };
             lane.try_send(Rc::new(bytes)).is_err()
         };
         if full {
@@ -86,13 +86,14 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            if node_state.peers.links.borrow().len() >= LINKS || node_state.counts.greeting.get() >= GREETING
+            if node_state.peers.links.borrow().len() >= LINKS
+                || node_state.counters.unidentified_links.get() >= GREETING
             {
-                node_state.shut_out(Door::Link);
+                node_state.reject_connection(ConnectionKind::Link);
                 continue;
             }
             peer_connection::set_liveness_options(&stream);
-            let greeting = Counted::new(&node_state, |c| &c.greeting);
+            let greeting = GaugeGuard::new(&node_state, |c| &c.unidentified_links);
             tokio::task::spawn_local(carry(node_state.clone(), stream, None, Some(greeting)));
         }
     }
@@ -114,26 +115,26 @@
     }
 
     /// Hand on what came on a link; `false` if it has no place there.
-    fn received(&self, node_state: &Rc<NodeState>, node: u32, parcel: Parcel) -> bool {
+    fn received(&self, node_state: &Rc<NodeState>, node: u32, frame: Frame) -> bool {
         let now = node_state.now();
-        match parcel {
-            Parcel::Hello { .. } => return false,
-            Parcel::Round(letter) => self.membership.borrow_mut().letter(now, Node(node), letter),
-            Parcel::Store(version, message) => {
+        match frame {
+            Frame::Hello { .. } => return false,
+            Frame::Round(letter) => self.membership.borrow_mut().letter(now, Node(node), letter),
+            Frame::Store(version, message) => {
                 if let Some(l) = &self.ledger {
                     l.borrow_mut().receive(now, silvercross_control_store::Node(node), version, message);
                 }
             }
-            Parcel::Time { asked } => {
-                if let Some((wall, stepped)) = node_state.members.time_told(now) {
-                    self.send(node_state, node, &Parcel::Told { asked, wall, stepped });
+            Frame::Time { asked } => {
+                if let Some((wall, stepped)) = node_state.member_throttle.time_told(now) {
+                    self.send(node_state, node, &Frame::Told { asked, wall, stepped });
                 }
             }
-            Parcel::Told { asked, wall, stepped } => {
+            Frame::Told { asked, wall, stepped } => {
                 let holder = silvercross_control_store::Node(node);
                 if self.control_store(|l| l.replica_set().contains(&holder)) == Some(true) {
                     let answered = now;
-                    node_state.members.heard(Voice { node: holder, asked, answered, wall, stepped });
+                    node_state.member_throttle.heard(Voice { node: holder, asked, answered, wall, stepped });
                 }
             }
         }
@@ -164,7 +165,7 @@
 type Lane = mpsc::Receiver<Rc<Vec<u8>>>;
 
 /// One link, until it ends.
-async fn carry(node_state: Rc<NodeState>, stream: TcpStream, to: Option<u32>, greeting: Option<Counted>) {
+async fn carry(node_state: Rc<NodeState>, stream: TcpStream, to: Option<u32>, greeting: Option<GaugeGuard>) {
     let c = &node_state.peers;
     let peer = stream.peer_addr().ok().map(|a| a.ip());
     // What is handed over and not sent can't be passed any more.
@@ -176,14 +177,14 @@
     let greeted = greet(&node_state, &mut read, &mut write, &mut parts).await;
     let Some(node) = greeted else { return gone(&node_state, to) };
     if peer != Some(ip(node)) || to.is_some_and(|to| to != node) {
-        node_state.counts.strangers.set(node_state.counts.strangers.get() + 1);
+        node_state.counters.foreign_messages.set(node_state.counters.foreign_messages.get() + 1);
         return gone(&node_state, to);
     }
     drop(greeting);
     let (number, waiting, waiting_first) = c.up(&node_state, node);
     let reading = async {
-        while let Some(parcel) = parcel(&mut read, &mut parts, LARGEST).await {
-            if !c.received(&node_state, node, parcel) {
+        while let Some(frame) = frame(&mut read, &mut parts, LARGEST).await {
+            if !c.received(&node_state, node, frame) {
                 break;
             }
         }
@@ -203,12 +204,12 @@
     write: &mut (impl AsyncWriteExt + Unpin),
     parts: &mut Vec<u8>,
 ) -> Option<u32> {
-    let hello = framed(&Parcel::Hello { version: VERSION, node: node_state.peers.me });
+    let hello = framed(&Frame::Hello { version: VERSION, node: node_state.peers.me });
     write.write_all(&hello).await.ok()?;
-    match timeout(CONNECT * 2, parcel(read, parts, HELLO)).await.ok().flatten() {
-        Some(Parcel::Hello { version: VERSION, node }) => Some(node),
+    match timeout(CONNECT * 2, frame(read, parts, HELLO)).await.ok().flatten() {
+        Some(Frame::Hello { version: VERSION, node }) => Some(node),
         _ => {
-            node_state.counts.strangers.set(node_state.counts.strangers.get() + 1);
+            node_state.counters.foreign_messages.set(node_state.counters.foreign_messages.get() + 1);
             None
         }
     }
--- a/crates/daemon/mesh/src/peers/majority_read.rs
+++ b/crates/daemon/mesh/src/peers/majority_read.rs
@@ -13,7 +13,7 @@
     pub(super) async fn confirm(&self, node_state: &Rc<NodeState>) -> Option<Vec<(String, Revision)>> {
         let store = self.ledger.as_ref()?;
         let known = store.borrow().state().into_iter().map(|state| state.key);
-        let zones = node_state.boot.zones.iter().map(|zone| format!("{EVACUATION}{zone}"));
+        let zones = node_state.settings.zones.iter().map(|zone| format!("{EVACUATION}{zone}"));
         let mut keys: BTreeSet<String> = known.chain(zones).chain([CONFIGURATION.to_string()]).collect();
         let mut revisions = Vec::new();
         let mut read = BTreeSet::new();
--- a/crates/daemon/mesh/src/peers/tests.rs
+++ b/crates/daemon/mesh/src/peers/tests.rs
@@ -1,5 +1,5 @@
 //! Tests of the links: large parcels and small ones, ends that take nothing, links that nobody greets on.
-use super::frames::{framed, parcel, taken, write_lanes, Parcel, HELLO, LARGEST, PART, UNTAKEN};
+use super::frames::{frame, framed, taken, write_lanes, Frame, HELLO, LARGEST, PART, UNTAKEN};
 use super::link::GREETING;
 use super::Peers;
 use crate::trial::{self, SidecarOptions, TestConnection};
@@ -48,27 +48,27 @@
             bytes: vec![7; 1 << 20],
         };
         let news = Letter::News { records: Vec::new(), pages: vec![page] };
-        let large = Rc::new(framed(&Parcel::Round(news.clone())));
+        let large = Rc::new(framed(&Frame::Round(news.clone())));
         let writing = async move { write_lanes(&mut here, waiting, waiting_first).await };
         let reading = async {
             out.send(large.clone()).await.expect("room");
             let mut some = vec![0; PART];
             there.read_exact(&mut some).await.expect("it has begun");
-            first.send(Rc::new(framed(&Parcel::Time { asked: 5 }))).await.expect("room");
-            out.send(Rc::new(framed(&Parcel::Time { asked: 6 }))).await.expect("room");
+            first.send(Rc::new(framed(&Frame::Time { asked: 5 }))).await.expect("room");
+            out.send(Rc::new(framed(&Frame::Time { asked: 6 }))).await.expect("room");
             drop((out, first));
             let mut rest = std::io::Cursor::new(some).chain(there);
             let mut parts = Vec::new();
             let mut came = Vec::new();
-            while let Some(parcel) = parcel(&mut rest, &mut parts, LARGEST).await {
-                came.push(parcel);
+            while let Some(frame) = frame(&mut rest, &mut parts, LARGEST).await {
+                came.push(frame);
             }
             came
         };
         let (_, came) = tokio::join!(writing, reading);
-        assert!(matches!(came[0], Parcel::Time { asked: 5 }));
-        assert!(matches!(&came[1], Parcel::Round(letter) if *letter == news));
-        assert!(matches!(came[2], Parcel::Time { asked: 6 }) && came.len() == 3);
+        assert!(matches!(came[0], Frame::Time { asked: 5 }));
+        assert!(matches!(&came[1], Frame::Round(letter) if *letter == news));
+        assert!(matches!(came[2], Frame::Time { asked: 6 }) && came.len() == 3);
     });
 }
 
@@ -79,16 +79,16 @@
         let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
         let (listener, at) = trial::station().await;
         tokio::task::spawn_local(Peers::listen(sidecar.node_state.clone(), listener));
-        let counts = &sidecar.node_state.counts;
+        let counters = &sidecar.node_state.counters;
         let mut open = Vec::new();
         for _ in 0..GREETING {
             open.push(TestConnection::to(at).await);
         }
         assert_eq!(TestConnection::to(at).await.more().await, 0);
-        assert_eq!((counts.greeting.get(), counts.links_shut_out.get()), (GREETING, 1));
+        assert_eq!((counters.unidentified_links.get(), counters.rejected_links.get()), (GREETING, 1));
         // A first word that is too large to be one ends its link at once.
         open[0].say(&(HELLO as u32 + 1).to_le_bytes()).await;
         while open[0].more().await > 0 {}
-        assert_eq!((counts.greeting.get(), counts.strangers.get()), (GREETING - 1, 1));
+        assert_eq!((counters.unidentified_links.get(), counters.foreign_messages.get()), (GREETING - 1, 1));
     });
 }
--- a/crates/daemon/mesh/src/reload.rs
+++ b/crates/daemon/mesh/src/reload.rs
@@ -1,7 +1,7 @@
 //! Other settings in a running process: at SIGHUP, and when the file has changed. What can change takes hold; the rest is named; a
 //! file that can't be used changes nothing.
 use crate::node_state::NodeState;
-use crate::settings::{self, Boot};
+use crate::settings::{self, NodeSettings};
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -47,15 +47,15 @@
         return Looked::Same;
     }
     node_state.reload.seen.set(stamp);
-    let boot = match settings::read(&path) {
-        Ok(boot) => boot,
+    let settings = match settings::read(&path) {
+        Ok(settings) => settings,
         Err(why) => {
             warn!(node_state.log, "the settings file can't be used, nothing is changed"; "why" => &why);
             return Looked::Unusable(why);
         }
     };
-    let took = node_state.take(&boot);
-    let later = fixed(&node_state.boot, &boot);
+    let took = node_state.take(&settings);
+    let later = fixed(&node_state.settings, &settings);
     if !took.is_empty() {
         info!(node_state.log, "settings in force"; "keys" => took.join(" "));
     }
@@ -66,7 +66,7 @@
 }
 
 /// The keys that differ and are read at the start only.
-fn fixed(old: &Boot, new: &Boot) -> Vec<&'static str> {
+fn fixed(old: &NodeSettings, new: &NodeSettings) -> Vec<&'static str> {
     let pairs = [
         ("node", old.node != new.node),
         ("ip", old.ip != new.ip),
@@ -108,18 +108,21 @@
             let more = "heartbeatS: 0.7\nseeds: ['127.0.0.9:1']\nbounds: ['drainS=0', 'retrySlack=6']\n";
             write(&format!("{text}{more}"));
             assert_eq!(look(node_state, false), Looked::Taken(vec!["seeds", "heartbeatS", "bounds"], vec![]));
-            let live = node_state.live.get();
-            assert_eq!((live.beat, live.bounds.drain, live.bounds.retry_slack), (700_000, 0, 6.0));
+            let reloadable = node_state.reloadable.get();
+            assert_eq!(
+                (reloadable.beat, reloadable.bounds.drain, reloadable.bounds.retry_slack),
+                (700_000, 0, 6.0)
+            );
             // The gate goes by it: a leaving upstream gets nothing from here on.
             sidecar.beat();
             let draining = "{\"destination\":\"quotes\",\"state\":\"draining\",\"slots\":8,\"sequence\":2}";
-            node_state.beat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
+            node_state.upstream_heartbeat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
             let state = node_state.gate.with_admission(|w| w.station().map(|s| s.state));
             assert!(matches!(state, Some(State::Draining(until)) if until <= node_state.now()), "{state:?}");
             write("zone: ''\n");
             assert!(matches!(look(node_state, false), Looked::Unusable(_)));
             assert_eq!(look(node_state, false), Looked::Same);
-            assert_eq!(node_state.live.get(), live);
+            assert_eq!(node_state.reloadable.get(), reloadable);
             write(&format!("{text}{more}").replace("destination: quotes", "destination: other"));
             assert_eq!(look(node_state, false), Looked::Taken(vec![], vec!["destination"]));
             std::fs::remove_file(&path).expect("removed");
--- a/crates/daemon/mesh/src/response_replay_cache.rs
+++ b/crates/daemon/mesh/src/response_replay_cache.rs
@@ -121,7 +121,7 @@
                     Some(State::Off) => return Known::Off,
                     None if now < inner.blind_until || inner.states.len() >= MOST => return Known::Begun,
                     None => {
-                        if mutation::is(Mutation::NotBarred) {
+                        if mutation::is_active(Mutation::LateStartAllowed) {
                             return Known::Unseen;
                         }
                         // It may still be on its way.
@@ -171,7 +171,7 @@
         while let Some((_, ticket)) = inner.kept.pop_front_if(|k| k.0 + KEPT <= now) {
             inner.let_go(ticket);
         }
-        let span = if mutation::is(Mutation::TicketForgotten) { 0 } else { SPAN };
+        let span = if mutation::is_active(Mutation::ReplayEntryForgotten) { 0 } else { SPAN };
         while let Some((_, ticket)) = inner.ended.pop_front_if(|e| e.0 + span <= now) {
             inner.let_go(ticket);
             inner.states.remove(&ticket);
@@ -321,8 +321,8 @@
                 if way == Way::CutWhenTold {
                     m.relay.cut.notify_one();
                     // It goes on, and the origin's question waits for it.
-                    while m.gate.node_state.counts.orphans.get() == 0
-                        || m.origin.node_state.counts.asked.get() == 0
+                    while m.gate.node_state.counters.orphaned_requests.get() == 0
+                        || m.origin.node_state.counters.outcome_queries.get() == 0
                     {
                         tokio::task::yield_now().await;
                     }
@@ -332,7 +332,7 @@
                 assert_eq!(status(&head), "200", "{head}");
                 assert!(trial::value(&head, "waybill-life").is_none());
                 assert_eq!((client.bytes(2).await, m.ran("a")), (b"ok".to_vec(), 1));
-                assert_eq!(m.origin.node_state.counts.recovered.get(), 1);
+                assert_eq!(m.origin.node_state.counters.recovered_requests.get(), 1);
             }
         });
     }
@@ -357,7 +357,7 @@
             late.say(&kept).await;
             assert_eq!(late.head().await, "");
             assert_eq!(m.ran("b"), ran);
-            assert_eq!(m.origin.node_state.counts.recovered.get(), 1);
+            assert_eq!(m.origin.node_state.counters.recovered_requests.get(), 1);
         });
     }
 
@@ -418,7 +418,7 @@
             let word =
                 trial::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
             assert_eq!(
-                (word, m.gate.node_state.counts.orphans.get()),
+                (word, m.gate.node_state.counters.orphaned_requests.get()),
                 (Some(crate::forwarding_headers::GateStatus::Begun), 0)
             );
         });
--- a/crates/daemon/mesh/src/settings.rs
+++ b/crates/daemon/mesh/src/settings.rs
@@ -57,7 +57,7 @@
 
 /// What a process is told of itself and its machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Boot {
+pub struct NodeSettings {
     /// The machine's name, for logs.
     pub node: String,
     /// Whether it is one of the few that hold the control state.
@@ -93,12 +93,12 @@
     /// Its service.
     pub destination: String,
     /// What can change.
-    pub live: Live,
+    pub reloadable: ReloadableSettings,
 }
 
 /// What can change while the process runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Live {
+pub struct ReloadableSettings {
     /// Time between an upstream's beats, in microseconds.
     pub beat: i64,
     /// The figures of the rules.
@@ -169,7 +169,7 @@
     }
 }
 
-impl Boot {
+impl NodeSettings {
     /// The addresses of the seeds.
     pub fn seed_nodes(&self) -> Vec<u32> {
         let v4 = |s: &SocketAddr| match s.ip() {
@@ -181,7 +181,7 @@
 }
 
 /// Read the file and check it as a whole.
-pub fn read(path: &Path) -> Result<Boot, String> {
+pub fn read(path: &Path) -> Result<NodeSettings, String> {
     let named = path.display();
     let text = std::fs::read_to_string(path)
         .map_err(|e| format!("{named}: {e} (name a readable settings file in {VARIABLE})"))?;
@@ -189,7 +189,7 @@
 }
 
 /// Read settings from their text.
-pub fn parse(text: &str) -> Result<Boot, String> {
+pub fn parse(text: &str) -> Result<NodeSettings, String> {
     let file: File = Figment::from(Yaml::string(text)).extract().map_err(|e| {
         let key = e.path.join(".");
         let at = if key.is_empty() { String::new() } else { format!("{key}: ") };
@@ -221,7 +221,7 @@
         zones.push(file.zone.clone());
         zones.sort();
     }
-    Ok(Boot {
+    Ok(NodeSettings {
         core,
         zones,
         ip: file.ip,
@@ -239,7 +239,10 @@
         data: file.data_dir,
         station: file.local_station,
         destination: file.destination.unwrap_or_default(),
-        live: Live { beat: (file.heartbeat_s * 1e6) as i64, bounds: Bounds::read(&file.bounds)? },
+        reloadable: ReloadableSettings {
+            beat: (file.heartbeat_s * 1e6) as i64,
+            bounds: Bounds::read(&file.bounds)?,
+        },
     })
 }
 
@@ -254,10 +257,13 @@
 
     #[test]
     fn a_settings_file_is_read_and_what_it_does_not_know_disregarded() {
-        let boot = parse(SIDE).expect("well-formed");
-        assert_eq!((boot.core, boot.fresh, boot.live.beat), (false, true, 1_500_000));
-        assert_eq!((boot.live.bounds.drain, boot.live.bounds.grace), (3_000_000, 6_000_000));
-        assert_eq!(boot.zones, ["a", "b"]);
+        let settings = parse(SIDE).expect("well-formed");
+        assert_eq!((settings.core, settings.fresh, settings.reloadable.beat), (false, true, 1_500_000));
+        assert_eq!(
+            (settings.reloadable.bounds.drain, settings.reloadable.bounds.grace),
+            (3_000_000, 6_000_000)
+        );
+        assert_eq!(settings.zones, ["a", "b"]);
     }
 
     #[test]
--- a/crates/daemon/mesh/src/trial.rs
+++ b/crates/daemon/mesh/src/trial.rs
@@ -1,8 +1,8 @@
 //! Sidecars of one process on real sockets of loopback, with clients and upstreams of the test's own. What the tree would bring,
 //! records and the configuration, is handed to them.
-use crate::control_value::{ControlValue, Order, CONFIGURATION};
-use crate::node_state::{Beat, NodeState};
-use crate::peers::{Body, Peers, Station};
+use crate::control_value::{ControlChange, ControlValue, CONFIGURATION};
+use crate::node_state::{Heartbeat, NodeState};
+use crate::peers::{Peers, RecordBody, UpstreamRecord};
 use crate::{client_listener, settings, upstream_gate};
 use rand_core::SeedableRng;
 use silvercross_admission::AdmissionController;
@@ -93,20 +93,21 @@
          countersAt: {{inbound: '{inbound}', outbound: '{at}', ready: '{ip}:1'}}\n\
          internalPorts: [1, 1]\nfirstStart: true\nlocalStation: '{station}'\n"
     );
-    let mut boot = settings::parse(&text).expect("settings");
-    (boot.memory, boot.descriptors) = (terms.memory, terms.descriptors);
+    let mut settings = settings::parse(&text).expect("settings");
+    (settings.memory, settings.descriptors) = (terms.memory, terms.descriptors);
     let clock = silvercross_facade::Clock::read_by(now);
     let body =
-        Body { inbound: inbound.port(), control: 0, leaving: false, roster: Vec::new(), station: None };
+        RecordBody { inbound: inbound.port(), control: 0, leaving: false, roster: Vec::new(), station: None };
     let me = Node(ip.to_bits());
     let start = Start { me, zone: "a".into(), core: false, seeds: vec![], life: 1, seed: u64::from(last) };
     let mut membership = Membership::new(clock.now(), start, body);
     become_current(&mut membership, clock.now());
     let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
-    let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(boot.live.bounds.of_gate()));
+    let gate =
+        upstream_gate::UpstreamGate::new(AdmissionController::new(settings.reloadable.bounds.of_gate()));
     let peers = Peers::new(ip, 1, membership, None, udp);
     let chance = rand_pcg::Pcg64Mcg::seed_from_u64(u64::from(inbound.port()));
-    let node_state = NodeState::new(boot, Logger::root(Discard, o!()), gate, peers, clock, chance);
+    let node_state = NodeState::new(settings, Logger::root(Discard, o!()), gate, peers, clock, chance);
     tokio::task::spawn_local(client_listener::listen(node_state.clone(), outer));
     tokio::task::spawn_local(upstream_gate::listen(node_state.clone(), inner));
     tokio::task::spawn_local(upstream_gate::UpstreamGate::run_timer(node_state.clone()));
@@ -122,15 +123,15 @@
     );
     let patch = silvercross_mesh_config::read_patch(items.as_bytes()).expect("a configuration");
     let mut control_value = ControlValue::Blank;
-    control_value.apply(&Order::Patch(patch)).expect("applies");
-    node_state.page(CONFIGURATION, (1, 1, 1), control_value.clone());
+    control_value.apply(&ControlChange::Patch(patch)).expect("applies");
+    node_state.apply_control_entry(CONFIGURATION, (1, 1, 1), control_value.clone());
     (Sidecar { node_state, at, inbound, ip, control_value: Rc::new(RefCell::new(control_value)) }, text)
 }
 
 /// A core machine links with the sidecar, says that a majority has acknowledged nothing so far, and goes.
-fn become_current(membership: &mut Membership<Body>, now: i64) {
+fn become_current(membership: &mut Membership<RecordBody>, now: i64) {
     let node = Node(Ipv4Addr::new(127, 0, 0, 250).to_bits());
-    let body = Body { inbound: 0, control: 0, leaving: false, roster: Vec::new(), station: None };
+    let body = RecordBody { inbound: 0, control: 0, leaving: false, roster: Vec::new(), station: None };
     let record = Record { node, life: 1, seq: 1, zone: "a".into(), core: true, gone: false, body };
     let standing = Standing { path: vec![node], ..Standing::default() };
     membership.link_up(now, node);
@@ -156,17 +157,17 @@
         let text = format!(
             "{{\"destination\":\"{SERVICE}\",\"zone\":\"a\",\"slots\":8,\"state\":\"ready\",\"coldLeftS\":0,\"sequence\":1}}"
         );
-        let beat: Beat = serde_json::from_str(&text).expect("a beat");
-        assert!(self.node_state.beat(&format!("i-{}", self.ip), beat));
+        let beat: Heartbeat = serde_json::from_str(&text).expect("a beat");
+        assert!(self.node_state.upstream_heartbeat(&format!("i-{}", self.ip), beat));
     }
 
     /// Another page of the configuration: this change, on top of what stands.
     pub fn patch(&self, change: &str) {
         let patch = silvercross_mesh_config::read_patch(change.as_bytes()).expect("a change");
         let mut control_value = self.control_value.borrow_mut();
-        control_value.apply(&Order::Patch(patch)).expect("applies");
+        control_value.apply(&ControlChange::Patch(patch)).expect("applies");
         let change = self.node_state.revisions().get(CONFIGURATION).map_or(0, |r| r.2) + 1;
-        self.node_state.page(CONFIGURATION, (1, 1, change), control_value.clone().published());
+        self.node_state.apply_control_entry(CONFIGURATION, (1, 1, change), control_value.clone().published());
     }
 
     /// Other limits for clients: seconds idle, and bytes of a head.
@@ -181,9 +182,9 @@
     pub fn hears_of_core(&self, at: SocketAddr, zone: &str, leaving: bool, roster: &[Ipv4Addr]) {
         let IpAddr::V4(ip) = at.ip() else { return };
         let roster = roster.iter().map(|r| r.to_bits()).collect();
-        let body = Body { inbound: 0, control: at.port(), leaving, roster, station: None };
+        let body = RecordBody { inbound: 0, control: at.port(), leaving, roster, station: None };
         let node = Node(ip.to_bits());
-        self.node_state.record(Record {
+        self.node_state.apply_record(Record {
             node,
             life: 1,
             seq: 1,
@@ -196,7 +197,7 @@
 
     /// Tell this one of another and its upstream.
     pub fn hears_of(&self, other: &Sidecar) {
-        let station = Station {
+        let station = UpstreamRecord {
             id: format!("i-{}", other.ip),
             service: SERVICE.to_string(),
             slots: 8,
@@ -205,7 +206,7 @@
             colds: 0,
             cold: 0,
         };
-        let body = Body {
+        let body = RecordBody {
             inbound: other.inbound.port(),
             control: 0,
             leaving: false,
@@ -214,7 +215,7 @@
         };
         let node = Node(other.ip.to_bits());
         let record = Record { node, life: 1, seq: 1, zone: "a".into(), core: false, gone: false, body };
-        self.node_state.record(record);
+        self.node_state.apply_record(record);
     }
 }
 
--- a/crates/daemon/mesh/src/upstream_gate/delivery.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery.rs
@@ -56,7 +56,7 @@
     body_buffer: &Rc<BodyBuffer>,
     replay_entry: Option<&ReplayEntry>,
 ) -> Response {
-    let (Some(station), Some(id)) = (node_state.boot.station, asked.id.clone()) else {
+    let (Some(station), Some(id)) = (node_state.settings.station, asked.id.clone()) else {
         return says(GateStatus::Absent);
     };
     let started = Instant::now();
@@ -71,7 +71,7 @@
         // A refused connection is a sign that it is gone; its next beat says otherwise.
         let now = node_state.now();
         node_state.gate.with_admission(|w| w.silent(now));
-        node_state.station_silent();
+        node_state.mark_upstream_silent();
         return says(GateStatus::Absent);
     };
     let left = deadline - started.elapsed().as_micros() as i64;
@@ -87,7 +87,7 @@
     let now = node_state.now();
     node_state.gate.with_admission(|w| w.begun(now, number));
     replay_entry.iter().for_each(|r| r.begun());
-    node_state.counts.delivered.set(node_state.counts.delivered.get() + 1);
+    node_state.counters.delivered_requests.set(node_state.counters.delivered_requests.get() + 1);
     let coming = body_buffer.rest.as_ref().map(|_| body_buffer);
     let bodiless = asked.method == "HEAD";
     let order = Order { to: station, bytes: &request, coming, awaits: false, id: &id, bodiless };
@@ -133,7 +133,7 @@
         }
         Verdict::Turn { why, retry_after } => {
             node_state.gate.waiting.borrow_mut().remove(&number);
-            node_state.counts.turned.set(node_state.counts.turned.get() + 1);
+            node_state.counters.rejected_by_gate.set(node_state.counters.rejected_by_gate.get() + 1);
             return Err(word(why, retry_after));
         }
         Verdict::Wait => {
@@ -143,7 +143,7 @@
             match said {
                 Ok(Ok(())) => {}
                 Ok(Err(word)) => {
-                    node_state.counts.turned.set(node_state.counts.turned.get() + 1);
+                    node_state.counters.rejected_by_gate.set(node_state.counters.rejected_by_gate.get() + 1);
                     return Err(word);
                 }
                 Err(_) => return Err(GateStatus::Absent),
--- a/crates/daemon/mesh/src/upstream_gate/hops.rs
+++ b/crates/daemon/mesh/src/upstream_gate/hops.rs
@@ -4,7 +4,7 @@
 use super::{large, NO_ROOM};
 use crate::body_buffer::BodyBuffer;
 use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus};
-use crate::node_state::{Counted, Door, NodeState};
+use crate::node_state::{ConnectionKind, GaugeGuard, NodeState};
 use crate::peer_connection;
 use crate::response_replay_cache::ReplayEntry;
 use crate::wire::{self, Connection, ConnectionEvent, PeerKind, ReadError, RequestHead};
@@ -34,15 +34,15 @@
             continue;
         };
         peer_connection::set_liveness_options(&stream);
-        let open = node_state.counts.hops.get();
+        let open = node_state.counters.hop_connections.get();
         let leaving = node_state.gate.leaving.get();
-        let full = open - leaving.min(open) >= (node_state.boot.descriptors / CONNECTIONS).max(1);
-        if full && node_state.counts.hops_idle.get() > leaving {
+        let full = open - leaving.min(open) >= (node_state.settings.descriptors / CONNECTIONS).max(1);
+        if full && node_state.counters.idle_hop_connections.get() > leaving {
             // The one that has been idle for longest makes place.
             node_state.gate.leaving.set(leaving + 1);
             node_state.gate.room.notify_one();
         } else if full {
-            node_state.shut_out(Door::Inbound);
+            node_state.reject_connection(ConnectionKind::Inbound);
             if turning.get() < TURNING {
                 turning.set(turning.get() + 1);
                 let turning = turning.clone();
@@ -54,7 +54,7 @@
             continue;
         }
         let node_state = node_state.clone();
-        let counted = Counted::new(&node_state, |c| &c.hops);
+        let counted = GaugeGuard::new(&node_state, |c| &c.hop_connections);
         tokio::task::spawn_local(async move {
             let _counted = counted;
             let mut line = Connection::new(stream, PeerKind::Sidecar);
@@ -145,7 +145,7 @@
 
 /// Whether a request has come; an idle connection may have to make place for another.
 async fn requested(node_state: &Rc<NodeState>, line: &mut Connection) -> bool {
-    let _idle = Counted::new(node_state, |c| &c.hops_idle);
+    let _idle = GaugeGuard::new(node_state, |c| &c.idle_hop_connections);
     tokio::select! {
         came = line.awaits(IDLE) => came,
         () = node_state.gate.room.notified() => {
@@ -176,7 +176,7 @@
                     // Its origin will ask for it.
                     ConnectionEvent::Broke if replay_entry.is_some() => {
                         broke = true;
-                        node_state.counts.orphans.set(node_state.counts.orphans.get() + 1);
+                        node_state.counters.orphaned_requests.set(node_state.counters.orphaned_requests.get() + 1);
                     }
                     // An origin that hangs up has called the attempt off.
                     ConnectionEvent::Broke | ConnectionEvent::Closed | ConnectionEvent::More => return false,
--- a/crates/daemon/mesh/src/upstream_gate/large.rs
+++ b/crates/daemon/mesh/src/upstream_gate/large.rs
@@ -57,7 +57,10 @@
             Ok(()) => {
                 if line.stirs().await == ConnectionEvent::Broke && once {
                     // It is here whole: its origin will ask for it.
-                    node_state.counts.orphans.set(node_state.counts.orphans.get() + 1);
+                    node_state
+                        .counters
+                        .orphaned_requests
+                        .set(node_state.counters.orphaned_requests.get() + 1);
                     std::future::pending().await
                 }
             }
@@ -97,7 +100,7 @@
             if let Ok(Ok(turn)) = turn {
                 return Ok(Some(turn));
             }
-            node_state.counts.turned.set(node_state.counts.turned.get() + 1);
+            node_state.counters.rejected_by_gate.set(node_state.counters.rejected_by_gate.get() + 1);
             let (bytes, _) = back(asked, &mut says(GateStatus::Full(patience)), life, false);
             Err(line.write(&bytes).await.is_ok())
         }
--- a/crates/daemon/mesh/src/upstream_gate/tests.rs
+++ b/crates/daemon/mesh/src/upstream_gate/tests.rs
@@ -43,22 +43,22 @@
         let (_, at) = trial::station().await;
         let terms = SidecarOptions { descriptors: 2 * super::hops::CONNECTIONS, ..SidecarOptions::default() };
         let gate = trial::sidecar(2, at, terms).await;
-        let counts = &gate.node_state.counts;
+        let counters = &gate.node_state.counters;
         let (mut one, mut two) =
             (TestConnection::to(gate.inbound).await, TestConnection::to(gate.inbound).await);
         // Neither is idle.
         one.say(b"GET").await;
         two.say(b"GET").await;
-        while counts.hops.get() < 2 || counts.hops_idle.get() > 0 {
+        while counters.hop_connections.get() < 2 || counters.idle_hop_connections.get() > 0 {
             tokio::task::yield_now().await;
         }
         let mut three = TestConnection::to(gate.inbound).await;
         let head = three.head().await;
         let word = trial::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
         assert_eq!(word, Some(crate::forwarding_headers::GateStatus::Full(super::NO_ROOM)));
-        assert_eq!((counts.hops.get(), counts.hops_shut_out.get()), (2, 1));
+        assert_eq!((counters.hop_connections.get(), counters.rejected_hops.get()), (2, 1));
         drop(one);
-        while counts.hops.get() > 1 {
+        while counters.hop_connections.get() > 1 {
             tokio::task::yield_now().await;
         }
         let mut four = TestConnection::to(gate.inbound).await;
@@ -69,6 +69,6 @@
         assert_eq!(four.more().await, 0);
         five.say(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
         assert!(trial::value(&five.head().await, "waybill-life").is_some());
-        assert_eq!((counts.hops.get(), counts.hops_shut_out.get()), (2, 1));
+        assert_eq!((counters.hop_connections.get(), counters.rejected_hops.get()), (2, 1));
     });
 }
--- a/crates/daemon/mesh/src/wire/line.rs
+++ b/crates/daemon/mesh/src/wire/line.rs
@@ -53,7 +53,7 @@
     /// only of what had come when it last looked.
     pub fn is_fresh(&self) -> bool {
         let Side::Whole(stream) = &self.side else { return false };
-        if mutation::is(Mutation::SurplusKept) {
+        if mutation::is_active(Mutation::SurplusBytesKept) {
             return true;
         }
         let mut byte = [MaybeUninit::uninit(); 1];
@@ -63,7 +63,7 @@
 
     /// Something came behind the last message.
     pub fn has_surplus(&self) -> bool {
-        !self.come.is_empty() && !mutation::is(Mutation::SurplusKept)
+        !self.come.is_empty() && !mutation::is_active(Mutation::SurplusBytesKept)
     }
 
     /// Whether both halves are here.
