--- a/crates/testing/history-checker/src/history.rs
+++ b/crates/testing/history-checker/src/history.rs
@@ -1,5 +1,5 @@
 //! What happened, in order of time. Times are microseconds on the driver's one clock.
-use crate::records::{Answer, Call};
+use crate::idempotency::{Answer, Invocation};
 use serde::{Deserialize, Serialize};
 
 /// A process of the fleet, counted by its start: a restart is another one.
@@ -10,7 +10,7 @@
 /// How somebody holds a member to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Held {
+pub enum MemberState {
     /// There.
     Alive,
     /// In doubt.
@@ -21,27 +21,27 @@
     Left,
 }
 
-impl Held {
+impl MemberState {
     /// Whether it counts as there.
     pub fn is_live(self) -> bool {
-        matches!(self, Held::Alive | Held::Suspect)
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
 /// A member in somebody's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ListedMember {
     /// Its identity, as it is shown.
     pub id: String,
     /// How it is held to be.
-    pub state: Held,
+    pub state: MemberState,
     /// How new that is.
     pub incarnation: u64,
 }
 
 /// One process' list, as it was asked for and told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Look {
+pub struct MemberList {
     /// Whose.
     pub by: Process,
     /// The identity it says it has.
@@ -51,7 +51,7 @@
     /// How many it says send.
     pub senders: Option<usize>,
     /// All others in its list.
-    pub others: Vec<Seen>,
+    pub others: Vec<ListedMember>,
     /// Upstreams that it holds to be draining.
     #[serde(default)]
     pub drains: Vec<String>,
@@ -60,7 +60,7 @@
 /// What was done, or seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum EventKind {
     /// A process was started on a machine.
     Started {
         /// Which.
@@ -103,7 +103,8 @@
         machines: Vec<usize>,
     },
     /// A process told its list. Asked at the event's time, answered by `end`.
-    Look(Look),
+    #[serde(rename = "look")]
+    MemberList(MemberList),
     /// A client's request: asked at the event's time, answered by `end`.
     Request {
         /// Which process it went to.
@@ -118,7 +119,7 @@
         /// The key.
         key: String,
         /// What was asked.
-        call: Call,
+        call: Invocation,
         /// The answer.
         answer: Option<Answer>,
     },
@@ -153,7 +154,7 @@
     /// When it was over; the same for what takes no time.
     pub end: Micros,
     /// What it was.
-    pub what: What,
+    pub what: EventKind,
 }
 
 /// All of it.
@@ -165,12 +166,12 @@
 
 impl History {
     /// Something that took no time.
-    pub fn now(&mut self, at: Micros, what: What) {
+    pub fn now(&mut self, at: Micros, what: EventKind) {
         self.events.push(Event { at, end: at, what });
     }
 
     /// Something that was asked and answered.
-    pub fn took(&mut self, at: Micros, end: Micros, what: What) {
+    pub fn took(&mut self, at: Micros, end: Micros, what: EventKind) {
         self.events.push(Event { at, end, what });
     }
 
--- a/crates/testing/history-checker/src/records.rs
+++ b/crates/testing/history-checker/src/idempotency.rs
@@ -6,16 +6,16 @@
 //! | `twice` | a keyed request has its effect once | a take that two hold, a take that was lost |
 //! | `mark_lost` | an answer that was marked is the answer to that key ever after | an answer before its commit, before its sync, a lost or forgotten log |
 //! | `unanswered` | a settled while after calm, whatever is asked is answered | no way back to a leader |
-use crate::history::{History, Micros, What};
-use crate::linear::{self, Object, Operation, Verdict as Linear};
-use crate::membership::{Breach, MOST};
+use crate::history::{EventKind, History, Micros};
+use crate::linearizability::{self, Linearizability, Object, Operation};
+use crate::membership::{Violation, MAX_VIOLATIONS_IN_WORDS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// What is asked of a key. Values are numbers that clients never use twice; 0: none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Call {
+pub enum Invocation {
     /// A document's value is to be this.
     Put(u64),
     /// The same, if it is the first now.
@@ -23,11 +23,14 @@
     /// What is it?
     Get,
     /// This client takes a keyed request.
-    Take(u64),
+    #[serde(rename = "take")]
+    Claim(u64),
     /// And holds its answer.
-    Hold(u64, u64),
+    #[serde(rename = "hold")]
+    Complete(u64, u64),
     /// And gives it back: it never ran.
-    Give(u64),
+    #[serde(rename = "give")]
+    Release(u64),
 }
 
 /// The answer.
@@ -37,13 +40,16 @@
     /// Done.
     Done,
     /// Not done: it was something else.
-    Other,
+    #[serde(rename = "other")]
+    Mismatch,
     /// This.
     Value(u64),
     /// Nobody had taken it.
-    Yours,
+    #[serde(rename = "yours")]
+    Claimed,
     /// Somebody has, and there is no answer.
-    Busy,
+    #[serde(rename = "busy")]
+    InProgress,
 }
 
 /// A key's state: nothing, taken by whom, or a value.
@@ -62,32 +68,32 @@
 
 impl Object for Key {
     type State = State;
-    type Call = Call;
+    type Invocation = Invocation;
     type Answer = Answer;
 
     fn first(&self) -> State {
         State::None
     }
 
-    fn after(&self, state: &State, call: &Call, answer: Option<&Answer>) -> Option<State> {
+    fn after(&self, state: &State, call: &Invocation, answer: Option<&Answer>) -> Option<State> {
         let value = match state {
             State::Value(v) => *v,
             _ => 0,
         };
         let (next, says) = match *call {
-            Call::Put(v) => (State::Value(v), Answer::Done),
-            Call::Cas(old, new) if old == value => (State::Value(new), Answer::Done),
-            Call::Cas(..) => (*state, Answer::Other),
-            Call::Get => (*state, Answer::Value(value)),
-            Call::Take(by) => match state {
-                State::None => (State::Taken(by), Answer::Yours),
-                State::Taken(_) => (*state, Answer::Busy),
+            Invocation::Put(v) => (State::Value(v), Answer::Done),
+            Invocation::Cas(old, new) if old == value => (State::Value(new), Answer::Done),
+            Invocation::Cas(..) => (*state, Answer::Mismatch),
+            Invocation::Get => (*state, Answer::Value(value)),
+            Invocation::Claim(by) => match state {
+                State::None => (State::Taken(by), Answer::Claimed),
+                State::Taken(_) => (*state, Answer::InProgress),
                 State::Value(v) => (*state, Answer::Value(*v)),
             },
-            Call::Hold(by, v) if *state == State::Taken(by) => (State::Value(v), Answer::Done),
-            Call::Hold(..) => (*state, Answer::Other),
-            Call::Give(by) if *state == State::Taken(by) => (State::None, Answer::Done),
-            Call::Give(_) => (*state, Answer::Other),
+            Invocation::Complete(by, v) if *state == State::Taken(by) => (State::Value(v), Answer::Done),
+            Invocation::Complete(..) => (*state, Answer::Mismatch),
+            Invocation::Release(by) if *state == State::Taken(by) => (State::None, Answer::Done),
+            Invocation::Release(_) => (*state, Answer::Mismatch),
         };
         answer.is_none_or(|a| *a == says).then_some(next)
     }
@@ -95,11 +101,11 @@
 
 /// What came of a check.
 #[derive(Clone, Debug, Default)]
-pub struct Verdict {
-    /// Promises broken; [`MOST`] of a kind in words.
-    pub breaches: Vec<Breach>,
+pub struct IdempotencyReport {
+    /// Promises broken; [`MAX_VIOLATIONS_IN_WORDS`] of a kind in words.
+    pub violations: Vec<Violation>,
     /// How many of each.
-    pub count: BTreeMap<&'static str, usize>,
+    pub violation_counts: BTreeMap<&'static str, usize>,
     /// Operations, and how many of them were answered.
     pub operations: (usize, usize),
     /// Marked answers.
@@ -116,29 +122,29 @@
     pub answered_after: Option<Micros>,
 }
 
-impl Verdict {
+impl IdempotencyReport {
     fn breach(&mut self, property: &'static str, at: Micros, text: String) {
-        let n = self.count.entry(property).or_default();
+        let n = self.violation_counts.entry(property).or_default();
         *n += 1;
-        if *n <= MOST {
-            self.breaches.push(Breach { property, at, text });
+        if *n <= MAX_VIOLATIONS_IN_WORDS {
+            self.violations.push(Violation { property, at, text });
         }
     }
 }
 
 /// Hold a history against what is promised. `settle`: so long after calm everything that is asked is answered; `once`: requests
 /// are refused, not served unmarked, while most holders can't be asked, so that effects come once.
-pub fn check(history: &History, settle: Micros, once: bool) -> Verdict {
-    let mut v = Verdict::default();
-    let mut keys: BTreeMap<&str, Vec<Operation<Call, Answer>>> = BTreeMap::new();
+pub fn check(history: &History, settle: Micros, once: bool) -> IdempotencyReport {
+    let mut v = IdempotencyReport::default();
+    let mut keys: BTreeMap<&str, Vec<Operation<Invocation, Answer>>> = BTreeMap::new();
     let mut effects: BTreeMap<&str, Vec<(Micros, &str)>> = BTreeMap::new();
     let mut marks: BTreeMap<&str, (Micros, &str)> = BTreeMap::new();
     let mut calm: Option<Micros> = None;
     for e in &history.events {
         match &e.what {
-            What::Calm => calm = Some(e.at),
-            What::Cut { .. } | What::Hampered { .. } | What::Ended { .. } => calm = None,
-            What::Operation { key, call, answer, .. } => {
+            EventKind::Calm => calm = Some(e.at),
+            EventKind::Cut { .. } | EventKind::Hampered { .. } | EventKind::Ended { .. } => calm = None,
+            EventKind::Operation { key, call, answer, .. } => {
                 v.operations.0 += 1;
                 v.operations.1 += usize::from(answer.is_some());
                 let ended = answer.is_some().then_some(e.end);
@@ -149,11 +155,11 @@
                     answer: *answer,
                 });
             }
-            What::Effect { key, by } => {
+            EventKind::Effect { key, by } => {
                 v.effects += 1;
                 effects.entry(key).or_default().push((e.at, by));
             }
-            What::Marked { key, answer } => match marks.get(key.as_str()) {
+            EventKind::Marked { key, answer } => match marks.get(key.as_str()) {
                 None => {
                     v.marked += 1;
                     marks.insert(key, (e.end, answer));
@@ -169,7 +175,7 @@
     }
     let mut given: Vec<Micros> = Vec::new();
     for e in &history.events {
-        if matches!(e.what, What::Marked { .. }) && e.at > 0 {
+        if matches!(e.what, EventKind::Marked { .. }) && e.at > 0 {
             given.push(e.end);
         }
     }
@@ -177,7 +183,7 @@
     v.longest_dark = given.windows(2).map(|w| w[1] - w[0]).max().unwrap_or(0);
     // Whatever answered without a mark something else to a key that was marked before.
     for e in &history.events {
-        if let (What::Unmarked { key, answer }, true) = (&e.what, once) {
+        if let (EventKind::Unmarked { key, answer }, true) = (&e.what, once) {
             if let Some((at, before)) = marks.get(key.as_str()).filter(|m| m.0 < e.at) {
                 if before != answer {
                     let text =
@@ -188,10 +194,10 @@
         }
     }
     for (key, ops) in &keys {
-        match linear::check(&Key, ops) {
-            Linear::Holds => {}
-            Linear::TooHard => v.too_hard += 1,
-            Linear::Broken { ordered } => {
+        match linearizability::check(&Key, ops) {
+            Linearizability::Linearizable => {}
+            Linearizability::SearchLimitReached => v.too_hard += 1,
+            Linearizability::NotLinearizable { ordered } => {
                 let mut ops = ops.clone();
                 ops.sort_by_key(|o| o.ended.unwrap_or(i64::MAX));
                 let near = ops.iter().skip(ordered.saturating_sub(2)).take(5);
@@ -210,7 +216,7 @@
         let last = history.events.iter().map(|e| e.end).max().unwrap_or(0);
         let bound = calm + settle;
         for e in history.events.iter().filter(|e| e.at > calm) {
-            if let What::Operation { answer, key, .. } = &e.what {
+            if let EventKind::Operation { answer, key, .. } = &e.what {
                 let took = e.end - calm;
                 if answer.is_some() && v.answered_after.is_none_or(|a| took < a) {
                     v.answered_after = Some(took);
--- a/crates/testing/history-checker/src/lib.rs
+++ b/crates/testing/history-checker/src/lib.rs
@@ -4,8 +4,8 @@
 #![forbid(unsafe_code)]
 
 pub mod history;
-pub mod linear;
+pub mod idempotency;
+pub mod linearizability;
 pub mod membership;
-pub mod records;
 
-pub use history::{Event, Held, History, Look, Process, Seen, What};
+pub use history::{Event, EventKind, History, ListedMember, MemberList, MemberState, Process};
--- a/crates/testing/history-checker/src/linear.rs
+++ b/crates/testing/history-checker/src/linearizability.rs
@@ -10,7 +10,7 @@
     /// Its state.
     type State: Clone + Eq + Hash;
     /// What is asked of it.
-    type Call;
+    type Invocation;
     /// What it answers.
     type Answer;
     /// Its state at first.
@@ -19,7 +19,7 @@
     fn after(
         &self,
         state: &Self::State,
-        call: &Self::Call,
+        call: &Self::Invocation,
         answer: Option<&Self::Answer>,
     ) -> Option<Self::State>;
 }
@@ -37,21 +37,21 @@
     pub answer: Option<A>,
 }
 
-/// States looked at, at most; beyond it the verdict is [`Verdict::TooHard`].
-pub const MOST: usize = 4_000_000;
+/// States looked at, at most; beyond it the verdict is [`Linearizability::SearchLimitReached`].
+pub const MAX_SEARCH_STATES: usize = 4_000_000;
 
 /// What came of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Linearizability {
     /// There is such an order.
-    Holds,
+    Linearizable,
     /// There is none; so many operations could be put in order, the answered ones by their end.
-    Broken {
+    NotLinearizable {
         /// The longest beginning that could be.
         ordered: usize,
     },
     /// It was not found out.
-    TooHard,
+    SearchLimitReached,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
@@ -69,21 +69,21 @@
 }
 
 /// Whether the operations on one object can be put in order.
-pub fn check<O: Object>(object: &O, operations: &[Operation<O::Call, O::Answer>]) -> Verdict {
+pub fn check<O: Object>(object: &O, operations: &[Operation<O::Invocation, O::Answer>]) -> Linearizability {
     let mut order: Vec<usize> = (0..operations.len()).collect();
     order.sort_by_key(|i| operations[*i].began);
-    let ops: Vec<&Operation<O::Call, O::Answer>> = order.iter().map(|i| &operations[*i]).collect();
+    let ops: Vec<&Operation<O::Invocation, O::Answer>> = order.iter().map(|i| &operations[*i]).collect();
     let answered = ops.iter().filter(|o| o.ended.is_some()).count();
     let mut tried: HashSet<(Done, O::State)> = HashSet::new();
     let mut stack = vec![(Done(vec![0; ops.len() / 64 + 1]), object.first(), 0)];
     let mut best = 0;
     while let Some((done, state, count)) = stack.pop() {
         if count == answered {
-            return Verdict::Holds;
+            return Linearizability::Linearizable;
         }
         best = best.max(count);
-        if tried.len() > MOST {
-            return Verdict::TooHard;
+        if tried.len() > MAX_SEARCH_STATES {
+            return Linearizability::SearchLimitReached;
         }
         if !tried.insert((done.clone(), state.clone())) {
             continue;
@@ -105,5 +105,5 @@
             }
         }
     }
-    Verdict::Broken { ordered: best }
+    Linearizability::NotLinearizable { ordered: best }
 }
--- a/crates/testing/history-checker/src/membership.rs
+++ b/crates/testing/history-checker/src/membership.rs
@@ -12,12 +12,12 @@
 //! | `halved` | who was listed and never left counts as sending until it has been gone for the settled while | the living alone counted |
 //! | `drain_unheard` | at the end everybody who runs holds each drain that was told to anybody | drains that are not told on |
 //! | `drain_lost` | an upstream's drain, once held by a process, holds until its own list is as new | drains that expire |
-use crate::history::{Held, History, Look, Micros, Process, What};
+use crate::history::{EventKind, History, MemberList, MemberState, Micros, Process};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A promise broken, with the shortest piece of history that shows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// Which property.
     pub property: &'static str,
     /// When.
@@ -28,15 +28,15 @@
 
 /// What came of a check.
 #[derive(Clone, Debug, Default)]
-pub struct Verdict {
-    /// Promises broken; [`MOST`] of a kind are kept in words, all are counted in `count`.
-    pub breaches: Vec<Breach>,
+pub struct MembershipReport {
+    /// Promises broken; [`MAX_VIOLATIONS_IN_WORDS`] of a kind are kept in words, all are counted in `count`.
+    pub violations: Vec<Violation>,
     /// How many of each.
-    pub count: BTreeMap<&'static str, usize>,
+    pub violation_counts: BTreeMap<&'static str, usize>,
     /// From the last `Calm` to when all lists agreed with the truth for good; `None`: they never did.
     pub agreed_after: Option<Micros>,
     /// Lists looked at.
-    pub looks: usize,
+    pub lists_read: usize,
     /// Lists in which somebody who ran was held failed, whether or not that was to be.
     pub failed_while_running: usize,
     /// The views told, and how often.
@@ -48,7 +48,7 @@
 }
 
 /// Breaches of a kind kept in words.
-pub const MOST: usize = 5;
+pub const MAX_VIOLATIONS_IN_WORDS: usize = 5;
 
 #[derive(Default)]
 struct Truth {
@@ -110,12 +110,12 @@
 
 struct Check {
     truth: Truth,
-    verdict: Verdict,
+    verdict: MembershipReport,
     settle: Micros,
     /// The last incarnation that a process was seen to hold of an identity.
     held: BTreeMap<(Process, String), u64>,
     /// The last list of each.
-    last: BTreeMap<Process, Look>,
+    last: BTreeMap<Process, MemberList>,
     told_drains: BTreeSet<String>,
     /// Who still has to be seen to hold a drain, since when.
     awaited: BTreeMap<(String, Process), Micros>,
@@ -124,15 +124,15 @@
 
 impl Check {
     fn breach(&mut self, property: &'static str, at: Micros, text: String) {
-        let n = self.verdict.count.entry(property).or_default();
+        let n = self.verdict.violation_counts.entry(property).or_default();
         *n += 1;
-        if *n <= MOST {
-            self.verdict.breaches.push(Breach { property, at, text });
+        if *n <= MAX_VIOLATIONS_IN_WORDS {
+            self.verdict.violations.push(Violation { property, at, text });
         }
     }
 
-    fn look(&mut self, at: Micros, l: &Look) {
-        self.verdict.looks += 1;
+    fn look(&mut self, at: Micros, l: &MemberList) {
+        self.verdict.lists_read += 1;
         *self.verdict.views.entry(l.view.clone()).or_default() += 1;
         if let Some(n) = l.senders {
             let (least, most) = self.verdict.senders.unwrap_or((n, n));
@@ -154,7 +154,7 @@
                 self.breach("backwards", at, text);
             }
             // One that has stood down hears no more.
-            if s.state != Held::Failed || l.view == "out" {
+            if s.state != MemberState::Failed || l.view == "out" {
                 continue;
             }
             // One that has stood down takes no part, and may be held anything.
@@ -212,12 +212,13 @@
     }
 
     /// Everyone on the list who did not leave counts, except who ended so long ago that it may have been forgotten.
-    fn count_senders(&mut self, at: Micros, l: &Look) {
+    fn count_senders(&mut self, at: Micros, l: &MemberList) {
         let Some(said) = l.senders else { return };
         // Two processes of one identity are listed as one.
         let there: BTreeSet<&String> =
             self.truth.running.iter().filter_map(|p| self.truth.id.get(p)).collect();
-        let there = l.others.iter().filter(|s| s.state != Held::Left && there.contains(&s.id)).count() + 1;
+        let there =
+            l.others.iter().filter(|s| s.state != MemberState::Left && there.contains(&s.id)).count() + 1;
         if said < there {
             let text = format!("process {} says that {said} send, where {there} that it lists run", l.by);
             self.breach("halved", at, text);
@@ -279,10 +280,10 @@
 }
 
 /// Hold a history against the promises.
-pub fn check(history: &History, settle: Micros) -> Verdict {
+pub fn check(history: &History, settle: Micros) -> MembershipReport {
     let mut c = Check {
         truth: Truth::default(),
-        verdict: Verdict::default(),
+        verdict: MembershipReport::default(),
         settle,
         held: BTreeMap::new(),
         last: BTreeMap::new(),
@@ -294,7 +295,7 @@
     for e in &history.events {
         end = end.max(e.end);
         match &e.what {
-            What::Started { process, machine, fresh } => {
+            EventKind::Started { process, machine, fresh } => {
                 if *fresh {
                     c.truth.fresh.insert(*process);
                 }
@@ -302,7 +303,7 @@
                 c.truth.running.insert(*process);
                 c.truth.started.insert(*process, e.at);
             }
-            What::Ended { process, told } => {
+            EventKind::Ended { process, told } => {
                 c.truth.running.remove(process);
                 c.truth.ended.insert(*process, e.at);
                 c.truth.hampered.remove(process);
@@ -310,12 +311,12 @@
                     c.truth.left.insert(*process);
                 }
             }
-            What::Hampered { process } => drop(c.truth.hampered.insert(*process)),
-            What::Free { process } => {
+            EventKind::Hampered { process } => drop(c.truth.hampered.insert(*process)),
+            EventKind::Free { process } => {
                 c.truth.hampered.remove(process);
                 c.truth.free_since.insert(*process, e.at);
             }
-            What::Cut { pairs } => {
+            EventKind::Cut { pairs } => {
                 let new: BTreeSet<_> = pairs.iter().copied().collect();
                 let differ: Vec<_> = new.symmetric_difference(&c.truth.cut).copied().collect();
                 for pair in differ {
@@ -323,9 +324,9 @@
                 }
                 c.truth.cut = new;
             }
-            What::Calm => (calm, wrong) = (Some(e.at), None),
-            What::DrainTold { host, machines } => c.drain_told(e.at, host, machines),
-            What::Look(l) => {
+            EventKind::Calm => (calm, wrong) = (Some(e.at), None),
+            EventKind::DrainTold { host, machines } => c.drain_told(e.at, host, machines),
+            EventKind::MemberList(l) => {
                 // A list told by a process that had ended meanwhile, or not yet been noted as started, shows nothing.
                 if !c.truth.running.contains(&l.by) {
                     continue;
@@ -335,15 +336,16 @@
                     wrong = Some(e.end);
                 }
             }
-            What::Request { .. }
-            | What::Operation { .. }
-            | What::Effect { .. }
-            | What::Marked { .. }
-            | What::Unmarked { .. } => {}
+            EventKind::Request { .. }
+            | EventKind::Operation { .. }
+            | EventKind::Effect { .. }
+            | EventKind::Marked { .. }
+            | EventKind::Unmarked { .. } => {}
         }
     }
     c.at_end(end);
-    let all_right = !c.verdict.count.contains_key("not_found") && !c.verdict.count.contains_key("ghost");
+    let all_right = !c.verdict.violation_counts.contains_key("not_found")
+        && !c.verdict.violation_counts.contains_key("ghost");
     c.verdict.agreed_after = calm.filter(|_| all_right).map(|calm| wrong.map_or(0, |w| w - calm));
     c.verdict
 }
--- a/crates/tools/scenario-runner/src/fleet/figures.rs
+++ b/crates/tools/scenario-runner/src/fleet/figures.rs
@@ -1,8 +1,8 @@
 //! What a run of a fleet comes to: the judge's verdict and what it cost, by names that scripts expect things of.
 use super::script::{Expect, FleetScript};
 use serde::Serialize;
-use silvercross_history_checker::membership::{self, Verdict};
-use silvercross_history_checker::{History, What};
+use silvercross_history_checker::membership::{self, MembershipReport};
+use silvercross_history_checker::{EventKind, History};
 use std::collections::BTreeMap;
 
 /// All figures of a run. Times are in protocol periods.
@@ -43,15 +43,23 @@
     ) -> Self {
         let period = script.fleet.period_ms * 1e3;
         let verdict = membership::check(history, (script.settle() * period) as i64);
-        let Verdict { breaches, count, agreed_after, looks, failed_while_running, views, .. } = verdict;
+        let MembershipReport {
+            violations,
+            violation_counts,
+            agreed_after,
+            lists_read,
+            failed_while_running,
+            views,
+            ..
+        } = verdict;
         let (senders, drain) = (verdict.senders, verdict.drain_known_after);
         figures.extend(drain.map(|d| ("drain_known_after".to_string(), d as f64 / period)));
-        figures.insert("breaches".into(), count.values().sum::<usize>() as f64);
-        for (property, n) in count {
+        figures.insert("breaches".into(), violation_counts.values().sum::<usize>() as f64);
+        for (property, n) in violation_counts {
             figures.insert(format!("breaches.{property}"), n as f64);
         }
         figures.extend(agreed_after.map(|a| ("agreed_after".to_string(), a as f64 / period)));
-        figures.insert("looks".into(), looks as f64);
+        figures.insert("looks".into(), lists_read as f64);
         figures.insert("failed_while_running".into(), failed_while_running as f64);
         figures.insert("settle".into(), script.settle());
         if let Some((least, most)) = senders {
@@ -60,7 +68,7 @@
         }
         let (mut served, mut refused, mut other) = (0u64, 0u64, 0u64);
         for e in &history.events {
-            if let What::Request { status, .. } = &e.what {
+            if let EventKind::Request { status, .. } = &e.what {
                 match status {
                     200 => served += 1,
                     429 | 503 => refused += 1,
@@ -78,14 +86,14 @@
             figures.insert(format!("view.{view}"), *n as f64);
         }
         let words =
-            |b: membership::Breach| format!("{:.1}: {}: {}", b.at as f64 / period, b.property, b.text);
+            |b: membership::Violation| format!("{:.1}: {}: {}", b.at as f64 / period, b.property, b.text);
         let mut new = FleetFigures {
             script: script.name.clone(),
             mode,
             seed,
             void: None,
             figures,
-            breaches: breaches.into_iter().map(words).collect(),
+            breaches: violations.into_iter().map(words).collect(),
             expectations: Vec::new(),
             views,
         };
--- a/crates/tools/scenario-runner/src/fleet/sim.rs
+++ b/crates/tools/scenario-runner/src/fleet/sim.rs
@@ -5,7 +5,7 @@
 use super::script::{Fault, FleetScript, Kind};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use silvercross_history_checker::{Held, History, Look, Seen, What};
+use silvercross_history_checker::{EventKind, History, ListedMember, MemberList, MemberState};
 use silvercross_swim::rumours::Rumour;
 use silvercross_swim::wire::{Fleet, From, Message, Packet};
 use silvercross_swim::{Config, Event, Identity, Incarnation, Members, Mutant, Start, State};
@@ -228,7 +228,7 @@
         });
         self.at.insert(at, number);
         self.detected.remove(&self.procs[number].members.me().id);
-        self.history.now(self.now, What::Started { process: number, machine, fresh });
+        self.history.now(self.now, EventKind::Started { process: number, machine, fresh });
         self.procs[number].members.list_is(self.seq.min(1), true, std::iter::empty());
         self.pump(number);
     }
@@ -348,7 +348,7 @@
                 let fault = self.script.faults[i].clone();
                 if fault.kind.is_link() {
                     self.links.end(i);
-                    self.history.now(now, What::Cut { pairs: self.links.cut() });
+                    self.history.now(now, EventKind::Cut { pairs: self.links.cut() });
                 } else if fault.kind == Kind::Pause {
                     let here: Vec<usize> = (0..self.procs.len())
                         .filter(|n| self.procs[*n].paused && fault.who.contains(&self.procs[*n].machine))
@@ -385,7 +385,7 @@
         for bytes in waiting {
             self.procs[number].members.datagram(now, &bytes);
         }
-        self.history.now(now, What::Free { process: number });
+        self.history.now(now, EventKind::Free { process: number });
         self.pump(number);
     }
 
@@ -409,7 +409,7 @@
         if !told {
             self.detected.insert(id, (now, None));
         }
-        self.history.now(now, What::Ended { process: number, told });
+        self.history.now(now, EventKind::Ended { process: number, told });
     }
 
     fn running_on(&self, machine: usize) -> Vec<usize> {
@@ -424,7 +424,7 @@
         let period = self.period as f64;
         if fault.kind.is_link() {
             self.links.begin(i, &fault);
-            self.history.now(now, What::Cut { pairs: self.links.cut() });
+            self.history.now(now, EventKind::Cut { pairs: self.links.cut() });
             return self.maybe_calm();
         }
         for m in self.script.machines(&fault.who) {
@@ -445,7 +445,7 @@
                 Kind::Pause => {
                     for n in running {
                         self.procs[n].paused = true;
-                        self.history.now(now, What::Hampered { process: n });
+                        self.history.now(now, EventKind::Hampered { process: n });
                     }
                 }
                 Kind::Start | Kind::StartEmpty | Kind::StartMoved => {
@@ -483,7 +483,7 @@
                 let host = format!("s-{}", self.seq);
                 self.drained.push(host.clone());
                 let machines = self.script.machines(&fault.who);
-                self.history.now(now, What::DrainTold { host, machines });
+                self.history.now(now, EventKind::DrainTold { host, machines });
                 self.tell_lists(&fault);
             }
             Kind::ListAgain => self.tell_lists(&fault),
@@ -523,7 +523,7 @@
     fn maybe_calm(&mut self) {
         let still = self.procs.iter().any(|p| p.running && p.paused);
         if !self.links.are_broken() && !still {
-            self.history.now(self.now, What::Calm);
+            self.history.now(self.now, EventKind::Calm);
         }
     }
 
@@ -532,17 +532,17 @@
         for (n, p) in self.procs.iter().enumerate().filter(|(_, p)| p.running && !p.paused) {
             let m = &p.members;
             let state = |s: State| match s {
-                State::Alive => Held::Alive,
-                State::Suspect => Held::Suspect,
-                State::Failed => Held::Failed,
-                State::Left => Held::Left,
+                State::Alive => MemberState::Alive,
+                State::Suspect => MemberState::Suspect,
+                State::Failed => MemberState::Failed,
+                State::Left => MemberState::Left,
             };
-            let seen = |s: &silvercross_swim::table::Slot| Seen {
+            let seen = |s: &silvercross_swim::table::Slot| ListedMember {
                 id: s.card.id.to_string(),
                 state: state(s.state),
                 incarnation: s.card.incarnation.0,
             };
-            let look = Look {
+            let look = MemberList {
                 by: n,
                 id: m.me().id.to_string(),
                 view: m.view().name().to_string(),
@@ -550,7 +550,7 @@
                 others: m.others().map(seen).collect(),
                 drains: drained.iter().filter(|h| m.drains(h, 7) || p.listed.contains(h)).cloned().collect(),
             };
-            self.history.now(now, What::Look(look));
+            self.history.now(now, EventKind::MemberList(look));
         }
     }
 
--- a/crates/tools/scenario-runner/src/fleet/sockets.rs
+++ b/crates/tools/scenario-runner/src/fleet/sockets.rs
@@ -10,7 +10,7 @@
 use crate::records::clients::{self, Shared, Target};
 use crate::records::disk;
 use crate::sockets::{write_config, Files, Process, Program, Started};
-use silvercross_history_checker::{Event, Held, History, Look, Seen, What};
+use silvercross_history_checker::{Event, EventKind, History, ListedMember, MemberList, MemberState};
 use silvercross_swim::wire::Fleet;
 use slog::{info, Logger};
 use std::collections::BTreeMap;
@@ -205,7 +205,7 @@
         self.origin.elapsed().as_micros() as i64 - gather.as_micros() as i64
     }
 
-    fn note(&self, what: What) {
+    fn note(&self, what: EventKind) {
         lock(&self.history).now(self.now(), what);
     }
 
@@ -246,7 +246,7 @@
         let wake = self.wake.0.try_clone().map_err(|e| e.to_string())?;
         let files = Files { config: &path, fleet: Some(&file) };
         let process = Process::start(self.program, &[], files, number, 1, self.started.0.clone(), wake)?;
-        self.note(What::Started { process: number, machine, fresh });
+        self.note(EventKind::Started { process: number, machine, fresh });
         self.procs.push(Proc {
             machine,
             process: Some(process),
@@ -289,7 +289,7 @@
                         let status = ask(at, asked.fetch_add(1, Ordering::Relaxed) + 1, PATIENCE);
                         // Whoever asked a process that was just ended or stopped was owed nothing.
                         if asking.load(Ordering::Relaxed) && began > 0 {
-                            lock(&history).took(began, now(), What::Request { process, status });
+                            lock(&history).took(began, now(), EventKind::Request { process, status });
                         }
                         thread::sleep(Duration::from_secs_f64(1.0 / rate));
                     }
@@ -380,7 +380,11 @@
             for (name, value) in v["figures"].as_object().into_iter().flatten() {
                 *sums.entry(name.clone()).or_default() += value.as_f64().unwrap_or(0.0);
             }
-            lock(&self.history).events.push(Event { at: began, end, what: What::Look(as_look(n, &v)) });
+            lock(&self.history).events.push(Event {
+                at: began,
+                end,
+                what: EventKind::MemberList(as_look(n, &v)),
+            });
         }
         self.sums = sums;
     }
@@ -394,7 +398,7 @@
             }
             let machine = p.machine;
             p.process = None;
-            self.note(What::Ended { process: n, told: true });
+            self.note(EventKind::Ended { process: n, told: true });
             if let Some(i) = self.again.iter().position(|m| *m == machine) {
                 self.again.swap_remove(i);
                 let folder = self.folder(self.folders[machine]);
@@ -424,7 +428,7 @@
                 net.links.begin(i, fault);
                 net.links.cut()
             };
-            self.note(What::Cut { pairs: cut });
+            self.note(EventKind::Cut { pairs: cut });
             return Ok(());
         }
         for m in self.script.machines(&fault.who) {
@@ -507,7 +511,7 @@
                         let host = host.0.clone();
                         let machines = self.script.machines(&fault.who);
                         self.drained.push((host.clone(), Instant::now()));
-                        lock(&self.history).now(self.now(), What::DrainTold { host, machines });
+                        lock(&self.history).now(self.now(), EventKind::DrainTold { host, machines });
                     }
                 }
                 let seq = lists.seq;
@@ -539,7 +543,7 @@
                 let machine = p.machine;
                 self.untarget(n);
                 self.relays.net().fronts.insert(front, (machine, None));
-                self.note(What::Ended { process: n, told: false });
+                self.note(EventKind::Ended { process: n, told: false });
             }
             Kind::Stop | Kind::Restart => {
                 p.asking.store(false, Ordering::Relaxed);
@@ -555,7 +559,7 @@
                 if let Some(process) = &p.process {
                     process.signal("STOP");
                 }
-                self.note(What::Hampered { process: n });
+                self.note(EventKind::Hampered { process: n });
             }
             _ => {}
         }
@@ -568,7 +572,7 @@
                 net.links.end(i);
                 net.links.cut()
             };
-            self.note(What::Cut { pairs: cut });
+            self.note(EventKind::Cut { pairs: cut });
         } else if matches!(fault.kind, Kind::DiskSlow | Kind::DiskFails | Kind::DiskFull) {
             let who = self.about.remove(&i).unwrap_or_else(|| self.script.machines(&fault.who));
             who.into_iter().for_each(|m| self.disk_is(m, ""));
@@ -581,7 +585,7 @@
                     if let Some(process) = &p.process {
                         process.signal("CONT");
                     }
-                    self.note(What::Free { process: n });
+                    self.note(EventKind::Free { process: n });
                 }
             }
         }
@@ -633,7 +637,7 @@
         info!(self.log, "the records are founded and whole"; "after_s" => began.elapsed().as_secs_f64());
         self.origin = Instant::now();
         *lock(&self.clock) = self.origin;
-        lock(&self.history).events.retain(|e| !matches!(e.what, What::Effect { .. }));
+        lock(&self.history).events.retain(|e| !matches!(e.what, EventKind::Effect { .. }));
         let shared = Shared {
             targets: Arc::default(),
             history: self.history.clone(),
@@ -666,7 +670,7 @@
             .events
             .iter()
             .filter_map(|e| match &e.what {
-                What::Marked { key, .. } => Some(key.clone()),
+                EventKind::Marked { key, .. } => Some(key.clone()),
                 _ => None,
             })
             .collect();
@@ -701,7 +705,7 @@
                         lock(&shared.history).took(
                             began,
                             shared.now(),
-                            What::Marked { key: key.clone(), answer },
+                            EventKind::Marked { key: key.clone(), answer },
                         );
                     }
                 });
@@ -742,7 +746,7 @@
     fn maybe_calm(&mut self) {
         let still = self.procs.iter().any(|p| p.process.is_some() && p.paused);
         if !self.relays.net().links.are_broken() && !still {
-            self.note(What::Calm);
+            self.note(EventKind::Calm);
         }
     }
 
@@ -793,20 +797,20 @@
 }
 
 /// A process' own words as the judge takes them.
-fn as_look(by: usize, v: &serde_json::Value) -> Look {
+fn as_look(by: usize, v: &serde_json::Value) -> MemberList {
     let text = |v: &serde_json::Value| v.as_str().unwrap_or("").to_string();
     let state = |s: &str| match s {
-        "alive" => Held::Alive,
-        "suspect" => Held::Suspect,
-        "left" => Held::Left,
-        _ => Held::Failed,
+        "alive" => MemberState::Alive,
+        "suspect" => MemberState::Suspect,
+        "left" => MemberState::Left,
+        _ => MemberState::Failed,
     };
-    let seen = |o: &serde_json::Value| Seen {
+    let seen = |o: &serde_json::Value| ListedMember {
         id: text(&o["id"]),
         state: state(o["state"].as_str().unwrap_or("")),
         incarnation: o["incarnation"].as_u64().unwrap_or(0),
     };
-    Look {
+    MemberList {
         by,
         id: text(&v["id"]),
         view: text(&v["view"]),
--- a/crates/tools/scenario-runner/src/fleet/stand_ins.rs
+++ b/crates/tools/scenario-runner/src/fleet/stand_ins.rs
@@ -1,6 +1,6 @@
 //! What a sidecar of the fleet has besides its peers: upstreams that answer, a list service of its own that can be dark, and
 //! clients. Threads and blocking sockets: few connections, and nothing is measured through them but whether answers come.
-use silvercross_history_checker::{History, What};
+use silvercross_history_checker::{EventKind, History};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -119,7 +119,7 @@
                 let body = done.entry(key.clone()).or_insert_with(|| {
                     let origin = *effects.origin.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                     let at = origin.elapsed().as_micros() as i64 - effects.gather;
-                    let what = What::Effect { key: key.clone(), by: name.clone() };
+                    let what = EventKind::Effect { key: key.clone(), by: name.clone() };
                     effects.history.lock().unwrap_or_else(std::sync::PoisonError::into_inner).now(at, what);
                     format!("{name} did {key} at {at}")
                 });
--- a/crates/tools/scenario-runner/src/records/clients.rs
+++ b/crates/tools/scenario-runner/src/records/clients.rs
@@ -3,8 +3,8 @@
 use crate::fleet::relay::chance;
 use rand_core::RngCore;
 use serde_json::Value;
-use silvercross_history_checker::records::{Answer, Call};
-use silvercross_history_checker::{History, What};
+use silvercross_history_checker::idempotency::{Answer, Invocation};
+use silvercross_history_checker::{EventKind, History};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -61,7 +61,7 @@
         self.origin.elapsed().as_micros() as i64 - self.gather
     }
 
-    fn note(&self, began: i64, what: What) {
+    fn note(&self, began: i64, what: EventKind) {
         lock(&self.history).took(began, self.now(), what);
     }
 }
@@ -147,13 +147,13 @@
         if status != 0 {
             shared.seen[5].fetch_max(took, Ordering::Relaxed);
         }
-        shared.note(began, What::Request { process: target.process, status });
+        shared.note(began, EventKind::Request { process: target.process, status });
         match got {
             Some((200, true, body)) => {
-                return shared.note(began, What::Marked { key: key.to_string(), answer: body });
+                return shared.note(began, EventKind::Marked { key: key.to_string(), answer: body });
             }
             Some((200, false, body)) => {
-                return shared.note(began, What::Unmarked { key: key.to_string(), answer: body });
+                return shared.note(began, EventKind::Unmarked { key: key.to_string(), answer: body });
             }
             // As clients do: again, soon, through whoever comes next.
             _ => std::thread::sleep(Duration::from_millis(u64::from(rng.next_u32() % 100))),
@@ -174,11 +174,11 @@
 ) {
     let value = shared.count.fetch_add(1, Ordering::Relaxed) + 1;
     let (asked, query) = match (rng.next_u32() % 4, known.get(name)) {
-        (0 | 1, _) => (Call::Get, None),
+        (0 | 1, _) => (Invocation::Get, None),
         (2, Some((version, old))) => {
-            (Call::Cas(*old, value), Some(format!("value={value}&expect={version}")))
+            (Invocation::Cas(*old, value), Some(format!("value={value}&expect={version}")))
         }
-        _ => (Call::Put(value), Some(format!("value={value}"))),
+        _ => (Invocation::Put(value), Some(format!("value={value}"))),
     };
     let line = match query {
         None => format!("GET /admin/documents/{name}"),
@@ -192,19 +192,21 @@
     let answer = match (&told, asked) {
         // Nothing was done, and it says so.
         (Some((503, _)), _) => return,
-        (Some((200, v)), Call::Get) => {
+        (Some((200, v)), Invocation::Get) => {
             let held = v["value"].as_str().and_then(|v| v.parse().ok()).unwrap_or(0);
             known.insert(name.to_string(), (v["version"].as_u64().unwrap_or(0), held));
             Some(Answer::Value(held))
         }
-        (Some((404, _)), Call::Get) => Some(Answer::Value(0)),
-        (Some((200, v)), Call::Put(new) | Call::Cas(_, new)) => {
+        (Some((404, _)), Invocation::Get) => Some(Answer::Value(0)),
+        (Some((200, v)), Invocation::Put(new) | Invocation::Cas(_, new)) => {
             known.insert(name.to_string(), (v["version"].as_u64().unwrap_or(0), new));
             Some(Answer::Done)
         }
-        (Some((409, _)), _) => Some(Answer::Other),
+        (Some((409, _)), _) => Some(Answer::Mismatch),
         _ => None,
     };
-    shared
-        .note(began, What::Operation { process: target.process, key: name.to_string(), call: asked, answer });
+    shared.note(
+        began,
+        EventKind::Operation { process: target.process, key: name.to_string(), call: asked, answer },
+    );
 }
--- a/crates/tools/scenario-runner/src/records/mod.rs
+++ b/crates/tools/scenario-runner/src/records/mod.rs
@@ -7,7 +7,7 @@
 pub mod sim;
 
 use crate::fleet::{FleetFigures, FleetScript};
-use silvercross_history_checker::records::{check, Verdict};
+use silvercross_history_checker::idempotency::{check, IdempotencyReport};
 use silvercross_history_checker::History;
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     let period = script.fleet.period_ms * 1e3;
     let settle = script.settle().max(4.0 * script.records.as_ref().map_or(0.0, |r| r.election));
     let once = script.records.as_ref().is_none_or(|r| r.refuse);
-    let v: Verdict = check(history, (settle * period) as i64, once);
+    let v: IdempotencyReport = check(history, (settle * period) as i64, once);
     let mut all: BTreeMap<String, f64> = BTreeMap::new();
     let mut put = |name: &str, v: f64| {
         all.insert(name.to_string(), v);
@@ -29,13 +29,14 @@
     put("longest_dark", v.longest_dark as f64 / period);
     put("too_hard", v.too_hard as f64);
     v.answered_after.into_iter().for_each(|a| put("answered_after", a as f64 / period));
-    for (property, n) in &v.count {
+    for (property, n) in &v.violation_counts {
         put(&format!("breaches.{property}"), *n as f64);
     }
-    let more = v.count.values().sum::<usize>() as f64;
+    let more = v.violation_counts.values().sum::<usize>() as f64;
     *all.entry("breaches".into()).or_default() +=
         more + figures.figures.get("breaches").copied().unwrap_or(0.0);
     figures.figures.extend(all);
-    let words = v.breaches.iter().map(|b| format!("{:.1}: {}: {}", b.at as f64 / period, b.property, b.text));
+    let words =
+        v.violations.iter().map(|b| format!("{:.1}: {}: {}", b.at as f64 / period, b.property, b.text));
     figures.breaches.extend(words);
 }
--- a/crates/tools/scenario-runner/src/records/sim.rs
+++ b/crates/tools/scenario-runner/src/records/sim.rs
@@ -6,8 +6,8 @@
 use crate::fleet::FleetFigures;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use silvercross_history_checker::records::{Answer as Says, Call};
-use silvercross_history_checker::{History, What};
+use silvercross_history_checker::idempotency::{Answer as Says, Invocation};
+use silvercross_history_checker::{EventKind, History};
 use silvercross_idempotency_store::placement::Place;
 use silvercross_idempotency_store::{Answer, Command, Config, Epoch, Outcome, Records, Said, Take, Want};
 use silvercross_raft::{Durable, Mutant, Node, Write};
@@ -77,7 +77,7 @@
 
 struct Client {
     /// What it waits for: the process, the ask, when it asked, which key, what.
-    open: Option<(usize, u64, Micros, String, Call)>,
+    open: Option<(usize, u64, Micros, String, Invocation)>,
     /// A keyed request that it took: process, key, and whether it ran.
     took: Option<(usize, String)>,
     /// Values it knows of each document, with their versions.
@@ -234,7 +234,7 @@
             waiting: VecDeque::new(),
             heard: BTreeMap::new(),
         });
-        self.history.now(self.now, What::Started { process: number, machine, fresh: false });
+        self.history.now(self.now, EventKind::Started { process: number, machine, fresh: false });
         self.pump(number);
     }
 
@@ -374,7 +374,7 @@
                 match fault.kind {
                     k if k.is_link() => {
                         self.links.end(i);
-                        self.history.now(now, What::Cut { pairs: self.links.cut() });
+                        self.history.now(now, EventKind::Cut { pairs: self.links.cut() });
                     }
                     Kind::Pause => {
                         for n in 0..self.procs.len() {
@@ -408,7 +408,7 @@
         p.paused = false;
         p.records.tick(now);
         let waiting = std::mem::take(&mut p.waiting);
-        self.history.now(now, What::Free { process: n });
+        self.history.now(now, EventKind::Free { process: n });
         self.pump(n);
         for what in waiting {
             match what {
@@ -462,7 +462,7 @@
                 self.think(c);
             }
         }
-        self.history.now(self.now, What::Ended { process: n, told: false });
+        self.history.now(self.now, EventKind::Ended { process: n, told: false });
     }
 
     fn running_on(&self, machine: usize) -> Option<usize> {
@@ -481,7 +481,7 @@
         self.about.insert(i, fault.who.clone());
         if fault.kind.is_link() {
             self.links.begin(i, &fault);
-            self.history.now(self.now, What::Cut { pairs: self.links.cut() });
+            self.history.now(self.now, EventKind::Cut { pairs: self.links.cut() });
             return;
         }
         for m in fault.who.clone() {
@@ -503,7 +503,7 @@
                 }
                 (Kind::Pause, Some(n)) => {
                     self.procs[n].paused = true;
-                    self.history.now(self.now, What::Hampered { process: n });
+                    self.history.now(self.now, EventKind::Hampered { process: n });
                 }
                 (Kind::Start | Kind::StartMoved, None) => self.start(m),
                 (Kind::StartEmpty, None) => {
@@ -539,7 +539,7 @@
         let still = self.procs.iter().any(|p| p.running && p.paused);
         let sick = self.disks.iter().any(|d| d.fails || d.full || d.slow_ms > 0.0);
         if !self.links.are_broken() && !still && !sick {
-            self.history.now(self.now, What::Calm);
+            self.history.now(self.now, EventKind::Calm);
         }
     }
 
@@ -601,13 +601,14 @@
             }
             let by = self.procs[n].id;
             if self.chance(5) == 0 {
-                (call, command) = (Call::Give(by), Command::Give { key: k.clone(), may_have_run: false });
+                (call, command) =
+                    (Invocation::Release(by), Command::Give { key: k.clone(), may_have_run: false });
             } else {
-                self.history.now(self.now, What::Effect { key: k.clone(), by: format!("p{n}") });
+                self.history.now(self.now, EventKind::Effect { key: k.clone(), by: format!("p{n}") });
                 self.values += 1;
                 let body = self.values.to_le_bytes().to_vec();
                 let answer = Answer { status: 200, lines: Vec::new(), body: Some(body) };
-                call = Call::Hold(by, self.values);
+                call = Invocation::Complete(by, self.values);
                 command = Command::Hold { key: k.clone(), window_ms: 3_600_000, answer };
             }
             self.clients[c].took = None;
@@ -617,7 +618,7 @@
             let age = (self.now / (6 * self.period)).max(0) as u64;
             let back = if self.chance(4) == 0 { self.chance(age + 1) } else { 0 };
             key = format!("k{}-{}", age - back, self.chance(self.holding.keys as u64));
-            call = Call::Take(self.procs[n].id);
+            call = Invocation::Claim(self.procs[n].id);
             command = Command::Take { key: key.clone(), window_ms: 3_600_000 };
         } else {
             let age = (self.now / (10 * self.period)).max(0) as u64;
@@ -625,16 +626,16 @@
             let known = self.clients[c].known.get(&key).copied();
             let name = key.clone();
             match (pick, known) {
-                (4..=5, _) => (call, command) = (Call::Get, Command::Get { name }),
+                (4..=5, _) => (call, command) = (Invocation::Get, Command::Get { name }),
                 (6..=7, Some((version, old))) => {
                     self.values += 1;
-                    call = Call::Cas(old, self.values);
+                    call = Invocation::Cas(old, self.values);
                     let bytes = Some(self.values.to_le_bytes().to_vec());
                     command = Command::Put { name, expect: Some(version), bytes };
                 }
                 _ => {
                     self.values += 1;
-                    call = Call::Put(self.values);
+                    call = Invocation::Put(self.values);
                     let bytes = Some(self.values.to_le_bytes().to_vec());
                     command = Command::Put { name, expect: None, bytes };
                 }
@@ -648,8 +649,8 @@
         self.pump(n);
     }
 
-    fn note(&mut self, began: Micros, process: usize, key: String, call: Call, answer: Option<Says>) {
-        self.history.took(began, self.now, What::Operation { process, key, call, answer });
+    fn note(&mut self, began: Micros, process: usize, key: String, call: Invocation, answer: Option<Says>) {
+        self.history.took(began, self.now, EventKind::Operation { process, key, call, answer });
     }
 
     fn done(&mut self, process: usize, id: u64, outcome: Option<Outcome>) {
@@ -659,21 +660,22 @@
         let number = |b: &[u8]| b.try_into().map_or(0, u64::from_le_bytes);
         let by = self.procs[process].id;
         let answer = match (&call, outcome) {
-            (Call::Put(v) | Call::Cas(_, v), Some(Outcome::Done(version))) => {
+            (Invocation::Put(v) | Invocation::Cas(_, v), Some(Outcome::Done(version))) => {
                 self.clients[c].known.insert(key.clone(), (version, *v));
                 self.versions.insert((key.clone(), version), *v);
                 Some(Says::Done)
             }
             (_, Some(Outcome::Done(_))) => {
-                if let Call::Hold(_, v) = call {
+                if let Invocation::Complete(_, v) = call {
                     if self.procs[process].records.is_full(self.procs[process].records.group_of(&key)) {
                         self.marked.insert(key.clone(), v);
-                        self.history.now(self.now, What::Marked { key: key.clone(), answer: v.to_string() });
+                        self.history
+                            .now(self.now, EventKind::Marked { key: key.clone(), answer: v.to_string() });
                     }
                 }
                 Some(Says::Done)
             }
-            (_, Some(Outcome::Other(_) | Outcome::NotYours)) => Some(Says::Other),
+            (_, Some(Outcome::Other(_) | Outcome::NotYours)) => Some(Says::Mismatch),
             (_, Some(Outcome::Document(version, bytes))) => {
                 let value = bytes.map_or(0, |b| number(&b));
                 if value > 0 {
@@ -683,17 +685,17 @@
             }
             (_, Some(Outcome::Take(Take::Yours))) => {
                 self.clients[c].took = Some((process, key.clone()));
-                Some(Says::Yours)
+                Some(Says::Claimed)
             }
             (_, Some(Outcome::Take(Take::Busy { by: whose, .. }))) => {
                 // Its own take, of another client's try: as much in the way as anybody's.
                 let _ = (whose, by);
-                Some(Says::Busy)
+                Some(Says::InProgress)
             }
             (_, Some(Outcome::Take(Take::Held(a)))) => {
                 let v = a.body.map_or(0, |b| number(&b));
                 if self.marked.contains_key(&key) {
-                    self.history.now(self.now, What::Marked { key: key.clone(), answer: v.to_string() });
+                    self.history.now(self.now, EventKind::Marked { key: key.clone(), answer: v.to_string() });
                 }
                 Some(Says::Value(v))
             }
