--- a/crates/control/control-store/src/batch.rs
+++ b/crates/control/control-store/src/batch.rs
@@ -1,9 +1,9 @@
 //! One round of an owner's queue: which calls go into the next copy, wait for the next question, or stay in the queue.
 
-use crate::broken::{active, Broken};
 use crate::calls::{Job, Who};
 use crate::limits::BATCH;
-use crate::message::{Request, Verdict};
+use crate::message::{CallOutcome, Request};
+use crate::mutation::{active, Mutation};
 use crate::state::{Asked, Outcome};
 use crate::{Revision, State};
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
     piece: usize,
     /// Whether a copy is under way: changes wait for it.
     busy: bool,
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
     /// What the changes make of the committed value; `None` as long as nothing changes it.
     pub value: Option<P>,
     /// The changes that do. At most `BATCH`.
@@ -29,12 +29,12 @@
     /// Calls that stay in the queue.
     pub waiting: VecDeque<Job<P::Change>>,
     /// Answers given at once: only by a control store that is broken on purpose.
-    pub answers: Vec<(Who, Verdict<P>)>,
+    pub answers: Vec<(Who, CallOutcome<P>)>,
 }
 
 impl<P: State> Batch<P> {
     /// An empty one, over a value committed at `revision`.
-    pub(crate) fn new(revision: Revision, piece: usize, busy: bool, broken: Option<Broken>) -> Self {
+    pub(crate) fn new(revision: Revision, piece: usize, busy: bool, broken: Option<Mutation>) -> Self {
         Batch {
             revision,
             piece,
@@ -51,15 +51,15 @@
     }
 
     /// Whether it is broken so.
-    fn is(&self, broken: Broken) -> bool {
+    fn is(&self, broken: Mutation) -> bool {
         active(self.broken, broken)
     }
 
     /// Takes the next open call of the queue.
     pub(crate) fn add(&mut self, job: Job<P::Change>, committed: &P) {
         if !matches!(job.ask, Request::Change(_)) {
-            if self.is(Broken::ReadsUnasked) {
-                let verdict = Verdict::Value { revision: self.revision, value: committed.clone() };
+            if self.is(Mutation::ReadsWithoutConfirmation) {
+                let verdict = CallOutcome::Value { revision: self.revision, value: committed.clone() };
                 self.answers.push((job.who, verdict));
             } else {
                 self.asked.push((job, None));
@@ -79,18 +79,19 @@
         match (tried.apply(change), self.value.is_some()) {
             (Ok(true), _) => self.change(tried, job, Ok(true)),
             (Ok(false), false) => self.asked.push((job, None)),
-            (Err(refusal), _) if self.is(Broken::KeepsPart) && tried != *committed => {
+            (Err(refusal), _) if self.is(Mutation::KeepsPartialChange) && tried != *committed => {
                 self.change(tried, job, Err(refusal));
             }
-            (Err(refusal), false) if self.is(Broken::RefusesUnasked) => {
-                self.answers.push((job.who, Verdict::Refused(refusal)));
+            (Err(refusal), false) if self.is(Mutation::RejectsWithoutConfirmation) => {
+                self.answers.push((job.who, CallOutcome::Rejected(refusal)));
             }
             (Err(refusal), false) => self.asked.push((job, Some(refusal))),
-            (Err(refusal), true) if self.is(Broken::TellsUncommitted) => {
-                self.answers.push((job.who, Verdict::Refused(refusal)));
+            (Err(refusal), true) if self.is(Mutation::AnswersFromUncommitted) => {
+                self.answers.push((job.who, CallOutcome::Rejected(refusal)));
             }
-            (Ok(false), true) if self.is(Broken::TellsUncommitted) => {
-                self.answers.push((job.who, Verdict::Done { revision: self.revision, changed: false }));
+            (Ok(false), true) if self.is(Mutation::AnswersFromUncommitted) => {
+                self.answers
+                    .push((job.who, CallOutcome::Committed { revision: self.revision, changed: false }));
             }
             // Rests on a change that is not yet committed: told when that is.
             (outcome, true) => self.jobs.push((job, outcome)),
--- a/crates/control/control-store/src/calls.rs
+++ b/crates/control/control-store/src/calls.rs
@@ -1,10 +1,10 @@
 //! Calls and reads: where they are served, forwarded, and answered in time.
 
 use crate::limits::{CALL_LIMIT, FORWARDS, FORWARD_LIMIT, OPEN, QUEUE};
-use crate::message::{Effect, Forwarded, Message, Request, Verdict};
+use crate::message::{CallOutcome, Effect, ForwardReply, Message, Request};
 use crate::state::{After, Ownership};
 use crate::store::ControlStore;
-use crate::{Epoch, Micros, Node, Refusal, Revision, State};
+use crate::{Epoch, Micros, Node, Rejection, Revision, State};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Who waits for a job.
@@ -96,16 +96,16 @@
 
     fn begin(&mut self, now: Micros, token: u64, key: &str, ask: Request<P::Change>) {
         if self.slot(now, key).is_none() {
-            let refusal = Refusal {
+            let refusal = Rejection {
                 conflict: false,
                 reason: format!("no room for a further key ({} bytes)", key.len()),
             };
-            self.effect(Effect::Answer { token, verdict: Verdict::Refused(refusal) });
+            self.effect(Effect::Answer { token, verdict: CallOutcome::Rejected(refusal) });
             return;
         }
         if self.open.len() >= OPEN {
             self.figures.unsettled += 1;
-            self.effect(Effect::Answer { token, verdict: Verdict::Unsettled });
+            self.effect(Effect::Answer { token, verdict: CallOutcome::Unknown });
             return;
         }
         self.next_call = self.next_call.wrapping_add(1);
@@ -138,7 +138,7 @@
             let to = to.filter(|to| to.0 != self.me && !call.tried.contains(to) && call.tried.len() < TRIES);
             if let Some(to) = to {
                 let ask = match &call.ask {
-                    Request::Read if !self.voter() => Request::Whole,
+                    Request::Read if !self.is_voter() => Request::ReadValue,
                     ask => ask.clone(),
                 };
                 let message = Message::Forward { id, key, under: to.1, ask };
@@ -171,7 +171,7 @@
             _ => 0,
         };
         if slot.queue.len() + asked >= QUEUE {
-            self.finish(job.who, Verdict::Unsettled);
+            self.finish(job.who, CallOutcome::Unknown);
             return;
         }
         slot.queue.push_back(job);
@@ -203,7 +203,7 @@
             self.claim(now, &key);
         }
         let Some(slot) = self.keys.get_mut(&key) else {
-            self.send(from, Message::Verdict { id, under, forwarded: Forwarded::NotOwner(under) });
+            self.send(from, Message::ForwardReply { id, under, forwarded: ForwardReply::NotOwner(under) });
             return;
         };
         let own = match &mut slot.ownership {
@@ -222,10 +222,10 @@
                 }
             }
             _ => {
-                let forwarded = Forwarded::NotOwner(slot.seen);
-                let message = Message::Verdict { id, under, forwarded };
+                let forwarded = ForwardReply::NotOwner(slot.seen);
+                let message = Message::ForwardReply { id, under, forwarded };
                 // Without room there is no claim of its own that is not durable yet.
-                if self.has_room() {
+                if self.disk_has_space() {
                     self.later(now, After::Send(self.replica_set.version, from, message));
                 } else {
                     self.send(from, message);
@@ -242,22 +242,22 @@
         from: Node,
         id: u64,
         under: Epoch,
-        forwarded: Forwarded<P>,
+        forwarded: ForwardReply<P>,
     ) {
         let Some(call) = self.open.get(&id) else { return };
         let here = matches!(call.at, At::Forwarded(to, epoch, _) if (to, epoch) == (from, under));
         match forwarded {
-            Forwarded::Given(verdict @ (Verdict::Done { .. } | Verdict::Value { .. })) => {
+            ForwardReply::Answered(verdict @ (CallOutcome::Committed { .. } | CallOutcome::Value { .. })) => {
                 self.finish(Who::Local(id), verdict);
             }
-            Forwarded::Given(verdict) if here => self.finish(Who::Local(id), verdict),
-            Forwarded::Given(_) => {}
-            Forwarded::At(revision) => {
+            ForwardReply::Answered(verdict) if here => self.finish(Who::Local(id), verdict),
+            ForwardReply::Answered(_) => {}
+            ForwardReply::ReadAt(revision) => {
                 if call.ask == Request::Read {
                     self.read_here(now, id, revision);
                 }
             }
-            Forwarded::NotOwner(epoch) => {
+            ForwardReply::NotOwner(epoch) => {
                 let key = call.key.clone();
                 self.learn(now, &key, epoch);
                 if here {
@@ -274,13 +274,13 @@
         let Some(slot) = self.keys.get(&call.key) else { return };
         if slot.accepted == revision {
             let value = slot.value.clone();
-            self.finish(Who::Local(id), Verdict::Value { revision, value });
+            self.finish(Who::Local(id), CallOutcome::Value { revision, value });
         } else if slot.accepted < revision {
             call.at = At::Behind(revision);
             let key = call.key.clone();
             self.ask_for_more(&key, revision.epoch);
         } else if let Some(mut call) = self.open.remove(&id) {
-            call.ask = Request::Whole;
+            call.ask = Request::ReadValue;
             call.tried.clear();
             // Under another number: this one was served.
             self.next_call = self.next_call.wrapping_add(1);
@@ -302,14 +302,17 @@
     }
 
     /// Answers a job's caller, or who forwarded it.
-    pub(crate) fn finish(&mut self, who: Who, verdict: Verdict<P>) {
+    pub(crate) fn finish(&mut self, who: Who, verdict: CallOutcome<P>) {
         match who {
             Who::Remote(to, id, under) => {
-                self.send(to, Message::Verdict { id, under, forwarded: Forwarded::Given(verdict) });
+                self.send(
+                    to,
+                    Message::ForwardReply { id, under, forwarded: ForwardReply::Answered(verdict) },
+                );
             }
             Who::Local(id) => {
                 if let Some(call) = self.open.remove(&id) {
-                    self.figures.unsettled += u64::from(verdict == Verdict::Unsettled);
+                    self.figures.unsettled += u64::from(verdict == CallOutcome::Unknown);
                     self.effect(Effect::Answer { token: call.token, verdict });
                 }
             }
@@ -344,7 +347,7 @@
             self.open.iter().filter(|(_, call)| call.due() <= now).map(|(id, _)| *id).collect();
         for id in due {
             match self.open.get(&id).map(|call| (call.until, call.due())) {
-                Some((until, _)) if until <= now => self.finish(Who::Local(id), Verdict::Unsettled),
+                Some((until, _)) if until <= now => self.finish(Who::Local(id), CallOutcome::Unknown),
                 Some((_, at)) if at <= now => self.route(now, id),
                 _ => {}
             }
--- a/crates/control/control-store/src/claim.rs
+++ b/crates/control/control-store/src/claim.rs
@@ -1,9 +1,9 @@
 //! Claims: how this node takes a key, leaves it to one that has more, and gives it up.
 
-use crate::broken::Broken;
 use crate::calls::{Forwards, Job, Who};
 use crate::limits::{OWNERLESS, RESEND, SILENT};
-use crate::message::{Forwarded, Incarnation, Message};
+use crate::message::{ForwardReply, Incarnation, Message};
+use crate::mutation::Mutation;
 use crate::state::{After, Claim, Flight, Owner, Ownership, Slot};
 use crate::store::ControlStore;
 use crate::{Epoch, Micros, Node, Revision, State};
@@ -84,10 +84,11 @@
     pub(crate) fn take(&mut self, now: Micros, key: &str) {
         let Some(slot) = self.keys.get(key) else { return };
         let Ownership::Claiming(claim) = &slot.ownership else { return };
-        let leads = self.is(Broken::LeadsWithOldCopy);
+        let leads = self.is(Mutation::ClaimsWithOlderValue);
         let later = |node: &Node| claim.accepted.get(node).is_some_and(|at| *at > slot.accepted) && !leads;
         let counted = |(node, _): &(&Node, &Incarnation)| !later(node) || self.up.contains(*node);
-        let enough = self.is(Broken::ReadsTooFew) || self.enough(claim.promises.iter().filter(counted));
+        let enough =
+            self.is(Mutation::ClaimsWithoutQuorum) || self.enough(claim.promises.iter().filter(counted));
         if !enough || !claim.promises.contains_key(&self.me) {
             return;
         }
@@ -101,11 +102,11 @@
             return;
         };
         let epoch = claim.epoch;
-        slot.accepted = Revision { epoch, seq: 1 };
+        slot.accepted = Revision { epoch, sequence: 1 };
         slot.recent.push(slot.accepted, Vec::new(), keys);
         slot.ownership = Ownership::Owner(Box::new(Owner {
             epoch,
-            seq: 1,
+            sequence: 1,
             committed: None,
             kept: BTreeMap::new(),
             flight: Some(Flight { sent: now, jobs: Vec::new() }),
@@ -118,7 +119,7 @@
         for to in self.others() {
             self.send_last(now, to, key);
         }
-        self.later(now, After::Kept { key: key.to_owned(), epoch, seq: 1 });
+        self.later(now, After::Kept { key: key.to_owned(), epoch, sequence: 1 });
     }
 
     /// A link ended: a claim that waited for the replica behind it may do without.
@@ -139,7 +140,7 @@
             claim.yielded = Some(now);
             let epoch = claim.epoch;
             self.figures.yielded += 1;
-            self.send(to, Message::Yield { key: key.to_owned(), epoch });
+            self.send(to, Message::ClaimRequest { key: key.to_owned(), epoch });
         }
     }
 
@@ -172,9 +173,8 @@
         for job in jobs {
             match job.who {
                 Who::Local(id) => self.route(now, id),
-                Who::Remote(to, id, under) => {
-                    self.send(to, Message::Verdict { id, under, forwarded: Forwarded::NotOwner(seen) })
-                }
+                Who::Remote(to, id, under) => self
+                    .send(to, Message::ForwardReply { id, under, forwarded: ForwardReply::NotOwner(seen) }),
             }
         }
     }
@@ -199,7 +199,7 @@
         // Told first: calls that go on to others find them ready to claim.
         for (key, epoch) in resigned {
             for to in self.others() {
-                self.send(to, Message::Resigned { key: key.clone(), epoch });
+                self.send(to, Message::OwnershipReleased { key: key.clone(), epoch });
             }
         }
         for key in held {
--- a/crates/control/control-store/src/due.rs
+++ b/crates/control/control-store/src/due.rs
@@ -71,7 +71,7 @@
             self.calm = now;
             self.forget_served(now);
             let keys: Vec<(String, Epoch, u64)> =
-                self.settled().into_iter().map(|(key, epoch, at)| (key, epoch, at.seq)).collect();
+                self.owned_keys().into_iter().map(|(key, epoch, at)| (key, epoch, at.sequence)).collect();
             if !keys.is_empty() {
                 for to in self.others() {
                     self.send(to, Message::Heartbeat { keys: keys.clone() });
@@ -139,9 +139,10 @@
         let mut asks = Vec::new();
         if let Some(flight) = owner.flight.as_mut().filter(|f| now >= f.sent + RESEND) {
             flight.sent = now;
-            let seq = owner.seq;
-            let has =
-                |n: &Node| owner.kept.get(n).is_some_and(|k| k.1 >= seq && latest(incarnations, n, &k.0));
+            let sequence = owner.sequence;
+            let has = |n: &Node| {
+                owner.kept.get(n).is_some_and(|k| k.1 >= sequence && latest(incarnations, n, &k.0))
+            };
             copies.extend(others.iter().copied().filter(|n| !has(n)));
         }
         if let Some(round) = owner.round.as_mut().filter(|r| now >= r.sent + RESEND) {
@@ -155,7 +156,7 @@
             self.send_last(now, to, key);
         }
         for to in asks {
-            self.send(to, Message::Confirm { key: key.to_owned(), epoch, round });
+            self.send(to, Message::ConfirmEpoch { key: key.to_owned(), epoch, round });
         }
     }
 }
--- a/crates/control/control-store/src/durable.rs
+++ b/crates/control/control-store/src/durable.rs
@@ -1,15 +1,15 @@
 //! Writes to disk: what is to be written, what waits for it, and what is left out while the disk has no room.
 
-use crate::broken::Broken;
 use crate::limits::WRITES;
-use crate::message::{Effect, Metadata, Stored};
+use crate::message::{Effect, Metadata, StoredKey};
+use crate::mutation::Mutation;
 use crate::state::{After, Phase};
 use crate::store::ControlStore;
 use crate::{Micros, State};
 
 impl<P: State> ControlStore<P> {
     /// Takes what is to be done. To be called after every other call; `stored` may make room for the next write.
-    pub fn effects(&mut self) -> Vec<Effect<P>> {
+    pub fn take_effects(&mut self) -> Vec<Effect<P>> {
         if self.unwritten() && self.writes.len() < WRITES {
             self.write += 1;
             let metadata = std::mem::take(&mut self.dirty_metadata).then(|| self.metadata());
@@ -22,7 +22,7 @@
     }
 
     /// This write and all before it are durable.
-    pub fn stored(&mut self, now: Micros, write: u64) {
+    pub fn write_completed(&mut self, now: Micros, write: u64) {
         while self.writes.front().is_some_and(|w| w.0 <= write) {
             if let Some((_, after)) = self.writes.pop_front() {
                 for one in after {
@@ -35,7 +35,7 @@
     /// Whether the disk takes writes; until told otherwise it does. Without room nothing is said that rests on a write,
     /// nothing is claimed, and what this node owns goes to others; what rests on no write goes on. Writes under way
     /// stay so.
-    pub fn room(&mut self, now: Micros, room: bool) {
+    pub fn set_disk_has_space(&mut self, now: Micros, room: bool) {
         if self.room == room {
             return;
         }
@@ -46,7 +46,7 @@
             return;
         }
         self.figures.no_room += 1;
-        if !self.is(Broken::SaysUnwritten) {
+        if !self.is(Mutation::ConfirmsFailedWrites) {
             let all = self.writes.iter_mut().map(|(_, after)| after).chain([&mut self.after]);
             for after in all {
                 let waited = after.len();
@@ -58,13 +58,13 @@
     }
 
     /// Whether the disk takes writes, as far as was told.
-    pub fn has_room(&self) -> bool {
+    pub fn disk_has_space(&self) -> bool {
         self.room
     }
 
     /// Whether it may claim: it is a voter and its disk takes writes.
     pub(crate) fn able(&self) -> bool {
-        self.voter() && self.room
+        self.is_voter() && self.room
     }
 
     /// The key goes into the next write.
@@ -93,7 +93,7 @@
     pub(crate) fn later(&mut self, now: Micros, one: After<P>) {
         let waits = self.unwritten() || !self.writes.is_empty();
         if waits && !self.room && matches!(one, After::Send(..)) {
-            if self.is(Broken::SaysUnwritten) {
+            if self.is(Mutation::ConfirmsFailedWrites) {
                 return self.run(now, one);
             }
             self.figures.unsaid += 1;
@@ -113,7 +113,9 @@
             After::Send(_, to, message) if to == self.me => self.heed(now, to, message),
             After::Send(_, to, message) => self.send(to, message),
             After::Promised { key, epoch } => self.own_promise(now, key, epoch),
-            After::Kept { key, epoch, seq } => self.on_kept(now, self.me, key, epoch, seq, self.incarnation),
+            After::Kept { key, epoch, sequence } => {
+                self.on_kept(now, self.me, key, epoch, sequence, self.incarnation)
+            }
             After::Voter(version) if version != self.replica_set.version => {}
             After::Voter(_) => {
                 self.phase = Phase::Voter;
@@ -134,9 +136,9 @@
     }
 
     /// The key as it is to be written.
-    pub(crate) fn stored_key(&self, key: &str) -> Option<Stored<P>> {
+    pub(crate) fn stored_key(&self, key: &str) -> Option<StoredKey<P>> {
         let slot = self.keys.get(key)?;
         let (promised, accepted, value) = (slot.promised, slot.accepted, slot.value.clone());
-        Some(Stored { key: key.to_owned(), promised, accepted, value })
+        Some(StoredKey { key: key.to_owned(), promised, accepted, value })
     }
 }
--- a/crates/control/control-store/src/lib.rs
+++ b/crates/control/control-store/src/lib.rs
@@ -4,15 +4,15 @@
 #![forbid(unsafe_code)]
 
 mod batch;
-mod broken;
 mod calls;
 mod claim;
 mod due;
 mod durable;
-mod figures;
 mod limits;
 mod links;
 mod message;
+mod metrics;
+mod mutation;
 mod owner;
 mod pieces;
 mod recent;
@@ -21,12 +21,13 @@
 mod state;
 mod store;
 
-pub use broken::Broken;
-pub use figures::{Figures, KeyState, Role};
 pub use message::{
-    Disk, Effect, Forwarded, Held, Incarnation, Incarnations, Message, Metadata, Request, Stored, Verdict,
+    CallOutcome, Effect, ForwardReply, Incarnation, Incarnations, KeySummary, Message, Metadata, Request,
+    StoredKey, StoredState,
 };
-pub use pieces::{Digest, PIECE};
+pub use metrics::{KeyState, Metrics, Role};
+pub use mutation::Mutation;
+pub use pieces::{Digest, SNAPSHOT_CHUNK_BYTES};
 pub use replica_set::{ReplicaSet, Vote};
 pub use store::{ControlStore, Start};
 
@@ -54,12 +55,12 @@
     /// Under which ownership it was written.
     pub epoch: Epoch,
     /// Which change within that ownership.
-    pub seq: u64,
+    pub sequence: u64,
 }
 
 /// Why a change is not taken. Nothing of it is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Refusal {
+pub struct Rejection {
     /// It would be valid but another of the same version came first (409); else it is invalid (400).
     pub conflict: bool,
     /// Item, key and reason, for the operator.
@@ -73,5 +74,5 @@
 
     /// Apply a change whole or not at all: `Ok(true)` if something changed, `Ok(false)` if all of it stood already (it is
     /// acknowledged again), `Err` with `self` as it was.
-    fn apply(&mut self, change: &Self::Change) -> Result<bool, Refusal>;
+    fn apply(&mut self, change: &Self::Change) -> Result<bool, Rejection>;
 }
--- a/crates/control/control-store/src/limits.rs
+++ b/crates/control/control-store/src/limits.rs
@@ -18,9 +18,9 @@
 pub const KEYS: usize = 4096;
 /// Bytes of a key's name at most; longer ones are refused.
 pub const NAME: usize = 256;
-/// Open calls of this node at most; a further one is `Unsettled` at once.
+/// Open calls of this node at most; a further one is `Unknown` at once.
 pub const OPEN: usize = 4096;
-/// Calls that wait at one key at most, those forwarded by others included; a further one is `Unsettled` at once.
+/// Calls that wait at one key at most, those forwarded by others included; a further one is `Unknown` at once.
 pub const QUEUE: usize = 1024;
 /// Calls forwarded to an owner that it remembers, so that one that comes twice is served once; the oldest goes first.
 pub const FORWARDS: usize = 8192;
--- a/crates/control/control-store/src/links.rs
+++ b/crates/control/control-store/src/links.rs
@@ -1,7 +1,7 @@
 //! Which replicas can be reached, what is sent to one whose link came up, and whose earlier answers still count.
 
-use crate::broken::Broken;
 use crate::message::{Effect, Incarnation, Incarnations, Message};
+use crate::mutation::Mutation;
 use crate::replica_set::LINKS;
 use crate::state::{Ownership, Phase};
 use crate::store::{mix, ControlStore};
@@ -9,7 +9,7 @@
 
 impl<P: State> ControlStore<P> {
     /// Whether there is a link to this node. Until told, there is none.
-    pub fn reachable(&mut self, now: Micros, node: Node, up: bool) {
+    pub fn set_reachable(&mut self, now: Micros, node: Node, up: bool) {
         let room = self.up.len() < LINKS || self.replica_set.contains(node);
         if node == self.me || !(if up { room && self.up.insert(node) } else { self.up.remove(&node) }) {
             return;
@@ -34,12 +34,12 @@
 
     /// A link came up: claims and copies that it missed.
     pub(crate) fn greet(&mut self, now: Micros, to: Node) {
-        if !self.voter() {
+        if !self.is_voter() {
             if self.replica_set.version == 0 {
-                self.send(to, Message::AskReplicaSet);
+                self.send(to, Message::ReplicaSetRequest);
             } else if self.phase == Phase::Repairing {
                 self.repair.sent = now;
-                self.send(to, Message::Recover { incarnation: self.incarnation });
+                self.send(to, Message::RepairRequest { incarnation: self.incarnation });
             }
             return;
         }
@@ -54,11 +54,11 @@
                 }
                 Ownership::Owner(owner) => {
                     let kept = owner.kept.get(&to).filter(|k| self.current(to, k.0));
-                    if let Some((incarnation, seq)) = kept {
+                    if let Some((incarnation, sequence)) = kept {
                         with = with.max(*incarnation);
-                        had.push((key.clone(), owner.epoch, *seq));
+                        had.push((key.clone(), owner.epoch, *sequence));
                     }
-                    if kept.is_none_or(|k| k.1 < owner.seq) {
+                    if kept.is_none_or(|k| k.1 < owner.sequence) {
                         copies.push(key.clone());
                     }
                 }
@@ -66,7 +66,7 @@
             }
         }
         if !had.is_empty() {
-            self.send(to, Message::HadKept { incarnation: with, keys: had });
+            self.send(to, Message::AcknowledgedPositions { incarnation: with, keys: had });
         }
         for (key, epoch) in claims {
             self.send(to, Message::Claim { key, epoch });
@@ -106,7 +106,7 @@
     /// Whether no later incarnation of the replica's disk is known than this one.
     pub(crate) fn current(&self, node: Node, incarnation: Incarnation) -> bool {
         node == self.me
-            || self.is(Broken::CountsLostDisks)
+            || self.is(Mutation::CountsEarlierIncarnations)
             || incarnation >= self.incarnations.get(&node).copied().unwrap_or_default()
     }
 
@@ -116,7 +116,7 @@
         if !current {
             self.figures.outlived += 1;
             let known = self.incarnations.get(&from).copied().unwrap_or_default();
-            self.send(from, Message::Outlived { incarnation: known });
+            self.send(from, Message::StaleIncarnation { incarnation: known });
         }
         current
     }
--- a/crates/control/control-store/src/message.rs
+++ b/crates/control/control-store/src/message.rs
@@ -1,7 +1,7 @@
 //! What replicas write to each other, what they keep on disk, and what the caller is told to do.
 
 use crate::pieces::Digest;
-use crate::{Epoch, Node, Refusal, ReplicaSet, Revision, State, Vote};
+use crate::{Epoch, Node, Rejection, ReplicaSet, Revision, State, Vote};
 use bitcode::{Decode, Encode};
 
 /// Which disk a replica writes on: it rises with every disk that was lost and repaired. What a replica said with an
@@ -25,7 +25,7 @@
 
 /// What is durable of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Stored<P> {
+pub struct StoredKey<P> {
     /// Its name.
     pub key: String,
     /// The highest epoch that was promised: nothing of a lower one is accepted.
@@ -51,22 +51,22 @@
 
 /// What was found on disk at start.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Disk<P> {
+pub struct StoredState<P> {
     /// `None`: it was never formatted, or wiped.
     pub metadata: Option<Metadata>,
     /// All keys.
-    pub keys: Vec<Stored<P>>,
+    pub keys: Vec<StoredKey<P>>,
 }
 
-impl<P> Default for Disk<P> {
+impl<P> Default for StoredState<P> {
     fn default() -> Self {
-        Disk { metadata: None, keys: Vec::new() }
+        StoredState { metadata: None, keys: Vec::new() }
     }
 }
 
 /// What a voter has of a key, without its content.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Held {
+pub struct KeySummary {
     /// Its name.
     pub key: String,
     /// The highest epoch that was promised.
@@ -83,21 +83,21 @@
     /// To tell its content; where that is kept anyway, its revision does.
     Read,
     /// To tell its content to who doesn't have it at that revision.
-    Whole,
+    ReadValue,
 }
 
 /// What an owner says to a call that was forwarded to it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Forwarded<P> {
+pub enum ForwardReply<P> {
     /// The answer.
-    Given(Verdict<P>),
+    Answered(CallOutcome<P>),
     /// What is read is the content at this revision, of which the asker has or gets a copy.
-    At(Revision),
+    ReadAt(Revision),
     /// It doesn't own the key; the highest epoch that it knows of.
     NotOwner(Epoch),
 }
 
-/// Between replicas. `P` is the value, `C` its change. Fields: `key`, `epoch` and `seq` as in [`Revision`]; `incarnations` as in
+/// Between replicas. `P` is the value, `C` its change. Fields: `key`, `epoch` and `sequence` as in [`Revision`]; `incarnations` as in
 /// [`Incarnations`]; `round` and `id` name the question that is answered.
 #[allow(missing_docs)]
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -107,71 +107,71 @@
     /// Durable: nothing of a lower epoch is accepted any more, and this was until now.
     Promise { key: String, epoch: Epoch, accepted: Revision, incarnations: Incarnations },
     /// The receiver's copy is later than what the claimer of this epoch has: it is to claim the key.
-    Yield { key: String, epoch: Epoch },
+    ClaimRequest { key: String, epoch: Epoch },
     /// The owner under `epoch` says what changed from `base` to the revision `to`, to be kept; `more`: it goes on after that.
-    Copy { key: String, epoch: Epoch, to: Revision, base: Revision, changes: Vec<C>, more: bool },
+    Append { key: String, epoch: Epoch, to: Revision, base: Revision, changes: Vec<C>, more: bool },
     /// Durable: this copy of this epoch, or a later one of it.
-    Kept { key: String, epoch: Epoch, seq: u64, incarnations: Incarnations },
+    Appended { key: String, epoch: Epoch, sequence: u64, incarnations: Incarnations },
     /// The sender has only this and lacks what came since; `whole`: changes would not do.
     Behind { key: String, epoch: Epoch, accepted: Revision, whole: bool },
     /// The content at this revision is wanted, from this byte of its encoding on.
-    Fetch { key: String, at: Revision, offset: u64 },
+    SnapshotRequest { key: String, at: Revision, offset: u64 },
     /// A piece of it, of so many bytes in all, with a digest of all.
-    Piece { key: String, at: Revision, offset: u64, total: u64, digest: Digest, bytes: Vec<u8> },
+    SnapshotChunk { key: String, at: Revision, offset: u64, total: u64, digest: Digest, bytes: Vec<u8> },
     /// What came was of a lower epoch than this.
-    Higher { key: String, epoch: Epoch },
+    HigherEpoch { key: String, epoch: Epoch },
     /// Does this epoch still stand?
-    Confirm { key: String, epoch: Epoch, round: u64 },
+    ConfirmEpoch { key: String, epoch: Epoch, round: u64 },
     /// No higher one was promised here until now.
-    Confirmed { key: String, epoch: Epoch, round: u64 },
+    EpochConfirmed { key: String, epoch: Epoch, round: u64 },
     /// The sender no longer owns or claims the key under this epoch, for its disk has no room: another may claim it at once.
-    Resigned { key: String, epoch: Epoch },
+    OwnershipReleased { key: String, epoch: Epoch },
     /// All that the sender owns, and its last sequence numbers.
     Heartbeat { keys: Vec<(String, Epoch, u64)> },
     /// A call of the sender's caller, for the owner under this epoch and no other: a late one can do nothing under a
     /// later ownership, in which the same call may have been refused.
     Forward { id: u64, key: String, under: Epoch, ask: Request<C> },
     /// What became of it under the epoch that it named.
-    Verdict { id: u64, under: Epoch, forwarded: Forwarded<P> },
+    ForwardReply { id: u64, under: Epoch, forwarded: ForwardReply<P> },
     /// The sender's disk is empty: it asks for everything.
-    Recover { incarnation: Incarnation },
+    RepairRequest { incarnation: Incarnation },
     /// Everything a voter has, but for the contents: those are fetched.
-    Recovered { incarnation: Incarnation, keys: Vec<Held>, vote: Vote, incarnations: Incarnations },
+    RepairReply { incarnation: Incarnation, keys: Vec<KeySummary>, vote: Vote, incarnations: Incarnations },
     /// A higher incarnation of the receiver is known here.
-    Outlived { incarnation: Incarnation },
+    StaleIncarnation { incarnation: Incarnation },
     /// Who are the replicas?
-    AskReplicaSet,
+    ReplicaSetRequest,
     /// The replicas, as was decided.
     ReplicaSet { replica_set: ReplicaSet },
     /// Durable: the sender votes under the replica set of this version.
-    InForce,
+    ReplicaSetInForce,
     /// What the sender was told to be durable at the receiver, with this incarnation: the receiver's disk went back to an older state
     /// if it lacks any of it.
-    HadKept { incarnation: Incarnation, keys: Vec<(String, Epoch, u64)> },
+    AcknowledgedPositions { incarnation: Incarnation, keys: Vec<(String, Epoch, u64)> },
     /// The sender wants the next replica set decided, in which this one is replaced, if any.
-    Propose { epoch: Epoch, gone: Option<Node> },
+    PrepareReplicaSet { epoch: Epoch, gone: Option<Node> },
     /// Durable: no next replica set of a lower epoch is accepted any more, and this one was until now.
-    Proposed { epoch: Epoch, accepted: Option<(Epoch, ReplicaSet)>, incarnations: Incarnations },
+    ReplicaSetPromise { epoch: Epoch, accepted: Option<(Epoch, ReplicaSet)>, incarnations: Incarnations },
     /// The next replica set, to be accepted.
-    Accept { epoch: Epoch, replica_set: ReplicaSet },
+    AcceptReplicaSet { epoch: Epoch, replica_set: ReplicaSet },
     /// Durable: accepted.
-    Accepted { epoch: Epoch, incarnations: Incarnations },
+    ReplicaSetAccepted { epoch: Epoch, incarnations: Incarnations },
     /// A higher epoch was promised for the next replica set.
-    Overruled { epoch: Epoch },
+    HigherReplicaSetEpoch { epoch: Epoch },
 }
 
 /// What becomes of a call or read.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Verdict<P> {
+pub enum CallOutcome<P> {
     /// It is in force and stays so.
-    Done {
+    Committed {
         /// Where the content stood with it.
         revision: Revision,
         /// Whether it changed anything; else all of it stood already.
         changed: bool,
     },
     /// Nothing of it is in force.
-    Refused(Refusal),
+    Rejected(Rejection),
     /// The content that a read asked for.
     Value {
         /// Where it stands.
@@ -180,7 +180,7 @@
         value: P,
     },
     /// No answer in time: it may be in force or not.
-    Unsettled,
+    Unknown,
 }
 
 /// What the caller has to do.
@@ -203,14 +203,14 @@
         /// To be put in place of the one there.
         metadata: Option<Metadata>,
         /// To be put in place of what is there under these keys.
-        keys: Vec<Stored<P>>,
+        keys: Vec<StoredKey<P>>,
     },
     /// A call's or read's answer, one for each token.
     Answer {
         /// As it was given.
         token: u64,
         /// The answer.
-        verdict: Verdict<P>,
+        verdict: CallOutcome<P>,
     },
     /// Committed content, told by its owner.
     Committed {
--- a/crates/control/control-store/src/figures.rs
+++ b/crates/control/control-store/src/metrics.rs
@@ -34,7 +34,7 @@
 
 /// Plain counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// Claims made.
     pub claims: u64,
     /// Keys taken and written anew.
@@ -54,10 +54,10 @@
     /// Times that a replica said it was behind.
     pub behind: u64,
     /// Claims, copies and other messages of a lower epoch refused.
-    pub refused_lower_epoch: u64,
+    pub rejected_lower_epoch: u64,
     /// Messages from nodes outside the replica set.
     pub strangers: u64,
-    /// Calls answered `Unsettled`.
+    /// Calls answered `Unknown`.
     pub unsettled: u64,
     /// Calls forwarded on.
     pub forwarded: u64,
@@ -79,7 +79,7 @@
 
 impl<P: State> ControlStore<P> {
     /// The keys this node owns and has written anew.
-    pub fn settled(&self) -> Vec<(String, Epoch, Revision)> {
+    pub fn owned_keys(&self) -> Vec<(String, Epoch, Revision)> {
         let owned = |(key, slot): (&String, &Slot<P>)| match &slot.ownership {
             Ownership::Owner(owner) => owner.committed.as_ref().map(|c| (key.clone(), owner.epoch, c.0)),
             _ => None,
@@ -88,7 +88,7 @@
     }
 
     /// All keys as an operator sees them.
-    pub fn state(&self) -> Vec<KeyState> {
+    pub fn key_states(&self) -> Vec<KeyState> {
         let role = |slot: &Slot<P>| match &slot.ownership {
             _ if self.phase != Phase::Voter => Role::Repairing,
             Ownership::Replica => Role::Replica,
@@ -106,12 +106,12 @@
     }
 
     /// The counters.
-    pub fn figures(&self) -> Figures {
+    pub fn metrics(&self) -> Metrics {
         self.figures
     }
 
     /// The replicas this node goes by, one that is coming or leaving included.
-    pub fn replica_set(&self) -> Vec<Node> {
+    pub fn replica_nodes(&self) -> Vec<Node> {
         self.replica_set.nodes().collect()
     }
 }
--- a/crates/control/control-store/src/broken.rs
+++ b/crates/control/control-store/src/mutation.rs
@@ -7,67 +7,67 @@
 
 /// How a control store is broken on purpose; without the feature `mutants` nothing heeds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum Mutation {
     /// Answers when it alone has synced.
-    AnswersEarly,
+    AnswersBeforeQuorum,
     /// Promises an epoch that it does not store.
     PromiseNotDurable,
     /// Takes copies of a lower epoch than promised.
-    TakesOldCopies,
+    AcceptsLowerEpochAppends,
     /// Votes with an empty disk.
-    WipedVotes,
+    VotesWithEmptyDisk,
     /// Takes a key over after its own promise alone.
-    ReadsTooFew,
+    ClaimsWithoutQuorum,
     /// Counts what was said with a disk that was lost since.
-    CountsLostDisks,
+    CountsEarlierIncarnations,
     /// Reads without asking whether its epoch is still in force.
-    ReadsUnasked,
+    ReadsWithoutConfirmation,
     /// Keeps what a value that refuses a change has made of it.
-    KeepsPart,
+    KeepsPartialChange,
     /// A newcomer votes before it is repaired.
-    NewcomerVotes,
+    JoiningReplicaVotesUnrepaired,
     /// While a replica is being replaced more than half of the replica set before is enough.
     OldQuorumOnly,
     /// Heeds messages under an older replica set.
-    HeedsOldReplicaSet,
+    AcceptsOlderReplicaSetMessages,
     /// A removed replica goes on voting and is counted.
-    RemovedVotes,
+    RemovedReplicaVotes,
     /// The replica that leaves is dropped before the newcomer is repaired.
-    DropsLeaverEarly,
+    RemovesLeavingReplicaEarly,
     /// A replica that leaves ends once it knows the replica set without it, whoever else has that.
-    EndsUnconfirmed,
+    StopsBeforeReplicaSetInForce,
     /// Is repaired under a joint replica set though the one after it may be in force.
-    RepairedOvertaken,
+    RepairsUnderOvertakenReplicaSet,
     /// Goes on voting with a disk that went back to an older state.
-    VotesGoneBack,
+    VotesAfterDiskRollback,
     /// Confirms promises and copies although the write failed.
-    SaysUnwritten,
+    ConfirmsFailedWrites,
     /// Goes on from its start as if nothing were on its disk.
-    StartsUnread,
+    StartsWithoutStoredState,
     /// Takes a whole value in the place of a later one.
-    TakesOldSnapshots,
+    InstallsOlderSnapshots,
     /// Puts pieces of several revisions together.
-    MixesSnapshots,
+    MixesSnapshotRevisions,
     /// Leads with the copy it has, whatever the others have.
-    LeadsWithOldCopy,
+    ClaimsWithOlderValue,
     /// Refuses without asking whether its epoch is still in force.
-    RefusesUnasked,
+    RejectsWithoutConfirmation,
     /// Tells at once what rests on a change that is not committed yet.
-    TellsUncommitted,
+    AnswersFromUncommitted,
     /// Starts before its promises are read from disk.
-    ForgetsPromises,
+    ForgetsStoredPromises,
 }
 
 impl<P: State> ControlStore<P> {
     /// Breaks a rule on purpose.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
-    pub fn break_it(&mut self, broken: Broken) {
-        for slot in self.keys.values_mut().filter(|_| broken == Broken::ForgetsPromises) {
+    pub fn set_mutation(&mut self, broken: Mutation) {
+        for slot in self.keys.values_mut().filter(|_| broken == Mutation::ForgetsStoredPromises) {
             (slot.promised, slot.seen) = Default::default();
         }
         self.broken = Some(broken);
-        if broken == Broken::StartsUnread {
+        if broken == Mutation::StartsWithoutStoredState {
             for slot in self.keys.values_mut() {
                 (slot.promised, slot.seen) = (Epoch::default(), Epoch::default());
                 (slot.accepted, slot.value) = (Revision::default(), P::default());
@@ -76,12 +76,12 @@
     }
 
     /// Whether this one is broken so.
-    pub(crate) fn is(&self, broken: Broken) -> bool {
+    pub(crate) fn is(&self, broken: Mutation) -> bool {
         active(self.broken, broken)
     }
 }
 
 /// Whether `broken` is the fault put in; never without the feature `mutants`.
-pub(crate) fn active(put_in: Option<Broken>, broken: Broken) -> bool {
+pub(crate) fn active(put_in: Option<Mutation>, broken: Mutation) -> bool {
     cfg!(feature = "mutants") && put_in == Some(broken)
 }
--- a/crates/control/control-store/src/owner.rs
+++ b/crates/control/control-store/src/owner.rs
@@ -1,9 +1,9 @@
 //! An owner's work: copies to the replicas, commits, and the question whether its epoch is still in force.
 
 use crate::batch::Batch;
-use crate::broken::Broken;
 use crate::calls::Who;
-use crate::message::{Effect, Forwarded, Incarnation, Message, Request, Verdict};
+use crate::message::{CallOutcome, Effect, ForwardReply, Incarnation, Message, Request};
+use crate::mutation::Mutation;
 use crate::state::{After, Flight, Ownership, Round};
 use crate::store::ControlStore;
 use crate::{Epoch, Micros, Node, Revision, State};
@@ -27,7 +27,7 @@
             Some((at, changes, more)) => {
                 let (key, epoch) = (key.to_owned(), owner.epoch);
                 self.figures.copies_sent += 1;
-                self.send(to, Message::Copy { key, epoch, to: at, base: has, changes, more });
+                self.send(to, Message::Append { key, epoch, to: at, base: has, changes, more });
             }
             None => self.send_first_piece(now, to, key, Some(has)),
         }
@@ -61,7 +61,7 @@
         from: Node,
         key: String,
         epoch: Epoch,
-        seq: u64,
+        sequence: u64,
         incarnation: Incarnation,
     ) {
         if from != self.me && !self.alive(from, incarnation) {
@@ -69,11 +69,11 @@
         }
         let Some(slot) = self.keys.get_mut(&key) else { return };
         let Ownership::Owner(owner) = &mut slot.ownership else { return };
-        if owner.epoch != epoch || seq > owner.seq {
+        if owner.epoch != epoch || sequence > owner.sequence {
             return;
         }
         let known = owner.kept.entry(from).or_default();
-        *known = (*known).max((incarnation, seq));
+        *known = (*known).max((incarnation, sequence));
         self.commit(now, &key);
     }
 
@@ -84,16 +84,22 @@
         if owner.flight.is_none() {
             return;
         }
-        let mut having =
-            owner.kept.iter().filter(|(_, kept)| kept.1 >= owner.seq).map(|(node, kept)| (node, &kept.0));
-        let enough =
-            if self.is(Broken::AnswersEarly) { having.next().is_some() } else { self.enough(having) };
+        let mut having = owner
+            .kept
+            .iter()
+            .filter(|(_, kept)| kept.1 >= owner.sequence)
+            .map(|(node, kept)| (node, &kept.0));
+        let enough = if self.is(Mutation::AnswersBeforeQuorum) {
+            having.next().is_some()
+        } else {
+            self.enough(having)
+        };
         if !enough {
             return;
         }
         let Some(slot) = self.keys.get_mut(key) else { return };
         let Ownership::Owner(owner) = &mut slot.ownership else { return };
-        let revision = Revision { epoch: owner.epoch, seq: owner.seq };
+        let revision = Revision { epoch: owner.epoch, sequence: owner.sequence };
         let first = owner.committed.is_none();
         owner.committed = Some((revision, slot.value.clone()));
         let jobs = owner.flight.take().map(|flight| flight.jobs).unwrap_or_default();
@@ -102,8 +108,8 @@
         self.effect(Effect::Committed { key: key.to_owned(), revision, value });
         for (job, outcome) in jobs {
             let verdict = match outcome {
-                Ok(changed) => Verdict::Done { revision, changed },
-                Err(refusal) => Verdict::Refused(refusal),
+                Ok(changed) => CallOutcome::Committed { revision, changed },
+                Err(refusal) => CallOutcome::Rejected(refusal),
             };
             self.finish(job.who, verdict);
         }
@@ -131,22 +137,22 @@
         owner.asked.extend(asked);
         slot.queue = waiting;
         let copy = value.map(|value| {
-            owner.seq += 1;
+            owner.sequence += 1;
             owner.flight = Some(Flight { sent: now, jobs });
-            slot.accepted = Revision { epoch: owner.epoch, seq: owner.seq };
+            slot.accepted = Revision { epoch: owner.epoch, sequence: owner.sequence };
             slot.value = value;
             slot.recent.push(slot.accepted, changes, keys);
-            (owner.epoch, owner.seq)
+            (owner.epoch, owner.sequence)
         });
         for (who, verdict) in answers {
             self.finish(who, verdict);
         }
-        if let Some((epoch, seq)) = copy {
+        if let Some((epoch, sequence)) = copy {
             self.write_key(key);
             for to in self.others() {
                 self.send_last(now, to, key);
             }
-            self.later(now, After::Kept { key: key.to_owned(), epoch, seq });
+            self.later(now, After::Kept { key: key.to_owned(), epoch, sequence });
         }
         self.ask(now, key);
     }
@@ -164,7 +170,7 @@
         owner.round = Some(Round { number: owner.rounds, sent: now, confirmed: Vec::new(), jobs });
         let (epoch, round) = (owner.epoch, owner.rounds);
         for to in self.others() {
-            self.send(to, Message::Confirm { key: key.to_owned(), epoch, round });
+            self.send(to, Message::ConfirmEpoch { key: key.to_owned(), epoch, round });
         }
         self.on_confirmed(now, self.me, key.to_owned(), epoch, round);
     }
@@ -195,13 +201,15 @@
         let jobs = owner.round.take().map(|round| round.jobs).unwrap_or_default();
         for (job, refusal) in jobs {
             if let (Who::Remote(to, id, under), Request::Read) = (job.who, &job.ask) {
-                self.send(to, Message::Verdict { id, under, forwarded: Forwarded::At(revision) });
+                self.send(to, Message::ForwardReply { id, under, forwarded: ForwardReply::ReadAt(revision) });
                 continue;
             }
             let verdict = match (job.ask, refusal) {
-                (_, Some(refusal)) => Verdict::Refused(refusal),
-                (Request::Read | Request::Whole, None) => Verdict::Value { revision, value: value.clone() },
-                (Request::Change(_), None) => Verdict::Done { revision, changed: false },
+                (_, Some(refusal)) => CallOutcome::Rejected(refusal),
+                (Request::Read | Request::ReadValue, None) => {
+                    CallOutcome::Value { revision, value: value.clone() }
+                }
+                (Request::Change(_), None) => CallOutcome::Committed { revision, changed: false },
             };
             self.finish(job.who, verdict);
         }
--- a/crates/control/control-store/src/pieces.rs
+++ b/crates/control/control-store/src/pieces.rs
@@ -1,8 +1,8 @@
 //! Values that are sent whole: in pieces, of which the receiver asks for the next. What it has it keeps when a link breaks, and
 //! it takes nothing that is not whole and of one revision.
 
-use crate::broken::Broken;
 use crate::message::Message;
+use crate::mutation::Mutation;
 use crate::recent::Recent;
 use crate::state::{After, Phase};
 use crate::store::ControlStore;
@@ -12,7 +12,7 @@
 use std::hash::Hasher;
 
 /// Bytes of a piece: a message that waits behind the pieces under way waits no longer than these take on the thinnest link.
-pub const PIECE: usize = 32 * 1024;
+pub const SNAPSHOT_CHUNK_BYTES: usize = 32 * 1024;
 /// Pieces asked for and not yet there, of one value.
 const WINDOW: usize = 2;
 /// Values that are received at a time; a further one begins when one is done.
@@ -180,7 +180,7 @@
         let from = usize::try_from(offset).unwrap_or(usize::MAX).min(served.bytes.len());
         let bytes = served.bytes[from..(from + piece).min(served.bytes.len())].to_vec();
         let (total, digest) = (served.bytes.len() as u64, served.digest);
-        let message = Message::Piece { key: key.to_owned(), at, offset, total, digest, bytes };
+        let message = Message::SnapshotChunk { key: key.to_owned(), at, offset, total, digest, bytes };
         self.figures.pieces_sent += 1;
         self.send(to, message);
     }
@@ -203,10 +203,11 @@
     /// Whether this revision of the key would be of use.
     fn wants(&self, key: &str, at: Revision) -> bool {
         match self.phase {
-            Phase::Voter => {
-                self.keys.get(key).is_some_and(|s| at > s.accepted || self.is(Broken::TakesOldSnapshots))
-            }
-            Phase::Repairing => self.repair.lacks(key).is_some_and(|needed| at >= needed),
+            Phase::Voter => self
+                .keys
+                .get(key)
+                .is_some_and(|s| at > s.accepted || self.is(Mutation::InstallsOlderSnapshots)),
+            Phase::Repairing => self.repair.lacks(key).is_some_and(|still_needed| at >= still_needed),
             _ => false,
         }
     }
@@ -221,7 +222,7 @@
             }
             self.pulls.insert(key.clone(), Pull::new(now, from, piece.at));
         }
-        let mixes = self.is(Broken::MixesSnapshots);
+        let mixes = self.is(Mutation::MixesSnapshotRevisions);
         let Some(pull) = self.pulls.get_mut(&key) else { return };
         if mixes && piece.offset > 0 {
             pull.at = piece.at;
@@ -255,7 +256,7 @@
             }
         }
         for offset in offsets {
-            self.send(to, Message::Fetch { key: key.to_owned(), at, offset });
+            self.send(to, Message::SnapshotRequest { key: key.to_owned(), at, offset });
         }
     }
 
@@ -349,7 +350,8 @@
         let owner = Node(at.epoch.owner);
         if stands && owner != self.me {
             let incarnations = self.incarnations();
-            let kept = Message::Kept { key: key.clone(), epoch: at.epoch, seq: at.seq, incarnations };
+            let kept =
+                Message::Appended { key: key.clone(), epoch: at.epoch, sequence: at.sequence, incarnations };
             self.later(now, After::Send(self.replica_set.version, owner, kept));
         }
         let Some(seen) = self.keys.get(&key).map(|slot| slot.seen) else { return };
--- a/crates/control/control-store/src/replica.rs
+++ b/crates/control/control-store/src/replica.rs
@@ -1,8 +1,8 @@
 //! A replica's side: promises, copies, and the repair of an empty disk.
 
-use crate::broken::Broken;
 use crate::limits::{KEYS, NAME};
-use crate::message::{Held, Incarnation, Incarnations, Message, Stored};
+use crate::message::{Incarnation, Incarnations, KeySummary, Message, StoredKey};
+use crate::mutation::Mutation;
 use crate::state::{After, Ownership, Phase, Slot};
 use crate::store::ControlStore;
 use crate::{Epoch, Micros, Node, Revision, State, Vote};
@@ -21,8 +21,8 @@
     fn refuses(&mut self, from: Node, key: &str, epoch: Epoch) -> bool {
         let Some(promised) = self.keys.get(key).map(|slot| slot.promised) else { return true };
         if epoch < promised {
-            self.figures.refused_lower_epoch += 1;
-            self.send(from, Message::Higher { key: key.to_owned(), epoch: promised });
+            self.figures.rejected_lower_epoch += 1;
+            self.send(from, Message::HigherEpoch { key: key.to_owned(), epoch: promised });
         }
         epoch < promised
     }
@@ -32,7 +32,7 @@
             return;
         }
         self.learn(now, &key, epoch);
-        let durable = !self.is(Broken::PromiseNotDurable);
+        let durable = !self.is(Mutation::PromiseNotDurable);
         let incarnations = self.incarnations();
         let Some(slot) = self.keys.get_mut(&key) else { return };
         slot.heard = now;
@@ -58,7 +58,7 @@
         if epoch.owner != from.0 || copy.to.epoch > epoch || self.slot(now, &key).is_none() {
             return;
         }
-        if !self.is(Broken::TakesOldCopies) && self.refuses(from, &key, epoch) {
+        if !self.is(Mutation::AcceptsLowerEpochAppends) && self.refuses(from, &key, epoch) {
             return;
         }
         self.learn(now, &key, epoch);
@@ -87,7 +87,7 @@
         }
         if accepted.epoch == epoch {
             let incarnations = self.incarnations();
-            let kept = Message::Kept { key, epoch, seq: accepted.seq, incarnations };
+            let kept = Message::Appended { key, epoch, sequence: accepted.sequence, incarnations };
             self.later(now, After::Send(self.replica_set.version, from, kept));
         }
     }
@@ -102,19 +102,19 @@
 
     pub(crate) fn on_confirm(&mut self, now: Micros, from: Node, key: String, epoch: Epoch, round: u64) {
         if self.slot(now, &key).is_some() && !self.refuses(from, &key, epoch) {
-            self.send(from, Message::Confirmed { key, epoch, round });
+            self.send(from, Message::EpochConfirmed { key, epoch, round });
         }
     }
 
     pub(crate) fn on_heartbeat(&mut self, now: Micros, from: Node, keys: Vec<(String, Epoch, u64)>) {
-        for (key, epoch, seq) in keys {
+        for (key, epoch, sequence) in keys {
             if epoch.owner != from.0 || self.slot(now, &key).is_none() || self.refuses(from, &key, epoch) {
                 continue;
             }
             self.learn(now, &key, epoch);
             let Some(slot) = self.keys.get_mut(&key) else { continue };
             slot.heard = now;
-            if slot.accepted < (Revision { epoch, seq }) {
+            if slot.accepted < (Revision { epoch, sequence }) {
                 self.say_behind(from, key, epoch, false);
             }
         }
@@ -167,12 +167,12 @@
         incarnation: Incarnation,
         keys: &[(String, Epoch, u64)],
     ) {
-        let lacks = |(key, epoch, seq): &(String, Epoch, u64)| {
-            let told = Revision { epoch: *epoch, seq: *seq };
+        let lacks = |(key, epoch, sequence): &(String, Epoch, u64)| {
+            let told = Revision { epoch: *epoch, sequence: *sequence };
             self.keys.get(key).is_none_or(|slot| slot.accepted < told)
         };
         let holds = matches!(self.phase, Phase::Voter | Phase::Formatting) && incarnation == self.incarnation;
-        if !holds || self.is(Broken::VotesGoneBack) || !keys.iter().any(lacks) {
+        if !holds || self.is(Mutation::VotesAfterDiskRollback) || !keys.iter().any(lacks) {
             return;
         }
         self.figures.went_back += 1;
@@ -182,10 +182,10 @@
     /// Asks all others for everything.
     pub(crate) fn ask_repair(&mut self, now: Micros) {
         self.repair.sent = now;
-        for to in self.replica_set() {
+        for to in self.replica_nodes() {
             let has = self.repair.replies.get(&to).is_some_and(|incarnation| self.current(to, *incarnation));
             if to != self.me && self.up.contains(&to) && !has {
-                self.send(to, Message::Recover { incarnation: self.incarnation });
+                self.send(to, Message::RepairRequest { incarnation: self.incarnation });
             }
         }
     }
@@ -195,7 +195,7 @@
     pub(crate) fn on_recover(&mut self, from: Node, incarnation: Incarnation) {
         let known = self.incarnations.get(&from).copied().unwrap_or_default();
         if incarnation < known {
-            self.send(from, Message::Outlived { incarnation: known });
+            self.send(from, Message::StaleIncarnation { incarnation: known });
             return;
         }
         if incarnation > known {
@@ -203,7 +203,7 @@
             self.write_metadata();
             self.figures.repairs += 1;
         }
-        let held = |(key, slot): (&String, &Slot<P>)| Held {
+        let held = |(key, slot): (&String, &Slot<P>)| KeySummary {
             key: key.clone(),
             promised: slot.promised,
             accepted: slot.accepted,
@@ -211,7 +211,7 @@
         let keys = self.keys.iter().map(held).collect();
         let incarnations = self.incarnations();
         let (version, vote) = (self.replica_set.version, self.vote.clone());
-        let message = Message::Recovered { incarnation, keys, vote, incarnations };
+        let message = Message::RepairReply { incarnation, keys, vote, incarnations };
         self.later(Micros::MIN, After::Send(version, from, message));
     }
 
@@ -234,7 +234,7 @@
         now: Micros,
         from: Node,
         incarnation: Incarnation,
-        keys: Vec<Held>,
+        keys: Vec<KeySummary>,
         vote: Vote,
         incarnations: Incarnations,
     ) {
@@ -273,7 +273,7 @@
         if self.phase != Phase::Repairing || !enough {
             return;
         }
-        let lacks = |(key, (held, who)): (&String, &(Held, BTreeSet<Node>))| {
+        let lacks = |(key, (held, who)): (&String, &(KeySummary, BTreeSet<Node>))| {
             let from = who.iter().find(|n| self.up.contains(n)).or(who.first())?;
             self.repair.lacks(key).map(|_| (key.clone(), held.accepted, *from))
         };
@@ -287,7 +287,7 @@
         for (key, (held, _)) in std::mem::take(&mut self.repair.keys) {
             let (accepted, value) = self.repair.values.remove(&key).unwrap_or_default();
             let promised = held.promised.max(accepted.epoch);
-            self.adopt(now, Stored { key, promised, accepted, value });
+            self.adopt(now, StoredKey { key, promised, accepted, value });
         }
         self.pulls.clear();
         self.repair.values.clear();
--- a/crates/control/control-store/src/replica_set.rs
+++ b/crates/control/control-store/src/replica_set.rs
@@ -1,9 +1,9 @@
 //! Who the replicas are, and how one that is gone is replaced: one at a time, through a joint replica set, each step decided by
 //! more than half of the replica set before it.
 
-use crate::broken::Broken;
 use crate::limits::{GONE, GONE_AS_ONE_LEAVES, RESEND, STAGGER};
 use crate::message::{Incarnation, Incarnations, Message};
+use crate::mutation::Mutation;
 use crate::recent::Recent;
 use crate::state::{After, Ownership, Phase};
 use crate::store::ControlStore;
@@ -31,7 +31,7 @@
     /// Who is being replaced.
     pub leaving: Option<Node>,
     /// By whom.
-    pub coming: Option<Node>,
+    pub joining: Option<Node>,
 }
 
 impl ReplicaSet {
@@ -39,7 +39,7 @@
         let mut members: Vec<(Node, u64)> = nodes.into_iter().map(|n| (n, version)).collect();
         members.sort();
         members.dedup();
-        ReplicaSet { version, members, leaving: None, coming: None }
+        ReplicaSet { version, members, leaving: None, joining: None }
     }
 
     /// Whether it belongs.
@@ -57,7 +57,7 @@
 
     /// Whether one is being replaced.
     pub fn joint(&self) -> bool {
-        self.coming.is_some() || self.leaving.is_some()
+        self.joining.is_some() || self.leaving.is_some()
     }
 
     fn more_than_half(&self, said: &[Node], without: Option<Node>) -> bool {
@@ -76,13 +76,13 @@
         let mut members = self.members.clone();
         members.push((new, version));
         members.sort();
-        ReplicaSet { version, members, leaving: Some(gone), coming: Some(new) }
+        ReplicaSet { version, members, leaving: Some(gone), joining: Some(new) }
     }
 
     /// The next one, without this one: the change is in force if it is the one that leaves, abandoned if the newcomer.
     fn without(&self, node: Node) -> ReplicaSet {
         let members = self.members.iter().copied().filter(|m| m.0 != node).collect();
-        ReplicaSet { version: self.version + 1, members, leaving: None, coming: None }
+        ReplicaSet { version: self.version + 1, members, leaving: None, joining: None }
     }
 }
 
@@ -129,7 +129,7 @@
     /// next replica set, of which only one another must know: every quorum has more than half of these.
     pub(crate) fn enough_before<'a>(&self, said: impl Iterator<Item = (&'a Node, &'a Incarnation)>) -> bool {
         let said = self.still(said);
-        self.replica_set.more_than_half(&said, self.replica_set.coming)
+        self.replica_set.more_than_half(&said, self.replica_set.joining)
     }
 
     /// Whether the change that is under way may be in force already, as far as those know who answered a repair. Then it may
@@ -138,7 +138,7 @@
     pub(crate) fn overtaken(&self) -> bool {
         let next = self.repair.vote.accepted.as_ref().map(|accepted| &accepted.1);
         let in_force = |new| next.is_some_and(|next| next.contains(new));
-        self.replica_set.coming.is_some_and(in_force) && !self.is(Broken::RepairedOvertaken)
+        self.replica_set.joining.is_some_and(in_force) && !self.is(Mutation::RepairsUnderOvertakenReplicaSet)
     }
 
     fn still<'a>(&self, said: impl Iterator<Item = (&'a Node, &'a Incarnation)>) -> Vec<Node> {
@@ -148,36 +148,36 @@
     }
 
     pub(crate) fn enough_of(&self, said: &[Node]) -> bool {
-        if self.is(Broken::RemovedVotes) {
-            let coming = usize::from(self.replica_set.coming.is_some());
-            return said.len() * 2 > self.replica_set.members.len() - coming;
+        if self.is(Mutation::RemovedReplicaVotes) {
+            let joining = usize::from(self.replica_set.joining.is_some());
+            return said.len() * 2 > self.replica_set.members.len() - joining;
         }
         let replica_set = &self.replica_set;
-        replica_set.more_than_half(said, replica_set.coming)
-            && (self.is(Broken::OldQuorumOnly) || replica_set.more_than_half(said, replica_set.leaving))
+        replica_set.more_than_half(said, replica_set.joining)
+            && (self.is(Mutation::OldQuorumOnly) || replica_set.more_than_half(said, replica_set.leaving))
     }
 
     /// A core machine with a disk that is in no replica set that it knows of: it may come in the place of a replica that is gone.
     /// `up` is whether it can still be reached and says so.
-    pub fn candidate(&mut self, now: Micros, node: Node, up: bool) {
+    pub fn set_candidate(&mut self, now: Micros, node: Node, up: bool) {
         if !up {
             self.candidates.remove(&node);
         } else if node != self.me && self.candidates.len() < CANDIDATES && self.candidates.insert(node) {
             if self.replica_set.version == 0 {
-                self.send(node, Message::AskReplicaSet);
+                self.send(node, Message::ReplicaSetRequest);
             }
             self.tick(now);
         }
     }
 
     /// This node is told to stop: as long as it is still there the others replace it, if there is a candidate, and take over
-    /// what it owns. [`ControlStore::needed`] tells how long it is to stay for that.
-    pub fn leave(&mut self, now: Micros) {
-        self.leaves(now, self.me, true);
+    /// what it owns. [`ControlStore::still_needed`] tells how long it is to stay for that.
+    pub fn begin_graceful_stop(&mut self, now: Micros) {
+        self.set_stopping(now, self.me, true);
     }
 
     /// Whether a core machine has said that it stops. Holds until its next start says otherwise, also when it is gone.
-    pub fn leaves(&mut self, now: Micros, node: Node, leaves: bool) {
+    pub fn set_stopping(&mut self, now: Micros, node: Node, leaves: bool) {
         let room = self.leavers.len() < LEAVERS;
         if !leaves && self.leavers.remove(&node).is_some() {
             self.tick(now);
@@ -189,15 +189,16 @@
 
     /// Whether this node, which leaves, is still wanted as a replica: it is being replaced or could be, or the replica set
     /// without it does not stand yet.
-    pub fn needed(&self) -> bool {
+    pub fn still_needed(&self) -> bool {
         match &self.in_force {
             Some(voters) => {
                 let voters: Vec<Node> = voters.iter().copied().collect();
-                !self.is(Broken::EndsUnconfirmed) && !self.replica_set.more_than_half(&voters, None)
+                !self.is(Mutation::StopsBeforeReplicaSetInForce)
+                    && !self.replica_set.more_than_half(&voters, None)
             }
             None => {
                 let wanted = self.replica_set.joint() || self.spare().is_some() || self.awaits_spare();
-                !self.outside() && wanted
+                !self.is_outside() && wanted
             }
         }
     }
@@ -220,16 +221,16 @@
     /// Whether it has to ask the replicas who they are, or whether they stand without this one.
     pub(crate) fn asks(&self) -> bool {
         let leaves = self.leavers.contains_key(&self.me) && self.in_force.is_some();
-        self.lost_touch() || (leaves && self.needed())
+        self.lost_touch() || (leaves && self.still_needed())
     }
 
     /// Whether this node is no replica.
-    pub fn outside(&self) -> bool {
+    pub fn is_outside(&self) -> bool {
         !self.replica_set.contains(self.me)
     }
 
     /// The replica set as this node knows it.
-    pub fn replicas(&self) -> &ReplicaSet {
+    pub fn replica_set(&self) -> &ReplicaSet {
         &self.replica_set
     }
 
@@ -239,7 +240,7 @@
         let replicas = self.replica_set.version > 0 && !self.lost_touch();
         let to = if replicas { self.others() } else { self.up.iter().copied().collect() };
         for to in to {
-            self.send(to, Message::AskReplicaSet);
+            self.send(to, Message::ReplicaSetRequest);
         }
     }
 
@@ -261,10 +262,10 @@
             self.repair.sent = now;
         }
         let new = came.is_some_and(|since| since > self.replica_set.version);
-        let trusted = self.is(Broken::WipedVotes)
-            || (self.is(Broken::NewcomerVotes) && replica_set.coming == Some(self.me));
+        let trusted = self.is(Mutation::VotesWithEmptyDisk)
+            || (self.is(Mutation::JoiningReplicaVotesUnrepaired) && replica_set.joining == Some(self.me));
         self.figures.replica_sets += 1;
-        self.failed = self.replica_set.coming.filter(|new| !replica_set.contains(*new));
+        self.failed = self.replica_set.joining.filter(|new| !replica_set.contains(*new));
         self.replica_set = replica_set;
         self.vote = Vote::default();
         self.proposal = None;
@@ -283,7 +284,7 @@
         self.next_try = now + RESEND + self.place() * STAGGER;
         let was = self.phase;
         self.phase = match came {
-            None if self.is(Broken::RemovedVotes) && was == Phase::Voter => Phase::Formatting,
+            None if self.is(Mutation::RemovedReplicaVotes) && was == Phase::Voter => Phase::Formatting,
             None => Phase::Outside,
             Some(_) if trusted => Phase::Formatting,
             Some(_) if new || matches!(was, Phase::Repairing | Phase::Outside) => Phase::Repairing,
@@ -404,7 +405,7 @@
 
     /// What this node would have the next replica set be.
     fn plan(&self, now: Micros) -> Option<ReplicaSet> {
-        match (self.replica_set.leaving, self.replica_set.coming) {
+        match (self.replica_set.leaving, self.replica_set.joining) {
             (Some(old), Some(new)) => {
                 // Who stops in plan is there as long as it can be.
                 let stays = !self.leavers.contains_key(&old);
@@ -445,12 +446,12 @@
             asked: false,
             accepted: BTreeMap::new(),
         });
-        if let Some(new) = self.replica_set.coming.filter(|n| *n != self.me) {
+        if let Some(new) = self.replica_set.joining.filter(|n| *n != self.me) {
             // It doesn't ask, for it doesn't know yet.
             self.send(new, Message::ReplicaSet { replica_set: self.replica_set.clone() });
         }
         for to in self.others() {
-            self.send(to, Message::Propose { epoch, gone });
+            self.send(to, Message::PrepareReplicaSet { epoch, gone });
         }
         self.on_propose(now, self.me, epoch, gone);
     }
@@ -459,7 +460,7 @@
     fn overruled(&mut self, from: Node, epoch: Epoch) -> bool {
         let promised = self.vote.promised;
         if epoch < promised && from != self.me {
-            self.send(from, Message::Overruled { epoch: promised });
+            self.send(from, Message::HigherReplicaSetEpoch { epoch: promised });
         }
         epoch < promised
     }
@@ -475,7 +476,7 @@
         }
         self.vote.promised = epoch;
         self.write_metadata();
-        let message = Message::Proposed {
+        let message = Message::ReplicaSetPromise {
             epoch,
             accepted: self.vote.accepted.clone(),
             incarnations: self.incarnations(),
@@ -502,10 +503,10 @@
         let Some(proposal) = &self.proposal else { return };
         // A change comes into force only once the newcomer votes.
         let ready = proposal.best.is_some()
-            || self.is(Broken::DropsLeaverEarly)
+            || self.is(Mutation::RemovesLeavingReplicaEarly)
             || self
                 .replica_set
-                .coming
+                .joining
                 .is_none_or(|new| !proposal.next.contains(new) || proposal.promises.contains_key(&new));
         if !ready || !self.enough_before(proposal.promises.iter()) {
             return;
@@ -517,7 +518,7 @@
         }
         let replica_set = proposal.next.clone();
         for to in self.others() {
-            self.send(to, Message::Accept { epoch, replica_set: replica_set.clone() });
+            self.send(to, Message::AcceptReplicaSet { epoch, replica_set: replica_set.clone() });
         }
         self.on_accept(now, self.me, epoch, replica_set);
     }
@@ -530,7 +531,7 @@
         }
         self.vote = Vote { promised: epoch, accepted: Some((epoch, replica_set)) };
         self.write_metadata();
-        let message = Message::Accepted { epoch, incarnations: self.incarnations() };
+        let message = Message::ReplicaSetAccepted { epoch, incarnations: self.incarnations() };
         self.reply(now, from, message);
     }
 
--- a/crates/control/control-store/src/state.rs
+++ b/crates/control/control-store/src/state.rs
@@ -1,10 +1,10 @@
 //! The records a control store consists of: keys, claims, ownerships, repair, and what waits for a write.
 
 use crate::calls::{Forwards, Job};
-use crate::message::{Held, Incarnation, Message};
+use crate::message::{Incarnation, KeySummary, Message};
 use crate::recent::Recent;
 use crate::replica_set::Vote;
-use crate::{Epoch, Micros, Node, Refusal, Revision, State};
+use crate::{Epoch, Micros, Node, Rejection, Revision, State};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What this node is to the replica set.
@@ -70,7 +70,7 @@
 pub(crate) struct Owner<P: State> {
     pub epoch: Epoch,
     /// The last copy's number.
-    pub seq: u64,
+    pub sequence: u64,
     /// What more than half have; `None` until the key was written anew.
     pub committed: Option<(Revision, P)>,
     /// Who has which copy, with which incarnation.
@@ -103,10 +103,10 @@
 }
 
 /// A job that waits for the question, and why it is refused if it is.
-pub(crate) type Asked<C> = (Job<C>, Option<Refusal>);
+pub(crate) type Asked<C> = (Job<C>, Option<Rejection>);
 
 /// What `State::apply` said.
-pub(crate) type Outcome = Result<bool, Refusal>;
+pub(crate) type Outcome = Result<bool, Rejection>;
 
 /// What waits for a write.
 #[derive(Clone, Debug)]
@@ -120,7 +120,7 @@
     Kept {
         key: String,
         epoch: Epoch,
-        seq: u64,
+        sequence: u64,
     },
     Voter(u64),
 }
@@ -131,7 +131,7 @@
     /// Who has answered, with which incarnation. At most one of each replica.
     pub replies: BTreeMap<Node, Incarnation>,
     /// The highest of all answers, and all who have the content. At most `KEYS`.
-    pub keys: BTreeMap<String, (Held, BTreeSet<Node>)>,
+    pub keys: BTreeMap<String, (KeySummary, BTreeSet<Node>)>,
     /// Contents that are there. At most one of each key.
     pub values: BTreeMap<String, (Revision, P)>,
     pub vote: Vote,
@@ -147,8 +147,8 @@
 
     /// Which revision of the key, or a later one, is still to be fetched.
     pub(crate) fn lacks(&self, key: &str) -> Option<Revision> {
-        let needed = self.keys.get(key).map(|(held, _)| held.accepted)?;
+        let still_needed = self.keys.get(key).map(|(held, _)| held.accepted)?;
         let has = self.values.get(key).map_or(Revision::default(), |(at, _)| *at);
-        (has < needed).then_some(needed)
+        (has < still_needed).then_some(still_needed)
     }
 }
--- a/crates/control/control-store/src/store.rs
+++ b/crates/control/control-store/src/store.rs
@@ -1,11 +1,11 @@
 //! The control store itself: how it starts, the messages it receives, and its clock.
 
-use crate::broken::Broken;
 use crate::calls::Call;
-use crate::figures::Figures;
 use crate::limits::{KEYS, NAME, RESEND};
-use crate::message::{Disk, Effect, Incarnation, Message, Metadata, Stored};
-use crate::pieces::{Piece, Pull, Served, PIECE};
+use crate::message::{Effect, Incarnation, Message, Metadata, StoredKey, StoredState};
+use crate::metrics::Metrics;
+use crate::mutation::Mutation;
+use crate::pieces::{Piece, Pull, Served, SNAPSHOT_CHUNK_BYTES};
 use crate::recent::Recent;
 use crate::replica::Changes;
 use crate::replica_set::{Proposal, ReplicaSet, Vote};
@@ -66,7 +66,7 @@
     pub(crate) next_call: u64,
     pub(crate) random: u64,
     pub(crate) calm: Micros,
-    pub(crate) figures: Figures,
+    pub(crate) figures: Metrics,
     pub(crate) effects: Vec<Effect<P>>,
     pub(crate) dirty: BTreeSet<String>,
     pub(crate) dirty_metadata: bool,
@@ -76,7 +76,7 @@
     pub(crate) write: u64,
     /// Whether the disk takes writes.
     pub(crate) room: bool,
-    pub(crate) broken: Option<Broken>,
+    pub(crate) broken: Option<Mutation>,
 }
 
 /// What a node is to the replica set at its start, and its metadata.
@@ -103,7 +103,7 @@
 
 impl<P: State> ControlStore<P> {
     /// A control store on what was found on disk.
-    pub fn new(now: Micros, start: Start, disk: Disk<P>) -> Self {
+    pub fn new(now: Micros, start: Start, disk: StoredState<P>) -> Self {
         let (phase, metadata) = first_phase(&start, disk.metadata);
         let replica_set = metadata.replica_set;
         let gone = replica_set.nodes().filter(|n| *n != start.me).map(|n| (n, now)).collect();
@@ -126,13 +126,13 @@
             repair: Repair::new(now),
             pulls: BTreeMap::new(),
             served: Vec::new(),
-            piece: PIECE,
+            piece: SNAPSHOT_CHUNK_BYTES,
             keys: BTreeMap::new(),
             open: BTreeMap::new(),
             next_call: 0,
             random: mix(start.seed ^ mix(now as u64 ^ (u64::from(start.me.0) << 32))),
             calm: now,
-            figures: Figures::default(),
+            figures: Metrics::default(),
             effects: Vec::new(),
             dirty: BTreeSet::new(),
             dirty_metadata: false,
@@ -148,7 +148,7 @@
     }
 
     /// Puts in the keys that exist from the start, and what was found on disk if it counts.
-    fn load(&mut self, now: Micros, keys: Vec<String>, found: Vec<Stored<P>>) {
+    fn load(&mut self, now: Micros, keys: Vec<String>, found: Vec<StoredKey<P>>) {
         for key in keys {
             self.slot(now, &key);
         }
@@ -163,23 +163,23 @@
         }
     }
 
-    /// Pieces of so many bytes in the place of [`PIECE`], so that small values go in several too.
+    /// Pieces of so many bytes in the place of [`SNAPSHOT_CHUNK_BYTES`], so that small values go in several too.
     #[doc(hidden)]
-    pub fn pieces_of(&mut self, bytes: usize) {
+    pub fn set_snapshot_chunk_bytes(&mut self, bytes: usize) {
         self.piece = bytes.max(1);
     }
 
     /// The same for two that go on alike, but for what is drawn from here on.
     #[doc(hidden)]
     pub fn fingerprint(&self) -> u64 {
-        let alike = ControlStore { figures: Figures::default(), random: 0, ..self.clone() };
+        let alike = ControlStore { figures: Metrics::default(), random: 0, ..self.clone() };
         let mut hasher = std::collections::hash_map::DefaultHasher::new();
         std::hash::Hash::hash(&format!("{alike:?}"), &mut hasher);
         std::hash::Hasher::finish(&hasher)
     }
 
     /// Puts what a disk or the others had in the place of what is here.
-    pub(crate) fn adopt(&mut self, now: Micros, stored: Stored<P>) {
+    pub(crate) fn adopt(&mut self, now: Micros, stored: StoredKey<P>) {
         if let Some(slot) = self.slot(now, &stored.key) {
             slot.promised = stored.promised;
             slot.accepted = stored.accepted;
@@ -221,7 +221,7 @@
             return;
         }
         let mine = self.replica_set.version;
-        if let Message::HadKept { incarnation, keys } = message {
+        if let Message::AcknowledgedPositions { incarnation, keys } = message {
             self.on_had_kept(now, incarnation, &keys);
             return;
         }
@@ -235,13 +235,13 @@
         if !self.same_version(from, version) {
             return;
         }
-        if matches!(message, Message::AskReplicaSet) && self.voter() {
-            self.send(from, Message::InForce);
+        if matches!(message, Message::ReplicaSetRequest) && self.is_voter() {
+            self.send(from, Message::ReplicaSetInForce);
             return;
         }
         let known = self.replica_set.contains(from)
-            || self.is(Broken::RemovedVotes)
-            || self.is(Broken::HeedsOldReplicaSet);
+            || self.is(Mutation::RemovedReplicaVotes)
+            || self.is(Mutation::AcceptsOlderReplicaSetMessages);
         if !known && !matches!(message, Message::Forward { .. }) {
             self.figures.strangers += 1;
             return;
@@ -252,11 +252,11 @@
     /// Whether a message was said under the replica set in force here; else what is newer is asked for or told.
     fn same_version(&mut self, from: Node, version: u64) -> bool {
         let mine = self.replica_set.version;
-        if version == mine || self.is(Broken::HeedsOldReplicaSet) {
+        if version == mine || self.is(Mutation::AcceptsOlderReplicaSetMessages) {
             return true;
         }
         if version > mine {
-            self.send(from, Message::AskReplicaSet);
+            self.send(from, Message::ReplicaSetRequest);
         } else {
             self.figures.older_replica_set += 1;
             self.send(from, Message::ReplicaSet { replica_set: self.replica_set.clone() });
@@ -267,52 +267,56 @@
     /// Hands a message that counts to what handles it.
     pub(crate) fn heed(&mut self, now: Micros, from: Node, message: Message<P, P::Change>) {
         match message {
-            Message::Verdict { id, under, forwarded } => self.on_verdict(now, from, id, under, forwarded),
-            Message::Recovered { incarnation, keys, vote, incarnations } => {
+            Message::ForwardReply { id, under, forwarded } => {
+                self.on_verdict(now, from, id, under, forwarded)
+            }
+            Message::RepairReply { incarnation, keys, vote, incarnations } => {
                 self.on_recovered(now, from, incarnation, keys, vote, incarnations);
             }
-            Message::Outlived { incarnation } => self.on_outlived(now, incarnation),
-            Message::Piece { key, at, offset, total, digest, bytes } => {
+            Message::StaleIncarnation { incarnation } => self.on_outlived(now, incarnation),
+            Message::SnapshotChunk { key, at, offset, total, digest, bytes } => {
                 self.on_piece(now, from, key, Piece { at, offset, total, digest, bytes });
             }
             Message::Forward { id, key, under, ask } => self.on_forward(now, from, id, key, under, ask),
-            Message::InForce => self.on_in_force(from),
-            Message::AskReplicaSet | Message::ReplicaSet { .. } | Message::HadKept { .. } => {}
+            Message::ReplicaSetInForce => self.on_in_force(from),
+            Message::ReplicaSetRequest
+            | Message::ReplicaSet { .. }
+            | Message::AcknowledgedPositions { .. } => {}
             _ if self.phase != Phase::Voter => {}
             Message::Claim { key, epoch } => self.on_claim(now, from, key, epoch),
             Message::Promise { key, epoch, accepted, incarnations } => {
                 self.merge(&incarnations);
                 self.on_promise(now, from, key, epoch, accepted, incarnations.mine);
             }
-            Message::Yield { key, epoch } => self.on_yield(now, key, epoch),
-            Message::Copy { key, epoch, to, base, changes, more } => {
+            Message::ClaimRequest { key, epoch } => self.on_yield(now, key, epoch),
+            Message::Append { key, epoch, to, base, changes, more } => {
                 self.on_copy(now, from, key, epoch, Changes { base, to, changes, more });
             }
-            Message::Kept { key, epoch, seq, incarnations } => {
+            Message::Appended { key, epoch, sequence, incarnations } => {
                 self.merge(&incarnations);
-                self.on_kept(now, from, key, epoch, seq, incarnations.mine);
+                self.on_kept(now, from, key, epoch, sequence, incarnations.mine);
             }
             Message::Behind { key, epoch, accepted, whole } => {
                 self.on_behind(now, from, key, epoch, (!whole).then_some(accepted));
             }
-            Message::Fetch { key, at, offset } => self.on_fetch(now, from, key, at, offset),
-            Message::Higher { key, epoch } => self.learn(now, &key, epoch),
-            Message::Resigned { key, epoch } => self.on_resigned(now, from, key, epoch),
-            Message::Confirm { key, epoch, round } => self.on_confirm(now, from, key, epoch, round),
-            Message::Confirmed { key, epoch, round } => self.on_confirmed(now, from, key, epoch, round),
+            Message::SnapshotRequest { key, at, offset } => self.on_fetch(now, from, key, at, offset),
+            Message::HigherEpoch { key, epoch } => self.learn(now, &key, epoch),
+            Message::OwnershipReleased { key, epoch } => self.on_resigned(now, from, key, epoch),
+            Message::ConfirmEpoch { key, epoch, round } => self.on_confirm(now, from, key, epoch, round),
+            Message::EpochConfirmed { key, epoch, round } => self.on_confirmed(now, from, key, epoch, round),
             Message::Heartbeat { keys } => self.on_heartbeat(now, from, keys),
-            Message::Recover { incarnation } => self.on_recover(from, incarnation),
-            Message::Propose { epoch, gone } => self.on_propose(now, from, epoch, gone),
-            Message::Proposed { epoch, accepted, incarnations } => {
+            Message::RepairRequest { incarnation } => self.on_recover(from, incarnation),
+            Message::PrepareReplicaSet { epoch, gone } => self.on_propose(now, from, epoch, gone),
+            Message::ReplicaSetPromise { epoch, accepted, incarnations } => {
                 self.merge(&incarnations);
                 self.on_proposed(now, from, epoch, accepted, incarnations);
             }
-            Message::Accept { epoch, replica_set } => self.on_accept(now, from, epoch, replica_set),
-            Message::Accepted { epoch, incarnations } => {
+            Message::AcceptReplicaSet { epoch, replica_set } => self.on_accept(now, from, epoch, replica_set),
+            Message::ReplicaSetAccepted { epoch, incarnations } => {
                 self.merge(&incarnations);
                 self.on_accepted(now, from, epoch, incarnations);
             }
-            Message::Overruled { epoch } => self.on_overruled(epoch),
+            Message::HigherReplicaSetEpoch { epoch } => self.on_overruled(epoch),
         }
     }
 
@@ -339,7 +343,7 @@
     }
 
     /// When `tick` wants to be called at the latest.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         let calls = self.open.values().map(|call| call.due()).min();
         let rest = match self.phase {
             Phase::Voter if !self.room => None,
@@ -355,7 +359,7 @@
     }
 
     /// Whether this node's promises and copies count: not while its metadata is being written or its disk repaired.
-    pub fn voter(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.phase == Phase::Voter
     }
 
--- a/crates/control/control-store/tests/catchup.rs
+++ b/crates/control/control-store/tests/catchup.rs
@@ -38,7 +38,7 @@
     /// Item, version.
     type Change = (u32, u64);
 
-    fn apply(&mut self, change: &(u32, u64)) -> Result<bool, Refusal> {
+    fn apply(&mut self, change: &(u32, u64)) -> Result<bool, Rejection> {
         let part = Rc::make_mut(self.0.entry(change.0 / 256).or_default());
         let known = part.entry(change.0).or_default();
         let changed = change.1 > known.0;
@@ -50,17 +50,17 @@
 }
 
 type M = Message<Items, (u32, u64)>;
-type Write = (Option<Metadata>, Vec<Stored<Items>>);
+type Write = (Option<Metadata>, Vec<StoredKey<Items>>);
 
 enum Event {
     Arrive { way: (usize, usize), version: u64, message: M },
-    Stored { node: usize, life: u64, write: u64 },
+    StoredKey { node: usize, life: u64, write: u64 },
 }
 
 struct Net {
     now: Micros,
     stores: Vec<Option<ControlStore<Items>>>,
-    disks: Vec<Disk<Items>>,
+    disks: Vec<StoredState<Items>>,
     lives: Vec<u64>,
     writes: BTreeMap<(usize, u64), Write>,
     events: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -91,15 +91,18 @@
     fn new(value: Items, spares: usize, piece: usize) -> Net {
         let n = 3 + spares;
         let members = (0..3).map(|n| (Node(n), 1)).collect();
-        let replica_set = ReplicaSet { version: 1, members, leaving: None, coming: None };
+        let replica_set = ReplicaSet { version: 1, members, leaving: None, joining: None };
         let epoch = Epoch { round: 1, owner: 0 };
-        let stored = Stored { key: KEY.into(), promised: epoch, accepted: Revision { epoch, seq: 1 }, value };
-        let disk =
-            Disk { metadata: Some(Metadata { replica_set, ..Metadata::default() }), keys: vec![stored] };
+        let stored =
+            StoredKey { key: KEY.into(), promised: epoch, accepted: Revision { epoch, sequence: 1 }, value };
+        let disk = StoredState {
+            metadata: Some(Metadata { replica_set, ..Metadata::default() }),
+            keys: vec![stored],
+        };
         let mut net = Net {
             now: 0,
             stores: (0..n).map(|_| None).collect(),
-            disks: (0..n).map(|n| if n < 3 { disk.clone() } else { Disk::default() }).collect(),
+            disks: (0..n).map(|n| if n < 3 { disk.clone() } else { StoredState::default() }).collect(),
             lives: vec![0; n],
             writes: BTreeMap::new(),
             events: BinaryHeap::new(),
@@ -137,7 +140,7 @@
             seed: self.lives[node] * 100 + node as u64,
         };
         let mut store = ControlStore::new(self.now, start, self.disks[node].clone());
-        store.pieces_of(self.piece);
+        store.set_snapshot_chunk_bytes(self.piece);
         self.stores[node] = Some(store);
         for other in 0..self.stores.len() {
             self.link(node, other);
@@ -152,7 +155,7 @@
             self.cut.remove(&(a, b));
             self.free.remove(&(a, b));
             if let Some(store) = &mut self.stores[a] {
-                store.reachable(self.now, Node(b as u32), true);
+                store.set_reachable(self.now, Node(b as u32), true);
             }
         }
         self.drain(a);
@@ -163,7 +166,7 @@
         for (a, b) in [(a, b), (b, a)] {
             self.cut.insert((a, b));
             if let Some(store) = &mut self.stores[a] {
-                store.reachable(self.now, Node(b as u32), false);
+                store.set_reachable(self.now, Node(b as u32), false);
             }
             self.drain(a);
         }
@@ -178,7 +181,7 @@
         self.stores[node] = None;
         self.lives[node] += 1;
         if wipe {
-            self.disks[node] = Disk::default();
+            self.disks[node] = StoredState::default();
         }
     }
 
@@ -190,19 +193,19 @@
 
     fn drain(&mut self, node: usize) {
         let Some(store) = &mut self.stores[node] else { return };
-        for effect in store.effects() {
+        for effect in store.take_effects() {
             match effect {
                 Effect::Send { to, version, message } => self.send(node, to.0 as usize, version, message),
                 Effect::Store { write, metadata, keys } => {
                     let life = self.lives[node];
                     self.writes.insert((node, write), (metadata, keys));
-                    self.at(self.now + SYNC, Event::Stored { node, life, write });
+                    self.at(self.now + SYNC, Event::StoredKey { node, life, write });
                 }
                 Effect::Answer { verdict, .. } => {
                     self.open -= 1;
                     match verdict {
-                        Verdict::Done { .. } => self.done += 1,
-                        Verdict::Value { .. } => self.values += 1,
+                        CallOutcome::Committed { .. } => self.done += 1,
+                        CallOutcome::Value { .. } => self.values += 1,
                         _ => self.unsettled += 1,
                     }
                 }
@@ -217,7 +220,7 @@
             return;
         }
         let size = bitcode::encode(&message).len() + 12;
-        if let Message::Piece { at, offset, .. } = &message {
+        if let Message::SnapshotChunk { at, offset, .. } = &message {
             self.again += usize::from(self.arrived.contains(&(to, *at, *offset)));
         }
         self.largest = self.largest.max(size);
@@ -257,7 +260,7 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Arrive { way: (from, to), version, message } => {
-                if let Message::Piece { at, offset, .. } = &message {
+                if let Message::SnapshotChunk { at, offset, .. } = &message {
                     self.arrived.insert((to, *at, *offset));
                     self.arrivals += 1;
                     self.sender = from;
@@ -267,7 +270,7 @@
                 }
                 self.drain(to);
             }
-            Event::Stored { node, life, write } => {
+            Event::StoredKey { node, life, write } => {
                 if self.lives[node] != life {
                     return;
                 }
@@ -279,7 +282,7 @@
                     disk.keys.push(stored);
                 }
                 if let Some(store) = &mut self.stores[node] {
-                    store.stored(self.now, write);
+                    store.write_completed(self.now, write);
                 }
                 self.drain(node);
             }
@@ -292,12 +295,12 @@
 
     fn owner(&self) -> Option<usize> {
         (0..self.stores.len())
-            .find(|n| self.stores[*n].as_ref().is_some_and(|s| s.settled().iter().any(|k| k.0 == KEY)))
+            .find(|n| self.stores[*n].as_ref().is_some_and(|s| s.owned_keys().iter().any(|k| k.0 == KEY)))
     }
 
     fn accepted(&self, node: usize) -> Option<Revision> {
-        let store = self.stores[node].as_ref().filter(|s| s.voter())?;
-        store.state().iter().find(|k| k.key == KEY).map(|k| k.accepted)
+        let store = self.stores[node].as_ref().filter(|s| s.is_voter())?;
+        store.key_states().iter().find(|k| k.key == KEY).map(|k| k.accepted)
     }
 
     fn call(&mut self, node: usize, change: (u32, u64)) {
@@ -358,7 +361,7 @@
 
 /// A member is away during so many changes; `load`: one more every 50 ms while it catches up.
 fn away(how: How, changes: u64, load: bool) -> Row {
-    let mut net = Net::new(Items::filled(ITEMS), 1, PIECE);
+    let mut net = Net::new(Items::filled(ITEMS), 1, SNAPSHOT_CHUNK_BYTES);
     let owner = net.owner().expect("an owner");
     let member = match how {
         How::RestartOfTheOwner => owner,
@@ -382,7 +385,7 @@
             net.stop(member, true);
             for node in 0..3 {
                 if let Some(store) = &mut net.stores[node] {
-                    store.candidate(net.now, Node(3), true);
+                    store.set_candidate(net.now, Node(3), true);
                 }
             }
             3
@@ -464,7 +467,11 @@
             let took = bytes as i64 * 8_000_000 / THIN + 1_000_000 + replaced;
             assert!(row.bytes <= bytes, "{how:?} after {changes}: {} bytes, not {bytes}", row.bytes);
             assert!(row.took <= took, "{how:?} after {changes}: {} us, not {took}", row.took);
-            assert!(row.largest <= PIECE + SMALL, "{how:?} after {changes}: {} bytes at once", row.largest);
+            assert!(
+                row.largest <= SNAPSHOT_CHUNK_BYTES + SMALL,
+                "{how:?} after {changes}: {} bytes at once",
+                row.largest
+            );
             assert_eq!(row.unsettled, 0, "{how:?} after {changes}: calls meanwhile");
         }
     }
--- a/crates/control/control-store/tests/common/bench.rs
+++ b/crates/control/control-store/tests/common/bench.rs
@@ -5,13 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub type L = Message<Notes, Change>;
-pub type Write = (u64, Option<Metadata>, Vec<Stored<Notes>>);
+pub type Write = (u64, Option<Metadata>, Vec<StoredKey<Notes>>);
 pub const KEY: &str = "configuration";
 
 pub struct Bench {
     pub now: Micros,
     pub ledgers: Vec<ControlStore<Notes>>,
-    pub disks: Vec<Disk<Notes>>,
+    pub disks: Vec<StoredState<Notes>>,
     pub messages: VecDeque<(usize, usize, u64, L)>,
     /// Not synced yet, where syncing is held.
     pub writes: Vec<VecDeque<Write>>,
@@ -20,7 +20,7 @@
     pub cut: BTreeSet<(usize, usize)>,
     /// Messages on these ways wait.
     pub held: BTreeSet<(usize, usize)>,
-    pub answers: BTreeMap<u64, Verdict<Notes>>,
+    pub answers: BTreeMap<u64, CallOutcome<Notes>>,
     /// The incarnations under which repair was asked for last.
     pub recovering: BTreeMap<usize, Incarnation>,
     pub starts: u64,
@@ -47,12 +47,13 @@
     /// The spare ones are added with empty disks, after the first start.
     pub fn with_spares(replicas: usize, spares: usize) -> Bench {
         let n = replicas + spares;
-        let one = |i| ControlStore::new(0, start(i, replicas, i < replicas, i as u64), Disk::default());
+        let one =
+            |i| ControlStore::new(0, start(i, replicas, i < replicas, i as u64), StoredState::default());
         let ledgers = (0..n).map(one).collect();
         let mut bench = Bench {
             now: 0,
             ledgers,
-            disks: (0..n).map(|_| Disk::default()).collect(),
+            disks: (0..n).map(|_| StoredState::default()).collect(),
             messages: VecDeque::new(),
             writes: (0..n).map(|_| VecDeque::new()).collect(),
             slow_disk: BTreeSet::new(),
@@ -79,23 +80,23 @@
     }
 
     pub fn owner(&self) -> Option<usize> {
-        (0..self.ledgers.len()).find(|i| !self.ledgers[*i].settled().is_empty())
+        (0..self.ledgers.len()).find(|i| !self.ledgers[*i].owned_keys().is_empty())
     }
 
     pub fn link(&mut self) {
         let n = self.ledgers.len();
         for (a, b) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| a != b) {
             if !self.cut.contains(&(a, b)) || !self.cut.contains(&(b, a)) {
-                self.ledgers[a].reachable(self.now, Node(b as u32), true);
+                self.ledgers[a].set_reachable(self.now, Node(b as u32), true);
             }
         }
         self.run();
     }
 
-    pub fn broken(&mut self, broken: Option<Broken>) {
+    pub fn broken(&mut self, broken: Option<Mutation>) {
         #[cfg(feature = "mutants")]
         if let Some(broken) = broken {
-            self.ledgers.iter_mut().for_each(|l| l.break_it(broken));
+            self.ledgers.iter_mut().for_each(|l| l.set_mutation(broken));
         }
         assert!(broken.is_none() || cfg!(feature = "mutants"));
     }
@@ -104,16 +105,16 @@
     pub fn tell_candidates(&mut self) {
         let n = self.ledgers.len();
         for (a, b) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))) {
-            let outside = self.ledgers[b].outside();
-            self.ledgers[a].candidate(self.now, Node(b as u32), outside);
+            let outside = self.ledgers[b].is_outside();
+            self.ledgers[a].set_candidate(self.now, Node(b as u32), outside);
         }
         self.run();
     }
 
     pub fn part(&mut self, node: usize) {
         for other in (0..self.ledgers.len()).filter(|o| *o != node) {
-            self.ledgers[other].reachable(self.now, Node(node as u32), false);
-            self.ledgers[node].reachable(self.now, Node(other as u32), false);
+            self.ledgers[other].set_reachable(self.now, Node(node as u32), false);
+            self.ledgers[node].set_reachable(self.now, Node(other as u32), false);
             self.cut.extend([(node, other), (other, node)]);
         }
     }
@@ -126,7 +127,7 @@
     /// This one is told to stop, and all others hear of it.
     pub fn leave(&mut self, node: usize) {
         self.leaving.insert(node);
-        self.ledgers[node].leave(self.now);
+        self.ledgers[node].begin_graceful_stop(self.now);
         self.run();
         self.gossip();
     }
@@ -137,9 +138,9 @@
         for (a, b) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| a != b) {
             if !self.cut.contains(&(b, a)) && !self.frozen.contains(&a) && !self.frozen.contains(&b) {
                 let leaves = self.leaving.contains(&b);
-                let free = self.ledgers[b].outside() && !leaves;
-                self.ledgers[a].candidate(self.now, Node(b as u32), free);
-                self.ledgers[a].leaves(self.now, Node(b as u32), leaves);
+                let free = self.ledgers[b].is_outside() && !leaves;
+                self.ledgers[a].set_candidate(self.now, Node(b as u32), free);
+                self.ledgers[a].set_stopping(self.now, Node(b as u32), leaves);
             }
         }
         self.run();
@@ -157,7 +158,7 @@
             disk.keys.retain(|k| k.key != stored.key);
             disk.keys.push(stored);
         }
-        self.ledgers[node].stored(self.now, write);
+        self.ledgers[node].write_completed(self.now, write);
         true
     }
 
@@ -174,11 +175,11 @@
         loop {
             let mut moved = false;
             for node in 0..self.ledgers.len() {
-                for effect in self.ledgers[node].effects() {
+                for effect in self.ledgers[node].take_effects() {
                     moved = true;
                     match effect {
                         Effect::Send { to, version, message } => {
-                            if let Message::Recover { incarnation } = message {
+                            if let Message::RepairRequest { incarnation } = message {
                                 self.recovering.insert(node, incarnation);
                             }
                             self.messages.push_back((node, to.0 as usize, version, message));
@@ -237,7 +238,7 @@
         let until = self.now + span;
         while self.now < until && self.fuse != Some(0) {
             let awake = (0..self.ledgers.len()).filter(|n| !self.frozen.contains(n));
-            let due = awake.filter_map(|n| self.ledgers[n].wake()).min().unwrap_or(until);
+            let due = awake.filter_map(|n| self.ledgers[n].next_deadline()).min().unwrap_or(until);
             self.now = due.clamp(self.now + 1, until);
             for node in (0..self.ledgers.len()).filter(|n| !self.frozen.contains(n)) {
                 self.ledgers[node].tick(self.now);
@@ -256,13 +257,13 @@
         let start = start(node, self.replicas, false, self.starts);
         self.ledgers[node] = ControlStore::new(self.now, start, self.disks[node].clone());
         for other in (0..n).filter(|o| *o != node) {
-            self.ledgers[other].reachable(self.now, Node(node as u32), false);
+            self.ledgers[other].set_reachable(self.now, Node(node as u32), false);
         }
         self.link();
     }
 
     /// Starts anew, broken again.
-    pub fn restart_as(&mut self, node: usize, broken: Option<Broken>) {
+    pub fn restart_as(&mut self, node: usize, broken: Option<Mutation>) {
         let ways: Vec<(usize, usize)> =
             (0..self.ledgers.len()).filter(|o| *o != node).flat_map(|o| [(node, o), (o, node)]).collect();
         let cut = self.cut.clone();
@@ -274,7 +275,7 @@
     }
 
     pub fn wipe(&mut self, node: usize) {
-        self.disks[node] = Disk::default();
+        self.disks[node] = StoredState::default();
         self.restart(node);
     }
 
@@ -288,13 +289,13 @@
         self.run();
         self.pass(700_000);
         match self.answers.get(&token) {
-            Some(Verdict::Value { value, .. }) => value.clone(),
+            Some(CallOutcome::Value { value, .. }) => value.clone(),
             other => panic!("no value: {other:?}"),
         }
     }
 
     pub fn done(&self, token: u64) -> bool {
-        matches!(self.answers.get(&token), Some(Verdict::Done { .. }))
+        matches!(self.answers.get(&token), Some(CallOutcome::Committed { .. }))
     }
 }
 
--- a/crates/control/control-store/tests/common/case.rs
+++ b/crates/control/control-store/tests/common/case.rs
@@ -36,7 +36,7 @@
 }
 
 impl Case {
-    pub fn new(owner_leaves: bool, broken: Option<Broken>) -> Case {
+    pub fn new(owner_leaves: bool, broken: Option<Mutation>) -> Case {
         let mut b = Bench::with_spares(3, 1);
         b.broken(broken);
         b.pass(1_000_000);
@@ -63,7 +63,7 @@
         let y = (0..3).find(|n| *n != self.leaver).expect("another");
         self.call(y, 3);
         for token in 4..40 {
-            if !self.b.ledgers[self.leaver].needed() || self.b.fuse == Some(0) {
+            if !self.b.ledgers[self.leaver].still_needed() || self.b.fuse == Some(0) {
                 return;
             }
             self.b.go(100_000);
@@ -71,7 +71,7 @@
                 self.call(self.leaver, token);
             }
         }
-        panic!("still needed: {:?}", self.b.ledgers[self.leaver].replicas());
+        panic!("still needed: {:?}", self.b.ledgers[self.leaver].replica_set());
     }
 
     pub fn strike(&mut self, blow: Blow, victim: usize) {
@@ -125,7 +125,7 @@
             self.b.ledgers[node].read(self.b.now, token, KEY);
             self.b.run();
             for _ in 0..50 {
-                if let Some(Verdict::Value { value, .. }) = self.b.answers.get(&token) {
+                if let Some(CallOutcome::Value { value, .. }) = self.b.answers.get(&token) {
                     return value.clone();
                 }
                 self.b.go(20_000);
--- a/crates/control/control-store/tests/common/judge.rs
+++ b/crates/control/control-store/tests/common/judge.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub enum Said {
     Nothing,
-    Unsettled,
+    Unknown,
     Refused,
     Done(At),
     State(Seen),
--- a/crates/control/control-store/tests/common/mod.rs
+++ b/crates/control/control-store/tests/common/mod.rs
@@ -31,11 +31,12 @@
 impl State for Notes {
     type Change = Change;
 
-    fn apply(&mut self, change: &Change) -> Result<bool, Refusal> {
+    fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
         let mut next = self.0.clone();
         let mut changed = false;
         for (item, version, content) in change {
-            let refusal = |conflict| Refusal { conflict, reason: format!("item {item}, version {version}") };
+            let refusal =
+                |conflict| Rejection { conflict, reason: format!("item {item}, version {version}") };
             let known = next.get(item).copied().unwrap_or_default();
             let outcome = match version.cmp(&known.0) {
                 _ if *content == 0 => Err(refusal(false)),
@@ -125,7 +126,7 @@
 
 enum Held {
     Message(usize, u64, Box<L>),
-    Stored(u64),
+    StoredKey(u64),
     Told(usize, bool),
     Room(bool),
     Call(u64, String, Option<Change>),
@@ -133,9 +134,9 @@
 
 struct Machine {
     store: Option<ControlStore<Notes>>,
-    disk: Disk<Notes>,
+    disk: StoredState<Notes>,
     formatted: bool,
-    writes: VecDeque<(u64, Option<Metadata>, Vec<Stored<Notes>>)>,
+    writes: VecDeque<(u64, Option<Metadata>, Vec<StoredKey<Notes>>)>,
     /// Rises with every start.
     incarnation: u64,
     frozen: bool,
@@ -192,7 +193,7 @@
     recent: Vec<(String, Change)>,
     stop: Micros,
     healing: bool,
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
     /// Whether disks run full among the other faults.
     pub full_disks: bool,
     pub report: Report,
@@ -200,12 +201,12 @@
 }
 
 impl World {
-    pub fn new(seed: u64, machines: usize, broken: Option<Broken>) -> World {
+    pub fn new(seed: u64, machines: usize, broken: Option<Mutation>) -> World {
         World::with_spares(seed, machines, 0, broken)
     }
 
     /// With machines that are no replicas yet; replicas may be lost for good, and away for long.
-    pub fn with_spares(seed: u64, replicas: usize, spares: usize, broken: Option<Broken>) -> World {
+    pub fn with_spares(seed: u64, replicas: usize, spares: usize, broken: Option<Mutation>) -> World {
         let machines = replicas + spares;
         let mut dice = Dice(seed);
         let keys = (0..1 + dice.below(3)).map(|k| format!("key-{k}")).collect();
@@ -242,7 +243,7 @@
             let offset = world.dice.below(1_000_000_000) as Micros;
             world.machines.push(Machine {
                 store: None,
-                disk: Disk::default(),
+                disk: StoredState::default(),
                 formatted: false,
                 writes: VecDeque::new(),
                 incarnation: 0,
@@ -295,13 +296,13 @@
         let mut store = ControlStore::new(now + m.offset, start, m.disk.clone());
         #[cfg(feature = "mutants")]
         if let Some(broken) = self.broken {
-            store.break_it(broken);
+            store.set_mutation(broken);
         }
         if m.full {
-            store.room(now + m.offset, false);
+            store.set_disk_has_space(now + m.offset, false);
         }
         // Values of some bytes go in one to ten pieces.
-        store.pieces_of([10, 33, 100_000][self.loss as usize % 3]);
+        store.set_snapshot_chunk_bytes([10, 33, 100_000][self.loss as usize % 3]);
         m.store = Some(store);
         self.drain(node);
         for peer in 0..n {
@@ -336,7 +337,7 @@
         }
         m.sync_free = 0;
         if wipe {
-            m.disk = Disk::default();
+            m.disk = StoredState::default();
         }
         for token in self.open.iter().filter(|(_, n)| **n == node).map(|(t, _)| *t).collect::<Vec<_>>() {
             self.open.remove(&token);
@@ -358,9 +359,9 @@
         let Some(store) = &mut m.store else { return };
         match what {
             Held::Message(from, version, message) => store.receive(now, Node(from as u32), version, *message),
-            Held::Stored(write) => store.stored(now, write),
-            Held::Room(room) => store.room(now, room),
-            Held::Told(peer, up) => store.reachable(now, Node(peer as u32), up),
+            Held::StoredKey(write) => store.write_completed(now, write),
+            Held::Room(room) => store.set_disk_has_space(now, room),
+            Held::Told(peer, up) => store.set_reachable(now, Node(peer as u32), up),
             Held::Call(token, key, Some(change)) => store.call(now, token, &key, change),
             Held::Call(token, key, None) => store.read(now, token, &key),
         }
@@ -369,7 +370,7 @@
 
     fn drain(&mut self, node: usize) {
         let Some(store) = &mut self.machines[node].store else { return };
-        for effect in store.effects() {
+        for effect in store.take_effects() {
             match effect {
                 Effect::Send { to, version, message } => {
                     self.report.messages += 1;
@@ -405,14 +406,14 @@
                 }
                 Effect::Answer { token, verdict } => self.answered(node, token, verdict),
                 Effect::Committed { key, revision, value } => {
-                    let at = (revision.epoch.round, revision.epoch.owner, revision.seq);
+                    let at = (revision.epoch.round, revision.epoch.owner, revision.sequence);
                     let incarnation = self.machines[node].incarnation;
                     self.history.news.push((key, at, (node, incarnation), value.0));
                 }
             }
         }
         let m = &mut self.machines[node];
-        if let Some(wake) = m.store.as_ref().and_then(|l| l.wake()).map(|w| w - m.offset) {
+        if let Some(wake) = m.store.as_ref().and_then(|l| l.next_deadline()).map(|w| w - m.offset) {
             if wake < m.wake {
                 m.wake = wake;
                 let incarnation = m.incarnation;
@@ -421,7 +422,7 @@
         }
     }
 
-    fn answered(&mut self, node: usize, token: u64, verdict: Verdict<Notes>) {
+    fn answered(&mut self, node: usize, token: u64, verdict: CallOutcome<Notes>) {
         if self.open.remove(&token).is_none() {
             self.fail(format!("call {token} answered twice"));
             return;
@@ -433,21 +434,21 @@
             self.failure.get_or_insert(format!("call {token} answered after {late} us"));
         }
         op.said = match verdict {
-            Verdict::Done { revision, .. } => {
+            CallOutcome::Committed { revision, .. } => {
                 self.report.done += 1;
-                Said::Done((revision.epoch.round, revision.epoch.owner, revision.seq))
+                Said::Done((revision.epoch.round, revision.epoch.owner, revision.sequence))
             }
-            Verdict::Refused(_) => {
+            CallOutcome::Rejected(_) => {
                 self.report.refused += 1;
                 Said::Refused
             }
-            Verdict::Value { value, .. } => {
+            CallOutcome::Value { value, .. } => {
                 self.report.reads += 1;
                 Said::State(value.0)
             }
-            Verdict::Unsettled => {
+            CallOutcome::Unknown => {
                 self.report.unsettled += 1;
-                Said::Unsettled
+                Said::Unknown
             }
         };
     }
@@ -596,7 +597,9 @@
     fn replica_set(&self) -> Option<ReplicaSet> {
         let known = |m: &Machine| {
             let disk = m.disk.metadata.as_ref().map(|metadata| metadata.replica_set.clone());
-            disk.into_iter().chain(m.store.as_ref().map(|l| l.replicas().clone())).max_by_key(|r| r.version)
+            disk.into_iter()
+                .chain(m.store.as_ref().map(|l| l.replica_set().clone()))
+                .max_by_key(|r| r.version)
         };
         self.machines.iter().filter_map(known).max_by_key(|r| r.version)
     }
@@ -608,7 +611,7 @@
         let mut known: Vec<ReplicaSet> = Vec::new();
         for m in &self.machines {
             known.extend(m.disk.metadata.as_ref().map(|metadata| metadata.replica_set.clone()));
-            known.extend(m.store.as_ref().map(|l| l.replicas().clone()));
+            known.extend(m.store.as_ref().map(|l| l.replica_set().clone()));
         }
         let since = |node: usize, version: u64| {
             let m = &self.machines[node];
@@ -640,7 +643,7 @@
                 let (at, incarnation) = (self.now + m.offset, m.incarnation);
                 let Some(store) = m.store.as_mut().filter(|_| !m.leaving && !m.frozen) else { return };
                 m.leaving = true;
-                store.leave(at);
+                store.begin_graceful_stop(at);
                 self.drain(node);
                 self.at(self.now, Event::Undo(Undo::Stops(node, incarnation, self.now + span)));
                 "leaves in plan"
@@ -683,8 +686,8 @@
     fn stops(&mut self, node: usize, incarnation: u64, until: Micros) {
         let m = &self.machines[node];
         let Some(store) = m.store.as_ref().filter(|_| m.incarnation == incarnation) else { return };
-        let (needed, outside) = (store.needed(), store.outside());
-        if (needed || m.frozen) && self.now < until && !self.healing {
+        let (still_needed, outside) = (store.still_needed(), store.is_outside());
+        if (still_needed || m.frozen) && self.now < until && !self.healing {
             self.at(self.now + 50_000, Event::Undo(Undo::Stops(node, incarnation, until)));
             return;
         }
@@ -692,11 +695,11 @@
         let n = self.machines.len();
         let lost = (0..n).filter(|n| replica(*n) && self.machines[*n].destroyed).count();
         let spare = (0..n).filter(|n| !replica(*n) && !self.machines[*n].destroyed).count();
-        let ends = !needed && outside && !replica(node) && spare > lost + 1;
+        let ends = !still_needed && outside && !replica(node) && spare > lost + 1;
         self.crash(node, false);
         if ends && self.dice.one_in(2) {
             *self.report.faults.entry("left for good").or_default() += 1;
-            self.machines[node].disk = Disk::default();
+            self.machines[node].disk = StoredState::default();
             self.machines[node].destroyed = true;
         } else {
             let span = 200_000 + self.dice.below(5_000_000) as Micros;
@@ -737,7 +740,7 @@
                 }
                 self.input(node, Held::Room(true));
                 if let Some(write) = last {
-                    self.input(node, Held::Stored(write));
+                    self.input(node, Held::StoredKey(write));
                 }
             }
             Undo::Thaw(node) => {
@@ -780,11 +783,11 @@
         }
         for peer in (0..n).filter(|p| *p != node) {
             let leaves = self.machines[peer].leaving;
-            let outside = self.machines[peer].store.as_ref().is_some_and(|l| l.outside());
+            let outside = self.machines[peer].store.as_ref().is_some_and(|l| l.is_outside());
             let m = &mut self.machines[node];
             if let Some(store) = &mut m.store {
-                store.candidate(self.now + m.offset, Node(peer as u32), outside && !leaves);
-                store.leaves(self.now + m.offset, Node(peer as u32), leaves);
+                store.set_candidate(self.now + m.offset, Node(peer as u32), outside && !leaves);
+                store.set_stopping(self.now + m.offset, Node(peer as u32), leaves);
             }
         }
         self.drain(node);
@@ -814,7 +817,7 @@
                                 persist(m, metadata, keys);
                             }
                         }
-                        self.input(node, Held::Stored(write));
+                        self.input(node, Held::StoredKey(write));
                     }
                 }
                 Event::Wake { node, incarnation } => {
@@ -851,7 +854,7 @@
         let replicas: Vec<&Machine> =
             replica_set.members.iter().map(|m| &self.machines[m.0 .0 as usize]).collect();
         let agree =
-            |m: &&Machine| m.store.as_ref().is_some_and(|l| l.voter() && *l.replicas() == replica_set);
+            |m: &&Machine| m.store.as_ref().is_some_and(|l| l.is_voter() && *l.replica_set() == replica_set);
         !replica_set.joint()
             && replicas.iter().all(agree)
             && self.keys.iter().all(|key| {
@@ -859,14 +862,15 @@
                     .machines
                     .iter()
                     .filter_map(|m| m.store.as_ref())
-                    .flat_map(|l| l.settled())
+                    .flat_map(|l| l.owned_keys())
                     .filter(|(k, ..)| k == key)
                     .map(|(_, _, revision)| revision)
                     .collect();
                 owners.len() == 1
                     && replicas.iter().all(|m| {
                         m.store.as_ref().is_some_and(|l| {
-                            l.voter() && l.state().iter().any(|s| s.key == *key && s.accepted == owners[0])
+                            l.is_voter()
+                                && l.key_states().iter().any(|s| s.key == *key && s.accepted == owners[0])
                         })
                     })
             })
@@ -903,7 +907,7 @@
                 let states: Vec<_> = self
                     .machines
                     .iter()
-                    .filter_map(|m| m.store.as_ref().map(|l| (l.voter(), l.replicas(), l.state())))
+                    .filter_map(|m| m.store.as_ref().map(|l| (l.is_voter(), l.replica_set(), l.key_states())))
                     .collect();
                 self.fail(format!("not settled after the heal: {states:?}"));
             }
@@ -928,7 +932,7 @@
                             let states: Vec<_> = self
                                 .machines
                                 .iter()
-                                .filter_map(|m| m.store.as_ref().map(|l| l.state()))
+                                .filter_map(|m| m.store.as_ref().map(|l| l.key_states()))
                                 .collect();
                             let op = self.history.ops[token as usize].clone();
                             self.fail(format!("a call after the heal failed: {op:?} at {node}: {states:#?}"));
@@ -943,9 +947,9 @@
         }
         for m in &self.machines {
             if let Some(store) = &m.store {
-                self.report.taken += store.figures().taken;
-                self.report.outlived += store.figures().outlived;
-                if store.figures().went_back > 0 {
+                self.report.taken += store.metrics().taken;
+                self.report.outlived += store.metrics().outlived;
+                if store.metrics().went_back > 0 {
                     self.failure.get_or_insert("a disk that is good was found to have gone back".into());
                 }
             }
@@ -970,7 +974,7 @@
     4_000_000 + 6_000_000
 }
 
-fn persist(m: &mut Machine, metadata: Option<Metadata>, keys: Vec<Stored<Notes>>) {
+fn persist(m: &mut Machine, metadata: Option<Metadata>, keys: Vec<StoredKey<Notes>>) {
     if metadata.is_some() {
         m.disk.metadata = metadata;
         m.formatted = true;
--- a/crates/control/control-store/tests/disk_full.rs
+++ b/crates/control/control-store/tests/disk_full.rs
@@ -8,20 +8,20 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const KEY: &str = "configuration";
-type Write = (u64, Option<Metadata>, Vec<Stored<Notes>>);
+type Write = (u64, Option<Metadata>, Vec<StoredKey<Notes>>);
 type Sent = (usize, usize, u64, Message<Notes, Change>);
 
 #[derive(Default)]
 struct Trio {
     now: Micros,
     stores: Vec<ControlStore<Notes>>,
-    disks: Vec<Disk<Notes>>,
+    disks: Vec<StoredState<Notes>>,
     /// Under way.
     writes: Vec<VecDeque<Write>>,
     full: [bool; 3],
     /// The most that were under way at once.
     most: usize,
-    answers: BTreeMap<u64, (Micros, Verdict<Notes>)>,
+    answers: BTreeMap<u64, (Micros, CallOutcome<Notes>)>,
     /// All that was ever sent.
     sent: Vec<Sent>,
 }
@@ -29,7 +29,7 @@
 impl Trio {
     /// With a settled owner; who that is, and the two others.
     fn settled() -> (Trio, usize, usize, usize) {
-        let mut t = Trio { disks: vec![Disk::default(); 3], ..Trio::default() };
+        let mut t = Trio { disks: vec![StoredState::default(); 3], ..Trio::default() };
         t.writes = (0..3).map(|_| VecDeque::new()).collect();
         t.stores = (0..3).map(|n| t.store(n, true)).collect();
         t.link();
@@ -47,13 +47,13 @@
 
     fn link(&mut self) {
         for (a, b) in (0..9).map(|i| (i / 3, i % 3)).filter(|(a, b)| a != b) {
-            self.stores[a].reachable(self.now, Node(b as u32), true);
+            self.stores[a].set_reachable(self.now, Node(b as u32), true);
         }
         self.run();
     }
 
     fn owner(&self) -> Option<usize> {
-        (0..3).find(|n| !self.stores[*n].settled().is_empty())
+        (0..3).find(|n| !self.stores[*n].owned_keys().is_empty())
     }
 
     fn promised(&self, node: usize) -> Epoch {
@@ -66,7 +66,7 @@
             let mut out = Vec::new();
             for node in 0..3 {
                 self.disk(node);
-                for effect in self.stores[node].effects() {
+                for effect in self.stores[node].take_effects() {
                     match effect {
                         Effect::Send { to, version, message } => {
                             out.push((node, to.0 as usize, version, message))
@@ -82,7 +82,7 @@
                 }
                 self.most = self.most.max(self.writes[node].len());
             }
-            let tried = |n: usize| self.full[n] && !self.stores[n].has_room();
+            let tried = |n: usize| self.full[n] && !self.stores[n].disk_has_space();
             let waits = (0..3).any(|n| !self.writes[n].is_empty() && !tried(n));
             if out.is_empty() && !waits {
                 return;
@@ -100,14 +100,14 @@
             return;
         }
         if self.full[node] {
-            return self.stores[node].room(self.now, false);
+            return self.stores[node].set_disk_has_space(self.now, false);
         }
         while let Some((write, metadata, keys)) = self.writes[node].pop_front() {
             let disk = &mut self.disks[node];
             disk.metadata = metadata.or(disk.metadata.take());
             disk.keys.retain(|k| !keys.iter().any(|new| new.key == k.key));
             disk.keys.extend(keys);
-            self.stores[node].stored(self.now, write);
+            self.stores[node].write_completed(self.now, write);
         }
     }
 
@@ -123,7 +123,7 @@
     fn empty(&mut self, node: usize) {
         self.full[node] = false;
         self.disk(node);
-        self.stores[node].room(self.now, true);
+        self.stores[node].set_disk_has_space(self.now, true);
         self.run();
     }
 
@@ -148,11 +148,11 @@
 }
 
 #[cfg_attr(not(feature = "mutants"), allow(unused_mut, unused_variables))]
-fn told_without_room(broken: Option<Broken>) -> usize {
+fn told_without_room(broken: Option<Mutation>) -> usize {
     let (mut t, _, x, y) = Trio::settled();
     #[cfg(feature = "mutants")]
     if let Some(broken) = broken {
-        t.stores[y].break_it(broken);
+        t.stores[y].set_mutation(broken);
     }
     t.full[y] = true;
     let epoch = t.claim(x, y);
@@ -170,7 +170,7 @@
 fn no_promise_is_told_without_room() {
     assert_eq!(told_without_room(None), 0);
     #[cfg(feature = "mutants")]
-    assert!(told_without_room(Some(Broken::SaysUnwritten)) > 0, "the rule broken on purpose shows");
+    assert!(told_without_room(Some(Mutation::ConfirmsFailedWrites)) > 0, "the rule broken on purpose shows");
 }
 
 #[test]
@@ -179,7 +179,7 @@
     t.full[owner] = true;
     t.call(owner, 1, vec![(1, 1, 7)]);
     t.pass(300_000);
-    assert!(matches!(t.answers[&1].1, Verdict::Done { .. }), "{:?}", t.answers);
+    assert!(matches!(t.answers[&1].1, CallOutcome::Committed { .. }), "{:?}", t.answers);
     assert!(t.owner().is_some_and(|now| now != owner), "another owns it");
     // Hundreds of changes and reads through all three, the full one too; each is answered at once.
     for round in 0..200 {
@@ -190,16 +190,19 @@
             t.run();
             for token in [token, 5_000 + token] {
                 let said = t.answers.get(&token);
-                assert!(said.is_some_and(|s| s.1 != Verdict::Unsettled), "{token} through {node}: {said:?}");
+                assert!(
+                    said.is_some_and(|s| s.1 != CallOutcome::Unknown),
+                    "{token} through {node}: {said:?}"
+                );
             }
         }
         t.pass(20_000);
     }
     assert!(t.most <= 2, "{} writes under way", t.most);
-    assert_eq!(t.stores[owner].figures().no_room, 1);
+    assert_eq!(t.stores[owner].metrics().no_room, 1);
     t.empty(owner);
     t.pass(1_000_000);
-    let copies: Vec<&Stored<Notes>> = t.disks.iter().flat_map(|d| &d.keys).collect();
+    let copies: Vec<&StoredKey<Notes>> = t.disks.iter().flat_map(|d| &d.keys).collect();
     assert!(copies.len() == 3 && copies.iter().all(|c| c.value == copies[0].value), "all have caught up");
 }
 
@@ -210,20 +213,20 @@
     t.full[x] = true;
     // The owner falls silent: `x` claims, and finds no room for its epoch.
     for other in [x, y] {
-        t.stores[other].reachable(t.now, Node(owner as u32), false);
+        t.stores[other].set_reachable(t.now, Node(owner as u32), false);
     }
     t.call(x, 1, vec![(1, 1, 7)]);
     t.pass(2_000_000);
     let own = |epoch: &Epoch| epoch.owner == x as u32 && *epoch > before;
     let tells = |m: &Message<_, _>| match m {
-        Message::Claim { epoch, .. } | Message::Resigned { epoch, .. } => own(epoch),
+        Message::Claim { epoch, .. } | Message::OwnershipReleased { epoch, .. } => own(epoch),
         Message::Forward { under, .. } => own(under),
-        Message::Verdict { forwarded: Forwarded::NotOwner(epoch), .. } => own(epoch),
+        Message::ForwardReply { forwarded: ForwardReply::NotOwner(epoch), .. } => own(epoch),
         _ => false,
     };
     let told: Vec<&Sent> = t.sent.iter().filter(|s| s.0 == x && tells(&s.3)).collect();
     assert!(told.is_empty(), "{told:?}");
-    assert!(t.stores[x].figures().claims <= 1, "it claims nothing more");
+    assert!(t.stores[x].metrics().claims <= 1, "it claims nothing more");
 }
 
 #[test]
@@ -231,21 +234,21 @@
     let (mut t, owner, x, y) = Trio::settled();
     let epoch = t.claim(x, y);
     t.stores[y] = t.store(y, false);
-    t.stores[y].room(t.now, false);
+    t.stores[y].set_disk_has_space(t.now, false);
     t.full[y] = true;
     t.link();
-    assert!(t.stores[y].voter() && !t.stores[y].has_room());
+    assert!(t.stores[y].is_voter() && !t.stores[y].disk_has_space());
     // What it promised before stands, and needs no write to be told again.
     let old = t.promises(y, epoch);
     t.claim(x, y);
     assert_eq!(t.promises(y, epoch), old + 1);
     for other in [owner, x] {
-        t.stores[y].reachable(t.now, Node(other as u32), false);
+        t.stores[y].set_reachable(t.now, Node(other as u32), false);
     }
     t.pass(5_000_000);
-    assert_eq!(t.stores[y].figures().claims, 0);
+    assert_eq!(t.stores[y].metrics().claims, 0);
     t.empty(y);
     t.pass(1_500_000);
-    let claims = t.stores[y].state()[0].promised;
+    let claims = t.stores[y].key_states()[0].promised;
     assert!(claims > epoch && claims.owner == y as u32, "{claims:?}: above what it had promised");
 }
--- a/crates/control/control-store/tests/explore/main.rs
+++ b/crates/control/control-store/tests/explore/main.rs
@@ -20,7 +20,7 @@
 mod common;
 mod world;
 
-use silvercross_control_store::Broken;
+use silvercross_control_store::Mutation;
 use std::collections::HashSet;
 use std::rc::Rc;
 use world::{Heard, Left, Step, World};
@@ -55,7 +55,7 @@
     whole: bool,
 }
 
-fn explore(left: Left, broken: Option<Broken>, most: usize) -> Result<Seen, String> {
+fn explore(left: Left, broken: Option<Mutation>, most: usize) -> Result<Seen, String> {
     let mut seen = Seen { whole: true, ..Seen::default() };
     let mut known = HashSet::new();
     let mut stack = vec![(World::new(left, broken), None::<Rc<Path>>)];
@@ -72,7 +72,7 @@
         }
         seen.done += usize::from(world.heard.contains(&Some(Heard::Done)));
         seen.replaced +=
-            usize::from(world.machines[3].replicas().version > 2 && !world.machines[3].outside());
+            usize::from(world.machines[3].replica_set().version > 2 && !world.machines[3].is_outside());
         let steps = world.next();
         seen.ends += usize::from(steps.is_empty());
         for step in steps {
@@ -109,7 +109,7 @@
 
 /// One change, one surprise, and no time for a replacement.
 #[cfg(feature = "mutants")]
-fn caught(broken: Broken) -> String {
+fn caught(broken: Mutation) -> String {
     let bounds = Left { calls: [true, false], ..left(1, 2, 0) };
     let why = explore(bounds, Some(broken), usize::MAX).map(|seen| format!("{seen:?}"));
     let why = why.expect_err("not found");
@@ -120,19 +120,19 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn an_answer_before_more_than_half_have_it_is_found() {
-    assert!(caught(Broken::AnswersEarly).contains("not at more than half"));
+    assert!(caught(Mutation::AnswersBeforeQuorum).contains("not at more than half"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn a_wiped_replica_that_votes_is_found() {
-    assert!(caught(Broken::WipedVotes).contains("lost between"));
+    assert!(caught(Mutation::VotesWithEmptyDisk).contains("lost between"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn a_take_over_that_reads_too_few_is_found() {
-    assert!(caught(Broken::ReadsTooFew).contains("lost between"));
+    assert!(caught(Mutation::ClaimsWithoutQuorum).contains("lost between"));
 }
 
 #[test]
--- a/crates/control/control-store/tests/explore/world.rs
+++ b/crates/control/control-store/tests/explore/world.rs
@@ -18,14 +18,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lane {
     Link(usize, usize),
-    Disk(usize),
+    StoredState(usize),
 }
 
 impl Lane {
     fn touches(self, node: usize) -> bool {
         match self {
             Lane::Link(from, to) => from == node || to == node,
-            Lane::Disk(of) => of == node,
+            Lane::StoredState(of) => of == node,
         }
     }
 }
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 enum Work {
     Message(u64, M),
-    Write(u64, Option<Metadata>, Vec<Stored<Notes>>),
+    Write(u64, Option<Metadata>, Vec<StoredKey<Notes>>),
 }
 
 #[derive(Clone)]
@@ -78,7 +78,7 @@
     now: Micros,
     pub machines: Vec<Rc<ControlStore<Notes>>>,
     prints: [u64; MACHINES],
-    disks: Vec<Rc<Disk<Notes>>>,
+    disks: Vec<Rc<StoredState<Notes>>>,
     tasks: VecDeque<Task>,
     held: Vec<Lane>,
     lost: Option<usize>,
@@ -90,7 +90,7 @@
     had: [Revision; MACHINES],
     committed: Rc<BTreeMap<Revision, Notes>>,
     pub heard: [Option<Heard>; 2],
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
     pub wrong: Option<String>,
 }
 
@@ -101,16 +101,16 @@
 }
 
 impl World {
-    pub fn new(left: Left, broken: Option<Broken>) -> World {
+    pub fn new(left: Left, broken: Option<Mutation>) -> World {
         let one = |i: usize| {
             let start = World::start(i, i < REPLICAS, i as u64);
-            Rc::new(ControlStore::new(0, start, Disk::default()))
+            Rc::new(ControlStore::new(0, start, StoredState::default()))
         };
         let mut world = World {
             now: 0,
             machines: (0..MACHINES).map(one).collect(),
             prints: [0; MACHINES],
-            disks: (0..MACHINES).map(|_| Rc::new(Disk::default())).collect(),
+            disks: (0..MACHINES).map(|_| Rc::new(StoredState::default())).collect(),
             tasks: VecDeque::new(),
             held: Vec::new(),
             lost: None,
@@ -129,8 +129,8 @@
         for _ in 0..12 {
             world.tick();
         }
-        assert_eq!(world.machines.iter().filter(|m| !m.settled().is_empty()).count(), 1, "an owner");
-        (0..MACHINES).for_each(|node| world.break_it(node));
+        assert_eq!(world.machines.iter().filter(|m| !m.owned_keys().is_empty()).count(), 1, "an owner");
+        (0..MACHINES).for_each(|node| world.set_mutation(node));
         world
     }
 
@@ -140,10 +140,10 @@
     }
 
     /// Leaves a rule out at one of them.
-    fn break_it(&mut self, node: usize) {
+    fn set_mutation(&mut self, node: usize) {
         #[cfg(feature = "mutants")]
         if let Some(broken) = self.broken {
-            Rc::make_mut(&mut self.machines[node]).break_it(broken);
+            Rc::make_mut(&mut self.machines[node]).set_mutation(broken);
         }
         assert!(node < MACHINES && (self.broken.is_none() || cfg!(feature = "mutants")));
     }
@@ -156,7 +156,7 @@
     fn at(&mut self, node: usize, act: impl FnOnce(&mut ControlStore<Notes>)) {
         let store = Rc::make_mut(&mut self.machines[node]);
         act(store);
-        let effects = store.effects();
+        let effects = store.take_effects();
         self.prints[node] = 0;
         for effect in effects {
             self.heed(node, effect);
@@ -173,7 +173,7 @@
                 (Lane::Link(node, to), Work::Message(version, message))
             }
             Effect::Store { write, metadata, keys, .. } => {
-                (Lane::Disk(node), Work::Write(write, metadata, keys))
+                (Lane::StoredState(node), Work::Write(write, metadata, keys))
             }
             Effect::Committed { revision, value, .. } => return self.judge_commit(node, revision, value),
             Effect::Answer { token, verdict } => return self.judge_answer(token as usize, verdict),
@@ -185,8 +185,8 @@
     fn link(&mut self, node: usize) {
         let now = self.now;
         for other in self.living().filter(|o| *o != node).collect::<Vec<_>>() {
-            self.at(node, |s| s.reachable(now, Node(other as u32), true));
-            self.at(other, |s| s.reachable(now, Node(node as u32), true));
+            self.at(node, |s| s.set_reachable(now, Node(other as u32), true));
+            self.at(other, |s| s.set_reachable(now, Node(node as u32), true));
         }
     }
 
@@ -195,7 +195,7 @@
         self.tasks.retain(|task| !task.lane.touches(node));
         self.held.retain(|lane| !lane.touches(node));
         for other in self.living().filter(|o| *o != node).collect::<Vec<_>>() {
-            self.at(other, |s| s.reachable(now, Node(node as u32), false));
+            self.at(other, |s| s.set_reachable(now, Node(node as u32), false));
         }
         self.tasks.retain(|task| !task.lane.touches(node));
     }
@@ -211,7 +211,7 @@
             (Work::Message(version, message), Lane::Link(from, to)) => {
                 self.at(to, |s| s.receive(now, Node(from as u32), *version, message.clone()));
             }
-            (Work::Write(write, metadata, keys), Lane::Disk(node)) => {
+            (Work::Write(write, metadata, keys), Lane::StoredState(node)) => {
                 let disk = Rc::make_mut(&mut self.disks[node]);
                 disk.metadata = metadata.clone().or(disk.metadata.take());
                 for stored in keys {
@@ -222,7 +222,7 @@
                 if let Some(stored) = disk.keys.first().filter(|_| disk.metadata.is_some()) {
                     self.had[node] = stored.accepted;
                 }
-                self.at(node, |s| s.stored(now, *write));
+                self.at(node, |s| s.write_completed(now, *write));
             }
             _ => unreachable!("a message on a disk"),
         }
@@ -237,13 +237,13 @@
     fn tick(&mut self) {
         self.now += 100_000;
         let now = self.now;
-        let outside: Vec<(usize, bool)> = self.living().map(|n| (n, self.machines[n].outside())).collect();
+        let outside: Vec<(usize, bool)> = self.living().map(|n| (n, self.machines[n].is_outside())).collect();
         let news = outside != self.outside;
         for node in self.living().collect::<Vec<_>>() {
             for (other, outside) in outside.iter().filter(|_| news) {
-                self.at(node, |s| s.candidate(now, Node(*other as u32), *outside));
+                self.at(node, |s| s.set_candidate(now, Node(*other as u32), *outside));
             }
-            if self.machines[node].wake().is_some_and(|at| at <= now) {
+            if self.machines[node].next_deadline().is_some_and(|at| at <= now) {
                 self.at(node, |s| s.tick(now));
             }
         }
@@ -284,10 +284,10 @@
                 self.left.wipe = false;
                 self.unlink(node);
                 self.starts += 1;
-                self.disks[node] = Rc::new(Disk::default());
+                self.disks[node] = Rc::new(StoredState::default());
                 let start = World::start(node, false, self.starts);
-                self.machines[node] = Rc::new(ControlStore::new(now, start, Disk::default()));
-                self.break_it(node);
+                self.machines[node] = Rc::new(ControlStore::new(now, start, StoredState::default()));
+                self.set_mutation(node);
                 self.outside.clear();
                 self.link(node);
             }
@@ -359,14 +359,14 @@
 
     /// A commit is at more than half, by their disks; it has all that an earlier one has, and nothing that was refused.
     fn judge_commit(&mut self, node: usize, revision: Revision, value: Notes) {
-        let replicas = self.machines[node].replicas().clone();
+        let replicas = self.machines[node].replica_set().clone();
         let half = |without: Option<Node>| {
             let members: Vec<Node> =
                 replicas.members.iter().map(|m| m.0).filter(|n| Some(*n) != without).collect();
             let have = members.iter().filter(|n| self.had[n.0 as usize] >= revision).count();
             have * 2 > members.len()
         };
-        if !half(replicas.coming) || !half(replicas.leaving) {
+        if !half(replicas.joining) || !half(replicas.leaving) {
             self.fault(format!("{revision:?} is said to be committed and is not at more than half"));
         }
         for (which, heard) in self.heard.into_iter().enumerate() {
@@ -388,16 +388,16 @@
         Rc::make_mut(&mut self.committed).insert(revision, value);
     }
 
-    fn judge_answer(&mut self, which: usize, verdict: Verdict<Notes>) {
+    fn judge_answer(&mut self, which: usize, verdict: CallOutcome<Notes>) {
         self.heard[which] = Some(match verdict {
-            Verdict::Done { revision, .. } => {
+            CallOutcome::Committed { revision, .. } => {
                 let held = self.committed.get(&revision).and_then(|value| value.0.get(&1));
                 if held != Some(&(1, CONTENTS[which])) {
                     self.fault(format!("change {which} is done and not committed at {revision:?}"));
                 }
                 Heard::Done
             }
-            Verdict::Refused(_) => {
+            CallOutcome::Rejected(_) => {
                 if self.committed.values().any(|value| value.0.values().any(|v| v.1 == CONTENTS[which])) {
                     self.fault(format!("change {which} is committed and refused"));
                 }
--- a/crates/control/control-store/tests/mutants.rs
+++ b/crates/control/control-store/tests/mutants.rs
@@ -5,14 +5,14 @@
 mod common;
 
 use common::{World, PART_OF_CALL};
-use silvercross_control_store::Broken;
+use silvercross_control_store::Mutation;
 
 /// The judge's words on the first of some schedules in which it shows.
-fn caught(broken: Option<Broken>, schedules: u64) -> String {
+fn caught(broken: Option<Mutation>, schedules: u64) -> String {
     caught_with(broken, schedules, false)
 }
 
-fn caught_with(broken: Option<Broken>, schedules: u64, full_disks: bool) -> String {
+fn caught_with(broken: Option<Mutation>, schedules: u64, full_disks: bool) -> String {
     let mut seeds = (0..schedules).filter_map(|seed| {
         let machines = if seed % 4 == 0 { 5 } else { 3 };
         let mut world = World::new(seed, machines, broken);
@@ -31,58 +31,58 @@
 
 #[test]
 fn an_answer_before_the_second_sync_is_caught() {
-    caught(Some(Broken::AnswersEarly), 300);
+    caught(Some(Mutation::AnswersBeforeQuorum), 300);
 }
 
 #[test]
 fn an_old_owners_copy_that_is_taken_is_caught() {
-    caught(Some(Broken::TakesOldCopies), 1_000);
+    caught(Some(Mutation::AcceptsLowerEpochAppends), 1_000);
 }
 
 #[test]
 fn a_wiped_replica_that_votes_is_caught() {
-    caught(Some(Broken::WipedVotes), 300);
+    caught(Some(Mutation::VotesWithEmptyDisk), 300);
 }
 
 #[test]
 fn a_take_over_that_reads_too_few_is_caught() {
-    caught(Some(Broken::ReadsTooFew), 300);
+    caught(Some(Mutation::ClaimsWithoutQuorum), 300);
 }
 
 #[test]
 fn a_read_without_a_question_is_caught() {
-    caught(Some(Broken::ReadsUnasked), 300);
+    caught(Some(Mutation::ReadsWithoutConfirmation), 300);
 }
 
 #[test]
 fn part_of_a_call_in_force_is_caught() {
     PART_OF_CALL.set(true);
-    let why = caught(Some(Broken::KeepsPart), 50);
+    let why = caught(Some(Mutation::KeepsPartialChange), 50);
     PART_OF_CALL.set(false);
     assert!(why.contains("refused and in force") || why.contains("part of a call"), "{why}");
 }
 
 #[test]
 fn a_promise_told_although_its_write_failed_is_caught() {
-    caught_with(Some(Broken::SaysUnwritten), 600, true);
+    caught_with(Some(Mutation::ConfirmsFailedWrites), 600, true);
 }
 
 #[test]
 fn a_restart_that_claims_before_it_has_read_its_disk_is_caught() {
-    caught(Some(Broken::StartsUnread), 300);
+    caught(Some(Mutation::StartsWithoutStoredState), 300);
 }
 
 #[test]
 fn a_claimer_that_is_behind_and_leads_is_caught() {
-    caught(Some(Broken::LeadsWithOldCopy), 300);
+    caught(Some(Mutation::ClaimsWithOlderValue), 300);
 }
 
 #[test]
 fn an_old_whole_value_in_the_place_of_a_later_one_is_caught() {
-    caught(Some(Broken::TakesOldSnapshots), 2_000);
+    caught(Some(Mutation::InstallsOlderSnapshots), 2_000);
 }
 
 #[test]
 fn a_restart_before_the_promises_are_read_is_caught() {
-    caught(Some(Broken::ForgetsPromises), 300);
+    caught(Some(Mutation::ForgetsStoredPromises), 300);
 }
--- a/crates/control/control-store/tests/planned.rs
+++ b/crates/control/control-store/tests/planned.rs
@@ -8,7 +8,7 @@
 use silvercross_control_store::*;
 use std::collections::BTreeMap;
 
-fn steps(owner_leaves: bool, broken: Option<Broken>) -> usize {
+fn steps(owner_leaves: bool, broken: Option<Mutation>) -> usize {
     const MANY: usize = 1_000_000;
     let mut case = Case::new(owner_leaves, broken);
     case.b.fuse = Some(MANY);
@@ -22,14 +22,14 @@
     step: usize,
     blow: Blow,
     victim: usize,
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
 ) -> Option<Micros> {
     let mut case = Case::new(owner_leaves, broken);
     case.b.fuse = Some(step);
     case.leave();
     case.b.fuse = None;
     let ends = blow == Blow::LostAsTheLeaverEnds;
-    if ends && (case.b.ledgers[case.leaver].needed() || victim == case.leaver) {
+    if ends && (case.b.ledgers[case.leaver].still_needed() || victim == case.leaver) {
         return None;
     }
     case.strike(blow, victim);
@@ -59,10 +59,10 @@
     case.b.go(8_000_000);
     let lost = matches!(blow, Blow::Lost | Blow::LostAndPower).then_some(victim);
     let there: Vec<usize> = (0..4).filter(|n| Some(*n) != lost).collect();
-    let set = case.b.ledgers[there[0]].replicas().clone();
-    assert!(!set.joint() && there.iter().all(|n| *case.b.ledgers[*n].replicas() == set), "{set:?}");
+    let set = case.b.ledgers[there[0]].replica_set().clone();
+    assert!(!set.joint() && there.iter().all(|n| *case.b.ledgers[*n].replica_set() == set), "{set:?}");
     let members: Vec<usize> = set.members.iter().map(|m| m.0 .0 as usize).collect();
-    assert!(members.iter().all(|n| there.contains(n) && case.b.ledgers[*n].voter()), "{set:?}, {lost:?}");
+    assert!(members.iter().all(|n| there.contains(n) && case.b.ledgers[*n].is_voter()), "{set:?}, {lost:?}");
     case.whole(&there);
     case.b.part(members[0]);
     case.b.go(1_000_000);
@@ -80,7 +80,7 @@
 ];
 
 /// All blows at all steps: how many, and after how long the others answer at most, by blow.
-fn all_struck(blows: &[Blow], broken: Option<Broken>) -> (usize, BTreeMap<Blow, Micros>) {
+fn all_struck(blows: &[Blow], broken: Option<Mutation>) -> (usize, BTreeMap<Blow, Micros>) {
     let mut longest = BTreeMap::new();
     let mut all = 0;
     for owner_leaves in [false, true] {
@@ -123,40 +123,44 @@
 #[test]
 #[should_panic(expected = "LostAsTheLeaverEnds")]
 fn a_leaver_that_ends_before_the_others_stand_is_caught() {
-    all_struck(&[Blow::LostAsTheLeaverEnds], Some(Broken::EndsUnconfirmed));
+    all_struck(&[Blow::LostAsTheLeaverEnds], Some(Mutation::StopsBeforeReplicaSetInForce));
 }
 
 /// The newcomer's disk syncs nothing, so it is never repaired. Whether the leaver may end all the same, and after how long
 /// those that are left answer when another one is lost for good.
-fn newcomer_never_repaired(broken: Option<Broken>) -> (bool, Option<Micros>) {
+fn newcomer_never_repaired(broken: Option<Mutation>) -> (bool, Option<Micros>) {
     let mut case = Case::new(false, broken);
     case.b.slow_disk.insert(3);
     case.b.leave(case.leaver);
     case.b.go(5_000_000);
-    let needed = case.b.ledgers[case.leaver].needed();
-    if !needed {
+    let still_needed = case.b.ledgers[case.leaver].still_needed();
+    if !still_needed {
         case.b.part(case.leaver);
     }
     let lost = (0..3).find(|n| *n != case.leaver).expect("another");
     case.b.part(lost);
-    let there: Vec<usize> = (0..3).filter(|n| *n != lost && (needed || *n != case.leaver)).collect();
+    let there: Vec<usize> = (0..3).filter(|n| *n != lost && (still_needed || *n != case.leaver)).collect();
     let after = case.answers_after(&there);
     if after.is_some() {
         case.whole(&there);
     }
-    (needed, after)
+    (still_needed, after)
 }
 
 #[test]
 fn a_leaver_stays_until_the_newcomer_is_repaired() {
-    let (needed, after) = newcomer_never_repaired(None);
-    assert!(needed && after.is_some_and(|after| after <= 2_500_000), "{needed}, {after:?}");
+    let (still_needed, after) = newcomer_never_repaired(None);
+    assert!(still_needed && after.is_some_and(|after| after <= 2_500_000), "{still_needed}, {after:?}");
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn a_leaver_that_is_dropped_before_the_newcomer_is_repaired_is_caught() {
-    assert_eq!(newcomer_never_repaired(Some(Broken::DropsLeaverEarly)), (false, None), "no majority");
+    assert_eq!(
+        newcomer_never_repaired(Some(Mutation::RemovesLeavingReplicaEarly)),
+        (false, None),
+        "no majority"
+    );
 }
 
 /// As the leaver is told to stop another replica is lost for good, and the newcomer syncs nothing for so long, so that the change
@@ -171,7 +175,7 @@
     case.b.go(late);
     case.b.slow_disk.clear();
     case.b.sync(3);
-    while case.b.ledgers[leaver].needed() && case.b.now < from + 20_000_000 {
+    while case.b.ledgers[leaver].still_needed() && case.b.now < from + 20_000_000 {
         case.b.go(20_000);
     }
     let after = case.b.now - from;
@@ -203,23 +207,23 @@
     let rest: Vec<usize> = (0..3).filter(|n| *n != leaver).collect();
     case.b.slow_disk.insert(3);
     case.b.leave(leaver);
-    assert!(case.b.ledgers[3].replicas().joint());
+    assert!(case.b.ledgers[3].replica_set().joint());
     case.b.part(rest[0]);
     let ways = [(leaver, 3), (rest[1], 3)];
     case.b.cut.extend(ways);
     case.b.go(2_500_000);
-    assert!(!case.b.ledgers[leaver].replicas().joint() && case.b.ledgers[3].replicas().joint());
-    let needed = case.b.ledgers[leaver].needed();
+    assert!(!case.b.ledgers[leaver].replica_set().joint() && case.b.ledgers[3].replica_set().joint());
+    let still_needed = case.b.ledgers[leaver].still_needed();
     case.b.cut.retain(|way| !ways.contains(way));
     case.b.slow_disk.clear();
     case.b.sync(3);
     case.b.gossip();
     case.b.go(4_000_000);
-    assert!(!case.b.ledgers[leaver].needed(), "it may end now");
+    assert!(!case.b.ledgers[leaver].still_needed(), "it may end now");
     case.b.part(leaver);
     assert!(case.answers_after(&[rest[1], 3]).is_some(), "no majority once the leaver ended");
     case.whole(&[rest[1], 3]);
-    needed
+    still_needed
 }
 
 #[test]
@@ -236,7 +240,7 @@
     case.b.fuse = None;
     case.strike(Blow::Lost, lost);
     let from = case.b.now;
-    while case.b.ledgers[leaver].needed() && case.b.now < from + 20_000_000 {
+    while case.b.ledgers[leaver].still_needed() && case.b.now < from + 20_000_000 {
         case.b.go(20_000);
     }
     let after = case.b.now - from;
@@ -266,23 +270,23 @@
 /// The new replica set stands at the newcomer and at one other, which alone have a change; that one is wiped and repaired while
 /// the newcomer can't be reached, but the leaver is back on its disk from the middle of the change, like the third. Whether they
 /// acknowledge anything, and whether the change is there when the newcomer is back.
-fn wiped_when_the_change_is_in_force(broken: Option<Broken>) -> (bool, bool) {
+fn wiped_when_the_change_is_in_force(broken: Option<Mutation>) -> (bool, bool) {
     let mut case = Case::new(false, broken);
     let leaver = case.leaver;
     let rest: Vec<usize> = (0..3).filter(|n| *n != leaver).collect();
     let (with, third) = (rest[0], rest[1]);
     case.b.leave(leaver);
-    assert!(case.b.ledgers[3].voter() && case.b.ledgers[leaver].replicas().joint());
+    assert!(case.b.ledgers[3].is_voter() && case.b.ledgers[leaver].replica_set().joint());
     // The third misses the step to the new replica set, and goes then.
     case.b.slow_disk.insert(third);
     case.b.cut.extend((0..4).filter(|n| *n != third).flat_map(|n| [(n, third), (third, n)]));
     case.b.go(1_500_000);
-    assert!(!case.b.ledgers[with].replicas().joint() && case.b.ledgers[with].voter());
+    assert!(!case.b.ledgers[with].replica_set().joint() && case.b.ledgers[with].is_voter());
     case.call(with, 50);
     case.b.go(1_500_000);
     assert!(case.b.done(50), "{:?}", case.b.answers);
     case.b.slow_disk.clear();
-    case.b.disks[with] = Disk::default();
+    case.b.disks[with] = StoredState::default();
     for node in 0..4 {
         case.b.part(node);
     }
@@ -310,7 +314,7 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn a_repair_as_of_before_the_change_is_caught() {
-    let broken = Some(Broken::RepairedOvertaken);
+    let broken = Some(Mutation::RepairsUnderOvertakenReplicaSet);
     assert_eq!(wiped_when_the_change_is_in_force(broken), (true, false), "acknowledged and lost");
 }
 
@@ -321,7 +325,7 @@
         b.gossip();
         b.leave(node);
         let owner = b.owner().expect("an owner, at once");
-        assert!(owner != node && !b.ledgers[node].needed());
+        assert!(owner != node && !b.ledgers[node].still_needed());
         b.go(500_000);
         b.part(node);
         b.call(owner, node as u64, &[(node as u8, 1, 7)]);
@@ -332,13 +336,13 @@
         b.go(1_500_000);
     }
     for ledger in &b.ledgers {
-        assert_eq!((ledger.replicas().version, ledger.figures().replica_sets), (1, 0));
+        assert_eq!((ledger.replica_set().version, ledger.metrics().replica_sets), (1, 0));
     }
 }
 
 /// One of three has the last change with the owner, and starts again on a disk from before that. Whether it finds that out,
 /// and whether the change is in force when the owner is lost then.
-fn disk_gone_back(broken: Option<Broken>) -> (u64, bool) {
+fn disk_gone_back(broken: Option<Mutation>) -> (u64, bool) {
     let (mut b, owner) = Bench::settled();
     b.broken(broken);
     let (x, y) = others(owner);
@@ -349,7 +353,7 @@
     b.cut.remove(&(owner, y));
     b.disks[x] = before;
     b.restart_as(x, broken);
-    let found = b.ledgers[x].figures().went_back;
+    let found = b.ledgers[x].metrics().went_back;
     b.part(owner);
     (found, b.read(y, 2).0.contains_key(&1))
 }
@@ -362,7 +366,7 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn a_disk_that_went_back_and_votes_is_caught() {
-    assert_eq!(disk_gone_back(Some(Broken::VotesGoneBack)), (0, false), "acknowledged and lost");
+    assert_eq!(disk_gone_back(Some(Mutation::VotesAfterDiskRollback)), (0, false), "acknowledged and lost");
 }
 
 #[test]
@@ -377,11 +381,11 @@
         // Another start in the middle of the repair changes nothing.
         b.restart(x);
         b.pass(1_000_000);
-        assert!(!b.ledgers[x].voter());
+        assert!(!b.ledgers[x].is_voter());
     }
     b.cut.clear();
     b.pass(1_000_000);
-    assert!(b.ledgers[x].voter());
+    assert!(b.ledgers[x].is_voter());
     b.part(y);
     b.part(owner);
     b.join(y);
@@ -395,7 +399,7 @@
     b.cut.insert((owner, y));
     b.call(owner, 1, &[(1, 1, 7)]);
     b.cut.clear();
-    assert!(b.done(1) && b.ledgers[y].state()[0].accepted < b.ledgers[x].state()[0].accepted);
+    assert!(b.done(1) && b.ledgers[y].key_states()[0].accepted < b.ledgers[x].key_states()[0].accepted);
     b.go(1_000_000);
-    assert_eq!(b.ledgers[y].state()[0].accepted, b.ledgers[x].state()[0].accepted);
+    assert_eq!(b.ledgers[y].key_states()[0].accepted, b.ledgers[x].key_states()[0].accepted);
 }
--- a/crates/control/control-store/tests/repaired.rs
+++ b/crates/control/control-store/tests/repaired.rs
@@ -42,9 +42,11 @@
 /// disk.
 fn stands(case: &Case, under: Under) -> bool {
     match under {
-        Under::Repair => case.b.ledgers[case.leaver].voter() && case.b.disks[case.leaver].metadata.is_some(),
+        Under::Repair => {
+            case.b.ledgers[case.leaver].is_voter() && case.b.disks[case.leaver].metadata.is_some()
+        }
         Under::Replacement => {
-            let set = case.b.ledgers[3].replicas();
+            let set = case.b.ledgers[3].replica_set();
             let at = |n: &Node| case.b.disks[n.0 as usize].metadata.as_ref().map(|m| m.replica_set.version);
             let have = set.members.iter().filter(|m| at(&m.0) == Some(set.version)).count();
             set.version == 3 && have * 2 > set.members.len()
--- a/crates/control/control-store/tests/repeats.rs
+++ b/crates/control/control-store/tests/repeats.rs
@@ -44,7 +44,7 @@
 }
 
 impl Case {
-    fn new(broken: Option<Broken>) -> Case {
+    fn new(broken: Option<Mutation>) -> Case {
         let mut bench = Bench::with_spares(3, 1);
         bench.broken(broken);
         bench.tell_candidates();
@@ -58,7 +58,7 @@
 
     fn owner(&self) -> usize {
         // Who was cut off and doesn't know yet may believe it too: the highest epoch counts.
-        let owned = |i: &usize| self.bench.ledgers[*i].settled().first().map(|one| one.1);
+        let owned = |i: &usize| self.bench.ledgers[*i].owned_keys().first().map(|one| one.1);
         self.entries().into_iter().max_by_key(owned).expect("an owner")
     }
 
@@ -69,12 +69,12 @@
     }
 
     /// What is said in the end. What gets no clear answer is sent again, a few times.
-    fn settle(&mut self, node: usize, change: &[(u8, u64, u64)]) -> Verdict<common::Notes> {
+    fn settle(&mut self, node: usize, change: &[(u8, u64, u64)]) -> CallOutcome<common::Notes> {
         for _ in 0..6 {
             let token = self.begin(node, change);
             self.bench.pass(900_000);
             match self.bench.answers.get(&token) {
-                Some(Verdict::Unsettled) => {}
+                Some(CallOutcome::Unknown) => {}
                 Some(verdict) => return verdict.clone(),
                 None => panic!("no answer in time"),
             }
@@ -83,12 +83,12 @@
     }
 
     fn done(&mut self, node: usize, change: &[(u8, u64, u64)]) -> bool {
-        matches!(self.settle(node, change), Verdict::Done { .. })
+        matches!(self.settle(node, change), CallOutcome::Committed { .. })
     }
 
     fn happens(&mut self, event: Event) {
         let owner = self.owner();
-        let other = self.bench.ledgers[owner].replica_set().into_iter().map(|n| n.0 as usize);
+        let other = self.bench.ledgers[owner].replica_nodes().into_iter().map(|n| n.0 as usize);
         let other = other.filter(|n| *n != owner && !self.lost.contains(n)).min().expect("another");
         self.version += 1;
         let version = self.version;
@@ -113,7 +113,7 @@
                 self.bench.part(owner);
                 self.lost.insert(owner);
                 self.bench.pass(8_000_000);
-                assert!(!self.bench.ledgers[other].replica_set().contains(&Node(owner as u32)), "replaced");
+                assert!(!self.bench.ledgers[other].replica_nodes().contains(&Node(owner as u32)), "replaced");
             }
         }
         if let Some(lost) = self.lost.first().copied() {
@@ -143,7 +143,7 @@
 
 /// One call may be taken, its answer lost, in every way that copies and words can be lost between the owner and the others:
 /// the same version is then called for by another operator through every entry, the owner changes, and both repeat.
-fn races(broken: Option<Broken>) -> Result<u64, String> {
+fn races(broken: Option<Mutation>) -> Result<u64, String> {
     let mut refused = 0;
     for lost in 0..16_u8 {
         for (second, event) in (0..3).flat_map(|n| [None, Some(Event::OwnerCut)].map(|e| (n, e))) {
@@ -165,8 +165,8 @@
             case.bench.link();
             case.bench.pass(4_000_000);
             let said = |token| match case.bench.answers.get(&token) {
-                Some(Verdict::Done { .. }) => Some(true),
-                Some(Verdict::Refused(_)) => Some(false),
+                Some(CallOutcome::Committed { .. }) => Some(true),
+                Some(CallOutcome::Rejected(_)) => Some(false),
                 _ => None,
             };
             let mut clear = [said(first), said(other)];
@@ -206,7 +206,7 @@
 
 /// Eight calls at once through all entries, the first of which brings what the others name, while the owner changes or not:
 /// nothing that rests on a change is said before that change is in force for good.
-fn eight_at_once(broken: Option<Broken>) -> Result<(), String> {
+fn eight_at_once(broken: Option<Mutation>) -> Result<(), String> {
     for cut in [false, true] {
         for lost in 0..4_u8 {
             let (mut b, owner) = Bench::settled();
@@ -244,17 +244,17 @@
             let name = format!("cut {cut}, lost {lost}, {early:?} said early");
             for (token, verdict) in told.range(10..18) {
                 match verdict {
-                    Verdict::Done { .. } if held.0.get(&1) != Some(&(1, 7)) => {
+                    CallOutcome::Committed { .. } if held.0.get(&1) != Some(&(1, 7)) => {
                         return Err(format!("{name}: {token} is done without what it rests on"));
                     }
-                    Verdict::Done { .. } if *token > 10 && !held.0.contains_key(&(*token as u8)) => {
+                    CallOutcome::Committed { .. } if *token > 10 && !held.0.contains_key(&(*token as u8)) => {
                         return Err(format!("{name}: {token} is done and not in force"));
                     }
                     _ => {}
                 }
             }
             // The other content was refused: so the first one stays.
-            if matches!(told.get(&18), Some(Verdict::Refused(_))) && held.0.get(&1) != Some(&(1, 7)) {
+            if matches!(told.get(&18), Some(CallOutcome::Rejected(_))) && held.0.get(&1) != Some(&(1, 7)) {
                 return Err(format!("{name}: refused for a change that is not in force"));
             }
             if !cut && lost == 0 && !(10..18).all(|token| b.done(token)) {
@@ -271,7 +271,7 @@
 }
 
 /// An owner that was cut off and overtaken gets a call that has become valid since, and one that was taken since.
-fn at_an_overtaken_owner(broken: Option<Broken>) -> Vec<(u64, bool)> {
+fn at_an_overtaken_owner(broken: Option<Mutation>) -> Vec<(u64, bool)> {
     let (mut b, owner) = Bench::settled();
     b.broken(broken);
     let (x, y) = others(owner);
@@ -295,13 +295,13 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn a_refusal_by_an_overtaken_owner_is_caught() {
-    assert_eq!(at_an_overtaken_owner(Some(Broken::RefusesUnasked)), [(2, false)]);
+    assert_eq!(at_an_overtaken_owner(Some(Mutation::RejectsWithoutConfirmation)), [(2, false)]);
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn what_rests_on_a_change_under_way_and_is_told_at_once_is_caught() {
-    let why = eight_at_once(Some(Broken::TellsUncommitted)).expect_err("not found");
+    let why = eight_at_once(Some(Mutation::AnswersFromUncommitted)).expect_err("not found");
     println!("{why}");
     assert!(why.contains("refused for a change that is not in force"), "{why}");
 }
@@ -309,7 +309,7 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn same_version_of_two_operators_both_done_is_caught() {
-    for broken in [Broken::AnswersEarly, Broken::ReadsTooFew] {
+    for broken in [Mutation::AnswersBeforeQuorum, Mutation::ClaimsWithoutQuorum] {
         let why = races(Some(broken)).expect_err("not found");
         println!("{broken:?}: {why}");
         assert!(why.contains("both done") || why.contains("and again false"), "{why}");
--- a/crates/control/control-store/tests/rules.rs
+++ b/crates/control/control-store/tests/rules.rs
@@ -42,7 +42,7 @@
     let claims = |b: &Bench| b.messages.iter().filter(|l| matches!(l.3, Message::Claim { .. })).count();
     assert_eq!(claims(&b), 0);
     for node in [x, y] {
-        let promised = b.ledgers[node].state()[0].promised;
+        let promised = b.ledgers[node].key_states()[0].promised;
         assert_eq!(b.disks[node].keys[0].promised, promised, "what is told is on disk");
     }
     // A claim that is not synced is heard of by nobody, a promise neither.
@@ -73,10 +73,10 @@
     b.cut.clear();
     b.pass(400_000);
     assert_eq!(b.disks[x].keys, before, "nothing of the old owner was taken");
-    let refused = |node: usize| b.ledgers[node].figures().refused_lower_epoch;
+    let refused = |node: usize| b.ledgers[node].metrics().rejected_lower_epoch;
     assert!(refused(x) + refused(y) > 0);
     assert!(
-        matches!(b.answers.get(&2), Some(Verdict::Refused(r)) if r.conflict),
+        matches!(b.answers.get(&2), Some(CallOutcome::Rejected(r)) if r.conflict),
         "its call met the later owner"
     );
 }
@@ -91,7 +91,7 @@
     assert!(b.done(1));
     b.part(owner);
     b.pass(3_000_000);
-    assert_ne!(b.owner(), Some(owner).filter(|_| b.ledgers[owner].settled().is_empty()));
+    assert_ne!(b.owner(), Some(owner).filter(|_| b.ledgers[owner].owned_keys().is_empty()));
     for (node, token) in [(x, 2), (y, 3)] {
         assert_eq!(b.read(node, token).0.get(&1), Some(&(1, 7)));
     }
@@ -109,13 +109,13 @@
     b.wipe(x);
     b.part(owner);
     b.pass(3_000_000);
-    assert!(!b.ledgers[x].voter());
+    assert!(!b.ledgers[x].is_voter());
     b.call(y, 2, &[(1, 1, 9)]);
     b.pass(1_000_000);
-    assert_eq!(b.answers.get(&2), Some(&Verdict::Unsettled));
+    assert_eq!(b.answers.get(&2), Some(&CallOutcome::Unknown));
     b.join(owner);
     b.pass(3_000_000);
-    assert!(b.ledgers[x].voter());
+    assert!(b.ledgers[x].is_voter());
     assert_eq!(b.read(y, 3).0.get(&1), Some(&(1, 7)));
     assert!(b.disks[x].metadata.is_some() && b.disks[x].keys[0].value.0.contains_key(&1));
 }
@@ -130,42 +130,44 @@
     b.restart(x);
     b.restart(y);
     b.pass(4_000_000);
-    assert!(b.ledgers.iter().all(|l| l.voter()));
+    assert!(b.ledgers.iter().all(|l| l.is_voter()));
     assert!(b.owner().is_some(), "taken again without any call");
     assert_eq!(b.read(owner, 2).0.get(&1), Some(&(1, 7)));
 }
 
 /// A replica keeps a copy, loses its disk while its word is under way, and is repaired before the owner has synced: whether
 /// the change is acknowledged once that word comes, and whether it is there without the owner.
-fn word_of_a_lost_disk(broken: Option<Broken>) -> (bool, bool) {
+fn word_of_a_lost_disk(broken: Option<Mutation>) -> (bool, bool) {
     let (mut b, owner) = Bench::settled();
     let (x, y) = others(owner);
     #[cfg(feature = "mutants")]
     if let Some(broken) = broken {
-        b.ledgers[owner].break_it(broken);
+        b.ledgers[owner].set_mutation(broken);
     }
     assert!(broken.is_none() || cfg!(feature = "mutants"));
     b.slow_disk.insert(owner);
     b.cut.insert((owner, y));
     b.held.insert((x, owner));
     b.call(owner, 1, &[(1, 1, 7)]);
-    let at = b.messages.iter().position(|l| matches!(l.3, Message::Kept { seq: 2, .. })).expect("kept");
+    let at =
+        b.messages.iter().position(|l| matches!(l.3, Message::Appended { sequence: 2, .. })).expect("kept");
     let kept = b.messages.remove(at).expect("kept").3;
     b.held.clear();
     // Repaired from what the others had on disk: the owner's copy was not there yet when it was asked.
     let (own, other) = (b.disks[owner].keys.clone(), b.disks[y].keys.clone());
     b.cut.extend([(owner, x), (y, x)]);
-    b.disks[x] = Disk::default();
+    b.disks[x] = StoredState::default();
     b.restart(x);
-    let replica_set = b.ledgers[y].replicas().clone();
+    let replica_set = b.ledgers[y].replica_set().clone();
     b.ledgers[x].receive(b.now, Node(y as u32), 1, Message::ReplicaSet { replica_set });
     b.run();
     let incarnation = b.recovering[&x];
     b.cut.remove(&(y, x));
     for (from, keys) in [(y, other), (owner, own)] {
-        let held = |s: Stored<Notes>| Held { key: s.key, promised: s.promised, accepted: s.accepted };
+        let held =
+            |s: StoredKey<Notes>| KeySummary { key: s.key, promised: s.promised, accepted: s.accepted };
         let keys = keys.into_iter().map(held).collect();
-        let message = Message::Recovered {
+        let message = Message::RepairReply {
             incarnation,
             keys,
             vote: Vote::default(),
@@ -174,7 +176,7 @@
         b.ledgers[x].receive(b.now, Node(from as u32), 1, message);
     }
     b.run();
-    assert!(b.ledgers[x].voter());
+    assert!(b.ledgers[x].is_voter());
     b.cut.insert((y, x));
     b.ledgers[owner].receive(b.now, Node(x as u32), 1, kept);
     b.sync(owner);
@@ -196,7 +198,11 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn counting_the_word_of_a_lost_disk_is_caught() {
-    assert_eq!(word_of_a_lost_disk(Some(Broken::CountsLostDisks)), (true, false), "acknowledged and lost");
+    assert_eq!(
+        word_of_a_lost_disk(Some(Mutation::CountsEarlierIncarnations)),
+        (true, false),
+        "acknowledged and lost"
+    );
 }
 
 #[test]
@@ -205,12 +211,14 @@
     let (x, y) = others(owner);
     for (node, token) in [(owner, 1), (x, 2), (y, 3), (owner, 4)] {
         b.call(node, token, &[(1, 1, 7), (2, 1, 7)]);
-        assert!(matches!(b.answers[&token], Verdict::Done { changed, .. } if changed == (token == 1)));
+        assert!(
+            matches!(b.answers[&token], CallOutcome::Committed { changed, .. } if changed == (token == 1))
+        );
     }
     b.call(x, 5, &[(3, 1, 8), (1, 1, 8)]);
-    assert!(matches!(&b.answers[&5], Verdict::Refused(r) if r.conflict));
+    assert!(matches!(&b.answers[&5], CallOutcome::Rejected(r) if r.conflict));
     b.call(y, 6, &[(3, 1, 0)]);
-    assert!(matches!(&b.answers[&6], Verdict::Refused(r) if !r.conflict));
+    assert!(matches!(&b.answers[&6], CallOutcome::Rejected(r) if !r.conflict));
     assert!(!b.read(y, 7).0.contains_key(&3), "nothing of a refused call is in force");
 }
 
@@ -227,7 +235,7 @@
     assert!(b.answers.is_empty());
     b.pass(20_000);
     assert_eq!(b.answers.len(), 3);
-    assert!(b.answers.values().all(|v| *v == Verdict::Unsettled));
+    assert!(b.answers.values().all(|v| *v == CallOutcome::Unknown));
 }
 
 #[test]
@@ -244,14 +252,14 @@
     assert!(!b.answers.contains_key(&2));
     b.cut.clear();
     b.pass(600_000);
-    assert!(matches!(&b.answers[&2], Verdict::Value { value, .. } if value.0.contains_key(&1)));
+    assert!(matches!(&b.answers[&2], CallOutcome::Value { value, .. } if value.0.contains_key(&1)));
 }
 
 #[test]
 fn a_passed_call_is_served_under_its_epoch_alone_and_once() {
     let (mut b, owner) = Bench::settled();
     let (x, _) = others(owner);
-    let epoch = b.ledgers[owner].settled()[0].1;
+    let epoch = b.ledgers[owner].owned_keys()[0].1;
     let old = Epoch { round: 0, owner: owner as u32 };
     let pass =
         |id, under| Message::Forward { id, key: KEY.into(), under, ask: Request::Change(vec![(1, id, id)]) };
@@ -262,7 +270,7 @@
         b.ledgers[owner].receive(b.now, Node(x as u32), 1, pass(6, epoch));
         b.run();
     }
-    assert_eq!(b.ledgers[owner].settled()[0].2.seq, 2, "one that comes twice is served once");
+    assert_eq!(b.ledgers[owner].owned_keys()[0].2.sequence, 2, "one that comes twice is served once");
 }
 
 #[test]
@@ -284,7 +292,7 @@
     b.part((owner + 2) % 5);
     b.call((owner + 3) % 5, 3, &[(1, 3, 9)]);
     b.pass(900_000);
-    assert_eq!(b.answers.get(&3), Some(&Verdict::Unsettled));
+    assert_eq!(b.answers.get(&3), Some(&CallOutcome::Unknown));
 }
 
 #[test]
@@ -302,15 +310,15 @@
             whole: true,
         },
     );
-    assert_eq!(b.ledgers[owner].figures().strangers, 1);
+    assert_eq!(b.ledgers[owner].metrics().strangers, 1);
     b.ledgers[owner].call(b.now, 1, &key, vec![(1, 1, 1)]);
     b.run();
-    assert!(matches!(b.answers[&1], Verdict::Refused(_)));
+    assert!(matches!(b.answers[&1], CallOutcome::Rejected(_)));
     for k in 0..5000u64 {
         b.ledgers[owner].call(b.now, 10 + k, &format!("key-{k}"), vec![(1, 1, 1)]);
-        b.ledgers[owner].effects();
+        b.ledgers[owner].take_effects();
     }
-    assert_eq!(b.ledgers[owner].state().len(), 4096);
+    assert_eq!(b.ledgers[owner].key_states().len(), 4096);
 }
 
 #[test]
@@ -321,7 +329,8 @@
     for _ in 0..1000 {
         b.now += 10_000;
         b.ledgers[owner].tick(b.now);
-        messages += b.ledgers[owner].effects().iter().filter(|d| matches!(d, Effect::Send { .. })).count();
+        messages +=
+            b.ledgers[owner].take_effects().iter().filter(|d| matches!(d, Effect::Send { .. })).count();
     }
     assert!((18..=22).contains(&messages), "{messages} in ten seconds");
 }
@@ -330,23 +339,30 @@
 fn messages_come_through_their_encoding() {
     let epoch = Epoch { round: 3, owner: 1 };
     let value = Notes(BTreeMap::from([(1, (2, 3))]));
-    let base = Revision { epoch, seq: 3 };
+    let base = Revision { epoch, sequence: 3 };
     let messages: [L; 4] = [
-        Message::Copy {
+        Message::Append {
             key: KEY.into(),
             epoch,
-            to: Revision { epoch, seq: 4 },
+            to: Revision { epoch, sequence: 4 },
             base,
             changes: vec![vec![(1, 2, 3)]],
             more: false,
         },
-        Message::Piece { key: KEY.into(), at: base, offset: 2, total: 9, digest: (1, 2), bytes: vec![7; 3] },
-        Message::Verdict {
+        Message::SnapshotChunk {
+            key: KEY.into(),
+            at: base,
+            offset: 2,
+            total: 9,
+            digest: (1, 2),
+            bytes: vec![7; 3],
+        },
+        Message::ForwardReply {
             id: 9,
             under: epoch,
-            forwarded: Forwarded::Given(Verdict::Value { revision: Revision::default(), value }),
+            forwarded: ForwardReply::Answered(CallOutcome::Value { revision: Revision::default(), value }),
         },
-        Message::Recover { incarnation: Incarnation { count: 1, nonce: 2 } },
+        Message::RepairRequest { incarnation: Incarnation { count: 1, nonce: 2 } },
     ];
     for message in messages {
         let bytes = bitcode::encode(&message);
@@ -357,16 +373,16 @@
 
 /// A replica promises a claimer, restarts, and is then sent the old owner's copy: whether that is acknowledged, and
 /// whether the claimer reads it.
-fn promise_over_a_restart(broken: Option<Broken>) -> (bool, bool) {
+fn promise_over_a_restart(broken: Option<Mutation>) -> (bool, bool) {
     let (mut b, owner) = Bench::settled();
     let (x, y) = others(owner);
     #[cfg(feature = "mutants")]
     if let Some(broken) = broken {
-        b.ledgers[y].break_it(broken);
+        b.ledgers[y].set_mutation(broken);
     }
     assert!(broken.is_none() || cfg!(feature = "mutants"));
     b.cut.extend([(owner, x), (x, owner), (owner, y)]);
-    b.ledgers[x].reachable(b.now, Node(owner as u32), false);
+    b.ledgers[x].set_reachable(b.now, Node(owner as u32), false);
     b.held.insert((y, x));
     b.call(x, 1, &[]);
     b.pass(300_000);
@@ -391,7 +407,7 @@
 #[test]
 fn a_promise_that_is_not_durable_is_caught() {
     assert_eq!(
-        promise_over_a_restart(Some(Broken::PromiseNotDurable)),
+        promise_over_a_restart(Some(Mutation::PromiseNotDurable)),
         (true, false),
         "acknowledged and lost"
     );
@@ -409,7 +425,7 @@
 }
 
 fn members(b: &Bench, node: usize) -> Vec<u32> {
-    b.ledgers[node].replica_set().iter().map(|n| n.0).collect()
+    b.ledgers[node].replica_nodes().iter().map(|n| n.0).collect()
 }
 
 #[test]
@@ -417,11 +433,11 @@
     let (mut b, owner, x, y) = with_spare();
     b.part(x);
     b.pass(6_000_000);
-    assert_eq!(b.ledgers[y].replicas().version, 1, "nobody to come");
+    assert_eq!(b.ledgers[y].replica_set().version, 1, "nobody to come");
     b.tell_candidates();
     b.pass(4_000_000);
     for node in [owner, y, 3] {
-        assert!(b.ledgers[node].voter() && !b.ledgers[node].replicas().joint());
+        assert!(b.ledgers[node].is_voter() && !b.ledgers[node].replica_set().joint());
         assert_eq!(b.disks[node].metadata.as_ref().map(|m| m.replica_set.version), Some(3));
         assert!(!members(&b, node).contains(&(x as u32)));
     }
@@ -444,13 +460,13 @@
     b.pass(3_000_000);
     // One of three sees it gone: that is not more than half.
     b.cut.extend([(owner, x), (x, owner)]);
-    b.ledgers[owner].reachable(b.now, Node(x as u32), false);
-    b.ledgers[x].reachable(b.now, Node(owner as u32), false);
+    b.ledgers[owner].set_reachable(b.now, Node(x as u32), false);
+    b.ledgers[x].set_reachable(b.now, Node(owner as u32), false);
     b.pass(8_000_000);
     for node in 0..4 {
-        assert!(b.ledgers[node].replicas().version <= 1, "{:?}", b.ledgers[node].replicas());
+        assert!(b.ledgers[node].replica_set().version <= 1, "{:?}", b.ledgers[node].replica_set());
     }
-    assert_eq!(b.ledgers[y].figures().replica_sets, 0);
+    assert_eq!(b.ledgers[y].metrics().replica_sets, 0);
 }
 
 #[test]
@@ -462,8 +478,8 @@
         // The newcomer hears nothing, so it is never repaired.
         b.cut.extend([(owner, 3), (y, 3)]);
         b.pass(4_700_000);
-        assert!(b.ledgers[owner].replicas().joint() || b.ledgers[y].replicas().joint());
-        assert!(!b.ledgers[3].voter());
+        assert!(b.ledgers[owner].replica_set().joint() || b.ledgers[y].replica_set().joint());
+        assert!(!b.ledgers[3].is_voter());
         if back {
             b.join(x);
             b.cut.extend([(owner, 3), (y, 3)]);
@@ -472,7 +488,7 @@
         }
         b.pass(if back { 3_000_000 } else { 7_000_000 });
         for node in [owner, y] {
-            assert!(!b.ledgers[node].replicas().joint());
+            assert!(!b.ledgers[node].replica_set().joint());
             assert_eq!(members(&b, node), vec![0, 1, 2]);
         }
         assert_eq!(b.read(y, 2).0.get(&1), Some(&(1, 7)));
@@ -485,7 +501,7 @@
     b.part(x);
     b.tell_candidates();
     b.pass(4_150_000);
-    assert!(b.ledgers[owner].replicas().joint(), "in the middle");
+    assert!(b.ledgers[owner].replica_set().joint(), "in the middle");
     for node in [owner, y, 3] {
         b.restart(node);
     }
@@ -493,7 +509,7 @@
     b.wipe(3);
     b.tell_candidates();
     b.pass(5_000_000);
-    assert!(b.ledgers[3].voter() && !b.ledgers[3].replicas().joint());
+    assert!(b.ledgers[3].is_voter() && !b.ledgers[3].replica_set().joint());
     assert_eq!(members(&b, 3), members(&b, owner));
     b.part(owner);
     b.pass(4_000_000);
@@ -501,18 +517,18 @@
 }
 
 /// Replaces `x` while its links are cut, without telling it.
-fn replaced(broken: Option<Broken>) -> (Bench, usize, usize, usize) {
+fn replaced(broken: Option<Mutation>) -> (Bench, usize, usize, usize) {
     let (mut b, owner, x, y) = with_spare();
     b.broken(broken);
     b.part(x);
     b.tell_candidates();
     b.pass(7_000_000);
-    assert!(!members(&b, y).contains(&(x as u32)) && b.ledgers[3].voter());
+    assert!(!members(&b, y).contains(&(x as u32)) && b.ledgers[3].is_voter());
     // Ownerships begin that are later than what the removed one has claimed alone and claims next.
-    let claimed = b.ledgers[x].state()[0].promised.round;
+    let claimed = b.ledgers[x].key_states()[0].promised.round;
     loop {
         let owner = b.owner().unwrap_or(owner);
-        if b.ledgers[owner].settled()[0].1.round > claimed + 1 {
+        if b.ledgers[owner].owned_keys()[0].1.round > claimed + 1 {
             return (b, owner, x, y);
         }
         b.restart(owner);
@@ -524,10 +540,10 @@
 #[test]
 fn a_removed_replica_that_returns_is_a_candidate_and_passes_calls() {
     let (mut b, _, x, y) = replaced(None);
-    assert!(b.ledgers[x].voter(), "it doesn't know yet");
+    assert!(b.ledgers[x].is_voter(), "it doesn't know yet");
     b.join(x);
     b.pass(4_000_000);
-    assert!(b.ledgers[x].outside() && !b.ledgers[x].voter());
+    assert!(b.ledgers[x].is_outside() && !b.ledgers[x].is_voter());
     b.call(x, 2, &[(2, 1, 8)]);
     b.pass(700_000);
     assert!(b.done(2), "{:?}", b.answers.get(&2));
@@ -537,7 +553,7 @@
     let gone = (0..4).find(|n| members(&b, y).contains(&(*n as u32)) && *n != y).expect("another");
     b.part(gone);
     b.pass(8_000_000);
-    assert!(b.ledgers[x].voter() && members(&b, y).contains(&(x as u32)));
+    assert!(b.ledgers[x].is_voter() && members(&b, y).contains(&(x as u32)));
     assert!(b.read(x, 4).0.contains_key(&2));
 }
 
@@ -548,10 +564,10 @@
     b.part(owner);
     b.wipe(y);
     b.pass(1_000_000);
-    assert!(!b.ledgers[y].voter(), "the newcomer alone is not more than half");
+    assert!(!b.ledgers[y].is_voter(), "the newcomer alone is not more than half");
     b.join(owner);
     b.pass(3_000_000);
-    assert!(b.ledgers[y].voter());
+    assert!(b.ledgers[y].is_voter());
     assert_eq!(members(&b, y), members(&b, 3));
 }
 
@@ -565,12 +581,13 @@
         b.now += 10_000;
         for node in 0..4 {
             b.ledgers[node].tick(b.now);
-            let sent = b.ledgers[node].effects().iter().filter(|d| matches!(d, Effect::Send { .. })).count();
+            let sent =
+                b.ledgers[node].take_effects().iter().filter(|d| matches!(d, Effect::Send { .. })).count();
             assert!(node == owner || sent == 0);
             messages += sent;
         }
         for node in (0..4).filter(|n| *n != owner) {
-            let epoch = b.ledgers[owner].settled()[0].1;
+            let epoch = b.ledgers[owner].owned_keys()[0].1;
             let keys = vec![(KEY.to_owned(), epoch, 1)];
             if members(&b, owner).contains(&(node as u32)) {
                 b.ledgers[node].receive(b.now, Node(owner as u32), 1, Message::Heartbeat { keys });
@@ -582,22 +599,28 @@
 
 /// An owner writes while it can reach nobody but who was removed: whether that is acknowledged, and whether the others
 /// have it then.
-fn word_of_a_removed_replica(broken: Option<Broken>) -> (bool, bool) {
+fn word_of_a_removed_replica(broken: Option<Mutation>) -> (bool, bool) {
     let (mut b, owner, x, _) = replaced(broken);
     let rest: Vec<usize> = (0..4).filter(|n| *n != owner && *n != x).collect();
     b.cut.retain(|way| *way != (owner, x) && *way != (x, owner));
-    let replica_set = b.ledgers[owner].replicas().clone();
+    let replica_set = b.ledgers[owner].replica_set().clone();
     b.ledgers[x].receive(b.now, Node(owner as u32), replica_set.version, Message::ReplicaSet { replica_set });
     b.run();
     b.cut.extend(rest.iter().flat_map(|n| [(owner, *n), (*n, owner)]));
     b.call(owner, 2, &[(2, 1, 8)]);
     // The copy is brought to the removed one, which is not in the replica set.
-    let (key, epoch, at) = b.ledgers[owner].settled()[0].clone();
-    let version = b.ledgers[owner].replicas().version;
-    let base = b.ledgers[x].state()[0].accepted;
+    let (key, epoch, at) = b.ledgers[owner].owned_keys()[0].clone();
+    let version = b.ledgers[owner].replica_set().version;
+    let base = b.ledgers[x].key_states()[0].accepted;
     let changes = vec![vec![(2, 1, 8)]];
-    let message =
-        Message::Copy { key, epoch, to: Revision { epoch, seq: at.seq + 1 }, base, changes, more: false };
+    let message = Message::Append {
+        key,
+        epoch,
+        to: Revision { epoch, sequence: at.sequence + 1 },
+        base,
+        changes,
+        more: false,
+    };
     b.ledgers[x].receive(b.now, Node(owner as u32), version, message);
     b.run();
     let done = b.done(2);
@@ -615,12 +638,16 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn a_removed_replica_that_votes_is_caught() {
-    assert_eq!(word_of_a_removed_replica(Some(Broken::RemovedVotes)), (true, false), "acknowledged and lost");
+    assert_eq!(
+        word_of_a_removed_replica(Some(Mutation::RemovedReplicaVotes)),
+        (true, false),
+        "acknowledged and lost"
+    );
 }
 
 /// A change is acknowledged by the owner and one other, which is lost for good. The one that lacks it and the newcomer
 /// hear of the change's two steps while the owner is away: whether another content is acknowledged without it.
-fn newcomer_before_its_repair(broken: Option<Broken>) -> bool {
+fn newcomer_before_its_repair(broken: Option<Mutation>) -> bool {
     let (mut b, owner, x, y) = with_spare();
     b.broken(broken);
     b.cut.insert((owner, y));
@@ -628,14 +655,14 @@
     assert!(b.done(2));
     b.part(x);
     b.part(owner);
-    let mut replica_set = b.ledgers[y].replicas().clone();
+    let mut replica_set = b.ledgers[y].replica_set().clone();
     replica_set.members.push((Node(3), replica_set.version + 1));
-    (replica_set.leaving, replica_set.coming) = (Some(Node(x as u32)), Some(Node(3)));
+    (replica_set.leaving, replica_set.joining) = (Some(Node(x as u32)), Some(Node(3)));
     for step in 0..2 {
         replica_set.version += 1;
         if step == 1 {
             replica_set.members.retain(|m| m.0 != Node(x as u32));
-            (replica_set.leaving, replica_set.coming) = (None, None);
+            (replica_set.leaving, replica_set.joining) = (None, None);
         }
         for node in [y, 3] {
             let replica_set = replica_set.clone();
@@ -649,7 +676,7 @@
         b.run();
     }
     b.pass(3_000_000);
-    assert_eq!(b.ledgers[3].voter(), broken.is_some());
+    assert_eq!(b.ledgers[3].is_voter(), broken.is_some());
     b.call(y, 3, &[(2, 1, 9)]);
     b.pass(900_000);
     b.done(3)
@@ -664,28 +691,28 @@
 #[test]
 fn a_newcomer_that_votes_before_its_repair_is_caught() {
     assert!(
-        newcomer_before_its_repair(Some(Broken::NewcomerVotes)),
+        newcomer_before_its_repair(Some(Mutation::JoiningReplicaVotesUnrepaired)),
         "another content of a version that was acknowledged"
     );
 }
 
 /// Who was removed and doesn't know it owns the key under the old replica set with one that knows: whether what they write is
 /// acknowledged, and whether the others have it then.
-fn old_owner_after_the_change(broken: Option<Broken>) -> (bool, bool) {
+fn old_owner_after_the_change(broken: Option<Mutation>) -> (bool, bool) {
     let (mut b, _, x, y) = replaced(broken);
     // x still votes under the first replica set, and claims there with whoever heeds it.
     let rest: Vec<usize> = (0..4).filter(|n| *n != x && *n != y).collect();
     b.cut.retain(|way| *way != (y, x) && *way != (x, y));
     b.cut.extend(rest.iter().flat_map(|n| [(y, *n), (*n, y)]));
     // It has the later owner's copy, so nobody that heeds it has more.
-    let (key, epoch, at) = b.ledgers[b.owner().expect("an owner")].settled()[0].clone();
-    let base = b.ledgers[x].state()[0].accepted;
-    let message = Message::Copy { key, epoch, to: at, base, changes: Vec::new(), more: false };
-    let version = b.ledgers[x].replicas().version;
+    let (key, epoch, at) = b.ledgers[b.owner().expect("an owner")].owned_keys()[0].clone();
+    let base = b.ledgers[x].key_states()[0].accepted;
+    let message = Message::Append { key, epoch, to: at, base, changes: Vec::new(), more: false };
+    let version = b.ledgers[x].replica_set().version;
     b.ledgers[x].receive(b.now, Node(epoch.owner), version, message);
     b.run();
-    assert!(broken.is_none() || b.ledgers[x].state()[0].accepted == at);
-    b.ledgers[x].reachable(b.now, Node(y as u32), true);
+    assert!(broken.is_none() || b.ledgers[x].key_states()[0].accepted == at);
+    b.ledgers[x].set_reachable(b.now, Node(y as u32), true);
     b.call(x, 2, &[(2, 1, 8)]);
     b.pass(700_000);
     let done = b.done(2);
@@ -704,7 +731,7 @@
 #[test]
 fn an_old_replica_sets_owner_that_is_heeded_is_caught() {
     assert_eq!(
-        old_owner_after_the_change(Some(Broken::HeedsOldReplicaSet)),
+        old_owner_after_the_change(Some(Mutation::AcceptsOlderReplicaSetMessages)),
         (true, false),
         "acknowledged and lost"
     );
@@ -712,13 +739,13 @@
 
 /// In the middle of a change the owner reaches who is to leave alone, and writes; then the change comes into force without
 /// them: whether that is acknowledged, and whether the others have it.
-fn joint_with_the_old_half_alone(broken: Option<Broken>) -> (bool, bool) {
+fn joint_with_the_old_half_alone(broken: Option<Mutation>) -> (bool, bool) {
     let (mut b, owner, x, y) = with_spare();
     b.broken(broken);
-    let mut replica_set = b.ledgers[y].replicas().clone();
+    let mut replica_set = b.ledgers[y].replica_set().clone();
     replica_set.version += 1;
     replica_set.members.push((Node(3), replica_set.version));
-    (replica_set.leaving, replica_set.coming) = (Some(Node(x as u32)), Some(Node(3)));
+    (replica_set.leaving, replica_set.joining) = (Some(Node(x as u32)), Some(Node(3)));
     // All know the joint replica set, and the newcomer is repaired.
     for node in 0..4 {
         let replica_set = replica_set.clone();
@@ -728,8 +755,8 @@
     // y and the newcomer see neither of the others, and these don't see them.
     for (near, far) in [(owner, y), (owner, 3), (x, y), (x, 3)] {
         b.cut.extend([(near, far), (far, near)]);
-        b.ledgers[near].reachable(b.now, Node(far as u32), false);
-        b.ledgers[far].reachable(b.now, Node(near as u32), false);
+        b.ledgers[near].set_reachable(b.now, Node(far as u32), false);
+        b.ledgers[far].set_reachable(b.now, Node(near as u32), false);
     }
     b.call(owner, 2, &[(2, 1, 8)]);
     b.pass(700_000);
@@ -738,7 +765,7 @@
     let mut next = replica_set.clone();
     next.version += 1;
     next.members.retain(|m| m.0 != Node(x as u32));
-    (next.leaving, next.coming) = (None, None);
+    (next.leaving, next.joining) = (None, None);
     for node in [y, 3] {
         let replica_set = next.clone();
         b.ledgers[node].receive(b.now, Node(9), replica_set.version, Message::ReplicaSet { replica_set });
@@ -756,7 +783,7 @@
 #[test]
 fn a_change_with_the_old_quorum_alone_is_caught() {
     assert_eq!(
-        joint_with_the_old_half_alone(Some(Broken::OldQuorumOnly)),
+        joint_with_the_old_half_alone(Some(Mutation::OldQuorumOnly)),
         (true, false),
         "acknowledged and lost"
     );
@@ -766,14 +793,14 @@
 fn a_change_begun_for_one_that_is_back_goes_on_when_another_is_lost() {
     let (mut b, owner, x, y) = with_spare();
     b.part(y);
-    let mut replica_set = b.ledgers[owner].replicas().clone();
+    let mut replica_set = b.ledgers[owner].replica_set().clone();
     replica_set.version += 1;
     replica_set.members.push((Node(3), replica_set.version));
-    (replica_set.leaving, replica_set.coming) = (Some(Node(x as u32)), Some(Node(3)));
+    (replica_set.leaving, replica_set.joining) = (Some(Node(x as u32)), Some(Node(3)));
     let version = replica_set.version;
     b.ledgers[owner].receive(b.now, Node(9), version, Message::ReplicaSet { replica_set });
     b.pass(2_000_000);
-    assert!(!b.ledgers[owner].replicas().joint(), "abandoned");
+    assert!(!b.ledgers[owner].replica_set().joint(), "abandoned");
     b.call(x, 2, &[(2, 1, 8)]);
     b.pass(700_000);
     assert!(b.done(2));
@@ -782,19 +809,19 @@
     let mut left = vec![owner as u32, x as u32, 3];
     left.sort();
     assert_eq!(members(&b, owner), left);
-    assert!(b.ledgers[3].voter() && b.read(3, 3).0.contains_key(&2));
+    assert!(b.ledgers[3].is_voter() && b.read(3, 3).0.contains_key(&2));
 }
 
 /// All pieces of the key as it stands at its owner.
 fn pieces(b: &mut Bench, owner: usize, asks: usize) -> Vec<L> {
-    let (key, _, at) = b.ledgers[owner].settled()[0].clone();
+    let (key, _, at) = b.ledgers[owner].owned_keys()[0].clone();
     let (mut pieces, mut offset) = (Vec::new(), 0);
     loop {
-        let message = Message::Fetch { key: key.clone(), at, offset };
+        let message = Message::SnapshotRequest { key: key.clone(), at, offset };
         b.ledgers[owner].receive(b.now, Node(asks as u32), 1, message);
-        for effect in b.ledgers[owner].effects() {
+        for effect in b.ledgers[owner].take_effects() {
             let Effect::Send { message, .. } = effect else { panic!("{effect:?}") };
-            let Message::Piece { total, bytes, .. } = &message else { panic!("{message:?}") };
+            let Message::SnapshotChunk { total, bytes, .. } = &message else { panic!("{message:?}") };
             offset += bytes.len() as u64;
             let last = offset >= *total;
             pieces.push(message);
@@ -807,11 +834,11 @@
 
 /// A replica that is behind gets pieces by hand, of two revisions: whether it takes what is torn, lacks a piece, is of both, and
 /// of the older one after the later.
-fn snapshots(broken: Option<Broken>) -> [bool; 4] {
+fn snapshots(broken: Option<Mutation>) -> [bool; 4] {
     let (mut b, owner) = Bench::settled();
     let (x, y) = others(owner);
     b.broken(broken);
-    b.ledgers.iter_mut().for_each(|l| l.pieces_of(5));
+    b.ledgers.iter_mut().for_each(|l| l.set_snapshot_chunk_bytes(5));
     b.part(x);
     let mut sent = Vec::new();
     for version in [1, 2] {
@@ -829,10 +856,10 @@
             b.ledgers[x].receive(b.now, Node(owner as u32), 1, piece);
         }
         b.run();
-        (values(&b), b.ledgers[x].figures().torn)
+        (values(&b), b.ledgers[x].metrics().torn)
     };
     let mut torn = old.clone();
-    let Message::Piece { bytes, .. } = &mut torn[1] else { panic!("a piece") };
+    let Message::SnapshotChunk { bytes, .. } = &mut torn[1] else { panic!("a piece") };
     bytes[0] ^= 0x80;
     let (is, count) = brought(torn);
     let torn = is != nothing;
@@ -853,11 +880,11 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn a_snapshot_put_together_from_two_is_caught() {
-    assert!(snapshots(Some(Broken::MixesSnapshots))[2]);
+    assert!(snapshots(Some(Mutation::MixesSnapshotRevisions))[2]);
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn an_old_snapshot_over_a_newer_value_is_caught() {
-    assert!(snapshots(Some(Broken::TakesOldSnapshots))[3]);
+    assert!(snapshots(Some(Mutation::InstallsOlderSnapshots))[3]);
 }
