--- a/crates/control/control-store/tests/wire_bytes.rs
+++ b/crates/control/control-store/tests/wire_bytes.rs
@@ -3,8 +3,8 @@
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::{
-    Epoch, Forwarded, Held, Incarnation, Incarnations, Message, Metadata, Node, Refusal, ReplicaSet, Request,
-    Revision, Stored, Verdict, Vote,
+    CallOutcome, Epoch, ForwardReply, Incarnation, Incarnations, KeySummary, Message, Metadata, Node,
+    Rejection, ReplicaSet, Request, Revision, StoredKey, Vote,
 };
 use std::fmt::{Debug, Write};
 
@@ -30,7 +30,7 @@
 }
 
 fn revision() -> Revision {
-    Revision { epoch: epoch(), seq: 70_000 }
+    Revision { epoch: epoch(), sequence: 70_000 }
 }
 
 fn incarnation() -> Incarnation {
@@ -46,7 +46,7 @@
         version: 4,
         members: vec![(Node(1), 1), (Node(2), 1), (Node(3), 1), (Node(4), 4)],
         leaving: Some(Node(3)),
-        coming: Some(Node(4)),
+        joining: Some(Node(4)),
     }
 }
 
@@ -62,24 +62,27 @@
             "promise",
             Message::Promise { key: key(), epoch: epoch(), accepted: at, incarnations: incarnations() },
         ),
-        ("yield", Message::Yield { key: key(), epoch: epoch() }),
+        ("yield", Message::ClaimRequest { key: key(), epoch: epoch() }),
         (
             "copy",
-            Message::Copy {
+            Message::Append {
                 key: key(),
                 epoch: epoch(),
-                to: Revision { seq: 70_002, ..at },
+                to: Revision { sequence: 70_002, ..at },
                 base: at,
                 changes: vec![7, 1 << 40],
                 more: true,
             },
         ),
-        ("kept", Message::Kept { key: key(), epoch: epoch(), seq: 70_000, incarnations: incarnations() }),
+        (
+            "kept",
+            Message::Appended { key: key(), epoch: epoch(), sequence: 70_000, incarnations: incarnations() },
+        ),
         ("behind", Message::Behind { key: key(), epoch: epoch(), accepted: at, whole: true }),
-        ("fetch", Message::Fetch { key: key(), at, offset: 65_536 }),
+        ("fetch", Message::SnapshotRequest { key: key(), at, offset: 65_536 }),
         (
             "piece",
-            Message::Piece {
+            Message::SnapshotChunk {
                 key: key(),
                 at,
                 offset: 65_536,
@@ -88,28 +91,28 @@
                 bytes: vec![1, 2, 255],
             },
         ),
-        ("higher", Message::Higher { key: key(), epoch: epoch() }),
-        ("confirm", Message::Confirm { key: key(), epoch: epoch(), round: 12 }),
-        ("confirmed", Message::Confirmed { key: key(), epoch: epoch(), round: 12 }),
-        ("resigned", Message::Resigned { key: key(), epoch: epoch() }),
+        ("higher", Message::HigherEpoch { key: key(), epoch: epoch() }),
+        ("confirm", Message::ConfirmEpoch { key: key(), epoch: epoch(), round: 12 }),
+        ("confirmed", Message::EpochConfirmed { key: key(), epoch: epoch(), round: 12 }),
+        ("resigned", Message::OwnershipReleased { key: key(), epoch: epoch() }),
         ("heartbeat", Message::Heartbeat { keys: vec![(key(), epoch(), 70_000), ("b".into(), epoch(), 1)] }),
         ("forward-change", Message::Forward { id: 5, key: key(), under: epoch(), ask: Request::Change(900) }),
         ("forward-read", Message::Forward { id: 6, key: key(), under: epoch(), ask: Request::Read }),
-        ("forward-whole", Message::Forward { id: 7, key: key(), under: epoch(), ask: Request::Whole }),
+        ("forward-whole", Message::Forward { id: 7, key: key(), under: epoch(), ask: Request::ReadValue }),
         (
             "verdict-done",
-            Message::Verdict {
+            Message::ForwardReply {
                 id: 5,
                 under: epoch(),
-                forwarded: Forwarded::Given(Verdict::Done { revision: at, changed: true }),
+                forwarded: ForwardReply::Answered(CallOutcome::Committed { revision: at, changed: true }),
             },
         ),
         (
             "verdict-refused",
-            Message::Verdict {
+            Message::ForwardReply {
                 id: 5,
                 under: epoch(),
-                forwarded: Forwarded::Given(Verdict::Refused(Refusal {
+                forwarded: ForwardReply::Answered(CallOutcome::Rejected(Rejection {
                     conflict: true,
                     reason: "why".into(),
                 })),
@@ -117,48 +120,61 @@
         ),
         (
             "verdict-value",
-            Message::Verdict {
+            Message::ForwardReply {
                 id: 7,
                 under: epoch(),
-                forwarded: Forwarded::Given(Verdict::Value { revision: at, value: "content".into() }),
+                forwarded: ForwardReply::Answered(CallOutcome::Value {
+                    revision: at,
+                    value: "content".into(),
+                }),
             },
         ),
         (
             "verdict-unsettled",
-            Message::Verdict { id: 5, under: epoch(), forwarded: Forwarded::Given(Verdict::Unsettled) },
+            Message::ForwardReply {
+                id: 5,
+                under: epoch(),
+                forwarded: ForwardReply::Answered(CallOutcome::Unknown),
+            },
         ),
-        ("verdict-at", Message::Verdict { id: 6, under: epoch(), forwarded: Forwarded::At(at) }),
+        ("verdict-at", Message::ForwardReply { id: 6, under: epoch(), forwarded: ForwardReply::ReadAt(at) }),
         (
             "verdict-not-owner",
-            Message::Verdict { id: 6, under: epoch(), forwarded: Forwarded::NotOwner(epoch()) },
+            Message::ForwardReply { id: 6, under: epoch(), forwarded: ForwardReply::NotOwner(epoch()) },
         ),
-        ("recover", Message::Recover { incarnation: incarnation() }),
+        ("recover", Message::RepairRequest { incarnation: incarnation() }),
         (
             "recovered",
-            Message::Recovered {
+            Message::RepairReply {
                 incarnation: incarnation(),
-                keys: vec![Held { key: key(), promised: epoch(), accepted: at }],
+                keys: vec![KeySummary { key: key(), promised: epoch(), accepted: at }],
                 vote: vote(),
                 incarnations: incarnations(),
             },
         ),
-        ("outlived", Message::Outlived { incarnation: incarnation() }),
-        ("ask-replica-set", Message::AskReplicaSet),
+        ("outlived", Message::StaleIncarnation { incarnation: incarnation() }),
+        ("ask-replica-set", Message::ReplicaSetRequest),
         ("replica-set", Message::ReplicaSet { replica_set: replica_set() }),
-        ("in-force", Message::InForce),
-        ("had-kept", Message::HadKept { incarnation: incarnation(), keys: vec![(key(), epoch(), 70_000)] }),
-        ("propose", Message::Propose { epoch: epoch(), gone: Some(Node(3)) }),
+        ("in-force", Message::ReplicaSetInForce),
+        (
+            "had-kept",
+            Message::AcknowledgedPositions {
+                incarnation: incarnation(),
+                keys: vec![(key(), epoch(), 70_000)],
+            },
+        ),
+        ("propose", Message::PrepareReplicaSet { epoch: epoch(), gone: Some(Node(3)) }),
         (
             "proposed",
-            Message::Proposed {
+            Message::ReplicaSetPromise {
                 epoch: epoch(),
                 accepted: Some((epoch(), replica_set())),
                 incarnations: incarnations(),
             },
         ),
-        ("accept", Message::Accept { epoch: epoch(), replica_set: replica_set() }),
-        ("accepted", Message::Accepted { epoch: epoch(), incarnations: incarnations() }),
-        ("overruled", Message::Overruled { epoch: epoch() }),
+        ("accept", Message::AcceptReplicaSet { epoch: epoch(), replica_set: replica_set() }),
+        ("accepted", Message::ReplicaSetAccepted { epoch: epoch(), incarnations: incarnations() }),
+        ("overruled", Message::HigherReplicaSetEpoch { epoch: epoch() }),
     ];
     for (name, message) in all {
         add(lines, &format!("message/{name}"), message);
@@ -169,7 +185,8 @@
 fn messages_and_records_are_encoded_as_they_always_were() {
     let mut lines = String::new();
     messages(&mut lines);
-    let record = Stored { key: key(), promised: epoch(), accepted: revision(), value: "content".to_string() };
+    let record =
+        StoredKey { key: key(), promised: epoch(), accepted: revision(), value: "content".to_string() };
     add(&mut lines, "disk/key", record);
     let metadata = Metadata {
         replica_set: replica_set(),
--- a/crates/control/mesh-config/src/configuration.rs
+++ b/crates/control/mesh-config/src/configuration.rs
@@ -4,7 +4,7 @@
 
 use bitcode::{Decode, Encode};
 use serde_json::Value;
-use silvercross_control_store::{Refusal, State};
+use silvercross_control_store::{Rejection, State};
 
 use crate::history::{Forgotten, ItemKind, Said};
 use crate::items::{host_key, Change, Destination, Entries, Entry, Fault, Item, Limits, Route, Versioned};
@@ -42,14 +42,14 @@
     /// The higher edition of each name holds, a lower one changes nothing, and the same edition with other content is a
     /// conflict. What the call would put in force is then checked as a whole. Items that change nothing are not
     /// checked again: a late repeat of an overtaken call stays acknowledged.
-    fn apply(&mut self, change: &Change) -> Result<bool, Refusal> {
+    fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
         self.take_in(change).map(|taken| taken.is_some())
     }
 }
 
 impl Configuration {
     /// The same; `None` if nothing changed, else the drops that were forgotten for it.
-    pub(crate) fn take_in(&mut self, change: &Change) -> Result<Option<Vec<Forgotten>>, Refusal> {
+    pub(crate) fn take_in(&mut self, change: &Change) -> Result<Option<Vec<Forgotten>>, Rejection> {
         let routes = newer(&self.routes, &change.routes)?;
         let destinations = newer(&self.destinations, &change.destinations)?;
         let limits = match (&self.limits, &change.limits) {
@@ -222,7 +222,7 @@
 /// The entries of a call that take the place of the present ones.
 type Newer<'a, T> = BTreeMap<&'a str, &'a Entry<T>>;
 
-fn newer<'a, T>(present: &Entries<T>, sent: &'a Entries<T>) -> Result<Newer<'a, T>, Refusal>
+fn newer<'a, T>(present: &Entries<T>, sent: &'a Entries<T>) -> Result<Newer<'a, T>, Rejection>
 where
     T: Versioned + PartialEq,
 {
@@ -286,12 +286,12 @@
     }
 }
 
-pub(crate) fn conflict(name: &str, edition: u64) -> Refusal {
+pub(crate) fn conflict(name: &str, edition: u64) -> Rejection {
     let reason =
         format!("{edition} stands already with other content (read the configuration, raise the edition)");
-    Refusal { conflict: true, reason: Fault::new(name, "edition", reason).to_string() }
+    Rejection { conflict: true, reason: Fault::new(name, "edition", reason).to_string() }
 }
 
-fn invalid(fault: Fault) -> Refusal {
-    Refusal { conflict: false, reason: fault.to_string() }
+fn invalid(fault: Fault) -> Rejection {
+    Rejection { conflict: false, reason: fault.to_string() }
 }
--- a/crates/control/mesh-config/src/tracked.rs
+++ b/crates/control/mesh-config/src/tracked.rs
@@ -1,7 +1,7 @@
 //! What stands together with what was taken before it.
 
 use bitcode::{Decode, Encode};
-use silvercross_control_store::{Refusal, State};
+use silvercross_control_store::{Rejection, State};
 use silvercross_throttle::Sent;
 
 use crate::configuration::conflict;
@@ -26,7 +26,7 @@
 impl State for Tracked {
     type Change = Call;
 
-    fn apply(&mut self, call: &Call) -> Result<bool, Refusal> {
+    fn apply(&mut self, call: &Call) -> Result<bool, Rejection> {
         self.take(&call.change, &call.members)
     }
 }
@@ -42,7 +42,7 @@
 
 impl Tracked {
     /// Apply a call whole or not at all, as [`State::apply`].
-    pub fn take(&mut self, change: &Change, members: &Sent) -> Result<bool, Refusal> {
+    pub fn take(&mut self, change: &Change, members: &Sent) -> Result<bool, Rejection> {
         let mut review = Review::default();
         for said in change.said().chain(members.stated().map(Said::member)) {
             self.review(said, &mut review)?;
@@ -64,7 +64,7 @@
         Ok(taken.is_some() || remembered)
     }
 
-    fn review<'a>(&self, said: Said<'a>, review: &mut Review<'a>) -> Result<(), Refusal> {
+    fn review<'a>(&self, said: Said<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
         let Some(standing) = self.whole.standing(said.kind, said.name) else {
             return self.review_unknown(said, review);
         };
@@ -80,7 +80,7 @@
     }
 
     /// Nothing is known of the name: it is new, or its drop is no longer remembered by name.
-    fn review_unknown<'a>(&self, said: Said<'a>, review: &mut Review<'a>) -> Result<(), Refusal> {
+    fn review_unknown<'a>(&self, said: Said<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
         let Some(floor) = self.history.floor(&said).filter(|floor| said.edition <= *floor) else {
             return Ok(());
         };
@@ -96,7 +96,7 @@
                     said.edition
                 );
                 let reason = Fault::new(said.name, "edition", reason).to_string();
-                return Err(Refusal { conflict: true, reason });
+                return Err(Rejection { conflict: true, reason });
             }
         }
         review.gone.push((said.kind, said.name));
--- a/crates/control/mesh-config/src/whole.rs
+++ b/crates/control/mesh-config/src/whole.rs
@@ -1,7 +1,7 @@
 //! The configuration and the members under one key, so that a call over both is one change.
 
 use bitcode::{Decode, Encode};
-use silvercross_control_store::{Refusal, State};
+use silvercross_control_store::{Rejection, State};
 use silvercross_throttle::{Roll, Sent};
 
 use crate::configuration::Configuration;
@@ -38,7 +38,7 @@
     type Change = Call;
 
     /// Both parts or neither.
-    fn apply(&mut self, call: &Call) -> Result<bool, Refusal> {
+    fn apply(&mut self, call: &Call) -> Result<bool, Rejection> {
         self.take_in(&call.change, &call.members).map(|taken| taken.is_some())
     }
 }
@@ -49,12 +49,12 @@
         &mut self,
         change: &Change,
         members: &Sent,
-    ) -> Result<Option<Vec<Forgotten>>, Refusal> {
+    ) -> Result<Option<Vec<Forgotten>>, Rejection> {
         let mut roll = None;
         if self.roll.would(members)? {
             let mut new = self.roll.clone();
             let dropped = new.take_in(members)?.unwrap_or_default();
-            check(&new).map_err(|fault| Refusal { conflict: false, reason: fault.to_string() })?;
+            check(&new).map_err(|fault| Rejection { conflict: false, reason: fault.to_string() })?;
             roll = Some((new, dropped));
         }
         let changed = self.configuration.take_in(change)?;
--- a/crates/control/mesh-config/tests/sorting.rs
+++ b/crates/control/mesh-config/tests/sorting.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use silvercross_control_store::{Refusal, State};
+use silvercross_control_store::{Rejection, State};
 use silvercross_mesh_config::{
     read_patch, Change, Configuration, Kind, Limits, Table, MAX_DROPPED, MAX_ITEMS,
 };
@@ -41,7 +41,7 @@
 }
 
 /// Refused, with nothing changed.
-fn refused(configuration: &mut Configuration, body: Value) -> Refusal {
+fn refused(configuration: &mut Configuration, body: Value) -> Rejection {
     let before = configuration.clone();
     let refusal = configuration.apply(&patch(body)).unwrap_err();
     assert_eq!(*configuration, before);
--- a/crates/control/quota/src/count.rs
+++ b/crates/control/quota/src/count.rs
@@ -4,7 +4,7 @@
 
 use bitcode::{Decode, Encode};
 use sha2::{Digest, Sha256};
-use silvercross_control_store::{Micros, Refusal, State};
+use silvercross_control_store::{Micros, Rejection, State};
 
 use crate::broken::{is, Broken};
 use crate::items::{Allowance, Kind};
@@ -190,12 +190,12 @@
     }
 
     /// Why a change of a count was refused.
-    pub fn of(refusal: &Refusal) -> Why {
+    pub fn of(refusal: &Rejection) -> Why {
         WORDS.iter().find(|(_, word)| *word == refusal.reason).map_or(Why::Invalid, |(why, _)| *why)
     }
 
-    fn refusal(self) -> Refusal {
-        Refusal { conflict: matches!(self, Why::Busy | Why::Stale), reason: self.word().to_string() }
+    fn refusal(self) -> Rejection {
+        Rejection { conflict: matches!(self, Why::Busy | Why::Stale), reason: self.word().to_string() }
     }
 }
 
@@ -297,7 +297,7 @@
 impl State for Count {
     type Change = Change;
 
-    fn apply(&mut self, change: &Change) -> Result<bool, Refusal> {
+    fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
         let changed = match change {
             Change::Allow(allowance) => self.allow(allowance),
             Change::Withdraw { edition } => Ok(self.withdraw(*edition)),
@@ -390,7 +390,7 @@
 
     /// What to tell the node that asked for a change, by this count, which is committed and has the change in it if it
     /// was taken.
-    pub fn answer(&self, change: &Change, outcome: &Result<bool, Refusal>) -> Answer {
+    pub fn answer(&self, change: &Change, outcome: &Result<bool, Rejection>) -> Answer {
         let kind = match change {
             Change::Grant { kind, .. } | Change::Charge { kind, .. } => Some(*kind),
             _ => None,
--- a/crates/control/quota/src/items.rs
+++ b/crates/control/quota/src/items.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use bitcode::{Decode, Encode};
-use silvercross_control_store::{Micros, Refusal, State};
+use silvercross_control_store::{Micros, Rejection, State};
 
 /// No more items stand or are remembered as dropped; a call that would go beyond is refused whole.
 pub const MAX_ITEMS: usize = 131_072;
@@ -220,7 +220,7 @@
     type Change = BookChange;
 
     /// The higher edition of each name holds, a lower one changes nothing, the same with other content is a conflict.
-    fn apply(&mut self, change: &BookChange) -> Result<bool, Refusal> {
+    fn apply(&mut self, change: &BookChange) -> Result<bool, Rejection> {
         let mut newer = Vec::new();
         for (name, new) in &change.entries {
             match self.entries.get(name) {
@@ -228,7 +228,7 @@
                 Some(old) if new.edition() == old.edition() => {
                     let reason = format!("{} stands already with other content", new.edition());
                     let fault = Fault::new(name, "edition", reason, "read the item, raise the edition");
-                    return Err(Refusal { conflict: true, reason: fault.to_string() });
+                    return Err(Rejection { conflict: true, reason: fault.to_string() });
                 }
                 _ => newer.push((name, new)),
             }
@@ -237,7 +237,7 @@
         if self.entries.len() + added > MAX_ITEMS {
             let reason = format!("would be above {MAX_ITEMS}");
             let fault = Fault::new("body", "allowances", reason, "send fewer members");
-            return Err(Refusal { conflict: false, reason: fault.to_string() });
+            return Err(Rejection { conflict: false, reason: fault.to_string() });
         }
         let changed = !newer.is_empty();
         for (name, new) in newer {
--- a/crates/control/quota/tests/common/mod.rs
+++ b/crates/control/quota/tests/common/mod.rs
@@ -316,7 +316,7 @@
     fn commit(
         &mut self,
         change: &Change,
-    ) -> Result<Result<bool, silvercross_control_store::Refusal>, String> {
+    ) -> Result<Result<bool, silvercross_control_store::Rejection>, String> {
         if let Change::GiveBack { claim, .. } = change {
             let may = |t: &&Taken| {
                 (t.node as u32, t.life, t.claim) == (claim.node, claim.life, claim.number)
--- a/crates/control/quota/tests/common/plain.rs
+++ b/crates/control/quota/tests/common/plain.rs
@@ -1,6 +1,6 @@
 //! The slow plain counter: it sees every change in the owner's order and works everything out anew from lists.
 
-use silvercross_control_store::Refusal;
+use silvercross_control_store::Rejection;
 use silvercross_quota::{Change, Count, Kind, Mark, Order, Why, CLAIMS};
 
 struct Try {
@@ -78,7 +78,7 @@
     pub fn see(
         &mut self,
         change: &Change,
-        outcome: &Result<bool, Refusal>,
+        outcome: &Result<bool, Rejection>,
         count: &Count,
     ) -> Result<(), String> {
         match change {
--- a/crates/control/throttle/src/lapse.rs
+++ b/crates/control/throttle/src/lapse.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use bitcode::{Decode, Encode};
-use silvercross_control_store::{Refusal, State};
+use silvercross_control_store::{Rejection, State};
 
 use crate::items::{Member, Plan};
 
@@ -80,8 +80,8 @@
     }
 }
 
-fn refused<T>(conflict: bool, reason: impl Into<String>) -> Result<T, Refusal> {
-    Err(Refusal { conflict, reason: reason.into() })
+fn refused<T>(conflict: bool, reason: impl Into<String>) -> Result<T, Rejection> {
+    Err(Rejection { conflict, reason: reason.into() })
 }
 
 impl State for Lapse {
@@ -89,7 +89,7 @@
 
     /// What is of a lower edition is overtaken and changes nothing; what is of a higher one waits for its renewal. A step
     /// is taken only from the one before it.
-    fn apply(&mut self, change: &Change) -> Result<bool, Refusal> {
+    fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
         let edition = Some(change.edition());
         if edition < self.edition {
             return Ok(false);
--- a/crates/control/throttle/src/roll.rs
+++ b/crates/control/throttle/src/roll.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bitcode::{Decode, Encode};
-use silvercross_control_store::{Refusal, State};
+use silvercross_control_store::{Rejection, State};
 
 use crate::items::{Entries, Entry, Fault, Item, Member, Membership, Unknown, MAX_MEMBERS};
 use crate::read::shared;
@@ -96,14 +96,14 @@
 
     /// The higher edition of each name holds, a lower one changes nothing, and the same edition with other content is a
     /// conflict.
-    fn apply(&mut self, sent: &Sent) -> Result<bool, Refusal> {
+    fn apply(&mut self, sent: &Sent) -> Result<bool, Rejection> {
         self.take_in(sent).map(|taken| taken.is_some())
     }
 }
 
 impl Roll {
     /// The same; `None` if nothing changed, else the drops that were forgotten for it, by name and version.
-    pub fn take_in(&mut self, sent: &Sent) -> Result<Option<Vec<(String, u64)>>, Refusal> {
+    pub fn take_in(&mut self, sent: &Sent) -> Result<Option<Vec<(String, u64)>>, Rejection> {
         let newer = self.newer(sent)?;
         let changed = !newer.members.is_empty() || newer.membership.is_some();
         for (name, new) in newer.members {
@@ -132,7 +132,7 @@
     }
 
     /// What applying the call would say, without doing it.
-    pub fn would(&self, sent: &Sent) -> Result<bool, Refusal> {
+    pub fn would(&self, sent: &Sent) -> Result<bool, Rejection> {
         self.newer(sent).map(|newer| !newer.members.is_empty() || newer.membership.is_some())
     }
 
@@ -181,7 +181,7 @@
         parts.join(",")
     }
 
-    fn newer<'a>(&self, sent: &'a Sent) -> Result<Newer<'a>, Refusal> {
+    fn newer<'a>(&self, sent: &'a Sent) -> Result<Newer<'a>, Rejection> {
         let mut members = BTreeMap::new();
         for (name, new) in &sent.members {
             match self.members.get(name) {
@@ -206,7 +206,7 @@
             _ => None,
         };
         if members.values().any(|entry| entry.item().is_some()) {
-            self.check(&members).map_err(|fault| Refusal { conflict: false, reason: fault.to_string() })?;
+            self.check(&members).map_err(|fault| Rejection { conflict: false, reason: fault.to_string() })?;
         }
         Ok(Newer { members, membership })
     }
@@ -265,10 +265,10 @@
     }
 }
 
-fn conflict(name: &str, edition: u64) -> Refusal {
+fn conflict(name: &str, edition: u64) -> Rejection {
     let reason =
         format!("{edition} stands already with other content (read the configuration, raise the edition)");
-    Refusal { conflict: true, reason: Fault::new(name, "edition", reason).to_string() }
+    Rejection { conflict: true, reason: Fault::new(name, "edition", reason).to_string() }
 }
 
 /// Who a request is of.
--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -6,7 +6,7 @@
 use crate::node_state::{ConnectionKind, GaugeGuard, Heartbeat, NodeState};
 use crate::wire::{self, Connection, PeerKind, ReadError, RequestHead};
 use serde_json::json;
-use silvercross_control_store::Verdict;
+use silvercross_control_store::CallOutcome;
 use silvercross_net::http::Bad;
 use slog::info;
 use std::future::Future;
@@ -137,9 +137,11 @@
 call!(GET, "GET", "/-/Config.Get", get);
 async fn get(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> Said {
     match node_state.peers.ask(node_state, CONFIGURATION, None).await {
-        Some(Verdict::Value { value: ControlValue::Configuration(c), .. }) => Said::json(200, c.to_json()),
-        Some(Verdict::Value { value: ControlValue::Whole(w), .. }) => Said::json(200, w.to_json()),
-        Some(Verdict::Value { .. }) => Said::json(200, "{}".to_string()),
+        Some(CallOutcome::Value { value: ControlValue::Configuration(c), .. }) => {
+            Said::json(200, c.to_json())
+        }
+        Some(CallOutcome::Value { value: ControlValue::Whole(w), .. }) => Said::json(200, w.to_json()),
+        Some(CallOutcome::Value { .. }) => Said::json(200, "{}".to_string()),
         Some(_) => Said::later(),
         None => elsewhere(node_state, "/-/Config.Get"),
     }
@@ -170,13 +172,13 @@
     node_state.counters.control_calls.set(node_state.counters.control_calls.get() + 1);
     let _open = GaugeGuard::new(node_state, |c| &c.open_control_calls);
     match node_state.peers.ask(node_state, key, Some(order)).await {
-        Some(Verdict::Done { revision, changed }) => {
+        Some(CallOutcome::Committed { revision, changed }) => {
             if changed {
-                info!(node_state.log, "acknowledged"; "key" => key, "round" => revision.epoch.round, "change" => revision.seq);
+                info!(node_state.log, "acknowledged"; "key" => key, "round" => revision.epoch.round, "change" => revision.sequence);
             }
             Said::ok()
         }
-        Some(Verdict::Refused(refusal)) => {
+        Some(CallOutcome::Rejected(refusal)) => {
             if let Some(n) = node_state.refusals.due(node_state.now()) {
                 info!(node_state.log, "refused"; "key" => key, "why" => &refusal.reason, "count" => n);
             }
@@ -185,7 +187,7 @@
             }
             Said::fault(if refusal.conflict { 409 } else { 400 }, &refusal.reason)
         }
-        Some(Verdict::Value { .. } | Verdict::Unsettled) => Said::later(),
+        Some(CallOutcome::Value { .. } | CallOutcome::Unknown) => Said::later(),
         None => elsewhere(node_state, path),
     }
 }
@@ -260,8 +262,8 @@
 ) -> Said {
     let path = format!("{call}{name}");
     let whole = match node_state.peers.ask(node_state, CONFIGURATION, None).await {
-        Some(Verdict::Value { value: ControlValue::Whole(whole), .. }) => whole,
-        Some(Verdict::Value { .. }) => return Said::fault(404, "no member was ever sent"),
+        Some(CallOutcome::Value { value: ControlValue::Whole(whole), .. }) => whole,
+        Some(CallOutcome::Value { .. }) => return Said::fault(404, "no member was ever sent"),
         Some(_) => return Said::later(),
         None => return elsewhere(node_state, &path),
     };
--- a/crates/daemon/mesh/src/control_value.rs
+++ b/crates/daemon/mesh/src/control_value.rs
@@ -1,6 +1,6 @@
 //! What stands under a key of the ledger: the configuration, whether a zone is evacuated, or how far a member's lapse has come.
 use bitcode::{Decode, Encode};
-use silvercross_control_store::{Refusal, State};
+use silvercross_control_store::{Rejection, State};
 use silvercross_mesh_config::{Call, Change, Configuration, Tracked, Whole};
 use silvercross_throttle::{Lapse, Sent};
 
@@ -56,7 +56,7 @@
 impl State for ControlValue {
     type Change = ControlChange;
 
-    fn apply(&mut self, order: &ControlChange) -> Result<bool, Refusal> {
+    fn apply(&mut self, order: &ControlChange) -> Result<bool, Rejection> {
         match order {
             ControlChange::Patch(change) => self.take(change, &Sent::default()),
             ControlChange::Call(call) => self.take(&call.change, &call.members),
@@ -87,14 +87,14 @@
     }
 }
 
-fn strange() -> Refusal {
-    Refusal { conflict: false, reason: "the key holds something else".to_string() }
+fn strange() -> Rejection {
+    Rejection { conflict: false, reason: "the key holds something else".to_string() }
 }
 
 impl ControlValue {
     /// Sets and drops items. A form that knows more is taken only when there is more to know: what was taken before once
     /// something was overtaken, members once a call said something of them.
-    fn take(&mut self, change: &Change, members: &Sent) -> Result<bool, Refusal> {
+    fn take(&mut self, change: &Change, members: &Sent) -> Result<bool, Rejection> {
         let whole = |configuration| Whole { configuration, ..Whole::default() };
         let before = std::mem::take(self);
         let (form, mut tracked) = match before {
@@ -135,7 +135,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use silvercross_control_store::Stored;
+    use silvercross_control_store::StoredKey;
 
     #[test]
     fn a_key_takes_only_what_it_holds() {
@@ -176,9 +176,9 @@
         ];
         for (page, bytes) in before {
             let (promised, accepted) = Default::default();
-            let stored = Stored { key: "k".to_string(), promised, accepted, value: page };
+            let stored = StoredKey { key: "k".to_string(), promised, accepted, value: page };
             assert_eq!(bitcode::encode(&stored), bytes, "{:?}", stored.value);
-            assert_eq!(bitcode::decode::<Stored<ControlValue>>(bytes).ok(), Some(stored));
+            assert_eq!(bitcode::decode::<StoredKey<ControlValue>>(bytes).ok(), Some(stored));
         }
         assert_eq!(bitcode::encode(&ControlChange::Evacuate(true)), [1, 1]);
         assert_eq!(bitcode::encode(&ControlChange::Patch(patch)), [0, 1, 1, 114, 1, 6, 2, 6, 0, 0, 0]);
--- a/crates/daemon/mesh/src/disk.rs
+++ b/crates/daemon/mesh/src/disk.rs
@@ -12,7 +12,7 @@
 use folder::{Folder, OnDisk};
 use redb::backends::InMemoryBackend;
 use redb::{Database, Error, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError};
-use silvercross_control_store::{Disk, Metadata, Stored};
+use silvercross_control_store::{Metadata, StoredKey, StoredState};
 use std::io::ErrorKind;
 use std::path::Path;
 use std::sync::mpsc;
@@ -50,7 +50,7 @@
     /// The metadata record, if it is to be written.
     pub metadata: Option<Metadata>,
     /// The keys' new content.
-    pub keys: Vec<Stored<ControlValue>>,
+    pub keys: Vec<StoredKey<ControlValue>>,
 }
 
 /// Writes go in here.
@@ -72,7 +72,7 @@
 /// What is on the disk, and what goes on there.
 pub struct Opened {
     /// As it was read.
-    pub disk: Disk<ControlValue>,
+    pub disk: StoredState<ControlValue>,
     /// A file was set aside, now or at an earlier start: an empty disk is a lost one and no new one, whatever the settings say.
     pub lost: bool,
     /// Why a file was set aside now.
@@ -194,7 +194,7 @@
 
 /// What was found at the start.
 struct Found<F: Folder> {
-    disk: Disk<ControlValue>,
+    disk: StoredState<ControlValue>,
     lost: bool,
     set_aside: Option<String>,
     keeper: Keeper<F>,
@@ -204,7 +204,7 @@
 fn find<F: Folder>(folder: F) -> Result<Found<F>, Failed> {
     let place = folder.name();
     let mut set_aside = None;
-    let mut disk = Disk::default();
+    let mut disk = StoredState::default();
     let mut opened = match begin(&folder, true) {
         Ok(db) => read_in(&db).map(|found| {
             disk = found;
@@ -220,7 +220,7 @@
     if let Err(Failed::Damaged(why)) = &opened {
         set_aside = Some(why.clone());
         put_aside(&folder)?;
-        disk = Disk::default();
+        disk = StoredState::default();
         opened = begin(&folder, true);
     }
     let (db, full) = match opened {
@@ -292,10 +292,10 @@
 }
 
 /// What stands in the file, read through a copy in memory: redb writes when it opens, and there is no room for that.
-fn read_copy<F: Folder>(folder: &F) -> Result<Disk<ControlValue>, Failed> {
+fn read_copy<F: Folder>(folder: &F) -> Result<StoredState<ControlValue>, Failed> {
     let place = place_of(folder);
     let io = |e: std::io::Error| Failed::io(&place, &e);
-    let Some(content) = folder.open(FILE).map_err(io)? else { return Ok(Disk::default()) };
+    let Some(content) = folder.open(FILE).map_err(io)? else { return Ok(StoredState::default()) };
     synced(&place, &content)?;
     folder.sync().map_err(|e| Failed::Sync(format!("{place}: {e}")))?;
     let len = content.len().map_err(io)?;
@@ -327,10 +327,10 @@
 }
 
 /// All that stands in it.
-fn read_in(open: &Open) -> Result<Disk<ControlValue>, Failed> {
+fn read_in(open: &Open) -> Result<StoredState<ControlValue>, Failed> {
     let failed = |e: Error| Failed::redb(&open.place, e, &open.notes);
     let damaged = |e: bitcode::Error| Failed::Damaged(format!("{}: a record: {e}", open.place));
-    let mut disk = Disk { metadata: None, keys: Vec::new() };
+    let mut disk = StoredState { metadata: None, keys: Vec::new() };
     let tx = open.db.begin_read().map_err(|e| failed(e.into()))?;
     match tx.open_table(MARKER) {
         Ok(t) => {
--- a/crates/daemon/mesh/src/disk/tests.rs
+++ b/crates/daemon/mesh/src/disk/tests.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 fn write(number: u64, keys: &[(&str, u64)], metadata: bool) -> Write {
-    let stored = |(key, round): &(&str, u64)| Stored {
+    let stored = |(key, round): &(&str, u64)| StoredKey {
         key: (*key).to_string(),
         promised: Epoch { round: *round, owner: 1 },
         accepted: Revision::default(),
@@ -31,8 +31,8 @@
 }
 
 /// What stands after the first so many of them.
-fn standing(many: usize) -> Disk<ControlValue> {
-    let mut disk = Disk::default();
+fn standing(many: usize) -> StoredState<ControlValue> {
+    let mut disk = StoredState::default();
     for w in writes().into_iter().take(many) {
         disk.metadata = w.metadata.or(disk.metadata);
         for stored in w.keys {
@@ -143,7 +143,7 @@
         };
         let folder = begin();
         let found = find(folder.clone()).unwrap_or_else(|e| panic!("{which}: {e}"));
-        assert!(found.lost && found.set_aside.is_some() && found.disk == Disk::default(), "{which}");
+        assert!(found.lost && found.set_aside.is_some() && found.disk == StoredState::default(), "{which}");
         // What redb itself could open has its note in it that it was open.
         let evidence = folder.bytes(ASIDE[0]);
         let opens = which.contains("table") || which.contains("record");
--- a/crates/daemon/mesh/src/member_throttle.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -5,7 +5,7 @@
 use crate::node_state::NodeState;
 use crate::wire::RequestHead;
 use serde_json::{json, Map, Value};
-use silvercross_control_store::{Epoch, Verdict};
+use silvercross_control_store::{CallOutcome, Epoch};
 use silvercross_mesh_config::Route;
 use silvercross_throttle::{
     key, name_of, Board, Clerk, Clock, Directory, Guard, Kind, Lapse, Lapses, Member, Parked, Plan, Roll,
@@ -218,7 +218,7 @@
         }
         let directory = self.directory();
         let told = self.told.borrow();
-        let settled = node_state.peers.control_store(|l| l.settled()).unwrap_or_default();
+        let settled = node_state.peers.control_store(|l| l.owned_keys()).unwrap_or_default();
         let mut mine: BTreeMap<String, Epoch> = BTreeMap::new();
         for (key, epoch, _) in settled {
             if key == CONFIGURATION {
@@ -257,7 +257,7 @@
                 tokio::task::spawn_local(async move {
                     let order = ControlChange::Lapse(change.clone());
                     let verdict = node_state.peers.ask(&node_state, &key(&name), Some(order)).await;
-                    if let Some(Verdict::Refused(refusal)) = verdict {
+                    if let Some(CallOutcome::Rejected(refusal)) = verdict {
                         debug!(node_state.log, "a lapse's change is refused"; "member" => &name,
                             "change" => format!("{change:?}"), "why" => refusal.reason);
                     }
--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -60,7 +60,7 @@
 /// What the ledger on this machine holds: each key as it stands here, and what this holder is to it.
 fn ledger(ledger: &ControlStore<ControlValue>) -> Value {
     let keys: Vec<Value> = ledger
-        .state()
+        .key_states()
         .iter()
         .map(|k| {
             let role = match k.role {
@@ -72,14 +72,14 @@
             json!({ "key": k.key, "role": role, "owner": k.owner.map(|n| address(n.0)),
                 "promised": { "round": k.promised.round, "owner": address(k.promised.owner) },
                 "accepted": { "round": k.accepted.epoch.round, "owner": address(k.accepted.epoch.owner),
-                    "change": k.accepted.seq } })
+                    "change": k.accepted.sequence } })
         })
         .collect();
-    let f = ledger.figures();
-    let roster: Vec<String> = ledger.replica_set().iter().map(|n| address(n.0)).collect();
-    json!({ "voter": ledger.voter(), "roster": roster, "keys": keys,
+    let f = ledger.metrics();
+    let roster: Vec<String> = ledger.replica_nodes().iter().map(|n| address(n.0)).collect();
+    json!({ "voter": ledger.is_voter(), "roster": roster, "keys": keys,
         "figures": { "claims": f.claims, "taken": f.taken, "steppedDown": f.stepped_down, "copiesSent": f.copies_sent,
-            "wholesSent": f.wholes_sent, "behind": f.behind, "refusedLowerEpoch": f.refused_lower_epoch,
+            "wholesSent": f.wholes_sent, "behind": f.behind, "refusedLowerEpoch": f.rejected_lower_epoch,
             "strangers": f.strangers, "unsettled": f.unsettled, "passed": f.forwarded, "repairs": f.repairs,
             "outlived": f.outlived, "replicaSets": f.replica_sets, "wentBack": f.went_back, "diskFull": f.no_room,
             "unsaid": f.unsaid } })
@@ -106,9 +106,9 @@
         node_state.peers.membership(|r| r.linked().iter().map(|n| address(n.0)).collect());
     let age = node_state.peers.membership(|r| r.news_age(node_state.now()));
     let keys = node_state.peers.control_store(|l| {
-        l.settled()
+        l.owned_keys()
             .iter()
-            .map(|(key, epoch, at)| json!({ "key": key, "round": epoch.round, "change": at.seq }))
+            .map(|(key, epoch, at)| json!({ "key": key, "round": epoch.round, "change": at.sequence }))
             .collect::<Vec<_>>()
     });
     let (freshness, after) = match node_state.freshness() {
--- a/crates/daemon/mesh/src/node_state.rs
+++ b/crates/daemon/mesh/src/node_state.rs
@@ -116,7 +116,7 @@
         let pool = ConnectionPool::default();
         pool.set_max_idle((settings.descriptors / 4) as usize);
         let member_throttle =
-            MemberThrottle::new(peers.control_store(|l| l.replica_set().len() == 1).unwrap_or(false));
+            MemberThrottle::new(peers.control_store(|l| l.replica_nodes().len() == 1).unwrap_or(false));
         Rc::new(NodeState {
             stores: BodyBudget::new(settings.memory),
             response_replay_cache,
@@ -217,7 +217,7 @@
             let now = self.now();
             self.looked.set(now);
             self.look_at_upstream(now);
-            let times = self.peers.control_store(|l| l.figures().went_back).unwrap_or(0);
+            let times = self.peers.control_store(|l| l.metrics().went_back).unwrap_or(0);
             if times > went_back {
                 went_back = times;
                 warn!(self.log, "the disk went back to an older state, the other replicas repair it"; "times" => times);
--- a/crates/daemon/mesh/src/node_state/own_record.rs
+++ b/crates/daemon/mesh/src/node_state/own_record.rs
@@ -24,10 +24,10 @@
     /// Those that hold the ledger, as this machine knows for certain; empty where there is none, or it is not repaired yet.
     /// A machine that has a disk and doesn't find itself among them says so by it: it may come for one that is lost.
     pub(super) fn roster(&self) -> Vec<u32> {
-        let of = |l: &silvercross_control_store::ControlStore<ControlValue>| match l.voter()
-            || (l.outside() && l.replicas().version > 0)
+        let of = |l: &silvercross_control_store::ControlStore<ControlValue>| match l.is_voter()
+            || (l.is_outside() && l.replica_set().version > 0)
         {
-            true => l.replica_set().iter().map(|n| n.0).collect(),
+            true => l.replica_nodes().iter().map(|n| n.0).collect(),
             false => Vec::new(),
         };
         self.peers.control_store(of).unwrap_or_default()
--- a/crates/daemon/mesh/src/peers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -15,7 +15,7 @@
 use bitcode::{Decode, Encode};
 use frames::Frame;
 use link::Link;
-use silvercross_control_store::{ControlStore, Verdict};
+use silvercross_control_store::{CallOutcome, ControlStore};
 use silvercross_mesh_membership::{Datagram, Membership, Node, Revision};
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -70,7 +70,7 @@
     writes: Option<Writes>,
     /// Why the disk takes no writes.
     full: RefCell<Option<String>>,
-    asked: RefCell<BTreeMap<u64, oneshot::Sender<Verdict<ControlValue>>>>,
+    asked: RefCell<BTreeMap<u64, oneshot::Sender<CallOutcome<ControlValue>>>>,
     links: RefCell<BTreeMap<u32, Vec<Link>>>,
     numbers: Cell<u64>,
     udp: UdpSocket,
@@ -79,7 +79,7 @@
 
 /// A revision of the control store, as pages carry it.
 fn told(revision: silvercross_control_store::Revision) -> Revision {
-    (revision.epoch.round, u64::from(revision.epoch.owner), revision.seq)
+    (revision.epoch.round, u64::from(revision.epoch.owner), revision.sequence)
 }
 
 fn ip(node: u32) -> IpAddr {
@@ -146,19 +146,19 @@
     /// This process is told to stop: its replica is to be replaced while it is still there.
     pub fn leave_replicas(&self, node_state: &Rc<NodeState>) {
         if let Some(l) = &self.ledger {
-            l.borrow_mut().leave(node_state.now());
+            l.borrow_mut().begin_graceful_stop(node_state.now());
         }
         self.pump(node_state);
     }
 
     /// Whether this process, which stops, is still wanted as a replica.
     pub fn needed(&self) -> bool {
-        self.control_store(|l| l.needed()).unwrap_or(false)
+        self.control_store(|l| l.still_needed()).unwrap_or(false)
     }
 
     /// Ask the other holders for their time of day.
     pub fn ask_time(&self, node_state: &Rc<NodeState>) {
-        let holders = self.control_store(|l| l.replica_set()).unwrap_or_default();
+        let holders = self.control_store(|l| l.replica_nodes()).unwrap_or_default();
         for holder in holders.into_iter().filter(|h| h.0 != self.me) {
             self.send(node_state, holder.0, &Frame::Time { asked: node_state.now() });
         }
@@ -170,8 +170,9 @@
         node_state: &Rc<NodeState>,
         key: &str,
         order: Option<ControlChange>,
-    ) -> Option<Verdict<ControlValue>> {
-        let ledger = self.ledger.as_ref().filter(|l| !l.borrow().outside() && !node_state.is_outsider())?;
+    ) -> Option<CallOutcome<ControlValue>> {
+        let ledger =
+            self.ledger.as_ref().filter(|l| !l.borrow().is_outside() && !node_state.is_outsider())?;
         let asked = self.begin(node_state, ledger, key, order);
         self.pump(node_state);
         Some(self.answer(asked).await)
@@ -184,7 +185,7 @@
         store: &RefCell<ControlStore<ControlValue>>,
         key: &str,
         order: Option<ControlChange>,
-    ) -> (u64, oneshot::Receiver<Verdict<ControlValue>>) {
+    ) -> (u64, oneshot::Receiver<CallOutcome<ControlValue>>) {
         let token = self.numbers.get();
         self.numbers.set(token + 1);
         let (to, answer) = oneshot::channel();
@@ -198,18 +199,18 @@
 
     async fn answer(
         &self,
-        (token, answer): (u64, oneshot::Receiver<Verdict<ControlValue>>),
-    ) -> Verdict<ControlValue> {
+        (token, answer): (u64, oneshot::Receiver<CallOutcome<ControlValue>>),
+    ) -> CallOutcome<ControlValue> {
         let said = timeout(Duration::from_secs(2), answer).await;
         self.asked.borrow_mut().remove(&token);
-        said.ok().and_then(Result::ok).unwrap_or(Verdict::Unsettled)
+        said.ok().and_then(Result::ok).unwrap_or(CallOutcome::Unknown)
     }
 
     /// Do what the deciders want done, until they want nothing more.
     fn pump(&self, node_state: &Rc<NodeState>) {
         loop {
             let effects = self.membership.borrow_mut().effects();
-            let deeds = self.ledger.as_ref().map(|l| l.borrow_mut().effects()).unwrap_or_default();
+            let deeds = self.ledger.as_ref().map(|l| l.borrow_mut().take_effects()).unwrap_or_default();
             if effects.is_empty() && deeds.is_empty() {
                 break;
             }
@@ -230,7 +231,7 @@
         loop {
             let now = node_state.now();
             let mut wake = c.membership.borrow().wake();
-            if let Some(at) = c.ledger.as_ref().and_then(|l| l.borrow().wake()) {
+            if let Some(at) = c.ledger.as_ref().and_then(|l| l.borrow().next_deadline()) {
                 wake = wake.min(at);
             }
             let span = (wake - now).clamp(0, 1_000_000) as u64;
@@ -259,17 +260,17 @@
         while let Some(told) = told.recv().await {
             let Some(l) = &c.ledger else { continue };
             match told {
-                Told::Synced(write) => l.borrow_mut().stored(node_state.now(), write),
+                Told::Synced(write) => l.borrow_mut().write_completed(node_state.now(), write),
                 Told::Full(why) => {
                     warn!(node_state.log, "the disk is full: this machine promises nothing and hands its keys over until there is room";
                         "why" => why.as_str(), "mend" => "free room on the disk of dataDir");
                     *c.full.borrow_mut() = Some(why);
-                    l.borrow_mut().room(node_state.now(), false);
+                    l.borrow_mut().set_disk_has_space(node_state.now(), false);
                 }
                 Told::Room => {
                     info!(node_state.log, "the disk has room again");
                     *c.full.borrow_mut() = None;
-                    l.borrow_mut().room(node_state.now(), true);
+                    l.borrow_mut().set_disk_has_space(node_state.now(), true);
                 }
                 Told::Failed(why) => return why,
             }
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -6,7 +6,7 @@
 use crate::disk::Write;
 use crate::node_state::NodeState;
 use crate::peer_connection;
-use silvercross_control_store::{Effect as StoreEffect, Verdict};
+use silvercross_control_store::{CallOutcome, Effect as StoreEffect};
 use silvercross_mesh_membership::{Effect, Node, Record};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -66,9 +66,9 @@
         let spare = !told.roster.is_empty() && !told.roster.contains(&record.node.0);
         let up = record.core && !record.gone && !told.leaving && spare;
         let node = silvercross_control_store::Node(record.node.0);
-        l.borrow_mut().candidate(node_state.now(), node, up);
+        l.borrow_mut().set_candidate(node_state.now(), node, up);
         if record.core {
-            l.borrow_mut().leaves(node_state.now(), node, told.leaving);
+            l.borrow_mut().set_stopping(node_state.now(), node, told.leaving);
         }
     }
 
@@ -86,8 +86,8 @@
             StoreEffect::Answer { token, verdict } => {
                 if let Some(to) = self.asked.borrow_mut().remove(&token) {
                     let verdict = match verdict {
-                        Verdict::Value { revision, value } => {
-                            Verdict::Value { revision, value: value.published() }
+                        CallOutcome::Value { revision, value } => {
+                            CallOutcome::Value { revision, value: value.published() }
                         }
                         other => other,
                     };
--- a/crates/daemon/mesh/src/peers/isolated_control_tests.rs
+++ b/crates/daemon/mesh/src/peers/isolated_control_tests.rs
@@ -6,7 +6,7 @@
 use crate::{disk, upstream_gate};
 use rand_core::SeedableRng;
 use silvercross_admission::AdmissionController;
-use silvercross_control_store::{Disk, Epoch, Metadata, ReplicaSet, Start, State, Stored};
+use silvercross_control_store::{Epoch, Metadata, ReplicaSet, Start, State, StoredKey, StoredState};
 use silvercross_facade::Clock;
 use silvercross_mesh_membership::{Freshness, READY_BOUND};
 use slog::{o, Discard, Logger};
@@ -33,15 +33,15 @@
 }
 
 /// A disk with the configuration after so many changes, each taken over anew.
-fn disk_of(last: u8, changes: u64) -> Disk<ControlValue> {
+fn disk_of(last: u8, changes: u64) -> StoredState<ControlValue> {
     let members =
         CONTROL.iter().map(|c| (silvercross_control_store::Node(address(*c).to_bits()), 1)).collect();
-    let replica_set = ReplicaSet { version: 1, members, leaving: None, coming: None };
+    let replica_set = ReplicaSet { version: 1, members, leaving: None, joining: None };
     let epoch = Epoch { round: changes, owner: address(last).to_bits() };
-    let accepted = silvercross_control_store::Revision { epoch, seq: 1 };
+    let accepted = silvercross_control_store::Revision { epoch, sequence: 1 };
     let (key, value) = (CONFIGURATION.to_string(), configuration(changes));
-    let stored = Stored { key, promised: epoch, accepted, value };
-    Disk { metadata: Some(Metadata { replica_set, ..Metadata::default() }), keys: vec![stored] }
+    let stored = StoredKey { key, promised: epoch, accepted, value };
+    StoredState { metadata: Some(Metadata { replica_set, ..Metadata::default() }), keys: vec![stored] }
 }
 
 /// A step of a sidecar's clock.
@@ -63,7 +63,12 @@
 }
 
 /// A process at its address: its listener and datagrams at the port that all share.
-async fn process(last: u8, port: u16, clock: Clock, disk: Option<Disk<ControlValue>>) -> Rc<NodeState> {
+async fn process(
+    last: u8,
+    port: u16,
+    clock: Clock,
+    disk: Option<StoredState<ControlValue>>,
+) -> Rc<NodeState> {
     let ip = address(last);
     let data = if disk.is_some() { "dataDir: /nowhere\n" } else { "" };
     let text = format!(
@@ -151,7 +156,7 @@
         let serves = process(12, port, quick, None).await;
         // Both have the old configuration, and have been told again and again that no majority is reached.
         until(|| change(&waits) == 1 && change(&serves) == 1).await;
-        let unsettled = || alone.peers.control_store(|l| l.figures().unsettled).unwrap_or(0);
+        let unsettled = || alone.peers.control_store(|l| l.metrics().unsettled).unwrap_or(0);
         until(|| unsettled() >= 2).await;
         for sidecar in [&waits, &serves] {
             assert_eq!((sidecar.ready(), sidecar.unready()), (false, Some("not yet known to be current")));
@@ -167,7 +172,7 @@
         assert!(change(&waits) >= 2, "{:?}", waits.revisions());
         assert!(matches!(waits.freshness(), Freshness::Current { .. }));
         until(|| change(&serves) >= 2).await;
-        assert!(serves.ready() && back.peers.control_store(|l| l.voter()) == Some(true));
+        assert!(serves.ready() && back.peers.control_store(|l| l.is_voter()) == Some(true));
         // It stays ready, whatever becomes of the others, until it stops.
         waits.begin_stop();
         assert_eq!((waits.ready(), waits.unready()), (false, Some("stopping")));
--- a/crates/daemon/mesh/src/peers/link.rs
+++ b/crates/daemon/mesh/src/peers/link.rs
@@ -53,7 +53,7 @@
         let now = node_state.now();
         self.membership.borrow_mut().link_down(now, Node(node));
         if let Some(l) = &self.ledger {
-            l.borrow_mut().reachable(now, silvercross_control_store::Node(node), false);
+            l.borrow_mut().set_reachable(now, silvercross_control_store::Node(node), false);
         }
         self.changed.notify_one();
     }
@@ -108,7 +108,7 @@
         let now = node_state.now();
         self.membership.borrow_mut().link_up(now, Node(node));
         if let Some(l) = &self.ledger {
-            l.borrow_mut().reachable(now, silvercross_control_store::Node(node), true);
+            l.borrow_mut().set_reachable(now, silvercross_control_store::Node(node), true);
         }
         self.pump(node_state);
         (number, waiting, waiting_first)
@@ -132,7 +132,7 @@
             }
             Frame::Told { asked, wall, stepped } => {
                 let holder = silvercross_control_store::Node(node);
-                if self.control_store(|l| l.replica_set().contains(&holder)) == Some(true) {
+                if self.control_store(|l| l.replica_nodes().contains(&holder)) == Some(true) {
                     let answered = now;
                     node_state.member_throttle.heard(Voice { node: holder, asked, answered, wall, stepped });
                 }
--- a/crates/daemon/mesh/src/peers/majority_read.rs
+++ b/crates/daemon/mesh/src/peers/majority_read.rs
@@ -2,7 +2,7 @@
 use super::{told, Peers};
 use crate::control_value::{ControlValue, CONFIGURATION, EVACUATION};
 use crate::node_state::NodeState;
-use silvercross_control_store::Verdict;
+use silvercross_control_store::CallOutcome;
 use silvercross_mesh_membership::Revision;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
     /// machine whose store is no replica reads at those that are.
     pub(super) async fn confirm(&self, node_state: &Rc<NodeState>) -> Option<Vec<(String, Revision)>> {
         let store = self.ledger.as_ref()?;
-        let known = store.borrow().state().into_iter().map(|state| state.key);
+        let known = store.borrow().key_states().into_iter().map(|state| state.key);
         let zones = node_state.settings.zones.iter().map(|zone| format!("{EVACUATION}{zone}"));
         let mut keys: BTreeSet<String> = known.chain(zones).chain([CONFIGURATION.to_string()]).collect();
         let mut revisions = Vec::new();
@@ -23,7 +23,7 @@
             self.pump(node_state);
             let mut named = BTreeSet::new();
             for (key, asked) in keys.iter().zip(asked) {
-                let Verdict::Value { revision, value } = self.answer(asked).await else { return None };
+                let CallOutcome::Value { revision, value } = self.answer(asked).await else { return None };
                 if value != ControlValue::Blank {
                     revisions.push((key.clone(), told(revision)));
                 }
--- a/crates/testing/control-sim/src/disk.rs
+++ b/crates/testing/control-sim/src/disk.rs
@@ -2,7 +2,7 @@
 
 use crate::dice::Dice;
 use crate::items::Items;
-use silvercross_control_store::{Disk, Metadata, Stored};
+use silvercross_control_store::{Metadata, StoredKey, StoredState};
 use std::collections::VecDeque;
 
 /// One transaction that is under way.
@@ -12,14 +12,14 @@
     /// What is put in place of the metadata there.
     pub metadata: Option<Metadata>,
     /// What is put in place of what is there under these keys.
-    pub keys: Vec<Stored<Items>>,
+    pub keys: Vec<StoredKey<Items>>,
 }
 
 /// What is on the disk, and what is on its way to it.
 #[derive(Default)]
 pub struct Storage {
     /// What a start finds.
-    pub disk: Disk<Items>,
+    pub disk: StoredState<Items>,
     /// Whether it was formatted at some time: the machine's first start is over.
     pub formatted: bool,
     /// Not synced yet, in order.
@@ -66,7 +66,7 @@
 
     /// All is lost.
     pub fn wiped(&mut self) {
-        self.disk = Disk::default();
+        self.disk = StoredState::default();
         self.pending.clear();
     }
 }
--- a/crates/testing/control-sim/src/faults.rs
+++ b/crates/testing/control-sim/src/faults.rs
@@ -71,7 +71,7 @@
         if machine.incarnation != incarnation {
             return;
         }
-        let wanted = machine.store.as_ref().is_some_and(|store| store.needed());
+        let wanted = machine.store.as_ref().is_some_and(|store| store.still_needed());
         if (machine.frozen || wanted) && self.now < last {
             return self.later(20_000, Undo::SignOff { node, incarnation, last });
         }
@@ -106,7 +106,7 @@
         self.tell(node);
         let now = self.local(node);
         if let Some(store) = &mut self.machines[node].store {
-            store.leave(now);
+            store.begin_graceful_stop(now);
         }
         self.pump(node);
         let last = self.now + grace - 100_000;
@@ -316,7 +316,7 @@
     fn known_replica_sets(&self) -> Vec<ReplicaSet> {
         let known = |machine: &Machine| {
             let disk = machine.storage.disk.metadata.as_ref().map(|metadata| metadata.replica_set.clone());
-            disk.into_iter().chain(machine.store.as_ref().map(|store| store.replicas().clone()))
+            disk.into_iter().chain(machine.store.as_ref().map(|store| store.replica_set().clone()))
         };
         self.machines[..self.cores()].iter().flat_map(known).collect()
     }
--- a/crates/testing/control-sim/src/items.rs
+++ b/crates/testing/control-sim/src/items.rs
@@ -1,7 +1,7 @@
 //! The content of a key in this world: named items by the rules of the operators' configuration.
 
 use bitcode::{Decode, Encode};
-use silvercross_control_store::{Refusal, State};
+use silvercross_control_store::{Rejection, State};
 use std::collections::BTreeMap;
 
 /// One item of a call.
@@ -24,14 +24,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Items(pub BTreeMap<u8, (u64, u64)>);
 
-fn refusal(conflict: bool, item: &Item) -> Refusal {
-    Refusal { conflict, reason: format!("item {}, version {}", item.name, item.version) }
+fn refusal(conflict: bool, item: &Item) -> Rejection {
+    Rejection { conflict, reason: format!("item {}, version {}", item.name, item.version) }
 }
 
 impl State for Items {
     type Change = Change;
 
-    fn apply(&mut self, change: &Change) -> Result<bool, Refusal> {
+    fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
         let mut next = self.0.clone();
         let mut changed = Vec::new();
         for item in change {
--- a/crates/testing/control-sim/src/network.rs
+++ b/crates/testing/control-sim/src/network.rs
@@ -157,7 +157,7 @@
             membership.link_down(now, silvercross_mesh_membership::Node(id));
         }
         if let Some(store) = &mut machine.store {
-            store.reachable(now, control::Node(id), false);
+            store.set_reachable(now, control::Node(id), false);
         }
     }
 
@@ -170,7 +170,7 @@
             membership.link_up(now, silvercross_mesh_membership::Node(id));
         }
         if let Some(store) = &mut machine.store {
-            store.reachable(now, control::Node(id), true);
+            store.set_reachable(now, control::Node(id), true);
         }
     }
 
--- a/crates/testing/control-sim/src/operators.rs
+++ b/crates/testing/control-sim/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::items::{Change, Item, Items};
 use crate::judge::{Op, Said};
 use crate::world::{key_name, Micros, World};
-use silvercross_control_store::Verdict;
+use silvercross_control_store::CallOutcome;
 use std::collections::BTreeMap;
 
 /// Calls of one operator that are under way at a time.
@@ -90,7 +90,7 @@
         let now = self.local(node);
         let Some(open) = self.operators.open.get(&token) else { return };
         let (key, change) = (key_name(open.order.key), open.order.change.clone());
-        let Some(store) = self.machines[node].store.as_mut().filter(|store| !store.outside()) else {
+        let Some(store) = self.machines[node].store.as_mut().filter(|store| !store.is_outside()) else {
             return self.settle_call(token, Said::Unsettled);
         };
         if change.is_empty() {
@@ -102,7 +102,7 @@
     }
 
     /// A control machine answers.
-    pub(crate) fn answered(&mut self, node: usize, token: u64, verdict: Verdict<Items>) {
+    pub(crate) fn answered(&mut self, node: usize, token: u64, verdict: CallOutcome<Items>) {
         let Some(open) = self.operators.open.get(&token) else { return };
         let asked = self.history.ops[token as usize].asked;
         if open.node != node {
@@ -114,13 +114,13 @@
             return self.fail(format!("call {token} answered after {late} us"));
         }
         let said = match verdict {
-            Verdict::Done { revision, changed } => {
-                let at = (revision.epoch.round, u64::from(revision.epoch.owner), revision.seq);
+            CallOutcome::Committed { revision, changed } => {
+                let at = (revision.epoch.round, u64::from(revision.epoch.owner), revision.sequence);
                 Said::Done(at, changed)
             }
-            Verdict::Refused(refusal) => Said::Refused(refusal.conflict),
-            Verdict::Value { value, .. } => Said::State(value.0),
-            Verdict::Unsettled => Said::Unsettled,
+            CallOutcome::Rejected(refusal) => Said::Refused(refusal.conflict),
+            CallOutcome::Value { value, .. } => Said::State(value.0),
+            CallOutcome::Unknown => Said::Unsettled,
         };
         self.settle_call(token, said);
     }
@@ -195,7 +195,7 @@
     /// Which machine an operator turns to: one that is no replica, or doesn't run, seldom.
     fn entry(&mut self) -> usize {
         let node = self.dice.index(self.cores());
-        let good = self.machines[node].store.as_ref().is_some_and(|store| !store.outside());
+        let good = self.machines[node].store.as_ref().is_some_and(|store| !store.is_outside());
         if good || self.dice.one_in(4) {
             node
         } else {
--- a/crates/testing/control-sim/src/schedule.rs
+++ b/crates/testing/control-sim/src/schedule.rs
@@ -6,7 +6,7 @@
 use crate::judge::{judge, At, Said, Why};
 use crate::machine::Machine;
 use crate::world::{key_name, Micros, Plan, World};
-use silvercross_control_store::{Broken, Node, Revision};
+use silvercross_control_store::{Mutation, Node, Revision};
 use std::collections::BTreeMap;
 
 /// After everything is whole again all is at rest within this: links and parents are found anew, a silent owner is given up
@@ -56,7 +56,7 @@
 }
 
 /// The world that a seed draws.
-pub fn drawn_plan(seed: u64, broken: Option<Broken>) -> Plan {
+pub fn drawn_plan(seed: u64, broken: Option<Mutation>) -> Plan {
     let mut dice = Dice(seed ^ 0x5eed);
     Plan {
         replicas: if dice.one_in(5) { 5 } else { 3 },
@@ -73,7 +73,7 @@
 }
 
 /// Plays a drawn schedule as a whole.
-pub fn run(seed: u64, broken: Option<Broken>) -> Result<Report, String> {
+pub fn run(seed: u64, broken: Option<Mutation>) -> Result<Report, String> {
     play(seed, drawn_plan(seed, broken), false)
 }
 
@@ -178,7 +178,7 @@
         };
         for member in set.members.iter().map(|member| member.0 .0 as usize - 1) {
             let agrees = |store: &silvercross_control_store::ControlStore<crate::items::Items>| {
-                store.voter() && *store.replicas() == set
+                store.is_voter() && *store.replica_set() == set
             };
             if !self.machines[member].store.as_ref().is_some_and(agrees) {
                 return Some(format!("replica {member} is not one of {set:?}"));
@@ -191,7 +191,7 @@
         let name = key_name(key);
         let stores = || self.machines.iter().filter_map(|machine| machine.store.as_ref());
         let owned: Vec<Revision> = stores()
-            .flat_map(|store| store.settled())
+            .flat_map(|store| store.owned_keys())
             .filter(|settled| settled.0 == name)
             .map(|settled| settled.2)
             .collect();
@@ -199,13 +199,13 @@
         for member in &set.members {
             let store = self.machines[member.0 .0 as usize - 1].store.as_ref();
             let has = |store: &silvercross_control_store::ControlStore<crate::items::Items>| {
-                store.state().iter().any(|state| state.key == name && state.accepted == newest)
+                store.key_states().iter().any(|state| state.key == name && state.accepted == newest)
             };
             if !store.is_some_and(has) {
                 return Some(format!("replica {member:?} has not the newest of {name}"));
             }
         }
-        let at: At = (newest.epoch.round, u64::from(newest.epoch.owner), newest.seq);
+        let at: At = (newest.epoch.round, u64::from(newest.epoch.owner), newest.sequence);
         let lacks = |machine: &&Machine| {
             machine.runs() && machine.revisions.get(&key).is_none_or(|known| *known < at)
         };
@@ -250,7 +250,7 @@
             place.into_iter().for_each(|place: usize| self.report.ready[place] += 1);
         }
         let version =
-            self.machines.iter().filter_map(|m| m.store.as_ref()).map(|s| s.replicas().version).max();
+            self.machines.iter().filter_map(|m| m.store.as_ref()).map(|s| s.replica_set().version).max();
         self.report.replica_sets = version.unwrap_or(1).saturating_sub(1);
         self.report.simulated = self.now;
         Ok(self.report)
--- a/crates/testing/control-sim/src/wiring.rs
+++ b/crates/testing/control-sim/src/wiring.rs
@@ -27,9 +27,9 @@
         let now = self.local(node);
         let machine = &mut self.machines[node];
         let knows = |store: &ControlStore<Items>| {
-            let known = store.voter() || (store.outside() && store.replicas().version > 0);
+            let known = store.is_voter() || (store.is_outside() && store.replica_set().version > 0);
             if known {
-                store.replica_set()
+                store.replica_nodes()
             } else {
                 Vec::new()
             }
@@ -47,25 +47,29 @@
             return;
         }
         let Some(store) = &self.machines[node].store else { return };
-        let set = store.replicas();
+        let set = store.replica_set();
         let ids =
             |nodes: Vec<control::Node>| nodes.iter().map(|n| n.0.to_string()).collect::<Vec<_>>().join(" ");
-        let owned: Vec<String> = store.settled().iter().map(|s| format!("{} {}", s.0, s.1.round)).collect();
+        let owned: Vec<String> =
+            store.owned_keys().iter().map(|s| format!("{} {}", s.0, s.1.round)).collect();
         let accepted: Vec<String> = store
-            .state()
+            .key_states()
             .iter()
             .map(|s| {
-                format!("{} {}.{}.{}", s.key, s.accepted.epoch.round, s.accepted.epoch.owner, s.accepted.seq)
+                format!(
+                    "{} {}.{}.{}",
+                    s.key, s.accepted.epoch.round, s.accepted.epoch.owner, s.accepted.sequence
+                )
             })
             .collect();
         let stands = format!(
             "id {} voter {} set {} [{}] leaving {:?} coming {:?} owns {owned:?}",
             self.machines[node].id,
-            store.voter(),
+            store.is_voter(),
             set.version,
-            ids(store.replica_set()),
+            ids(store.replica_nodes()),
             set.leaving.map(|n| n.0),
-            set.coming.map(|n| n.0),
+            set.joining.map(|n| n.0),
         );
         if self.machines[node].stands != stands {
             self.note(|| format!("  {node}: {stands} {accepted:?}"));
@@ -78,7 +82,7 @@
         loop {
             let machine = &mut self.machines[node];
             let membership = machine.membership.as_mut().map(Membership::effects).unwrap_or_default();
-            let store = machine.store.as_mut().map(ControlStore::effects).unwrap_or_default();
+            let store = machine.store.as_mut().map(ControlStore::take_effects).unwrap_or_default();
             if membership.is_empty() && store.is_empty() {
                 break;
             }
@@ -94,7 +98,7 @@
         let (now, local) = (self.now, self.local(node));
         let machine = &mut self.machines[node];
         let Some(membership) = &machine.membership else { return };
-        let store = machine.store.as_ref().and_then(ControlStore::wake).unwrap_or(Micros::MAX);
+        let store = machine.store.as_ref().and_then(ControlStore::next_deadline).unwrap_or(Micros::MAX);
         let look = if machine.core { LOOK } else { 1_000_000 };
         let wake = now + (membership.wake().min(store).saturating_sub(local)).clamp(1, look);
         if wake < machine.wake {
@@ -139,9 +143,9 @@
                     let told = &record.body;
                     let spare = !told.roster.is_empty() && !told.roster.contains(&record.node.0);
                     let up = record.core && !record.gone && !told.leaving && spare;
-                    store.candidate(now, control::Node(record.node.0), up);
+                    store.set_candidate(now, control::Node(record.node.0), up);
                     if record.core {
-                        store.leaves(now, control::Node(record.node.0), told.leaving);
+                        store.set_stopping(now, control::Node(record.node.0), told.leaving);
                     }
                 }
             }
@@ -176,7 +180,7 @@
             Effect::Answer { token, verdict } if token >= CONFIRMS => self.confirmed(node, token, verdict),
             Effect::Answer { token, verdict } => self.answered(node, token, verdict),
             Effect::Committed { key, revision, value } => {
-                let at = (revision.epoch.round, u64::from(revision.epoch.owner), revision.seq);
+                let at = (revision.epoch.round, u64::from(revision.epoch.owner), revision.sequence);
                 let (now, bytes) = (self.local(node), bitcode::encode(&value));
                 if let Some(membership) = &mut self.machines[node].membership {
                     membership.publish(now, &key, at, bytes);
@@ -211,7 +215,7 @@
         machine.confirms.insert(ticket, confirm);
     }
 
-    fn confirmed(&mut self, node: usize, token: u64, verdict: control::Verdict<Items>) {
+    fn confirmed(&mut self, node: usize, token: u64, verdict: control::CallOutcome<Items>) {
         let now = self.local(node);
         let machine = &mut self.machines[node];
         let found = machine.confirms.iter_mut().find(|confirm| confirm.1.tokens.contains_key(&token));
@@ -219,8 +223,8 @@
         let ticket = *ticket;
         let key = confirm.tokens.remove(&token).unwrap_or_default();
         let whole = match verdict {
-            control::Verdict::Value { revision, value } => {
-                let at = (revision.epoch.round, u64::from(revision.epoch.owner), revision.seq);
+            control::CallOutcome::Value { revision, value } => {
+                let at = (revision.epoch.round, u64::from(revision.epoch.owner), revision.sequence);
                 if value != Items::default() {
                     confirm.revisions.push((key_name(key), at));
                 }
--- a/crates/testing/control-sim/src/world.rs
+++ b/crates/testing/control-sim/src/world.rs
@@ -9,7 +9,7 @@
 use crate::operators::Operators;
 use crate::schedule::Report;
 use silvercross_control_store as control;
-use silvercross_control_store::{Broken, ControlStore};
+use silvercross_control_store::{ControlStore, Mutation};
 use silvercross_mesh_membership::{Membership, Node};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -47,7 +47,7 @@
     /// Bytes of a value that go in one piece.
     pub piece: usize,
     /// Which rule of the control stores is broken on purpose.
-    pub broken: Option<Broken>,
+    pub broken: Option<Mutation>,
     /// Which rule of readiness is broken on purpose.
     pub unready: Option<silvercross_mesh_membership::Broken>,
 }
@@ -196,9 +196,9 @@
                 seed,
             };
             let mut store = ControlStore::new(now, start, machine.storage.disk.clone());
-            store.pieces_of(piece);
+            store.set_snapshot_chunk_bytes(piece);
             if machine.storage.full {
-                store.room(now, false);
+                store.set_disk_has_space(now, false);
             }
             machine.store = Some(broken_on_purpose(store, broken));
         }
@@ -270,9 +270,9 @@
         let last = machine.storage.pending.back().map(|write| write.number);
         machine.storage.synced(last.unwrap_or(0));
         let Some(store) = &mut machine.store else { return };
-        store.room(now, true);
+        store.set_disk_has_space(now, true);
         if let Some(last) = last {
-            store.stored(now, last);
+            store.write_completed(now, last);
         }
         self.pump(node);
     }
@@ -360,10 +360,10 @@
                 let machine = &mut self.machines[node];
                 let Some(store) = &mut machine.store else { return };
                 if machine.storage.full {
-                    store.room(now, false);
+                    store.set_disk_has_space(now, false);
                 } else {
                     machine.storage.synced(write);
-                    store.stored(now, write);
+                    store.write_completed(now, write);
                 }
                 self.pump(node);
             }
@@ -416,10 +416,10 @@
 }
 
 #[allow(unused_mut, unused_variables)]
-fn broken_on_purpose(mut store: ControlStore<Items>, broken: Option<Broken>) -> ControlStore<Items> {
+fn broken_on_purpose(mut store: ControlStore<Items>, broken: Option<Mutation>) -> ControlStore<Items> {
     #[cfg(feature = "mutants")]
     if let Some(broken) = broken {
-        store.break_it(broken);
+        store.set_mutation(broken);
     }
     store
 }
--- a/crates/testing/control-sim/tests/common/losses.rs
+++ b/crates/testing/control-sim/tests/common/losses.rs
@@ -32,7 +32,7 @@
 
 /// Point 3: a replica that left in plan, cut off together with one other as soon as both know that it is none any more: they
 /// acknowledge nothing, and the others go on.
-pub fn removed_beside_one_other(broken: Option<Broken>) -> Outcome {
+pub fn removed_beside_one_other(broken: Option<Mutation>) -> Outcome {
     let mut world = quiet(1, 2, broken)?;
     world.run(2 * S);
     let removed = owner(&world)?;
@@ -42,7 +42,7 @@
     world.leave(removed, 20 * S, false);
     let knows = |world: &World, node: usize| {
         let store = world.machines[node].store.as_ref();
-        store.is_some_and(|store| !store.replicas().contains(id) && !store.replicas().joint())
+        store.is_some_and(|store| !store.replica_set().contains(id) && !store.replica_set().joint())
     };
     let began = world.now;
     while !(knows(&world, removed) && knows(&world, beside)) {
@@ -71,7 +71,7 @@
 
 /// Point 3: the step to the replica set without the leaver is known to one replica and the newcomer, which acknowledge a
 /// change; then the one is wiped, the newcomer out of reach, the leaver back with its old disk, and the third back from a cut.
-pub fn wiped_after_the_step(broken: Option<Broken>) -> Outcome {
+pub fn wiped_after_the_step(broken: Option<Mutation>) -> Outcome {
     let mut world = quiet(1, 2, broken)?;
     world.run(2 * S);
     let (missed, wiped, leaver, newcomer) = (0, 1, 2, 3);
@@ -79,7 +79,7 @@
     world.leave(leaver, 20 * S, false);
     let stands = |world: &World, node: usize| {
         let store = world.machines[node].store.as_ref();
-        store.is_some_and(|store| store.voter() && store.replicas().version == 3)
+        store.is_some_and(|store| store.is_voter() && store.replica_set().version == 3)
     };
     let began = world.now;
     while !(stands(&world, wiped) && stands(&world, newcomer)) {
@@ -91,7 +91,7 @@
     world.freeze(newcomer);
     world.crash(leaver, false);
     world.start(leaver);
-    let set = world.machines[leaver].store.as_ref().map(|store| store.replicas().version);
+    let set = world.machines[leaver].store.as_ref().map(|store| store.replica_set().version);
     reached(set == Some(2), "the leaver is back in the joint replica set")?;
     world.crash(wiped, true);
     world.machines[wiped].storage.wiped();
--- a/crates/testing/control-sim/tests/common/mod.rs
+++ b/crates/testing/control-sim/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use silvercross_control_sim::world::key_name;
 use silvercross_control_sim::{Plan, Report, Said, Why, World};
-use silvercross_control_store::Broken;
+use silvercross_control_store::Mutation;
 
 #[allow(unused_imports)]
 pub use losses::*;
@@ -22,7 +22,7 @@
 }
 
 /// Three replicas, spare machines and sidecars at rest.
-pub fn quiet(spares: usize, sidecars: usize, broken: Option<Broken>) -> Result<World, String> {
+pub fn quiet(spares: usize, sidecars: usize, broken: Option<Mutation>) -> Result<World, String> {
     let mut world = World::new(7, Plan { broken, ..Plan::quiet(spares, sidecars) });
     world.begin_quietly()?;
     Ok(world)
@@ -33,7 +33,8 @@
 }
 
 pub fn owner(world: &World) -> Result<usize, String> {
-    let owns = |node: &usize| world.machines[*node].store.as_ref().is_some_and(|s| !s.settled().is_empty());
+    let owns =
+        |node: &usize| world.machines[*node].store.as_ref().is_some_and(|s| !s.owned_keys().is_empty());
     (0..world.cores()).find(owns).ok_or_else(|| "not reached: an owner".to_owned())
 }
 
@@ -73,8 +74,8 @@
 /// The revision that a control machine's copy has, as plain numbers.
 pub fn accepted(world: &World, node: usize) -> (u64, u32, u64) {
     let store = world.machines[node].store.as_ref();
-    let state = store.and_then(|store| store.state().into_iter().find(|state| state.key == key_name(0)));
-    state.map_or((0, 0, 0), |s| (s.accepted.epoch.round, s.accepted.epoch.owner, s.accepted.seq))
+    let state = store.and_then(|store| store.key_states().into_iter().find(|state| state.key == key_name(0)));
+    state.map_or((0, 0, 0), |s| (s.accepted.epoch.round, s.accepted.epoch.owner, s.accepted.sequence))
 }
 
 /// Healed, at rest, with orders taken everywhere, and judged.
@@ -103,7 +104,7 @@
     way: Way,
     span: i64,
     from_all: bool,
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
 ) -> Outcome {
     let mut world = quiet(0, 2, broken)?;
     let owner = owner(&world)?;
@@ -150,7 +151,7 @@
 }
 
 /// Point 1: the owner stands still, the rest goes on; it wakes with what was asked of it, and is asked on.
-pub fn frozen_owner(also_cut: bool, broken: Option<Broken>) -> Outcome {
+pub fn frozen_owner(also_cut: bool, broken: Option<Mutation>) -> Outcome {
     let mut world = quiet(0, 2, broken)?;
     let owner = owner(&world)?;
     let rest = others(&world, owner);
--- a/crates/testing/control-sim/tests/mutants.rs
+++ b/crates/testing/control-sim/tests/mutants.rs
@@ -6,11 +6,11 @@
 
 use common::{cut_control_machine, sidecar_below_old_state, wiped_after_the_step, Below, Way, S};
 use silvercross_control_sim::{run, run_unready, Report};
-use silvercross_control_store::Broken;
+use silvercross_control_store::Mutation;
 use std::ops::Range;
 
 /// The judge's words on the first of some schedules in which it shows.
-fn caught(broken: Broken, schedules: u64) -> String {
+fn caught(broken: Mutation, schedules: u64) -> String {
     first(0..schedules, |seed| run(seed, Some(broken)))
 }
 
@@ -27,12 +27,12 @@
 
 #[test]
 fn a_cut_owner_that_acknowledges_is_caught() {
-    caught(Broken::AnswersEarly, 300);
+    caught(Mutation::AnswersBeforeQuorum, 300);
 }
 
 #[test]
 fn a_cut_owner_that_answers_a_read_is_caught() {
-    caught(Broken::ReadsUnasked, 300);
+    caught(Mutation::ReadsWithoutConfirmation, 300);
 }
 
 /// The judge's words on a directed schedule, which is none of liveness.
@@ -45,7 +45,8 @@
 
 #[test]
 fn a_cut_owner_that_answers_a_read_is_caught_in_the_directed_schedule() {
-    let why = judged(cut_control_machine(true, Way::Both, 5 * S, true, Some(Broken::ReadsUnasked)));
+    let why =
+        judged(cut_control_machine(true, Way::Both, 5 * S, true, Some(Mutation::ReadsWithoutConfirmation)));
     assert!(why.contains("a read misses"), "{why}");
 }
 
@@ -60,43 +61,43 @@
 
 #[test]
 fn a_wiped_replica_that_votes_is_caught() {
-    caught(Broken::WipedVotes, 1_000);
+    caught(Mutation::VotesWithEmptyDisk, 1_000);
 }
 
 #[test]
 fn a_take_over_that_reads_too_few_is_caught() {
-    caught(Broken::ReadsTooFew, 300);
+    caught(Mutation::ClaimsWithoutQuorum, 300);
 }
 
 #[test]
 fn a_repair_as_of_before_a_change_in_force_is_caught() {
-    judged(wiped_after_the_step(Some(Broken::RepairedOvertaken)));
+    judged(wiped_after_the_step(Some(Mutation::RepairsUnderOvertakenReplicaSet)));
 }
 
 #[test]
 #[ignore = "shows only after some hundred schedules, which takes 10 s; control-store steps it in its rules"]
 fn a_newcomer_that_votes_before_it_is_repaired_is_caught() {
-    caught(Broken::NewcomerVotes, 3_000);
+    caught(Mutation::JoiningReplicaVotesUnrepaired, 3_000);
 }
 
 #[test]
 fn a_quorum_of_the_replica_set_before_alone_is_caught() {
     // Rare: the schedules begin near one in which it shows.
-    first(2_700..2_900, |seed| run(seed, Some(Broken::OldQuorumOnly)));
+    first(2_700..2_900, |seed| run(seed, Some(Mutation::OldQuorumOnly)));
 }
 
 #[test]
 fn an_old_owners_copy_that_is_taken_is_caught() {
-    caught(Broken::TakesOldCopies, 3_000);
+    caught(Mutation::AcceptsLowerEpochAppends, 3_000);
 }
 
 #[test]
 #[ignore = "shows only after some hundred schedules, which takes 10 s; control-store steps it in its rules"]
 fn an_old_snapshot_over_a_later_value_is_caught() {
-    caught(Broken::TakesOldSnapshots, 3_000);
+    caught(Mutation::InstallsOlderSnapshots, 3_000);
 }
 
 #[test]
 fn a_replica_that_leads_with_an_old_copy_is_caught() {
-    caught(Broken::LeadsWithOldCopy, 300);
+    caught(Mutation::ClaimsWithOlderValue, 300);
 }
