--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -391,14 +391,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::trial::{self, SidecarOptions, TestConnection};
+    use crate::tests::support::{self, SidecarOptions, TestConnection};
 
     #[test]
     fn calls_beyond_the_bound_are_closed_and_counted() {
-        trial::run(async {
-            let (_, nobody) = trial::station().await;
-            let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
-            let (listener, at) = trial::station().await;
+        support::run(async {
+            let (_, nobody) = support::station().await;
+            let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
+            let (listener, at) = support::station().await;
             tokio::task::spawn_local(listen(sidecar.node_state.clone(), listener, &READY_CALLS));
             let mut open = Vec::new();
             for _ in 0..CONNECTIONS {
@@ -407,7 +407,7 @@
             assert_eq!(TestConnection::to(at).await.more().await, 0);
             assert_eq!(sidecar.node_state.counters.rejected_calls.get(), 1);
             open[0].say(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
-            assert_eq!(trial::status(&open[0].head().await), "200");
+            assert_eq!(support::status(&open[0].head().await), "200");
         });
     }
 }
--- a/crates/daemon/mesh/src/forwarding_headers.rs
+++ b/crates/daemon/mesh/src/forwarding_headers.rs
@@ -7,7 +7,7 @@
 /// The `Host` of a question what became of an attempt; another program's request to it is told no more than that it may have run.
 pub const ASKED: &str = "gate";
 /// No longer than this in the line.
-const MOST: usize = 2048;
+pub(crate) const MOST: usize = 2048;
 
 /// What a gate is to know of a request.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -60,31 +60,3 @@
     let bytes: Option<Vec<u8>> = (0..text.len()).step_by(2).map(byte).collect();
     bitcode::decode(&bytes?).ok()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn words_come_back_as_they_went_and_strange_ones_are_none() {
-        let bill = ForwardingHeaders {
-            version: VERSION,
-            service: "s".into(),
-            further: true,
-            priority: 3,
-            repeatable: false,
-            aim: -5,
-            ticket: u64::MAX,
-            asks: true,
-        };
-        assert_eq!(read(&write(&bill)), Some(bill));
-        for word in
-            [GateStatus::Absent, GateStatus::Full(7), GateStatus::Shut, GateStatus::Begun, GateStatus::Unseen]
-        {
-            assert_eq!(read(&write(&word)), Some(word));
-        }
-        for text in ["", "0", "zz", "ffffffffffffffff", "é0", &"0".repeat(MOST + 2)] {
-            assert_eq!(read::<ForwardingHeaders>(text), None, "{text}");
-        }
-    }
-}
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -25,17 +25,9 @@
 mod settings;
 mod upstream_gate;
 
-#[cfg(test)]
-mod changes;
-#[cfg(test)]
-mod cut_points_tests;
-#[cfg(test)]
-mod data_path_tests;
 mod forwarding_headers;
-#[cfg(all(test, feature = "mutants"))]
-mod mutants_tests;
 #[cfg(test)]
-mod trial;
+mod tests;
 mod wire;
 
 use anyhow::{anyhow, bail, Context, Result};
--- a/crates/daemon/mesh/src/peers/isolated_control_tests.rs
+++ b/crates/daemon/mesh/src/peers/isolated_control_tests.rs
@@ -145,7 +145,7 @@
 /// It had the configuration after one change and stood still; the others acknowledged a second one and stopped; it goes on.
 #[test]
 fn a_sidecar_below_a_control_machine_left_alone_is_not_ready_with_its_old_configuration() {
-    crate::trial::run(async {
+    crate::tests::support::run(async {
         let port = port(&[1, 2, 11, 12]).await;
         let alone = process(1, port, Clock::system(), Some(disk_of(1, 1))).await;
         let page = bitcode::encode(&configuration(1));
--- a/crates/daemon/mesh/src/peers/tests.rs
+++ b/crates/daemon/mesh/src/peers/tests.rs
@@ -2,7 +2,7 @@
 use super::frames::{frame, framed, taken, write_lanes, Frame, HELLO, LARGEST, PART, UNTAKEN};
 use super::link::GREETING;
 use super::Peers;
-use crate::trial::{self, SidecarOptions, TestConnection};
+use crate::tests::support::{self, SidecarOptions, TestConnection};
 use silvercross_mesh_membership::Letter;
 use std::rc::Rc;
 use std::time::Duration;
@@ -74,10 +74,10 @@
 
 #[test]
 fn links_that_nobody_greets_on_are_bounded_and_end() {
-    trial::run(async {
-        let (_, nobody) = trial::station().await;
-        let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
-        let (listener, at) = trial::station().await;
+    support::run(async {
+        let (_, nobody) = support::station().await;
+        let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
+        let (listener, at) = support::station().await;
         tokio::task::spawn_local(Peers::listen(sidecar.node_state.clone(), listener));
         let counters = &sidecar.node_state.counters;
         let mut open = Vec::new();
--- a/crates/daemon/mesh/src/reload.rs
+++ b/crates/daemon/mesh/src/reload.rs
@@ -89,14 +89,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::trial::{self, SidecarOptions};
+    use crate::tests::support::{self, SidecarOptions};
     use silvercross_admission::State;
 
     #[test]
     fn what_can_change_takes_hold_the_rest_is_named_and_a_broken_file_changes_nothing() {
-        trial::run(async {
-            let (_, at) = trial::station().await;
-            let (sidecar, text) = trial::sidecar_of(1, at, SidecarOptions::default()).await;
+        support::run(async {
+            let (_, at) = support::station().await;
+            let (sidecar, text) = support::sidecar_of(1, at, SidecarOptions::default()).await;
             let node_state = &sidecar.node_state;
             let path =
                 std::env::temp_dir().join(format!("silvercross-mesh-reload-{}.yaml", std::process::id()));
--- a/crates/daemon/mesh/src/changes.rs
+++ b/crates/daemon/mesh/src/tests/changes.rs
@@ -2,7 +2,9 @@
 //! comes new is treated as what was there.
 use crate::control::{self, CALLS, READY_CALLS};
 use crate::reload;
-use crate::trial::{self, bytes, stamped, status, value, Sidecar, SidecarOptions, TestConnection, ID};
+use crate::tests::support::{
+    self, bytes, stamped, status, value, Sidecar, SidecarOptions, TestConnection, ID,
+};
 use crate::wire::MAX_BUFFERED_BODY_BYTES;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -101,16 +103,16 @@
 }
 
 #[test]
-fn what_is_open_ends_well_whatever_changes_meanwhile() {
-    trial::run(async {
+fn open_requests_complete_whatever_changes_meanwhile() {
+    support::run(async {
         let path = std::env::temp_dir().join(format!("silvercross-mesh-changes-{}.yaml", std::process::id()));
         for change in CHANGES {
             for (method, of, body, answer) in REQUESTS {
                 let case = format!("{change:?} {method} {of} {body} {answer}");
-                let (listener, station) = trial::station().await;
-                let (_, nobody) = trial::station().await;
-                let (origin, text) = trial::sidecar_of(1, nobody, SidecarOptions::default()).await;
-                let (gate, gates) = trial::sidecar_of(2, station, SidecarOptions::default()).await;
+                let (listener, station) = support::station().await;
+                let (_, nobody) = support::station().await;
+                let (origin, text) = support::sidecar_of(1, nobody, SidecarOptions::default()).await;
+                let (gate, gates) = support::sidecar_of(2, station, SidecarOptions::default()).await;
                 gate.beat();
                 origin.hears_of(&gate);
                 let settings = [(path.clone(), text), (path.clone(), gates)];
@@ -189,16 +191,16 @@
 
 /// More clients than the upstream has slots ask on old and new routes in turn; what came of it, by route.
 #[test]
-fn routes_that_were_added_later_are_served_like_the_first() {
+fn routes_added_later_are_served_like_the_first() {
     const ROUTES: usize = 24;
     const CLIENTS: usize = 24;
     const EACH: usize = 56;
-    trial::run(async {
-        let (listener, station) = trial::station().await;
+    support::run(async {
+        let (listener, station) = support::station().await;
         serves(listener);
-        let (_, nobody) = trial::station().await;
-        let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
-        let gate = trial::sidecar(2, station, SidecarOptions::default()).await;
+        let (_, nobody) = support::station().await;
+        let origin = support::sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = support::sidecar(2, station, SidecarOptions::default()).await;
         gate.beat();
         origin.hears_of(&gate);
         // The first routes have their figures by the time the others come.
@@ -256,12 +258,12 @@
 
 /// Beats of an upstream at its sidecar, while more is open than its upstream has slots for, then as the process stops.
 #[test]
-fn beats_are_answered_in_few_bytes_while_all_else_waits() {
-    trial::run(async {
-        let (listener, station) = trial::station().await;
-        let sidecar = trial::sidecar(1, station, SidecarOptions::default()).await;
+fn heartbeats_are_answered_in_few_bytes_while_all_else_waits() {
+    support::run(async {
+        let (listener, station) = support::station().await;
+        let sidecar = support::sidecar(1, station, SidecarOptions::default()).await;
         sidecar.beat();
-        let (calls, at) = trial::station().await;
+        let (calls, at) = support::station().await;
         tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
         // The upstream takes connections and answers nothing.
         let mut held: Vec<TestConnection> = Vec::new();
@@ -313,16 +315,16 @@
 
 /// What a process that stops shows: to the platform, to clients, to callers, to the other sidecars.
 #[test]
-fn a_process_that_stops_says_so_to_all() {
-    trial::run(async {
-        let (listener, station) = trial::station().await;
+fn a_stopping_process_announces_it_to_all() {
+    support::run(async {
+        let (listener, station) = support::station().await;
         serves(listener);
-        let (_, nobody) = trial::station().await;
-        let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
-        let gate = trial::sidecar(2, station, SidecarOptions::default()).await;
+        let (_, nobody) = support::station().await;
+        let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = support::sidecar(2, station, SidecarOptions::default()).await;
         gate.beat();
         sidecar.hears_of(&gate);
-        let (calls, ready) = trial::station().await;
+        let (calls, ready) = support::station().await;
         tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &READY_CALLS));
         let (mut platform, mut client) =
             (TestConnection::to(ready).await, TestConnection::to(sidecar.at).await);
@@ -362,13 +364,13 @@
 
 /// Each of two machines takes the other for one that holds the control state; neither does.
 #[test]
-fn a_call_is_sent_on_twice_at_most() {
-    trial::run(async {
-        let (_, nobody) = trial::station().await;
+fn a_control_call_is_redirected_at_most_twice() {
+    support::run(async {
+        let (_, nobody) = support::station().await;
         let mut at = Vec::new();
         let mut sidecars = Vec::new();
         for last in [1, 2] {
-            let sidecar = trial::sidecar(last, nobody, SidecarOptions::default()).await;
+            let sidecar = support::sidecar(last, nobody, SidecarOptions::default()).await;
             let calls = TcpListener::bind((sidecar.node_state.settings.ip, 0)).await.expect("a port");
             at.push(calls.local_addr().expect("bound"));
             tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
@@ -390,9 +392,9 @@
 
 /// Which machine a caller is sent to, by what is known of them: the last part of an address, zone, leaving, whom it names.
 #[test]
-fn a_call_is_sent_to_a_machine_that_most_name() {
-    trial::run(async {
-        let (_, nobody) = trial::station().await;
+fn a_control_call_is_redirected_to_a_node_that_most_name() {
+    support::run(async {
+        let (_, nobody) = support::station().await;
         type Known<'k> = (u8, &'k str, bool, &'k [u8]);
         let cases: [(&[Known], Option<u8>); 6] = [
             (&[(11, "b", false, &[]), (12, "a", false, &[11])], None),
@@ -412,7 +414,7 @@
             (&[(11, "a", false, &[11, 12]), (12, "a", false, &[])], Some(11)),
         ];
         for (n, (known, wanted)) in cases.into_iter().enumerate() {
-            let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
+            let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
             let ip = |last: &u8| Ipv4Addr::new(127, 0, 0, *last);
             for (last, zone, leaving, roster) in known {
                 let roster: Vec<Ipv4Addr> = roster.iter().map(ip).collect();
--- a/crates/daemon/mesh/src/data_path_tests.rs
+++ b/crates/daemon/mesh/src/tests/data_path.rs
@@ -1,7 +1,7 @@
 //! Answers and connections as they should not be, at the places where the data path has to see it. Every cut of a request on its
 //! way: `cut_points_tests`.
 use crate::forwarding_headers::{self, GateStatus};
-use crate::trial::{self, status, value, Sidecar, SidecarOptions, TestConnection};
+use crate::tests::support::{self, status, value, Sidecar, SidecarOptions, TestConnection};
 use crate::wire::{Connection, PeerKind, MAX_BUFFERED_BODY_BYTES};
 use crate::{control, peer_connection};
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
 
 /// An upstream that answers each request with the next of these texts, `{id}` replaced.
 async fn scripted(texts: &[&str]) -> (SocketAddr, Rc<Seen>) {
-    let (listener, at) = trial::station().await;
+    let (listener, at) = support::station().await;
     let seen = Rc::new(Seen::default());
     let texts = Rc::new(RefCell::new(texts.iter().rev().map(|t| t.to_string()).collect::<Vec<_>>()));
     let saw = seen.clone();
@@ -48,10 +48,10 @@
 
 /// An origin, and a gate before such an upstream.
 async fn mesh(texts: &[&str]) -> (Sidecar, Sidecar, Rc<Seen>) {
-    let (_, nobody) = trial::station().await;
+    let (_, nobody) = support::station().await;
     let (at, seen) = scripted(texts).await;
-    let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
-    let gate = trial::sidecar(2, at, SidecarOptions::default()).await;
+    let origin = support::sidecar(1, nobody, SidecarOptions::default()).await;
+    let gate = support::sidecar(2, at, SidecarOptions::default()).await;
     gate.beat();
     origin.hears_of(&gate);
     (origin, gate, seen)
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn only_an_answer_with_its_id_counts_and_only_the_upstreams_own_word_is_a_promise() {
+fn only_a_response_with_its_attempt_id_counts_and_only_the_upstream_promises_that_nothing_ran() {
     let cases = [
         // Without an id it may be any request's: a failure, and the word that nothing ran.
         ("once", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", "502"),
@@ -94,7 +94,7 @@
         ("safe", "HTTP/1.1 503 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n", "503"),
     ];
     for (route, text, want) in cases {
-        trial::run(async move {
+        support::run(async move {
             let (origin, ..) = mesh(&[text; 8]).await;
             assert_eq!(ask(&origin, route, "a").await.0, want, "{route}: {text}");
         });
@@ -111,7 +111,7 @@
 type Written<'t> = (&'t str, String, bool, &'t [&'t str], &'t [&'t str]);
 
 #[test]
-fn a_clients_bytes_become_just_the_requests_that_it_sent() {
+fn client_bytes_become_exactly_the_requests_that_were_sent() {
     const CHUNKS: &str =
         "POST /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n\
                           2;x=y\r\nok\r\n0\r\nAttempt-Id: t\r\n\r\n";
@@ -151,7 +151,7 @@
         ("no id", node_state("", 0), false, &["400"], &[]),
     ];
     for (name, bytes, closes, want, ids) in cases {
-        trial::run(async move {
+        support::run(async move {
             let (origin, _, seen) = mesh(&[OWN; 8]).await;
             let mut client = TestConnection::to(origin.at).await;
             // Where it is answered before its end, the rest finds a closed connection.
@@ -181,13 +181,13 @@
 }
 
 #[test]
-fn a_connection_that_brought_more_than_its_answer_carries_no_further_request() {
+fn a_connection_with_surplus_bytes_carries_no_further_request() {
     const OTHER: &str = "HTTP/1.1 200 X\r\nAttempt-Id: zz\r\nPostmark: p\r\nContent-Length: 2\r\n\r\nno";
     let (before, behind, byte) = (format!("{OTHER}{OWN}"), format!("{OWN}{OTHER}"), format!("{OWN}X"));
     let huge = OWN.replace("Content", "Keep-Alive: timeout=18446744073709551615\r\nContent");
     let short = OWN.replace("Content", "Keep-Alive: timeout=0\r\nContent");
     for (first, lines) in [(&before, 2), (&behind, 2), (&byte, 2), (&short, 2), (&huge, 1)] {
-        trial::run(async move {
+        support::run(async move {
             let (origin, _, seen) = mesh(&[first, OWN]).await;
             for id in ["a", "b"] {
                 assert_eq!(ask(&origin, "once", id).await, ("200".to_string(), b"ok".to_vec()), "{first}");
@@ -199,8 +199,8 @@
 
 /// What came since the reactor last looked is seen all the same.
 #[test]
-fn a_byte_on_an_idle_connection_is_seen_before_the_connection_is_used_again() {
-    trial::run(async {
+fn a_byte_on_an_idle_connection_is_seen_before_reuse() {
+    support::run(async {
         for closes in [false, true] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let at = listener.local_addr().expect("bound");
@@ -222,11 +222,11 @@
 }
 
 #[test]
-fn a_call_that_is_refused_unread_gets_its_answer_before_an_orderly_close() {
-    trial::run(async {
-        let (_, nobody) = trial::station().await;
-        let sidecar = trial::sidecar(1, nobody, SidecarOptions::default()).await;
-        let (listener, at) = trial::station().await;
+fn a_control_call_rejected_unread_gets_its_response_before_an_orderly_close() {
+    support::run(async {
+        let (_, nobody) = support::station().await;
+        let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
+        let (listener, at) = support::station().await;
         tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), listener, &control::CALLS));
         let large = silvercross_mesh_config::MAX_BODY + 1;
         for (framing, want) in
@@ -247,8 +247,8 @@
 }
 
 #[test]
-fn a_question_that_cannot_be_read_is_answered_that_it_may_have_run() {
-    trial::run(async {
+fn an_unreadable_attempt_query_is_answered_may_have_run() {
+    support::run(async {
         let (_, gate, _) = mesh(&[]).await;
         for (host, want) in [("gate", GateStatus::Begun), ("h", GateStatus::Absent)] {
             let mut hop = TestConnection::to(gate.inbound).await;
@@ -263,7 +263,7 @@
 /// An upstream that answers behind a request's head and reads no more: its answer counts, the connection carries nothing further,
 /// and what is unread of a body is nowhere taken for a request.
 #[test]
-fn an_answer_before_the_request_is_whole_is_its_own_and_ends_the_connection() {
+fn a_response_before_the_request_is_complete_counts_and_ends_the_connection() {
     const AWAY: &str =
         "HTTP/1.1 503 X\r\nAttempt-Id: {id}\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n";
     const FAILED: &str = "HTTP/1.1 500 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n";
@@ -271,11 +271,11 @@
         "HTTP/1.1 503 X\r\nAttempt-Id: zz\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n";
     for (text, want) in [(AWAY, "503"), (FAILED, "500"), (OWN, "200"), (OTHER, "504")] {
         for length in [20_000, MAX_BUFFERED_BODY_BYTES + 4_000_000] {
-            trial::run_paused(async move {
-                let (_, nobody) = trial::station().await;
-                let (listener, at) = trial::station().await;
-                let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
-                let gate = trial::sidecar(2, at, SidecarOptions::default()).await;
+            support::run_paused(async move {
+                let (_, nobody) = support::station().await;
+                let (listener, at) = support::station().await;
+                let origin = support::sidecar(1, nobody, SidecarOptions::default()).await;
+                let gate = support::sidecar(2, at, SidecarOptions::default()).await;
                 gate.beat();
                 origin.hears_of(&gate);
                 let heads = Rc::new(RefCell::new(Vec::new()));
@@ -327,13 +327,13 @@
 
 /// A body that stalls is answered 408 as long as none of it went on; else nothing is promised.
 #[test]
-fn a_body_that_stalls_is_a_promise_only_where_none_of_it_went_on() {
+fn a_stalled_body_is_answered_408_only_if_none_of_it_was_forwarded() {
     for (length, sent, promised) in [
         (1000, 10, true),
         (2 * MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES - 1, true),
         (3 * MAX_BUFFERED_BODY_BYTES, 2 * MAX_BUFFERED_BODY_BYTES, false),
     ] {
-        trial::run_paused(async move {
+        support::run_paused(async move {
             let (origin, _, seen) = mesh(&[OWN]).await;
             let mut client = TestConnection::to(origin.at).await;
             let head = node_state("a", length)
--- a/crates/daemon/mesh/src/cut_points_tests.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests.rs
@@ -1,9 +1,7 @@
 //! The data path cut at each place in turn: an origin, two gates and their upstreams in one process, on sockets of loopback and in
 //! paused time, a relay on each link between them. One request is struck on its way, at a stated byte, in a stated manner; what
 //! its client and the upstreams saw is then held against the rules. Nothing is drawn by lot.
-#[path = "cut_points_tests/relay.rs"]
 mod relay;
-#[path = "cut_points_tests/world.rs"]
 mod world;
 
 use relay::{Cut, Link, Way};
@@ -129,13 +127,13 @@
 }
 
 #[test]
-fn a_request_that_is_cut_anywhere_runs_once_and_is_answered_truly() {
+fn a_request_interrupted_at_any_boundary_runs_at_most_once_and_is_answered_truly() {
     judged(&few_cases(), 2);
 }
 
 /// `cargo test --profile mesh -p silvercross-mesh -- --ignored --nocapture at_each_byte`
 #[test]
 #[ignore = "minutes; each byte of each head"]
-fn a_request_that_is_cut_at_each_byte_runs_once_and_is_answered_truly() {
+fn a_request_interrupted_at_each_byte_runs_at_most_once_and_is_answered_truly() {
     judged(&all_cases(), 3);
 }
--- a/crates/daemon/mesh/src/cut_points_tests/world.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/world.rs
@@ -1,6 +1,6 @@
 //! An origin, gates and upstreams, one request that is struck, others before and behind it, and the judge of what was seen.
 use super::relay::{Cut, Link, Plan, Relay, Way};
-use crate::trial::{self, value, Sidecar, SidecarOptions};
+use crate::tests::support::{self, value, Sidecar, SidecarOptions};
 use crate::wire::MAX_BUFFERED_BODY_BYTES;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -79,8 +79,8 @@
     match ask {
         Ask::Safe => Vec::new(),
         Ask::Once => b"0123456789".to_vec(),
-        Ask::Up => trial::bytes(20_000),
-        Ask::Big => trial::bytes(MAX_BUFFERED_BODY_BYTES + 70_000),
+        Ask::Up => support::bytes(20_000),
+        Ask::Big => support::bytes(MAX_BUFFERED_BODY_BYTES + 70_000),
     }
 }
 
@@ -216,7 +216,7 @@
 async fn gate(number: usize, last: u8, case: Case, book: &Book, plan: &Rc<Plan>) -> (Sidecar, Relay) {
     let at = upstream(ip(number, last), case.says, book.clone()).await;
     let station = Relay::before(ip(number, last), at, Link::Station, plan).await;
-    let gate = trial::sidecar_at(ip(number, last), station.at, SidecarOptions::default()).await.0;
+    let gate = support::sidecar_at(ip(number, last), station.at, SidecarOptions::default()).await.0;
     gate.beat();
     (gate, station)
 }
@@ -236,7 +236,8 @@
         let origin = match case.own {
             true => first,
             false => {
-                let origin = trial::sidecar_at(ip(number, 1), station.at, SidecarOptions::default()).await.0;
+                let origin =
+                    support::sidecar_at(ip(number, 1), station.at, SidecarOptions::default()).await.0;
                 for (last, one) in [(2, Some(first)), (3, None)] {
                     let one = match one {
                         Some(one) => one,
@@ -244,7 +245,7 @@
                     };
                     let relay = Relay::before(one.ip, one.inbound, Link::Hop, &plan).await;
                     if matches!(case.strike, Some((.., Cut::Restart))) {
-                        let next = trial::sidecar_at(
+                        let next = support::sidecar_at(
                             one.ip,
                             one.node_state.settings.station.expect("one"),
                             SidecarOptions::default(),
@@ -307,7 +308,7 @@
         *line = None;
     }
     let (id, stamp) = (value(&head, "attempt-id").unwrap_or_default(), value(&head, "postmark"));
-    Some(Got { status: trial::status(&head).to_string(), id, stamp, body })
+    Some(Got { status: support::status(&head).to_string(), id, stamp, body })
 }
 
 /// The rules, by what client and upstreams saw.
--- a/crates/daemon/mesh/src/upstream_gate/tests.rs
+++ b/crates/daemon/mesh/src/tests/upstream_gate.rs
@@ -1,13 +1,13 @@
 //! Tests of the gate as other sidecars meet it: the largest head, hops beyond the bound.
-use crate::trial::{self, stamped, status, SidecarOptions, TestConnection};
+use crate::tests::support::{self, stamped, status, SidecarOptions, TestConnection};
 
 /// What a sidecar adds to a head must not make it too large for the next one.
 #[test]
-fn the_largest_head_that_a_client_may_send_passes_the_hop() {
-    trial::run(async {
-        let ((listener, at), (_, nobody)) = (trial::station().await, trial::station().await);
-        let origin = trial::sidecar(1, nobody, SidecarOptions::default()).await;
-        let gate = trial::sidecar(2, at, SidecarOptions::default()).await;
+fn the_largest_head_of_a_client_passes_between_sidecars() {
+    support::run(async {
+        let ((listener, at), (_, nobody)) = (support::station().await, support::station().await);
+        let origin = support::sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = support::sidecar(2, at, SidecarOptions::default()).await;
         gate.beat();
         origin.hears_of(&gate);
         tokio::task::spawn_local(async move {
@@ -38,11 +38,14 @@
 }
 
 #[test]
-fn hops_beyond_the_bound_are_told_that_nothing_was_begun() {
-    trial::run(async {
-        let (_, at) = trial::station().await;
-        let terms = SidecarOptions { descriptors: 2 * super::hops::CONNECTIONS, ..SidecarOptions::default() };
-        let gate = trial::sidecar(2, at, terms).await;
+fn connections_beyond_the_limit_are_told_that_nothing_began() {
+    support::run(async {
+        let (_, at) = support::station().await;
+        let terms = SidecarOptions {
+            descriptors: 2 * crate::upstream_gate::CONNECTIONS,
+            ..SidecarOptions::default()
+        };
+        let gate = support::sidecar(2, at, terms).await;
         let counters = &gate.node_state.counters;
         let (mut one, mut two) =
             (TestConnection::to(gate.inbound).await, TestConnection::to(gate.inbound).await);
@@ -54,8 +57,8 @@
         }
         let mut three = TestConnection::to(gate.inbound).await;
         let head = three.head().await;
-        let word = trial::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
-        assert_eq!(word, Some(crate::forwarding_headers::GateStatus::Full(super::NO_ROOM)));
+        let word = support::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
+        assert_eq!(word, Some(crate::forwarding_headers::GateStatus::Full(crate::upstream_gate::NO_ROOM)));
         assert_eq!((counters.hop_connections.get(), counters.rejected_hops.get()), (2, 1));
         drop(one);
         while counters.hop_connections.get() > 1 {
@@ -63,12 +66,12 @@
         }
         let mut four = TestConnection::to(gate.inbound).await;
         four.say(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
-        assert!(trial::value(&four.head().await, "waybill-life").is_some());
+        assert!(support::value(&four.head().await, "waybill-life").is_some());
         // An idle one makes place.
         let mut five = TestConnection::to(gate.inbound).await;
         assert_eq!(four.more().await, 0);
         five.say(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
-        assert!(trial::value(&five.head().await, "waybill-life").is_some());
+        assert!(support::value(&five.head().await, "waybill-life").is_some());
         assert_eq!((counters.hop_connections.get(), counters.rejected_hops.get()), (2, 1));
     });
 }
--- a/crates/daemon/mesh/src/upstream_gate.rs
+++ b/crates/daemon/mesh/src/upstream_gate.rs
@@ -4,11 +4,11 @@
 mod hops;
 mod large;
 mod replies;
-#[cfg(test)]
-mod tests;
 
 pub use delivery::{request, serve};
 pub use hops::listen;
+#[cfg(test)]
+pub(crate) use hops::CONNECTIONS;
 
 use crate::forwarding_headers::GateStatus;
 use crate::node_state::NodeState;
@@ -20,7 +20,7 @@
 use tokio::sync::{oneshot, Notify, Semaphore};
 
 /// Where there is no room for a body, the origin comes back after this at the earliest, in microseconds.
-const NO_ROOM: i64 = 100_000;
+pub(crate) const NO_ROOM: i64 = 100_000;
 /// So many bodies that were offered come at a time.
 const LANE: usize = 2;
 /// How much of its aim a request may wait here before it is told to try elsewhere.
--- a/crates/daemon/mesh/src/upstream_gate/hops.rs
+++ b/crates/daemon/mesh/src/upstream_gate/hops.rs
@@ -21,7 +21,7 @@
 /// The rest of a head, and of a body, comes within this: the origin holds them whole.
 pub(super) const COMES: Duration = Duration::from_secs(5);
 /// Hops' connections open at a time, as a share of the descriptors.
-pub(super) const CONNECTIONS: u64 = 4;
+pub(crate) const CONNECTIONS: u64 = 4;
 /// So many beyond that are told so at a time; the rest is closed without a word.
 const TURNING: u64 = 32;
 
