--- /dev/null
+++ b/crates/daemon/mesh/src/disk/database.rs
@@ -0,0 +1,167 @@
+//! The redb file itself: opening or creating it, reading it, one transaction of writes.
+//!
+//! Table, key and file names are stored data and stay as they are, whatever the code calls what they hold.
+use super::error::DiskError;
+use super::folder::Folder;
+use super::io_faults::{FaultRecordingBackend, IoFaultLog};
+use super::messages::DiskWrite;
+use crate::control_value::ControlValue;
+use redb::backends::InMemoryBackend;
+use redb::{Database, Error, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError};
+use silvercross_control_store::StoredState;
+
+/// Stored name of the table of keys: a key's name to its [`silvercross_control_store::StoredKey`] in bitcode.
+pub(super) const KEYS_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("keys");
+/// Stored name of the table of single records.
+pub(super) const MARKER_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("marker");
+/// Stored name, in the marker table, of the metadata record: replica set and votes, in bitcode.
+const METADATA_KEY: &str = "roster";
+/// Stored name, in the marker table, of a record that is written to see whether there is space again. Nobody reads it.
+const SPACE_PROBE_KEY: &str = "room";
+/// Size of that record in bytes: with less space than this the next writes would find none again.
+const SPACE_PROBE_BYTES: usize = 16 * 1024;
+/// File name of the database.
+pub(super) const DATABASE_FILE: &str = "ledger.redb";
+/// File name of a database until it is complete: what bears [`DATABASE_FILE`] was made to its end and synced.
+const INCOMPLETE_FILE: &str = "ledger.new";
+/// Memory that redb may use for pages of the file, in bytes.
+const CACHE_BYTES: usize = 1 << 20;
+/// Files up to this size, in bytes, are read through memory where the disk has no space to open them.
+const MAX_COPIED_BYTES: u64 = 64 << 20;
+/// Such a copy is made in chunks of this size, in bytes.
+const COPY_CHUNK_BYTES: usize = 64 * 1024;
+
+/// An open database and the faults noted of its file.
+pub(super) struct OpenDatabase {
+    pub(super) database: Database,
+    pub(super) faults: IoFaultLog,
+    pub(super) path: String,
+}
+
+impl OpenDatabase {
+    fn over(path: String, content: impl StorageBackend) -> Result<OpenDatabase, DiskError> {
+        let faults = IoFaultLog::default();
+        let backend = FaultRecordingBackend { content, faults: faults.clone() };
+        let mut builder = Database::builder();
+        builder.set_cache_size(CACHE_BYTES);
+        match builder.create_with_backend(backend) {
+            Ok(database) => Ok(OpenDatabase { database, faults, path }),
+            Err(e) => Err(DiskError::from_redb(&path, e, &faults)),
+        }
+    }
+
+    /// Opens the file, or creates it where there is none and `create` allows it. What is in it, and its name, are durable
+    /// before this returns.
+    ///
+    /// # Errors
+    /// [`DiskError::FileMissing`] where there is none and none may be created; others as the file or redb says.
+    pub(super) fn open<F: Folder>(folder: &F, create: bool) -> Result<OpenDatabase, DiskError> {
+        let path = database_path(folder);
+        let from_io = |error: std::io::Error| DiskError::from_io(&path, &error);
+        let open = match folder.open(DATABASE_FILE).map_err(from_io)? {
+            Some(content) => {
+                sync_content(&path, &content)?;
+                OpenDatabase::over(path.clone(), content)?
+            }
+            None if !create => return Err(DiskError::FileMissing { path }),
+            None => {
+                let content = folder.create(INCOMPLETE_FILE).map_err(from_io)?;
+                let open = OpenDatabase::over(path.clone(), content)?;
+                folder.rename(INCOMPLETE_FILE, DATABASE_FILE).map_err(from_io)?;
+                open
+            }
+        };
+        // The name given by an earlier start may not be durable yet either.
+        folder.sync().map_err(|error| DiskError::from_sync(&path, &error))?;
+        Ok(open)
+    }
+
+    /// All that the database holds.
+    ///
+    /// # Errors
+    /// [`DiskError::Damaged`] if a record can't be decoded or the keys are missing.
+    pub(super) fn read_all(&self) -> Result<StoredState<ControlValue>, DiskError> {
+        let from_redb = |error: Error| DiskError::from_redb(&self.path, error, &self.faults);
+        let damaged = |cause: String| DiskError::Damaged { path: self.path.clone(), cause };
+        let undecodable = |error: bitcode::Error| damaged(format!("a record: {error}"));
+        let mut disk = StoredState { metadata: None, keys: Vec::new() };
+        let transaction = self.database.begin_read().map_err(|e| from_redb(e.into()))?;
+        match transaction.open_table(MARKER_TABLE) {
+            Ok(table) => {
+                if let Some(bytes) = table.get(METADATA_KEY).map_err(|e| from_redb(e.into()))? {
+                    disk.metadata = Some(bitcode::decode(bytes.value()).map_err(undecodable)?);
+                }
+            }
+            Err(TableError::TableDoesNotExist(_)) => return Ok(disk),
+            Err(e) => return Err(from_redb(e.into())),
+        }
+        let keys = match transaction.open_table(KEYS_TABLE) {
+            Ok(keys) => keys,
+            Err(TableError::TableDoesNotExist(_)) if disk.metadata.is_none() => return Ok(disk),
+            Err(TableError::TableDoesNotExist(_)) => return Err(damaged("metadata and no keys".to_string())),
+            Err(e) => return Err(from_redb(e.into())),
+        };
+        for entry in keys.iter().map_err(|e| from_redb(e.into()))? {
+            let (_, bytes) = entry.map_err(|e| from_redb(e.into()))?;
+            disk.keys.push(bitcode::decode(bytes.value()).map_err(undecodable)?);
+        }
+        Ok(disk)
+    }
+
+    /// Writes all of these in one transaction; synced when it returns. With `probe_space` enough is written besides to show
+    /// that there is space again.
+    pub(super) fn write(&self, writes: &[DiskWrite], probe_space: bool) -> Result<(), Error> {
+        let transaction = self.database.begin_write()?;
+        {
+            let mut markers = transaction.open_table(MARKER_TABLE)?;
+            let mut keys = transaction.open_table(KEYS_TABLE)?;
+            if probe_space {
+                markers.insert(SPACE_PROBE_KEY, [0; SPACE_PROBE_BYTES].as_slice())?;
+            }
+            for write in writes {
+                if let Some(metadata) = &write.metadata {
+                    markers.insert(METADATA_KEY, bitcode::encode(metadata).as_slice())?;
+                }
+                for stored in &write.keys {
+                    keys.insert(stored.key.as_str(), bitcode::encode(stored).as_slice())?;
+                }
+            }
+        }
+        transaction.commit()?;
+        Ok(())
+    }
+}
+
+fn database_path(folder: &impl Folder) -> String {
+    format!("{}/{DATABASE_FILE}", folder.path())
+}
+
+/// Syncs what a process that has ended may have left unsynced; nothing is said of it before.
+fn sync_content(path: &str, content: &impl StorageBackend) -> Result<(), DiskError> {
+    if content.len().map_err(|error| DiskError::from_io(path, &error))? == 0 {
+        return Err(DiskError::Damaged { path: path.to_string(), cause: "the file is empty".to_string() });
+    }
+    content.sync_data().map_err(|error| DiskError::from_sync(path, &error))
+}
+
+/// What the file holds, read through a copy in memory: redb writes when it opens a file, and there is no space for that.
+pub(super) fn read_through_copy<F: Folder>(folder: &F) -> Result<StoredState<ControlValue>, DiskError> {
+    let path = database_path(folder);
+    let from_io = |error: std::io::Error| DiskError::from_io(&path, &error);
+    let Some(content) = folder.open(DATABASE_FILE).map_err(from_io)? else {
+        return Ok(StoredState::default());
+    };
+    sync_content(&path, &content)?;
+    folder.sync().map_err(|error| DiskError::from_sync(&path, &error))?;
+    let size_bytes = content.len().map_err(from_io)?;
+    if size_bytes > MAX_COPIED_BYTES {
+        return Err(DiskError::TooLargeToCopy { path, size_bytes });
+    }
+    let copy = InMemoryBackend::new();
+    copy.set_len(size_bytes).map_err(from_io)?;
+    for offset in (0..size_bytes).step_by(COPY_CHUNK_BYTES) {
+        let mut chunk = vec![0; COPY_CHUNK_BYTES.min((size_bytes - offset) as usize)];
+        content.read(offset, &mut chunk).and_then(|()| copy.write(offset, &chunk)).map_err(from_io)?;
+    }
+    OpenDatabase::over(path.clone(), copy)?.read_all()
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/disk/error.rs
@@ -0,0 +1,116 @@
+//! Why the disk can't be used, and what an operator does about it.
+use super::io_faults::{is_out_of_space, IoFault, IoFaultLog};
+use redb::Error;
+use std::fmt;
+use std::io::ErrorKind;
+
+/// Exit code of a process whose disk failed (`EX_IOERR`).
+const EXIT_DISK_FAILED: i32 = 74;
+/// Exit code of a process that can't start.
+const EXIT_CANNOT_START: i32 = 2;
+
+/// Why the disk can't be used. `path` is the file or folder, `cause` the words of the system or of redb.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum DiskError {
+    /// Another process has it open.
+    InUse { path: String },
+    /// The content is shown to be damaged.
+    Damaged { path: String, cause: String },
+    /// Damaged, and every name for damaged files is taken.
+    QuarantineFull { path: String, file: &'static str, taken: String },
+    /// There is no space left, for this user or at all.
+    OutOfSpace { path: String, cause: String },
+    /// There is no space left, and the file is too large to be read through a copy in memory.
+    TooLargeToCopy { path: String, size_bytes: u64 },
+    /// A sync failed: nobody knows what the disk holds.
+    SyncFailed { path: String, cause: String },
+    /// Writing failed in a running process, for whatever reason: nobody knows what the disk holds.
+    WriterFailed { cause: String },
+    /// The file was removed under the running process.
+    FileMissing { path: String },
+    /// The file or folder can't be opened, read or written; nothing is known against the content.
+    Inaccessible { path: String, cause: String },
+    /// The writer thread could not be started.
+    NoThread { cause: String },
+}
+
+impl DiskError {
+    /// An error of a file or folder itself.
+    pub(super) fn from_io(path: &str, error: &std::io::Error) -> DiskError {
+        let (path, cause) = (path.to_string(), error.to_string());
+        if is_out_of_space(error) {
+            DiskError::OutOfSpace { path, cause }
+        } else {
+            DiskError::Inaccessible { path, cause }
+        }
+    }
+
+    /// A failed sync of a file or folder.
+    pub(super) fn from_sync(path: &str, error: &std::io::Error) -> DiskError {
+        DiskError::SyncFailed { path: path.to_string(), cause: error.to_string() }
+    }
+
+    /// An error of redb's. A fault noted of the file itself goes first; of all others only what redb says of the content
+    /// speaks against the content.
+    pub(super) fn from_redb(path: &str, error: impl Into<Error>, faults: &IoFaultLog) -> DiskError {
+        let error = error.into();
+        let (path, cause) = (path.to_string(), error.to_string());
+        match (faults.take(), &error) {
+            (Some(IoFault::Sync), _) => DiskError::SyncFailed { path, cause },
+            (Some(IoFault::OutOfSpace), _) => DiskError::OutOfSpace { path, cause },
+            (None, Error::DatabaseAlreadyOpen | Error::LockProtocolMismatch) => DiskError::InUse { path },
+            (
+                None,
+                Error::Corrupted(_)
+                | Error::TableTypeMismatch { .. }
+                | Error::TableIsMultimap(_)
+                | Error::TypeDefinitionChanged { .. },
+            ) => DiskError::Damaged { path, cause },
+            // No file of redb's, or it ends before it should.
+            (None, Error::Io(e)) if matches!(e.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) => {
+                DiskError::Damaged { path, cause }
+            }
+            (None, Error::Io(e)) => DiskError::from_io(&path, e),
+            (None, _) => DiskError::Inaccessible { path, cause },
+        }
+    }
+
+    /// The code that the process ends with.
+    pub(crate) fn exit_code(&self) -> i32 {
+        match self {
+            DiskError::SyncFailed { .. } | DiskError::WriterFailed { .. } => EXIT_DISK_FAILED,
+            _ => EXIT_CANNOT_START,
+        }
+    }
+}
+
+impl fmt::Display for DiskError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            DiskError::InUse { path } => {
+                write!(f, "{path}: another process uses it (end that one, or name another dataDir)")
+            }
+            DiskError::QuarantineFull { path, file, taken } => {
+                write!(f, "{path}: {file} is damaged, as were {taken} (replace the disk, or move them away)")
+            }
+            DiskError::TooLargeToCopy { path, size_bytes } => {
+                write!(f, "{path}: {size_bytes} bytes, and no space to open it (free space on the disk)")
+            }
+            DiskError::FileMissing { path } => {
+                write!(f, "{path}: the file is gone (restore the disk, or replace this node)")
+            }
+            DiskError::Inaccessible { path, cause } => {
+                write!(f, "{path}: {cause} (mend the disk, its rights or the limits of this process)")
+            }
+            DiskError::NoThread { cause } => {
+                write!(f, "the disk's thread can't be started: {cause} (raise the limits of this process)")
+            }
+            DiskError::WriterFailed { cause } => f.write_str(cause),
+            DiskError::Damaged { path, cause }
+            | DiskError::OutOfSpace { path, cause }
+            | DiskError::SyncFailed { path, cause } => write!(f, "{path}: {cause}"),
+        }
+    }
+}
+
+impl std::error::Error for DiskError {}
--- a/crates/daemon/mesh/src/disk/folder.rs
+++ b/crates/daemon/mesh/src/disk/folder.rs
@@ -1,14 +1,15 @@
-//! The folder that the control state lies in: the few calls that `disk` makes of it, so that a test can take the power away between
-//! any two of them.
-use super::Failed;
+//! The folder that holds the control state: the few operations on it that this module needs.
+//!
+//! A trait, so that a test can take the power away between any two of them.
+use super::error::DiskError;
 use redb::backends::FileBackend;
 use redb::StorageBackend;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{Error, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// A folder.
-pub trait Folder: Send + 'static {
+/// A folder of files that redb can work on.
+pub(super) trait Folder: Send + 'static {
     /// An open file.
     type Content: StorageBackend;
 
@@ -16,37 +17,44 @@
     fn open(&self, name: &str) -> Result<Option<Self::Content>, Error>;
     /// A new and empty file, in the place of one of this name.
     fn create(&self, name: &str) -> Result<Self::Content, Error>;
-    /// Gives a file another name. Lasts once the folder is synced.
+    /// Gives a file another name. Durable once the folder is synced.
     fn rename(&self, from: &str, to: &str) -> Result<(), Error>;
-    /// Makes the names last.
+    /// Makes the names durable.
     fn sync(&self) -> Result<(), Error>;
-    /// Its name, for the operator.
-    fn name(&self) -> String;
+    /// Its path, for the operator.
+    fn path(&self) -> String;
 }
 
-/// A folder of this machine, which no other process of this program may use while this is held.
-pub struct OnDisk {
+/// A folder of this machine. While this value lives no other process of this program can use the folder.
+#[derive(Debug)]
+pub(super) struct DataFolder {
     path: PathBuf,
-    /// Locked, where the machine has locks for folders; the lock of the file in it is redb's.
+    /// Locked, where the system has locks for folders; the lock of the file in it is redb's.
     handle: File,
 }
 
-impl OnDisk {
-    /// Takes the folder, made if it is not there.
-    pub fn take(path: &Path) -> Result<OnDisk, Failed> {
-        let plain = |e: Error| Failed::Plain(format!("dataDir {}: {e}", path.display()));
+impl DataFolder {
+    /// Locks the folder, created if it is not there.
+    ///
+    /// # Errors
+    /// [`DiskError::InUse`] if another process has it; [`DiskError::Inaccessible`] for whatever the system says.
+    pub(super) fn lock(path: &Path) -> Result<DataFolder, DiskError> {
+        let inaccessible = |error: Error| DiskError::Inaccessible {
+            path: format!("dataDir {}", path.display()),
+            cause: error.to_string(),
+        };
         if !path.exists() {
-            std::fs::create_dir_all(path).map_err(plain)?;
-            // Its own name lasts once the folder above is synced.
-            if let Some(above) = path.parent().filter(|above| !above.as_os_str().is_empty()) {
-                File::open(above).and_then(|above| above.sync_all()).map_err(plain)?;
+            std::fs::create_dir_all(path).map_err(inaccessible)?;
+            // Its own name is durable once the folder above is synced.
+            if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
+                File::open(parent).and_then(|parent| parent.sync_all()).map_err(inaccessible)?;
             }
         }
-        let handle = File::open(path).map_err(plain)?;
+        let handle = File::open(path).map_err(inaccessible)?;
         match handle.try_lock() {
-            Err(TryLockError::WouldBlock) => Err(Failed::in_use(&path.display().to_string())),
+            Err(TryLockError::WouldBlock) => Err(DiskError::InUse { path: path.display().to_string() }),
             // Where there are no locks for folders redb's own is all there is.
-            Ok(()) | Err(TryLockError::Error(_)) => Ok(OnDisk { path: path.to_owned(), handle }),
+            Ok(()) | Err(TryLockError::Error(_)) => Ok(DataFolder { path: path.to_owned(), handle }),
         }
     }
 
@@ -56,19 +64,19 @@
     }
 }
 
-impl Folder for OnDisk {
+impl Folder for DataFolder {
     type Content = FileBackend;
 
     fn open(&self, name: &str) -> Result<Option<FileBackend>, Error> {
         match self.file(name, false) {
-            Ok(file) => content(file).map(Some),
+            Ok(file) => backend(file).map(Some),
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
             Err(e) => Err(e),
         }
     }
 
     fn create(&self, name: &str) -> Result<FileBackend, Error> {
-        content(self.file(name, true)?)
+        backend(self.file(name, true)?)
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<(), Error> {
@@ -79,11 +87,11 @@
         self.handle.sync_all()
     }
 
-    fn name(&self) -> String {
+    fn path(&self) -> String {
         self.path.display().to_string()
     }
 }
 
-fn content(file: File) -> Result<FileBackend, Error> {
+fn backend(file: File) -> Result<FileBackend, Error> {
     FileBackend::new(file).map_err(Error::other)
 }
--- a/crates/daemon/mesh/src/disk/watched.rs
+++ b/crates/daemon/mesh/src/disk/io_faults.rs
@@ -1,4 +1,4 @@
-//! A file under redb that notes which of its operations failed: redb tells an error, but not of what.
+//! A file under redb that notes which of its operations failed: redb reports an error, but not of which operation.
 use redb::{BackendError, StorageBackend};
 use std::io::{Error, ErrorKind};
 use std::ops::Bound;
@@ -6,48 +6,48 @@
 
 /// What went wrong with the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// A write, or a new length, found no room: nothing was told to be synced that is not.
-    NoRoom,
-    /// A sync failed: what is on the disk of the writes before it is unknown, and another sync would not tell.
+pub(super) enum IoFault {
+    /// A write, or a new length, found no space: nothing is acknowledged that is not synced.
+    OutOfSpace,
+    /// A sync failed: what the disk holds of the writes before it is unknown, and another sync would not tell.
     Sync,
 }
 
-/// The first trouble since it was last asked for; a failed sync goes before all others.
+/// The first fault since it was last taken; a failed sync goes before all others. A clone is the same log.
 #[derive(Clone, Debug, Default)]
-pub struct Notes(Arc<Mutex<Option<Trouble>>>);
+pub(super) struct IoFaultLog(Arc<Mutex<Option<IoFault>>>);
 
-impl Notes {
-    fn note(&self, trouble: Trouble) {
-        let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if known.is_none() || trouble == Trouble::Sync {
-            *known = Some(trouble);
+impl IoFaultLog {
+    fn note(&self, fault: IoFault) {
+        let mut noted = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if noted.is_none() || fault == IoFault::Sync {
+            *noted = Some(fault);
         }
     }
 
-    /// What went wrong, if anything.
-    pub fn take(&self) -> Option<Trouble> {
+    /// What went wrong, if anything; forgotten with this call.
+    pub(super) fn take(&self) -> Option<IoFault> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 }
 
-/// Whether it says that the disk, or this user's part of it, has no room.
-pub fn no_room(e: &Error) -> bool {
-    matches!(e.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded)
+/// Whether the error says that the disk, or this user's quota on it, has no space.
+pub(super) fn is_out_of_space(error: &Error) -> bool {
+    matches!(error.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded)
 }
 
-/// A file and the notes on it.
+/// A file and the faults noted of it.
 #[derive(Debug)]
-pub struct Watched<B> {
-    pub content: B,
-    pub notes: Notes,
+pub(super) struct FaultRecordingBackend<B> {
+    pub(super) content: B,
+    pub(super) faults: IoFaultLog,
 }
 
-impl<B> Watched<B> {
-    fn room(&self, said: Result<(), Error>) -> Result<(), Error> {
-        said.inspect_err(|e| {
-            if no_room(e) {
-                self.notes.note(Trouble::NoRoom);
+impl<B> FaultRecordingBackend<B> {
+    fn note_out_of_space(&self, result: Result<(), Error>) -> Result<(), Error> {
+        result.inspect_err(|error| {
+            if is_out_of_space(error) {
+                self.faults.note(IoFault::OutOfSpace);
             }
         })
     }
@@ -55,7 +55,7 @@
 
 type Edge = Bound<u64>;
 
-impl<B: StorageBackend> StorageBackend for Watched<B> {
+impl<B: StorageBackend> StorageBackend for FaultRecordingBackend<B> {
     fn len(&self) -> Result<u64, Error> {
         self.content.len()
     }
@@ -65,15 +65,15 @@
     }
 
     fn set_len(&self, len: u64) -> Result<(), Error> {
-        self.room(self.content.set_len(len))
+        self.note_out_of_space(self.content.set_len(len))
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
-        self.room(self.content.write(offset, data))
+        self.note_out_of_space(self.content.write(offset, data))
     }
 
     fn sync_data(&self) -> Result<(), Error> {
-        self.content.sync_data().inspect_err(|_| self.notes.note(Trouble::Sync))
+        self.content.sync_data().inspect_err(|_| self.faults.note(IoFault::Sync))
     }
 
     fn close(&self) -> Result<(), Error> {
--- a/crates/daemon/mesh/src/disk/tests.rs
+++ b/crates/daemon/mesh/src/disk/tests.rs
@@ -1,12 +1,21 @@
-//! The disk: who may open it, what is set aside, a disk that is full, and power that goes between any two operations.
-use super::folder::{Folder, OnDisk};
-use super::trial::{Trial, What};
-use super::*;
-use silvercross_control_store::{Epoch, ReplicaSet, Revision};
+//! The disk: who may open it, what is quarantined, a disk that is full, and power that goes between any two operations.
+//!
+//! In the package, for what is tested (recovery over a folder in memory, one attempt of the writer) is not public.
+mod memory_folder;
+
+use super::database::{DATABASE_FILE, KEYS_TABLE, MARKER_TABLE};
+use super::folder::{DataFolder, Folder};
+use super::recovery::{recover, QUARANTINE_FILES};
+use super::{open, DiskError, DiskEvent, DiskWrite};
+use crate::control_value::ControlValue;
+use memory_folder::{MemoryFolder, Operation};
+use redb::Database;
+use silvercross_control_store::{Epoch, Metadata, ReplicaSet, Revision, StoredKey, StoredState};
+use std::io::ErrorKind;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-fn write(number: u64, keys: &[(&str, u64)], metadata: bool) -> Write {
+fn write(number: u64, keys: &[(&str, u64)], metadata: bool) -> DiskWrite {
     let stored = |(key, round): &(&str, u64)| StoredKey {
         key: (*key).to_string(),
         promised: Epoch { round: *round, owner: 1 },
@@ -17,11 +26,11 @@
         replica_set: ReplicaSet { version: number, ..ReplicaSet::default() },
         ..Metadata::default()
     });
-    Write { number, metadata, keys: keys.iter().map(stored).collect() }
+    DiskWrite { number, metadata, keys: keys.iter().map(stored).collect() }
 }
 
 /// What is written one after the other.
-fn writes() -> Vec<Write> {
+fn writes() -> Vec<DiskWrite> {
     vec![
         write(1, &[], true),
         write(2, &[("a", 1), ("b", 1)], false),
@@ -31,7 +40,7 @@
 }
 
 /// What stands after the first so many of them.
-fn standing(many: usize) -> StoredState<ControlValue> {
+fn content_after(many: usize) -> StoredState<ControlValue> {
     let mut disk = StoredState::default();
     for w in writes().into_iter().take(many) {
         disk.metadata = w.metadata.or(disk.metadata);
@@ -44,85 +53,86 @@
     disk
 }
 
-/// A whole life on a folder: opened, written to, closed in the middle and opened again. How many writes were told to be synced, and
-/// how many were asked for.
-fn life(folder: &Trial) -> (usize, usize) {
-    let (mut told, mut asked) = (0, 0);
-    let mut keeper = None;
+/// All writes on one folder: opened, written to, closed in the middle and opened again. How many writes were acknowledged to be synced, and
+/// how many were requested for.
+fn write_all(folder: &MemoryFolder) -> (usize, usize) {
+    let (mut acknowledged, mut requested) = (0, 0);
+    let mut writer = None;
     for w in writes() {
-        if asked == 2 {
-            keeper = None;
+        if requested == 2 {
+            writer = None;
         }
-        if keeper.is_none() {
-            let Ok(found) = find(folder.clone()) else { return (told, asked) };
-            assert_eq!(found.disk, standing(told));
-            keeper = Some(found.keeper);
+        if writer.is_none() {
+            let Ok(found) = recover(folder.clone()) else { return (acknowledged, requested) };
+            assert_eq!(found.disk, content_after(acknowledged));
+            writer = Some(found.writer);
         }
-        let Some(k) = &mut keeper else { return (told, asked) };
-        asked += 1;
+        let Some(k) = &mut writer else { return (acknowledged, requested) };
+        requested += 1;
         k.pending.push(w);
-        for said in k.attempt() {
-            match said {
-                Told::Synced(_) => told += 1,
-                Told::Failed(_) => return (told, asked),
-                Told::Full(_) | Told::Room => {}
+        for events in k.attempt() {
+            match events {
+                DiskEvent::Synced(_) => acknowledged += 1,
+                DiskEvent::Failed(_) => return (acknowledged, requested),
+                DiskEvent::OutOfSpace(_) | DiskEvent::SpaceAvailable => {}
             }
         }
     }
-    (told, asked)
+    (acknowledged, requested)
 }
 
 #[test]
-fn power_that_goes_after_any_operation_leaves_what_was_told() {
-    let whole = Trial::default();
-    assert_eq!(life(&whole), (4, 4));
+fn power_loss_after_any_operation_keeps_every_acknowledged_write() {
+    let whole = MemoryFolder::default();
+    assert_eq!(write_all(&whole), (4, 4));
     let (mut cases, mut ahead) = (0, 0);
-    for power in 0..=whole.done() {
-        let folder = Trial::default();
-        folder.power_until(power);
-        let (told, asked) = life(&folder);
+    for power in 0..=whole.operations() {
+        let folder = MemoryFolder::default();
+        folder.power_lost_after(power);
+        let (acknowledged, requested) = write_all(&folder);
         for (how, after) in folder.after_power_loss() {
             let case = format!("power after {power} operations, {how}");
-            let found = find(after.clone()).unwrap_or_else(|e| panic!("{case}: {e}"));
-            let stands = (told..=asked).find(|many| standing(*many) == found.disk);
-            let stands =
-                stands.unwrap_or_else(|| panic!("{case}: {told} were told, and {:?} stands", found.disk));
-            assert!(!found.lost, "{case}: a good file was set aside");
+            let found = recover(after.clone()).unwrap_or_else(|e| panic!("{case}: {e}"));
+            let stands = (acknowledged..=requested).find(|many| content_after(*many) == found.disk);
+            let stands = stands.unwrap_or_else(|| {
+                panic!("{case}: {acknowledged} were acknowledged, and {:?} stands", found.disk)
+            });
+            assert!(!found.content_lost, "{case}: a good file was quarantined");
             // And it goes on.
-            let mut keeper = found.keeper;
-            keeper.pending.push(write(9, &[("z", 9)], true));
-            assert_eq!(keeper.attempt(), [Told::Synced(9)], "{case}");
-            drop(keeper);
-            let again = find(after).unwrap_or_else(|e| panic!("{case}: {e}")).disk;
-            assert_eq!(again.keys.len(), standing(stands).keys.len() + 1, "{case}");
+            let mut writer = found.writer;
+            writer.pending.push(write(9, &[("z", 9)], true));
+            assert_eq!(writer.attempt(), [DiskEvent::Synced(9)], "{case}");
+            drop(writer);
+            let again = recover(after).unwrap_or_else(|e| panic!("{case}: {e}")).disk;
+            assert_eq!(again.keys.len(), content_after(stands).keys.len() + 1, "{case}");
             cases += 1;
-            ahead += usize::from(stands > told);
+            ahead += usize::from(stands > acknowledged);
         }
     }
     println!(
-        "{} operations, {cases} cases, {ahead} of them with a write there that was not told",
-        whole.done()
+        "{} operations, {cases} cases, {ahead} of them with a write there that was not acknowledged",
+        whole.operations()
     );
     assert!(cases >= 600 && ahead >= 4, "{cases} cases, {ahead} ahead");
 }
 
 /// A whole file of redb's in which one record can't be decoded.
 fn unreadable_record() -> Vec<u8> {
-    let folder = Trial::default();
-    let keeper = find(folder.clone()).expect("opens").keeper;
-    let tx = keeper.db.as_ref().expect("open").db.begin_write().expect("begun");
-    tx.open_table(MARKER).expect("a table");
-    tx.open_table(KEYS).expect("a table").insert("a", [255; 3].as_slice()).expect("there");
+    let folder = MemoryFolder::default();
+    let writer = recover(folder.clone()).expect("opens").writer;
+    let tx = writer.database.as_ref().expect("open").database.begin_write().expect("begun");
+    tx.open_table(MARKER_TABLE).expect("a table");
+    tx.open_table(KEYS_TABLE).expect("a table").insert("a", [255; 3].as_slice()).expect("there");
     tx.commit().expect("synced");
-    drop(keeper);
-    folder.bytes(FILE).expect("a file")
+    drop(writer);
+    folder.bytes(DATABASE_FILE).expect("a file")
 }
 
 #[test]
-fn a_damaged_file_is_set_aside_and_is_never_new_again() {
-    let whole = Trial::default();
-    life(&whole);
-    let good = whole.bytes(FILE).expect("a file");
+fn a_damaged_file_is_quarantined_and_its_disk_never_counts_as_new() {
+    let whole = MemoryFolder::default();
+    write_all(&whole);
+    let good = whole.bytes(DATABASE_FILE).expect("a file");
     let mut half = good.clone();
     half.truncate(good.len() / 2);
     let mut nameless = good.clone();
@@ -137,156 +147,171 @@
     ];
     for (which, bytes) in damaged {
         let begin = || {
-            let folder = Trial::default();
-            folder.put(FILE, bytes.clone());
+            let folder = MemoryFolder::default();
+            folder.put(DATABASE_FILE, bytes.clone());
             folder
         };
         let folder = begin();
-        let found = find(folder.clone()).unwrap_or_else(|e| panic!("{which}: {e}"));
-        assert!(found.lost && found.set_aside.is_some() && found.disk == StoredState::default(), "{which}");
+        let found = recover(folder.clone()).unwrap_or_else(|e| panic!("{which}: {e}"));
+        assert!(
+            found.content_lost && found.quarantined.is_some() && found.disk == StoredState::default(),
+            "{which}"
+        );
         // What redb itself could open has its note in it that it was open.
-        let evidence = folder.bytes(ASIDE[0]);
+        let evidence = folder.bytes(QUARANTINE_FILES[0]);
         let opens = which.contains("table") || which.contains("record");
         assert!(evidence.as_ref().is_some_and(|e| opens || *e == bytes), "{which}: the evidence");
         drop(found);
         // Power lost at any operation in the middle of it: it is lost all the same, whatever is there.
-        for power in 0..=folder.done() {
+        for power in 0..=folder.operations() {
             let folder = begin();
-            folder.power_until(power);
-            drop(find(folder.clone()));
+            folder.power_lost_after(power);
+            drop(recover(folder.clone()));
             for (how, after) in folder.after_power_loss() {
-                let found = find(after).unwrap_or_else(|e| panic!("{which}, {power}, {how}: {e}"));
-                assert!(found.lost, "{which}, power after {power}, {how}: taken for a new disk");
+                let found = recover(after).unwrap_or_else(|e| panic!("{which}, {power}, {how}: {e}"));
+                assert!(found.content_lost, "{which}, power after {power}, {how}: taken for a new disk");
             }
         }
         // A second one keeps the first, a third one is the operator's.
-        folder.put(FILE, vec![8; 5000]);
-        assert!(find(folder.clone()).is_ok_and(|f| f.lost), "{which}");
-        folder.put(FILE, vec![9; 5000]);
-        let third = find(folder.clone()).err();
-        assert!(matches!(&third, Some(Failed::Plain(why)) if why.contains("replace the disk")), "{third:?}");
-        assert!(ASIDE.map(|a| folder.bytes(a)) == [evidence, Some(vec![8; 5000])], "{which}: both are kept");
-        assert!(folder.bytes(FILE) == Some(vec![9; 5000]), "{which}: the third is left as it is");
+        folder.put(DATABASE_FILE, vec![8; 5000]);
+        assert!(recover(folder.clone()).is_ok_and(|f| f.content_lost), "{which}");
+        folder.put(DATABASE_FILE, vec![9; 5000]);
+        let third = recover(folder.clone()).err();
+        assert!(
+            matches!(&third, Some(full @ DiskError::QuarantineFull { .. }) if full.to_string().contains("replace the disk")),
+            "{third:?}"
+        );
+        assert!(
+            QUARANTINE_FILES.map(|a| folder.bytes(a)) == [evidence, Some(vec![8; 5000])],
+            "{which}: both are kept"
+        );
+        assert!(folder.bytes(DATABASE_FILE) == Some(vec![9; 5000]), "{which}: the third is left as it is");
         // A folder that can't be synced does not hold the new name for sure.
         let folder = begin();
-        folder.fail_once(What::FolderSync, ErrorKind::Other);
-        let failed = find(folder).err();
-        assert!(matches!(failed, Some(Failed::Sync(_))), "{which}: {failed:?}");
+        folder.fail_once(Operation::FolderSync, ErrorKind::Other);
+        let failed = recover(folder).err();
+        assert!(matches!(failed, Some(DiskError::SyncFailed { .. })), "{which}: {failed:?}");
     }
 }
 
 #[test]
 fn no_error_but_damage_touches_the_file() {
-    let whole = Trial::default();
-    life(&whole);
-    let good = whole.bytes(FILE).expect("a file");
+    let whole = MemoryFolder::default();
+    write_all(&whole);
+    let good = whole.bytes(DATABASE_FILE).expect("a file");
     let cases = [
-        (What::Open, ErrorKind::PermissionDenied, 2),
-        (What::Open, ErrorKind::Other, 2),
-        (What::Read, ErrorKind::Other, 2),
-        (What::Write, ErrorKind::Other, 2),
-        (What::Write, ErrorKind::ReadOnlyFilesystem, 2),
-        (What::Sync, ErrorKind::Other, 74),
-        (What::Sync, ErrorKind::StorageFull, 74),
-        (What::FolderSync, ErrorKind::Other, 74),
+        (Operation::Open, ErrorKind::PermissionDenied, 2),
+        (Operation::Open, ErrorKind::Other, 2),
+        (Operation::Read, ErrorKind::Other, 2),
+        (Operation::Write, ErrorKind::Other, 2),
+        (Operation::Write, ErrorKind::ReadOnlyFilesystem, 2),
+        (Operation::Sync, ErrorKind::Other, 74),
+        (Operation::Sync, ErrorKind::StorageFull, 74),
+        (Operation::FolderSync, ErrorKind::Other, 74),
     ];
     for (what, kind, code) in cases {
-        let folder = Trial::default();
-        folder.put(FILE, good.clone());
+        let folder = MemoryFolder::default();
+        folder.put(DATABASE_FILE, good.clone());
         folder.fail(Some((what, kind)));
-        let failed = find(folder.clone()).err().unwrap_or_else(|| panic!("{what:?} {kind}: it opened"));
-        assert_eq!(failed.code(), code, "{what:?} {kind}: {failed:?}");
-        assert_eq!(folder.names(), [FILE], "{what:?} {kind}");
+        let failed = recover(folder.clone()).err().unwrap_or_else(|| panic!("{what:?} {kind}: it opened"));
+        assert_eq!(failed.exit_code(), code, "{what:?} {kind}: {failed:?}");
+        assert_eq!(folder.names(), [DATABASE_FILE], "{what:?} {kind}");
         folder.fail(None);
-        assert_eq!(find(folder).expect("opens").disk, standing(4), "{what:?} {kind}: all is there");
+        assert_eq!(recover(folder).expect("opens").disk, content_after(4), "{what:?} {kind}: all is there");
     }
 }
 
 #[test]
 fn a_disk_that_fills_up_at_any_operation_ends_nothing_and_loses_nothing() {
-    let whole = Trial::default();
-    life(&whole);
+    let whole = MemoryFolder::default();
+    write_all(&whole);
     let mut waited = 0;
-    for full in 0..whole.done() {
-        let folder = Trial::default();
-        folder.full_from(Some(full));
-        let (told, asked) = life(&folder);
-        assert_eq!(asked, 4, "full from {full}: the life ended");
-        waited += usize::from(told < 4);
-        // The next process starts while the disk is still full: it has what was told, and says that there is no room.
+    for full in 0..whole.operations() {
+        let folder = MemoryFolder::default();
+        folder.out_of_space_from(Some(full));
+        let (acknowledged, requested) = write_all(&folder);
+        assert_eq!(requested, 4, "full from {full}: the writes ended");
+        waited += usize::from(acknowledged < 4);
+        // The next process starts while the disk is still full: it has what was acknowledged, and says that there is no room.
         let next = folder.after_kill();
-        let found = find(next.clone()).unwrap_or_else(|e| panic!("full from {full}: {e}"));
+        let found = recover(next.clone()).unwrap_or_else(|e| panic!("full from {full}: {e}"));
         assert!(
-            (told..=4).any(|many| standing(many) == found.disk),
-            "full from {full}: {told} told, {:?}",
+            (acknowledged..=4).any(|many| content_after(many) == found.disk),
+            "full from {full}: {acknowledged} acknowledged, {:?}",
             found.disk
         );
-        assert!(found.keeper.full.is_some() && !found.lost, "full from {full}");
-        let mut keeper = found.keeper;
-        assert_eq!(keeper.attempt(), [], "full from {full}: told once");
+        assert!(found.writer.out_of_space.is_some() && !found.content_lost, "full from {full}");
+        let mut writer = found.writer;
+        assert_eq!(writer.attempt(), [], "full from {full}: acknowledged once");
         // Power may go then too.
         for (how, after) in next.after_power_loss() {
-            let found = find(after).unwrap_or_else(|e| panic!("full from {full}, {how}: {e}")).disk;
-            assert!((told..=4).any(|many| standing(many) == found), "full from {full}, {how}: {found:?}");
+            let found = recover(after).unwrap_or_else(|e| panic!("full from {full}, {how}: {e}")).disk;
+            assert!(
+                (acknowledged..=4).any(|many| content_after(many) == found),
+                "full from {full}, {how}: {found:?}"
+            );
         }
-        // Room again: all that waited is written, and that is told.
-        keeper.pending.extend(writes());
-        next.full_from(None);
-        let said = keeper.attempt();
-        assert_eq!(said[0], Told::Room, "full from {full}");
-        assert_eq!(said[1..], [1, 2, 3, 4].map(Told::Synced), "full from {full}");
-        drop(keeper);
-        assert_eq!(find(next).expect("opens").disk, standing(4), "full from {full}");
+        // Room again: all that waited is written, and that is acknowledged.
+        writer.pending.extend(writes());
+        next.out_of_space_from(None);
+        let events = writer.attempt();
+        assert_eq!(events[0], DiskEvent::SpaceAvailable, "full from {full}");
+        assert_eq!(events[1..], [1, 2, 3, 4].map(DiskEvent::Synced), "full from {full}");
+        drop(writer);
+        assert_eq!(recover(next).expect("opens").disk, content_after(4), "full from {full}");
     }
-    assert!(waited > 20, "{waited} lives in which a write waited");
+    assert!(waited > 20, "{waited} runs in which a write waited");
 }
 
 #[test]
 fn a_write_without_room_is_tried_again_in_its_order_and_a_failed_sync_is_the_end() {
-    let folder = Trial::default();
-    let mut keeper = find(folder.clone()).expect("opens").keeper;
-    folder.full_from(Some(0));
+    let folder = MemoryFolder::default();
+    let mut writer = recover(folder.clone()).expect("opens").writer;
+    folder.out_of_space_from(Some(0));
     let mut all = writes().into_iter();
-    keeper.pending.extend(all.next());
-    assert!(matches!(keeper.attempt()[..], [Told::Full(_)]));
-    keeper.pending.extend(all.next());
-    assert_eq!(keeper.attempt(), []);
-    folder.full_from(None);
-    assert_eq!(keeper.attempt(), [Told::Room, Told::Synced(1), Told::Synced(2)]);
-    folder.fail(Some((What::Sync, ErrorKind::StorageFull)));
-    keeper.pending.extend(all.next());
-    let said = keeper.attempt();
-    assert!(matches!(&said[..], [Told::Failed(_)]), "{said:?}: no sync is tried twice, whatever its error");
+    writer.pending.extend(all.next());
+    assert!(matches!(writer.attempt()[..], [DiskEvent::OutOfSpace(_)]));
+    writer.pending.extend(all.next());
+    assert_eq!(writer.attempt(), []);
+    folder.out_of_space_from(None);
+    assert_eq!(writer.attempt(), [DiskEvent::SpaceAvailable, DiskEvent::Synced(1), DiskEvent::Synced(2)]);
+    folder.fail(Some((Operation::Sync, ErrorKind::StorageFull)));
+    writer.pending.extend(all.next());
+    let events = writer.attempt();
+    assert!(
+        matches!(&events[..], [DiskEvent::Failed(_)]),
+        "{events:?}: no sync is tried twice, whatever its error"
+    );
     // Any other error of a write is the end as well.
-    folder.fail(Some((What::Write, ErrorKind::Other)));
-    let mut keeper = find(folder.after_kill()).err();
-    assert!(matches!(keeper.take(), Some(Failed::Plain(_))));
+    folder.fail(Some((Operation::Write, ErrorKind::Other)));
+    let mut writer = recover(folder.after_kill()).err();
+    assert!(matches!(writer.take(), Some(DiskError::Inaccessible { .. })));
 }
 
 #[test]
 fn a_file_that_is_gone_is_not_made_anew_under_a_running_process() {
-    let folder = Trial::default();
-    life(&folder);
-    let mut keeper = find(folder.clone()).expect("opens").keeper;
-    folder.full_from(Some(0));
-    keeper.pending.push(write(5, &[("a", 5)], false));
-    assert!(matches!(keeper.attempt()[..], [Told::Full(_)]));
-    folder.rename(FILE, "elsewhere").expect("renamed");
-    folder.full_from(None);
-    assert!(matches!(keeper.attempt()[..], [Told::Failed(_)]));
+    let folder = MemoryFolder::default();
+    write_all(&folder);
+    let mut writer = recover(folder.clone()).expect("opens").writer;
+    folder.out_of_space_from(Some(0));
+    writer.pending.push(write(5, &[("a", 5)], false));
+    assert!(matches!(writer.attempt()[..], [DiskEvent::OutOfSpace(_)]));
+    folder.rename(DATABASE_FILE, "elsewhere").expect("renamed");
+    folder.out_of_space_from(None);
+    assert!(matches!(writer.attempt()[..], [DiskEvent::Failed(_)]));
 }
 
 #[test]
 fn a_key_written_again_takes_the_room_of_its_old_content() {
-    let folder = Trial::default();
-    let mut keeper = find(folder.clone()).expect("opens").keeper;
+    let folder = MemoryFolder::default();
+    let mut writer = recover(folder.clone()).expect("opens").writer;
     let names: Vec<String> = (0..64).map(|k| format!("key-{k}")).collect();
     let mut sizes = Vec::new();
     for number in 1..=240 {
         let keys: Vec<(&str, u64)> = names.iter().map(|name| (name.as_str(), number)).collect();
-        keeper.pending.push(write(number, &keys, true));
-        assert_eq!(keeper.attempt(), [Told::Synced(number)]);
-        sizes.push(folder.bytes(FILE).map_or(0, |bytes| bytes.len()));
+        writer.pending.push(write(number, &keys, true));
+        assert_eq!(writer.attempt(), [DiskEvent::Synced(number)]);
+        sizes.push(folder.bytes(DATABASE_FILE).map_or(0, |bytes| bytes.len()));
     }
     assert_eq!(sizes[39], sizes[239], "bytes after 40 writes and after 240");
 }
@@ -303,7 +328,7 @@
 #[test]
 fn a_folder_in_use_is_left_as_it_is() {
     let place = place();
-    let mut running = find(OnDisk::take(&place).expect("taken")).expect("opens").keeper;
+    let mut running = recover(DataFolder::lock(&place).expect("taken")).expect("opens").writer;
     running.pending.extend(writes());
     assert_eq!(running.attempt().len(), 4);
     let names = || {
@@ -314,23 +339,26 @@
     };
     let second = open(&place).err().expect("the folder is in use");
     assert!(
-        matches!(&second, Failed::InUse(why) if why.contains(&place.display().to_string())),
+        matches!(&second, in_use @ DiskError::InUse { .. } if in_use.to_string().contains(&place.display().to_string())),
         "{second:?}"
     );
-    assert_eq!((second.code(), names()), (2, vec![FILE.into()]));
-    assert!(matches!(OnDisk::take(&place).err(), Some(Failed::InUse(_))), "whatever it has open in there");
+    assert_eq!((second.exit_code(), names()), (2, vec![DATABASE_FILE.into()]));
+    assert!(
+        matches!(DataFolder::lock(&place).err(), Some(DiskError::InUse { .. })),
+        "whatever it has open in there"
+    );
     running.pending.push(write(5, &[("a", 7)], false));
-    assert_eq!(running.attempt(), [Told::Synced(5)], "the running one goes on");
+    assert_eq!(running.attempt(), [DiskEvent::Synced(5)], "the running one goes on");
     drop(running);
     // A program that takes redb's lock alone, as earlier versions did.
-    let other = Database::builder().create(place.join(FILE)).expect("opens");
+    let other = Database::builder().create(place.join(DATABASE_FILE)).expect("opens");
     let second = open(&place).err().expect("the file is in use");
-    assert!(matches!(second, Failed::InUse(_)), "{second:?}");
-    assert_eq!(names(), [FILE]);
+    assert!(matches!(second, DiskError::InUse { .. }), "{second:?}");
+    assert_eq!(names(), [DATABASE_FILE]);
     drop(other);
     let opened = open(&place).expect("opens");
     assert_eq!(opened.disk.keys.iter().find(|k| k.key == "a").map(|k| k.promised.round), Some(7));
-    assert!(!opened.lost);
+    assert!(!opened.content_lost);
     drop(opened);
     std::fs::remove_dir_all(&place).expect("removed");
 }
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -64,7 +64,7 @@
         Ok(()) => {}
         Err(e) => {
             eprintln!("silvercross-mesh: {e:#}");
-            std::process::exit(e.downcast_ref::<disk::Failed>().map_or(2, disk::Failed::code));
+            std::process::exit(e.downcast_ref::<disk::DiskError>().map_or(2, disk::DiskError::exit_code));
         }
     }
 }
@@ -155,11 +155,11 @@
         Some(dir) => {
             let opened = disk::open(dir)?;
             // A file that was there and can't be read is no fresh disk, whatever the settings say.
-            let fresh = settings.fresh && !opened.lost;
-            if let Some(why) = opened.set_aside {
-                warn!(log, "the disk's content is set aside, the others will repair it"; "why" => why);
+            let fresh = settings.fresh && !opened.content_lost;
+            if let Some(why) = opened.quarantined {
+                warn!(log, "damaged control data quarantined, the other replicas repair it"; "why" => why.to_string());
             }
-            synced = Some(opened.told);
+            synced = Some(opened.events);
             let mut keys = vec![control_value::CONFIGURATION.to_string()];
             keys.extend(settings.zones.iter().map(|z| format!("{}{z}", control_value::EVACUATION)));
             let replica_set = seeds.iter().map(|s| silvercross_control_store::Node(*s)).collect();
@@ -214,7 +214,7 @@
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            why = failed(&mut disk) => return Err(disk::Failed::Sync(why).into()),
+            why = failed(&mut disk) => return Err(disk::DiskError::WriterFailed { cause: why }.into()),
             _ = hup.recv() => {
                 reload::look(&node_state, true);
             }
--- a/crates/daemon/mesh/src/peers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -10,7 +10,7 @@
 mod tests;
 
 use crate::control_value::{ControlChange, ControlValue};
-use crate::disk::{Told, Writes};
+use crate::disk::{DiskEvent, DiskWriteSender};
 use crate::node_state::NodeState;
 use bitcode::{Decode, Encode};
 use frames::Frame;
@@ -67,7 +67,7 @@
     port: u16,
     membership: RefCell<Membership<RecordBody>>,
     ledger: Option<RefCell<ControlStore<ControlValue>>>,
-    writes: Option<Writes>,
+    writes: Option<DiskWriteSender>,
     /// Why the disk takes no writes.
     full: RefCell<Option<String>>,
     asked: RefCell<BTreeMap<u64, oneshot::Sender<CallOutcome<ControlValue>>>>,
@@ -92,7 +92,7 @@
         me: Ipv4Addr,
         port: u16,
         membership: Membership<RecordBody>,
-        ledger: Option<(ControlStore<ControlValue>, Writes)>,
+        ledger: Option<(ControlStore<ControlValue>, DiskWriteSender)>,
         udp: UdpSocket,
     ) -> Self {
         let (ledger, writes) = match ledger {
@@ -255,24 +255,24 @@
     }
 
     /// Hand on what the disk tells, for as long as the process lives, or until the disk has failed: why.
-    pub async fn synced(node_state: Rc<NodeState>, mut told: mpsc::UnboundedReceiver<Told>) -> String {
+    pub async fn synced(node_state: Rc<NodeState>, mut told: mpsc::UnboundedReceiver<DiskEvent>) -> String {
         let c = &node_state.peers;
         while let Some(told) = told.recv().await {
             let Some(l) = &c.ledger else { continue };
             match told {
-                Told::Synced(write) => l.borrow_mut().write_completed(node_state.now(), write),
-                Told::Full(why) => {
+                DiskEvent::Synced(write) => l.borrow_mut().write_completed(node_state.now(), write),
+                DiskEvent::OutOfSpace(why) => {
                     warn!(node_state.log, "the disk is full: this machine promises nothing and hands its keys over until there is room";
                         "why" => why.as_str(), "mend" => "free room on the disk of dataDir");
                     *c.full.borrow_mut() = Some(why);
                     l.borrow_mut().set_disk_has_space(node_state.now(), false);
                 }
-                Told::Room => {
+                DiskEvent::SpaceAvailable => {
                     info!(node_state.log, "the disk has room again");
                     *c.full.borrow_mut() = None;
                     l.borrow_mut().set_disk_has_space(node_state.now(), true);
                 }
-                Told::Failed(why) => return why,
+                DiskEvent::Failed(why) => return why,
             }
             c.pump(&node_state);
         }
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -3,7 +3,7 @@
 use super::link::CONNECT;
 use super::{ip, told, Peers, RecordBody};
 use crate::control_value::ControlValue;
-use crate::disk::Write;
+use crate::disk::DiskWrite;
 use crate::node_state::NodeState;
 use crate::peer_connection;
 use silvercross_control_store::{CallOutcome, Effect as StoreEffect};
@@ -80,7 +80,7 @@
             }
             StoreEffect::Store { write, metadata, keys } => {
                 if let Some(writes) = &self.writes {
-                    let _ = writes.send(Write { number: write, metadata, keys });
+                    let _ = writes.send(DiskWrite { number: write, metadata, keys });
                 }
             }
             StoreEffect::Answer { token, verdict } => {
--- a/crates/daemon/mesh/src/peers/isolated_control_tests.rs
+++ b/crates/daemon/mesh/src/peers/isolated_control_tests.rs
@@ -91,11 +91,11 @@
     let membership = Membership::new(clock.now(), start, body);
     let udp = UdpSocket::bind((ip, port)).await.expect("the port");
     let links = TcpListener::bind((ip, port)).await.expect("the port");
-    let (writes, todo) = std::sync::mpsc::channel::<disk::Write>();
+    let (writes, todo) = std::sync::mpsc::channel::<disk::DiskWrite>();
     let (done, synced) = mpsc::unbounded_channel();
     // Each write is synced at once.
     std::thread::spawn(move || {
-        todo.into_iter().all(|write| done.send(disk::Told::Synced(write.number)).is_ok())
+        todo.into_iter().all(|write| done.send(disk::DiskEvent::Synced(write.number)).is_ok())
     });
     let store = disk.map(|disk| {
         let me: StoreNode = silvercross_control_store::Node(ip.to_bits());
