--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -179,7 +179,7 @@
             Said::ok()
         }
         Some(CallOutcome::Rejected(refusal)) => {
-            if let Some(n) = node_state.refusals.due(node_state.now()) {
+            if let Some(n) = node_state.refusals.due(node_state.now().as_micros()) {
                 info!(node_state.log, "refused"; "key" => key, "why" => &refusal.reason, "count" => n);
             }
             if let Some(event_stream) = node_state.event_stream.get() {
--- a/crates/daemon/mesh/src/idle_timeout.rs
+++ b/crates/daemon/mesh/src/idle_timeout.rs
@@ -46,12 +46,12 @@
 
 /// Wait for a client's next request; `false`: none comes on this connection.
 pub async fn taken_up(node_state: &Rc<NodeState>, line: &mut Connection) -> bool {
-    let (began, at) = (node_state.now(), Instant::now());
+    let (began, at) = (node_state.now().as_micros(), Instant::now());
     while !line.has_surplus() {
         let span = |now: i64| {
             node_state.idle_timeout.borrow().span(now, node_state.routing_table().limits().idle_us)
         };
-        let idle_timeout = span(node_state.now());
+        let idle_timeout = span(node_state.now().as_micros());
         tokio::select! {
             biased;
             // What has come by its end is looked at first.
@@ -59,7 +59,7 @@
                 Ok(ConnectionEvent::More) => return true,
                 Ok(ConnectionEvent::Closed | ConnectionEvent::Broke) => return false,
                 // A longer limit may hold by now.
-                Err(_) if node_state.now() - began < span(node_state.now()) => {}
+                Err(_) if node_state.now().as_micros() - began < span(node_state.now().as_micros()) => {}
                 Err(_) => return false,
             },
             // Between two requests a process that stops closes at once; clients open new ones.
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -240,7 +240,7 @@
 /// The platform asks once a second and must be told no twice; what was read is answered; then the end, within the grace.
 async fn stop(node_state: &Rc<NodeState>) {
     node_state.begin_stop();
-    let (mut idle_connections_closing, mut last) = (false, node_state.now());
+    let (mut idle_connections_closing, mut last) = (false, node_state.now().as_micros());
     loop {
         tokio::time::sleep(LOOK).await;
         let Some((phase, at)) = node_state.graceful_stop() else { break };
@@ -259,12 +259,12 @@
     node_state.close_idle_connections();
     node_state.close_listeners();
     // A replica that can be replaced stays until it is, for a second loss would leave no majority.
-    while node_state.peers.needed() && node_state.now() < last {
+    while node_state.peers.needed() && node_state.now().as_micros() < last {
         tokio::time::sleep(LOOK / 2).await;
     }
     node_state.peers.leave(node_state);
     tokio::time::sleep(LEAVES).await;
-    while node_state.is_busy() && node_state.now() < last {
+    while node_state.is_busy() && node_state.now().as_micros() < last {
         tokio::time::sleep(LOOK / 2).await;
     }
     info!(node_state.log, "ended"; "open" => node_state.open_requests.get());
--- a/crates/daemon/mesh/src/member_throttle.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -142,7 +142,7 @@
             board.keep(|name| directory.member(name).is_some());
             for (name, (_, lapse)) in self.told.borrow().iter() {
                 if directory.member(name).is_some() {
-                    tell(node_state, name, board.follow(node_state.now(), name, lapse));
+                    tell(node_state, name, board.follow(node_state.now().as_micros(), name, lapse));
                 }
             }
         }
@@ -155,7 +155,7 @@
     pub fn lapse(&self, node_state: &NodeState, key: &str, revision: (u64, u64, u64), lapse: Option<Lapse>) {
         let Some(name) = name_of(key) else { return };
         let lapse = lapse.unwrap_or_default();
-        tell(node_state, name, self.board.borrow_mut().follow(node_state.now(), name, &lapse));
+        tell(node_state, name, self.board.borrow_mut().follow(node_state.now().as_micros(), name, &lapse));
         let epoch = Epoch { round: revision.0, owner: revision.1 as u32 };
         self.told.borrow_mut().insert(name.to_string(), (epoch, lapse));
         self.duty.borrow_mut().stirred.insert(name.to_string());
@@ -197,7 +197,7 @@
 
     /// Look after the lapses whose keys this node owns, and, where it owns the configuration, after those that have none yet.
     fn look(&self, node_state: &Rc<NodeState>) {
-        let now = node_state.now();
+        let now = node_state.now().as_micros();
         let mut duty = self.duty.borrow_mut();
         let duty = &mut *duty;
         if now - duty.read >= READ {
@@ -312,7 +312,7 @@
     if member.plan == Plan::Full {
         return ThrottleDecision::Proceed { standing: None, delayed: 0 };
     }
-    let from = node_state.now();
+    let from = node_state.now().as_micros();
     let standing = members.board.borrow().row(from, member).standing;
     let kind = match route.kind {
         silvercross_mesh_config::Kind::Safe => Kind::Safe,
@@ -339,7 +339,10 @@
     members.waits[tenth].set(members.waits[tenth].get() + 1);
     let _ = tokio::time::timeout(Duration::from_micros(wait as u64), released).await;
     drop(seat);
-    ThrottleDecision::Proceed { standing: Some(standing), delayed: (node_state.now() - from).max(0) }
+    ThrottleDecision::Proceed {
+        standing: Some(standing),
+        delayed: (node_state.now().as_micros() - from).max(0),
+    }
 }
 
 /// The values of a header among lines that go on.
@@ -369,7 +372,7 @@
 
 fn row(node_state: &NodeState, member: &Member, owners: &BTreeMap<String, (u64, u64, u64)>) -> Value {
     let members = &node_state.member_throttle;
-    let row = members.board.borrow().row(node_state.now(), member);
+    let row = members.board.borrow().row(node_state.now().as_micros(), member);
     let due = match member.lapses {
         Some(Lapses::At(at)) => Some(at),
         _ => members
@@ -402,7 +405,7 @@
     });
     let (stand, duty) = (node_state.member_throttle.stand(), node_state.member_throttle.duty.borrow());
     let clock = (node_state.settings.core && stand).then(
-        || json!({ "known": duty.clock.time(node_state.now()).is_some(), "set": duty.clock.stepped(node_state.now()) }),
+        || json!({ "known": duty.clock.time(node_state.now().as_micros()).is_some(), "set": duty.clock.stepped(node_state.now().as_micros()) }),
     );
     json!({ "node": node_state.settings.node, "zone": node_state.settings.zone, "core": node_state.settings.core, "control": node_state.settings.control,
         "header": directory.header(), "clock": clock, "members": rows, "nodes": nodes })
--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -104,7 +104,7 @@
     let parent = node_state.peers.membership(|r| r.parent()).map(|p| address(p.0));
     let linked: Vec<String> =
         node_state.peers.membership(|r| r.linked().iter().map(|n| address(n.0)).collect());
-    let age = node_state.peers.membership(|r| r.news_age(node_state.now()));
+    let age = node_state.peers.membership(|r| r.news_age(node_state.now().as_micros()));
     let keys = node_state.peers.control_store(|l| {
         l.owned_keys()
             .iter()
--- a/crates/daemon/mesh/src/node_state.rs
+++ b/crates/daemon/mesh/src/node_state.rs
@@ -30,6 +30,7 @@
 use rand_pcg::Pcg64Mcg;
 use silvercross_facade::Clock;
 use silvercross_mesh_membership::Record;
+use silvercross_time::Instant;
 use slog::{debug, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -156,9 +157,9 @@
         })
     }
 
-    /// Microseconds on a clock that no step of the time of day moves.
-    pub fn now(&self) -> i64 {
-        self.clock.now()
+    /// The present, on a clock that no step of the time of day moves.
+    pub fn now(&self) -> Instant {
+        Instant::from_micros(self.clock.now())
     }
 
     /// One of a split, drawn by its share.
@@ -199,7 +200,7 @@
         }
         if old.bounds != new.bounds {
             took.push("bounds");
-            let now = self.now();
+            let now = self.now().as_micros();
             self.gate.with_admission(|w| w.bounds(now, new.bounds.of_gate()));
             self.reset_terms();
         }
@@ -208,13 +209,13 @@
 
     /// Look after what only time tells, for as long as the process lives.
     pub async fn watch(self: Rc<Self>) {
-        let mut told = self.now();
+        let mut told = self.now().as_micros();
         let mut roster = Vec::new();
         let mut looked = told;
         let mut went_back = 0;
         loop {
             tokio::time::sleep(Duration::from_millis(300)).await;
-            let now = self.now();
+            let now = self.now().as_micros();
             self.looked.set(now);
             self.look_at_upstream(now);
             let times = self.peers.control_store(|l| l.metrics().went_back).unwrap_or(0);
--- a/crates/daemon/mesh/src/node_state/counters.rs
+++ b/crates/daemon/mesh/src/node_state/counters.rs
@@ -101,7 +101,7 @@
             ConnectionKind::Call => (&c.rejected_calls, "calls"),
         };
         count.set(count.get() + 1);
-        if let Some(n) = self.paces[door as usize].due(self.now()) {
+        if let Some(n) = self.paces[door as usize].due(self.now().as_micros()) {
             warn!(self.log, "connections shut out"; "at" => name, "count" => n);
         }
     }
--- a/crates/daemon/mesh/src/node_state/in_force.rs
+++ b/crates/daemon/mesh/src/node_state/in_force.rs
@@ -67,7 +67,7 @@
             return;
         }
         self.told_ready.set(true);
-        let took = self.now() - self.began;
+        let took = self.now().as_micros() - self.began;
         match self.freshness() {
             Freshness::BoundPassed { .. } => {
                 warn!(self.log, "ready: no majority has told within the bound whether this is current"; "us" => took);
@@ -115,7 +115,7 @@
                 }
                 info!(self.log, "evacuation"; "zone" => zone, "on" => on);
                 if zone == self.settings.zone {
-                    let now = self.now();
+                    let now = self.now().as_micros();
                     self.gate.with_admission(|w| w.evacuated(now, on));
                 }
                 self.relist();
@@ -130,7 +130,9 @@
             force.table = Rc::new(Table::new(configuration));
             force.configured = true;
         }
-        self.idle_timeout.borrow_mut().set_limit(self.now(), self.routing_table().limits().idle_us);
+        self.idle_timeout
+            .borrow_mut()
+            .set_limit(self.now().as_micros(), self.routing_table().limits().idle_us);
         info!(self.log, "configuration in force"; "round" => revision.0, "change" => revision.2);
         self.allow();
         self.reset_terms();
--- a/crates/daemon/mesh/src/node_state/own_upstream.rs
+++ b/crates/daemon/mesh/src/node_state/own_upstream.rs
@@ -100,7 +100,7 @@
         if self.ended.borrow().iter().any(|e| e == id) {
             return false;
         }
-        let now = self.now();
+        let now = self.now().as_micros();
         let (draining, cold) = (beat.draining(), beat.cold());
         let changed = {
             let mut own = self.own.borrow_mut();
@@ -157,7 +157,7 @@
 
     /// The upstream on this machine has signed off.
     pub fn upstream_signed_off(self: &Rc<Self>, id: &str) {
-        let now = self.now();
+        let now = self.now().as_micros();
         remember(&mut self.ended.borrow_mut(), id.to_string());
         let was = self.own.borrow().as_ref().is_some_and(|o| o.station.id == id);
         if was {
@@ -238,7 +238,7 @@
         if let Some(d) = table.destination(&service) {
             let allowance =
                 Allowance { line_cap: d.line_cap, cold_rate: finite(d.cold_rate), cold_span: d.cold_us };
-            let now = self.now();
+            let now = self.now().as_micros();
             self.gate.with_admission(|w| w.allowance(now, allowance));
         }
     }
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -18,8 +18,11 @@
             return;
         }
         info!(self.log, "stopping");
-        let graceful_stop =
-            GracefulStop::new(self.looked.get(), self.now(), self.reloadable.get().bounds.grace.max(0));
+        let graceful_stop = GracefulStop::new(
+            self.looked.get(),
+            self.now().as_micros(),
+            self.reloadable.get().bounds.grace.max(0),
+        );
         for (_, service_balancer) in self.service_balancers() {
             service_balancer.answer_by(graceful_stop.answer_by());
         }
@@ -31,13 +34,13 @@
 
     /// What a process that stops is to do now, and by when it ends whatever is open; `None`: it does not stop.
     pub fn graceful_stop(&self) -> Option<(Phase, i64)> {
-        let (now, busy) = (self.now(), self.is_busy());
+        let (now, busy) = (self.now().as_micros(), self.is_busy());
         self.graceful_stop.borrow_mut().as_mut().map(|e| (e.phase(now, busy), e.last()))
     }
 
     /// The platform asked whether this machine's clients may be given work, and was told no.
     pub fn count_not_ready_reply(&self) {
-        let now = self.now();
+        let now = self.now().as_micros();
         self.graceful_stop.borrow_mut().iter_mut().for_each(|e| e.not_ready_reply(now));
     }
 
--- a/crates/daemon/mesh/src/node_state/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -132,7 +132,8 @@
         let mut colds = self.colds.borrow_mut();
         let own = self.own.borrow();
         let (hosts, renewed) = (BTreeMap::new(), BTreeMap::new());
-        let mut lists = Lists { now: self.now(), force: &force, colds: &mut colds, hosts, renewed };
+        let mut lists =
+            Lists { now: self.now().as_micros(), force: &force, colds: &mut colds, hosts, renewed };
         for r in others.values() {
             if let Some(station) = &r.body.station {
                 lists.add(Ipv4Addr::from_bits(r.node.0), &r.zone, r.life, &r.body, station);
--- a/crates/daemon/mesh/src/peers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -126,27 +126,27 @@
 
     /// Tell the others of this sidecar.
     pub fn tell(&self, node_state: &Rc<NodeState>, body: RecordBody) {
-        self.membership.borrow_mut().tell(node_state.now(), body);
+        self.membership.borrow_mut().tell(node_state.now().as_micros(), body);
         self.pump(node_state);
     }
 
     /// Other seeds than at the start.
     pub fn seeds(&self, node_state: &Rc<NodeState>, seeds: &[u32]) {
         let seeds: Vec<Node> = seeds.iter().map(|s| Node(*s)).collect();
-        self.membership.borrow_mut().seeds(node_state.now(), &seeds);
+        self.membership.borrow_mut().seeds(node_state.now().as_micros(), &seeds);
         self.pump(node_state);
     }
 
     /// This sidecar goes.
     pub fn leave(&self, node_state: &Rc<NodeState>) {
-        self.membership.borrow_mut().leave(node_state.now());
+        self.membership.borrow_mut().leave(node_state.now().as_micros());
         self.pump(node_state);
     }
 
     /// This process is told to stop: its replica is to be replaced while it is still there.
     pub fn leave_replicas(&self, node_state: &Rc<NodeState>) {
         if let Some(l) = &self.ledger {
-            l.borrow_mut().begin_graceful_stop(node_state.now());
+            l.borrow_mut().begin_graceful_stop(node_state.now().as_micros());
         }
         self.pump(node_state);
     }
@@ -160,7 +160,7 @@
     pub fn ask_time(&self, node_state: &Rc<NodeState>) {
         let holders = self.control_store(|l| l.replica_nodes()).unwrap_or_default();
         for holder in holders.into_iter().filter(|h| h.0 != self.me) {
-            self.send(node_state, holder.0, &Frame::Time { asked: node_state.now() });
+            self.send(node_state, holder.0, &Frame::Time { asked: node_state.now().as_micros() });
         }
     }
 
@@ -191,8 +191,8 @@
         let (to, answer) = oneshot::channel();
         self.asked.borrow_mut().insert(token, to);
         match order {
-            Some(order) => store.borrow_mut().call(node_state.now(), token, key, order),
-            None => store.borrow_mut().read(node_state.now(), token, key),
+            Some(order) => store.borrow_mut().call(node_state.now().as_micros(), token, key, order),
+            None => store.borrow_mut().read(node_state.now().as_micros(), token, key),
         }
         (token, answer)
     }
@@ -229,7 +229,7 @@
     pub async fn tick(node_state: Rc<NodeState>) {
         let c = &node_state.peers;
         loop {
-            let now = node_state.now();
+            let now = node_state.now().as_micros();
             let mut wake = c.membership.borrow().wake();
             if let Some(at) = c.ledger.as_ref().and_then(|l| l.borrow().next_deadline()) {
                 wake = wake.min(at);
@@ -237,7 +237,7 @@
             let span = (wake - now).clamp(0, 1_000_000) as u64;
             tokio::select! {
                 _ = tokio::time::sleep(Duration::from_micros(span)) => {
-                    let now = node_state.now();
+                    let now = node_state.now().as_micros();
                     c.membership.borrow_mut().tick(now);
                     if let Some(l) = &c.ledger {
                         l.borrow_mut().tick(now);
@@ -260,17 +260,19 @@
         while let Some(told) = told.recv().await {
             let Some(l) = &c.ledger else { continue };
             match told {
-                DiskEvent::Synced(write) => l.borrow_mut().write_completed(node_state.now(), write),
+                DiskEvent::Synced(write) => {
+                    l.borrow_mut().write_completed(node_state.now().as_micros(), write)
+                }
                 DiskEvent::OutOfSpace(why) => {
                     warn!(node_state.log, "the disk is full: this machine promises nothing and hands its keys over until there is room";
                         "why" => why.as_str(), "mend" => "free room on the disk of dataDir");
                     *c.full.borrow_mut() = Some(why);
-                    l.borrow_mut().set_disk_has_space(node_state.now(), false);
+                    l.borrow_mut().set_disk_has_space(node_state.now().as_micros(), false);
                 }
                 DiskEvent::SpaceAvailable => {
                     info!(node_state.log, "the disk has room again");
                     *c.full.borrow_mut() = None;
-                    l.borrow_mut().set_disk_has_space(node_state.now(), true);
+                    l.borrow_mut().set_disk_has_space(node_state.now().as_micros(), true);
                 }
                 DiskEvent::Failed(why) => return why,
             }
@@ -291,7 +293,11 @@
             let IpAddr::V4(from) = from.ip() else { continue };
             match bitcode::decode::<Datagram>(&room[..n]) {
                 Ok(datagram) => {
-                    c.membership.borrow_mut().datagram(node_state.now(), Node(from.to_bits()), datagram);
+                    c.membership.borrow_mut().datagram(
+                        node_state.now().as_micros(),
+                        Node(from.to_bits()),
+                        datagram,
+                    );
                     c.pump(&node_state);
                 }
                 Err(_) => {
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -31,7 +31,11 @@
                 let node_state = node_state.clone();
                 tokio::task::spawn_local(async move {
                     let revisions = node_state.peers.confirm(&node_state).await;
-                    node_state.peers.membership.borrow_mut().confirmed(node_state.now(), ticket, revisions);
+                    node_state.peers.membership.borrow_mut().confirmed(
+                        node_state.now().as_micros(),
+                        ticket,
+                        revisions,
+                    );
                     node_state.peers.pump(&node_state);
                 });
             }
@@ -53,7 +57,7 @@
         let from = ip(self.me);
         tokio::task::spawn_local(async move {
             let ok = peer_connection::connect(Some(from), to, CONNECT).await.is_some();
-            node_state.peers.membership.borrow_mut().tried(node_state.now(), node, ok);
+            node_state.peers.membership.borrow_mut().tried(node_state.now().as_micros(), node, ok);
             node_state.peers.pump(&node_state);
         });
     }
@@ -66,9 +70,9 @@
         let spare = !told.roster.is_empty() && !told.roster.contains(&record.node.0);
         let up = record.core && !record.gone && !told.leaving && spare;
         let node = silvercross_control_store::Node(record.node.0);
-        l.borrow_mut().set_candidate(node_state.now(), node, up);
+        l.borrow_mut().set_candidate(node_state.now().as_micros(), node, up);
         if record.core {
-            l.borrow_mut().set_stopping(node_state.now(), node, told.leaving);
+            l.borrow_mut().set_stopping(node_state.now().as_micros(), node, told.leaving);
         }
     }
 
@@ -98,7 +102,7 @@
                 let at = told(revision);
                 let value = value.published();
                 let bytes = bitcode::encode(&value);
-                self.membership.borrow_mut().publish(node_state.now(), &key, at, bytes);
+                self.membership.borrow_mut().publish(node_state.now().as_micros(), &key, at, bytes);
                 node_state.apply_control_entry(&key, at, value);
             }
         }
--- a/crates/daemon/mesh/src/peers/isolated_control_tests.rs
+++ b/crates/daemon/mesh/src/peers/isolated_control_tests.rs
@@ -150,7 +150,7 @@
         let alone = process(1, port, Clock::system(), Some(disk_of(1, 1))).await;
         let page = bitcode::encode(&configuration(1));
         let at = (1, u64::from(address(1).to_bits()), 1);
-        alone.peers.membership.borrow_mut().publish(alone.now(), CONFIGURATION, at, page);
+        alone.peers.membership.borrow_mut().publish(alone.now().as_micros(), CONFIGURATION, at, page);
         let ((slow, _), (quick, moved)) = (clock(), clock());
         let waits = process(11, port, slow, None).await;
         let serves = process(12, port, quick, None).await;
--- a/crates/daemon/mesh/src/peers/link.rs
+++ b/crates/daemon/mesh/src/peers/link.rs
@@ -50,7 +50,7 @@
 
     /// No link to this node is left.
     pub(super) fn down(&self, node_state: &Rc<NodeState>, node: u32) {
-        let now = node_state.now();
+        let now = node_state.now().as_micros();
         self.membership.borrow_mut().link_down(now, Node(node));
         if let Some(l) = &self.ledger {
             l.borrow_mut().set_reachable(now, silvercross_control_store::Node(node), false);
@@ -105,7 +105,7 @@
         let (out, waiting) = mpsc::channel(WAITING);
         let (first, waiting_first) = mpsc::channel(WAITING);
         self.links.borrow_mut().entry(node).or_default().push(Link { number, out, first });
-        let now = node_state.now();
+        let now = node_state.now().as_micros();
         self.membership.borrow_mut().link_up(now, Node(node));
         if let Some(l) = &self.ledger {
             l.borrow_mut().set_reachable(now, silvercross_control_store::Node(node), true);
@@ -116,7 +116,7 @@
 
     /// Hand on what came on a link; `false` if it has no place there.
     fn received(&self, node_state: &Rc<NodeState>, node: u32, frame: Frame) -> bool {
-        let now = node_state.now();
+        let now = node_state.now().as_micros();
         match frame {
             Frame::Hello { .. } => return false,
             Frame::Round(letter) => self.membership.borrow_mut().letter(now, Node(node), letter),
--- a/crates/daemon/mesh/src/reload.rs
+++ b/crates/daemon/mesh/src/reload.rs
@@ -118,7 +118,10 @@
             let draining = "{\"destination\":\"quotes\",\"state\":\"draining\",\"slots\":8,\"sequence\":2}";
             node_state.upstream_heartbeat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
             let state = node_state.gate.with_admission(|w| w.station().map(|s| s.state));
-            assert!(matches!(state, Some(State::Draining(until)) if until <= node_state.now()), "{state:?}");
+            assert!(
+                matches!(state, Some(State::Draining(until)) if until <= node_state.now().as_micros()),
+                "{state:?}"
+            );
             write("zone: ''\n");
             assert!(matches!(look(node_state, false), Looked::Unusable(_)));
             assert_eq!(look(node_state, false), Looked::Same);
--- a/crates/daemon/mesh/src/upstream_gate.rs
+++ b/crates/daemon/mesh/src/upstream_gate.rs
@@ -86,11 +86,11 @@
     pub async fn run_timer(node_state: Rc<NodeState>) {
         loop {
             let wake = node_state.gate.admission.borrow().wake();
-            let now = node_state.now();
+            let now = node_state.now().as_micros();
             let span = wake.map_or(5_000_000, |w| (w - now).clamp(0, 5_000_000));
             tokio::select! {
                 _ = tokio::time::sleep(Duration::from_micros(span as u64)) => {
-                    let now = node_state.now();
+                    let now = node_state.now().as_micros();
                     node_state.gate.with_admission(|w| w.tick(now));
                 }
                 _ = node_state.gate.changed.notified() => {}
--- a/crates/daemon/mesh/src/upstream_gate/delivery.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery.rs
@@ -26,7 +26,7 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let (now, number) = (self.node_state.now(), self.number);
+        let (now, number) = (self.node_state.now().as_micros(), self.number);
         self.node_state.gate.with_admission(|w| w.done(now, number));
     }
 }
@@ -41,7 +41,7 @@
 impl Drop for Waits<'_> {
     fn drop(&mut self) {
         if self.waits {
-            let (now, number) = (self.node_state.now(), self.number);
+            let (now, number) = (self.node_state.now().as_micros(), self.number);
             self.node_state.gate.waiting.borrow_mut().remove(&number);
             self.node_state.gate.with_admission(|w| w.gone(now, number));
         }
@@ -69,7 +69,7 @@
     let Some(line) = node_state.pool.acquire(None, station, CONNECT, PeerKind::External(wire::HEAD)).await
     else {
         // A refused connection is a sign that it is gone; its next beat says otherwise.
-        let now = node_state.now();
+        let now = node_state.now().as_micros();
         node_state.gate.with_admission(|w| w.silent(now));
         node_state.mark_upstream_silent();
         return says(GateStatus::Absent);
@@ -79,12 +79,12 @@
         return says(GateStatus::Full(0));
     }
     // While it connected the station may have been shut, or another life begun.
-    let now = node_state.now();
+    let now = node_state.now().as_micros();
     if !node_state.gate.with_admission(|w| w.may_begin(now, number)) {
         return says(GateStatus::Shut);
     }
     let request = request(asked, left, asked.expects.as_deref(), body_buffer, false);
-    let now = node_state.now();
+    let now = node_state.now().as_micros();
     node_state.gate.with_admission(|w| w.begun(now, number));
     replay_entry.iter().for_each(|r| r.begun());
     node_state.counters.delivered_requests.set(node_state.counters.delivered_requests.get() + 1);
@@ -123,7 +123,7 @@
         patience: (bill.aim / PATIENCE).clamp(0, deadline.max(0)),
         deadline,
     };
-    let now = node_state.now();
+    let now = node_state.now().as_micros();
     // The place in the list of those that wait is there before the decider may call it.
     let (to, mut at) = oneshot::channel();
     node_state.gate.waiting.borrow_mut().insert(number, to);
@@ -161,7 +161,7 @@
     place: Place,
     until: Instant,
 ) -> Response {
-    let (now, number) = (node_state.now(), place.number);
+    let (now, number) = (node_state.now().as_micros(), place.number);
     if let Some(left) = answer.cold {
         node_state.gate.with_admission(|w| w.cold(now, left));
     }
