--- a/crates/control/mesh-config/src/configuration.rs
+++ b/crates/control/mesh-config/src/configuration.rs
@@ -7,8 +7,11 @@
 use silvercross_control_store::{Rejection, State};
 
 use crate::history::{Forgotten, ItemKind, Said};
-use crate::items::{host_key, Change, Destination, Entries, Entry, Fault, Item, Limits, Route, Versioned};
-use crate::mutant::{self, Broken};
+use crate::item::{
+    host_key, ClientLimits, ConfigurationChange, ConfigurationError, Destination, Entries, Entry, Item,
+    Route, Versioned,
+};
+use crate::mutation::{self, Mutation};
 use crate::read::same_place;
 
 /// No more items stand at a time; a call that would go beyond is refused whole.
@@ -16,16 +19,16 @@
 
 /// How many drops are remembered by name, so that an older setting of a dropped name does not come back. Beyond it the
 /// drops that were taken first are forgotten here; what is then known of them is in [`crate::History`].
-pub const MAX_DROPPED: usize = 65_536;
+pub const MAX_TOMBSTONES: usize = 65_536;
 
-/// All items that stand, and the editions at which names were dropped. At most [`MAX_ITEMS`] and [`MAX_DROPPED`].
+/// All items that stand, and the editions at which names were dropped. At most [`MAX_ITEMS`] and [`MAX_TOMBSTONES`].
 ///
 /// Two are equal if the same holds in them, whenever it was dropped.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 pub struct Configuration {
     routes: Entries<Route>,
     destinations: Entries<Destination>,
-    limits: Option<Item<Limits>>,
+    limits: Option<Item<ClientLimits>>,
     /// Drops taken so far.
     drops: u64,
 }
@@ -37,28 +40,31 @@
 }
 
 impl State for Configuration {
-    type Change = Change;
+    type Change = ConfigurationChange;
 
     /// The higher edition of each name holds, a lower one changes nothing, and the same edition with other content is a
     /// conflict. What the call would put in force is then checked as a whole. Items that change nothing are not
     /// checked again: a late repeat of an overtaken call stays acknowledged.
-    fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
-        self.take_in(change).map(|taken| taken.is_some())
+    fn apply(&mut self, change: &ConfigurationChange) -> Result<bool, Rejection> {
+        self.merge(change).map(|taken| taken.is_some())
     }
 }
 
 impl Configuration {
     /// The same; `None` if nothing changed, else the drops that were forgotten for it.
-    pub(crate) fn take_in(&mut self, change: &Change) -> Result<Option<Vec<Forgotten>>, Rejection> {
+    pub(crate) fn merge(
+        &mut self,
+        change: &ConfigurationChange,
+    ) -> Result<Option<Vec<Forgotten>>, Rejection> {
         let routes = newer(&self.routes, &change.routes)?;
         let destinations = newer(&self.destinations, &change.destinations)?;
         let limits = match (&self.limits, &change.limits) {
             (_, None) => None,
             (None, new) => new.as_ref(),
-            (Some(old), Some(new)) => match new.parsed.edition.cmp(&old.parsed.edition) {
+            (Some(old), Some(new)) => match new.parsed.version.cmp(&old.parsed.version) {
                 std::cmp::Ordering::Greater => Some(new),
                 std::cmp::Ordering::Equal if old != new => {
-                    return Err(conflict("sizeLimits", new.parsed.edition))
+                    return Err(conflict("sizeLimits", new.parsed.version))
                 }
                 _ => None,
             },
@@ -76,13 +82,13 @@
     }
 
     /// What holds for a name, set or dropped.
-    pub(crate) fn standing(&self, kind: ItemKind, name: &str) -> Option<Said<'_>> {
+    pub(crate) fn current(&self, kind: ItemKind, name: &str) -> Option<Said<'_>> {
         match kind {
             ItemKind::Route => self.routes.get_key_value(name).map(|(name, e)| Said::route(name, e)),
             ItemKind::Destination => {
                 self.destinations.get_key_value(name).map(|(name, e)| Said::destination(name, e))
             }
-            ItemKind::Limits => self.limits.as_ref().map(Said::limits),
+            ItemKind::ClientLimits => self.limits.as_ref().map(Said::limits),
             ItemKind::Member | ItemKind::Membership => None,
         }
     }
@@ -90,20 +96,20 @@
     /// All items that stand, each as it was sent, laid out as `deliver` in a call of the operator.
     pub fn to_json(&self) -> String {
         let mut out = String::from("{\"destinations\":[");
-        join(&mut out, items(&self.destinations).map(|item| item.raw.as_str()));
+        join(&mut out, items(&self.destinations).map(|item| item.raw_json.as_str()));
         out.push(']');
         if let Some(limits) = &self.limits {
             out.push_str(",\"sizeLimits\":");
-            out.push_str(&limits.raw);
+            out.push_str(&limits.raw_json);
         }
         out.push_str(",\"depots\":[");
         let mut depots: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for item in items(&self.routes) {
-            depots.entry(&item.parsed.depot).or_default().push(&item.raw);
+            depots.entry(&item.parsed.virtual_host).or_default().push(&item.raw_json);
         }
-        for (i, (depot, lanes)) in depots.into_iter().enumerate() {
+        for (i, (virtual_host, lanes)) in depots.into_iter().enumerate() {
             out.push_str(if i == 0 { "{\"depot\":" } else { ",{\"depot\":" });
-            out.push_str(&Value::from(depot).to_string());
+            out.push_str(&Value::from(virtual_host).to_string());
             out.push_str(",\"lanes\":[");
             join(&mut out, lanes.into_iter());
             out.push_str("]}");
@@ -123,15 +129,15 @@
     }
 
     /// Names that were dropped and are remembered: what they were, and the edition of the drop.
-    pub fn dropped(&self) -> impl Iterator<Item = (&'static str, &str, u64)> {
+    pub fn tombstones(&self) -> impl Iterator<Item = (&'static str, &str, u64)> {
         let routes = self.routes.iter().filter(|(_, e)| e.item().is_none());
         let destinations = self.destinations.iter().filter(|(_, e)| e.item().is_none());
-        let routes = routes.map(|(name, e)| ("route", name.as_str(), e.edition()));
-        routes.chain(destinations.map(|(name, e)| ("destination", name.as_str(), e.edition())))
+        let routes = routes.map(|(name, e)| ("route", name.as_str(), e.version()));
+        routes.chain(destinations.map(|(name, e)| ("destination", name.as_str(), e.version())))
     }
 
     /// The limits, if any were sent.
-    pub fn limits(&self) -> Option<&Limits> {
+    pub fn limits(&self) -> Option<&ClientLimits> {
         self.limits.as_ref().map(|item| &item.parsed)
     }
 
@@ -151,7 +157,7 @@
         routes: &Newer<Route>,
         destinations: &Newer<Destination>,
         limits: bool,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ConfigurationError> {
         let stands = |name: &str| {
             let entry = destinations.get(name).copied().or_else(|| self.destinations.get(name));
             entry.is_some_and(|entry| entry.item().is_some())
@@ -161,7 +167,7 @@
                 let key = if route.split.len() == 1 { "destination" } else { "split" };
                 let reason =
                     format!("names {name}, which is no destination here (send that destination as well)");
-                return Err(Fault::new(&route.name, key, reason));
+                return Err(ConfigurationError::new(&route.name, key, reason));
             }
         }
         let gone: BTreeSet<&str> =
@@ -171,14 +177,15 @@
                 if let Some((name, _)) = route.split.iter().find(|(name, _)| gone.contains(name.as_str())) {
                     let reason =
                         format!("is withdrawn while route {} names it (move that route first)", route.name);
-                    return Err(Fault::new(name, "name", reason));
+                    return Err(ConfigurationError::new(name, "name", reason));
                 }
             }
         }
         if routes.values().any(|entry| entry.item().is_some()) {
             let mut places = BTreeMap::new();
             for route in resulting(&self.routes, routes) {
-                if let Some(other) = places.insert((host_key(&route.depot), route.lane.as_str()), &route.name)
+                if let Some(other) =
+                    places.insert((host_key(&route.virtual_host), route.path_prefix.as_str()), &route.name)
                 {
                     return Err(same_place(route, other));
                 }
@@ -189,7 +196,7 @@
             + usize::from(limits || self.limits.is_some());
         if count > MAX_ITEMS {
             let reason = format!("would be {count}, above {MAX_ITEMS} (withdraw some first)");
-            return Err(Fault::new("body", "items", reason));
+            return Err(ConfigurationError::new("body", "items", reason));
         }
         Ok(())
     }
@@ -198,9 +205,9 @@
     fn forget(&mut self) -> Vec<Forgotten> {
         let mut forgotten = Vec::new();
         let mut orders: Vec<u64> = orders(&self.routes).chain(orders(&self.destinations)).collect();
-        if orders.len() > MAX_DROPPED {
+        if orders.len() > MAX_TOMBSTONES {
             orders.sort_unstable();
-            let kept = orders[orders.len() - MAX_DROPPED];
+            let kept = orders[orders.len() - MAX_TOMBSTONES];
             retain(ItemKind::Route, &mut self.routes, kept, &mut forgotten);
             retain(ItemKind::Destination, &mut self.destinations, kept, &mut forgotten);
         }
@@ -213,7 +220,7 @@
     entries.retain(|name, entry| {
         let keeps = order(entry).is_none_or(|order| order >= kept);
         if !keeps {
-            forgotten.push(Forgotten { kind, name: name.clone(), edition: entry.edition() });
+            forgotten.push(Forgotten { kind, name: name.clone(), version: entry.version() });
         }
         keeps
     });
@@ -229,10 +236,10 @@
     let mut newer = Newer::new();
     for (name, new) in sent {
         match present.get(name) {
-            Some(old) if new.edition() < old.edition() => {}
-            Some(old) if new.edition() == old.edition() => {
-                if old != new && !mutant::is(Broken::SameVersionTwice) {
-                    return Err(conflict(name, new.edition()));
+            Some(old) if new.version() < old.version() => {}
+            Some(old) if new.version() == old.version() => {
+                if old != new && !mutation::is(Mutation::SameVersionTwice) {
+                    return Err(conflict(name, new.version()));
                 }
             }
             _ => {
@@ -247,9 +254,9 @@
     for (name, new) in newer {
         let entry = match new {
             Entry::Set(item) => Entry::Set(item.clone()),
-            Entry::Dropped { edition, .. } => {
+            Entry::Dropped { version, .. } => {
                 *drops += 1;
-                Entry::Dropped { edition: *edition, order: *drops }
+                Entry::Dropped { version: *version, order: *drops }
             }
         };
         present.insert(name.to_string(), entry);
@@ -286,12 +293,12 @@
     }
 }
 
-pub(crate) fn conflict(name: &str, edition: u64) -> Rejection {
+pub(crate) fn conflict(name: &str, version: u64) -> Rejection {
     let reason =
-        format!("{edition} stands already with other content (read the configuration, raise the edition)");
-    Rejection { conflict: true, reason: Fault::new(name, "edition", reason).to_string() }
+        format!("{version} stands already with other content (read the configuration, raise the edition)");
+    Rejection { conflict: true, reason: ConfigurationError::new(name, "edition", reason).to_string() }
 }
 
-fn invalid(fault: Fault) -> Rejection {
+fn invalid(fault: ConfigurationError) -> Rejection {
     Rejection { conflict: false, reason: fault.to_string() }
 }
--- a/crates/control/mesh-config/src/history.rs
+++ b/crates/control/mesh-config/src/history.rs
@@ -8,12 +8,12 @@
 use siphasher::sip::SipHasher13;
 
 use crate::canonical::canonical;
-use crate::items::{Destination, Entry, Item, Limits, Route};
-use crate::mutant::{self, Broken};
+use crate::item::{ClientLimits, Destination, Entry, Item, Route};
+use crate::mutation::{self, Mutation};
 
 /// So many overtaken versions are remembered at least, the last ones, and at most twice as many: 16 bytes each. What is
 /// older is acknowledged whatever its content is.
-pub const MAX_OVERTAKEN: usize = 8_192;
+pub const MAX_SUPERSEDED: usize = 8_192;
 
 /// Into so many groups names are divided for the drops that are no longer remembered by name.
 const FLOORS: usize = 1_024;
@@ -23,7 +23,7 @@
 pub(crate) enum ItemKind {
     Route = 1,
     Destination = 2,
-    Limits = 3,
+    ClientLimits = 3,
     Member = 4,
     Membership = 5,
 }
@@ -33,7 +33,7 @@
 pub(crate) struct Forgotten {
     pub kind: ItemKind,
     pub name: String,
-    pub edition: u64,
+    pub version: u64,
 }
 
 /// What a call says of an item, or what holds for it.
@@ -41,7 +41,7 @@
 pub(crate) struct Said<'a> {
     pub kind: ItemKind,
     pub name: &'a str,
-    pub edition: u64,
+    pub version: u64,
     /// As it was sent, and what stands beside it; `None` if it is dropped.
     content: Option<(&'a str, &'a str)>,
 }
@@ -49,24 +49,24 @@
 impl<'a> Said<'a> {
     pub fn route(name: &'a str, entry: &'a Entry<Route>) -> Said<'a> {
         // The host stands outside the item.
-        let content = entry.item().map(|item| (item.raw.as_str(), item.parsed.depot.as_str()));
-        Said { kind: ItemKind::Route, name, edition: entry.edition(), content }
+        let content = entry.item().map(|item| (item.raw_json.as_str(), item.parsed.virtual_host.as_str()));
+        Said { kind: ItemKind::Route, name, version: entry.version(), content }
     }
 
     pub fn destination(name: &'a str, entry: &'a Entry<Destination>) -> Said<'a> {
-        let content = entry.item().map(|item| (item.raw.as_str(), ""));
-        Said { kind: ItemKind::Destination, name, edition: entry.edition(), content }
+        let content = entry.item().map(|item| (item.raw_json.as_str(), ""));
+        Said { kind: ItemKind::Destination, name, version: entry.version(), content }
     }
 
-    pub fn limits(item: &'a Item<Limits>) -> Said<'a> {
-        let content = Some((item.raw.as_str(), ""));
-        Said { kind: ItemKind::Limits, name: "", edition: item.parsed.edition, content }
+    pub fn limits(item: &'a Item<ClientLimits>) -> Said<'a> {
+        let content = Some((item.raw_json.as_str(), ""));
+        Said { kind: ItemKind::ClientLimits, name: "", version: item.parsed.version, content }
     }
 
-    pub fn member(stated: silvercross_throttle::Stated<'a>) -> Said<'a> {
-        let kind = if stated.name.is_some() { ItemKind::Member } else { ItemKind::Membership };
-        let content = stated.raw.map(|raw| (raw, ""));
-        Said { kind, name: stated.name.unwrap_or_default(), edition: stated.edition, content }
+    pub fn member(item_versions: silvercross_throttle::MemberItemVersion<'a>) -> Said<'a> {
+        let kind = if item_versions.name.is_some() { ItemKind::Member } else { ItemKind::Membership };
+        let content = item_versions.raw_json.map(|raw_json| (raw_json, ""));
+        Said { kind, name: item_versions.name.unwrap_or_default(), version: item_versions.version, content }
     }
 
     pub fn is_drop(&self) -> bool {
@@ -75,16 +75,16 @@
 
     /// One number for this version of this item.
     fn version(&self) -> u64 {
-        hashed(&[&[self.kind as u8], self.name.as_bytes(), &self.edition.to_le_bytes()])
+        hashed(&[&[self.kind as u8], self.name.as_bytes(), &self.version.to_le_bytes()])
     }
 
     /// One number for its content: the same for all ways to write it.
     fn content(&self) -> u64 {
         match self.content {
             None => hashed(&[]),
-            Some((raw, beside)) => match canonical(raw) {
+            Some((raw_json, beside)) => match canonical(raw_json) {
                 Some(text) => hashed(&[text.as_bytes(), beside.as_bytes()]),
-                None => hashed(&[raw.as_bytes(), beside.as_bytes()]),
+                None => hashed(&[raw_json.as_bytes(), beside.as_bytes()]),
             },
         }
     }
@@ -103,10 +103,10 @@
 /// What is remembered of a version that was overtaken.
 pub(crate) type Note = (u64, u64);
 
-/// What was taken and does not stand any more. At most twice [`MAX_OVERTAKEN`] versions and 1,024 floors, about 270 KB.
+/// What was taken and does not stand any more. At most twice [`MAX_SUPERSEDED`] versions and 1,024 floors, about 270 KB.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct History {
-    /// By version, the content. At most [`MAX_OVERTAKEN`]; when full it takes the place of `before`.
+    /// By version, the content. At most [`MAX_SUPERSEDED`]; when full it takes the place of `before`.
     recent: BTreeMap<u64, u64>,
     before: BTreeMap<u64, u64>,
     /// For each group of names the highest version of the drops that are no longer remembered by name. Empty until the
@@ -124,7 +124,7 @@
     pub(crate) fn taken(&self, said: &Said) -> Option<bool> {
         let version = said.version();
         let content = self.recent.get(&version).or_else(|| self.before.get(&version))?;
-        (!mutant::is(Broken::OvertakenForgotten)).then(|| *content == said.content())
+        (!mutation::is(Mutation::OvertakenForgotten)).then(|| *content == said.content())
     }
 
     pub(crate) fn note(said: &Said) -> Note {
@@ -139,7 +139,7 @@
                 continue;
             }
             new = true;
-            if self.recent.len() >= MAX_OVERTAKEN {
+            if self.recent.len() >= MAX_SUPERSEDED {
                 self.before = std::mem::take(&mut self.recent);
             }
             self.recent.insert(version, content);
@@ -153,13 +153,13 @@
             self.floors = vec![None; FLOORS];
         }
         let floor = &mut self.floors[group(drop.kind, &drop.name)];
-        *floor = (*floor).max(Some(drop.edition));
+        *floor = (*floor).max(Some(drop.version));
     }
 
     /// The highest version at which this name, of which nothing is known, may have been dropped.
     pub(crate) fn floor(&self, said: &Said) -> Option<u64> {
         let floor = self.floors.get(group(said.kind, said.name)).copied().flatten();
-        floor.filter(|_| !mutant::is(Broken::DropsForgotten))
+        floor.filter(|_| !mutation::is(Mutation::DropsForgotten))
     }
 }
 
--- a/crates/control/mesh-config/src/items.rs
+++ b/crates/control/mesh-config/src/item.rs
@@ -10,11 +10,11 @@
 use crate::history::{ItemKind, Said};
 
 /// No time in an item is longer (about 31 years): longer ones are cut to it, so that sums of times never overflow.
-pub const MAX_TIME_US: i64 = 1_000_000_000_000_000;
+pub const MAX_DURATION: i64 = 1_000_000_000_000_000;
 
 /// What may be done with a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Safe,
     /// Runs at most once for each try.
@@ -23,51 +23,51 @@
     Upload,
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request of this kind may run more than once.
-    pub fn repeatable(self) -> bool {
-        self == Kind::Safe
+    pub fn is_idempotent(self) -> bool {
+        self == RouteKind::Safe
     }
 
     /// The operator's word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Safe => "safe",
-            Kind::Unsafe => "unsafe",
-            Kind::Upload => "upload",
+            RouteKind::Safe => "safe",
+            RouteKind::Unsafe => "unsafe",
+            RouteKind::Upload => "upload",
         }
     }
 
     /// The kind an operator's word stands for.
-    pub fn from_word(word: &str) -> Option<Kind> {
-        [Kind::Safe, Kind::Unsafe, Kind::Upload].into_iter().find(|k| k.word() == word)
+    pub fn parse(as_str: &str) -> Option<RouteKind> {
+        [RouteKind::Safe, RouteKind::Unsafe, RouteKind::Upload].into_iter().find(|k| k.as_str() == as_str)
     }
 }
 
-/// Requests of one host whose path begins with `lane`.
+/// Requests of one host whose path begins with `path_prefix`.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
     /// Its identity: a route that moves to another depot or lane stays the same item.
     pub name: String,
     /// The host, as the operator wrote it.
-    pub depot: String,
+    pub virtual_host: String,
     /// What the path begins with; begins and ends with a slash.
-    pub lane: String,
+    pub path_prefix: String,
     /// What may be done with its requests.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest time a request is held; above 0.
-    pub deadline_us: i64,
+    pub deadline: i64,
     /// The time within which an answer has its full worth; above 0. The deadline where none was sent.
-    pub target_us: i64,
+    pub latency_target: i64,
     /// Its rank; 0 is the highest.
     pub priority: u32,
     /// To how many upstreams one try may be sent; at least 1.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Destinations and their shares, of which one at least is above 0; one entry of share 1 where the operator named
-    /// a single destination. In a [`Table`](crate::Table) all shares are above 0.
+    /// a single destination. In a [`RoutingTable`](crate::Table) all shares are above 0.
     pub split: Vec<(String, f64)>,
     /// The item's version.
-    pub edition: u64,
+    pub version: u64,
     /// The regions its requests may be served in; empty where none are named.
     pub regions: Vec<String>,
 }
@@ -80,50 +80,50 @@
     /// Where a probe asks whether an upstream is well. `/health` where none was sent.
     pub health_path: String,
     /// How many connections an upstream accepts from all callers together; at least 1. `u32::MAX` where none was sent.
-    pub line_cap: u32,
+    pub max_connections: u32,
     /// How long an upstream stays cold after a start; 0 where none was sent.
-    pub cold_us: i64,
+    pub slow_start: i64,
     /// Requests a second that a cold upstream bears. Infinite where none was sent.
-    pub cold_rate: f64,
+    pub slow_start_rate: f64,
     /// The item's version.
-    pub edition: u64,
+    pub version: u64,
     /// What its upstreams speak; `h1` where none was sent.
     pub protocol: String,
     /// Whether its upstreams want the connection sealed.
-    pub sealed: bool,
+    pub tls: bool,
 }
 
 /// What a client may send, and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Limits {
+pub struct ClientLimits {
     /// Bytes of a request's head.
-    pub envelope_bytes: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request's body.
-    pub content_bytes: u64,
+    pub max_body_bytes: u64,
     /// Time for a request's head to come in.
-    pub envelope_us: i64,
+    pub head_timeout: i64,
     /// Time a connection may stay idle.
-    pub idle_us: i64,
+    pub idle_timeout: i64,
     /// The item's version.
-    pub edition: u64,
+    pub version: u64,
 }
 
-impl Default for Limits {
+impl Default for ClientLimits {
     /// What holds until an operator sends limits: wide, so that nothing proper is turned away.
     fn default() -> Self {
-        Limits {
-            envelope_bytes: 64 << 10,
-            content_bytes: 256 << 20,
-            envelope_us: 10_000_000,
-            idle_us: 60_000_000,
-            edition: 0,
+        ClientLimits {
+            max_head_bytes: 64 << 10,
+            max_body_bytes: 256 << 20,
+            head_timeout: 10_000_000,
+            idle_timeout: 60_000_000,
+            version: 0,
         }
     }
 }
 
 /// What is wrong with a call: where, why, and what mends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigurationError {
     /// The item's name, its position (`depots[0].lanes[2]`) where it has none, or `body`.
     pub item: String,
     /// The key in the item.
@@ -132,40 +132,40 @@
     pub reason: String,
 }
 
-impl Fault {
+impl ConfigurationError {
     pub(crate) fn new(item: impl Into<String>, key: impl Into<String>, reason: impl Into<String>) -> Self {
-        Fault { item: item.into(), key: key.into(), reason: reason.into() }
+        ConfigurationError { item: item.into(), key: key.into(), reason: reason.into() }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigurationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "item {}, key {}: {}", self.item, self.key, self.reason)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigurationError {}
 
 /// An item's version.
 pub(crate) trait Versioned {
-    fn edition(&self) -> u64;
+    fn version(&self) -> u64;
 }
 
 impl Versioned for Route {
-    fn edition(&self) -> u64 {
-        self.edition
+    fn version(&self) -> u64 {
+        self.version
     }
 }
 
 impl Versioned for Destination {
-    fn edition(&self) -> u64 {
-        self.edition
+    fn version(&self) -> u64 {
+        self.version
     }
 }
 
-impl Versioned for Limits {
-    fn edition(&self) -> u64 {
-        self.edition
+impl Versioned for ClientLimits {
+    fn version(&self) -> u64 {
+        self.version
     }
 }
 
@@ -174,14 +174,14 @@
 pub(crate) struct Item<T> {
     pub parsed: T,
     /// Its JSON, without blanks.
-    pub raw: String,
+    pub raw_json: String,
 }
 
 impl<T: PartialEq> PartialEq for Item<T> {
     /// The same content: order of keys and the way a number is written don't matter.
     fn eq(&self, other: &Self) -> bool {
         self.parsed == other.parsed
-            && (self.raw == other.raw || canonical(&self.raw) == canonical(&other.raw))
+            && (self.raw_json == other.raw_json || canonical(&self.raw_json) == canonical(&other.raw_json))
     }
 }
 
@@ -191,7 +191,7 @@
     Set(Item<T>),
     /// Kept so that an older setting of the name does not come back. `order` counts the drops of a configuration.
     Dropped {
-        edition: u64,
+        version: u64,
         order: u64,
     },
 }
@@ -201,17 +201,17 @@
     fn eq(&self, other: &Self) -> bool {
         match (self, other) {
             (Entry::Set(a), Entry::Set(b)) => a == b,
-            (Entry::Dropped { edition: a, .. }, Entry::Dropped { edition: b, .. }) => a == b,
+            (Entry::Dropped { version: a, .. }, Entry::Dropped { version: b, .. }) => a == b,
             _ => false,
         }
     }
 }
 
 impl<T: Versioned> Entry<T> {
-    pub fn edition(&self) -> u64 {
+    pub fn version(&self) -> u64 {
         match self {
-            Entry::Set(item) => item.parsed.edition(),
-            Entry::Dropped { edition, .. } => *edition,
+            Entry::Set(item) => item.parsed.version(),
+            Entry::Dropped { version, .. } => *version,
         }
     }
 }
@@ -233,17 +233,17 @@
 pub(crate) type Entries<T> = BTreeMap<String, Entry<T>>;
 
 /// One call of the operator, checked as far as it can be without the present configuration. Holds at most what a body
-/// of [`crate::MAX_BODY`] bytes says.
+/// of [`crate::MAX_BODY_BYTES`] bytes says.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct Change {
+pub struct ConfigurationChange {
     pub(crate) routes: Entries<Route>,
     pub(crate) destinations: Entries<Destination>,
-    pub(crate) limits: Option<Item<Limits>>,
+    pub(crate) limits: Option<Item<ClientLimits>>,
 }
 
-impl Change {
+impl ConfigurationChange {
     /// Without these items.
-    pub(crate) fn without(&self, known: &[(ItemKind, &str)]) -> Change {
+    pub(crate) fn without(&self, known: &[(ItemKind, &str)]) -> ConfigurationChange {
         let mut rest = self.clone();
         for (kind, name) in known {
             match kind {
--- a/crates/control/mesh-config/src/lib.rs
+++ b/crates/control/mesh-config/src/lib.rs
@@ -1,23 +1,27 @@
-//! The mesh's configuration, decided without I/O: the items an operator sends ([`read_patch`]), what of them is in
-//! force ([`Configuration`]: the highest edition of each name holds, whether it sets or drops; [`Whole`] once members
-//! were sent; [`Tracked`] with what stood before) and where a request goes ([`Table`]).
+//! The mesh's configuration, decided without I/O: the items an operator sends ([`parse_change`]), what of them is in
+//! force ([`Configuration`]: the highest edition of each name holds, whether it sets or drops; [`ConfigurationWithMembers`] once members
+//! were sent; [`VersionedConfiguration`] with what stood before) and where a request goes ([`RoutingTable`]).
 #![forbid(unsafe_code)]
 
 mod canonical;
 mod configuration;
 mod history;
-mod items;
+mod item;
 #[doc(hidden)]
-pub mod mutant;
+pub mod mutation;
 mod read;
-mod table;
-mod tracked;
-mod whole;
+mod routing_table;
+mod versioned;
+mod with_members;
 
-pub use configuration::{Configuration, MAX_DROPPED, MAX_ITEMS};
-pub use history::{History, MAX_OVERTAKEN};
-pub use items::{Change, Destination, Fault, Kind, Limits, Route, MAX_TIME_US};
-pub use read::{read_call, read_patch, MAX_BODY, MAX_NAME};
-pub use table::Table;
-pub use tracked::Tracked;
-pub use whole::{Call, Whole, MAX_MEMBERS, MAX_MEMBER_NAME, MAX_ROLL};
+pub use configuration::{Configuration, MAX_ITEMS, MAX_TOMBSTONES};
+pub use history::{History, MAX_SUPERSEDED};
+pub use item::{
+    ClientLimits, ConfigurationChange, ConfigurationError, Destination, Route, RouteKind, MAX_DURATION,
+};
+pub use read::{parse_change, parse_update, MAX_BODY_BYTES, MAX_NAME_BYTES};
+pub use routing_table::RoutingTable;
+pub use versioned::VersionedConfiguration;
+pub use with_members::{
+    ConfigurationUpdate, ConfigurationWithMembers, MAX_MEMBERS, MAX_MEMBER_LIST_BYTES, MAX_MEMBER_NAME_BYTES,
+};
--- a/crates/control/mesh-config/src/mutant.rs
+++ b/crates/control/mesh-config/src/mutation.rs
@@ -4,7 +4,7 @@
 
 /// How applying a call is broken on purpose; without the feature `mutants` nothing heeds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum Mutation {
     /// Of two calls under one version both are done.
     SameVersionTwice,
     /// What was overtaken is not remembered: of two calls under one overtaken version both are done.
@@ -18,16 +18,16 @@
 }
 
 thread_local! {
-    static BROKEN: Cell<Option<Broken>> = const { Cell::new(None) };
+    static BROKEN: Cell<Option<Mutation>> = const { Cell::new(None) };
 }
 
 /// Breaks a rule on this thread until it is called again.
 #[cfg(feature = "mutants")]
 #[doc(hidden)]
-pub fn break_it(broken: Option<Broken>) {
+pub fn set_mutation(broken: Option<Mutation>) {
     BROKEN.set(broken);
 }
 
-pub(crate) fn is(broken: Broken) -> bool {
+pub(crate) fn is(broken: Mutation) -> bool {
     cfg!(feature = "mutants") && BROKEN.get() == Some(broken)
 }
--- a/crates/control/mesh-config/src/tracked.rs
+++ b/crates/control/mesh-config/src/versioned.rs
@@ -2,13 +2,13 @@
 
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Rejection, State};
-use silvercross_throttle::Sent;
+use silvercross_throttle::MemberListChange;
 
 use crate::configuration::conflict;
 use crate::history::{History, ItemKind, Note, Said};
-use crate::items::{Change, Fault};
-use crate::mutant::{self, Broken};
-use crate::whole::{Call, Whole};
+use crate::item::{ConfigurationChange, ConfigurationError};
+use crate::mutation::{self, Mutation};
+use crate::with_members::{ConfigurationUpdate, ConfigurationWithMembers};
 
 /// Everything that stands, and the versions that were taken before.
 ///
@@ -16,18 +16,18 @@
 /// conflict while that version stands, and also once it was overtaken. A call that was taken is done again and changes
 /// nothing: each of its items stands, or was overtaken with this content.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct Tracked {
+pub struct VersionedConfiguration {
     /// What stands.
-    pub whole: Whole,
+    pub current: ConfigurationWithMembers,
     /// What stood.
     pub history: History,
 }
 
-impl State for Tracked {
-    type Change = Call;
+impl State for VersionedConfiguration {
+    type Change = ConfigurationUpdate;
 
-    fn apply(&mut self, call: &Call) -> Result<bool, Rejection> {
-        self.take(&call.change, &call.members)
+    fn apply(&mut self, call: &ConfigurationUpdate) -> Result<bool, Rejection> {
+        self.take(&call.configuration, &call.members)
     }
 }
 
@@ -40,22 +40,26 @@
     gone: Vec<(ItemKind, &'a str)>,
 }
 
-impl Tracked {
+impl VersionedConfiguration {
     /// Apply a call whole or not at all, as [`State::apply`].
-    pub fn take(&mut self, change: &Change, members: &Sent) -> Result<bool, Rejection> {
+    pub fn take(
+        &mut self,
+        change: &ConfigurationChange,
+        members: &MemberListChange,
+    ) -> Result<bool, Rejection> {
         let mut review = Review::default();
-        for said in change.said().chain(members.stated().map(Said::member)) {
+        for said in change.said().chain(members.item_versions().map(Said::member)) {
             self.review(said, &mut review)?;
         }
-        if mutant::is(Broken::NotesRefused) {
+        if mutation::is(Mutation::NotesRefused) {
             self.history.remember(review.overtaken.clone());
         }
         let taken = if review.gone.is_empty() {
-            self.whole.take_in(change, members)?
+            self.current.merge(change, members)?
         } else {
             let names = review.gone.iter().filter(|(kind, _)| *kind == ItemKind::Member);
             let members = members.without(names.map(|(_, name)| *name));
-            self.whole.take_in(&change.without(&review.gone), &members)?
+            self.current.merge(&change.without(&review.gone), &members)?
         };
         let remembered = self.history.remember(review.overtaken);
         for drop in taken.iter().flatten() {
@@ -65,14 +69,14 @@
     }
 
     fn review<'a>(&self, said: Said<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
-        let Some(standing) = self.whole.standing(said.kind, said.name) else {
+        let Some(standing) = self.current.current(said.kind, said.name) else {
             return self.review_unknown(said, review);
         };
-        if said.edition > standing.edition {
+        if said.version > standing.version {
             review.overtaken.push(History::note(&standing));
-        } else if said.edition < standing.edition {
-            if self.history.taken(&said) == Some(false) || mutant::is(Broken::RefusesRepeat) {
-                return Err(conflict(said.name, said.edition));
+        } else if said.version < standing.version {
+            if self.history.taken(&said) == Some(false) || mutation::is(Mutation::RefusesRepeat) {
+                return Err(conflict(said.name, said.version));
             }
             review.overtaken.push(History::note(&said));
         }
@@ -81,11 +85,11 @@
 
     /// Nothing is known of the name: it is new, or its drop is no longer remembered by name.
     fn review_unknown<'a>(&self, said: Said<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
-        let Some(floor) = self.history.floor(&said).filter(|floor| said.edition <= *floor) else {
+        let Some(floor) = self.history.floor(&said).filter(|floor| said.version <= *floor) else {
             return Ok(());
         };
         match self.history.taken(&said) {
-            Some(false) => return Err(conflict(said.name, said.edition)),
+            Some(false) => return Err(conflict(said.name, said.version)),
             // Whatever it was, it does not come back. A drop finds nothing to drop.
             Some(true) => {}
             None if said.is_drop() => {}
@@ -93,9 +97,9 @@
                 let reason = format!(
                     "{} is not above {floor}, up to which names like it were dropped and are no longer known (raise the \
                      edition above that)",
-                    said.edition
+                    said.version
                 );
-                let reason = Fault::new(said.name, "edition", reason).to_string();
+                let reason = ConfigurationError::new(said.name, "edition", reason).to_string();
                 return Err(Rejection { conflict: true, reason });
             }
         }
--- a/crates/control/mesh-config/tests/capacity.rs
+++ b/crates/control/mesh-config/tests/capacity.rs
@@ -3,7 +3,7 @@
 
 use serde_json::{json, Value};
 use silvercross_control_store::State;
-use silvercross_mesh_config::{read_patch, Change, Configuration, Table};
+use silvercross_mesh_config::{parse_change, Configuration, ConfigurationChange, RoutingTable};
 use std::time::Instant;
 
 /// Services, routes and remembered drops of each row; the last but one is the size that is expected in two years.
@@ -14,14 +14,14 @@
 /// Times that a step is repeated for its mean.
 const REPEATS: u32 = 20;
 
-fn patch(body: &Value) -> Change {
-    read_patch(body.to_string().as_bytes()).expect("a valid call")
+fn patch(body: &Value) -> ConfigurationChange {
+    parse_change(body.to_string().as_bytes()).expect("a valid call")
 }
 
-fn lane(index: usize, service: usize, edition: u64) -> Value {
+fn path_prefix(index: usize, service: usize, version: u64) -> Value {
     json!({"name": format!("r-{index:05}"), "lane": format!("/service-{service}/part-{index}/"), "routeKind": "safe",
         "deadlineS": 4, "targetS": 0.6, "priority": 2, "destination": format!("service-{service:04}"), "attempts": 2,
-        "edition": edition})
+        "edition": version})
 }
 
 fn destination(index: usize) -> Value {
@@ -35,7 +35,7 @@
     for some in all.chunks(CALL) {
         made.apply(&patch(&json!({"deliver": {"destinations": some}}))).expect("taken");
     }
-    let all: Vec<Value> = (0..routes).map(|index| lane(index, index % services, 1)).collect();
+    let all: Vec<Value> = (0..routes).map(|index| path_prefix(index, index % services, 1)).collect();
     for some in all.chunks(CALL) {
         let depots = json!([{"depot": "shop.example", "lanes": some}]);
         made.apply(&patch(&json!({"deliver": {"depots": depots}}))).expect("taken");
@@ -64,7 +64,7 @@
     for (services, routes, drops) in SIZES {
         let made = configuration(services, routes, drops);
         let bytes = bitcode::encode(&made);
-        let depots = json!([{"depot": "shop.example", "lanes": [lane(0, 1, 2)]}]);
+        let depots = json!([{"depot": "shop.example", "lanes": [path_prefix(0, 1, 2)]}]);
         let change = patch(&json!({"deliver": {"depots": depots}}));
         let apply = micros(|| {
             let mut tried = made.clone();
@@ -72,7 +72,7 @@
         });
         let encode = micros(|| drop(bitcode::encode(&made)));
         let decode = micros(|| drop(bitcode::decode::<Configuration>(&bytes).expect("readable")));
-        let table = micros(|| drop(Table::new(&made)));
+        let table = micros(|| drop(RoutingTable::new(&made)));
         println!(
             "{services:>4} {routes:>5} {drops:>6} | {:>9} | {:>5} | {apply:>8.0} {encode:>8.0} {decode:>8.0} {table:>8.0}",
             bytes.len(),
--- a/crates/control/mesh-config/tests/repeats/main.rs
+++ b/crates/control/mesh-config/tests/repeats/main.rs
@@ -9,40 +9,42 @@
 use serde_json::{json, Value};
 use silvercross_control_store::State;
 #[cfg(feature = "mutants")]
-use silvercross_mesh_config::mutant::Broken;
-use silvercross_mesh_config::{read_call, Call, Tracked, MAX_DROPPED, MAX_ITEMS, MAX_OVERTAKEN};
+use silvercross_mesh_config::mutation::Mutation;
+use silvercross_mesh_config::{
+    parse_update, ConfigurationUpdate, VersionedConfiguration, MAX_ITEMS, MAX_SUPERSEDED, MAX_TOMBSTONES,
+};
 
-fn call(body: Value) -> Call {
-    read_call(body.to_string().as_bytes()).unwrap()
+fn call(body: Value) -> ConfigurationUpdate {
+    parse_update(body.to_string().as_bytes()).unwrap()
 }
 
-fn service(name: &str, edition: u64, path: &str) -> Value {
-    json!({"name": name, "healthPath": path, "edition": edition})
+fn service(name: &str, version: u64, path: &str) -> Value {
+    json!({"name": name, "healthPath": path, "edition": version})
 }
 
-fn route(name: &str, edition: u64, to: &str, deadline: f64) -> Value {
-    let lane = format!("/{name}/");
-    json!({"name": name, "lane": lane, "routeKind": "safe", "deadlineS": deadline, "destination": to, "edition": edition})
+fn route(name: &str, version: u64, to: &str, deadline: f64) -> Value {
+    let path_prefix = format!("/{name}/");
+    json!({"name": name, "lane": path_prefix, "routeKind": "safe", "deadlineS": deadline, "destination": to, "edition": version})
 }
 
 fn set(services: &[Value], routes: &[Value]) -> Value {
     json!({"deliver": {"destinations": services, "depots": [{"depot": "x.example", "lanes": routes}]}})
 }
 
-fn drop(list: &str, name: &str, edition: u64) -> Value {
-    json!({"withdraw": {list: [{"name": name, "edition": edition}]}})
+fn drop(list: &str, name: &str, version: u64) -> Value {
+    json!({"withdraw": {list: [{"name": name, "edition": version}]}})
 }
 
-fn member(edition: u64, key: &str) -> Value {
-    json!({"deliver": {"members": [{"name": "ana", "key": key, "plan": "full", "edition": edition}]}})
+fn member(version: u64, key: &str) -> Value {
+    json!({"deliver": {"members": [{"name": "ana", "key": key, "plan": "full", "edition": version}]}})
 }
 
-fn limits(edition: u64, idle: Value) -> Value {
-    json!({"deliver": {"sizeLimits": {"idleS": idle, "edition": edition}}})
+fn limits(version: u64, idle: Value) -> Value {
+    json!({"deliver": {"sizeLimits": {"idleS": idle, "edition": version}}})
 }
 
 /// What is said; a refusal leaves nothing behind.
-fn say(state: &mut Tracked, call: &Call) -> Said {
+fn say(state: &mut VersionedConfiguration, call: &ConfigurationUpdate) -> Said {
     let before = state.clone();
     match state.apply(call) {
         Ok(changed) => {
@@ -66,7 +68,7 @@
 
 #[test]
 fn a_table_of_calls_and_repeats() {
-    let a = |edition, path| set(&[service("a", edition, path)], &[]);
+    let a = |version, path| set(&[service("a", version, path)], &[]);
     let to_b = || set(&[service("b", 1, "/b")], &[route("r", 5, "b", 1.0)]);
     let moved = || set(&[], &[route("r", 6, "a", 1.0)]);
     let cases: Vec<(&str, Vec<(Value, Said)>)> = vec![
@@ -221,7 +223,7 @@
         ),
     ];
     for (name, calls) in cases {
-        let mut state = Tracked::default();
+        let mut state = VersionedConfiguration::default();
         for (at, (body, said)) in calls.into_iter().enumerate() {
             assert_eq!(say(&mut state, &call(body)), said, "{name}, call {at}");
             // What is on disk and on the links goes on as this does.
@@ -230,9 +232,9 @@
     }
 }
 
-fn many_drops(from: usize, to: usize, edition: u64) -> Call {
+fn many_drops(from: usize, to: usize, version: u64) -> ConfigurationUpdate {
     let names: Vec<Value> =
-        (from..to).map(|i| json!({"name": format!("n{i}"), "edition": edition})).collect();
+        (from..to).map(|i| json!({"name": format!("n{i}"), "edition": version})).collect();
     call(json!({"withdraw": {"routes": names}}))
 }
 
@@ -246,15 +248,15 @@
         let first = call(first);
         let name = if list == "members" { "ana" } else { "a" };
         let named = format!("\"name\":\"{name}\"");
-        let mut state = Tracked::default();
+        let mut state = VersionedConfiguration::default();
         assert_eq!(say(&mut state, &first), Done);
         assert_eq!(say(&mut state, &call(drop(list, name, 7))), Done);
         if list == "members" {
             let names: Vec<Value> =
-                (0..MAX_DROPPED).map(|i| json!({"name": format!("n{i}"), "edition": 2})).collect();
+                (0..MAX_TOMBSTONES).map(|i| json!({"name": format!("n{i}"), "edition": 2})).collect();
             assert_eq!(say(&mut state, &call(json!({"withdraw": {"members": names}}))), Done);
         } else {
-            assert_eq!(say(&mut state, &many_drops(0, MAX_DROPPED, 2)), Done);
+            assert_eq!(say(&mut state, &many_drops(0, MAX_TOMBSTONES, 2)), Done);
         }
         let forgotten = state.clone();
         // Both were taken: acknowledged again, and nothing comes of it.
@@ -263,11 +265,11 @@
         // Not known, and no higher: it may have been dropped, so it is not taken, and the operator is told what to do.
         assert_eq!(say(&mut state, &call(second)), Conflict);
         assert_eq!(state, forgotten);
-        assert!(!state.whole.to_json().contains(&named));
+        assert!(!state.current.to_json().contains(&named));
         // A later one is taken as always.
         let later = if list == "members" { member(8, "k") } else { set(&[service("a", 8, "/x")], &[]) };
         assert_eq!(say(&mut state, &call(later)), Done);
-        assert!(state.whole.to_json().contains(&named));
+        assert!(state.current.to_json().contains(&named));
         assert_eq!(say(&mut state, &first), Again);
     }
 }
@@ -275,9 +277,9 @@
 /// Few names share the floor of a drop that was forgotten: others are taken at any version.
 #[test]
 fn one_forgotten_drop_holds_up_few_other_names() {
-    let mut state = Tracked::default();
+    let mut state = VersionedConfiguration::default();
     assert_eq!(say(&mut state, &call(drop("routes", "high", u64::MAX))), Done);
-    assert_eq!(say(&mut state, &many_drops(0, MAX_DROPPED, 1)), Done);
+    assert_eq!(say(&mut state, &many_drops(0, MAX_TOMBSTONES, 1)), Done);
     let taken = (0..500).filter(|i| {
         let body = set(&[service(&format!("d{i}"), 1, "/x")], &[]);
         state.apply(&call(body)).is_ok()
@@ -288,29 +290,29 @@
 /// As many as stand are overtaken by one call: the last of them are still known, and all are acknowledged again.
 #[test]
 fn what_is_remembered_is_bounded() {
-    let all = |edition: u64| {
+    let all = |version: u64| {
         let services: Vec<Value> =
-            (0..MAX_ITEMS).map(|i| service(&format!("d{i:05}"), edition, "/x")).collect();
+            (0..MAX_ITEMS).map(|i| service(&format!("d{i:05}"), version, "/x")).collect();
         call(set(&services, &[]))
     };
-    let mut state = Tracked::default();
+    let mut state = VersionedConfiguration::default();
     let mut sizes = BTreeSet::new();
-    for edition in 1..=4 {
-        assert_eq!(say(&mut state, &all(edition)), Done);
+    for version in 1..=4 {
+        assert_eq!(say(&mut state, &all(version)), Done);
         sizes.insert(bitcode::encode(&state.history).len());
     }
-    assert!(*sizes.last().unwrap() <= 2 * MAX_OVERTAKEN * 16 + 64, "{sizes:?}");
-    let other = |i: usize, edition| call(set(&[service(&format!("d{i:05}"), edition, "/y")], &[]));
+    assert!(*sizes.last().unwrap() <= 2 * MAX_SUPERSEDED * 16 + 64, "{sizes:?}");
+    let other = |i: usize, version| call(set(&[service(&format!("d{i:05}"), version, "/y")], &[]));
     assert_eq!(say(&mut state.clone(), &other(MAX_ITEMS - 1, 3)), Conflict);
-    assert_eq!(say(&mut state.clone(), &other(MAX_ITEMS - MAX_OVERTAKEN, 3)), Conflict);
-    for edition in 1..=4 {
-        assert!(matches!(say(&mut state.clone(), &all(edition)), Done | Again), "{edition}");
+    assert_eq!(say(&mut state.clone(), &other(MAX_ITEMS - MAX_SUPERSEDED, 3)), Conflict);
+    for version in 1..=4 {
+        assert!(matches!(say(&mut state.clone(), &all(version)), Done | Again), "{version}");
     }
 }
 
-fn body(items: &[Item]) -> Call {
-    let pick = |route: bool, dropped: bool| {
-        items.iter().filter(move |item| item.0 == route && item.3.is_none() == dropped)
+fn body(items: &[Item]) -> ConfigurationUpdate {
+    let pick = |route: bool, tombstones: bool| {
+        items.iter().filter(move |item| item.0 == route && item.3.is_none() == tombstones)
     };
     let gone = |route| -> Vec<Value> {
         pick(route, true).map(|(_, n, v, _)| json!({"name": format!("{n}"), "edition": v})).collect()
@@ -330,7 +332,7 @@
 type Drawn = (u8, Vec<(u8, u8)>);
 
 fn held_against_the_model(drawn: &[Drawn]) -> Result<(usize, usize), String> {
-    let (mut state, mut model) = (Tracked::default(), Model::default());
+    let (mut state, mut model) = (VersionedConfiguration::default(), Model::default());
     let mut sent: Vec<Vec<Item>> = Vec::new();
     let mut taken: BTreeSet<Vec<Item>> = BTreeSet::new();
     let (mut again, mut conflicts) = (0, 0);
@@ -363,11 +365,11 @@
         for number in 0..3 {
             let name = number.to_string();
             let to =
-                state.whole.configuration.routes().find(|r| r.name == name).map(|r| r.split[0].0.clone());
+                state.current.configuration.routes().find(|r| r.name == name).map(|r| r.split[0].0.clone());
             if to != model.standing(true, number).map(|to| to.to_string()) {
                 return Err(format!("route {number} goes to {to:?} after {sent:?}"));
             }
-            let path = state.whole.configuration.destinations().find(|d| d.name == name);
+            let path = state.current.configuration.destinations().find(|d| d.name == name);
             let path = path.map(|d| d.health_path.clone());
             if path != model.standing(false, number).map(|content| format!("/{content}")) {
                 return Err(format!("service {number} is {path:?} after {sent:?}"));
@@ -405,8 +407,8 @@
 }
 
 #[cfg(feature = "mutants")]
-fn caught(broken: Broken) -> String {
-    silvercross_mesh_config::mutant::break_it(Some(broken));
+fn caught(broken: Mutation) -> String {
+    silvercross_mesh_config::mutation::set_mutation(Some(broken));
     let mut dice = 1;
     let why = (0..2_000).find_map(|_| {
         let drawn = drawn(&mut dice);
@@ -415,7 +417,7 @@
             .unwrap_or_else(|_| Err("a refused call left something behind".to_string()))
             .err()
     });
-    silvercross_mesh_config::mutant::break_it(None);
+    silvercross_mesh_config::mutation::set_mutation(None);
     let why = why.unwrap_or_else(|| panic!("{broken:?} was not found"));
     println!("{broken:?}: {why}");
     why
@@ -424,28 +426,28 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn same_version_of_two_operators_both_done_is_caught() {
-    assert!(caught(Broken::SameVersionTwice).contains("Again and not Conflict"));
-    assert!(caught(Broken::OvertakenForgotten).contains("not Conflict"));
+    assert!(caught(Mutation::SameVersionTwice).contains("Again and not Conflict"));
+    assert!(caught(Mutation::OvertakenForgotten).contains("not Conflict"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn repeat_refused_after_a_later_change_is_caught() {
-    assert!(caught(Broken::RefusesRepeat).contains("Conflict and not"));
+    assert!(caught(Mutation::RefusesRepeat).contains("Conflict and not"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn what_a_refused_call_leaves_behind_is_caught() {
-    assert!(caught(Broken::NotesRefused).contains("left something behind"));
+    assert!(caught(Mutation::NotesRefused).contains("left something behind"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn a_dropped_item_that_comes_back_is_caught() {
-    silvercross_mesh_config::mutant::break_it(Some(Broken::DropsForgotten));
+    silvercross_mesh_config::mutation::set_mutation(Some(Mutation::DropsForgotten));
     let outcome = std::panic::catch_unwind(after_65536_drops_nothing_comes_back);
-    silvercross_mesh_config::mutant::break_it(None);
+    silvercross_mesh_config::mutation::set_mutation(None);
     let why = outcome.expect_err("not found");
     assert!(why.downcast_ref::<String>().is_some_and(|why| why.contains("destinations")));
 }
--- a/crates/control/mesh-config/tests/wire_bytes.rs
+++ b/crates/control/mesh-config/tests/wire_bytes.rs
@@ -3,7 +3,9 @@
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::State;
-use silvercross_mesh_config::{read_call, read_patch, Configuration, Tracked, Whole};
+use silvercross_mesh_config::{
+    parse_change, parse_update, Configuration, ConfigurationWithMembers, VersionedConfiguration,
+};
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its encoding in hexadecimal.
@@ -24,26 +26,26 @@
 
 #[test]
 fn configuration_and_changes_are_encoded_as_they_always_were() {
-    let call = read_call(CALL).expect("valid");
-    let later = read_patch(LATER).expect("valid");
+    let call = parse_update(CALL).expect("valid");
+    let later = parse_change(LATER).expect("valid");
     let mut configuration = Configuration::default();
-    assert_eq!(configuration.apply(&call.change), Ok(true));
-    let mut whole = Whole::default();
+    assert_eq!(configuration.apply(&call.configuration), Ok(true));
+    let mut whole = ConfigurationWithMembers::default();
     assert_eq!(whole.apply(&call), Ok(true));
-    let mut tracked = Tracked::default();
-    assert_eq!(tracked.take(&call.change, &call.members), Ok(true));
+    let mut tracked = VersionedConfiguration::default();
+    assert_eq!(tracked.take(&call.configuration, &call.members), Ok(true));
     assert_eq!(tracked.take(&later, &Default::default()), Ok(true));
     assert!(!tracked.history.is_empty());
 
     let mut lines = String::new();
-    add(&mut lines, "change", call.change.clone());
+    add(&mut lines, "change", call.configuration.clone());
     add(&mut lines, "change/one-item", later);
     add(&mut lines, "call", call);
     add(&mut lines, "configuration", configuration);
     add(&mut lines, "whole", whole);
     add(&mut lines, "tracked", tracked);
     add(&mut lines, "configuration/empty", Configuration::default());
-    add(&mut lines, "whole/empty", Whole::default());
-    add(&mut lines, "tracked/empty", Tracked::default());
+    add(&mut lines, "whole/empty", ConfigurationWithMembers::default());
+    add(&mut lines, "tracked/empty", VersionedConfiguration::default());
     assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
 }
--- a/crates/control/throttle/src/parked.rs
+++ b/crates/control/throttle/src/delay_queue.rs
@@ -6,7 +6,7 @@
 
 /// Names a request that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket {
+pub struct DelayTicket {
     until: Micros,
     number: u64,
 }
@@ -14,31 +14,39 @@
 /// Requests that wait until their time: at most so many, and at most so many bytes held for them. At the bound the newest
 /// goes on at once; none is refused for it.
 #[derive(Clone, Debug)]
-pub struct Parked<T> {
-    waiting: BTreeMap<Ticket, (usize, T)>,
+pub struct DelayQueue<T> {
+    waiting: BTreeMap<DelayTicket, (usize, T)>,
     bytes: usize,
     most: usize,
     most_bytes: usize,
     next: u64,
     closed: bool,
-    passed: u64,
+    bypassed: u64,
 }
 
-impl<T> Parked<T> {
+impl<T> DelayQueue<T> {
     /// Nothing waits yet.
-    pub fn new(most: usize, most_bytes: usize) -> Parked<T> {
-        Parked { waiting: BTreeMap::new(), bytes: 0, most, most_bytes, next: 0, closed: false, passed: 0 }
+    pub fn new(most: usize, most_bytes: usize) -> DelayQueue<T> {
+        DelayQueue {
+            waiting: BTreeMap::new(),
+            bytes: 0,
+            most,
+            most_bytes,
+            next: 0,
+            closed: false,
+            bypassed: 0,
+        }
     }
 
     /// Let a request wait, for which `bytes` are held. It is handed back where it is to go on at once: the bounds are
     /// reached, or the node drains or stops.
-    pub fn park(&mut self, now: Micros, wait: Micros, bytes: usize, request: T) -> Result<Ticket, T> {
+    pub fn push(&mut self, now: Micros, wait: Micros, bytes: usize, request: T) -> Result<DelayTicket, T> {
         let full = self.waiting.len() >= self.most || bytes > self.most_bytes.saturating_sub(self.bytes);
         if self.closed || full {
-            self.passed += 1;
+            self.bypassed += 1;
             return Err(request);
         }
-        let ticket = Ticket { until: now.saturating_add(wait.max(0)), number: self.next };
+        let ticket = DelayTicket { until: now.saturating_add(wait.max(0)), number: self.next };
         self.next += 1;
         self.bytes += bytes;
         self.waiting.insert(ticket, (bytes, request));
@@ -53,13 +61,13 @@
         Some(request)
     }
 
-    /// When [`Parked::pop`] next has something.
-    pub fn next(&self) -> Option<Micros> {
+    /// When [`DelayQueue::pop`] next has something.
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.waiting.first_key_value().map(|(ticket, _)| ticket.until)
     }
 
     /// Take a request out whose client is gone.
-    pub fn cancel(&mut self, ticket: Ticket) -> Option<T> {
+    pub fn cancel(&mut self, ticket: DelayTicket) -> Option<T> {
         let (bytes, request) = self.waiting.remove(&ticket)?;
         self.bytes -= bytes;
         Some(request)
@@ -94,7 +102,7 @@
     }
 
     /// How many went on at once so far because they could not wait.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    pub fn bypassed(&self) -> u64 {
+        self.bypassed
     }
 }
--- a/crates/control/throttle/src/items.rs
+++ b/crates/control/throttle/src/item.rs
@@ -10,19 +10,19 @@
 /// No more members stand at a time; a call that would go beyond is refused whole.
 pub const MAX_MEMBERS: usize = 100_000;
 /// A longer name of a member is refused.
-pub const MAX_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// A longer key is refused.
-pub const MAX_KEY: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 /// A member with more keys is refused.
 pub const MAX_KEYS: usize = 16;
 /// A slowing of more steps is refused.
 pub const MAX_STEPS: u32 = 1_000;
 /// A slowing whose steps are shorter is refused: nodes could not follow it alike.
-pub const MIN_STEP_US: Micros = 1_000_000;
+pub const MIN_STEP: Micros = 1_000_000;
 /// The greatest share of a route's target that the full slowing may take, in millionths.
-pub const MAX_SHARE_PPM: u32 = 500_000;
+pub const MAX_DELAY_PPM: u32 = 500_000;
 /// No time in an item is longer (about 317 years, or the year 2286 where it is an instant): such are refused.
-pub const MAX_TIME_US: i64 = 10_000_000_000_000_000;
+pub const MAX_TIME: i64 = 10_000_000_000_000_000;
 
 /// What a member is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
@@ -35,7 +35,7 @@
 
 /// When a trial lapses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Lapses {
+pub enum LapseTime {
     /// At this time of day, in microseconds since 1970.
     At(i64),
     /// So long after the owner of the member's key first has this edition.
@@ -44,20 +44,20 @@
 
 /// How the slowing runs once the trial has lapsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Slowing {
+pub struct ThrottleSchedule {
     /// The share of a route's target that a read waits at most when the slowing is full, in millionths; above 0, at most
-    /// [`MAX_SHARE_PPM`].
-    pub full_ppm: u32,
+    /// [`MAX_DELAY_PPM`].
+    pub max_delay_ppm: u32,
     /// From no slowing to the full one.
-    pub span_us: Micros,
+    pub ramp: Micros,
     /// In how many equal steps; 1 to [`MAX_STEPS`].
     pub steps: u32,
 }
 
-impl Default for Slowing {
+impl Default for ThrottleSchedule {
     /// A quarter of the target, over a day, an hour a step.
     fn default() -> Self {
-        Slowing { full_ppm: 250_000, span_us: 86_400_000_000, steps: 24 }
+        ThrottleSchedule { max_delay_ppm: 250_000, ramp: 86_400_000_000, steps: 24 }
     }
 }
 
@@ -71,37 +71,37 @@
     /// What it is on.
     pub plan: Plan,
     /// When it lapses; a trial has it and a full plan has not.
-    pub lapses: Option<Lapses>,
+    pub lapse_time: Option<LapseTime>,
     /// How it is slowed after that; defaults where none was sent.
-    pub slowing: Slowing,
+    pub throttle: ThrottleSchedule,
     /// The item's version. A higher one renews the member: its slowing begins anew from nothing.
-    pub edition: u64,
+    pub version: u64,
 }
 
 /// What becomes of a request that names no member: no key, several, or one nobody has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub enum Unknown {
+pub enum UnknownMemberPolicy {
     /// It is served as of no member.
     #[default]
     Serve,
     /// It is refused before it is sent on.
-    Refuse,
+    Reject,
 }
 
 /// How requests name their member.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Membership {
+pub struct MemberIdentification {
     /// The header that carries a key, in lower case.
     pub header: String,
     /// What becomes of the others; served where nothing was sent.
-    pub unknown: Unknown,
+    pub unknown: UnknownMemberPolicy,
     /// The item's version.
-    pub edition: u64,
+    pub version: u64,
 }
 
 /// What is wrong with a call: where, why, and what mends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct MemberError {
     /// The item's name, its position (`members[2]`) where it has none, or `deliver` or `withdraw`.
     pub item: String,
     /// The key in the item.
@@ -110,32 +110,32 @@
     pub reason: String,
 }
 
-impl Fault {
+impl MemberError {
     pub(crate) fn new(item: impl Into<String>, key: impl Into<String>, reason: impl Into<String>) -> Self {
-        Fault { item: item.into(), key: key.into(), reason: reason.into() }
+        MemberError { item: item.into(), key: key.into(), reason: reason.into() }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for MemberError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "item {}, key {}: {}", self.item, self.key, self.reason)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for MemberError {}
 
 /// An item as it is used and as it was sent, with the fields that are not known here.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct Item<T> {
     pub parsed: T,
     /// Its JSON, without blanks.
-    pub raw: String,
+    pub raw_json: String,
 }
 
 impl<T: PartialEq> PartialEq for Item<T> {
     /// The same content: order of keys and the way a number is written don't matter.
     fn eq(&self, other: &Self) -> bool {
-        self.parsed == other.parsed && same_text(&self.raw, &other.raw)
+        self.parsed == other.parsed && same_text(&self.raw_json, &other.raw_json)
     }
 }
 
@@ -145,7 +145,7 @@
     Set(Item<Member>),
     /// Kept so that an older setting of the name does not come back. `order` counts the drops of a roll.
     Dropped {
-        edition: u64,
+        version: u64,
         order: u64,
     },
 }
@@ -155,17 +155,17 @@
     fn eq(&self, other: &Self) -> bool {
         match (self, other) {
             (Entry::Set(a), Entry::Set(b)) => a == b,
-            (Entry::Dropped { edition: a, .. }, Entry::Dropped { edition: b, .. }) => a == b,
+            (Entry::Dropped { version: a, .. }, Entry::Dropped { version: b, .. }) => a == b,
             _ => false,
         }
     }
 }
 
 impl Entry {
-    pub fn edition(&self) -> u64 {
+    pub fn version(&self) -> u64 {
         match self {
-            Entry::Set(item) => item.parsed.edition,
-            Entry::Dropped { edition, .. } => *edition,
+            Entry::Set(item) => item.parsed.version,
+            Entry::Dropped { version, .. } => *version,
         }
     }
 
--- a/crates/control/throttle/src/clerk.rs
+++ b/crates/control/throttle/src/lapse_timer.rs
@@ -4,29 +4,29 @@
 
 use silvercross_control_store::{Epoch, Micros};
 
-use crate::clock::Clock;
-use crate::items::{Lapses, Member, MAX_MEMBERS};
-use crate::lapse::{Change, Lapse};
-use crate::mutant::Mutant;
+use crate::item::{LapseTime, Member, MAX_MEMBERS};
+use crate::lapse::{LapseChange, LapseState};
+use crate::mutation::Mutation;
+use crate::trusted_clock::TrustedClock;
 
 /// A change that was asked for and does not show is asked for again after this long.
-pub const AGAIN_US: Micros = 1_000_000;
+pub const PROPOSAL_RETRY_INTERVAL: Micros = 1_000_000;
 /// Where the time of day is not to be believed, it is looked at again after this long.
-pub const RECHECK_US: Micros = 5_000_000;
+pub const CLOCK_RECHECK_INTERVAL: Micros = 5_000_000;
 /// A lapse that is further off is looked at again after this long: the time of day may be set in between.
-pub const REST_US: Micros = 600_000_000;
+pub const MAX_SLEEP: Micros = 600_000_000;
 
 /// What a lapse waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waits {
+pub enum WaitingFor {
     /// For nothing: it is over, or the member has no trial.
     Nothing,
     /// For a newer item to arrive here.
     Item,
     /// For the instant of its lapse.
-    Instant,
+    LapseTime,
     /// For a time of day that can be believed.
-    Clock,
+    TrustedTime,
     /// For the span of the step in force.
     Step,
     /// For a change that was asked for.
@@ -35,79 +35,79 @@
 
 /// What the owner is to do for one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Advice {
+pub struct TimerDecision {
     /// The change to ask the ledger for, under the epoch that was handed in.
-    pub ask: Option<Change>,
+    pub proposal: Option<LapseChange>,
     /// When to look again at the latest; earlier when page, item or epoch change.
-    pub wake: Option<Micros>,
+    pub next_deadline: Option<Micros>,
     /// Why.
-    pub waits: Waits,
+    pub waiting_for: WaitingFor,
 }
 
 #[derive(Clone, Debug)]
 struct Seen {
     epoch: Epoch,
-    page: Lapse,
+    page: LapseState,
     /// When this page was first seen under this epoch.
     at: Micros,
-    asked: Option<(Change, Micros)>,
-    wake: Option<Micros>,
+    asked: Option<(LapseChange, Micros)>,
+    next_deadline: Option<Micros>,
     /// Steps seen under this epoch; only a broken clerk counts by it.
     steps: u32,
 }
 
 /// The owner's memory of the lapses it looks after. At most [`MAX_MEMBERS`] keys; beyond it a key is not looked after
-/// (its member stays as it is), which [`Advice::waits`] tells as waiting for its item.
+/// (its member stays as it is), which [`TimerDecision::waiting_for`] tells as waiting for its item.
 ///
-/// The instant of a lapse is by the time of day that [`Clock`] believes. From then on each step follows a span after the
+/// The instant of a lapse is by the time of day that [`TrustedClock`] believes. From then on each step follows a span after the
 /// owner saw the one before, on its monotonic clock. A new owner, or the same one under a new epoch or after a restart,
 /// begins the span of the step in force anew: a step may last longer for that, at most a span for each change of owner,
 /// and never less.
 #[derive(Clone, Debug, Default)]
-pub struct Clerk {
+pub struct LapseTimer {
     seen: BTreeMap<String, Seen>,
     queue: BTreeSet<(Micros, String)>,
-    mutant: Option<Mutant>,
+    mutant: Option<Mutation>,
 }
 
-impl Clerk {
+impl LapseTimer {
     /// A clerk that has seen nothing.
-    pub fn new() -> Clerk {
-        Clerk::default()
+    pub fn new() -> LapseTimer {
+        LapseTimer::default()
     }
 
     /// Breaks a rule on purpose.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
-    pub fn break_it(&mut self, mutant: Mutant) {
+    pub fn set_mutation(&mut self, mutant: Mutation) {
         self.mutant = Some(mutant);
     }
 
-    fn is(&self, mutant: Mutant) -> bool {
+    fn is(&self, mutant: Mutation) -> bool {
         cfg!(feature = "mutants") && self.mutant == Some(mutant)
     }
 
     /// What to do for the member `name`, of whose key this node is the owner under `epoch`. `page` is the key's committed
     /// content, `member` the item in force, `clock` has been read just now. To be called when any of them changes, when
-    /// [`Clerk::due`] names the key, and after a refusal; calling it more often does no harm.
+    /// [`LapseTimer::due`] names the key, and after a refusal; calling it more often does no harm.
     pub fn decide(
         &mut self,
         now: Micros,
         name: &str,
         epoch: Epoch,
-        page: &Lapse,
+        page: &LapseState,
         member: Option<&Member>,
-        clock: &Clock,
-    ) -> Advice {
+        clock: &TrustedClock,
+    ) -> TimerDecision {
         let Some(member) = member else {
             self.forget(name);
-            return Advice { ask: None, wake: None, waits: Waits::Nothing };
+            return TimerDecision { proposal: None, next_deadline: None, waiting_for: WaitingFor::Nothing };
         };
         if !self.seen.contains_key(name) && self.seen.len() >= MAX_MEMBERS {
-            return Advice { ask: None, wake: None, waits: Waits::Item };
+            return TimerDecision { proposal: None, next_deadline: None, waiting_for: WaitingFor::Item };
         }
         let before = self.seen.remove(name);
-        if let Some(at) = before.as_ref().and_then(|seen| seen.wake) {
+        if let Some(at) = before.as_ref().and_then(|seen| seen.next_deadline) {
             self.queue.remove(&(at, name.to_string()));
         }
         let mut seen = before.filter(|seen| seen.epoch == epoch);
@@ -115,35 +115,35 @@
             seen.steps += u32::from(seen.page.step < page.step);
             (seen.page, seen.at, seen.asked) = (page.clone(), now, None);
         }
-        let doubled = self.is(Mutant::StepDoubledAtHandOver);
+        let doubled = self.is(Mutation::StepDoubledAtHandOver);
         let mut seen = seen.unwrap_or_else(|| Seen {
             epoch,
             page: page.clone(),
             at: if doubled { Micros::MIN / 2 } else { now },
             asked: None,
-            wake: None,
+            next_deadline: None,
             steps: 0,
         });
-        let own = self.is(Mutant::StepLostAtHandOver).then_some(seen.steps);
+        let own = self.is(Mutation::StepLostAtHandOver).then_some(seen.steps);
         let mut advice = advise(now, page, member, clock, seen.at, own);
-        if let Some(change) = advice.ask.take() {
+        if let Some(change) = advice.proposal.take() {
             // An instant that was asked for is asked for again as it was, however late it is by now.
-            let same = |asked: &Change| std::mem::discriminant(asked) == std::mem::discriminant(&change);
+            let same = |asked: &LapseChange| std::mem::discriminant(asked) == std::mem::discriminant(&change);
             let asked =
-                seen.asked.take().filter(|(asked, _)| same(asked) && asked.edition() == change.edition());
+                seen.asked.take().filter(|(asked, _)| same(asked) && asked.version() == change.version());
             let (change, at) = asked.unwrap_or((change, Micros::MIN / 2));
-            let again = at.saturating_add(AGAIN_US);
+            let again = at.saturating_add(PROPOSAL_RETRY_INTERVAL);
             if now < again {
-                advice.wake = Some(again);
+                advice.next_deadline = Some(again);
                 seen.asked = Some((change, at));
             } else {
-                advice.wake = Some(now.saturating_add(AGAIN_US));
+                advice.next_deadline = Some(now.saturating_add(PROPOSAL_RETRY_INTERVAL));
                 seen.asked = Some((change.clone(), now));
-                advice.ask = Some(change);
+                advice.proposal = Some(change);
             }
         }
-        seen.wake = advice.wake;
-        if let Some(at) = advice.wake {
+        seen.next_deadline = advice.next_deadline;
+        if let Some(at) = advice.next_deadline {
             self.queue.insert((at, name.to_string()));
         }
         self.seen.insert(name.to_string(), seen);
@@ -153,14 +153,14 @@
     /// The key is another's now, or its member is gone.
     pub fn forget(&mut self, name: &str) {
         if let Some(seen) = self.seen.remove(name) {
-            if let Some(at) = seen.wake {
+            if let Some(at) = seen.next_deadline {
                 self.queue.remove(&(at, name.to_string()));
             }
         }
     }
 
-    /// When to ask for [`Clerk::due`] next.
-    pub fn next(&self) -> Option<Micros> {
+    /// When to ask for [`LapseTimer::due`] next.
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.queue.first().map(|(at, _)| *at)
     }
 
@@ -183,55 +183,67 @@
 /// The next change, if it is time for it. `since` is when the page was first seen; `own` is a broken clerk's count.
 fn advise(
     now: Micros,
-    page: &Lapse,
+    page: &LapseState,
     member: &Member,
-    clock: &Clock,
+    clock: &TrustedClock,
     since: Micros,
     own: Option<u32>,
-) -> Advice {
-    let edition = member.edition;
-    let ask = |change| Advice { ask: Some(change), wake: None, waits: Waits::Answer };
-    let rest = |waits| Advice { ask: None, wake: None, waits };
-    let until = |at: i64| match clock.time(now) {
+) -> TimerDecision {
+    let version = member.version;
+    let proposal = |change| TimerDecision {
+        proposal: Some(change),
+        next_deadline: None,
+        waiting_for: WaitingFor::Answer,
+    };
+    let rest = |waiting_for| TimerDecision { proposal: None, next_deadline: None, waiting_for };
+    let until = |at: i64| match clock.wall_time(now) {
         Some(time) if time >= at => None,
         Some(time) => {
-            let wake = now.saturating_add(at.saturating_sub(time).min(REST_US));
-            Some(Advice { ask: None, wake: Some(wake), waits: Waits::Instant })
+            let next_deadline = now.saturating_add(at.saturating_sub(time).min(MAX_SLEEP));
+            Some(TimerDecision {
+                proposal: None,
+                next_deadline: Some(next_deadline),
+                waiting_for: WaitingFor::LapseTime,
+            })
         }
-        None => Some(Advice { ask: None, wake: Some(now.saturating_add(RECHECK_US)), waits: Waits::Clock }),
+        None => Some(TimerDecision {
+            proposal: None,
+            next_deadline: Some(now.saturating_add(CLOCK_RECHECK_INTERVAL)),
+            waiting_for: WaitingFor::TrustedTime,
+        }),
     };
-    if page.edition > Some(edition) {
-        return rest(Waits::Item);
+    if page.version > Some(version) {
+        return rest(WaitingFor::Item);
     }
-    let renew = Change::Renew { edition, of: member.slowing.steps };
-    if page.edition < Some(edition) {
+    let renew = LapseChange::Renew { version, total_steps: member.throttle.steps };
+    if page.version < Some(version) {
         // A key that nobody ever wrote is left so until it matters: most members cost the ledger nothing.
-        return match member.lapses {
-            _ if page.edition.is_some() => ask(renew),
-            None => rest(Waits::Nothing),
-            Some(Lapses::In(_)) => ask(renew),
-            Some(Lapses::At(at)) => until(at).unwrap_or_else(|| ask(renew)),
+        return match member.lapse_time {
+            _ if page.version.is_some() => proposal(renew),
+            None => rest(WaitingFor::Nothing),
+            Some(LapseTime::In(_)) => proposal(renew),
+            Some(LapseTime::At(at)) => until(at).unwrap_or_else(|| proposal(renew)),
         };
     }
-    let Some(lapses) = member.lapses else { return rest(Waits::Nothing) };
+    let Some(lapse_time) = member.lapse_time else { return rest(WaitingFor::Nothing) };
     if !page.begun {
-        let at = match (lapses, page.due) {
-            (Lapses::At(at), _) | (Lapses::In(_), Some(at)) => at,
-            (Lapses::In(span), None) => {
-                return match clock.time(now) {
-                    Some(time) => ask(Change::Due { edition, at: time.saturating_add(span) }),
-                    None => until(i64::MAX).unwrap_or_else(|| rest(Waits::Clock)),
+        let at = match (lapse_time, page.due) {
+            (LapseTime::At(at), _) | (LapseTime::In(_), Some(at)) => at,
+            (LapseTime::In(span), None) => {
+                return match clock.wall_time(now) {
+                    Some(time) => proposal(LapseChange::Due { version, at: time.saturating_add(span) }),
+                    None => until(i64::MAX).unwrap_or_else(|| rest(WaitingFor::TrustedTime)),
                 }
             }
         };
-        return until(at).unwrap_or_else(|| ask(Change::Begin { edition }));
+        return until(at).unwrap_or_else(|| proposal(LapseChange::Begin { version }));
     }
-    if page.step >= page.of {
-        return rest(Waits::Nothing);
+    if page.step >= page.total_steps {
+        return rest(WaitingFor::Nothing);
     }
-    let over = since.saturating_add(member.slowing.span_us / i64::from(page.of.max(1)));
+    let over = since.saturating_add(member.throttle.ramp / i64::from(page.total_steps.max(1)));
     if now < over {
-        return Advice { ask: None, wake: Some(over), waits: Waits::Step };
+        return TimerDecision { proposal: None, next_deadline: Some(over), waiting_for: WaitingFor::Step };
     }
-    ask(Change::Step { edition, to: own.unwrap_or(page.step) + 1 })
+    proposal(LapseChange::Step { version, to: own.unwrap_or(page.step) + 1 })
 }
--- a/crates/control/throttle/src/mutant.rs
+++ b/crates/control/throttle/src/mutation.rs
@@ -2,7 +2,7 @@
 
 /// How a part is broken on purpose; without the feature `mutants` nothing heeds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutant {
+pub enum Mutation {
     /// The owner's own time of day decides, whatever it did and whatever the others say.
     OwnClock,
     /// A node counts steps on by its own clock.
--- a/crates/control/throttle/src/read.rs
+++ b/crates/control/throttle/src/read.rs
@@ -5,11 +5,12 @@
 
 use serde_json::{Map, Value};
 
-use crate::items::{
-    Entries, Entry, Fault, Item, Lapses, Member, Membership, Plan, Slowing, Unknown, MAX_KEY, MAX_KEYS,
-    MAX_NAME, MAX_SHARE_PPM, MAX_STEPS, MAX_TIME_US, MIN_STEP_US,
+use crate::item::{
+    Entries, Entry, Item, LapseTime, Member, MemberError, MemberIdentification, Plan, ThrottleSchedule,
+    UnknownMemberPolicy, MAX_DELAY_PPM, MAX_KEYS, MAX_KEY_BYTES, MAX_NAME_BYTES, MAX_STEPS, MAX_TIME,
+    MIN_STEP,
 };
-use crate::roll::Sent;
+use crate::member_list::MemberListChange;
 
 /// Headers that mean something else already.
 const TAKEN: [&str; 15] = [
@@ -30,27 +31,30 @@
     "upgrade",
 ];
 
-/// Read `members` and `membership` of a call's `deliver` and `members` of its `withdraw`, and check all that can be
+/// Read `members` and `identification` of a call's `deliver` and `members` of its `withdraw`, and check all that can be
 /// checked without the present roll. Other lists are left alone. Whatever the values, the outcome is a value; a fault
 /// means that nothing of the call may come into force. Holds at most what the call's body says, whose length the caller
 /// bounds.
-pub fn read(deliver: &Map<String, Value>, withdraw: &Map<String, Value>) -> Result<Sent, Fault> {
-    let mut sent = Sent::default();
+pub fn read(
+    deliver: &Map<String, Value>,
+    withdraw: &Map<String, Value>,
+) -> Result<MemberListChange, MemberError> {
+    let mut sent = MemberListChange::default();
     for (i, value) in list("deliver", deliver)?.iter().enumerate() {
         let label = label(value, || format!("members[{i}]"));
         let member = member(&label, fields(&label, value)?)?;
         let name = member.name.clone();
-        put(&mut sent.members, name, Entry::Set(Item { parsed: member, raw: value.to_string() }))?;
+        put(&mut sent.members, name, Entry::Set(Item { parsed: member, raw_json: value.to_string() }))?;
     }
     for (i, value) in list("withdraw", withdraw)?.iter().enumerate() {
         let label = label(value, || format!("withdraw.members[{i}]"));
         let map = fields(&label, value)?;
         let name = name(&label, map)?;
-        put(&mut sent.members, name, Entry::Dropped { edition: edition(&label, map)?, order: 0 })?;
+        put(&mut sent.members, name, Entry::Dropped { version: version(&label, map)?, order: 0 })?;
     }
     if let Some(value) = deliver.get("membership").filter(|value| !value.is_null()) {
-        let parsed = membership(fields("membership", value)?)?;
-        sent.membership = Some(Item { parsed, raw: value.to_string() });
+        let parsed = identification(fields("membership", value)?)?;
+        sent.identification = Some(Item { parsed, raw_json: value.to_string() });
     }
     let mut keys = BTreeMap::new();
     for member in sent.members.values().filter_map(Entry::member) {
@@ -65,18 +69,18 @@
 }
 
 /// Two members with one key. The key itself is left out: reasons are logged.
-pub(crate) fn shared(member: &Member, other: &str) -> Fault {
+pub(crate) fn shared(member: &Member, other: &str) -> MemberError {
     let reason = if member.name == other {
         "names one twice (give each once)".to_string()
     } else {
         format!("names one that is member {other}'s (give each member its own)")
     };
-    Fault::new(&member.name, "keys", reason)
+    MemberError::new(&member.name, "keys", reason)
 }
 
 /// Take an item of the call. What the same call says of a name elsewhere must agree with it, except that a name may be
 /// set and dropped at two editions, of which the higher holds.
-fn put(entries: &mut Entries, name: String, new: Entry) -> Result<(), Fault> {
+fn put(entries: &mut Entries, name: String, new: Entry) -> Result<(), MemberError> {
     match entries.entry(name) {
         Slot::Vacant(slot) => {
             slot.insert(new);
@@ -88,13 +92,13 @@
             }
             if old.item().is_some() && new.item().is_some() {
                 let reason = "stands twice with different content (keep one)";
-                return Err(Fault::new(slot.key(), "name", reason));
+                return Err(MemberError::new(slot.key(), "name", reason));
             }
-            if old.edition() == new.edition() {
+            if old.version() == new.version() {
                 let reason = "is set and dropped at the same edition (raise the edition that is to hold)";
-                return Err(Fault::new(slot.key(), "edition", reason));
+                return Err(MemberError::new(slot.key(), "edition", reason));
             }
-            if new.edition() > old.edition() {
+            if new.version() > old.version() {
                 slot.insert(new);
             }
         }
@@ -102,26 +106,26 @@
     Ok(())
 }
 
-fn list<'a>(item: &str, map: &'a Map<String, Value>) -> Result<&'a [Value], Fault> {
+fn list<'a>(item: &str, map: &'a Map<String, Value>) -> Result<&'a [Value], MemberError> {
     match map.get("members") {
         None | Some(Value::Null) => Ok(&[]),
         Some(Value::Array(list)) => Ok(list),
-        Some(_) => Err(Fault::new(item, "members", "is not a list (send a list or leave it out)")),
+        Some(_) => Err(MemberError::new(item, "members", "is not a list (send a list or leave it out)")),
     }
 }
 
 /// The item's name, or else its position.
 fn label(value: &Value, position: impl Fn() -> String) -> String {
     match value.get("name") {
-        Some(Value::String(name)) if !name.is_empty() && name.len() <= MAX_NAME => name.clone(),
+        Some(Value::String(name)) if !name.is_empty() && name.len() <= MAX_NAME_BYTES => name.clone(),
         _ => position(),
     }
 }
 
-fn fields<'a>(item: &str, value: &'a Value) -> Result<&'a Map<String, Value>, Fault> {
+fn fields<'a>(item: &str, value: &'a Value) -> Result<&'a Map<String, Value>, MemberError> {
     value
         .as_object()
-        .ok_or_else(|| Fault::new(item, "item", "is not an object (send each item as an object)"))
+        .ok_or_else(|| MemberError::new(item, "item", "is not an object (send each item as an object)"))
 }
 
 /// A field that is there and not null.
@@ -129,32 +133,32 @@
     map.get(key).filter(|value| !value.is_null())
 }
 
-fn text<'a>(item: &str, map: &'a Map<String, Value>, key: &str) -> Result<Option<&'a str>, Fault> {
+fn text<'a>(item: &str, map: &'a Map<String, Value>, key: &str) -> Result<Option<&'a str>, MemberError> {
     match given(map, key) {
         None => Ok(None),
         Some(Value::String(text)) => Ok(Some(text)),
-        Some(_) => Err(Fault::new(item, key, "is not a string (give a string)")),
+        Some(_) => Err(MemberError::new(item, key, "is not a string (give a string)")),
     }
 }
 
-fn missing(item: &str, key: &str) -> Fault {
-    Fault::new(item, key, "is missing (give it)")
+fn missing(item: &str, key: &str) -> MemberError {
+    MemberError::new(item, key, "is missing (give it)")
 }
 
-fn name(item: &str, map: &Map<String, Value>) -> Result<String, Fault> {
+fn name(item: &str, map: &Map<String, Value>) -> Result<String, MemberError> {
     let name = text(item, map, "name")?.ok_or_else(|| missing(item, "name"))?;
     if name.is_empty() {
-        Err(Fault::new(item, "name", "is empty (give the item a name)"))
-    } else if name.len() > MAX_NAME {
-        Err(Fault::new(item, "name", format!("is above {MAX_NAME} bytes (give a shorter one)")))
+        Err(MemberError::new(item, "name", "is empty (give the item a name)"))
+    } else if name.len() > MAX_NAME_BYTES {
+        Err(MemberError::new(item, "name", format!("is above {MAX_NAME_BYTES} bytes (give a shorter one)")))
     } else {
         Ok(name.to_string())
     }
 }
 
 /// A whole number from 0 on, however it is written.
-fn whole(item: &str, map: &Map<String, Value>, key: &str) -> Result<Option<u64>, Fault> {
-    let wrong = || Fault::new(item, key, "is not a whole number from 0 on (give one)");
+fn whole(item: &str, map: &Map<String, Value>, key: &str) -> Result<Option<u64>, MemberError> {
+    let wrong = || MemberError::new(item, key, "is not a whole number from 0 on (give one)");
     let Some(value) = given(map, key) else { return Ok(None) };
     if let Some(n) = value.as_u64() {
         return Ok(Some(n));
@@ -164,145 +168,164 @@
     n.map(|n| Some(n as u64)).ok_or_else(wrong)
 }
 
-fn edition(item: &str, map: &Map<String, Value>) -> Result<u64, Fault> {
+fn version(item: &str, map: &Map<String, Value>) -> Result<u64, MemberError> {
     whole(item, map, "edition")?.ok_or_else(|| missing(item, "edition"))
 }
 
-fn number(item: &str, map: &Map<String, Value>, key: &str) -> Result<Option<f64>, Fault> {
+fn number(item: &str, map: &Map<String, Value>, key: &str) -> Result<Option<f64>, MemberError> {
     match given(map, key) {
         None => Ok(None),
         Some(value) => match value.as_f64().filter(|n| n.is_finite()) {
             Some(n) => Ok(Some(n)),
-            None => Err(Fault::new(item, key, "is not a number (give a number)")),
+            None => Err(MemberError::new(item, key, "is not a number (give a number)")),
         },
     }
 }
 
 /// Seconds above 0 as microseconds, at least one.
-fn seconds(item: &str, map: &Map<String, Value>, key: &str) -> Result<Option<i64>, Fault> {
+fn seconds(item: &str, map: &Map<String, Value>, key: &str) -> Result<Option<i64>, MemberError> {
     let Some(seconds) = number(item, map, key)? else { return Ok(None) };
     let us = (seconds * 1e6).round();
     if us < 1.0 {
-        return Err(Fault::new(item, key, "must be above 0 (give the seconds, fractions may be used)"));
+        return Err(MemberError::new(item, key, "must be above 0 (give the seconds, fractions may be used)"));
     }
-    if us > MAX_TIME_US as f64 {
-        let most = MAX_TIME_US / 1_000_000;
-        return Err(Fault::new(item, key, format!("is above {most} (give seconds, not milliseconds)")));
+    if us > MAX_TIME as f64 {
+        let most = MAX_TIME / 1_000_000;
+        return Err(MemberError::new(item, key, format!("is above {most} (give seconds, not milliseconds)")));
     }
     Ok(Some(us as i64))
 }
 
-fn member(item: &str, map: &Map<String, Value>) -> Result<Member, Fault> {
+fn member(item: &str, map: &Map<String, Value>) -> Result<Member, MemberError> {
     let name = name(item, map)?;
     let keys = keys(item, map)?;
     let plan = match text(item, map, "plan")? {
         Some("trial") => Plan::Trial,
         Some("full") => Plan::Full,
-        Some(_) => return Err(Fault::new(item, "plan", "is not a plan (give trial or full)")),
+        Some(_) => return Err(MemberError::new(item, "plan", "is not a plan (give trial or full)")),
         None => return Err(missing(item, "plan")),
     };
-    let at = seconds(item, map, "lapsesAt")?.map(Lapses::At);
-    let within = seconds(item, map, "lapsesInS")?.map(Lapses::In);
-    let lapses = match (plan, at, within) {
+    let at = seconds(item, map, "lapsesAt")?.map(LapseTime::At);
+    let within = seconds(item, map, "lapsesInS")?.map(LapseTime::In);
+    let lapse_time = match (plan, at, within) {
         (_, Some(_), Some(_)) => {
-            return Err(Fault::new(item, "lapsesInS", "stands beside lapsesAt (give one of the two)"))
+            return Err(MemberError::new(item, "lapsesInS", "stands beside lapsesAt (give one of the two)"))
         }
         (Plan::Trial, None, None) => {
             let reason = "is missing, and so is lapsesInS (give one of them, or the plan full)";
-            return Err(Fault::new(item, "lapsesAt", reason));
+            return Err(MemberError::new(item, "lapsesAt", reason));
         }
         (Plan::Full, Some(_), None) => {
-            return Err(Fault::new(item, "lapsesAt", "stands on a full plan (leave it out, or give trial)"))
+            return Err(MemberError::new(
+                item,
+                "lapsesAt",
+                "stands on a full plan (leave it out, or give trial)",
+            ))
         }
         (Plan::Full, None, Some(_)) => {
-            return Err(Fault::new(item, "lapsesInS", "stands on a full plan (leave it out, or give trial)"))
+            return Err(MemberError::new(
+                item,
+                "lapsesInS",
+                "stands on a full plan (leave it out, or give trial)",
+            ))
         }
         (Plan::Trial, at, within) => at.or(within),
         (Plan::Full, None, None) => None,
     };
-    let slowing = match given(map, "slowing") {
-        None => Slowing::default(),
-        Some(Value::Object(map)) => slowing(item, map)?,
+    let throttle = match given(map, "slowing") {
+        None => ThrottleSchedule::default(),
+        Some(Value::Object(map)) => throttle(item, map)?,
         Some(_) => {
-            return Err(Fault::new(item, "slowing", "is not an object (send an object or leave it out)"))
+            return Err(MemberError::new(
+                item,
+                "slowing",
+                "is not an object (send an object or leave it out)",
+            ))
         }
     };
-    Ok(Member { name, keys, plan, lapses, slowing, edition: edition(item, map)? })
+    Ok(Member { name, keys, plan, lapse_time, throttle, version: version(item, map)? })
 }
 
 /// One `key`, or several `keys`.
-fn keys(item: &str, map: &Map<String, Value>) -> Result<Vec<String>, Fault> {
+fn keys(item: &str, map: &Map<String, Value>) -> Result<Vec<String>, MemberError> {
     let (named, values) = match (given(map, "key"), given(map, "keys")) {
         (Some(one), None) => ("key", std::slice::from_ref(one)),
         (None, Some(Value::Array(list))) => ("keys", list.as_slice()),
         (None, Some(_)) => {
-            return Err(Fault::new(item, "keys", "is not a list (send a list of keys, or key)"))
+            return Err(MemberError::new(item, "keys", "is not a list (send a list of keys, or key)"))
         }
         (Some(_), Some(_)) => {
-            return Err(Fault::new(item, "keys", "stands beside key (give one of the two)"))
+            return Err(MemberError::new(item, "keys", "stands beside key (give one of the two)"))
+        }
+        (None, None) => {
+            return Err(MemberError::new(item, "key", "is missing, and so is keys (give one of them)"))
         }
-        (None, None) => return Err(Fault::new(item, "key", "is missing, and so is keys (give one of them)")),
     };
     if values.is_empty() || values.len() > MAX_KEYS {
-        return Err(Fault::new(item, named, format!("must name 1 to {MAX_KEYS} keys (give so many)")));
+        return Err(MemberError::new(item, named, format!("must name 1 to {MAX_KEYS} keys (give so many)")));
     }
     let mut keys = Vec::with_capacity(values.len());
     for value in values {
         let key = value.as_str().filter(|key| {
-            !key.is_empty() && key.len() <= MAX_KEY && key.bytes().all(|b| b.is_ascii_graphic())
+            !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.bytes().all(|b| b.is_ascii_graphic())
         });
         let Some(key) = key else {
-            let reason = format!("must be 1 to {MAX_KEY} visible ASCII characters (give such a string)");
-            return Err(Fault::new(item, named, reason));
+            let reason =
+                format!("must be 1 to {MAX_KEY_BYTES} visible ASCII characters (give such a string)");
+            return Err(MemberError::new(item, named, reason));
         };
         keys.push(key.to_string());
     }
     Ok(keys)
 }
 
-fn slowing(item: &str, map: &Map<String, Value>) -> Result<Slowing, Fault> {
-    let mut slowing = Slowing::default();
+fn throttle(item: &str, map: &Map<String, Value>) -> Result<ThrottleSchedule, MemberError> {
+    let mut throttle = ThrottleSchedule::default();
     if let Some(share) = number(item, map, "fullShare")? {
         let ppm = (share * 1e6).round();
-        if !(1.0..=f64::from(MAX_SHARE_PPM)).contains(&ppm) {
-            let most = f64::from(MAX_SHARE_PPM) / 1e6;
-            return Err(Fault::new(
+        if !(1.0..=f64::from(MAX_DELAY_PPM)).contains(&ppm) {
+            let most = f64::from(MAX_DELAY_PPM) / 1e6;
+            return Err(MemberError::new(
                 item,
                 "fullShare",
                 format!("must be above 0 and at most {most} (give the share of the target)"),
             ));
         }
-        slowing.full_ppm = ppm as u32;
+        throttle.max_delay_ppm = ppm as u32;
     }
-    slowing.span_us = seconds(item, map, "spanS")?.unwrap_or(slowing.span_us);
+    throttle.ramp = seconds(item, map, "spanS")?.unwrap_or(throttle.ramp);
     if let Some(steps) = whole(item, map, "steps")? {
-        slowing.steps = u32::try_from(steps)
-            .ok()
-            .filter(|n| (1..=MAX_STEPS).contains(n))
-            .ok_or_else(|| Fault::new(item, "steps", format!("must be 1 to {MAX_STEPS} (give so many)")))?;
+        throttle.steps =
+            u32::try_from(steps).ok().filter(|n| (1..=MAX_STEPS).contains(n)).ok_or_else(|| {
+                MemberError::new(item, "steps", format!("must be 1 to {MAX_STEPS} (give so many)"))
+            })?;
     }
-    if slowing.span_us / i64::from(slowing.steps) < MIN_STEP_US {
-        let least = MIN_STEP_US / 1_000_000;
+    if throttle.ramp / i64::from(throttle.steps) < MIN_STEP {
+        let least = MIN_STEP / 1_000_000;
         let reason = format!("gives steps shorter than {least} s (give a longer span or fewer steps)");
-        return Err(Fault::new(item, "spanS", reason));
+        return Err(MemberError::new(item, "spanS", reason));
     }
-    Ok(slowing)
+    Ok(throttle)
 }
 
-fn membership(map: &Map<String, Value>) -> Result<Membership, Fault> {
+fn identification(map: &Map<String, Value>) -> Result<MemberIdentification, MemberError> {
     let item = "membership";
     let header = text(item, map, "header")?.ok_or_else(|| missing(item, "header"))?.to_ascii_lowercase();
     let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
     if header.is_empty() || header.len() > 64 || !header.bytes().all(token) {
-        return Err(Fault::new(item, "header", "is no header's name (give up to 64 letters, digits and -)"));
+        return Err(MemberError::new(
+            item,
+            "header",
+            "is no header's name (give up to 64 letters, digits and -)",
+        ));
     }
     if TAKEN.contains(&header.as_str()) {
-        return Err(Fault::new(item, "header", "means something else already (give another)"));
+        return Err(MemberError::new(item, "header", "means something else already (give another)"));
     }
     let unknown = match text(item, map, "unknown")? {
-        None | Some("serve") => Unknown::Serve,
-        Some("refuse") => Unknown::Refuse,
-        Some(_) => return Err(Fault::new(item, "unknown", "is not known (give serve or refuse)")),
+        None | Some("serve") => UnknownMemberPolicy::Serve,
+        Some("refuse") => UnknownMemberPolicy::Reject,
+        Some(_) => return Err(MemberError::new(item, "unknown", "is not known (give serve or refuse)")),
     };
-    Ok(Membership { header, unknown, edition: edition(item, map)? })
+    Ok(MemberIdentification { header, unknown, version: version(item, map)? })
 }
--- a/crates/control/throttle/src/slow.rs
+++ b/crates/control/throttle/src/throttle.rs
@@ -2,13 +2,13 @@
 
 use silvercross_control_store::Micros;
 
-use crate::items::Member;
-use crate::lapse::Standing;
-use crate::mutant::Mutant;
+use crate::item::Member;
+use crate::lapse::ThrottleStep;
+use crate::mutation::Mutation;
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once: a read.
     Safe,
     /// Runs at most once for each try.
@@ -19,39 +19,39 @@
 
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum RequestStage {
     /// Its head is here, nothing of its body was taken, and it was sent nowhere.
     Head,
     /// Its body has begun, or it was sent on.
-    Begun,
+    BodyStarted,
     /// It is sent a second time, or came from another node of the mesh: it waited already.
-    Again,
+    Retried,
 }
 
 /// What a request asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asked<'a> {
+pub struct ThrottleRequest<'a> {
     /// What may be done with it.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: RequestStage,
     /// Its own id, as the client sent it.
     pub id: &'a [u8],
     /// The route's target.
-    pub target_us: Micros,
+    pub latency_target: Micros,
     /// What is left of its deadline.
-    pub deadline_left_us: Micros,
+    pub remaining_deadline: Micros,
 }
 
 /// What is done with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Slow {
+pub enum DelayDecision {
     /// It goes on at once.
-    None,
+    Forward,
     /// It goes on after this long.
-    For(Micros),
+    Delay(Micros),
     /// Even the least wait doesn't fit into its deadline: it is turned away at once, with a promise that it did not run.
-    Refuse {
+    Reject {
         /// When to come back.
         retry_after: Micros,
     },
@@ -60,48 +60,59 @@
 /// How long a request of a member waits. The same on every node: of the same member, step, id, target and deadline comes
 /// the same wait, in whole numbers, whoever asks and whenever.
 ///
-/// Only reads wait, and only at their head. The step's wait is `step / of` of the member's full share of the target; a
+/// Only reads wait, and only at their head. The step's wait is `step / total_steps` of the member's full share of the target; a
 /// request waits between half of that and all of it, as its id draws. It never waits longer than half of what its
 /// deadline leaves; where even half of the step's wait is more than that, it is refused. As the full share is at most
 /// half of the target, that takes a deadline with less than half the target left.
-pub fn delay(member: &Member, standing: Standing, asked: &Asked) -> Slow {
-    weigh(None, member, standing, asked)
+pub fn decide_delay(member: &Member, throttle_step: ThrottleStep, asked: &ThrottleRequest) -> DelayDecision {
+    weigh(None, member, throttle_step, asked)
 }
 
-/// [`delay`] with a rule left out.
+/// [`decide_delay`] with a rule left out.
 #[cfg(feature = "mutants")]
-pub fn delay_broken(mutant: Mutant, member: &Member, standing: Standing, asked: &Asked) -> Slow {
-    weigh(Some(mutant), member, standing, asked)
+pub fn decide_delay_mutated(
+    mutant: Mutation,
+    member: &Member,
+    throttle_step: ThrottleStep,
+    asked: &ThrottleRequest,
+) -> DelayDecision {
+    weigh(Some(mutant), member, throttle_step, asked)
 }
 
-fn weigh(mutant: Option<Mutant>, member: &Member, standing: Standing, asked: &Asked) -> Slow {
+fn weigh(
+    mutant: Option<Mutation>,
+    member: &Member,
+    throttle_step: ThrottleStep,
+    asked: &ThrottleRequest,
+) -> DelayDecision {
     let mutant = mutant.filter(|_| cfg!(feature = "mutants"));
-    let midway = mutant == Some(Mutant::RefusalMidway);
-    if (asked.kind != Kind::Safe || asked.stage != Stage::Head) && !midway {
-        return Slow::None;
+    let midway = mutant == Some(Mutation::RefusalMidway);
+    if (asked.kind != RouteKind::Safe || asked.stage != RequestStage::Head) && !midway {
+        return DelayDecision::Forward;
     }
-    if standing.step == 0 || standing.of == 0 || asked.target_us <= 0 {
-        return Slow::None;
+    if throttle_step.step == 0 || throttle_step.total_steps == 0 || asked.latency_target <= 0 {
+        return DelayDecision::Forward;
     }
-    let parts = i128::from(member.slowing.full_ppm) * i128::from(standing.step.min(standing.of));
-    let most = i128::from(asked.target_us) * parts / (1_000_000 * i128::from(standing.of));
-    let Ok(most) = Micros::try_from(most) else { return Slow::None };
+    let parts = i128::from(member.throttle.max_delay_ppm)
+        * i128::from(throttle_step.step.min(throttle_step.total_steps));
+    let most = i128::from(asked.latency_target) * parts / (1_000_000 * i128::from(throttle_step.total_steps));
+    let Ok(most) = Micros::try_from(most) else { return DelayDecision::Forward };
     let least = most / 2;
     if most == 0 {
-        return Slow::None;
+        return DelayDecision::Forward;
     }
-    let fits = asked.deadline_left_us.max(0) / 2;
+    let fits = asked.remaining_deadline.max(0) / 2;
     if fits < least {
-        return Slow::Refuse { retry_after: most };
+        return DelayDecision::Reject { retry_after: most };
     }
     let node = match mutant {
-        Some(Mutant::DelayByNode(node)) => Some(node),
+        Some(Mutation::DelayByNode(node)) => Some(node),
         _ => None,
     };
-    let draw = draw(member, standing.step, asked.id, node);
+    let draw = draw(member, throttle_step.step, asked.id, node);
     let spread = (most - least) as u128 + 1;
     let wait = least + ((u128::from(draw) * spread) >> 64) as Micros;
-    Slow::For(wait.min(fits).max(1))
+    DelayDecision::Delay(wait.min(fits).max(1))
 }
 
 /// Evenly spread over all numbers: FNV-1a of the parts, each with its length, and a last mixing.
@@ -126,32 +137,33 @@
 /// What holds for a request from its head to its end: weighed once, kept through every try. It can't be weighed again,
 /// so a step that comes meanwhile does not touch it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
-    standing: Standing,
-    slow: Slow,
+pub struct RequestThrottle {
+    throttle_step: ThrottleStep,
+    slow: DelayDecision,
 }
 
-impl Terms {
+impl RequestThrottle {
     /// Weigh a request at its head.
     pub fn at_head(
         member: &Member,
-        standing: Standing,
-        kind: Kind,
+        throttle_step: ThrottleStep,
+        kind: RouteKind,
         id: &[u8],
-        target_us: Micros,
-        deadline_left_us: Micros,
-    ) -> Terms {
-        let asked = Asked { kind, stage: Stage::Head, id, target_us, deadline_left_us };
-        Terms { standing, slow: delay(member, standing, &asked) }
+        latency_target: Micros,
+        remaining_deadline: Micros,
+    ) -> RequestThrottle {
+        let asked =
+            ThrottleRequest { kind, stage: RequestStage::Head, id, latency_target, remaining_deadline };
+        RequestThrottle { throttle_step, slow: decide_delay(member, throttle_step, &asked) }
     }
 
     /// The step that holds for it, for the header of its answer.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn throttle_step(&self) -> ThrottleStep {
+        self.throttle_step
     }
 
     /// What is done with it before it is first sent on.
-    pub fn slow(&self) -> Slow {
+    pub fn decision(&self) -> DelayDecision {
         self.slow
     }
 }
--- a/crates/control/throttle/tests/common/mod.rs
+++ b/crates/control/throttle/tests/common/mod.rs
@@ -4,8 +4,9 @@
 
 use silvercross_control_store::{Epoch, Node, State};
 use silvercross_throttle::{
-    delay, standing, Asked, Board, Change, Clerk, Clock, Guard, Kind, Lapse, Lapses, Member, Mutant, Plan,
-    Slow, Slowing, Stage, Standing, Voice,
+    decide_delay, throttle_step, ClockSettings, DelayDecision, LapseChange, LapseState, LapseTime,
+    LapseTimer, LapseView, Member, Mutation, PeerClockReading, Plan, RequestStage, RouteKind,
+    ThrottleRequest, ThrottleSchedule, ThrottleStep, TrustedClock,
 };
 
 pub const S: i64 = 1_000_000;
@@ -17,18 +18,22 @@
 /// The day's time at true time 0.
 const DAY: i64 = 1_790_000_000;
 
-pub fn guard() -> Guard {
-    Guard { steady_us: 60 * S, fresh_us: 10 * S, ..Guard::default() }
+pub fn guard() -> ClockSettings {
+    ClockSettings { steady_after: 60 * S, reading_lifetime: 10 * S, ..ClockSettings::default() }
 }
 
-pub fn member(edition: u64, lapses: Option<Lapses>) -> Member {
+pub fn member(version: u64, lapse_time: Option<LapseTime>) -> Member {
     Member {
         name: "m".into(),
         keys: vec!["k".into()],
-        plan: if lapses.is_some() { Plan::Trial } else { Plan::Full },
-        lapses,
-        slowing: Slowing { full_ppm: 400_000, span_us: STEP * S * i64::from(STEPS), steps: STEPS },
-        edition,
+        plan: if lapse_time.is_some() { Plan::Trial } else { Plan::Full },
+        lapse_time,
+        throttle: ThrottleSchedule {
+            max_delay_ppm: 400_000,
+            ramp: STEP * S * i64::from(STEPS),
+            steps: STEPS,
+        },
+        version,
     }
 }
 
@@ -43,25 +48,25 @@
     touch: i64,
     item: Member,
     item_due: Option<(i64, Member)>,
-    owns: Option<(Epoch, Lapse)>,
-    clerk: Clerk,
-    clock: Clock,
-    board: Board,
-    copies: Vec<(i64, Lapse)>,
+    owns: Option<(Epoch, LapseState)>,
+    clerk: LapseTimer,
+    clock: TrustedClock,
+    board: LapseView,
+    copies: Vec<(i64, LapseState)>,
     shown: (u64, u32),
 }
 
 pub struct World {
     t: i64,
     seed: u64,
-    mutant: Option<Mutant>,
+    mutant: Option<Mutation>,
     holders: Vec<Holder>,
     owner: usize,
     epoch: Epoch,
-    page: Lapse,
+    page: LapseState,
     item: Member,
     item_at: i64,
-    pending: Vec<(i64, Epoch, Change)>,
+    pending: Vec<(i64, Epoch, LapseChange)>,
     mended: i64,
     // The model's.
     changed: i64,
@@ -83,8 +88,8 @@
 }
 
 impl World {
-    pub fn new(seed: u64, mutant: Option<Mutant>) -> World {
-        let first = member(1, Some(Lapses::At((DAY + 40 + (seed % 100) as i64) * S)));
+    pub fn new(seed: u64, mutant: Option<Mutation>) -> World {
+        let first = member(1, Some(LapseTime::At((DAY + 40 + (seed % 100) as i64) * S)));
         let mut world = World {
             t: 0,
             seed,
@@ -92,7 +97,7 @@
             holders: Vec::new(),
             owner: 0,
             epoch: Epoch { round: 1, owner: 0 },
-            page: Lapse::default(),
+            page: LapseState::default(),
             item: first.clone(),
             item_at: 0,
             pending: Vec::new(),
@@ -115,7 +120,7 @@
                 touch: 0,
                 item: first.clone(),
                 item_due: None,
-                owns: (i == 0).then(|| (world.epoch, Lapse::default())),
+                owns: (i == 0).then(|| (world.epoch, LapseState::default())),
                 clerk,
                 clock,
                 board,
@@ -126,14 +131,15 @@
         world
     }
 
-    fn fresh(&self) -> (Clerk, Clock, Board) {
+    fn fresh(&self) -> (LapseTimer, TrustedClock, LapseView) {
         #[allow(unused_mut)]
-        let (mut clerk, mut clock, mut board) = (Clerk::new(), Clock::new(guard(), false), Board::new());
+        let (mut clerk, mut clock, mut board) =
+            (LapseTimer::new(), TrustedClock::new(guard(), false), LapseView::new());
         #[cfg(feature = "mutants")]
         if let Some(mutant) = self.mutant {
-            clerk.break_it(mutant);
-            clock.break_it(mutant);
-            board.break_it(mutant);
+            clerk.set_mutation(mutant);
+            clock.set_mutation(mutant);
+            board.set_mutation(mutant);
         }
         (clerk, clock, board)
     }
@@ -146,17 +152,23 @@
         (z ^ (z >> 31)) % below
     }
 
-    fn weigh(&self, _node: usize, member: &Member, at: Standing, asked: &Asked) -> Slow {
+    fn weigh(
+        &self,
+        _node: usize,
+        member: &Member,
+        at: ThrottleStep,
+        asked: &ThrottleRequest,
+    ) -> DelayDecision {
         #[cfg(feature = "mutants")]
         match self.mutant {
-            Some(Mutant::DelayByNode(_)) => {
-                let mutant = Mutant::DelayByNode(_node as u32);
-                return silvercross_throttle::delay_broken(mutant, member, at, asked);
+            Some(Mutation::DelayByNode(_)) => {
+                let mutant = Mutation::DelayByNode(_node as u32);
+                return silvercross_throttle::decide_delay_mutated(mutant, member, at, asked);
             }
-            Some(mutant) => return silvercross_throttle::delay_broken(mutant, member, at, asked),
+            Some(mutant) => return silvercross_throttle::decide_delay_mutated(mutant, member, at, asked),
             None => {}
         }
-        delay(member, at, asked)
+        decide_delay(member, at, asked)
     }
 
     /// Play a schedule, then calm, by whose end all must have come to pass.
@@ -180,7 +192,7 @@
             self.tick()?;
         }
         let want = if self.item.plan == Plan::Full { 0 } else { STEPS };
-        let now = self.standing().step;
+        let now = self.throttle_step().step;
         ensure(now == want, || format!("after calm the step is {now} and not {want}"))
     }
 
@@ -227,13 +239,13 @@
                 self.alone = t;
             }
             4 => {
-                let edition = self.item.edition + 1 + u64::from(arg & 1);
-                let lapses = match arg % 4 {
+                let version = self.item.version + 1 + u64::from(arg & 1);
+                let lapse_time = match arg % 4 {
                     0 => None,
-                    1 => Some(Lapses::In((20 + i64::from(arg)) * S)),
-                    _ => Some(Lapses::At((DAY + t + i64::from(arg) - 40) * S)),
+                    1 => Some(LapseTime::In((20 + i64::from(arg)) * S)),
+                    _ => Some(LapseTime::At((DAY + t + i64::from(arg) - 40) * S)),
                 };
-                self.item = member(edition, lapses);
+                self.item = member(version, lapse_time);
                 self.item_at = t;
                 for j in 0..HOLDERS {
                     let late = 1 + self.draw(2) as i64;
@@ -286,13 +298,19 @@
                 continue;
             }
             let now = t * S + holder.mono;
-            holder.clock.read(now, said[i].0);
+            holder.clock.observe_local(now, said[i].0);
             if !holder.cut && t % 2 == 0 {
                 for (j, &(wall, stepped, silent)) in said.iter().enumerate() {
                     if j != i && !silent {
                         let (asked, answered) = (now - 200_000, now);
                         let node = Node(j as u32);
-                        holder.clock.heard(Voice { node, asked, answered, wall: wall - 100_000, stepped });
+                        holder.clock.observe_peer(PeerClockReading {
+                            node,
+                            sent_at: asked,
+                            received_at: answered,
+                            wall: wall - 100_000,
+                            stepped,
+                        });
                     }
                 }
             }
@@ -303,7 +321,7 @@
                 let (here, later): (Vec<_>, Vec<_>) = holder.copies.drain(..).partition(|(at, _)| *at <= t);
                 holder.copies = later;
                 for (_, copy) in here {
-                    holder.board.follow(now, "m", &copy);
+                    holder.board.observe(now, "m", &copy);
                 }
                 // What an owner of old learns in the end.
                 if i != self.owner && holder.owns.is_some() && t % 8 == 0 {
@@ -316,7 +334,7 @@
                     page.clone_from(&self.page);
                 }
                 let advice = holder.clerk.decide(now, "m", *epoch, page, Some(&holder.item), &holder.clock);
-                asked.extend(advice.ask.map(|change| (*epoch, change)));
+                asked.extend(advice.proposal.map(|change| (*epoch, change)));
             }
         }
         for (epoch, change) in asked {
@@ -354,33 +372,33 @@
     }
 
     /// What the model says of a change: only its own figures, in true time.
-    fn legal(&mut self, old: &Lapse, change: &Change) -> Verdict {
+    fn legal(&mut self, old: &LapseState, change: &LapseChange) -> Verdict {
         let t = self.t;
         match *change {
-            Change::Renew { edition, .. } => {
+            LapseChange::Renew { version, .. } => {
                 self.due = None;
-                ensure(Some(edition) > old.edition, || "renewed by no newer edition".into())
+                ensure(Some(version) > old.version, || "renewed by no newer edition".into())
             }
-            Change::Due { at, .. } => {
+            LapseChange::Due { at, .. } => {
                 let at = at / S - DAY;
                 self.due = Some(at);
-                let Some(Lapses::In(span)) = self.item.lapses else { return Ok(()) };
+                let Some(LapseTime::In(span)) = self.item.lapse_time else { return Ok(()) };
                 let least = self.item_at + span / S;
-                let newest = old.edition == Some(self.item.edition);
+                let newest = old.version == Some(self.item.version);
                 ensure(!newest || (at >= least - 3 && at <= t + span / S + 3), || {
-                    format!("due at {at}, item {} at {} for {span}", self.item.edition, self.item_at)
+                    format!("due at {at}, item {} at {} for {span}", self.item.version, self.item_at)
                 })
             }
-            Change::Begin { edition } => {
+            LapseChange::Begin { version } => {
                 self.begins += 1;
-                let due = match self.item.lapses {
-                    _ if edition != self.item.edition => return Ok(()),
-                    Some(Lapses::At(at)) => Some(at / S - DAY),
+                let due = match self.item.lapse_time {
+                    _ if version != self.item.version => return Ok(()),
+                    Some(LapseTime::At(at)) => Some(at / S - DAY),
                     _ => self.due,
                 };
                 ensure(due.is_some_and(|due| t >= due - 3), || format!("lapsed at {t}, due at {due:?}"))
             }
-            Change::Step { to, .. } => {
+            LapseChange::Step { to, .. } => {
                 self.steps += 1;
                 ensure(old.begun && to == old.step + 1, || format!("step {to} after {}", old.step))?;
                 let since = self.changed;
@@ -389,8 +407,8 @@
         }
     }
 
-    fn standing(&self) -> Standing {
-        standing(&self.item, &self.page)
+    fn throttle_step(&self) -> ThrottleStep {
+        throttle_step(&self.item, &self.page)
     }
 
     fn judge(&mut self) -> Verdict {
@@ -398,27 +416,29 @@
         // An owner that is let alone does not tarry.
         let owner = &self.holders[self.owner];
         let page = &self.page;
-        let ready = page.begun && page.step < page.of && page.edition == Some(self.item.edition);
-        let well = !owner.cut && owner.frozen_until < t && owner.item.edition == self.item.edition;
+        let ready = page.begun && page.step < page.total_steps && page.version == Some(self.item.version);
+        let well = !owner.cut && owner.frozen_until < t && owner.item.version == self.item.version;
         let since = self.alone.max(self.changed).max(owner.touch).max(self.item_at + TOUCH);
         ensure(!(ready && well) || t <= since + STEP + 5, || {
-            format!("step {} of {} stalls at {t}, since {since}", page.step, page.of)
+            format!("step {} of {} stalls at {t}, since {since}", page.step, page.total_steps)
         })?;
         let calm = t > self.changed.max(self.item_at) + TOUCH;
-        let want = self.standing();
+        let want = self.throttle_step();
         let mut rows = Vec::new();
         for holder in &mut self.holders {
-            let row = holder.board.row(t * S + holder.mono, &holder.item);
+            let status = holder.board.status(t * S + holder.mono, &holder.item);
             // A renewal takes hold by its item or by its lapse, whichever comes first.
-            let edition = row.edition;
+            let version = status.version;
             let (shown, step) = holder.shown;
-            ensure(edition != shown || row.standing.step >= step, || format!("a node went back to {row:?}"))?;
-            holder.shown = (edition, row.standing.step);
+            ensure(version != shown || status.throttle_step.step >= step, || {
+                format!("a node went back to {status:?}")
+            })?;
+            holder.shown = (version, status.throttle_step.step);
             let touch = !holder.cut && holder.frozen_until < t && t > holder.touch + TOUCH;
-            ensure(!(calm && touch) || row.standing == want, || {
-                format!("at {t} a node in touch stands at {} and not {want}", row.standing)
+            ensure(!(calm && touch) || status.throttle_step == want, || {
+                format!("at {t} a node in touch stands at {} and not {want}", status.throttle_step)
             })?;
-            rows.push((holder.item.clone(), row.standing));
+            rows.push((holder.item.clone(), status.throttle_step));
         }
         if t % 8 == 0 {
             self.requests(&rows)?;
@@ -427,38 +447,42 @@
     }
 
     /// One request wherever it lands: nodes that stand alike do alike.
-    fn requests(&mut self, rows: &[(Member, Standing)]) -> Verdict {
+    fn requests(&mut self, rows: &[(Member, ThrottleStep)]) -> Verdict {
         let id = self.draw(u64::MAX).to_le_bytes();
-        let kind = [Kind::Safe, Kind::Safe, Kind::Unsafe, Kind::Upload][self.draw(4) as usize];
-        let stage = [Stage::Head, Stage::Head, Stage::Begun, Stage::Again][self.draw(4) as usize];
-        let (target_us, deadline_left_us) = (600_000, self.draw(4_000_000) as i64);
-        let asked = Asked { kind, stage, id: &id, target_us, deadline_left_us };
-        let mut first: Option<(&Member, Standing, Slow)> = None;
+        let kind =
+            [RouteKind::Safe, RouteKind::Safe, RouteKind::Unsafe, RouteKind::Upload][self.draw(4) as usize];
+        let stage =
+            [RequestStage::Head, RequestStage::Head, RequestStage::BodyStarted, RequestStage::Retried]
+                [self.draw(4) as usize];
+        let (latency_target, remaining_deadline) = (600_000, self.draw(4_000_000) as i64);
+        let asked = ThrottleRequest { kind, stage, id: &id, latency_target, remaining_deadline };
+        let mut first: Option<(&Member, ThrottleStep, DelayDecision)> = None;
         for (node, (member, at)) in rows.iter().enumerate() {
             let slow = self.weigh(node, member, *at, &asked);
-            if kind != Kind::Safe || stage != Stage::Head || at.step == 0 {
-                ensure(slow == Slow::None, || format!("{kind:?} at {stage:?}, step {at}: {slow:?}"))?;
+            if kind != RouteKind::Safe || stage != RequestStage::Head || at.step == 0 {
+                ensure(slow == DelayDecision::Forward, || {
+                    format!("{kind:?} at {stage:?}, step {at}: {slow:?}")
+                })?;
             }
-            let most = target_us * 4 * i64::from(at.step) / 10 / i64::from(at.of.max(1));
+            let most = latency_target * 4 * i64::from(at.step) / 10 / i64::from(at.total_steps.max(1));
             match slow {
-                Slow::None => {
-                    ensure(asked.stage != Stage::Head || kind != Kind::Safe || at.step == 0, || {
-                        format!("a read goes on at once at step {at}")
-                    })?
-                }
-                Slow::For(wait) => {
-                    ensure(wait >= most / 2 && wait <= most && wait <= deadline_left_us / 2, || {
+                DelayDecision::Forward => ensure(
+                    asked.stage != RequestStage::Head || kind != RouteKind::Safe || at.step == 0,
+                    || format!("a read goes on at once at step {at}"),
+                )?,
+                DelayDecision::Delay(wait) => {
+                    ensure(wait >= most / 2 && wait <= most && wait <= remaining_deadline / 2, || {
                         format!("waits {wait} at {at}, {asked:?}")
                     })?
                 }
-                Slow::Refuse { retry_after } => {
-                    ensure(deadline_left_us / 2 < most / 2 && retry_after == most, || {
+                DelayDecision::Reject { retry_after } => {
+                    ensure(remaining_deadline / 2 < most / 2 && retry_after == most, || {
                         format!("refused at {at}, {asked:?}")
                     })?
                 }
             }
             match first {
-                Some((m, s, other)) if s == *at && m.slowing == member.slowing => {
+                Some((m, s, other)) if s == *at && m.throttle == member.throttle => {
                     ensure(other == slow, || {
                         format!("{other:?} on one node and {slow:?} on another at {at}")
                     })?
--- a/crates/control/throttle/tests/mutants.rs
+++ b/crates/control/throttle/tests/mutants.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::{schedule, World};
-use silvercross_throttle::Mutant;
+use silvercross_throttle::Mutation;
 
 /// The model finds it within so many schedules, in these words.
-fn caught(mutant: Mutant, schedules: u64, words: &str) {
+fn caught(mutant: Mutation, schedules: u64, words: &str) {
     let found = (0..schedules).find_map(|seed| {
         let why = World::new(seed, Some(mutant)).run(&schedule(seed)).err()?;
         why.contains(words).then_some((seed, why))
@@ -18,30 +18,30 @@
 
 #[test]
 fn a_lapse_by_the_owners_own_clock_is_caught() {
-    caught(Mutant::OwnClock, 500, "lapsed at");
+    caught(Mutation::OwnClock, 500, "lapsed at");
 }
 
 #[test]
 fn a_step_from_local_time_is_caught() {
-    caught(Mutant::StepFromLocalTime, 50, "a node in touch stands at");
+    caught(Mutation::StepFromLocalTime, 50, "a node in touch stands at");
 }
 
 #[test]
 fn a_delay_by_node_is_caught() {
-    caught(Mutant::DelayByNode(0), 50, "on another at");
+    caught(Mutation::DelayByNode(0), 50, "on another at");
 }
 
 #[test]
 fn a_refusal_midway_is_caught() {
-    caught(Mutant::RefusalMidway, 200, "Refuse {");
+    caught(Mutation::RefusalMidway, 200, "Reject {");
 }
 
 #[test]
 fn a_step_lost_at_a_hand_over_is_caught() {
-    caught(Mutant::StepLostAtHandOver, 200, "stalls at");
+    caught(Mutation::StepLostAtHandOver, 200, "stalls at");
 }
 
 #[test]
 fn a_step_doubled_at_a_hand_over_is_caught() {
-    caught(Mutant::StepDoubledAtHandOver, 200, "the one before at");
+    caught(Mutation::StepDoubledAtHandOver, 200, "the one before at");
 }
--- a/crates/control/throttle/tests/rules.rs
+++ b/crates/control/throttle/tests/rules.rs
@@ -3,9 +3,10 @@
 use serde_json::{json, Map, Value};
 use silvercross_control_store::{Epoch, Node, State};
 use silvercross_throttle::{
-    delay, key, name_of, read, Advice, Asked, Board, Change, Clerk, Clock, Directory, Fault, Guard, Kind,
-    Lapse, Lapses, Member, Parked, Plan, Roll, Sent, Slow, Slowing, Stage, Standing, Terms, Voice, Waits,
-    Whose,
+    decide_delay, lapse_key, member_of_lapse_key, read, ClockSettings, DelayDecision, DelayQueue,
+    LapseChange, LapseState, LapseTime, LapseTimer, LapseView, Member, MemberError, MemberIndex, MemberList,
+    MemberListChange, PeerClockReading, Plan, RequestIdentity, RequestStage, RequestThrottle, RouteKind,
+    ThrottleRequest, ThrottleSchedule, ThrottleStep, TimerDecision, TrustedClock, WaitingFor,
 };
 
 const S: i64 = 1_000_000;
@@ -15,16 +16,16 @@
     value.as_object().cloned().unwrap_or_default()
 }
 
-fn try_read(body: &Value) -> Result<Sent, Fault> {
+fn try_read(body: &Value) -> Result<MemberListChange, MemberError> {
     read(&map(&body["deliver"]), &map(&body["withdraw"]))
 }
 
-fn sent(body: Value) -> Sent {
+fn sent(body: Value) -> MemberListChange {
     try_read(&body).unwrap()
 }
 
-fn trial(name: &str, key: &str, edition: u64) -> Value {
-    json!({"name": name, "key": key, "plan": "trial", "lapsesAt": 1790000100.5, "edition": edition,
+fn trial(name: &str, key: &str, version: u64) -> Value {
+    json!({"name": name, "key": key, "plan": "trial", "lapsesAt": 1790000100.5, "edition": version,
         "slowing": {"fullShare": 0.4, "spanS": 40, "steps": 4}})
 }
 
@@ -95,7 +96,7 @@
 
 #[test]
 fn the_higher_edition_holds_and_nothing_of_a_refused_call() {
-    let mut roll = Roll::default();
+    let mut roll = MemberList::default();
     assert_eq!(roll.to_json(), "");
     let mut odd = trial("a", "k1", 5);
     odd["allowance"] = json!({"reads": 100});
@@ -105,10 +106,10 @@
     let before = roll.clone();
     assert!(roll.apply(&sent(members(&[trial("a", "k9", 5)]))).unwrap_err().conflict);
     let taken = sent(members(&[trial("c", "k3", 1), trial("d", "k2", 1)]));
-    assert!(!roll.would(&taken).unwrap_err().conflict);
+    assert!(!roll.would_change(&taken).unwrap_err().conflict);
     assert!(roll.apply(&taken).is_err());
     assert_eq!((&roll, roll.len()), (&before, 2));
-    assert_eq!(roll.raw("a"), Some(odd.to_string().as_str()));
+    assert_eq!(roll.raw_json("a"), Some(odd.to_string().as_str()));
     // A key may move within one call.
     assert_eq!(roll.apply(&sent(members(&[trial("a", "k2", 6), trial("b", "k1", 6)]))), Ok(true));
     let drop = sent(json!({"withdraw": {"members": [{"name": "a", "edition": 7}]}}));
@@ -116,97 +117,104 @@
     assert_eq!(roll.apply(&sent(members(&[trial("a", "k2", 6)]))), Ok(false));
     assert_eq!(roll.to_json(), format!("\"members\":[{}]", trial("b", "k1", 6)));
     let bytes = bitcode::encode(&roll);
-    assert_eq!(bitcode::decode::<Roll>(&bytes).ok(), Some(roll));
+    assert_eq!(bitcode::decode::<MemberList>(&bytes).ok(), Some(roll));
 }
 
 #[test]
 fn a_request_names_one_member_or_none() {
-    let mut roll = Roll::default();
+    let mut roll = MemberList::default();
     roll.apply(&sent(members(&[trial("a", "k1", 1)]))).unwrap();
-    assert_eq!(Directory::new(&roll).whose([&b"k1"[..]]), Whose::Nobody, "no header is set");
-    for (unknown, edition, other) in [("serve", 1, Whose::Nobody), ("refuse", 2, Whose::Refuse)] {
-        let set = json!({"header": "Workshop-Key", "unknown": unknown, "edition": edition});
+    assert_eq!(
+        MemberIndex::new(&roll).identify([&b"k1"[..]]),
+        RequestIdentity::Anonymous,
+        "no header is set"
+    );
+    for (unknown, version, other) in
+        [("serve", 1, RequestIdentity::Anonymous), ("refuse", 2, RequestIdentity::Reject)]
+    {
+        let set = json!({"header": "Workshop-Key", "unknown": unknown, "edition": version});
         roll.apply(&sent(json!({"deliver": {"membership": set}}))).unwrap();
-        let directory = Directory::new(&roll);
+        let directory = MemberIndex::new(&roll);
         assert_eq!(directory.header(), Some("workshop-key"));
-        assert_eq!(directory.whose([&b" k1 "[..]]), Whose::Member(roll.member("a").unwrap()));
+        assert_eq!(directory.identify([&b" k1 "[..]]), RequestIdentity::Member(roll.member("a").unwrap()));
         for values in [vec![], vec![&b"k2"[..]], vec![b"k1", b"k1"], vec![b"\xff"], vec![b"k1,k1"]] {
-            assert_eq!(directory.whose(values.clone()), other, "{values:?}");
+            assert_eq!(directory.identify(values.clone()), other, "{values:?}");
         }
     }
 }
 
 #[test]
 fn steps_only_rise_and_an_old_step_does_not_touch_a_renewal() {
-    let mut page = Lapse::default();
-    assert_eq!(name_of(&key("a/b")), Some("a/b"));
-    assert!(page.apply(&Change::Begin { edition: 1 }).is_err(), "not renewed yet");
-    assert!(page.apply(&Change::Renew { edition: 1, of: 0 }).is_err());
-    assert_eq!(page.apply(&Change::Renew { edition: 1, of: 2 }), Ok(true));
-    assert_eq!(page.apply(&Change::Renew { edition: 1, of: 2 }), Ok(false));
-    assert!(page.apply(&Change::Step { edition: 1, to: 1 }).is_err(), "not begun");
-    assert_eq!(page.apply(&Change::Due { edition: 1, at: 5 }), Ok(true));
-    assert!(page.apply(&Change::Due { edition: 1, at: 6 }).is_err());
-    assert_eq!(page.apply(&Change::Begin { edition: 1 }), Ok(true));
-    assert_eq!(page.apply(&Change::Begin { edition: 1 }), Ok(false));
-    assert!(page.apply(&Change::Step { edition: 1, to: 2 }).is_err(), "one left out");
-    assert_eq!(page.apply(&Change::Step { edition: 1, to: 1 }), Ok(true));
-    assert_eq!(page.apply(&Change::Step { edition: 1, to: 1 }), Ok(false));
-    assert_eq!(page.apply(&Change::Step { edition: 1, to: 2 }), Ok(true));
-    assert!(page.apply(&Change::Step { edition: 1, to: 3 }).is_err(), "beyond the last");
-    assert_eq!(page.apply(&Change::Renew { edition: 3, of: 2 }), Ok(true));
+    let mut page = LapseState::default();
+    assert_eq!(member_of_lapse_key(&lapse_key("a/b")), Some("a/b"));
+    assert!(page.apply(&LapseChange::Begin { version: 1 }).is_err(), "not renewed yet");
+    assert!(page.apply(&LapseChange::Renew { version: 1, total_steps: 0 }).is_err());
+    assert_eq!(page.apply(&LapseChange::Renew { version: 1, total_steps: 2 }), Ok(true));
+    assert_eq!(page.apply(&LapseChange::Renew { version: 1, total_steps: 2 }), Ok(false));
+    assert!(page.apply(&LapseChange::Step { version: 1, to: 1 }).is_err(), "not begun");
+    assert_eq!(page.apply(&LapseChange::Due { version: 1, at: 5 }), Ok(true));
+    assert!(page.apply(&LapseChange::Due { version: 1, at: 6 }).is_err());
+    assert_eq!(page.apply(&LapseChange::Begin { version: 1 }), Ok(true));
+    assert_eq!(page.apply(&LapseChange::Begin { version: 1 }), Ok(false));
+    assert!(page.apply(&LapseChange::Step { version: 1, to: 2 }).is_err(), "one left out");
+    assert_eq!(page.apply(&LapseChange::Step { version: 1, to: 1 }), Ok(true));
+    assert_eq!(page.apply(&LapseChange::Step { version: 1, to: 1 }), Ok(false));
+    assert_eq!(page.apply(&LapseChange::Step { version: 1, to: 2 }), Ok(true));
+    assert!(page.apply(&LapseChange::Step { version: 1, to: 3 }).is_err(), "beyond the last");
+    assert_eq!(page.apply(&LapseChange::Renew { version: 3, total_steps: 2 }), Ok(true));
     let renewed = page.clone();
     for old in [
-        Change::Step { edition: 1, to: 2 },
-        Change::Begin { edition: 1 },
-        Change::Renew { edition: 2, of: 9 },
+        LapseChange::Step { version: 1, to: 2 },
+        LapseChange::Begin { version: 1 },
+        LapseChange::Renew { version: 2, total_steps: 9 },
     ] {
         assert_eq!(page.apply(&old), Ok(false));
     }
     assert_eq!((&page, page.step, page.begun, page.renewals), (&renewed, 0, false, 1));
 }
 
-fn voice(node: u32, now: i64, wall: i64) -> Voice {
-    Voice { node: Node(node), asked: now - 1_000, answered: now, wall, stepped: false }
+fn voice(node: u32, now: i64, wall: i64) -> PeerClockReading {
+    PeerClockReading { node: Node(node), sent_at: now - 1_000, received_at: now, wall, stepped: false }
 }
 
 #[test]
 fn a_time_of_day_is_believed_only_in_company() {
     let hour = 3_600 * S;
-    let mut clock = Clock::new(Guard::default(), false);
-    assert!(!clock.read(0, DAY));
-    assert_eq!(clock.time(0), None, "nobody agrees");
-    clock.heard(voice(1, 0, DAY));
-    assert_eq!(clock.time(0), Some(DAY));
+    let mut clock = TrustedClock::new(ClockSettings::default(), false);
+    assert!(!clock.observe_local(0, DAY));
+    assert_eq!(clock.wall_time(0), None, "nobody agrees");
+    clock.observe_peer(voice(1, 0, DAY));
+    assert_eq!(clock.wall_time(0), Some(DAY));
     // It steps and one other does not follow: no time. Two others that agree outvote it.
-    assert!(clock.read(S, DAY + S + hour));
+    assert!(clock.observe_local(S, DAY + S + hour));
     assert!(clock.stepped(S));
-    clock.heard(voice(1, S, DAY + S));
-    assert_eq!(clock.time(S), None);
-    clock.heard(voice(2, S, DAY + S + 400_000));
-    assert!(clock.time(S).is_some_and(|time| (time - DAY - S).abs() < S));
+    clock.observe_peer(voice(1, S, DAY + S));
+    assert_eq!(clock.wall_time(S), None);
+    clock.observe_peer(voice(2, S, DAY + S + 400_000));
+    assert!(clock.wall_time(S).is_some_and(|time| (time - DAY - S).abs() < S));
     // Another that stepped alike is no witness.
-    let mut pair = Clock::new(Guard::default(), false);
-    pair.read(0, DAY);
-    pair.read(S, DAY + S + hour);
-    pair.heard(Voice { stepped: true, ..voice(1, S, DAY + S + hour) });
-    assert_eq!(pair.time(S), None);
+    let mut pair = TrustedClock::new(ClockSettings::default(), false);
+    pair.observe_local(0, DAY);
+    pair.observe_local(S, DAY + S + hour);
+    pair.observe_peer(PeerClockReading { stepped: true, ..voice(1, S, DAY + S + hour) });
+    assert_eq!(pair.wall_time(S), None);
     // Alone afterwards, being steady is not enough: it is in doubt until others agree.
     for s in 2..2_000 {
-        clock.read(s * S, DAY + s * S + hour);
+        clock.observe_local(s * S, DAY + s * S + hour);
     }
-    assert_eq!(clock.time(1_999 * S), None);
+    assert_eq!(clock.wall_time(1_999 * S), None);
     // A slow answer says nothing.
-    clock.heard(Voice { asked: 1_990 * S, ..voice(1, 1_999 * S, DAY + 1_999 * S + hour) });
-    assert_eq!(clock.time(1_999 * S), None);
+    clock
+        .observe_peer(PeerClockReading { sent_at: 1_990 * S, ..voice(1, 1_999 * S, DAY + 1_999 * S + hour) });
+    assert_eq!(clock.wall_time(1_999 * S), None);
 }
 
 #[test]
 fn a_single_holder_waits_for_a_steady_clock() {
-    let mut clock = Clock::new(Guard::default(), true);
+    let mut clock = TrustedClock::new(ClockSettings::default(), true);
     let mut read = |s: i64, wrong: i64| {
-        clock.read(s * S, DAY + s * S + wrong);
-        clock.time(s * S).is_some()
+        clock.observe_local(s * S, DAY + s * S + wrong);
+        clock.wall_time(s * S).is_some()
     };
     assert_eq!((0..700).filter(|&s| read(s, 0)).min(), Some(600));
     assert!(!read(700, -3_600 * S));
@@ -214,135 +222,165 @@
     assert!((701..2_000).all(|s| !read(s, -3_600 * S + (s - 700) * 900_000)));
 }
 
-fn member(lapses: Lapses) -> Member {
+fn member(lapse_time: LapseTime) -> Member {
     Member {
         name: "a".into(),
         keys: vec!["k1".into()],
         plan: Plan::Trial,
-        lapses: Some(lapses),
-        slowing: Slowing { full_ppm: 400_000, span_us: 40 * S, steps: 4 },
-        edition: 1,
+        lapse_time: Some(lapse_time),
+        throttle: ThrottleSchedule { max_delay_ppm: 400_000, ramp: 40 * S, steps: 4 },
+        version: 1,
     }
 }
 
 #[test]
 fn the_clerk_wakes_when_it_is_time_and_asks_once() {
     let (mut clerk, mut clock, mut page) =
-        (Clerk::new(), Clock::new(Guard::default(), false), Lapse::default());
-    let member = member(Lapses::In(20 * S));
+        (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false), LapseState::default());
+    let member = member(LapseTime::In(20 * S));
     let epoch = Epoch { round: 1, owner: 1 };
     let mut now = 0;
     let mut asked = Vec::new();
-    while let Advice { ask, wake: Some(wake), waits } = {
-        clock.read(now, DAY + now);
-        clock.heard(voice(1, now, DAY + now));
+    while let TimerDecision { proposal, next_deadline: Some(next_deadline), waiting_for } = {
+        clock.observe_local(now, DAY + now);
+        clock.observe_peer(voice(1, now, DAY + now));
         clerk.decide(now, "a", epoch, &page, Some(&member), &clock)
     } {
-        assert_eq!((clerk.next(), waits == Waits::Answer), (Some(wake), ask.is_some()));
-        match ask {
+        assert_eq!(
+            (clerk.next_deadline(), waiting_for == WaitingFor::Answer),
+            (Some(next_deadline), proposal.is_some())
+        );
+        match proposal {
             Some(change) => {
                 let again = clerk.decide(now + 1, "a", epoch, &page, Some(&member), &clock);
-                assert_eq!((again.ask, again.wake), (None, Some(wake)), "asked once");
+                assert_eq!((again.proposal, again.next_deadline), (None, Some(next_deadline)), "asked once");
                 assert_eq!(page.apply(&change), Ok(true));
                 asked.push((now / S, change));
             }
             None => {
-                now = wake;
+                now = next_deadline;
                 assert_eq!(clerk.due(now, 9), ["a"]);
             }
         }
     }
-    let edition = 1;
+    let version = 1;
     let mut want = vec![
-        (0, Change::Renew { edition, of: 4 }),
-        (0, Change::Due { edition, at: DAY + 20 * S }),
-        (20, Change::Begin { edition }),
+        (0, LapseChange::Renew { version, total_steps: 4 }),
+        (0, LapseChange::Due { version, at: DAY + 20 * S }),
+        (20, LapseChange::Begin { version }),
     ];
-    want.extend((1..=4).map(|to| (20 + 10 * i64::from(to), Change::Step { edition, to })));
+    want.extend((1..=4).map(|to| (20 + 10 * i64::from(to), LapseChange::Step { version, to })));
     assert_eq!(asked, want);
-    assert_eq!((clerk.next(), clerk.len()), (None, 1));
+    assert_eq!((clerk.next_deadline(), clerk.len()), (None, 1));
     clerk.decide(now, "a", epoch, &page, None, &clock);
     assert!(clerk.is_empty());
 }
 
 #[test]
 fn a_member_whose_lapse_is_far_off_costs_the_ledger_nothing() {
-    let (mut clerk, mut clock) = (Clerk::new(), Clock::new(Guard::default(), false));
-    clock.read(0, DAY);
-    clock.heard(voice(1, 0, DAY));
-    let far = member(Lapses::At(DAY + 86_400 * S));
-    let advice = clerk.decide(0, "a", Epoch::default(), &Lapse::default(), Some(&far), &clock);
-    assert_eq!((advice.ask, advice.waits), (None, Waits::Instant));
+    let (mut clerk, mut clock) = (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false));
+    clock.observe_local(0, DAY);
+    clock.observe_peer(voice(1, 0, DAY));
+    let far = member(LapseTime::At(DAY + 86_400 * S));
+    let advice = clerk.decide(0, "a", Epoch::default(), &LapseState::default(), Some(&far), &clock);
+    assert_eq!((advice.proposal, advice.waiting_for), (None, WaitingFor::LapseTime));
 }
 
 #[test]
 fn a_node_follows_what_is_newest_and_a_newer_item_renews_at_once() {
-    let mut board = Board::new();
-    let mut a = member(Lapses::In(S));
-    let at = |edition, step| Lapse { edition: Some(edition), begun: true, step, of: 4, ..Lapse::default() };
-    assert_eq!(board.row(0, &a).age_us, None);
-    assert!(board.follow(S, "a", &at(1, 2)).is_some());
-    assert!(board.follow(2 * S, "a", &at(1, 1)).is_none(), "late copy");
-    let row = board.row(3 * S, &a);
-    assert_eq!((row.standing, row.age_us), (Standing { step: 2, of: 4 }, Some(2 * S)));
-    assert_eq!(board.tenths([&a].into_iter())[5], 1);
-    a.edition = 2;
-    assert_eq!(board.row(3 * S, &a).standing.step, 0);
-    assert!(board.follow(4 * S, "a", &at(3, 1)).is_some());
-    assert_eq!(board.row(4 * S, &a).standing.step, 1, "the item lags");
+    let mut board = LapseView::new();
+    let mut a = member(LapseTime::In(S));
+    let at = |version, step| LapseState {
+        version: Some(version),
+        begun: true,
+        step,
+        total_steps: 4,
+        ..LapseState::default()
+    };
+    assert_eq!(board.status(0, &a).age, None);
+    assert!(board.observe(S, "a", &at(1, 2)).is_some());
+    assert!(board.observe(2 * S, "a", &at(1, 1)).is_none(), "late copy");
+    let status = board.status(3 * S, &a);
+    assert_eq!((status.throttle_step, status.age), (ThrottleStep { step: 2, total_steps: 4 }, Some(2 * S)));
+    assert_eq!(board.count_by_tenth([&a].into_iter())[5], 1);
+    a.version = 2;
+    assert_eq!(board.status(3 * S, &a).throttle_step.step, 0);
+    assert!(board.observe(4 * S, "a", &at(3, 1)).is_some());
+    assert_eq!(board.status(4 * S, &a).throttle_step.step, 1, "the item lags");
     a.plan = Plan::Full;
-    assert_eq!(board.row(4 * S, &a).standing.step, 0);
+    assert_eq!(board.status(4 * S, &a).throttle_step.step, 0);
 }
 
 #[test]
 fn a_wait_is_gentle_bounded_and_evenly_drawn() {
-    let a = member(Lapses::In(S));
-    let asked =
-        |left| Asked { kind: Kind::Safe, stage: Stage::Head, id: b"x", target_us: S, deadline_left_us: left };
-    let half = Standing { step: 2, of: 4 };
+    let a = member(LapseTime::In(S));
+    let asked = |left| ThrottleRequest {
+        kind: RouteKind::Safe,
+        stage: RequestStage::Head,
+        id: b"x",
+        latency_target: S,
+        remaining_deadline: left,
+    };
+    let half = ThrottleStep { step: 2, total_steps: 4 };
     // A fifth of the target at most, and a tenth at least; the mean between them.
     let mut sum = 0;
     for id in 0..1_000u32 {
         let id = id.to_string();
-        match delay(&a, half, &Asked { id: id.as_bytes(), ..asked(4 * S) }) {
-            Slow::For(wait) if (100_000..=200_000).contains(&wait) => sum += wait,
+        match decide_delay(&a, half, &ThrottleRequest { id: id.as_bytes(), ..asked(4 * S) }) {
+            DelayDecision::Delay(wait) if (100_000..=200_000).contains(&wait) => sum += wait,
             other => panic!("{other:?}"),
         }
     }
     assert!((145_000..155_000).contains(&(sum / 1_000)), "{sum}");
-    assert_eq!(delay(&a, Standing { step: 0, of: 4 }, &asked(S)), Slow::None);
-    assert_eq!(delay(&a, half, &asked(200_000)), Slow::For(100_000), "cut to half of what is left");
-    assert_eq!(delay(&a, half, &asked(199_998)), Slow::Refuse { retry_after: 200_000 });
-    for kind in [Kind::Unsafe, Kind::Upload] {
-        let terms = Terms::at_head(&a, half, kind, b"x", S, 1);
-        assert_eq!((terms.slow(), terms.standing()), (Slow::None, half));
+    assert_eq!(decide_delay(&a, ThrottleStep { step: 0, total_steps: 4 }, &asked(S)), DelayDecision::Forward);
+    assert_eq!(
+        decide_delay(&a, half, &asked(200_000)),
+        DelayDecision::Delay(100_000),
+        "cut to half of what is left"
+    );
+    assert_eq!(decide_delay(&a, half, &asked(199_998)), DelayDecision::Reject { retry_after: 200_000 });
+    for kind in [RouteKind::Unsafe, RouteKind::Upload] {
+        let terms = RequestThrottle::at_head(&a, half, kind, b"x", S, 1);
+        assert_eq!((terms.decision(), terms.throttle_step()), (DelayDecision::Forward, half));
     }
-    let huge = Asked { target_us: i64::MAX, deadline_left_us: i64::MAX, ..asked(0) };
-    assert!(matches!(delay(&a, half, &huge), Slow::For(wait) if wait <= i64::MAX / 2));
+    let huge = ThrottleRequest { latency_target: i64::MAX, remaining_deadline: i64::MAX, ..asked(0) };
+    assert!(matches!(decide_delay(&a, half, &huge), DelayDecision::Delay(wait) if wait <= i64::MAX / 2));
 }
 
 /// Waits fixed once: nodes of two builds must draw alike.
 #[test]
 fn the_draw_does_not_change_from_build_to_build() {
-    let a = member(Lapses::In(S));
-    let waits = [b"9c41d07be2a35f68", b"0000000000000000"]
-        .map(|id| Terms::at_head(&a, Standing { step: 3, of: 4 }, Kind::Safe, id, 600_000, 4 * S).slow());
-    assert_eq!(waits, [Slow::For(114_815), Slow::For(111_749)]);
+    let a = member(LapseTime::In(S));
+    let waiting_for = [b"9c41d07be2a35f68", b"0000000000000000"].map(|id| {
+        RequestThrottle::at_head(
+            &a,
+            ThrottleStep { step: 3, total_steps: 4 },
+            RouteKind::Safe,
+            id,
+            600_000,
+            4 * S,
+        )
+        .decision()
+    });
+    assert_eq!(waiting_for, [DelayDecision::Delay(114_815), DelayDecision::Delay(111_749)]);
 }
 
 #[test]
 fn what_finds_no_room_goes_on_at_once_and_a_stop_releases_all() {
-    let mut parked = Parked::new(3, 100);
-    let late = parked.park(0, 30, 40, "late").unwrap();
-    parked.park(0, 10, 40, "first").unwrap();
-    assert_eq!(parked.park(0, 5, 21, "too large"), Err("too large"));
-    parked.park(0, 10, 20, "second").unwrap();
-    assert_eq!(parked.park(0, 5, 0, "one more"), Err("one more"));
-    assert_eq!((parked.len(), parked.bytes(), parked.passed(), parked.next()), (3, 100, 2, Some(10)));
+    let mut parked = DelayQueue::new(3, 100);
+    let late = parked.push(0, 30, 40, "late").unwrap();
+    parked.push(0, 10, 40, "first").unwrap();
+    assert_eq!(parked.push(0, 5, 21, "too large"), Err("too large"));
+    parked.push(0, 10, 20, "second").unwrap();
+    assert_eq!(parked.push(0, 5, 0, "one more"), Err("one more"));
+    assert_eq!(
+        (parked.len(), parked.bytes(), parked.bypassed(), parked.next_deadline()),
+        (3, 100, 2, Some(10))
+    );
     assert_eq!((parked.pop(9), parked.pop(10)), (None, Some("first")));
     assert_eq!((parked.cancel(late), parked.cancel(late)), (Some("late"), None));
     assert_eq!(parked.release_all(), ["second"]);
-    assert_eq!((parked.bytes(), parked.park(0, 1, 1, "after")), (0, Err("after")));
+    assert_eq!((parked.bytes(), parked.push(0, 1, 1, "after")), (0, Err("after")));
     parked.reopen();
-    assert!(parked.park(0, 1, 1, "again").is_ok());
+    assert!(parked.push(0, 1, 1, "again").is_ok());
 }
--- a/crates/control/throttle/tests/wire_bytes.rs
+++ b/crates/control/throttle/tests/wire_bytes.rs
@@ -3,7 +3,7 @@
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::State;
-use silvercross_throttle::{read, Change, Lapse, Roll};
+use silvercross_throttle::{read, LapseChange, LapseState, MemberList};
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its encoding in hexadecimal.
@@ -32,26 +32,26 @@
 fn members_and_lapses_are_encoded_as_they_always_were() {
     let map = |text: &str| serde_json::from_str(text).expect("an object");
     let sent = read(&map(DELIVER), &map(WITHDRAW)).expect("valid");
-    let mut roll = Roll::default();
+    let mut roll = MemberList::default();
     assert_eq!(roll.apply(&sent), Ok(true));
-    let lapse = Lapse {
-        edition: Some(2),
+    let lapse = LapseState {
+        version: Some(2),
         due: Some(1_700_000_000_000_000),
         begun: true,
         step: 3,
-        of: 6,
+        total_steps: 6,
         renewals: 1,
     };
 
     let mut lines = String::new();
     add(&mut lines, "sent", sent);
     add(&mut lines, "roll", roll);
-    add(&mut lines, "roll/empty", Roll::default());
+    add(&mut lines, "roll/empty", MemberList::default());
     add(&mut lines, "lapse", lapse);
-    add(&mut lines, "lapse/none", Lapse::default());
-    add(&mut lines, "change/renew", Change::Renew { edition: 2, of: 6 });
-    add(&mut lines, "change/due", Change::Due { edition: 2, at: 1_700_000_000_000_000 });
-    add(&mut lines, "change/begin", Change::Begin { edition: 2 });
-    add(&mut lines, "change/step", Change::Step { edition: 2, to: 4 });
+    add(&mut lines, "lapse/none", LapseState::default());
+    add(&mut lines, "change/renew", LapseChange::Renew { version: 2, total_steps: 6 });
+    add(&mut lines, "change/due", LapseChange::Due { version: 2, at: 1_700_000_000_000_000 });
+    add(&mut lines, "change/begin", LapseChange::Begin { version: 2 });
+    add(&mut lines, "change/step", LapseChange::Step { version: 2, to: 4 });
     assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
 }
--- a/crates/daemon/mesh/src/client_listener.rs
+++ b/crates/daemon/mesh/src/client_listener.rs
@@ -59,9 +59,9 @@
     // Those in force as the request comes.
     let limits = node_state.routing_table().limits();
     let span = |us: i64| Duration::from_micros(us.max(1) as u64);
-    let most = limits.content_bytes.min(usize::MAX as u64) as usize;
-    line.end = PeerKind::External(limits.envelope_bytes);
-    let whole = span(limits.envelope_us);
+    let most = limits.max_body_bytes.min(usize::MAX as u64) as usize;
+    line.end = PeerKind::External(limits.max_head_bytes);
+    let whole = span(limits.head_timeout);
     let request = line.request(whole, whole, most).await;
     let mut asked = match request {
         Ok(asked) => asked,
--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -34,7 +34,7 @@
         return Reply::own(404, "no route");
     };
     let Some(id) = asked.id.clone() else { return Reply::own(400, "a request needs an Attempt-Id") };
-    let budget = asked.deadline.map_or(route.deadline_us, |d| d.min(route.deadline_us));
+    let budget = asked.deadline.map_or(route.deadline, |d| d.min(route.deadline));
     let (mut step, mut waited) = (None, 0);
     if node_state.member_throttle.is_enabled() {
         match member_throttle::throttle_request(
@@ -76,7 +76,7 @@
 ) -> Reply {
     let service = node_state.draw_by_share(&route.split);
     node_state
-        .wait_until(route.target_us / WAIT_AIM, || {
+        .wait_until(route.latency_target / WAIT_AIM, || {
             node_state.service_balancer(&service).is_some_and(|d| d.has_upstreams())
         })
         .await;
--- a/crates/daemon/mesh/src/client_listener/run.rs
+++ b/crates/daemon/mesh/src/client_listener/run.rs
@@ -8,7 +8,7 @@
 use crate::service_balancer::{RequestEvent, ServiceBalancer};
 use crate::wire::{RequestHead, Response};
 use silvercross_facade::{Attempt, Report, Step};
-use silvercross_mesh_config::{Kind, Route};
+use silvercross_mesh_config::{Route, RouteKind};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -236,9 +236,13 @@
             service: self.service.clone(),
             further,
             priority: self.route.priority,
-            repeatable: self.route.kind == Kind::Safe,
-            aim: self.route.target_us - spent,
-            ticket: if self.route.kind == Kind::Safe { 0 } else { self.node_state.next_attempt_number() },
+            repeatable: self.route.kind == RouteKind::Safe,
+            aim: self.route.latency_target - spent,
+            ticket: if self.route.kind == RouteKind::Safe {
+                0
+            } else {
+                self.node_state.next_attempt_number()
+            },
             asks: false,
         };
         let left = self.budget - spent;
--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -126,8 +126,8 @@
 }
 
 async fn patched(node_state: &Rc<NodeState>, body: &[u8], path: &str) -> Said {
-    let order = match silvercross_mesh_config::read_call(body) {
-        Ok(call) if call.members.is_empty() => ControlChange::Patch(call.change),
+    let order = match silvercross_mesh_config::parse_update(body) {
+        Ok(call) if call.members.is_empty() => ControlChange::Patch(call.configuration),
         Ok(call) => ControlChange::Call(Box::new(call)),
         Err(fault) => return Said::fault(400, &fault.to_string()),
     };
@@ -267,7 +267,7 @@
         Some(_) => return Said::later(),
         None => return elsewhere(node_state, &path),
     };
-    let Some(item) = member_throttle::plain(name).and_then(|name| whole.roll.raw(&name)) else {
+    let Some(item) = member_throttle::plain(name).and_then(|name| whole.member_list.raw_json(&name)) else {
         return Said::fault(404, &format!("{name:?} is no member here (see /-/Members.List)"));
     };
     match change(item) {
@@ -344,7 +344,7 @@
 }
 
 async fn one(node_state: &Rc<NodeState>, line: &mut Connection, calls: &[&Call]) -> Next {
-    let asked = match line.request(IDLE, COMES, silvercross_mesh_config::MAX_BODY).await {
+    let asked = match line.request(IDLE, COMES, silvercross_mesh_config::MAX_BODY_BYTES).await {
         Ok(asked) => asked,
         Err(ReadError::Bad(bad)) => {
             return refused(line, &bad).await;
@@ -354,7 +354,7 @@
     if asked.waits && line.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
         return Next::End;
     }
-    let body = match timeout(COMES, line.body(asked.framing, silvercross_mesh_config::MAX_BODY)).await {
+    let body = match timeout(COMES, line.body(asked.framing, silvercross_mesh_config::MAX_BODY_BYTES)).await {
         Ok(Ok(body)) => body,
         Ok(Err(ReadError::Bad(bad))) => {
             return refused(line, &bad).await;
--- a/crates/daemon/mesh/src/control_value.rs
+++ b/crates/daemon/mesh/src/control_value.rs
@@ -1,8 +1,10 @@
 //! What stands under a key of the ledger: the configuration, whether a zone is evacuated, or how far a member's lapse has come.
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Rejection, State};
-use silvercross_mesh_config::{Call, Change, Configuration, Tracked, Whole};
-use silvercross_throttle::{Lapse, Sent};
+use silvercross_mesh_config::{
+    Configuration, ConfigurationChange, ConfigurationUpdate, ConfigurationWithMembers, VersionedConfiguration,
+};
+use silvercross_throttle::{LapseState, MemberListChange};
 
 /// The key of the whole configuration: one key, so that a call over many items is one change.
 pub const CONFIGURATION: &str = "configuration";
@@ -20,24 +22,24 @@
     /// Whether nothing more is to be sent to the zone's upstreams.
     Evacuation(bool),
     /// All items, members as well.
-    Whole(Box<Whole>),
+    Whole(Box<ConfigurationWithMembers>),
     /// How far a member's lapse has come.
-    Lapse(Lapse),
+    Lapse(LapseState),
     /// All items, and the versions that were taken before those that stand. Nodes get what stands alone.
-    Tracked(Box<Tracked>),
+    Tracked(Box<VersionedConfiguration>),
 }
 
 /// A call's change.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControlChange {
     /// Items set and dropped.
-    Patch(Change),
+    Patch(ConfigurationChange),
     /// A zone's evacuation begins or ends.
     Evacuate(bool),
     /// Items set and dropped, members among them.
-    Call(Box<Call>),
+    Call(Box<ConfigurationUpdate>),
     /// A member's lapse goes on.
-    Lapse(silvercross_throttle::Change),
+    Lapse(silvercross_throttle::LapseChange),
 }
 
 impl ControlValue {
@@ -45,8 +47,8 @@
     pub fn names(&self) -> Vec<String> {
         match self {
             ControlValue::Whole(whole) => {
-                let lapsing = whole.roll.members().filter(|member| member.lapses.is_some());
-                lapsing.map(|member| silvercross_throttle::key(&member.name)).collect()
+                let lapsing = whole.member_list.members().filter(|member| member.lapse_time.is_some());
+                lapsing.map(|member| silvercross_throttle::lapse_key(&member.name)).collect()
             }
             _ => Vec::new(),
         }
@@ -58,8 +60,8 @@
 
     fn apply(&mut self, order: &ControlChange) -> Result<bool, Rejection> {
         match order {
-            ControlChange::Patch(change) => self.take(change, &Sent::default()),
-            ControlChange::Call(call) => self.take(&call.change, &call.members),
+            ControlChange::Patch(change) => self.take(change, &MemberListChange::default()),
+            ControlChange::Call(call) => self.take(&call.configuration, &call.members),
             ControlChange::Evacuate(on) => match self {
                 ControlValue::Configuration(_)
                 | ControlValue::Whole(_)
@@ -73,7 +75,7 @@
             },
             ControlChange::Lapse(change) => {
                 let mut new = match self {
-                    ControlValue::Blank => Lapse::default(),
+                    ControlValue::Blank => LapseState::default(),
                     ControlValue::Lapse(lapse) => lapse.clone(),
                     _ => return Err(strange()),
                 };
@@ -94,13 +96,18 @@
 impl ControlValue {
     /// Sets and drops items. A form that knows more is taken only when there is more to know: what was taken before once
     /// something was overtaken, members once a call said something of them.
-    fn take(&mut self, change: &Change, members: &Sent) -> Result<bool, Rejection> {
-        let whole = |configuration| Whole { configuration, ..Whole::default() };
+    fn take(&mut self, change: &ConfigurationChange, members: &MemberListChange) -> Result<bool, Rejection> {
+        let whole =
+            |configuration| ConfigurationWithMembers { configuration, ..ConfigurationWithMembers::default() };
         let before = std::mem::take(self);
         let (form, mut tracked) = match before {
-            ControlValue::Blank => (0, Tracked::default()),
-            ControlValue::Configuration(c) => (1, Tracked { whole: whole(c), ..Tracked::default() }),
-            ControlValue::Whole(w) => (2, Tracked { whole: *w, ..Tracked::default() }),
+            ControlValue::Blank => (0, VersionedConfiguration::default()),
+            ControlValue::Configuration(c) => {
+                (1, VersionedConfiguration { current: whole(c), ..VersionedConfiguration::default() })
+            }
+            ControlValue::Whole(w) => {
+                (2, VersionedConfiguration { current: *w, ..VersionedConfiguration::default() })
+            }
             ControlValue::Tracked(tracked) => (3, *tracked),
             other => {
                 *self = other;
@@ -113,9 +120,9 @@
             _ if !tracked.history.is_empty() => ControlValue::Tracked(Box::new(tracked)),
             0 if !changed => ControlValue::Blank,
             0 | 1 if !changed || members.is_empty() => {
-                ControlValue::Configuration(tracked.whole.configuration)
+                ControlValue::Configuration(tracked.current.configuration)
             }
-            _ => ControlValue::Whole(Box::new(tracked.whole)),
+            _ => ControlValue::Whole(Box::new(tracked.current)),
         };
         outcome
     }
@@ -123,10 +130,10 @@
     /// What nodes and readers get: what stands, without what was taken before.
     pub fn published(self) -> ControlValue {
         match self {
-            ControlValue::Tracked(tracked) if tracked.whole.roll == Default::default() => {
-                ControlValue::Configuration(tracked.whole.configuration)
+            ControlValue::Tracked(tracked) if tracked.current.member_list == Default::default() => {
+                ControlValue::Configuration(tracked.current.configuration)
             }
-            ControlValue::Tracked(tracked) => ControlValue::Whole(Box::new(tracked.whole)),
+            ControlValue::Tracked(tracked) => ControlValue::Whole(Box::new(tracked.current)),
             other => other,
         }
     }
@@ -142,10 +149,10 @@
         let mut zone = ControlValue::Blank;
         assert_eq!(zone.apply(&ControlChange::Evacuate(true)), Ok(true));
         assert_eq!(zone.apply(&ControlChange::Evacuate(true)), Ok(false));
-        let patch = silvercross_mesh_config::read_patch(b"{}").expect("well-formed");
+        let patch = silvercross_mesh_config::parse_change(b"{}").expect("well-formed");
         assert!(zone.apply(&ControlChange::Patch(patch)).is_err());
         assert!(zone
-            .apply(&ControlChange::Lapse(silvercross_throttle::Change::Begin { edition: 1 }))
+            .apply(&ControlChange::Lapse(silvercross_throttle::LapseChange::Begin { version: 1 }))
             .is_err());
         assert!(zone.apply(&ControlChange::Call(Box::default())).is_err());
         assert_eq!(zone, ControlValue::Evacuation(true));
@@ -166,7 +173,7 @@
     #[test]
     fn without_members_disk_and_links_hold_the_bytes_they_held_before_there_were_any() {
         let patch = br#"{"withdraw":{"routes":[{"name":"r","edition":2}]}}"#;
-        let patch = silvercross_mesh_config::read_patch(patch).expect("well-formed");
+        let patch = silvercross_mesh_config::parse_change(patch).expect("well-formed");
         let mut page = ControlValue::Blank;
         page.apply(&ControlChange::Patch(patch.clone())).expect("valid");
         let before: [(ControlValue, &[u8]); 3] = [
@@ -188,7 +195,7 @@
     #[test]
     fn nodes_get_what_stands_alone() {
         let patch = |body: &str| {
-            ControlChange::Patch(silvercross_mesh_config::read_patch(body.as_bytes()).expect("well-formed"))
+            ControlChange::Patch(silvercross_mesh_config::parse_change(body.as_bytes()).expect("well-formed"))
         };
         let at = |edition: u64, path: &str| {
             patch(&format!(
@@ -214,7 +221,7 @@
         assert_eq!(again, control_value);
         // Members, sent later.
         let members = br#"{"deliver":{"members":[{"name":"ana","key":"k","plan":"full","edition":1}]}}"#;
-        let members = silvercross_mesh_config::read_call(members).expect("well-formed");
+        let members = silvercross_mesh_config::parse_update(members).expect("well-formed");
         assert_eq!(control_value.apply(&ControlChange::Call(Box::new(members))), Ok(true));
         assert!(matches!(control_value.published(), ControlValue::Whole(_)));
     }
--- a/crates/daemon/mesh/src/event_stream.rs
+++ b/crates/daemon/mesh/src/event_stream.rs
@@ -150,9 +150,9 @@
             item(
                 "destination",
                 &d.name,
-                d.edition,
+                d.version,
                 &|| d.name.clone(),
-                &|| json!({ "coldS": d.cold_us as f64 / 1e6 }),
+                &|| json!({ "coldS": d.slow_start as f64 / 1e6 }),
             );
         }
         for r in c.routes() {
@@ -163,20 +163,19 @@
                 [(one, _)] => one.clone(),
                 _ => String::new(),
             };
-            let state =
-                || json!({ "depot": cut(&r.depot), "lane": cut(&r.lane), "kind": r.kind.word(), "to": to() });
-            item("route", &r.name, r.edition, &service, &state);
+            let state = || json!({ "depot": cut(&r.virtual_host), "lane": cut(&r.path_prefix), "kind": r.kind.as_str(), "to": to() });
+            item("route", &r.name, r.version, &service, &state);
         }
         if let Some(l) = c.limits() {
             item(
                 "limits",
                 "sizeLimits",
-                l.edition,
+                l.version,
                 &String::new,
-                &|| json!({ "contentBytes": l.content_bytes }),
+                &|| json!({ "contentBytes": l.max_body_bytes }),
             );
         }
-        for (of, name, edition) in c.dropped() {
+        for (of, name, edition) in c.tombstones() {
             item(of, name, edition, &String::new, &|| Value::Null);
         }
     }
--- a/crates/daemon/mesh/src/idle_timeout.rs
+++ b/crates/daemon/mesh/src/idle_timeout.rs
@@ -49,7 +49,7 @@
     let (began, at) = (node_state.now().as_micros(), Instant::now());
     while !line.has_surplus() {
         let span = |now: i64| {
-            node_state.idle_timeout.borrow().span(now, node_state.routing_table().limits().idle_us)
+            node_state.idle_timeout.borrow().span(now, node_state.routing_table().limits().idle_timeout)
         };
         let idle_timeout = span(node_state.now().as_micros());
         tokio::select! {
--- a/crates/daemon/mesh/src/member_throttle.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -8,8 +8,9 @@
 use silvercross_control_store::{CallOutcome, Epoch};
 use silvercross_mesh_config::Route;
 use silvercross_throttle::{
-    key, name_of, Board, Clerk, Clock, Directory, Guard, Kind, Lapse, Lapses, Member, Parked, Plan, Roll,
-    Slow, Standing, Terms, Ticket, Turn, Voice, Whose,
+    lapse_key, member_of_lapse_key, ClockSettings, DelayDecision, DelayQueue, DelayTicket, LapseState,
+    LapseTime, LapseTimer, LapseTransition, LapseView, Member, MemberIndex, MemberList, PeerClockReading,
+    Plan, RequestIdentity, RequestThrottle, RouteKind, ThrottleStep, TrustedClock,
 };
 use slog::{debug, info};
 use std::cell::{Cell, RefCell};
@@ -35,17 +36,17 @@
 const ASK: i64 = 10_000_000;
 
 /// A key's content as told: its round and owner, and the lapse.
-type Told = (Epoch, Lapse);
+type Told = (Epoch, LapseState);
 
 /// The members, as one node knows them.
 pub struct MemberThrottle {
     /// A header names members.
     looks: Cell<bool>,
-    directory: RefCell<Rc<Directory>>,
-    board: RefCell<Board>,
+    directory: RefCell<Rc<MemberIndex>>,
+    board: RefCell<LapseView>,
     /// Every lapse that was told, by member; no more than pages of state.
     told: RefCell<BTreeMap<String, Told>>,
-    parked: RefCell<Parked<oneshot::Sender<()>>>,
+    parked: RefCell<DelayQueue<oneshot::Sender<()>>>,
     duty: RefCell<Duty>,
     changed: Notify,
     waits: [Cell<u64>; 11],
@@ -54,8 +55,8 @@
 
 /// What the owner of keys remembers.
 struct Duty {
-    clerk: Clerk,
-    clock: Clock,
+    clerk: LapseTimer,
+    clock: TrustedClock,
     read: i64,
     asked: i64,
     /// The time of day was known at the last look.
@@ -71,14 +72,14 @@
     /// It goes on, after it has waited for so many microseconds.
     Proceed {
         /// The step that holds for it to its end, if it is a member's on trial.
-        standing: Option<Standing>,
+        standing: Option<ThrottleStep>,
         /// How long it has waited.
         delayed: i64,
     },
     /// It has too little time left; it is to come back after so many microseconds.
     Reject {
         /// The step in force.
-        standing: Standing,
+        standing: ThrottleStep,
         /// When to come back.
         retry_after: i64,
     },
@@ -87,7 +88,7 @@
 }
 
 /// Takes a request out of those that wait, however its waiting ends.
-struct Seat<'m>(&'m MemberThrottle, Ticket);
+struct Seat<'m>(&'m MemberThrottle, DelayTicket);
 
 impl Drop for Seat<'_> {
     fn drop(&mut self) {
@@ -99,8 +100,8 @@
     /// None stand yet. `single`: this is the only holder of the ledger.
     pub fn new(single: bool) -> Self {
         let duty = Duty {
-            clerk: Clerk::new(),
-            clock: Clock::new(Guard::default(), single),
+            clerk: LapseTimer::new(),
+            clock: TrustedClock::new(ClockSettings::default(), single),
             read: i64::MIN / 2,
             asked: i64::MIN / 2,
             known: false,
@@ -110,9 +111,9 @@
         MemberThrottle {
             looks: Cell::new(false),
             directory: RefCell::default(),
-            board: RefCell::new(Board::new()),
+            board: RefCell::new(LapseView::new()),
             told: RefCell::default(),
-            parked: RefCell::new(Parked::new(WAITING, WAITING_BYTES)),
+            parked: RefCell::new(DelayQueue::new(WAITING, WAITING_BYTES)),
             duty: RefCell::new(duty),
             changed: Notify::new(),
             waits: Default::default(),
@@ -129,20 +130,20 @@
         self.directory.borrow().members().next().is_some()
     }
 
-    fn directory(&self) -> Rc<Directory> {
+    fn directory(&self) -> Rc<MemberIndex> {
         self.directory.borrow().clone()
     }
 
     /// These members stand from now on.
-    pub fn roll(&self, node_state: &NodeState, roll: &Roll) {
-        let directory = Rc::new(Directory::new(roll));
+    pub fn roll(&self, node_state: &NodeState, roll: &MemberList) {
+        let directory = Rc::new(MemberIndex::new(roll));
         self.looks.set(directory.header().is_some());
         {
             let mut board = self.board.borrow_mut();
-            board.keep(|name| directory.member(name).is_some());
+            board.retain_members(|name| directory.member(name).is_some());
             for (name, (_, lapse)) in self.told.borrow().iter() {
                 if directory.member(name).is_some() {
-                    tell(node_state, name, board.follow(node_state.now().as_micros(), name, lapse));
+                    tell(node_state, name, board.observe(node_state.now().as_micros(), name, lapse));
                 }
             }
         }
@@ -152,10 +153,16 @@
     }
 
     /// A key's content is told; `None`: nothing was written there yet.
-    pub fn lapse(&self, node_state: &NodeState, key: &str, revision: (u64, u64, u64), lapse: Option<Lapse>) {
-        let Some(name) = name_of(key) else { return };
+    pub fn lapse(
+        &self,
+        node_state: &NodeState,
+        key: &str,
+        revision: (u64, u64, u64),
+        lapse: Option<LapseState>,
+    ) {
+        let Some(name) = member_of_lapse_key(key) else { return };
         let lapse = lapse.unwrap_or_default();
-        tell(node_state, name, self.board.borrow_mut().follow(node_state.now().as_micros(), name, &lapse));
+        tell(node_state, name, self.board.borrow_mut().observe(node_state.now().as_micros(), name, &lapse));
         let epoch = Epoch { round: revision.0, owner: revision.1 as u32 };
         self.told.borrow_mut().insert(name.to_string(), (epoch, lapse));
         self.duty.borrow_mut().stirred.insert(name.to_string());
@@ -169,8 +176,8 @@
     }
 
     /// Another holder's time of day.
-    pub fn heard(&self, voice: Voice) {
-        self.duty.borrow_mut().clock.heard(voice);
+    pub fn heard(&self, voice: PeerClockReading) {
+        self.duty.borrow_mut().clock.observe_peer(voice);
     }
 
     /// The process stops: all that wait go on, and nothing waits any more.
@@ -189,8 +196,8 @@
         let parked = self.parked.borrow();
         let waits: Vec<u64> = self.waits.iter().map(Cell::get).collect();
         Some(json!({
-            "standing": directory.members().count(), "tenths": self.board.borrow().tenths(directory.members()),
-            "waits": waits, "turned": self.turned.get(), "passed": parked.passed(), "waiting": parked.len(),
+            "standing": directory.members().count(), "tenths": self.board.borrow().count_by_tenth(directory.members()),
+            "waits": waits, "turned": self.turned.get(), "passed": parked.bypassed(), "waiting": parked.len(),
             "bytes": parked.bytes(),
         }))
     }
@@ -202,11 +209,11 @@
         let duty = &mut *duty;
         if now - duty.read >= READ {
             duty.read = now;
-            if duty.clock.read(now, wall()) {
+            if duty.clock.observe_local(now, wall()) {
                 info!(node_state.log, "the time of day was set");
             }
         }
-        let known = duty.clock.time(now).is_some();
+        let known = duty.clock.wall_time(now).is_some();
         if known && !duty.known {
             // What waits for the time of day need not wait for its next look.
             duty.stirred.extend(duty.mine.keys().cloned());
@@ -223,9 +230,9 @@
         for (key, epoch, _) in settled {
             if key == CONFIGURATION {
                 let unwritten =
-                    directory.members().filter(|m| m.lapses.is_some() && !told.contains_key(&m.name));
+                    directory.members().filter(|m| m.lapse_time.is_some() && !told.contains_key(&m.name));
                 mine.extend(unwritten.map(|m| (m.name.clone(), epoch)));
-            } else if let Some(name) = name_of(&key) {
+            } else if let Some(name) = member_of_lapse_key(&key) {
                 mine.insert(name.to_string(), epoch);
             }
         }
@@ -243,7 +250,7 @@
         names.extend(duty.stirred.iter().take(AT_ONCE).cloned());
         for name in names {
             let Some(epoch) = duty.mine.get(&name).copied() else { continue };
-            let blank = Lapse::default();
+            let blank = LapseState::default();
             let page = match told.get(&name) {
                 // The owner's own word on the key, written anew, is on its way here.
                 Some((under, _)) if *under != epoch => continue,
@@ -252,11 +259,11 @@
             };
             duty.stirred.remove(&name);
             let advice = duty.clerk.decide(now, &name, epoch, page, directory.member(&name), &duty.clock);
-            if let Some(change) = advice.ask {
+            if let Some(change) = advice.proposal {
                 let node_state = node_state.clone();
                 tokio::task::spawn_local(async move {
                     let order = ControlChange::Lapse(change.clone());
-                    let verdict = node_state.peers.ask(&node_state, &key(&name), Some(order)).await;
+                    let verdict = node_state.peers.ask(&node_state, &lapse_key(&name), Some(order)).await;
                     if let Some(CallOutcome::Rejected(refusal)) = verdict {
                         debug!(node_state.log, "a lapse's change is refused"; "member" => &name,
                             "change" => format!("{change:?}"), "why" => refusal.reason);
@@ -268,9 +275,9 @@
 }
 
 /// One line for each change.
-fn tell(node_state: &NodeState, name: &str, turn: Option<Turn>) {
-    let Some(Turn { to, .. }) = turn else { return };
-    info!(node_state.log, "member"; "name" => name, "step" => to.step, "of" => to.of, "lapsed" => to.begun, "edition" => to.edition);
+fn tell(node_state: &NodeState, name: &str, turn: Option<LapseTransition>) {
+    let Some(LapseTransition { to, .. }) = turn else { return };
+    info!(node_state.log, "member"; "name" => name, "step" => to.step, "of" => to.total_steps, "lapsed" => to.begun, "edition" => to.version);
 }
 
 fn wall() -> i64 {
@@ -304,38 +311,38 @@
     let Some(header) = directory.header() else {
         return ThrottleDecision::Proceed { standing: None, delayed: 0 };
     };
-    let member = match directory.whose(values(&asked.lines, header)) {
-        Whose::Member(member) => member,
-        Whose::Nobody => return ThrottleDecision::Proceed { standing: None, delayed: 0 },
-        Whose::Refuse => return ThrottleDecision::UnknownMember,
+    let member = match directory.identify(values(&asked.lines, header)) {
+        RequestIdentity::Member(member) => member,
+        RequestIdentity::Anonymous => return ThrottleDecision::Proceed { standing: None, delayed: 0 },
+        RequestIdentity::Reject => return ThrottleDecision::UnknownMember,
     };
     if member.plan == Plan::Full {
         return ThrottleDecision::Proceed { standing: None, delayed: 0 };
     }
     let from = node_state.now().as_micros();
-    let standing = members.board.borrow().row(from, member).standing;
+    let standing = members.board.borrow().status(from, member).throttle_step;
     let kind = match route.kind {
-        silvercross_mesh_config::Kind::Safe => Kind::Safe,
-        silvercross_mesh_config::Kind::Unsafe => Kind::Unsafe,
-        silvercross_mesh_config::Kind::Upload => Kind::Upload,
+        silvercross_mesh_config::RouteKind::Safe => RouteKind::Safe,
+        silvercross_mesh_config::RouteKind::Unsafe => RouteKind::Unsafe,
+        silvercross_mesh_config::RouteKind::Upload => RouteKind::Upload,
     };
-    let terms = Terms::at_head(member, standing, kind, id.as_bytes(), route.target_us, budget);
-    let standing = terms.standing();
-    let wait = match terms.slow() {
-        Slow::None => return ThrottleDecision::Proceed { standing: Some(standing), delayed: 0 },
-        Slow::Refuse { retry_after } => {
+    let terms = RequestThrottle::at_head(member, standing, kind, id.as_bytes(), route.latency_target, budget);
+    let standing = terms.throttle_step();
+    let wait = match terms.decision() {
+        DelayDecision::Forward => return ThrottleDecision::Proceed { standing: Some(standing), delayed: 0 },
+        DelayDecision::Reject { retry_after } => {
             members.turned.set(members.turned.get() + 1);
             return ThrottleDecision::Reject { standing, retry_after };
         }
-        Slow::For(wait) => wait,
+        DelayDecision::Delay(wait) => wait,
     };
     let (to, released) = oneshot::channel();
-    let parked = members.parked.borrow_mut().park(from, wait, bytes, to);
+    let parked = members.parked.borrow_mut().push(from, wait, bytes, to);
     let Ok(ticket) = parked else {
         return ThrottleDecision::Proceed { standing: Some(standing), delayed: 0 };
     };
     let seat = Seat(members, ticket);
-    let tenth = (standing.step * 10).div_ceil(standing.of.max(1)).min(10) as usize;
+    let tenth = (standing.step * 10).div_ceil(standing.total_steps.max(1)).min(10) as usize;
     members.waits[tenth].set(members.waits[tenth].get() + 1);
     let _ = tokio::time::timeout(Duration::from_micros(wait as u64), released).await;
     drop(seat);
@@ -355,7 +362,7 @@
 }
 
 /// Put the step in an answer's lines; one that came from elsewhere is left out.
-pub fn set_step_header(lines: &mut Vec<u8>, standing: Option<Standing>) {
+pub fn set_step_header(lines: &mut Vec<u8>, standing: Option<ThrottleStep>) {
     if values(lines, STEP).next().is_some() {
         let mut kept = Vec::with_capacity(lines.len());
         for line in lines.split_inclusive(|b| *b == b'\n') {
@@ -372,21 +379,21 @@
 
 fn row(node_state: &NodeState, member: &Member, owners: &BTreeMap<String, (u64, u64, u64)>) -> Value {
     let members = &node_state.member_throttle;
-    let row = members.board.borrow().row(node_state.now().as_micros(), member);
-    let due = match member.lapses {
-        Some(Lapses::At(at)) => Some(at),
+    let row = members.board.borrow().status(node_state.now().as_micros(), member);
+    let due = match member.lapse_time {
+        Some(LapseTime::At(at)) => Some(at),
         _ => members
             .told
             .borrow()
             .get(&member.name)
-            .filter(|t| t.1.edition == Some(member.edition))
+            .filter(|t| t.1.version == Some(member.version))
             .and_then(|t| t.1.due),
     };
-    let owner = owners.get(&key(&member.name));
+    let owner = owners.get(&lapse_key(&member.name));
     json!({
-        "name": member.name, "plan": if member.plan == Plan::Full { "full" } else { "trial" }, "edition": member.edition,
-        "step": row.standing.step, "of": row.standing.of, "lapsed": row.begun,
-        "ageS": row.age_us.map(|us| us as f64 / 1e6), "lapsesAt": due.map(|us| us as f64 / 1e6),
+        "name": member.name, "plan": if member.plan == Plan::Full { "full" } else { "trial" }, "edition": member.version,
+        "step": row.throttle_step.step, "of": row.throttle_step.total_steps, "lapsed": row.begun,
+        "ageS": row.age.map(|us| us as f64 / 1e6), "lapsesAt": due.map(|us| us as f64 / 1e6),
         "owner": owner.map(|r| Ipv4Addr::from_bits(r.1 as u32).to_string()), "round": owner.map(|r| r.0),
     })
 }
@@ -405,7 +412,7 @@
     });
     let (stand, duty) = (node_state.member_throttle.stand(), node_state.member_throttle.duty.borrow());
     let clock = (node_state.settings.core && stand).then(
-        || json!({ "known": duty.clock.time(node_state.now().as_micros()).is_some(), "set": duty.clock.stepped(node_state.now().as_micros()) }),
+        || json!({ "known": duty.clock.wall_time(node_state.now().as_micros()).is_some(), "set": duty.clock.stepped(node_state.now().as_micros()) }),
     );
     json!({ "node": node_state.settings.node, "zone": node_state.settings.zone, "core": node_state.settings.core, "control": node_state.settings.control,
         "header": directory.header(), "clock": clock, "members": rows, "nodes": nodes })
@@ -432,8 +439,8 @@
     let Ok(Value::Object(mut item)) = serde_json::from_str(item) else {
         return Err("the item can't be read (send it anew with Config.Patch)".to_string());
     };
-    let edition = item.get("edition").and_then(|e| e.as_u64().or_else(|| e.as_f64().map(|e| e as u64)));
-    item.insert("edition".to_string(), json!(edition.unwrap_or(0).saturating_add(1)));
+    let version = item.get("edition").and_then(|e| e.as_u64().or_else(|| e.as_f64().map(|e| e as u64)));
+    item.insert("edition".to_string(), json!(version.unwrap_or(0).saturating_add(1)));
     Ok(item)
 }
 
@@ -488,7 +495,7 @@
         let all: Vec<&[u8]> = values(lines, "club").collect();
         assert_eq!(all, [&b"k 1"[..], b"two"]);
         let mut lines = b"A: 1\r\nmember-step: 9/9\r\nB: 2\r\n".to_vec();
-        set_step_header(&mut lines, Some(Standing { step: 3, of: 24 }));
+        set_step_header(&mut lines, Some(ThrottleStep { step: 3, total_steps: 24 }));
         assert_eq!(lines, b"A: 1\r\nB: 2\r\nMember-Step: 3/24\r\n");
     }
 
--- a/crates/daemon/mesh/src/node_state/in_force.rs
+++ b/crates/daemon/mesh/src/node_state/in_force.rs
@@ -1,7 +1,7 @@
 //! The control state in force here: the routing table, evacuated zones, revisions, and whether that makes this process ready.
 use super::NodeState;
 use crate::control_value::{ControlValue, CONFIGURATION, EVACUATION};
-use silvercross_mesh_config::{Configuration, Table};
+use silvercross_mesh_config::{Configuration, RoutingTable};
 use silvercross_mesh_membership::Freshness;
 use slog::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 /// What is in force of the operator's configuration.
 #[derive(Default)]
 pub(super) struct InForce {
-    pub(super) table: Rc<Table>,
+    pub(super) table: Rc<RoutingTable>,
     configured: bool,
     revisions: BTreeMap<String, (u64, u64, u64)>,
     pub(super) evacuated: BTreeSet<String>,
@@ -18,7 +18,7 @@
 
 impl NodeState {
     /// The routing table in force.
-    pub fn routing_table(&self) -> Rc<Table> {
+    pub fn routing_table(&self) -> Rc<RoutingTable> {
         self.force.borrow().table.clone()
     }
 
@@ -99,7 +99,7 @@
                 self.configure(&configuration, revision);
             }
             ControlValue::Whole(whole) if key == CONFIGURATION => {
-                self.member_throttle.roll(self, &whole.roll);
+                self.member_throttle.roll(self, &whole.member_list);
                 self.configure(&whole.configuration, revision);
             }
             ControlValue::Lapse(lapse) => self.member_throttle.lapse(self, key, revision, Some(lapse)),
@@ -127,12 +127,12 @@
     fn configure(self: &Rc<Self>, configuration: &Configuration, revision: (u64, u64, u64)) {
         {
             let mut force = self.force.borrow_mut();
-            force.table = Rc::new(Table::new(configuration));
+            force.table = Rc::new(RoutingTable::new(configuration));
             force.configured = true;
         }
         self.idle_timeout
             .borrow_mut()
-            .set_limit(self.now().as_micros(), self.routing_table().limits().idle_us);
+            .set_limit(self.now().as_micros(), self.routing_table().limits().idle_timeout);
         info!(self.log, "configuration in force"; "round" => revision.0, "change" => revision.2);
         self.allow();
         self.reset_terms();
--- a/crates/daemon/mesh/src/node_state/own_upstream.rs
+++ b/crates/daemon/mesh/src/node_state/own_upstream.rs
@@ -236,8 +236,11 @@
         let service = self.own.borrow().as_ref().map(|o| o.station.service.clone());
         let service = service.unwrap_or_else(|| self.settings.destination.clone());
         if let Some(d) = table.destination(&service) {
-            let allowance =
-                Allowance { line_cap: d.line_cap, cold_rate: finite(d.cold_rate), cold_span: d.cold_us };
+            let allowance = Allowance {
+                line_cap: d.max_connections,
+                cold_rate: finite(d.slow_start_rate),
+                cold_span: d.slow_start,
+            };
             let now = self.now().as_micros();
             self.gate.with_admission(|w| w.allowance(now, allowance));
         }
--- a/crates/daemon/mesh/src/node_state/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -5,7 +5,7 @@
 use crate::service_balancer::{self, ServiceBalancer, ServiceSettings};
 use rand_core::RngCore;
 use silvercross_facade::{Health, Host};
-use silvercross_mesh_config::Table;
+use silvercross_mesh_config::RoutingTable;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -50,7 +50,7 @@
 
     /// Since when it has been cold, in milliseconds; 0: it is not.
     fn born(&mut self, life: u64, station: &UpstreamRecord) -> u64 {
-        let span = self.force.table.destination(&station.service).map_or(0, |d| d.cold_us);
+        let span = self.force.table.destination(&station.service).map_or(0, |d| d.slow_start);
         let known = self.colds.get(&station.id);
         if let Some(k) = known.filter(|k| k.colds == station.colds && k.life == life) {
             return k.born_ms;
@@ -85,7 +85,7 @@
         self.relist();
     }
 
-    fn terms<'t>(&'t self, service: &'t str, table: &'t Table) -> ServiceSettings<'t> {
+    fn terms<'t>(&'t self, service: &'t str, table: &'t RoutingTable) -> ServiceSettings<'t> {
         let (senders, near) = self.sides();
         let b = self.reloadable.get().bounds;
         ServiceSettings {
@@ -150,7 +150,7 @@
     }
 
     /// The first upstreams of a service have come.
-    fn open_desk(&self, service: String, hosts: &[Host], table: &Table) {
+    fn open_desk(&self, service: String, hosts: &[Host], table: &RoutingTable) {
         let seed = self.chance.borrow_mut().next_u64();
         let service_balancer =
             ServiceBalancer::new(&self.terms(&service, table), hosts, seed, self.clock.clone());
--- a/crates/daemon/mesh/src/peers/isolated_control_tests.rs
+++ b/crates/daemon/mesh/src/peers/isolated_control_tests.rs
@@ -26,7 +26,7 @@
     let mut control_value = ControlValue::Blank;
     for edition in 1..=changes {
         let item = format!("{{\"withdraw\":{{\"routes\":[{{\"name\":\"r\",\"edition\":{edition}}}]}}}}");
-        let patch = silvercross_mesh_config::read_patch(item.as_bytes()).expect("well-formed");
+        let patch = silvercross_mesh_config::parse_change(item.as_bytes()).expect("well-formed");
         control_value.apply(&ControlChange::Patch(patch)).expect("valid");
     }
     control_value
--- a/crates/daemon/mesh/src/peers/link.rs
+++ b/crates/daemon/mesh/src/peers/link.rs
@@ -4,7 +4,7 @@
 use crate::node_state::{ConnectionKind, GaugeGuard, NodeState};
 use crate::peer_connection;
 use silvercross_mesh_membership::Node;
-use silvercross_throttle::Voice;
+use silvercross_throttle::PeerClockReading;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -134,7 +134,13 @@
                 let holder = silvercross_control_store::Node(node);
                 if self.control_store(|l| l.replica_nodes().contains(&holder)) == Some(true) {
                     let answered = now;
-                    node_state.member_throttle.heard(Voice { node: holder, asked, answered, wall, stepped });
+                    node_state.member_throttle.heard(PeerClockReading {
+                        node: holder,
+                        sent_at: asked,
+                        received_at: answered,
+                        wall,
+                        stepped,
+                    });
                 }
             }
         }
--- a/crates/daemon/mesh/src/service_balancer.rs
+++ b/crates/daemon/mesh/src/service_balancer.rs
@@ -3,7 +3,7 @@
 use crate::peer_connection::ExchangeOutcome;
 use silvercross_core::interface::{Class, Effect, Prices, Settings};
 use silvercross_facade::{Attempt, Balancer, Clock, Host, News, Report, Request, Step, Turn};
-use silvercross_mesh_config::{Kind, Table};
+use silvercross_mesh_config::{RouteKind, RoutingTable};
 use silvercross_net::table::{Handle, Table as Slots};
 use silvercross_settings::Front;
 use std::cell::RefCell;
@@ -58,7 +58,7 @@
     /// The service's name.
     pub service: &'t str,
     /// The routing table in force.
-    pub table: &'t Table,
+    pub table: &'t RoutingTable,
     /// All zones.
     pub zones: &'t [String],
     /// This sidecar's.
@@ -82,18 +82,18 @@
         let mut names = Vec::new();
         let mut cap = 1;
         for r in self.table.routes().filter(of_service) {
-            cap = cap.max(r.attempts);
+            cap = cap.max(r.max_attempts);
             names.push(r.name.clone());
             classes.push(Class {
-                aim: r.target_us.min(r.deadline_us),
+                aim: r.latency_target.min(r.deadline),
                 aim_stretch: 0.0,
-                deadline: r.deadline_us,
+                deadline: r.deadline,
                 worth: 4.0 / f64::from(1u32 << r.priority.min(16)),
                 late_worth: 0.3,
-                effect: if r.kind == Kind::Safe { Effect::Repeatable } else { Effect::Once },
+                effect: if r.kind == RouteKind::Safe { Effect::Repeatable } else { Effect::Once },
                 stream: false,
-                sends: Some(r.attempts),
-                toll: if r.kind == Kind::Upload { UPLOAD_TOLL } else { 0.0 },
+                sends: Some(r.max_attempts),
+                toll: if r.kind == RouteKind::Upload { UPLOAD_TOLL } else { 0.0 },
             });
         }
         let cold = self.table.destination(self.service);
@@ -112,7 +112,7 @@
             must_ask_in: i64::MAX / 8,
             drain_grace: self.drain,
             cold_from: 0.5,
-            warm_within: cold.map_or(1_000_000, |d| d.cold_us.max(1)),
+            warm_within: cold.map_or(1_000_000, |d| d.slow_start.max(1)),
             fall_multiple: 1.5,
             fall_span: 1_000_000,
             attempts_cap: cap + ASKED,
@@ -123,7 +123,7 @@
             max_retry_after: Some(AWAY),
             marks_repeats: false,
             warm_keys: false,
-            cold_rate: cold.map(|d| d.cold_rate).filter(|r| *r > 0.0),
+            cold_rate: cold.map(|d| d.slow_start_rate).filter(|r| *r > 0.0),
             cold_senders: self.near.max(1),
             retry_share: Some(self.retry_share),
             retry_cap: Some(self.retry_cap),
--- a/crates/daemon/mesh/src/tests/support/mod.rs
+++ b/crates/daemon/mesh/src/tests/support/mod.rs
@@ -121,7 +121,7 @@
          \"routeKind\":\"upload\",\"deadlineS\":20,\"targetS\":1,\"priority\":1,\"destination\":\"{SERVICE}\",\"attempts\":2,\
          \"edition\":1}}]}}]}}}}"
     );
-    let patch = silvercross_mesh_config::read_patch(items.as_bytes()).expect("a configuration");
+    let patch = silvercross_mesh_config::parse_change(items.as_bytes()).expect("a configuration");
     let mut control_value = ControlValue::Blank;
     control_value.apply(&ControlChange::Patch(patch)).expect("applies");
     node_state.apply_control_entry(CONFIGURATION, (1, 1, 1), control_value.clone());
@@ -163,7 +163,7 @@
 
     /// Another page of the configuration: this change, on top of what stands.
     pub fn patch(&self, change: &str) {
-        let patch = silvercross_mesh_config::read_patch(change.as_bytes()).expect("a change");
+        let patch = silvercross_mesh_config::parse_change(change.as_bytes()).expect("a change");
         let mut control_value = self.control_value.borrow_mut();
         control_value.apply(&ControlChange::Patch(patch)).expect("applies");
         let change = self.node_state.revisions().get(CONFIGURATION).map_or(0, |r| r.2) + 1;
--- a/crates/tools/ctl/src/file.rs
+++ b/crates/tools/ctl/src/file.rs
@@ -322,7 +322,7 @@
     // All that the mesh itself would say of its form.
     let mut filled = call.clone();
     editions(&mut filled);
-    if let Err(f) = silvercross_mesh_config::read_patch(filled.to_string().as_bytes()) {
+    if let Err(f) = silvercross_mesh_config::parse_change(filled.to_string().as_bytes()) {
         return Err(vec![Fault { place: quoted(text, &f.item), why: f.to_string() }]);
     }
     let mut wanted = items(&call["deliver"]);
--- a/crates/tools/ctl/src/plan.rs
+++ b/crates/tools/ctl/src/plan.rs
@@ -2,7 +2,7 @@
 use crate::file::{items, Fault, Kind, Wanted};
 use serde_json::{json, Map, Value};
 use silvercross_control_store::State;
-use silvercross_mesh_config::{read_patch, Configuration};
+use silvercross_mesh_config::{parse_change, Configuration};
 use std::collections::BTreeMap;
 
 /// What becomes of one name.
@@ -164,7 +164,7 @@
             faults.push(Fault { place, why });
         };
         for line in self.changes() {
-            if let Err(f) = read_patch(call([line].into_iter()).to_string().as_bytes()) {
+            if let Err(f) = parse_change(call([line].into_iter()).to_string().as_bytes()) {
                 put(line, &f.key, f.to_string());
             }
         }
@@ -173,8 +173,8 @@
         }
         let whole = json!({ "deliver": standing });
         let mut there = Configuration::default();
-        let known = read_patch(whole.to_string().as_bytes()).map(|change| there.apply(&change));
-        let refused = match read_patch(self.call().to_string().as_bytes()) {
+        let known = parse_change(whole.to_string().as_bytes()).map(|change| there.apply(&change));
+        let refused = match parse_change(self.call().to_string().as_bytes()) {
             Err(f) => Some(f.to_string()),
             Ok(change) if matches!(known, Ok(Ok(_))) => there.apply(&change).err().map(|r| r.reason),
             Ok(_) => None,
