--- a/crates/control/mesh-membership/src/lib.rs
+++ b/crates/control/mesh-membership/src/lib.rs
@@ -1,10 +1,10 @@
 //! Who is in the mesh, who watches whom, the tree of relays that news goes down, and how news is kept in step.
 //!
 //! No I/O, no clock, no threads: the caller hands in letters, datagrams, links and the time, and carries out the
-//! [`Effect`]s that [`Membership::effects`] gives back. Equal calls give equal effects.
+//! [`Effect`]s that [`Membership::take_effects`] gives back. Equal calls give equal effects.
 //!
-//! - A node's [`Record`] is written by the node itself; the highest (life, seq, gone) wins everywhere. Watchers may
-//!   only add `gone` to what the node wrote last, and the node takes that back with a higher `seq`.
+//! - A node's [`NodeRecord`] is written by the node itself; the highest (life, seq, gone) wins everywhere. Watchers may
+//!   only add `gone` to what the node wrote last, and the node takes that back with a higher `sequence`.
 //! - News floods over the links of the tree; what is not newer than what is known is not sent on.
 //! - On every link digests are compared about once a second; where they differ, the parts that differ are listed
 //!   and only what is missing is sent.
@@ -21,9 +21,12 @@
 mod watch;
 
 use bitcode::{Decode, Encode};
-pub use freshness::{Broken, Freshness};
-pub use freshness::{FRESHNESS_PACE, FRESHNESS_RETRY, FRESHNESS_WAIT, READY_BOUND, READY_LATE};
-pub use membership::{Figures, Membership};
+pub use freshness::{Freshness, Mutation};
+pub use freshness::{
+    FRESHNESS_READ_INTERVAL, FRESHNESS_REQUEST_TIMEOUT, FRESHNESS_RETRY_DELAY, READINESS_GRACE,
+    READINESS_TIMEOUT,
+};
+pub use membership::{Membership, Metrics};
 
 /// Time in microseconds on a clock that only moves forward.
 pub type Micros = i64;
@@ -31,45 +34,45 @@
 pub type Revision = (u64, u64, u64);
 
 /// Children of a relay, and nodes of a zone directly below its core node.
-pub const FAN: usize = 4;
+pub const TREE_FANOUT: usize = 4;
 /// Nodes on the ring that watch a node.
-pub const WATCHERS: usize = 3;
+pub const WATCHER_COUNT: usize = 3;
 /// Between two heartbeats.
-pub const BEAT: Micros = 750_000;
+pub const HEARTBEAT_INTERVAL: Micros = 750_000;
 /// A watched node that was not heard for so long is asked about.
-pub const SILENCE: Micros = 2_000_000;
+pub const HEARTBEAT_TIMEOUT: Micros = 2_000_000;
 /// How long the other watchers have for an answer.
-pub const ASK_WAIT: Micros = 150_000;
+pub const SUSPECT_REPLY_TIMEOUT: Micros = 150_000;
 /// Between two pulses on a link.
-pub const PULSE: Micros = 900_000;
+pub const KEEPALIVE_INTERVAL: Micros = 900_000;
 /// A link on which nothing came for so long is given up.
-pub const LINK_SILENCE: Micros = 1_300_000;
+pub const LINK_TIMEOUT: Micros = 1_300_000;
 /// Core nodes ask each other more often: one that is cut off from the others has to tell its children in time.
-pub const CORE_PULSE: Micros = 300_000;
+pub const CONTROL_KEEPALIVE_INTERVAL: Micros = 300_000;
 /// A link between core nodes on which nothing came for so long is given up.
-pub const CORE_SILENCE: Micros = 800_000;
+pub const CONTROL_LINK_TIMEOUT: Micros = 800_000;
 /// When nothing came of a link after so long, the next one is tried as well.
-pub const LINK_NEXT: Micros = 300_000;
+pub const NEXT_DIAL_DELAY: Micros = 300_000;
 /// A link that didn't come up in this time is given up.
-pub const LINK_TRY: Micros = 1_000_000;
+pub const LINK_CONNECT_TIMEOUT: Micros = 1_000_000;
 /// A better parent is tried again after so long with a substitute.
-pub const PARENT_RETRY: Micros = 3_000_000;
+pub const PARENT_RETRY_DELAY: Micros = 3_000_000;
 /// Between two tries of a core node for another, and of a node without any parent.
-pub const LINK_RETRY: Micros = 500_000;
+pub const LINK_RETRY_DELAY: Micros = 500_000;
 /// How long a parent may be without a way to the core before its children look further.
-pub const UNROOTED: Micros = 200_000;
-/// Nobody is accused by one that stood still for longer, until it has listened for [`SILENCE`] again.
-pub const STOOD_STILL: Micros = 1_000_000;
+pub const UNROOTED_PARENT_TIMEOUT: Micros = 200_000;
+/// Nobody is accused by one that stood still for longer, until it has listened for [`HEARTBEAT_TIMEOUT`] again.
+pub const STALL_THRESHOLD: Micros = 1_000_000;
 /// How long a record is kept after its node was gone.
-pub const GONE_KEPT: Micros = 60_000_000;
+pub const GONE_RECORD_RETENTION: Micros = 60_000_000;
 /// Most records kept. At the bound the record that has been gone longest makes place; strangers beyond are dropped.
-pub const MOST_NODES: usize = 4_096;
+pub const MAX_NODES: usize = 4_096;
 /// Most pages kept. Further keys are dropped and counted as strangers.
-pub const MOST_PAGES: usize = 4_096;
+pub const MAX_CONTROL_ENTRIES: usize = 4_096;
 /// Longest page in bytes. Longer ones are dropped and counted as strangers.
-pub const LONGEST_PAGE: usize = 4 << 20;
+pub const MAX_CONTROL_ENTRY_BYTES: usize = 4 << 20;
 /// Longest zone name or page key in bytes. Longer ones are dropped and counted as strangers.
-pub const LONGEST_NAME: usize = 512;
+pub const MAX_NAME_BYTES: usize = 512;
 
 /// A machine of the mesh, by its address.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Encode, Decode)]
@@ -77,63 +80,68 @@
 
 /// What a process knows when it starts.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Start {
+pub struct MembershipConfig {
     /// Itself.
-    pub me: Node,
+    pub local_node: Node,
     /// Its zone.
     pub zone: String,
     /// Whether it is one of the machines that hold the control state.
-    pub core: bool,
+    pub is_control: bool,
     /// Some core machines, which may be down.
     pub seeds: Vec<Node>,
     /// A proposal for its life; a higher one is taken when a record of it is found that it didn't write.
-    pub life: u64,
+    pub incarnation: u64,
     /// For draws: another one at each start.
-    pub seed: u64,
+    pub random_seed: u64,
 }
 
 /// What is known of a node. The highest (life, seq, gone) wins everywhere.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct Record<T> {
+pub struct NodeRecord<T> {
     /// Whose record it is.
     pub node: Node,
     /// Rises with each start of the node.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises within a life, with each change, from a drawn beginning.
-    pub seq: u64,
+    pub sequence: u64,
     /// The node's zone.
     pub zone: String,
     /// Whether the node holds the control state.
-    pub core: bool,
+    pub is_control: bool,
     /// Signed off, or found dead by its watchers.
     pub gone: bool,
     /// What the node says of itself.
     pub body: T,
 }
 
-impl<T> Record<T> {
+impl<T> NodeRecord<T> {
     /// What records are ordered by.
-    pub fn version(&self) -> Version {
-        Version { node: self.node, life: self.life, seq: self.seq, gone: self.gone }
+    pub fn version(&self) -> RecordVersion {
+        RecordVersion {
+            node: self.node,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            gone: self.gone,
+        }
     }
 }
 
 /// The version of a record.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Encode, Decode)]
-pub struct Version {
+pub struct RecordVersion {
     /// Whose record it is.
     pub node: Node,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its place within the life.
-    pub seq: u64,
+    pub sequence: u64,
     /// Whether it is gone.
     pub gone: bool,
 }
 
 /// A page of the control state, as it travels.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct Page {
+pub struct ControlEntry {
     /// What it is about.
     pub key: String,
     /// Its version.
@@ -144,7 +152,7 @@
 
 /// Where a node stands in the tree, as it tells its neighbours.
 #[derive(Clone, Default, PartialEq, Debug, Encode, Decode)]
-pub struct Standing {
+pub struct TreePosition {
     /// Itself and its parents up to a core node; empty when it has no way to the core. At most 32.
     pub path: Vec<Node>,
     /// Of a core node: the other core nodes that it has links to. At most 64.
@@ -155,61 +163,61 @@
 
 /// What goes over a link.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub enum Letter<T> {
+pub enum MembershipMessage<T> {
     /// The first letter of each side.
     Hello {
         /// The sender's own record.
-        record: Record<T>,
+        record: NodeRecord<T>,
         /// Over all versions that the sender knows.
         digest: u64,
         /// How many records and pages it knows.
         known: u32,
         /// Where it stands.
-        standing: Standing,
+        position: TreePosition,
     },
     /// Keeps the link, and compares.
-    Pulse {
+    KeepAlive {
         /// Over all versions that the sender knows.
         digest: u64,
         /// Whether this is to be answered.
         ask: bool,
         /// Where the sender stands.
-        standing: Standing,
+        position: TreePosition,
     },
     /// Digests of the parts that versions are divided into. Answered with an index of those that differ.
-    Sums {
+    PartDigests {
         /// One for each part.
-        sums: Vec<u32>,
+        digests: Vec<u32>,
     },
     /// The versions in some parts. Answered with what is newer here, and what is wanted.
-    Index {
+    VersionIndex {
         /// The parts.
         parts: Vec<u8>,
         /// All records in them.
-        records: Vec<Version>,
+        records: Vec<RecordVersion>,
         /// All pages in them.
-        pages: Vec<(String, Revision)>,
+        entries: Vec<(String, Revision)>,
     },
     /// Records and pages that are missing. Answered with news.
-    Want {
+    Fetch {
         /// Whose records.
         records: Vec<Node>,
         /// Which pages.
-        pages: Vec<String>,
+        entries: Vec<String>,
     },
     /// Changes.
-    News {
+    Update {
         /// Newer records.
-        records: Vec<Record<T>>,
+        records: Vec<NodeRecord<T>>,
         /// Newer pages.
-        pages: Vec<Page>,
+        entries: Vec<ControlEntry>,
     },
     /// Everything, or a piece of it, for one that knows nothing yet.
     Snapshot {
         /// Records of those that are there.
-        records: Vec<Record<T>>,
+        records: Vec<NodeRecord<T>>,
         /// Pages.
-        pages: Vec<Page>,
+        entries: Vec<ControlEntry>,
     },
     /// What does a majority of the control replicas have? Goes up the tree.
     FreshnessRequest {
@@ -229,41 +237,41 @@
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum Datagram {
     /// A heartbeat, to watchers.
-    Beat {
+    Heartbeat {
         /// The sender's life.
-        life: u64,
+        incarnation: u64,
         /// Its place within the life.
-        seq: u64,
+        sequence: u64,
     },
     /// To one that is believed gone and was heard: it may refute this.
-    Dead {
+    DeclaredDead {
         /// The life that is believed gone.
-        life: u64,
+        incarnation: u64,
         /// Its place within the life.
-        seq: u64,
+        sequence: u64,
     },
     /// To another watcher: have you heard it?
-    Ask {
+    Suspect {
         /// The node in question.
         about: Node,
         /// Its life as far as known.
-        life: u64,
+        incarnation: u64,
     },
     /// Nothing was heard of it here either.
-    Agree {
+    SuspectConfirmed {
         /// The node in question.
         about: Node,
         /// Its life as asked.
-        life: u64,
+        incarnation: u64,
     },
     /// It was heard here, by the sender itself.
-    Heard {
+    SuspectAlive {
         /// The node in question.
         about: Node,
         /// Its life as asked.
-        life: u64,
+        incarnation: u64,
         /// How long ago. What was heard by another is no newer for having been told.
-        ago: Micros,
+        elapsed: Micros,
     },
 }
 
@@ -271,43 +279,43 @@
 #[derive(Clone, PartialEq, Debug)]
 pub enum Effect<T> {
     /// Make a link; the outcome is told by `link_up` or `link_down`.
-    Link {
+    OpenLink {
         /// To whom.
         to: Node,
     },
     /// Drop a link, or stop trying to make it. No `link_down` is needed.
-    Unlink {
+    CloseLink {
         /// To whom.
         to: Node,
     },
     /// Send a letter over the link.
-    Send {
+    SendMessage {
         /// To whom.
         to: Node,
         /// What.
-        letter: Letter<T>,
+        message: MembershipMessage<T>,
     },
     /// Send a datagram.
-    Datagram {
+    SendDatagram {
         /// To whom.
         to: Node,
         /// What.
         datagram: Datagram,
     },
     /// See whether the node's machine takes a connection; the outcome is told by `tried`.
-    Try {
+    Probe {
         /// Which node.
         node: Node,
     },
     /// Have a majority of the control replicas confirm the revisions of all keys; the outcome is told by `confirmed`.
     ConfirmRevisions {
         /// To be handed back with it.
-        ticket: u64,
+        request_id: u64,
     },
     /// News of another node.
-    Record(Record<T>),
+    RecordChanged(NodeRecord<T>),
     /// A newer page arrived.
-    Page {
+    EntryChanged {
         /// What it is about.
         key: String,
         /// Its version.
--- a/crates/control/mesh-membership/src/membership.rs
+++ b/crates/control/mesh-membership/src/membership.rs
@@ -4,8 +4,11 @@
 use crate::table::{Put, Table, PARTS};
 use crate::tree::{Bad, Link};
 use crate::watch::Watch;
-use crate::{mix, Datagram, Effect, Letter, Micros, Node, Page, Record, Revision, Start, Version};
-use crate::{BEAT, GONE_KEPT, LINK_SILENCE, MOST_NODES, STOOD_STILL};
+use crate::{
+    mix, ControlEntry, Datagram, Effect, MembershipConfig, MembershipMessage, Micros, Node, NodeRecord,
+    RecordVersion, Revision,
+};
+use crate::{GONE_RECORD_RETENTION, HEARTBEAT_INTERVAL, LINK_TIMEOUT, MAX_NODES, STALL_THRESHOLD};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
@@ -16,48 +19,48 @@
 /// What a record counts for when it wasn't needed.
 const RECORD_BYTES: u64 = 64;
 /// Between two looks for records to be forgotten.
-const FORGET: Micros = GONE_KEPT / 12;
+const FORGET: Micros = GONE_RECORD_RETENTION / 12;
 /// Core nodes remembered after their records are forgotten.
 const MOST_FURTHER: usize = 16;
 
 /// Counters since the start.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub struct Figures {
+pub struct Metrics {
     /// Letters sent.
-    pub letters: u64,
+    pub messages_sent: u64,
     /// Bytes of pages, and of records at 64 each, that came and were known already.
-    pub not_needed: u64,
+    pub redundant_bytes: u64,
     /// Datagrams sent.
-    pub datagrams: u64,
+    pub datagrams_sent: u64,
     /// Nodes that other watchers were asked about.
-    pub accused: u64,
+    pub nodes_suspected: u64,
     /// Nodes that were found gone here.
-    pub gone: u64,
+    pub nodes_declared_gone: u64,
     /// Times that a record of this node, not written by it, was overruled.
-    pub refuted: u64,
+    pub records_refuted: u64,
     /// Changes of parent.
-    pub relinked: u64,
+    pub parent_changes: u64,
     /// Indexes sent.
-    pub indexes: u64,
+    pub indexes_sent: u64,
     /// Requests for what a majority has, sent up; at a core node, reads of the control store.
-    pub freshness: u64,
+    pub freshness_requests: u64,
     /// Records, pages and names beyond a bound, dropped.
-    pub strangers: u64,
+    pub rejected_items: u64,
 }
 
 /// What news is about.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 enum Subject {
-    Record(Node),
-    Page(String),
+    NodeRecord(Node),
+    ControlEntry(String),
 }
 
 /// One node's part in the mesh.
 ///
-/// Bounded: [`crate::MOST_NODES`] records, [`crate::MOST_PAGES`] pages, links to nodes that could be in the mesh (4,096;
+/// Bounded: [`crate::MAX_NODES`] records, [`crate::MAX_CONTROL_ENTRIES`] pages, links to nodes that could be in the mesh (4,096;
 /// further ones are dropped at once), news not yet taken up to one item for each record and page.
 pub struct Membership<T> {
-    pub(crate) start: Start,
+    pub(crate) start: MembershipConfig,
     pub(crate) table: Table<T>,
     pub(crate) places: Places,
     /// The places changed since the parents to choose from were listed.
@@ -87,14 +90,14 @@
     pub(crate) check: Check,
     pending: BTreeMap<Subject, Option<Node>>,
     pub(crate) out: Vec<Effect<T>>,
-    pub(crate) figures: Figures,
+    pub(crate) metrics: Metrics,
 }
 
-impl Start {
+impl MembershipConfig {
     /// Seeds but itself, in an order of its own.
     fn in_order(&self, seeds: &[Node]) -> Vec<Node> {
-        let mut seeds: Vec<Node> = seeds.iter().copied().filter(|node| *node != self.me).collect();
-        seeds.sort_unstable_by_key(|node| (mix(self.seed ^ u64::from(node.0)), *node));
+        let mut seeds: Vec<Node> = seeds.iter().copied().filter(|node| *node != self.local_node).collect();
+        seeds.sort_unstable_by_key(|node| (mix(self.random_seed ^ u64::from(node.0)), *node));
         seeds.dedup();
         seeds
     }
@@ -102,10 +105,10 @@
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
     /// A node that knows itself and its seeds.
-    pub fn new(now: Micros, start: Start, body: T) -> Self {
-        let me = start.me;
+    pub fn new(now: Micros, start: MembershipConfig, body: T) -> Self {
+        let local_node = start.local_node;
         let seeds = start.in_order(&start.seeds);
-        let phase = (mix(start.seed) % BEAT as u64) as Micros;
+        let phase = (mix(start.random_seed) % HEARTBEAT_INTERVAL as u64) as Micros;
         let mut membership = Membership {
             table: Table::new(),
             places: Places::default(),
@@ -116,7 +119,7 @@
             bad: BTreeMap::new(),
             further: Vec::new(),
             parent: None,
-            last_dial: now.saturating_sub(LINK_SILENCE),
+            last_dial: now.saturating_sub(LINK_TIMEOUT),
             unfit_since: None,
             unrooted_since: None,
             told_rooted: false,
@@ -130,19 +133,19 @@
             successors: Vec::new(),
             ring_moved: true,
             confirmed: None,
-            check: Check::new(now, start.core, mix(start.seed ^ mix(start.life))),
+            check: Check::new(now, start.is_control, mix(start.random_seed ^ mix(start.incarnation))),
             pending: BTreeMap::new(),
             out: Vec::new(),
-            figures: Figures::default(),
-            start: Start { seeds, ..start },
+            metrics: Metrics::default(),
+            start: MembershipConfig { seeds, ..start },
         };
-        let record = Record {
-            node: me,
-            life: membership.start.life,
+        let record = NodeRecord {
+            node: local_node,
+            incarnation: membership.start.incarnation,
             // Drawn, so that two starts with the same life can be told apart.
-            seq: mix(membership.start.seed) >> 44,
+            sequence: mix(membership.start.random_seed) >> 44,
             zone: membership.start.zone.clone(),
-            core: membership.start.core,
+            is_control: membership.start.is_control,
             gone: false,
             body,
         };
@@ -152,20 +155,20 @@
     }
 
     /// Other seeds than at the start; nodes met meanwhile stay known.
-    pub fn seeds(&mut self, now: Micros, seeds: &[Node]) {
+    pub fn set_seeds(&mut self, now: Micros, seeds: &[Node]) {
         self.start.seeds = self.start.in_order(seeds);
         self.moved = true;
         self.tick(now);
     }
 
     /// The node says something else of itself from now on.
-    pub fn tell(&mut self, now: Micros, body: T) {
+    pub fn update_body(&mut self, now: Micros, body: T) {
         self.at(now);
         let Some(own) = self.own() else { return };
         if own.gone || own.body == body {
             return;
         }
-        let record = Record { seq: own.seq + 1, body, ..own.clone() };
+        let record = NodeRecord { sequence: own.sequence + 1, body, ..own.clone() };
         self.put(now, record);
     }
 
@@ -173,34 +176,34 @@
     pub fn publish(&mut self, now: Micros, key: &str, revision: Revision, bytes: Vec<u8>) {
         self.at(now);
         match self.table.put_page(now, key, revision, bytes) {
-            Put::Newer => drop(self.pending.insert(Subject::Page(key.to_string()), None)),
-            Put::Stranger => self.figures.strangers += 1,
+            Put::Newer => drop(self.pending.insert(Subject::ControlEntry(key.to_string()), None)),
+            Put::Stranger => self.metrics.rejected_items += 1,
             Put::Known => (),
         }
     }
 
     /// A letter came over a link.
-    pub fn letter(&mut self, now: Micros, from: Node, letter: Letter<T>) {
+    pub fn receive(&mut self, now: Micros, from: Node, message: MembershipMessage<T>) {
         self.at(now);
         let Some(link) = self.links.get_mut(&from) else { return };
         link.heard = now;
-        match letter {
-            Letter::Hello { record, digest, known, standing } => {
+        match message {
+            MembershipMessage::Hello { record, digest, known, position } => {
                 let first = self.table.known() <= 1;
-                link.standing(standing);
+                link.position(position);
                 link.greeted = true;
                 self.hello(now, from, record);
                 if known <= 1 {
                     self.snapshot(from);
-                } else if !first && self.start.me < from && !self.table.in_step(now, digest) {
+                } else if !first && self.start.local_node < from && !self.table.in_step(now, digest) {
                     self.send_sums(from);
                 }
                 self.steer(now);
             }
-            Letter::Pulse { digest, ask, standing } => {
-                let changed = link.standing(standing);
+            MembershipMessage::KeepAlive { digest, ask, position } => {
+                let changed = link.position(position);
                 let equal = self.table.in_step(now, digest);
-                let is_core = self.start.core && self.places.cores.contains_key(&from);
+                let is_core = self.start.is_control && self.places.control_nodes.contains_key(&from);
                 if equal && (is_core || self.parent == Some(from)) {
                     self.confirmed = Some(now);
                 }
@@ -214,37 +217,42 @@
                     self.steer(now);
                 }
             }
-            Letter::Sums { sums } => {
+            MembershipMessage::PartDigests { digests: sums } => {
                 let parts = self.table.differing(&sums);
                 if !parts.is_empty() {
                     self.flush();
-                    let (records, pages) = self.table.in_parts(&parts);
-                    self.figures.indexes += 1;
-                    self.send(from, Letter::Index { parts, records, pages });
+                    let (records, entries) = self.table.in_parts(&parts);
+                    self.metrics.indexes_sent += 1;
+                    self.send(from, MembershipMessage::VersionIndex { parts, records, entries });
                 }
             }
-            Letter::Index { parts, records, pages } => self.index(now, from, &parts, records, pages),
-            Letter::Want { records, pages } => {
+            MembershipMessage::VersionIndex { parts, records, entries } => {
+                self.index(now, from, &parts, records, entries)
+            }
+            MembershipMessage::Fetch { records, entries } => {
                 let wanted: BTreeSet<Node> = records.into_iter().collect();
-                let pages: BTreeSet<String> = pages.into_iter().collect();
-                self.send_news(from, wanted, pages, false);
+                let entries: BTreeSet<String> = entries.into_iter().collect();
+                self.send_news(from, wanted, entries, false);
             }
-            Letter::News { records, pages } | Letter::Snapshot { records, pages } => {
+            MembershipMessage::Update { records, entries }
+            | MembershipMessage::Snapshot { records, entries } => {
                 for record in records {
                     self.take_record(now, Some(from), record);
                 }
-                for page in pages {
+                for page in entries {
                     self.take_page(now, from, page);
                 }
             }
-            Letter::FreshnessRequest { number } => self.freshness_asked(from, number),
-            Letter::FreshnessReply { number, revisions } => self.freshness_answered(now, number, revisions),
+            MembershipMessage::FreshnessRequest { number } => self.freshness_asked(from, number),
+            MembershipMessage::FreshnessReply { number, revisions } => {
+                self.freshness_answered(now, number, revisions)
+            }
         }
         self.settle(now);
     }
 
     /// A datagram came.
-    pub fn datagram(&mut self, now: Micros, from: Node, datagram: Datagram) {
+    pub fn receive_datagram(&mut self, now: Micros, from: Node, datagram: Datagram) {
         self.at(now);
         self.watch_datagram(now, from, datagram);
         self.settle(now);
@@ -253,16 +261,17 @@
     /// A link is up, by either side's making.
     pub fn link_up(&mut self, now: Micros, node: Node) {
         self.at(now);
-        if node == self.start.me || (self.links.len() >= MOST_NODES && !self.links.contains_key(&node)) {
-            self.out.push(Effect::Unlink { to: node });
+        if node == self.start.local_node || (self.links.len() >= MAX_NODES && !self.links.contains_key(&node))
+        {
+            self.out.push(Effect::CloseLink { to: node });
             return;
         }
         self.tree_link_up(now, node);
         self.flush();
         if let Some(own) = self.own().cloned() {
             let (digest, known) = (self.table.digest(), self.table.known() as u32);
-            let standing = self.standing();
-            self.send(node, Letter::Hello { record: own, digest, known, standing });
+            let position = self.position();
+            self.send(node, MembershipMessage::Hello { record: own, digest, known, position });
         }
         self.settle(now);
     }
@@ -275,7 +284,7 @@
     }
 
     /// Whether the machine of the node took a connection.
-    pub fn tried(&mut self, now: Micros, node: Node, ok: bool) {
+    pub fn probe_finished(&mut self, now: Micros, node: Node, ok: bool) {
         self.at(now);
         self.watch_tried(now, node, ok);
         self.settle(now);
@@ -286,7 +295,7 @@
         self.at(now);
         let Some(own) = self.own() else { return };
         if !own.gone {
-            let record = Record { seq: own.seq + 1, gone: true, ..own.clone() };
+            let record = NodeRecord { sequence: own.sequence + 1, gone: true, ..own.clone() };
             self.put(now, record);
         }
     }
@@ -298,8 +307,8 @@
         self.tend_watches(now);
         if now >= self.forget_at {
             self.forget_at = now + FORGET;
-            self.table.forget(now, self.start.me);
-            self.bad.retain(|_, bad| bad.until + GONE_KEPT > now);
+            self.table.forget(now, self.start.local_node);
+            self.bad.retain(|_, bad| bad.until + GONE_RECORD_RETENTION > now);
         }
         if now >= self.steer_at {
             self.steer(now);
@@ -308,35 +317,35 @@
     }
 
     /// When the next tick is due.
-    pub fn wake(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let soonest = self.beat_at.min(self.forget_at).min(self.steer_at);
         soonest.min(self.links_due()).min(self.watches_due()).min(self.freshness_due())
     }
 
     /// What is to be done since the last take. News is gathered into one letter for each link.
-    pub fn effects(&mut self) -> Vec<Effect<T>> {
+    pub fn take_effects(&mut self) -> Vec<Effect<T>> {
         self.flush();
         std::mem::take(&mut self.out)
     }
 
     /// All records, this node's own as well, and of those lately gone.
-    pub fn records(&self) -> impl Iterator<Item = &Record<T>> {
+    pub fn records(&self) -> impl Iterator<Item = &NodeRecord<T>> {
         self.table.records.values().map(|entry| &entry.record)
     }
 
     /// The record of one node.
-    pub fn record(&self, node: Node) -> Option<&Record<T>> {
+    pub fn record(&self, node: Node) -> Option<&NodeRecord<T>> {
         self.table.records.get(&node).map(|entry| &entry.record)
     }
 
     /// The newest known version of a page.
-    pub fn page(&self, key: &str) -> Option<(&Revision, &[u8])> {
-        self.table.pages.get(key).map(|page| (&page.0, page.1.as_slice()))
+    pub fn control_entry(&self, key: &str) -> Option<(&Revision, &[u8])> {
+        self.table.entries.get(key).map(|page| (&page.0, page.1.as_slice()))
     }
 
     /// All pages.
-    pub fn pages(&self) -> impl Iterator<Item = (&str, &Revision, &[u8])> {
-        self.table.pages.iter().map(|(key, page)| (key.as_str(), &page.0, page.1.as_slice()))
+    pub fn control_entries(&self) -> impl Iterator<Item = (&str, &Revision, &[u8])> {
+        self.table.entries.iter().map(|(key, page)| (key.as_str(), &page.0, page.1.as_slice()))
     }
 
     /// Where news comes from; none for core nodes.
@@ -345,41 +354,41 @@
     }
 
     /// Those with a link that is up.
-    pub fn linked(&self) -> Vec<Node> {
+    pub fn linked_nodes(&self) -> Vec<Node> {
         self.links.keys().copied().collect()
     }
 
     /// Whether there is a link on which something came lately: of a core node any, of others the parent's.
-    pub fn in_touch(&self, now: Micros) -> bool {
-        let fresh = |link: &Link| now - link.heard <= LINK_SILENCE;
+    pub fn is_connected(&self, now: Micros) -> bool {
+        let fresh = |link: &Link| now - link.heard <= LINK_TIMEOUT;
         match self.parent {
             Some(parent) => self.links.get(&parent).is_some_and(fresh),
-            None => self.start.core && self.links.values().any(fresh),
+            None => self.start.is_control && self.links.values().any(fresh),
         }
     }
 
     /// This node's life.
-    pub fn life(&self) -> u64 {
-        self.own().map_or(self.start.life, |own| own.life)
+    pub fn incarnation(&self) -> u64 {
+        self.own().map_or(self.start.incarnation, |own| own.incarnation)
     }
 
     /// Time since the parent, or for a core node any other, was last found to know the same.
-    pub fn news_age(&self, now: Micros) -> Option<Micros> {
+    pub fn last_sync_age(&self, now: Micros) -> Option<Micros> {
         self.confirmed.map(|at| now - at)
     }
 
     /// Counters.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn metrics(&self) -> Metrics {
+        self.metrics
     }
 
-    pub(crate) fn own(&self) -> Option<&Record<T>> {
-        self.table.records.get(&self.start.me).map(|entry| &entry.record)
+    pub(crate) fn own(&self) -> Option<&NodeRecord<T>> {
+        self.table.records.get(&self.start.local_node).map(|entry| &entry.record)
     }
 
     /// Notes the time. After standing still what was not heard says nothing of others.
     pub(crate) fn at(&mut self, now: Micros) {
-        if now - self.last > STOOD_STILL {
+        if now - self.last > STALL_THRESHOLD {
             self.check.stood_still(now, now - self.last);
             self.links.values_mut().for_each(|link| link.heard = now);
             self.watches.values_mut().for_each(|watch| *watch = Watch::new(now));
@@ -395,99 +404,105 @@
         self.tend_freshness(now);
     }
 
-    pub(crate) fn send(&mut self, to: Node, letter: Letter<T>) {
-        self.figures.letters += 1;
-        self.out.push(Effect::Send { to, letter });
+    pub(crate) fn send(&mut self, to: Node, message: MembershipMessage<T>) {
+        self.metrics.messages_sent += 1;
+        self.out.push(Effect::SendMessage { to, message });
     }
 
     /// Puts in a record that is to be told, and keeps the places.
-    pub(crate) fn put(&mut self, now: Micros, record: Record<T>) -> bool {
-        let (node, zone, core, gone) = (record.node, record.zone.clone(), record.core, record.gone);
+    pub(crate) fn put(&mut self, now: Micros, record: NodeRecord<T>) -> bool {
+        let (node, zone, is_control, gone) =
+            (record.node, record.zone.clone(), record.is_control, record.gone);
         let (put, former) = self.table.put(now, record);
         if put == Put::Stranger {
-            self.figures.strangers += 1;
+            self.metrics.rejected_items += 1;
         }
         if put != Put::Newer {
             return false;
         }
-        let same = former
-            .as_ref()
-            .is_some_and(|former| former.gone == gone && former.core == core && former.zone == zone);
+        let same = former.as_ref().is_some_and(|former| {
+            former.gone == gone && former.is_control == is_control && former.zone == zone
+        });
         if !same {
             if let Some(former) = former.filter(|former| !former.gone) {
-                self.places.remove(node, &former.zone, former.core);
+                self.places.remove(node, &former.zone, former.is_control);
             }
             if !gone {
-                self.places.add(node, &zone, core);
+                self.places.add(node, &zone, is_control);
             }
             self.moved = true;
             self.ring_moved = true;
         }
-        if core && node != self.start.me && self.further.first() != Some(&node) && !same {
+        if is_control && node != self.start.local_node && self.further.first() != Some(&node) && !same {
             self.further.retain(|other| *other != node);
             self.further.insert(0, node);
             self.further.truncate(MOST_FURTHER);
         }
-        self.pending.insert(Subject::Record(node), None);
+        self.pending.insert(Subject::NodeRecord(node), None);
         true
     }
 
     /// A record that others told.
-    fn take_record(&mut self, now: Micros, from: Option<Node>, record: Record<T>) {
+    fn take_record(&mut self, now: Micros, from: Option<Node>, record: NodeRecord<T>) {
         let node = record.node;
-        if node == self.start.me {
+        if node == self.start.local_node {
             return self.own_told(now, record);
         }
         if self.put(now, record.clone()) {
-            self.pending.insert(Subject::Record(node), from);
-            self.out.push(Effect::Record(record));
+            self.pending.insert(Subject::NodeRecord(node), from);
+            self.out.push(Effect::RecordChanged(record));
         } else {
-            self.figures.not_needed += RECORD_BYTES;
+            self.metrics.redundant_bytes += RECORD_BYTES;
         }
     }
 
     /// A record of this node: one that it didn't write is overruled.
-    fn own_told(&mut self, now: Micros, record: Record<T>) {
+    fn own_told(&mut self, now: Micros, record: NodeRecord<T>) {
         let Some(own) = self.own() else { return };
         if own.gone {
             return;
         }
-        let other_life = record.life > own.life
-            || (record.life == own.life && record.seq > own.seq)
+        let other_life = record.incarnation > own.incarnation
+            || (record.incarnation == own.incarnation && record.sequence > own.sequence)
             || (record.version() == own.version() && record.body != own.body);
-        let called_gone = record.gone && record.life == own.life && record.seq == own.seq;
+        let called_gone =
+            record.gone && record.incarnation == own.incarnation && record.sequence == own.sequence;
         let refuted = if other_life {
-            Record { life: record.life.saturating_add(1), seq: 0, ..own.clone() }
+            NodeRecord { incarnation: record.incarnation.saturating_add(1), sequence: 0, ..own.clone() }
         } else if called_gone {
-            Record { seq: own.seq + 1, ..own.clone() }
+            NodeRecord { sequence: own.sequence + 1, ..own.clone() }
         } else {
             return;
         };
         self.refute(now, refuted);
     }
 
-    pub(crate) fn refute(&mut self, now: Micros, record: Record<T>) {
-        self.figures.refuted += 1;
+    pub(crate) fn refute(&mut self, now: Micros, record: NodeRecord<T>) {
+        self.metrics.records_refuted += 1;
         self.put(now, record);
     }
 
-    fn take_page(&mut self, now: Micros, from: Node, page: Page) {
+    fn take_page(&mut self, now: Micros, from: Node, page: ControlEntry) {
         let size = page.bytes.len() as u64;
         match self.table.put_page(now, &page.key, page.revision, page.bytes.clone()) {
             Put::Newer => {
-                self.pending.insert(Subject::Page(page.key.clone()), Some(from));
-                self.out.push(Effect::Page { key: page.key, revision: page.revision, bytes: page.bytes });
+                self.pending.insert(Subject::ControlEntry(page.key.clone()), Some(from));
+                self.out.push(Effect::EntryChanged {
+                    key: page.key,
+                    revision: page.revision,
+                    bytes: page.bytes,
+                });
             }
-            Put::Known => self.figures.not_needed += size,
-            Put::Stranger => self.figures.strangers += 1,
+            Put::Known => self.metrics.redundant_bytes += size,
+            Put::Stranger => self.metrics.rejected_items += 1,
         }
     }
 
     /// The record that a neighbour told of itself. It is shown a newer one of it, if that is known here.
-    fn hello(&mut self, now: Micros, from: Node, record: Record<T>) {
+    fn hello(&mut self, now: Micros, from: Node, record: NodeRecord<T>) {
         let told = record.version();
         if record.node != from {
-            self.figures.strangers += 1;
+            self.metrics.rejected_items += 1;
             return;
         }
         let body = record.body.clone();
@@ -506,13 +521,13 @@
         now: Micros,
         from: Node,
         parts: &[u8],
-        records: Vec<Version>,
-        pages: Vec<(String, Revision)>,
+        records: Vec<RecordVersion>,
+        entries: Vec<(String, Revision)>,
     ) {
         let (mine, my_pages) = self.table.in_parts(parts);
-        let theirs: BTreeMap<Node, Version> =
+        let theirs: BTreeMap<Node, RecordVersion> =
             records.into_iter().map(|version| (version.node, version)).collect();
-        let their_pages: BTreeMap<String, Revision> = pages.into_iter().collect();
+        let their_pages: BTreeMap<String, Revision> = entries.into_iter().collect();
         let newer_here = mine.iter().filter(|version| match theirs.get(&version.node) {
             Some(other) => other < version,
             None => !version.gone,
@@ -527,22 +542,27 @@
             .collect();
         let newer_there = their_pages
             .iter()
-            .filter(|(key, at)| self.table.pages.get(*key).is_none_or(|page| page.0 < **at));
+            .filter(|(key, at)| self.table.entries.get(*key).is_none_or(|page| page.0 < **at));
         let want_pages: Vec<String> = newer_there.map(|(key, _)| key.clone()).collect();
         self.send_news(from, send, send_pages, false);
-        if let Some(own) = theirs.get(&self.start.me).copied() {
+        if let Some(own) = theirs.get(&self.start.local_node).copied() {
             self.version_told(now, own);
         }
         if !want.is_empty() || !want_pages.is_empty() {
-            self.send(from, Letter::Want { records: want, pages: want_pages });
+            self.send(from, MembershipMessage::Fetch { records: want, entries: want_pages });
         }
     }
 
     /// Others know a version of this node that it didn't write.
-    pub(crate) fn version_told(&mut self, now: Micros, version: Version) {
+    pub(crate) fn version_told(&mut self, now: Micros, version: RecordVersion) {
         if let Some(own) = self.own() {
             // Only versions are compared; a record of the same version is taken for its own.
-            let record = Record { life: version.life, seq: version.seq, gone: version.gone, ..own.clone() };
+            let record = NodeRecord {
+                incarnation: version.incarnation,
+                sequence: version.sequence,
+                gone: version.gone,
+                ..own.clone()
+            };
             self.own_told(now, record);
         }
     }
@@ -550,56 +570,56 @@
     fn snapshot(&mut self, to: Node) {
         let live = self.table.records.values().filter(|entry| !entry.record.gone && entry.record.node != to);
         let records = live.map(|entry| entry.record.node).collect();
-        let pages = self.table.pages.keys().cloned().collect();
-        self.send_news(to, records, pages, true);
+        let entries = self.table.entries.keys().cloned().collect();
+        self.send_news(to, records, entries, true);
     }
 
     /// Sends records and pages as they are now, in letters of a bounded size (one page may be longer).
     fn send_news(&mut self, to: Node, nodes: BTreeSet<Node>, keys: BTreeSet<String>, snapshot: bool) {
         let mut records = Vec::new();
-        let mut pages = Vec::new();
+        let mut entries = Vec::new();
         let mut bytes = 0;
-        let wrap = |records: &mut Vec<Record<T>>, pages: &mut Vec<Page>| {
-            let (records, pages) = (std::mem::take(records), std::mem::take(pages));
+        let wrap = |records: &mut Vec<NodeRecord<T>>, entries: &mut Vec<ControlEntry>| {
+            let (records, entries) = (std::mem::take(records), std::mem::take(entries));
             if snapshot {
-                Letter::Snapshot { records, pages }
+                MembershipMessage::Snapshot { records, entries }
             } else {
-                Letter::News { records, pages }
+                MembershipMessage::Update { records, entries }
             }
         };
-        let mut letters = Vec::new();
+        let mut messages = Vec::new();
         for node in nodes {
             records.extend(self.table.records.get(&node).map(|entry| entry.record.clone()));
             if records.len() >= LETTER_RECORDS {
-                letters.push(wrap(&mut records, &mut pages));
+                messages.push(wrap(&mut records, &mut entries));
             }
         }
         for key in keys {
-            let Some((revision, content)) = self.table.pages.get(&key) else { continue };
+            let Some((revision, content)) = self.table.entries.get(&key) else { continue };
             bytes += content.len();
-            pages.push(Page { key, revision: *revision, bytes: content.clone() });
+            entries.push(ControlEntry { key, revision: *revision, bytes: content.clone() });
             if bytes >= LETTER_BYTES {
                 bytes = 0;
-                letters.push(wrap(&mut records, &mut pages));
+                messages.push(wrap(&mut records, &mut entries));
             }
         }
-        if !records.is_empty() || !pages.is_empty() {
-            letters.push(wrap(&mut records, &mut pages));
+        if !records.is_empty() || !entries.is_empty() {
+            messages.push(wrap(&mut records, &mut entries));
         }
-        letters.into_iter().for_each(|letter| self.send(to, letter));
+        messages.into_iter().for_each(|message| self.send(to, message));
     }
 
     pub(crate) fn send_pulse(&mut self, to: Node, ask: bool) {
         self.flush();
-        let standing = self.standing();
-        self.send(to, Letter::Pulse { digest: self.table.digest(), ask, standing });
+        let position = self.position();
+        self.send(to, MembershipMessage::KeepAlive { digest: self.table.digest(), ask, position });
     }
 
     fn send_sums(&mut self, to: Node) {
         self.flush();
         let sums = self.table.sums();
         debug_assert_eq!(sums.len(), PARTS);
-        self.send(to, Letter::Sums { sums });
+        self.send(to, MembershipMessage::PartDigests { digests: sums });
     }
 
     /// Sends gathered news, so that digests sent after it cover it.
@@ -617,8 +637,8 @@
                     continue;
                 }
                 match subject {
-                    Subject::Record(node) => drop(nodes.insert(*node)),
-                    Subject::Page(key) => drop(keys.insert(key.clone())),
+                    Subject::NodeRecord(node) => drop(nodes.insert(*node)),
+                    Subject::ControlEntry(key) => drop(keys.insert(key.clone())),
                 }
             }
             self.send_news(to, nodes, keys, false);
@@ -628,7 +648,9 @@
     /// Whether `to` has what `from` told: the same node, or core nodes that are linked with each other.
     fn has_it(&self, to: Node, from: Option<Node>) -> bool {
         let Some(from) = from else { return false };
-        let linked = |from: &Link| self.start.core && self.places.cores.contains_key(&to) && from.tells(to);
+        let linked = |from: &Link| {
+            self.start.is_control && self.places.control_nodes.contains_key(&to) && from.tells(to)
+        };
         to == from || self.links.get(&from).is_some_and(linked)
     }
 }
--- a/crates/control/mesh-membership/src/places.rs
+++ b/crates/control/mesh-membership/src/places.rs
@@ -1,5 +1,5 @@
 //! Places on the ring and in the tree, of those that are believed to be there.
-use crate::{mix, mix_bytes, Node, FAN};
+use crate::{mix, mix_bytes, Node, TREE_FANOUT};
 use std::collections::BTreeMap;
 
 const RING: u64 = 0x52;
@@ -10,7 +10,7 @@
 pub(crate) struct Places {
     ring: Vec<(u64, Node)>,
     sides: BTreeMap<String, Vec<(u64, Node)>>,
-    pub cores: BTreeMap<Node, String>,
+    pub control_nodes: BTreeMap<Node, String>,
 }
 
 fn ring_place(node: Node) -> (u64, Node) {
@@ -42,19 +42,19 @@
 }
 
 impl Places {
-    pub fn add(&mut self, node: Node, zone: &str, core: bool) {
+    pub fn add(&mut self, node: Node, zone: &str, is_control: bool) {
         insert(&mut self.ring, ring_place(node));
-        if core {
-            self.cores.insert(node, zone.to_string());
+        if is_control {
+            self.control_nodes.insert(node, zone.to_string());
         } else {
             insert(self.sides.entry(zone.to_string()).or_default(), tree_place(node));
         }
     }
 
-    pub fn remove(&mut self, node: Node, zone: &str, core: bool) {
+    pub fn remove(&mut self, node: Node, zone: &str, is_control: bool) {
         remove(&mut self.ring, ring_place(node));
-        if core {
-            self.cores.remove(&node);
+        if is_control {
+            self.control_nodes.remove(&node);
         } else if let Some(list) = self.sides.get_mut(zone) {
             remove(list, tree_place(node));
             if list.is_empty() {
@@ -88,15 +88,15 @@
     }
 
     fn has_core(&self, zone: &str) -> bool {
-        self.cores.values().any(|of| of == zone)
+        self.control_nodes.values().any(|of| of == zone)
     }
 
     /// The rank above, `None` for those that are directly below a core node.
     fn above(rank: usize, core_here: bool) -> Option<usize> {
         if core_here {
-            (rank / FAN).checked_sub(1)
+            (rank / TREE_FANOUT).checked_sub(1)
         } else {
-            rank.checked_sub(1).map(|rank| rank / FAN)
+            rank.checked_sub(1).map(|rank| rank / TREE_FANOUT)
         }
     }
 
@@ -105,25 +105,25 @@
     }
 
     /// Whether `parent` is as good as the proper one: of the zone, and one level above.
-    pub fn fits(&self, me: Node, zone: &str, parent: Node) -> bool {
+    pub fn fits(&self, local_node: Node, zone: &str, parent: Node) -> bool {
         let core_here = self.has_core(zone);
-        let Some(rank) = self.rank(zone, me) else { return false };
+        let Some(rank) = self.rank(zone, local_node) else { return false };
         let level = Self::level(rank, core_here);
-        match self.cores.get(&parent) {
+        match self.control_nodes.get(&parent) {
             Some(of) => level == 1 && (!core_here || of == zone),
             None => self.rank(zone, parent).is_some_and(|above| Self::level(above, core_here) + 1 == level),
         }
     }
 
     /// Whom a side node goes to, in order. `further` are core nodes that may have come back.
-    pub fn candidates(&self, me: Node, zone: &str, further: &[Node]) -> Candidates {
+    pub fn candidates(&self, local_node: Node, zone: &str, further: &[Node]) -> Candidates {
         let none = Vec::new();
         let sides = self.sides.get(zone).unwrap_or(&none);
         let core_here = self.has_core(zone);
-        let rank = self.rank(zone, me).unwrap_or(sides.len());
+        let rank = self.rank(zone, local_node).unwrap_or(sides.len());
         let mut nodes: Vec<Node> = Vec::new();
         let mut push = |node: Node| {
-            if node != me && !nodes.contains(&node) {
+            if node != local_node && !nodes.contains(&node) {
                 nodes.push(node);
             }
         };
@@ -133,27 +133,27 @@
             at = above;
         }
         let place = mix_bytes(zone.as_bytes());
-        let mut cores: Vec<(bool, u64, Node)> = self
-            .cores
+        let mut control_nodes: Vec<(bool, u64, Node)> = self
+            .control_nodes
             .iter()
-            .map(|(core, of)| {
-                let salt = if of == zone { u64::from(me.0) } else { place };
-                (of != zone, mix(salt ^ mix(u64::from(core.0))), *core)
+            .map(|(is_control, of)| {
+                let salt = if of == zone { u64::from(local_node.0) } else { place };
+                (of != zone, mix(salt ^ mix(u64::from(is_control.0))), *is_control)
             })
             .collect();
-        cores.sort_unstable();
-        cores.iter().for_each(|core| push(core.2));
-        sides.iter().take(rank.min(FAN)).for_each(|place| push(place.1));
+        control_nodes.sort_unstable();
+        control_nodes.iter().for_each(|is_control| push(is_control.2));
+        sides.iter().take(rank.min(TREE_FANOUT)).for_each(|place| push(place.1));
         let firsts = |smaller: bool| {
             let others =
                 self.sides.iter().filter(move |(of, _)| (of.as_str() < zone) == smaller && *of != zone);
-            others.filter_map(|(_, list)| list.first()).map(|place| place.1).take(FAN)
+            others.filter_map(|(_, list)| list.first()).map(|place| place.1).take(TREE_FANOUT)
         };
         if rank == 0 {
             firsts(true).for_each(&mut push);
         }
         further.iter().for_each(|node| push(*node));
-        sides.iter().skip(rank + 1).take(FAN).for_each(|place| push(place.1));
+        sides.iter().skip(rank + 1).take(TREE_FANOUT).for_each(|place| push(place.1));
         let higher_firsts: Vec<Node> = firsts(false).collect();
         if rank == 0 {
             higher_firsts.iter().for_each(|node| push(*node));
@@ -170,10 +170,10 @@
 mod tests {
     use super::*;
 
-    fn zone_of(count: u32, core: bool) -> Places {
+    fn zone_of(count: u32, is_control: bool) -> Places {
         let mut places = Places::default();
         (1..=count).for_each(|node| places.add(Node(node), "a", false));
-        if core {
+        if is_control {
             places.add(Node(1_000), "a", true);
         }
         places.add(Node(1_001), "b", true);
@@ -187,7 +187,7 @@
         let by_rank: Vec<Node> = places.sides["a"].iter().map(|place| place.1).collect();
         for (rank, node) in by_rank.iter().enumerate() {
             let found = places.candidates(*node, "a", &[]);
-            let proper = if rank < FAN { Node(1_000) } else { by_rank[rank / FAN - 1] };
+            let proper = if rank < TREE_FANOUT { Node(1_000) } else { by_rank[rank / TREE_FANOUT - 1] };
             assert_eq!(found.nodes[0], proper);
             assert!(places.fits(*node, "a", proper));
             assert!(found.nodes.contains(&Node(1_001)) && !found.nodes.contains(node));
--- a/crates/control/mesh-membership/src/table.rs
+++ b/crates/control/mesh-membership/src/table.rs
@@ -1,6 +1,6 @@
 //! What is known: records and pages, with sums over their versions.
-use crate::{mix, mix_bytes, Micros, Node, Record, Revision, Version};
-use crate::{GONE_KEPT, LONGEST_NAME, LONGEST_PAGE, MOST_NODES, MOST_PAGES};
+use crate::{mix, mix_bytes, Micros, Node, NodeRecord, RecordVersion, Revision};
+use crate::{GONE_RECORD_RETENTION, MAX_CONTROL_ENTRIES, MAX_CONTROL_ENTRY_BYTES, MAX_NAME_BYTES, MAX_NODES};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The parts that versions are divided into.
@@ -10,7 +10,7 @@
 const FORMER_KEPT: Micros = 500_000;
 
 pub(crate) struct Entry<T> {
-    pub record: Record<T>,
+    pub record: NodeRecord<T>,
     pub gone_at: Micros,
 }
 
@@ -25,10 +25,10 @@
 }
 
 pub(crate) struct Table<T> {
-    /// At most [`MOST_NODES`].
+    /// At most [`MAX_NODES`].
     pub records: BTreeMap<Node, Entry<T>>,
-    /// At most [`MOST_PAGES`].
-    pub pages: BTreeMap<String, (Revision, Vec<u8>)>,
+    /// At most [`MAX_CONTROL_ENTRIES`].
+    pub entries: BTreeMap<String, (Revision, Vec<u8>)>,
     sums: [u64; PARTS],
     total: u64,
     former: VecDeque<(Micros, u64)>,
@@ -43,11 +43,11 @@
 }
 
 /// Records of those gone don't count: they are forgotten at different times.
-fn record_sum(version: Version) -> u64 {
+fn record_sum(version: RecordVersion) -> u64 {
     if version.gone {
         return 0;
     }
-    mix(mix(mix(u64::from(version.node.0)) ^ version.life) ^ version.seq)
+    mix(mix(mix(u64::from(version.node.0)) ^ version.incarnation) ^ version.sequence)
 }
 
 fn page_sum(key: &str, revision: Revision) -> u64 {
@@ -58,7 +58,7 @@
     pub fn new() -> Self {
         Table {
             records: BTreeMap::new(),
-            pages: BTreeMap::new(),
+            entries: BTreeMap::new(),
             sums: [0; PARTS],
             total: 0,
             former: VecDeque::new(),
@@ -92,15 +92,15 @@
     }
 
     pub fn known(&self) -> usize {
-        self.records.len() + self.pages.len()
+        self.records.len() + self.entries.len()
     }
 
-    pub fn version(&self, node: Node) -> Option<Version> {
+    pub fn version(&self, node: Node) -> Option<RecordVersion> {
         self.records.get(&node).map(|entry| entry.record.version())
     }
 
     /// The record that was there before is given back as well.
-    pub fn put(&mut self, now: Micros, record: Record<T>) -> (Put, Option<Record<T>>) {
+    pub fn put(&mut self, now: Micros, record: NodeRecord<T>) -> (Put, Option<NodeRecord<T>>) {
         let version = record.version();
         let known = self.version(version.node);
         if known.is_some_and(|known| known >= version) {
@@ -110,10 +110,10 @@
         if known.is_none() && version.gone {
             return (Put::Known, None);
         }
-        if record.zone.len() > LONGEST_NAME {
+        if record.zone.len() > MAX_NAME_BYTES {
             return (Put::Stranger, None);
         }
-        if known.is_none() && self.records.len() >= MOST_NODES {
+        if known.is_none() && self.records.len() >= MAX_NODES {
             let gone = self.records.values().filter(|entry| entry.record.gone);
             let Some(oldest) = gone.min_by_key(|entry| entry.gone_at).map(|entry| entry.record.node) else {
                 return (Put::Stranger, None);
@@ -126,24 +126,25 @@
     }
 
     pub fn put_page(&mut self, now: Micros, key: &str, revision: Revision, bytes: Vec<u8>) -> Put {
-        let known = self.pages.get(key).map(|page| page.0);
+        let known = self.entries.get(key).map(|page| page.0);
         if known.is_some_and(|known| known >= revision) {
             return Put::Known;
         }
-        let full = known.is_none() && self.pages.len() >= MOST_PAGES;
-        if full || key.len() > LONGEST_NAME || bytes.len() > LONGEST_PAGE {
+        let full = known.is_none() && self.entries.len() >= MAX_CONTROL_ENTRIES;
+        if full || key.len() > MAX_NAME_BYTES || bytes.len() > MAX_CONTROL_ENTRY_BYTES {
             return Put::Stranger;
         }
         let less = known.map_or(0, |known| page_sum(key, known));
         self.shift(now, page_part(key), less, page_sum(key, revision));
-        self.pages.insert(key.to_string(), (revision, bytes));
+        self.entries.insert(key.to_string(), (revision, bytes));
         Put::Newer
     }
 
     /// Forgets those that have been gone for long.
-    pub fn forget(&mut self, now: Micros, me: Node) {
-        self.records
-            .retain(|node, entry| *node == me || !entry.record.gone || now - entry.gone_at < GONE_KEPT);
+    pub fn forget(&mut self, now: Micros, local_node: Node) {
+        self.records.retain(|node, entry| {
+            *node == local_node || !entry.record.gone || now - entry.gone_at < GONE_RECORD_RETENTION
+        });
     }
 
     /// The parts whose sums differ.
@@ -152,7 +153,7 @@
         own.filter(|(part, sum)| sums.get(*part) != Some(sum)).map(|(part, _)| part as u8).collect()
     }
 
-    pub fn in_parts(&self, parts: &[u8]) -> (Vec<Version>, Vec<(String, Revision)>) {
+    pub fn in_parts(&self, parts: &[u8]) -> (Vec<RecordVersion>, Vec<(String, Revision)>) {
         let mut chosen = [false; PARTS];
         for part in parts {
             if let Some(part) = chosen.get_mut(usize::from(*part)) {
@@ -161,7 +162,7 @@
         }
         let records = self.records.values().map(|entry| entry.record.version());
         let records = records.filter(|version| chosen[node_part(version.node)]).collect();
-        let pages = self.pages.iter().filter(|(key, _)| chosen[page_part(key)]);
-        (records, pages.map(|(key, page)| (key.clone(), page.0)).collect())
+        let entries = self.entries.iter().filter(|(key, _)| chosen[page_part(key)]);
+        (records, entries.map(|(key, page)| (key.clone(), page.0)).collect())
     }
 }
--- a/crates/control/mesh-membership/src/tree.rs
+++ b/crates/control/mesh-membership/src/tree.rs
@@ -1,8 +1,9 @@
 //! The tree: whom a node has links to.
 use crate::membership::Membership;
-use crate::{Effect, Micros, Node, Standing};
+use crate::{Effect, Micros, Node, TreePosition};
 use crate::{
-    CORE_PULSE, CORE_SILENCE, LINK_NEXT, LINK_RETRY, LINK_SILENCE, LINK_TRY, PARENT_RETRY, PULSE, UNROOTED,
+    CONTROL_KEEPALIVE_INTERVAL, CONTROL_LINK_TIMEOUT, KEEPALIVE_INTERVAL, LINK_CONNECT_TIMEOUT,
+    LINK_RETRY_DELAY, LINK_TIMEOUT, NEXT_DIAL_DELAY, PARENT_RETRY_DELAY, UNROOTED_PARENT_TIMEOUT,
 };
 use std::fmt::Debug;
 
@@ -24,27 +25,27 @@
     pub mine: bool,
     pub pulse_at: Micros,
     pub greeted: bool,
-    standing: Standing,
+    position: TreePosition,
 }
 
 impl Link {
     /// Where the other side stands; tells whether that is different.
-    pub fn standing(&mut self, mut standing: Standing) -> bool {
-        standing.path.truncate(LONGEST_PATH);
-        standing.peers.truncate(MOST_PEERS);
-        let changed = standing != self.standing;
-        self.standing = standing;
+    pub fn position(&mut self, mut position: TreePosition) -> bool {
+        position.path.truncate(LONGEST_PATH);
+        position.peers.truncate(MOST_PEERS);
+        let changed = position != self.position;
+        self.position = position;
         changed
     }
 
-    /// Whether it has a way to the core that doesn't lead through `me`.
-    fn rooted(&self, me: Node) -> bool {
-        !self.standing.path.is_empty() && !self.standing.path.contains(&me)
+    /// Whether it has a way to the core that doesn't lead through `local_node`.
+    fn rooted(&self, local_node: Node) -> bool {
+        !self.position.path.is_empty() && !self.position.path.contains(&local_node)
     }
 
     /// Whether the other side, a core node, tells `to` itself.
     pub fn tells(&self, to: Node) -> bool {
-        self.standing.peers.contains(&to)
+        self.position.peers.contains(&to)
     }
 }
 
@@ -56,45 +57,50 @@
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
     fn is_core(&self, node: Node) -> bool {
-        self.places.cores.contains_key(&node)
+        self.places.control_nodes.contains_key(&node)
     }
 
     /// Where this node stands, as its neighbours are told.
-    pub(crate) fn standing(&self) -> Standing {
-        let me = self.start.me;
-        if self.start.core {
+    pub(crate) fn position(&self) -> TreePosition {
+        let local_node = self.start.local_node;
+        if self.start.is_control {
             let peers = self.links.iter().filter(|(node, link)| link.greeted && self.is_core(**node));
             let peers: Vec<Node> = peers.map(|(node, _)| *node).take(MOST_PEERS).collect();
             // One that reaches no more than half of the core hears no news: its children go elsewhere.
             let most = 2 * (peers.len() + 1) > self.core_known().len() + 1;
-            return Standing { path: if most { vec![me] } else { Vec::new() }, peers, full: false };
+            return TreePosition {
+                path: if most { vec![local_node] } else { Vec::new() },
+                peers,
+                full: false,
+            };
         }
         let mut path = Vec::new();
         if let Some(link) = self.parent.and_then(|parent| self.links.get(&parent)) {
-            if link.rooted(me) {
-                path.push(me);
-                path.extend(link.standing.path.iter().take(LONGEST_PATH - 1));
+            if link.rooted(local_node) {
+                path.push(local_node);
+                path.extend(link.position.path.iter().take(LONGEST_PATH - 1));
             }
         }
         let children = self.links.len().saturating_sub(1);
-        Standing { path, peers: Vec::new(), full: children > 2 * crate::FAN }
+        TreePosition { path, peers: Vec::new(), full: children > 2 * crate::TREE_FANOUT }
     }
 
     /// Core nodes that say of themselves that they reach most of the core, as far as is known here: the one at the end of
     /// this node's own way, or of a core node those that it is linked with.
-    pub fn reached_cores(&self) -> Vec<Node> {
-        if self.start.core {
-            let me = self.start.me;
-            let linked = self.links.iter().filter(|(node, link)| self.is_core(**node) && link.rooted(me));
+    pub fn reachable_control_nodes(&self) -> Vec<Node> {
+        if self.start.is_control {
+            let local_node = self.start.local_node;
+            let linked =
+                self.links.iter().filter(|(node, link)| self.is_core(**node) && link.rooted(local_node));
             return linked.map(|(node, _)| *node).collect();
         }
-        self.standing().path.last().copied().into_iter().collect()
+        self.position().path.last().copied().into_iter().collect()
     }
 
     /// Tells its neighbours at once when its way to the core is lost or found again.
     pub(crate) fn tell_standing(&mut self) {
-        let rooted = match self.start.core {
-            true => !self.standing().path.is_empty(),
+        let rooted = match self.start.is_control {
+            true => !self.position().path.is_empty(),
             false => self.parent.is_some_and(|parent| self.rooted(parent)),
         };
         if rooted != self.told_rooted {
@@ -106,24 +112,24 @@
 
     /// All other core nodes that it ever knew, those that are gone too.
     fn core_known(&self) -> Vec<Node> {
-        let side = |node: &Node| self.record(*node).is_some_and(|record| !record.core && !record.gone);
-        let mut known: Vec<Node> = self.places.cores.keys().copied().collect();
+        let side = |node: &Node| self.record(*node).is_some_and(|record| !record.is_control && !record.gone);
+        let mut known: Vec<Node> = self.places.control_nodes.keys().copied().collect();
         known.extend(self.further.iter());
-        if known.iter().all(|node| *node == self.start.me) {
+        if known.iter().all(|node| *node == self.start.local_node) {
             // Nobody is known yet: those that the operator named.
             known.extend(self.start.seeds.iter());
         }
         known.sort_unstable();
         known.dedup();
-        known.retain(|node| *node != self.start.me && !side(node));
+        known.retain(|node| *node != self.start.local_node && !side(node));
         known
     }
 
     /// How often, and for how long at most, a link is silent.
     fn times(&self, node: Node) -> (Micros, Micros) {
-        match self.start.core && self.is_core(node) {
-            true => (CORE_PULSE, CORE_SILENCE),
-            false => (PULSE, LINK_SILENCE),
+        match self.start.is_control && self.is_core(node) {
+            true => (CONTROL_KEEPALIVE_INTERVAL, CONTROL_LINK_TIMEOUT),
+            false => (KEEPALIVE_INTERVAL, LINK_TIMEOUT),
         }
     }
 
@@ -136,7 +142,7 @@
             mine: false,
             pulse_at: now + pulse,
             greeted: false,
-            standing: Standing::default(),
+            position: TreePosition::default(),
         });
         link.heard = now;
         link.mine |= dialled;
@@ -161,11 +167,11 @@
     /// Leaves a node alone for a while.
     fn spurn(&mut self, now: Micros, node: Node, useless: bool) {
         let tries = self.bad.get(&node).map_or(0, |bad| bad.tries);
-        let wait = match (self.start.core, self.parent) {
-            (false, Some(_)) => PARENT_RETRY,
-            _ if useless => PARENT_RETRY,
-            _ if tries < MANY_TRIES => LINK_RETRY,
-            _ => 2 * LINK_RETRY,
+        let wait = match (self.start.is_control, self.parent) {
+            (false, Some(_)) => PARENT_RETRY_DELAY,
+            _ if useless => PARENT_RETRY_DELAY,
+            _ if tries < MANY_TRIES => LINK_RETRY_DELAY,
+            _ => 2 * LINK_RETRY_DELAY,
         };
         self.bad.insert(node, Bad { until: now + wait, tries: tries.saturating_add(1) });
     }
@@ -173,23 +179,23 @@
     fn dial(&mut self, now: Micros, node: Node) {
         self.dials.insert(node, now);
         self.last_dial = now;
-        self.out.push(Effect::Link { to: node });
+        self.out.push(Effect::OpenLink { to: node });
     }
 
     fn drop_link(&mut self, node: Node) {
         self.links.remove(&node);
         self.dials.remove(&node);
         self.check.lost(node);
-        self.out.push(Effect::Unlink { to: node });
+        self.out.push(Effect::CloseLink { to: node });
     }
 
     /// Gives up links that are silent or don't come up, and sends pulses.
     pub(crate) fn tend_links(&mut self, now: Micros) {
         let silent = self.links.iter().filter(|(node, link)| now - link.heard > self.times(**node).1);
-        let late = self.dials.iter().filter(|(_, since)| now - **since >= LINK_TRY);
+        let late = self.dials.iter().filter(|(_, since)| now - **since >= LINK_CONNECT_TIMEOUT);
         let lost: Vec<Node> = silent.map(|(node, _)| *node).chain(late.map(|(node, _)| *node)).collect();
         for node in lost {
-            self.out.push(Effect::Unlink { to: node });
+            self.out.push(Effect::CloseLink { to: node });
             self.lose(now, node);
         }
         let due: Vec<Node> = self
@@ -209,8 +215,8 @@
 
     /// Whether this side keeps the link alive.
     fn pulses(&self, node: Node, link: &Link) -> bool {
-        if self.start.core && self.is_core(node) {
-            self.start.me < node
+        if self.start.is_control && self.is_core(node) {
+            self.start.local_node < node
         } else {
             link.mine || self.parent == Some(node)
         }
@@ -225,7 +231,7 @@
                 silent
             }
         });
-        let dials = self.dials.values().map(|since| since + LINK_TRY);
+        let dials = self.dials.values().map(|since| since + LINK_CONNECT_TIMEOUT);
         links.chain(dials).min().unwrap_or(Micros::MAX)
     }
 
@@ -236,29 +242,30 @@
         if self.own().is_none_or(|own| own.gone) {
             return;
         }
-        if self.start.core {
+        if self.start.is_control {
             self.steer_core(now);
             return;
         }
         if moved {
             let mut further = self.further.clone();
             further.extend(self.start.seeds.iter());
-            let side = |node: &Node| self.record(*node).is_some_and(|record| !record.core && !record.gone);
+            let side =
+                |node: &Node| self.record(*node).is_some_and(|record| !record.is_control && !record.gone);
             further.retain(|node| !side(node));
-            self.candidates = self.places.candidates(self.start.me, &self.start.zone, &further);
+            self.candidates = self.places.candidates(self.start.local_node, &self.start.zone, &further);
         }
         self.choose(now);
         self.search(now);
     }
 
     fn rooted(&self, node: Node) -> bool {
-        self.links.get(&node).is_some_and(|link| link.greeted && link.rooted(self.start.me))
+        self.links.get(&node).is_some_and(|link| link.greeted && link.rooted(self.start.local_node))
     }
 
     fn fits(&self, parent: Node) -> bool {
-        let full = self.links.get(&parent).is_some_and(|link| link.standing.full);
+        let full = self.links.get(&parent).is_some_and(|link| link.position.full);
         let proper = self.candidates.nodes.first() == Some(&parent);
-        proper || (!full && self.places.fits(self.start.me, &self.start.zone, parent))
+        proper || (!full && self.places.fits(self.start.local_node, &self.start.zone, parent))
     }
 
     /// Takes the best of the links that are up for the parent's.
@@ -283,11 +290,11 @@
         };
         if chosen != self.parent {
             self.parent = chosen;
-            self.figures.relinked += u64::from(chosen.is_some());
+            self.metrics.parent_changes += u64::from(chosen.is_some());
             self.unfit_since = None;
             self.unrooted_since = None;
             if let Some(link) = chosen.and_then(|chosen| self.links.get_mut(&chosen)) {
-                link.pulse_at = link.pulse_at.min(now + PULSE);
+                link.pulse_at = link.pulse_at.min(now + KEEPALIVE_INTERVAL);
             }
         }
     }
@@ -300,8 +307,8 @@
         };
         if !self.rooted(parent) {
             let since = *self.unrooted_since.get_or_insert(now);
-            if now < since + UNROOTED {
-                self.steer_at = since + UNROOTED;
+            if now < since + UNROOTED_PARENT_TIMEOUT {
+                self.steer_at = since + UNROOTED_PARENT_TIMEOUT;
             } else {
                 self.search_further(now);
             }
@@ -319,7 +326,7 @@
             return;
         };
         let since = *self.unfit_since.get_or_insert(now);
-        let settle = if now - self.began < NEW { NEW_SETTLE } else { PARENT_RETRY };
+        let settle = if now - self.began < NEW { NEW_SETTLE } else { PARENT_RETRY_DELAY };
         let not_before = self.bad.get(&proper).map_or(0, |bad| bad.until).max(since + settle);
         if self.dials.contains_key(&proper) {
             // Its outcome, or the end of its time, leads back here.
@@ -327,7 +334,7 @@
             self.steer_at = not_before;
         } else if self.links.contains_key(&proper) {
             self.spurn_unrooted(now, proper);
-            self.steer_at = now + PARENT_RETRY;
+            self.steer_at = now + PARENT_RETRY_DELAY;
         } else {
             self.dial(now, proper);
         }
@@ -370,20 +377,20 @@
             return;
         }
         if let Some(node) = next {
-            if self.dials.is_empty() || now >= self.last_dial + LINK_NEXT {
+            if self.dials.is_empty() || now >= self.last_dial + NEXT_DIAL_DELAY {
                 self.dial(now, node);
             }
-            soonest = self.last_dial + LINK_NEXT;
+            soonest = self.last_dial + NEXT_DIAL_DELAY;
         }
         self.steer_at = soonest.max(now + 1);
     }
 
     /// A core node has links to all others that it ever knew.
     fn steer_core(&mut self, now: Micros) {
-        let me = self.start.me;
-        let side = |node: &Node| self.record(*node).is_some_and(|record| !record.core && !record.gone);
+        let local_node = self.start.local_node;
+        let side = |node: &Node| self.record(*node).is_some_and(|record| !record.is_control && !record.gone);
         let mut targets = self.core_known();
-        targets.extend(self.start.seeds.iter().filter(|node| **node != me && !side(node)));
+        targets.extend(self.start.seeds.iter().filter(|node| **node != local_node && !side(node)));
         targets.sort_unstable();
         targets.dedup();
         let useless: Vec<Node> =
@@ -394,7 +401,7 @@
                 continue;
             }
             // The higher one waits a moment for the other's link.
-            let wait = if node < me { LINK_NEXT } else { 0 };
+            let wait = if node < local_node { NEXT_DIAL_DELAY } else { 0 };
             let until = self.bad.entry(node).or_insert(Bad { until: now + wait, tries: 0 }).until;
             if now >= until {
                 self.dial(now, node);
--- a/crates/control/mesh-membership/src/watch.rs
+++ b/crates/control/mesh-membership/src/watch.rs
@@ -1,7 +1,7 @@
 //! Watchers: each node listens for the few before it on the ring.
 use crate::membership::Membership;
-use crate::{Datagram, Effect, Micros, Node, Record, Version};
-use crate::{ASK_WAIT, BEAT, SILENCE, WATCHERS};
+use crate::{Datagram, Effect, Micros, Node, NodeRecord, RecordVersion};
+use crate::{HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, SUSPECT_REPLY_TIMEOUT, WATCHER_COUNT};
 use std::fmt::Debug;
 
 /// What a watcher that is asked may have heard more than the one that asks.
@@ -33,22 +33,22 @@
     }
 
     fn silent(&self, now: Micros) -> bool {
-        now - self.last() > SILENCE
+        now - self.last() > HEARTBEAT_TIMEOUT
     }
 }
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
     fn send_datagram(&mut self, to: Node, datagram: Datagram) {
-        self.figures.datagrams += 1;
-        self.out.push(Effect::Datagram { to, datagram });
+        self.metrics.datagrams_sent += 1;
+        self.out.push(Effect::SendDatagram { to, datagram });
     }
 
     fn ring(&mut self, now: Micros) {
         if !std::mem::take(&mut self.ring_moved) {
             return;
         }
-        self.successors = self.places.neighbours(self.start.me, WATCHERS, true);
-        let watched = self.places.neighbours(self.start.me, WATCHERS, false);
+        self.successors = self.places.neighbours(self.start.local_node, WATCHER_COUNT, true);
+        let watched = self.places.neighbours(self.start.local_node, WATCHER_COUNT, false);
         self.watches.retain(|node, _| watched.contains(node));
         for node in watched {
             self.watches.entry(node).or_insert_with(|| Watch::new(now));
@@ -58,7 +58,7 @@
     /// Whether it is more likely that this node hears nobody than that all others are gone.
     fn cut_off(&self, now: Micros) -> bool {
         let silent = self.watches.values().filter(|watch| watch.silent(now)).count();
-        let no_link = if self.start.core { self.links.is_empty() } else { self.parent.is_none() };
+        let no_link = if self.start.is_control { self.links.is_empty() } else { self.parent.is_none() };
         let alone = self.places.count() <= 1;
         (silent >= 2 && silent == self.watches.len()) || (no_link && !alone)
     }
@@ -66,16 +66,19 @@
     pub(crate) fn tend_watches(&mut self, now: Micros) {
         self.tended = now;
         self.ring(now);
-        let Some(own) = self.own().filter(|own| !own.gone).map(Record::version) else {
-            self.beat_at = now + BEAT;
+        let Some(own) = self.own().filter(|own| !own.gone).map(NodeRecord::version) else {
+            self.beat_at = now + HEARTBEAT_INTERVAL;
             self.watches.clear();
             return;
         };
         if now >= self.beat_at {
             // Late beats don't pile up.
-            self.beat_at = (self.beat_at + BEAT).max(now + BEAT / 2);
+            self.beat_at = (self.beat_at + HEARTBEAT_INTERVAL).max(now + HEARTBEAT_INTERVAL / 2);
             for to in self.successors.clone() {
-                self.send_datagram(to, Datagram::Beat { life: own.life, seq: own.seq });
+                self.send_datagram(
+                    to,
+                    Datagram::Heartbeat { incarnation: own.incarnation, sequence: own.sequence },
+                );
             }
         }
         if self.watches.values().any(|watch| watch.silent(now)) && !self.cut_off(now) {
@@ -87,17 +90,23 @@
 
     /// Asks the other watchers; when their time is over, decides or tries.
     fn accuse(&mut self, now: Micros, node: Node) {
-        let Some(life) = self.table.version(node).map(|version| version.life) else { return };
-        let me = self.start.me;
+        let Some(incarnation) = self.table.version(node).map(|version| version.incarnation) else { return };
+        let local_node = self.start.local_node;
         let Some(watch) = self.watches.get_mut(&node) else { return };
         match &mut watch.accused {
             None => {
-                let others = self.places.neighbours(node, WATCHERS, true);
-                let others: Vec<Node> = others.into_iter().filter(|other| *other != me).collect();
-                watch.accused =
-                    Some(Accusal { until: now + ASK_WAIT, asked: others.len(), agreed: 0, trying: false });
-                self.figures.accused += 1;
-                others.into_iter().for_each(|to| self.send_datagram(to, Datagram::Ask { about: node, life }));
+                let others = self.places.neighbours(node, WATCHER_COUNT, true);
+                let others: Vec<Node> = others.into_iter().filter(|other| *other != local_node).collect();
+                watch.accused = Some(Accusal {
+                    until: now + SUSPECT_REPLY_TIMEOUT,
+                    asked: others.len(),
+                    agreed: 0,
+                    trying: false,
+                });
+                self.metrics.nodes_suspected += 1;
+                others
+                    .into_iter()
+                    .for_each(|to| self.send_datagram(to, Datagram::Suspect { about: node, incarnation }));
             }
             Some(accusal) if now < accusal.until => (),
             Some(accusal) if accusal.agreed > 0 => self.found_gone(now, node),
@@ -105,7 +114,7 @@
             Some(accusal) => {
                 accusal.trying = true;
                 accusal.until = now + TRY_WAIT;
-                self.out.push(Effect::Try { node });
+                self.out.push(Effect::Probe { node });
             }
         }
     }
@@ -113,10 +122,10 @@
     fn found_gone(&mut self, now: Micros, node: Node) {
         self.watches.remove(&node);
         let Some(record) = self.record(node).filter(|record| !record.gone) else { return };
-        let record = Record { gone: true, ..record.clone() };
-        self.figures.gone += 1;
+        let record = NodeRecord { gone: true, ..record.clone() };
+        self.metrics.nodes_declared_gone += 1;
         if self.put(now, record.clone()) {
-            self.out.push(Effect::Record(record));
+            self.out.push(Effect::RecordChanged(record));
         }
     }
 
@@ -130,19 +139,27 @@
 
     pub(crate) fn watch_datagram(&mut self, now: Micros, from: Node, datagram: Datagram) {
         match datagram {
-            Datagram::Beat { life, seq } => {
+            Datagram::Heartbeat { incarnation, sequence } => {
                 self.heard(now, from);
                 let known = self.table.version(from).filter(|known| known.gone);
-                if let Some(known) = known.filter(|known| (known.life, known.seq) >= (life, seq)) {
-                    self.send_datagram(from, Datagram::Dead { life: known.life, seq: known.seq });
+                if let Some(known) =
+                    known.filter(|known| (known.incarnation, known.sequence) >= (incarnation, sequence))
+                {
+                    self.send_datagram(
+                        from,
+                        Datagram::DeclaredDead { incarnation: known.incarnation, sequence: known.sequence },
+                    );
                 }
             }
-            Datagram::Dead { life, seq } => {
-                self.version_told(now, Version { node: self.start.me, life, seq, gone: true });
+            Datagram::DeclaredDead { incarnation, sequence } => {
+                self.version_told(
+                    now,
+                    RecordVersion { node: self.start.local_node, incarnation, sequence, gone: true },
+                );
             }
-            Datagram::Ask { about, life } => self.asked(now, from, about, life),
-            Datagram::Agree { about, life } => {
-                let same = self.table.version(about).is_some_and(|known| known.life == life);
+            Datagram::Suspect { about, incarnation } => self.asked(now, from, about, incarnation),
+            Datagram::SuspectConfirmed { about, incarnation } => {
+                let same = self.table.version(about).is_some_and(|known| known.incarnation == incarnation);
                 let accused = self.watches.get_mut(&about).and_then(|watch| watch.accused.as_mut());
                 let Some(accusal) = accused.filter(|_| same) else { return };
                 accusal.agreed += 1;
@@ -150,30 +167,30 @@
                     self.found_gone(now, about);
                 }
             }
-            Datagram::Heard { about, life, ago } => {
-                if self.table.version(about).is_some_and(|known| known.life <= life) {
-                    self.heard(now - ago.clamp(0, SILENCE), about);
+            Datagram::SuspectAlive { about, incarnation, elapsed } => {
+                if self.table.version(about).is_some_and(|known| known.incarnation <= incarnation) {
+                    self.heard(now - elapsed.clamp(0, HEARTBEAT_TIMEOUT), about);
                 }
             }
         }
     }
 
-    fn asked(&mut self, now: Micros, from: Node, about: Node, life: u64) {
+    fn asked(&mut self, now: Micros, from: Node, about: Node, incarnation: u64) {
         let Some(known) = self.table.version(about) else { return };
-        if about == self.start.me {
-            return self.send_datagram(from, Datagram::Heard { about, life, ago: 0 });
+        if about == self.start.local_node {
+            return self.send_datagram(from, Datagram::SuspectAlive { about, incarnation, elapsed: 0 });
         }
-        if known.life == life && known.gone {
-            return self.send_datagram(from, Datagram::Agree { about, life });
+        if known.incarnation == incarnation && known.gone {
+            return self.send_datagram(from, Datagram::SuspectConfirmed { about, incarnation });
         }
         let Some(watch) = self.watches.get(&about) else { return };
-        let quiet = now - watch.last() > SILENCE - ASK_SLACK;
-        if known.life > life {
-            self.send_datagram(from, Datagram::Heard { about, life, ago: 0 });
-        } else if let Some(heard) = watch.heard.filter(|heard| now - heard <= SILENCE - ASK_SLACK) {
-            self.send_datagram(from, Datagram::Heard { about, life, ago: now - heard });
+        let quiet = now - watch.last() > HEARTBEAT_TIMEOUT - ASK_SLACK;
+        if known.incarnation > incarnation {
+            self.send_datagram(from, Datagram::SuspectAlive { about, incarnation, elapsed: 0 });
+        } else if let Some(heard) = watch.heard.filter(|heard| now - heard <= HEARTBEAT_TIMEOUT - ASK_SLACK) {
+            self.send_datagram(from, Datagram::SuspectAlive { about, incarnation, elapsed: now - heard });
         } else if quiet && !self.cut_off(now) {
-            self.send_datagram(from, Datagram::Agree { about, life });
+            self.send_datagram(from, Datagram::SuspectConfirmed { about, incarnation });
         }
     }
 
@@ -192,7 +209,7 @@
     pub(crate) fn watches_due(&self) -> Micros {
         let due = self.watches.values().map(|watch| match &watch.accused {
             Some(accusal) => accusal.until,
-            None => watch.last() + SILENCE + 1,
+            None => watch.last() + HEARTBEAT_TIMEOUT + 1,
         });
         let soonest = due.min().unwrap_or(Micros::MAX);
         // While this node may be cut off it looks again with the next beat.
--- a/crates/control/mesh-membership/tests/capacity.rs
+++ b/crates/control/mesh-membership/tests/capacity.rs
@@ -2,7 +2,7 @@
 //! `NODES=100,300,1000 cargo test --release -p silvercross-mesh-membership --test capacity -- --ignored --nocapture`
 mod common;
 
-use common::{core, side, World, MS, S};
+use common::{control_node, sidecar, World, MS, S};
 use std::time::Instant;
 
 /// Where a run names no sizes.
@@ -13,8 +13,8 @@
 /// Resident memory of this process, in bytes.
 fn resident() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages: u64 = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
-    pages * 4096
+    let entries: u64 = statm.split(' ').nth(1).and_then(|entries| entries.parse().ok()).unwrap_or(0);
+    entries * 4096
 }
 
 struct Row {
@@ -40,12 +40,12 @@
     world.run(10 * S);
     let processor = began.elapsed().as_secs_f64() / 10.0 / nodes as f64;
     let rest = world.traffic;
-    let sent = (rest.letters + rest.datagrams) - (before.letters + before.datagrams);
-    world.publish(core(0), "k", (0, 1, 0));
+    let sent = (rest.messages + rest.datagrams) - (before.messages + before.datagrams);
+    world.publish(control_node(0), "k", (0, 1, 0));
     let page = world.until_page("k", (0, 1, 0), 10 * S).expect("everywhere");
-    let core_links = world.children(core(0)).len();
+    let core_links = world.children(control_node(0)).len();
     // One node joins: what its snapshot takes, beside what flows anyhow in that time.
-    let joining = side(0);
+    let joining = sidecar(0);
     world.kill(joining, false);
     world.run(5 * S);
     let at = world.traffic;
--- a/crates/control/mesh-membership/tests/common/mod.rs
+++ b/crates/control/mesh-membership/tests/common/mod.rs
@@ -17,16 +17,16 @@
     Dial { to: Node, id: u64 },
     Up { peer: Node, conn: u64 },
     Down { peer: Node, conn: u64 },
-    Letter { from: Node, conn: u64, letter: Letter<Body> },
+    MembershipMessage { from: Node, conn: u64, message: MembershipMessage<Body> },
     Datagram { from: Node, datagram: Datagram },
     Tried { about: Node, ok: bool },
-    Confirm { ticket: u64, revisions: Vec<(String, Revision)> },
-    Unconfirmed { ticket: u64 },
+    Confirm { request_id: u64, revisions: Vec<(String, Revision)> },
+    Unconfirmed { request_id: u64 },
 }
 
 pub struct Machine {
     pub zone: usize,
-    pub core: bool,
+    pub is_control: bool,
     pub on: bool,
     pub membership: Option<Membership<Body>>,
     frozen_until: Micros,
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Traffic {
-    pub letters: u64,
+    pub messages: u64,
     pub datagrams: u64,
     pub bytes: u64,
     pub crossing: u64,
@@ -75,7 +75,7 @@
     /// Starts that ended current with something acknowledged before, and by the bound.
     pub judged: (u64, u64),
     /// Nodes are broken so, and what the judge finds is kept.
-    pub broken: Option<Broken>,
+    pub mutation: Option<Mutation>,
     pub found: Vec<String>,
     events: BTreeMap<(Micros, u64), (Node, Event)>,
     conns: BTreeMap<(Node, Node), Conn>,
@@ -85,24 +85,24 @@
 }
 
 #[cfg(feature = "mutants")]
-fn break_it(membership: &mut Membership<Body>, broken: Option<Broken>) {
-    broken.into_iter().for_each(|broken| membership.break_it(broken));
+fn set_mutation(membership: &mut Membership<Body>, mutation: Option<Mutation>) {
+    mutation.into_iter().for_each(|mutation| membership.set_mutation(mutation));
 }
 
 #[cfg(not(feature = "mutants"))]
-fn break_it(_: &mut Membership<Body>, broken: Option<Broken>) {
-    assert_eq!(broken, None, "without the feature nothing can be broken");
+fn set_mutation(_: &mut Membership<Body>, mutation: Option<Mutation>) {
+    assert_eq!(mutation, None, "without the feature nothing can be broken");
 }
 
 fn pair(a: Node, b: Node) -> (Node, Node) {
     (a.min(b), a.max(b))
 }
 
-pub fn core(zone: usize) -> Node {
+pub fn control_node(zone: usize) -> Node {
     Node(1 + zone as u32)
 }
 
-pub fn side(index: usize) -> Node {
+pub fn sidecar(index: usize) -> Node {
     Node(100 + index as u32)
 }
 
@@ -122,7 +122,7 @@
             read_delay: 2 * MS,
             reads: (0, 0),
             judged: (0, 0),
-            broken: None,
+            mutation: None,
             found: Vec::new(),
             events: BTreeMap::new(),
             conns: BTreeMap::new(),
@@ -130,9 +130,9 @@
             count: 0,
             draws: seed.wrapping_mul(2).wrapping_add(1),
         };
-        let cores = (0..3).map(|zone| (core(zone), zone, true));
-        let machines: Vec<_> = cores.chain((0..sides).map(|i| (side(i), i % 3, false))).collect();
-        machines.iter().for_each(|(node, zone, core)| world.add(*node, *zone, *core));
+        let control_nodes = (0..3).map(|zone| (control_node(zone), zone, true));
+        let machines: Vec<_> = control_nodes.chain((0..sides).map(|i| (sidecar(i), i % 3, false))).collect();
+        machines.iter().for_each(|(node, zone, is_control)| world.add(*node, *zone, *is_control));
         let begin = world.now;
         let mut starts: Vec<(Micros, Node)> = machines
             .iter()
@@ -147,10 +147,10 @@
         world
     }
 
-    pub fn add(&mut self, node: Node, zone: usize, core: bool) {
+    pub fn add(&mut self, node: Node, zone: usize, is_control: bool) {
         let machine = Machine {
             zone,
-            core,
+            is_control,
             on: true,
             membership: None,
             frozen_until: 0,
@@ -174,10 +174,10 @@
     }
 
     /// All nodes, and those that start later, are broken so.
-    pub fn break_all(&mut self, broken: Option<Broken>) {
-        self.broken = broken;
+    pub fn break_all(&mut self, mutation: Option<Mutation>) {
+        self.mutation = mutation;
         let running = self.machines.values_mut().filter_map(|machine| machine.membership.as_mut());
-        running.for_each(|membership| break_it(membership, broken));
+        running.for_each(|membership| set_mutation(membership, mutation));
     }
 
     pub fn living(&self) -> Vec<Node> {
@@ -188,11 +188,11 @@
             .collect()
     }
 
-    pub fn start(&mut self, node: Node, life: u64) {
-        self.start_with(node, life, (0..3).map(core).collect());
+    pub fn start(&mut self, node: Node, incarnation: u64) {
+        self.start_with(node, incarnation, (0..3).map(control_node).collect());
     }
 
-    pub fn start_with(&mut self, node: Node, life: u64, seeds: Vec<Node>) {
+    pub fn start_with(&mut self, node: Node, incarnation: u64, seeds: Vec<Node>) {
         let now = self.now;
         let seed = self.below(u64::MAX);
         let machine = self.machines.get_mut(&node).expect("known");
@@ -200,16 +200,16 @@
         machine.starts += 1;
         machine.frozen_until = 0;
         machine.tick_at = Micros::MAX;
-        let start = Start {
-            me: node,
+        let start = MembershipConfig {
+            local_node: node,
             zone: ["a", "b", "c"][machine.zone].to_string(),
-            core: machine.core,
+            is_control: machine.is_control,
             seeds,
-            life,
-            seed,
+            incarnation,
+            random_seed: seed,
         };
         let mut membership = Membership::new(now, start, u64::from(node.0) * 1_000 + machine.starts);
-        break_it(&mut membership, self.broken);
+        set_mutation(&mut membership, self.mutation);
         (machine.started, machine.freshness) = (now, membership.freshness());
         machine.must.clone_from(&self.acked);
         machine.membership = Some(membership);
@@ -315,10 +315,10 @@
             {
                 return
             }
-            Event::Letter { from, conn, .. } if !current(self, *from, *conn) => return,
-            Event::Confirm { ticket, .. } if !self.majority(node) => {
+            Event::MembershipMessage { from, conn, .. } if !current(self, *from, *conn) => return,
+            Event::Confirm { request_id, .. } if !self.majority(node) => {
                 self.reads.1 += 1;
-                return self.push(now + 800 * MS, node, Event::Unconfirmed { ticket: *ticket });
+                return self.push(now + 800 * MS, node, Event::Unconfirmed { request_id: *request_id });
             }
             Event::Tick if self.machines[&node].tick_at > now => return,
             _ => (),
@@ -327,11 +327,13 @@
             Event::Tick => membership.tick(now),
             Event::Up { peer, .. } => membership.link_up(now, peer),
             Event::Down { peer, .. } => membership.link_down(now, peer),
-            Event::Letter { from, letter, .. } => membership.letter(now, from, letter),
-            Event::Datagram { from, datagram } => membership.datagram(now, from, datagram),
-            Event::Tried { about, ok } => membership.tried(now, about, ok),
-            Event::Confirm { ticket, revisions } => membership.confirmed(now, ticket, Some(revisions)),
-            Event::Unconfirmed { ticket } => membership.confirmed(now, ticket, None),
+            Event::MembershipMessage { from, message, .. } => membership.receive(now, from, message),
+            Event::Datagram { from, datagram } => membership.receive_datagram(now, from, datagram),
+            Event::Tried { about, ok } => membership.probe_finished(now, about, ok),
+            Event::Confirm { request_id, revisions } => {
+                membership.revisions_confirmed(now, request_id, Some(revisions))
+            }
+            Event::Unconfirmed { request_id } => membership.revisions_confirmed(now, request_id, None),
             Event::Dial { .. } => (),
         });
     }
@@ -374,8 +376,8 @@
         else {
             return;
         };
-        let effects = membership.effects();
-        let wake = membership.wake().max(now + 1);
+        let effects = membership.take_effects();
+        let wake = membership.next_deadline().max(now + 1);
         if self.machines[&node].tick_at <= now || wake < self.machines[&node].tick_at {
             self.machines.get_mut(&node).expect("known").tick_at = wake;
             let late = self.below(200) as Micros;
@@ -386,13 +388,13 @@
                 println!("{:>9.3} {:>4} {:?}", (now - 1_000 * S) as f64 / 1e6, node.0, effect);
             }
             match effect {
-                Effect::Link { to } => {
+                Effect::OpenLink { to } => {
                     self.count += 1;
                     self.dials.insert((node, to), self.count);
                     let (at, id) = (now + 2 * self.delay_or(node, to), self.count);
                     self.push(at, node, Event::Dial { to, id });
                 }
-                Effect::Unlink { to } => {
+                Effect::CloseLink { to } => {
                     self.dials.remove(&(node, to));
                     if let Some(conn) = self.conns.remove(&pair(node, to)) {
                         if !self.cuts.contains(&(node, to)) {
@@ -401,8 +403,8 @@
                         }
                     }
                 }
-                Effect::Send { to, letter } => self.send(node, to, letter),
-                Effect::Datagram { to, datagram } => {
+                Effect::SendMessage { to, message } => self.send(node, to, message),
+                Effect::SendDatagram { to, datagram } => {
                     let bytes = bitcode::encode(&datagram).len() as u64;
                     self.traffic.datagrams += 1;
                     self.count_bytes(node, to, bytes, false);
@@ -413,21 +415,21 @@
                         self.push(at, to, Event::Datagram { from: node, datagram });
                     }
                 }
-                Effect::Try { node: about } => {
+                Effect::Probe { node: about } => {
                     let machine = &self.machines[&about];
                     let cut = self.cuts.contains(&(node, about)) || self.cuts.contains(&(about, node));
                     let ok = machine.membership.is_some() && !cut;
                     let at = now + if machine.on && !cut { 2 * self.delay(node, about) } else { 500 * MS };
                     self.push(at, node, Event::Tried { about, ok });
                 }
-                Effect::Record(record) if record.gone => self.gone.push((now, node, record.node)),
+                Effect::RecordChanged(record) if record.gone => self.gone.push((now, node, record.node)),
                 // Nothing later than what it began with may be counted on.
-                Effect::ConfirmRevisions { ticket } => {
+                Effect::ConfirmRevisions { request_id } => {
                     self.reads.0 += 1;
                     let revisions = self.acked.iter().map(|(key, at)| (key.clone(), *at)).collect();
-                    self.push(now + self.read_delay, node, Event::Confirm { ticket, revisions });
+                    self.push(now + self.read_delay, node, Event::Confirm { request_id, revisions });
                 }
-                Effect::Record(_) | Effect::Page { .. } => (),
+                Effect::RecordChanged(_) | Effect::EntryChanged { .. } => (),
             }
         }
         self.judge_freshness(node);
@@ -448,17 +450,17 @@
             Freshness::Current { .. } => {
                 self.judged.0 += u64::from(!machine.must.is_empty());
                 for (key, revision) in &machine.must {
-                    let has = membership.page(key).map(|page| *page.0);
+                    let has = membership.control_entry(key).map(|page| *page.0);
                     if has < Some(*revision) {
                         let found = format!("{node:?} is current with {key} {has:?}, not {revision:?}");
-                        assert!(self.broken.is_some(), "{found}");
+                        assert!(self.mutation.is_some(), "{found}");
                         self.found.push(found);
                     }
                 }
             }
             _ => {
                 self.judged.1 += 1;
-                assert!(now - machine.started >= READY_BOUND, "{node:?} is ready too early: {after:?}");
+                assert!(now - machine.started >= READINESS_TIMEOUT, "{node:?} is ready too early: {after:?}");
             }
         }
         machine.freshness = after;
@@ -471,7 +473,7 @@
             let cut = self.cuts.contains(&(node, *other)) || self.cuts.contains(&(*other, node));
             machine.membership.is_some() && machine.frozen_until <= self.now && !cut
         };
-        (0..3).map(core).filter(reached).count() >= 2
+        (0..3).map(control_node).filter(reached).count() >= 2
     }
 
     /// A change is acknowledged through a core machine, if it reaches a majority.
@@ -503,12 +505,12 @@
         }
     }
 
-    fn send(&mut self, node: Node, to: Node, letter: Letter<Body>) {
+    fn send(&mut self, node: Node, to: Node, message: MembershipMessage<Body>) {
         let (now, delay) = (self.now, self.delay(node, to));
         let cut = self.cuts.contains(&(node, to));
-        self.traffic.letters += 1;
-        let bytes = bitcode::encode(&letter).len() as u64;
-        self.count_bytes(node, to, bytes, matches!(letter, Letter::News { .. }));
+        self.traffic.messages += 1;
+        let bytes = bitcode::encode(&message).len() as u64;
+        self.count_bytes(node, to, bytes, matches!(message, MembershipMessage::Update { .. }));
         let Some(conn) = self.conns.get_mut(&pair(node, to)) else {
             if !cut {
                 self.push(now + 2 * delay, node, Event::Down { peer: to, conn: 0 });
@@ -522,19 +524,19 @@
         let arrival = conn.arrival.entry(to).or_insert(0);
         *arrival = (*arrival).max(now + delay);
         let (at, id) = (*arrival, conn.id);
-        self.push(at, to, Event::Letter { from: node, conn: id, letter });
+        self.push(at, to, Event::MembershipMessage { from: node, conn: id, message });
     }
 
     /// What is amiss: each living node has to know exactly the living ones, as they are, and the newest pages.
     pub fn disagreement(&self) -> Option<String> {
         let living = self.living();
-        let truth: Vec<Record<Body>> =
+        let truth: Vec<NodeRecord<Body>> =
             living.iter().map(|node| self.membership(*node).record(*node).expect("own").clone()).collect();
         let truth: Vec<_> = truth.into_iter().filter(|record| !record.gone).collect();
-        let mut pages: BTreeMap<String, Revision> = BTreeMap::new();
+        let mut entries: BTreeMap<String, Revision> = BTreeMap::new();
         for node in &living {
-            for (key, revision, _) in self.membership(*node).pages() {
-                let newest = pages.entry(key.to_string()).or_insert(*revision);
+            for (key, revision, _) in self.membership(*node).control_entries() {
+                let newest = entries.entry(key.to_string()).or_insert(*revision);
                 *newest = (*newest).max(*revision);
             }
         }
@@ -547,8 +549,11 @@
                 let (wrong, extra): (Vec<_>, Vec<_>) = (wrong.collect(), extra.collect());
                 return Some(format!("{node:?} misses {wrong:?}, believes {extra:?}"));
             }
-            let held = self.membership(*node).pages().map(|(key, revision, _)| (key.to_string(), *revision));
-            if held.collect::<BTreeMap<_, _>>() != pages {
+            let held = self
+                .membership(*node)
+                .control_entries()
+                .map(|(key, revision, _)| (key.to_string(), *revision));
+            if held.collect::<BTreeMap<_, _>>() != entries {
                 return Some(format!("{node:?} has old pages"));
             }
         }
@@ -571,7 +576,8 @@
     pub fn until_page(&mut self, key: &str, revision: Revision, most: Micros) -> Result<Micros, Vec<Node>> {
         let begin = self.now;
         loop {
-            let lacks = |node: &Node| self.membership(*node).page(key).is_none_or(|page| *page.0 < revision);
+            let lacks =
+                |node: &Node| self.membership(*node).control_entry(key).is_none_or(|page| *page.0 < revision);
             let lacking: Vec<Node> = self.living().into_iter().filter(lacks).collect();
             if lacking.is_empty() {
                 return Ok(self.now - begin);
--- a/crates/control/mesh-membership/tests/days.rs
+++ b/crates/control/mesh-membership/tests/days.rs
@@ -1,6 +1,6 @@
 //! The mesh as a whole, in simulated time.
 mod common;
-use common::{core, side, World, MS, S};
+use common::{control_node, sidecar, World, MS, S};
 use silvercross_mesh_membership::*;
 
 fn calm(sides: usize, seed: u64) -> World {
@@ -22,16 +22,18 @@
         let mut world = calm(sides, 1);
         assert_eq!(world.crossing_links(), 3, "only the core nodes' links leave a zone");
         for node in world.living() {
-            assert!(world.membership(node).in_touch(world.now));
-            assert!(world.membership(node).news_age(world.now).is_some_and(|age| age < S));
-            assert!(world.children(node).len() <= if node.0 < 100 { FAN } else { 2 * FAN + 1 });
+            assert!(world.membership(node).is_connected(world.now));
+            assert!(world.membership(node).last_sync_age(world.now).is_some_and(|age| age < S));
+            assert!(
+                world.children(node).len() <= if node.0 < 100 { TREE_FANOUT } else { 2 * TREE_FANOUT + 1 }
+            );
         }
         assert!(world.gone.is_empty());
         let before = world.traffic.news;
         let crossed = world.traffic.news_crossing;
-        let from = side(sides - 1);
+        let from = sidecar(sides - 1);
         let now = world.now;
-        world.with(from, |membership| membership.tell(now, 5));
+        world.with(from, |membership| membership.update_body(now, 5));
         let took = world.until_agreed(S).expect("agreed");
         assert!(took <= 10 * MS, "{took}");
         assert_eq!(world.traffic.news - before, sides as u64 + 2, "one letter for each other node");
@@ -42,20 +44,20 @@
 #[test]
 fn a_relay_that_loses_power_is_healed_round() {
     let mut world = calm(60, 2);
-    let relay = (0..60).map(side).find(|node| world.children(*node).len() >= 2).expect("a relay");
+    let relay = (0..60).map(sidecar).find(|node| world.children(*node).len() >= 2).expect("a relay");
     world.kill(relay, true);
     world.run(50 * MS);
-    world.publish(core(0), "k", (1, 0, 0));
+    world.publish(control_node(0), "k", (1, 0, 0));
     let took = world.until_page("k", (1, 0, 0), 4 * S).expect("all have it");
-    assert!(took <= LINK_SILENCE + 300 * MS, "{took}");
+    assert!(took <= LINK_TIMEOUT + 300 * MS, "{took}");
     let took = world.until_agreed(5 * S).expect("all know that it is gone");
     assert!(took <= 4 * S, "{took}");
     // A killed process is noticed by its links.
     let relay =
-        (0..60).map(side).filter(|node| *node != relay).find(|node| !world.children(*node).is_empty());
+        (0..60).map(sidecar).filter(|node| *node != relay).find(|node| !world.children(*node).is_empty());
     world.kill(relay.expect("a relay"), false);
     world.run(50 * MS);
-    world.publish(core(1), "k", (2, 0, 0));
+    world.publish(control_node(1), "k", (2, 0, 0));
     let took = world.until_page("k", (2, 0, 0), 4 * S).expect("all have it");
     assert!(took <= 50 * MS, "{took}");
 }
@@ -63,13 +65,13 @@
 #[test]
 fn one_that_is_cut_off_throws_nobody_out_and_comes_back() {
     let mut world = calm(12, 3);
-    let node = side(4);
+    let node = sidecar(4);
     world.cut_off(node, &all(&world));
     world.run(10 * S);
-    assert_eq!(world.membership(node).figures().gone, 0);
-    assert!(!world.membership(node).in_touch(world.now));
+    assert_eq!(world.membership(node).metrics().nodes_declared_gone, 0);
+    assert!(!world.membership(node).is_connected(world.now));
     assert!(world.gone.iter().all(|found| found.2 == node) && !world.gone.is_empty());
-    world.publish(core(0), "k", (1, 0, 0));
+    world.publish(control_node(0), "k", (1, 0, 0));
     world.heal();
     let took = world.until_agreed(3 * S).expect("agreed");
     assert!(took <= 2 * S, "{took}");
@@ -78,21 +80,25 @@
 #[test]
 fn one_that_was_frozen_accuses_nobody() {
     let mut world = calm(12, 4);
-    world.freeze(side(7), 6 * S);
-    world.freeze(core(1), 6 * S);
+    world.freeze(sidecar(7), 6 * S);
+    world.freeze(control_node(1), 6 * S);
     world.run(12 * S);
-    assert!(world.gone.iter().all(|found| [side(7), core(1)].contains(&found.2)), "{:?}", world.gone);
+    assert!(
+        world.gone.iter().all(|found| [sidecar(7), control_node(1)].contains(&found.2)),
+        "{:?}",
+        world.gone
+    );
     assert_eq!(world.disagreement(), None);
 }
 
 #[test]
 fn one_that_only_sides_can_reach_still_gets_news() {
     let mut world = calm(12, 5);
-    let node = side(3);
-    world.cut_off(node, &[core(0), core(1), core(2)]);
+    let node = sidecar(3);
+    world.cut_off(node, &[control_node(0), control_node(1), control_node(2)]);
     world.run(5 * S);
     assert!(world.gone.is_empty(), "{:?}", world.gone);
-    world.publish(core(2), "k", (1, 0, 0));
+    world.publish(control_node(2), "k", (1, 0, 0));
     let took = world.until_page("k", (1, 0, 0), S).expect("all have it");
     assert!(took <= 20 * MS, "{took}");
     world.heal();
@@ -103,17 +109,18 @@
 /// Sides below a core node that is cut from the other two had its links for over 3 s, and no news.
 #[test]
 fn children_of_a_core_node_that_is_cut_from_the_core_go_elsewhere_in_time() {
-    for lone in [core(0), core(1), core(2)] {
+    for lone in [control_node(0), control_node(1), control_node(2)] {
         let mut world = calm(12, 8);
         assert!(!world.children(lone).is_empty());
-        let others: Vec<Node> = [core(0), core(1), core(2)].into_iter().filter(|c| *c != lone).collect();
+        let others: Vec<Node> =
+            [control_node(0), control_node(1), control_node(2)].into_iter().filter(|c| *c != lone).collect();
         world.cut_off(lone, &others);
         world.run(100 * MS);
         world.publish(others[0], "k", (1, 0, 0));
         let (from, mut missing) = (world.now, Vec::new());
         while world.now < from + 2 * S {
             world.run(20 * MS);
-            let lacks = |node: &Node| *node != lone && world.membership(*node).page("k").is_none();
+            let lacks = |node: &Node| *node != lone && world.membership(*node).control_entry("k").is_none();
             missing = world.living().into_iter().filter(lacks).collect();
             if missing.is_empty() {
                 break;
@@ -127,12 +134,17 @@
 
 #[test]
 fn a_way_that_is_cut_in_one_direction_throws_nobody_out() {
-    for (from, to) in [(side(0), side(1)), (side(0), core(0)), (core(0), side(0)), (core(2), core(1))] {
+    for (from, to) in [
+        (sidecar(0), sidecar(1)),
+        (sidecar(0), control_node(0)),
+        (control_node(0), sidecar(0)),
+        (control_node(2), control_node(1)),
+    ] {
         let mut world = calm(12, 6);
         world.cut(from, to);
         world.run(8 * S);
         assert!(world.gone.is_empty(), "{from:?} {to:?} {:?}", world.gone);
-        world.publish(core(1), "k", (1, 0, 0));
+        world.publish(control_node(1), "k", (1, 0, 0));
         assert!(world.until_page("k", (1, 0, 0), S).is_ok());
     }
 }
@@ -140,11 +152,11 @@
 #[test]
 fn a_zone_without_its_core_node_has_one_link_out() {
     let mut world = calm(30, 7);
-    world.kill(core(0), true);
+    world.kill(control_node(0), true);
     world.run(12 * S);
     assert_eq!(world.disagreement(), None);
     assert_eq!(world.crossing_links(), 2);
-    world.start(core(0), 2);
+    world.start(control_node(0), 2);
     assert!(world.until_agreed(3 * S).is_ok());
     world.run(8 * S);
     assert_eq!(world.crossing_links(), 3);
@@ -153,13 +165,13 @@
 #[test]
 fn sides_keep_each_other_while_the_whole_core_is_down() {
     let mut world = calm(12, 8);
-    (0..3).for_each(|zone| world.kill(core(zone), true));
+    (0..3).for_each(|zone| world.kill(control_node(zone), true));
     world.run(10 * S);
     assert!(world.gone.iter().all(|found| found.2 .0 < 100), "{:?}", world.gone);
     let now = world.now;
-    world.with(side(0), |membership| membership.tell(now, 9));
+    world.with(sidecar(0), |membership| membership.update_body(now, 9));
     assert!(world.until_agreed(S).is_ok(), "news goes round among them");
-    (0..3).for_each(|zone| world.start(core(zone), 2));
+    (0..3).for_each(|zone| world.start(control_node(zone), 2));
     let took = world.until_agreed(4 * S).expect("agreed");
     assert!(took <= 2 * S, "{took}");
 }
@@ -167,13 +179,13 @@
 #[test]
 fn a_life_rises_though_the_time_of_day_jumped_back() {
     let mut world = calm(12, 9);
-    world.kill(side(2), false);
-    world.start(side(2), 1);
-    world.kill(core(2), false);
-    world.start(core(2), 0);
+    world.kill(sidecar(2), false);
+    world.start(sidecar(2), 1);
+    world.kill(control_node(2), false);
+    world.start(control_node(2), 0);
     assert!(world.until_agreed(2 * S).is_ok());
-    assert_eq!(world.membership(side(2)).life(), 2);
-    assert_eq!(world.membership(core(2)).life(), 2);
+    assert_eq!(world.membership(sidecar(2)).incarnation(), 2);
+    assert_eq!(world.membership(control_node(2)).incarnation(), 2);
     assert!(world.gone.is_empty());
 }
 
@@ -181,26 +193,27 @@
 fn one_that_signs_off_is_gone_everywhere_at_once() {
     let mut world = calm(12, 10);
     let now = world.now;
-    world.with(side(5), |membership| membership.leave(now));
+    world.with(sidecar(5), |membership| membership.leave(now));
     world.run(20 * MS);
     assert!(world
         .living()
         .iter()
-        .all(|node| world.membership(*node).record(side(5)).is_some_and(|it| it.gone)));
-    world.kill(side(5), false);
+        .all(|node| world.membership(*node).record(sidecar(5)).is_some_and(|it| it.gone)));
+    world.kill(sidecar(5), false);
     world.run(70 * S);
     assert!(
-        world.living().iter().all(|node| world.membership(*node).record(side(5)).is_none()),
+        world.living().iter().all(|node| world.membership(*node).record(sidecar(5)).is_none()),
         "it is forgotten"
     );
-    world.start(side(5), 2);
+    world.start(sidecar(5), 2);
     assert!(world.until_agreed(2 * S).is_ok());
 }
 
 /// A core machine that reaches a majority tells what that has acknowledged.
 fn told_anew(world: &mut World) {
-    let owner =
-        (0..3).map(core).find(|node| world.machines[node].membership.is_some() && world.majority(*node));
+    let owner = (0..3)
+        .map(control_node)
+        .find(|node| world.machines[node].membership.is_some() && world.majority(*node));
     if let (Some(owner), Some(at)) = (owner, world.acked.get("c").copied()) {
         world.publish(owner, "c", at);
     }
@@ -230,7 +243,7 @@
             }
             3 => world.freeze(node, Micros::from(*span) * 20 * MS),
             4 => world.cut_off(node, &nodes),
-            5 => world.cut_off(node, &[core(0), core(1), core(2)]),
+            5 => world.cut_off(node, &[control_node(0), control_node(1), control_node(2)]),
             6 => {
                 let zone = world.machines[&node].zone;
                 let apart = |other: &Node| world.machines[other].zone == zone;
@@ -242,11 +255,11 @@
         }
         let now = world.now;
         revision += 1;
-        world.with(node, |membership| membership.tell(now, revision));
-        if world.machines[&core(0)].membership.is_some() {
-            world.publish(core(0), "k", (0, revision, 0));
+        world.with(node, |membership| membership.update_body(now, revision));
+        if world.machines[&control_node(0)].membership.is_some() {
+            world.publish(control_node(0), "k", (0, revision, 0));
         }
-        world.acknowledge(core(usize::from(who % 3)), "c", (1, revision, 0));
+        world.acknowledge(control_node(usize::from(who % 3)), "c", (1, revision, 0));
         world.run(Micros::from(*span) * 15 * MS);
     }
     world.heal();
@@ -306,7 +319,7 @@
 /// Messages and bytes at rest and for one piece of news: `cargo test --release -- --ignored --nocapture figures`.
 #[test]
 #[ignore]
-fn figures() {
+fn metrics() {
     println!(
         "nodes  msgs/node/s  bytes/node/s  crossing msgs/s  crossing bytes/s | news letters  crossing  ms"
     );
@@ -318,9 +331,9 @@
         world.run(10 * S);
         let rest = world.traffic;
         let a_second = |now: u64, before: u64| (now - before) as f64 / 10.0;
-        let messages = a_second(rest.letters + rest.datagrams, before.letters + before.datagrams);
+        let messages = a_second(rest.messages + rest.datagrams, before.messages + before.datagrams);
         let now = world.now;
-        world.with(side(0), |membership| membership.tell(now, 1));
+        world.with(sidecar(0), |membership| membership.update_body(now, 1));
         let took = world.until_agreed(S).expect("agreed");
         println!(
             "{:>5}  {:>11.2}  {:>12.0}  {:>15.0}  {:>16.0} | {:>12}  {:>8}  {:>4}",
--- a/crates/daemon/mesh/src/event_stream.rs
+++ b/crates/daemon/mesh/src/event_stream.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use silvercross_event_feed::{kind, Bounds, Cursor, EventFeed, Filter, Line, Place, Reader, Told};
 use silvercross_mesh_config::Configuration;
-use silvercross_mesh_membership::Record;
+use silvercross_mesh_membership::NodeRecord;
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -78,8 +78,8 @@
     }
 
     /// What is known of a node, as its record says.
-    pub fn record(&self, r: &Record<RecordBody>) {
-        let place = Place { epoch: r.life, owner: 0, version: r.seq, mark: r.gone };
+    pub fn record(&self, r: &NodeRecord<RecordBody>) {
+        let place = Place { epoch: r.incarnation, owner: 0, version: r.sequence, mark: r.gone };
         let (name, zone) = (ip(r.node.0), r.zone.clone());
         let is = match () {
             () if r.gone => "gone",
@@ -87,9 +87,9 @@
             () => "there",
         };
         let key = format!("node/{name}");
-        let state = json!({ "is": is, "core": r.core, "control": r.body.control }).to_string();
+        let state = json!({ "is": is, "core": r.is_control, "control": r.body.control }).to_string();
         self.tell(Told { key, place, zone: zone.clone(), state, ended: r.gone, ..Told::default() });
-        if r.core {
+        if r.is_control {
             return;
         }
         let key = format!("upstream/{name}");
@@ -100,8 +100,7 @@
                     () if s.draining => "draining",
                     () => "there",
                 };
-                let state =
-                    json!({ "is": is, "id": cut(&s.id), "slots": s.slots, "colds": s.colds, "life": r.life });
+                let state = json!({ "is": is, "id": cut(&s.id), "slots": s.slots, "colds": s.colds, "life": r.incarnation });
                 Told { service: s.service.clone(), state: state.to_string(), ..Told::default() }
             }
             None => Told { state: json!({ "is": "none" }).to_string(), ended: true, ..Told::default() },
@@ -184,7 +183,7 @@
     pub fn refused(&self, node_state: &NodeState, key: &str, why: &str) {
         let n = self.refused.get() + 1;
         self.refused.set(n);
-        let life = node_state.peers.membership(|r| r.life());
+        let life = node_state.peers.membership(|r| r.incarnation());
         let place = Place { epoch: life, owner: 0, version: n, mark: false };
         let state = json!({ "number": n, "key": key, "why": cut(why) }).to_string();
         self.tell(Told {
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -140,13 +140,13 @@
         roster: Vec::new(),
         station: None,
     };
-    let start = silvercross_mesh_membership::Start {
-        me: Node(settings.ip.to_bits()),
+    let start = silvercross_mesh_membership::MembershipConfig {
+        local_node: Node(settings.ip.to_bits()),
         zone: settings.zone.clone(),
-        core: settings.core,
+        is_control: settings.core,
         seeds: seeds.iter().map(|s| Node(*s)).collect(),
-        life: now as u64,
-        seed,
+        incarnation: now as u64,
+        random_seed: seed,
     };
     let membership = Membership::new(now, start, body);
     let mut synced = None;
--- a/crates/daemon/mesh/src/member_throttle.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -407,7 +407,7 @@
         let there = r.records().filter(|n| !n.gone && n.body.control > 0);
         let at = |ip: u32, port: u16| format!("{}:{port}", Ipv4Addr::from_bits(ip));
         there
-            .map(|n| json!({ "zone": n.zone, "core": n.core, "control": at(n.node.0, n.body.control) }))
+            .map(|n| json!({ "zone": n.zone, "core": n.is_control, "control": at(n.node.0, n.body.control) }))
             .collect()
     });
     let (stand, duty) = (node_state.member_throttle.stand(), node_state.member_throttle.duty.borrow());
--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -4,7 +4,7 @@
 use crate::peers::RecordBody;
 use serde_json::{json, Value};
 use silvercross_control_store::{ControlStore, Role};
-use silvercross_mesh_membership::{Freshness, Record};
+use silvercross_mesh_membership::{Freshness, NodeRecord};
 use std::net::Ipv4Addr;
 
 /// The counters, by name.
@@ -28,7 +28,7 @@
         "gateOut": out, "gateWaiting": waiting, "idle": node_state.pool.idle_count(),
         "asked": c.outcome_queries.get(), "recovered": c.recovered_requests.get(), "orphans": c.orphaned_requests.get(),
         "receipts": node_state.response_replay_cache.load().0, "keptBytes": node_state.response_replay_cache.load().1,
-        "freshnessAsked": node_state.peers.membership(|r| r.figures().freshness), "noRoom": c.rejected_for_memory.get(), "heldBytes": node_state.stores.held(), "desks": service_balancers,
+        "freshnessAsked": node_state.peers.membership(|r| r.metrics().freshness_requests), "noRoom": c.rejected_for_memory.get(), "heldBytes": node_state.stores.held(), "desks": service_balancers,
         "feed": node_state.event_stream.get().map(|f| f.figures()),
     });
     if let Some(members) = node_state.member_throttle.figures() {
@@ -45,13 +45,13 @@
     (port > 0).then(|| format!("{}:{port}", address(node)))
 }
 
-fn node(n: &Record<RecordBody>) -> Value {
+fn node(n: &NodeRecord<RecordBody>) -> Value {
     let upstream = n.body.station.as_ref().map(|s| {
         json!({ "id": s.id, "service": s.service, "slots": s.slots, "draining": s.draining, "silent": s.silent,
             "colds": s.colds })
     });
-    json!({ "node": address(n.node.0), "zone": n.zone, "core": n.core, "gone": n.gone, "leaving": n.body.leaving,
-        "life": n.life, "seq": n.seq, "holders": n.body.roster.iter().map(|h| address(*h)).collect::<Vec<_>>(),
+    json!({ "node": address(n.node.0), "zone": n.zone, "core": n.is_control, "gone": n.gone, "leaving": n.body.leaving,
+        "life": n.incarnation, "seq": n.sequence, "holders": n.body.roster.iter().map(|h| address(*h)).collect::<Vec<_>>(),
         "control": control(n.node.0, n.body.control),
         "upstream": n.body.station.as_ref().map(|s| s.id.clone()),
         "service": n.body.station.as_ref().map(|s| s.service.clone()), "at": upstream })
@@ -103,8 +103,8 @@
     let nodes: Vec<Value> = node_state.peers.membership(|r| r.records().map(node).collect());
     let parent = node_state.peers.membership(|r| r.parent()).map(|p| address(p.0));
     let linked: Vec<String> =
-        node_state.peers.membership(|r| r.linked().iter().map(|n| address(n.0)).collect());
-    let age = node_state.peers.membership(|r| r.news_age(node_state.now().as_micros()));
+        node_state.peers.membership(|r| r.linked_nodes().iter().map(|n| address(n.0)).collect());
+    let age = node_state.peers.membership(|r| r.last_sync_age(node_state.now().as_micros()));
     let keys = node_state.peers.control_store(|l| {
         l.owned_keys()
             .iter()
@@ -114,7 +114,7 @@
     let (freshness, after) = match node_state.freshness() {
         Freshness::Waiting => ("waiting", None),
         Freshness::Current { after } => ("current", Some(after)),
-        Freshness::BoundPassed { after } => ("bound passed", Some(after)),
+        Freshness::TimedOut { after } => ("bound passed", Some(after)),
     };
     json!({ "node": node_state.settings.node, "ip": node_state.settings.ip.to_string(), "zone": node_state.settings.zone, "zones": node_state.settings.zones,
         "core": node_state.settings.core, "version": env!("CARGO_PKG_VERSION"), "parent": parent, "linked": linked,
--- a/crates/daemon/mesh/src/node_state.rs
+++ b/crates/daemon/mesh/src/node_state.rs
@@ -29,7 +29,7 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use silvercross_facade::Clock;
-use silvercross_mesh_membership::Record;
+use silvercross_mesh_membership::NodeRecord;
 use silvercross_time::Instant;
 use slog::{debug, warn, Logger};
 use std::cell::{Cell, RefCell};
@@ -81,7 +81,7 @@
     clock: Clock,
     force: RefCell<InForce>,
     service_balancers: RefCell<BTreeMap<String, Rc<ServiceBalancer>>>,
-    others: RefCell<BTreeMap<u32, Record<RecordBody>>>,
+    others: RefCell<BTreeMap<u32, NodeRecord<RecordBody>>>,
     colds: RefCell<BTreeMap<String, Cold>>,
     own: RefCell<Option<Own>>,
     ended: RefCell<Vec<String>>,
--- a/crates/daemon/mesh/src/node_state/in_force.rs
+++ b/crates/daemon/mesh/src/node_state/in_force.rs
@@ -69,7 +69,7 @@
         self.told_ready.set(true);
         let took = self.now().as_micros() - self.began;
         match self.freshness() {
-            Freshness::BoundPassed { .. } => {
+            Freshness::TimedOut { .. } => {
                 warn!(self.log, "ready: no majority has told within the bound whether this is current"; "us" => took);
             }
             _ => info!(self.log, "ready: has what a majority had at the start"; "us" => took),
--- a/crates/daemon/mesh/src/node_state/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -136,7 +136,7 @@
             Lists { now: self.now().as_micros(), force: &force, colds: &mut colds, hosts, renewed };
         for r in others.values() {
             if let Some(station) = &r.body.station {
-                lists.add(Ipv4Addr::from_bits(r.node.0), &r.zone, r.life, &r.body, station);
+                lists.add(Ipv4Addr::from_bits(r.node.0), &r.zone, r.incarnation, &r.body, station);
             }
         }
         if let Some(own) = own.as_ref() {
--- a/crates/daemon/mesh/src/peers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -126,14 +126,14 @@
 
     /// Tell the others of this sidecar.
     pub fn tell(&self, node_state: &Rc<NodeState>, body: RecordBody) {
-        self.membership.borrow_mut().tell(node_state.now().as_micros(), body);
+        self.membership.borrow_mut().update_body(node_state.now().as_micros(), body);
         self.pump(node_state);
     }
 
     /// Other seeds than at the start.
     pub fn seeds(&self, node_state: &Rc<NodeState>, seeds: &[u32]) {
         let seeds: Vec<Node> = seeds.iter().map(|s| Node(*s)).collect();
-        self.membership.borrow_mut().seeds(node_state.now().as_micros(), &seeds);
+        self.membership.borrow_mut().set_seeds(node_state.now().as_micros(), &seeds);
         self.pump(node_state);
     }
 
@@ -209,7 +209,7 @@
     /// Do what the deciders want done, until they want nothing more.
     fn pump(&self, node_state: &Rc<NodeState>) {
         loop {
-            let effects = self.membership.borrow_mut().effects();
+            let effects = self.membership.borrow_mut().take_effects();
             let deeds = self.ledger.as_ref().map(|l| l.borrow_mut().take_effects()).unwrap_or_default();
             if effects.is_empty() && deeds.is_empty() {
                 break;
@@ -230,7 +230,7 @@
         let c = &node_state.peers;
         loop {
             let now = node_state.now().as_micros();
-            let mut wake = c.membership.borrow().wake();
+            let mut wake = c.membership.borrow().next_deadline();
             if let Some(at) = c.ledger.as_ref().and_then(|l| l.borrow().next_deadline()) {
                 wake = wake.min(at);
             }
@@ -293,7 +293,7 @@
             let IpAddr::V4(from) = from.ip() else { continue };
             match bitcode::decode::<Datagram>(&room[..n]) {
                 Ok(datagram) => {
-                    c.membership.borrow_mut().datagram(
+                    c.membership.borrow_mut().receive_datagram(
                         node_state.now().as_micros(),
                         Node(from.to_bits()),
                         datagram,
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -7,7 +7,7 @@
 use crate::node_state::NodeState;
 use crate::peer_connection;
 use silvercross_control_store::{CallOutcome, Effect as StoreEffect};
-use silvercross_mesh_membership::{Effect, Node, Record};
+use silvercross_mesh_membership::{Effect, Node, NodeRecord};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -15,35 +15,35 @@
     /// Do what membership wants done.
     pub(super) fn effect(&self, node_state: &Rc<NodeState>, effect: Effect<RecordBody>) {
         match effect {
-            Effect::Link { to } => self.link(node_state, to.0),
-            Effect::Unlink { to } => {
+            Effect::OpenLink { to } => self.link(node_state, to.0),
+            Effect::CloseLink { to } => {
                 self.links.borrow_mut().remove(&to.0);
                 self.down(node_state, to.0);
             }
-            Effect::Send { to, letter } => self.send(node_state, to.0, &Frame::Round(letter)),
-            Effect::Datagram { to, datagram } => {
+            Effect::SendMessage { to, message } => self.send(node_state, to.0, &Frame::Round(message)),
+            Effect::SendDatagram { to, datagram } => {
                 let bytes = bitcode::encode(&datagram);
                 let _ = self.udp.try_send_to(&bytes, SocketAddr::new(ip(to.0), self.port));
                 node_state.counters.datagrams_sent.set(node_state.counters.datagrams_sent.get() + 1);
             }
-            Effect::Try { node } => self.try_link(node_state, node),
-            Effect::ConfirmRevisions { ticket } => {
+            Effect::Probe { node } => self.try_link(node_state, node),
+            Effect::ConfirmRevisions { request_id } => {
                 let node_state = node_state.clone();
                 tokio::task::spawn_local(async move {
                     let revisions = node_state.peers.confirm(&node_state).await;
-                    node_state.peers.membership.borrow_mut().confirmed(
+                    node_state.peers.membership.borrow_mut().revisions_confirmed(
                         node_state.now().as_micros(),
-                        ticket,
+                        request_id,
                         revisions,
                     );
                     node_state.peers.pump(&node_state);
                 });
             }
-            Effect::Record(record) => {
+            Effect::RecordChanged(record) => {
                 self.tell_store(node_state, &record);
                 node_state.apply_record(record);
             }
-            Effect::Page { key, revision, bytes } => {
+            Effect::EntryChanged { key, revision, bytes } => {
                 if let Ok(control_value) = bitcode::decode::<ControlValue>(&bytes) {
                     node_state.apply_control_entry(&key, revision, control_value);
                 }
@@ -57,21 +57,21 @@
         let from = ip(self.me);
         tokio::task::spawn_local(async move {
             let ok = peer_connection::connect(Some(from), to, CONNECT).await.is_some();
-            node_state.peers.membership.borrow_mut().tried(node_state.now().as_micros(), node, ok);
+            node_state.peers.membership.borrow_mut().probe_finished(node_state.now().as_micros(), node, ok);
             node_state.peers.pump(&node_state);
         });
     }
 
     /// Tell the control store of a machine that may come for a lost replica, or that stops.
-    fn tell_store(&self, node_state: &Rc<NodeState>, record: &Record<RecordBody>) {
+    fn tell_store(&self, node_state: &Rc<NodeState>, record: &NodeRecord<RecordBody>) {
         let Some(l) = &self.ledger else { return };
         // It has a disk, knows who the holders are, and is none of them.
         let told = &record.body;
         let spare = !told.roster.is_empty() && !told.roster.contains(&record.node.0);
-        let up = record.core && !record.gone && !told.leaving && spare;
+        let up = record.is_control && !record.gone && !told.leaving && spare;
         let node = silvercross_control_store::Node(record.node.0);
         l.borrow_mut().set_candidate(node_state.now().as_micros(), node, up);
-        if record.core {
+        if record.is_control {
             l.borrow_mut().set_stopping(node_state.now().as_micros(), node, told.leaving);
         }
     }
--- a/crates/daemon/mesh/src/peers/frames.rs
+++ b/crates/daemon/mesh/src/peers/frames.rs
@@ -3,7 +3,7 @@
 use crate::control_value::{ControlChange, ControlValue};
 use bitcode::{Decode, Encode};
 use silvercross_control_store::Message as StoreMessage;
-use silvercross_mesh_membership::Letter;
+use silvercross_mesh_membership::MembershipMessage;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,7 +32,7 @@
         version: u16,
         node: u32,
     },
-    Round(Letter<RecordBody>),
+    Round(MembershipMessage<RecordBody>),
     /// Under which version of the roster, and what.
     Store(u64, StoreMessage<ControlValue, ControlChange>),
     /// What time of day is it? Between holders, where there are members.
--- a/crates/daemon/mesh/src/peers/isolated_control_tests.rs
+++ b/crates/daemon/mesh/src/peers/isolated_control_tests.rs
@@ -8,7 +8,7 @@
 use silvercross_admission::AdmissionController;
 use silvercross_control_store::{Epoch, Metadata, ReplicaSet, Start, State, StoredKey, StoredState};
 use silvercross_facade::Clock;
-use silvercross_mesh_membership::{Freshness, READY_BOUND};
+use silvercross_mesh_membership::{Freshness, READINESS_TIMEOUT};
 use slog::{o, Discard, Logger};
 use tokio::net::TcpListener;
 
@@ -80,13 +80,13 @@
     let body = RecordBody { inbound: 1, control: 1, leaving: false, roster: Vec::new(), station: None };
     // The seeds name the first control machine alone.
     let seeds = vec![Node(address(CONTROL[0]).to_bits())];
-    let start = silvercross_mesh_membership::Start {
-        me,
+    let start = silvercross_mesh_membership::MembershipConfig {
+        local_node: me,
         zone: "a".into(),
-        core,
+        is_control: core,
         seeds,
-        life: 1,
-        seed: u64::from(last),
+        incarnation: 1,
+        random_seed: u64::from(last),
     };
     let membership = Membership::new(clock.now(), start, body);
     let udp = UdpSocket::bind((ip, port)).await.expect("the port");
@@ -162,9 +162,9 @@
             assert_eq!((sidecar.ready(), sidecar.unready()), (false, Some("not yet known to be current")));
         }
         // While there is no majority they serve what they have, once the bound is passed.
-        moved.set(moved.get() + READY_BOUND);
+        moved.set(moved.get() + READINESS_TIMEOUT);
         until(|| serves.ready()).await;
-        assert!(matches!(serves.freshness(), Freshness::BoundPassed { after } if after >= READY_BOUND));
+        assert!(matches!(serves.freshness(), Freshness::TimedOut { after } if after >= READINESS_TIMEOUT));
         assert_eq!((change(&serves), waits.ready()), (1, false));
         // One of the others comes back: a majority has the second change.
         let back = process(2, port, Clock::system(), Some(disk_of(2, 2))).await;
--- a/crates/daemon/mesh/src/peers/link.rs
+++ b/crates/daemon/mesh/src/peers/link.rs
@@ -119,7 +119,7 @@
         let now = node_state.now().as_micros();
         match frame {
             Frame::Hello { .. } => return false,
-            Frame::Round(letter) => self.membership.borrow_mut().letter(now, Node(node), letter),
+            Frame::Round(letter) => self.membership.borrow_mut().receive(now, Node(node), letter),
             Frame::Store(version, message) => {
                 if let Some(l) = &self.ledger {
                     l.borrow_mut().receive(now, silvercross_control_store::Node(node), version, message);
--- a/crates/daemon/mesh/src/peers/tests.rs
+++ b/crates/daemon/mesh/src/peers/tests.rs
@@ -3,7 +3,7 @@
 use super::link::GREETING;
 use super::Peers;
 use crate::tests::support::{self, SidecarOptions, TestConnection};
-use silvercross_mesh_membership::Letter;
+use silvercross_mesh_membership::MembershipMessage;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -42,12 +42,12 @@
         let (mut here, mut there) = tokio::io::duplex(4 * 1024);
         let (out, waiting) = mpsc::channel(4);
         let (first, waiting_first) = mpsc::channel(4);
-        let page = silvercross_mesh_membership::Page {
+        let page = silvercross_mesh_membership::ControlEntry {
             key: "k".to_string(),
             revision: (1, 2, 3),
             bytes: vec![7; 1 << 20],
         };
-        let news = Letter::News { records: Vec::new(), pages: vec![page] };
+        let news = MembershipMessage::Update { records: Vec::new(), entries: vec![page] };
         let large = Rc::new(framed(&Frame::Round(news.clone())));
         let writing = async move { write_lanes(&mut here, waiting, waiting_first).await };
         let reading = async {
--- a/crates/daemon/mesh/src/tests/support/mod.rs
+++ b/crates/daemon/mesh/src/tests/support/mod.rs
@@ -7,7 +7,9 @@
 use rand_core::SeedableRng;
 use silvercross_admission::AdmissionController;
 use silvercross_control_store::State;
-use silvercross_mesh_membership::{Effect, Letter, Membership, Node, Record, Standing, Start};
+use silvercross_mesh_membership::{
+    Effect, Membership, MembershipConfig, MembershipMessage, Node, NodeRecord, TreePosition,
+};
 use slog::{o, Discard, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -99,7 +101,14 @@
     let body =
         RecordBody { inbound: inbound.port(), control: 0, leaving: false, roster: Vec::new(), station: None };
     let me = Node(ip.to_bits());
-    let start = Start { me, zone: "a".into(), core: false, seeds: vec![], life: 1, seed: u64::from(last) };
+    let start = MembershipConfig {
+        local_node: me,
+        zone: "a".into(),
+        is_control: false,
+        seeds: vec![],
+        incarnation: 1,
+        random_seed: u64::from(last),
+    };
     let mut membership = Membership::new(clock.now(), start, body);
     become_current(&mut membership, clock.now());
     let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
@@ -132,23 +141,35 @@
 fn become_current(membership: &mut Membership<RecordBody>, now: i64) {
     let node = Node(Ipv4Addr::new(127, 0, 0, 250).to_bits());
     let body = RecordBody { inbound: 0, control: 0, leaving: false, roster: Vec::new(), station: None };
-    let record = Record { node, life: 1, seq: 1, zone: "a".into(), core: true, gone: false, body };
-    let standing = Standing { path: vec![node], ..Standing::default() };
+    let record = NodeRecord {
+        node,
+        incarnation: 1,
+        sequence: 1,
+        zone: "a".into(),
+        is_control: true,
+        gone: false,
+        body,
+    };
+    let position = TreePosition { path: vec![node], ..TreePosition::default() };
     membership.link_up(now, node);
-    membership.letter(now, node, Letter::Hello { record: record.clone(), digest: 0, known: 2, standing });
-    let asked = membership.effects().into_iter().find_map(|effect| match effect {
-        Effect::Send { letter: Letter::FreshnessRequest { number }, .. } => Some(number),
+    membership.receive(
+        now,
+        node,
+        MembershipMessage::Hello { record: record.clone(), digest: 0, known: 2, position },
+    );
+    let asked = membership.take_effects().into_iter().find_map(|effect| match effect {
+        Effect::SendMessage { message: MembershipMessage::FreshnessRequest { number }, .. } => Some(number),
         _ => None,
     });
     let number = asked.expect("a sidecar that starts asks");
-    membership.letter(now, node, Letter::FreshnessReply { number, revisions: Some(Vec::new()) });
-    membership.letter(
+    membership.receive(now, node, MembershipMessage::FreshnessReply { number, revisions: Some(Vec::new()) });
+    membership.receive(
         now,
         node,
-        Letter::News { records: vec![Record { gone: true, ..record }], pages: Vec::new() },
+        MembershipMessage::Update { records: vec![NodeRecord { gone: true, ..record }], entries: Vec::new() },
     );
     membership.link_down(now, node);
-    membership.effects();
+    membership.take_effects();
 }
 
 impl Sidecar {
@@ -184,12 +205,12 @@
         let roster = roster.iter().map(|r| r.to_bits()).collect();
         let body = RecordBody { inbound: 0, control: at.port(), leaving, roster, station: None };
         let node = Node(ip.to_bits());
-        self.node_state.apply_record(Record {
+        self.node_state.apply_record(NodeRecord {
             node,
-            life: 1,
-            seq: 1,
+            incarnation: 1,
+            sequence: 1,
             zone: zone.into(),
-            core: true,
+            is_control: true,
             gone: false,
             body,
         });
@@ -214,7 +235,15 @@
             station: Some(station),
         };
         let node = Node(other.ip.to_bits());
-        let record = Record { node, life: 1, seq: 1, zone: "a".into(), core: false, gone: false, body };
+        let record = NodeRecord {
+            node,
+            incarnation: 1,
+            sequence: 1,
+            zone: "a".into(),
+            is_control: false,
+            gone: false,
+            body,
+        };
         self.node_state.apply_record(record);
     }
 }
--- a/crates/testing/control-sim/src/faults.rs
+++ b/crates/testing/control-sim/src/faults.rs
@@ -91,7 +91,7 @@
             return;
         }
         if let Some(membership) = &mut self.machines[node].membership {
-            membership.seeds(now, &ids);
+            membership.set_seeds(now, &ids);
             self.pump(node);
         }
     }
--- a/crates/testing/control-sim/src/network.rs
+++ b/crates/testing/control-sim/src/network.rs
@@ -6,7 +6,7 @@
 use crate::items::{Change, Items};
 use crate::world::{Body, World};
 use silvercross_control_store as control;
-use silvercross_mesh_membership::{Datagram, Letter};
+use silvercross_mesh_membership::{Datagram, MembershipMessage};
 
 /// A connection that nobody takes fails after this.
 const CONNECT: i64 = 400_000;
@@ -17,7 +17,7 @@
 #[derive(Clone)]
 pub enum Parcel {
     /// Of membership.
-    Round(Letter<Body>),
+    Round(MembershipMessage<Body>),
     /// Of the control store, and under which version of the replica set.
     Store(u64, control::Message<Items, Change>),
     /// The other side has closed it, or knows nothing of it.
--- a/crates/testing/control-sim/src/schedule.rs
+++ b/crates/testing/control-sim/src/schedule.rs
@@ -78,7 +78,7 @@
 }
 
 /// The same with a rule of readiness broken on purpose.
-pub fn run_unready(seed: u64, unready: silvercross_mesh_membership::Broken) -> Result<Report, String> {
+pub fn run_unready(seed: u64, unready: silvercross_mesh_membership::Mutation) -> Result<Report, String> {
     play(seed, Plan { unready: Some(unready), ..drawn_plan(seed, None) }, false)
 }
 
--- a/crates/testing/control-sim/src/wiring.rs
+++ b/crates/testing/control-sim/src/wiring.rs
@@ -37,7 +37,7 @@
         let roster = machine.store.as_ref().map(knows).unwrap_or_default();
         let body = Body { roster: roster.into_iter().map(|n| n.0).collect(), leaving: machine.leaving };
         if let Some(membership) = &mut machine.membership {
-            membership.tell(now, body);
+            membership.update_body(now, body);
         }
     }
 
@@ -81,7 +81,7 @@
     pub(crate) fn pump(&mut self, node: usize) {
         loop {
             let machine = &mut self.machines[node];
-            let membership = machine.membership.as_mut().map(Membership::effects).unwrap_or_default();
+            let membership = machine.membership.as_mut().map(Membership::take_effects).unwrap_or_default();
             let store = machine.store.as_mut().map(ControlStore::take_effects).unwrap_or_default();
             if membership.is_empty() && store.is_empty() {
                 break;
@@ -100,7 +100,7 @@
         let Some(membership) = &machine.membership else { return };
         let store = machine.store.as_ref().and_then(ControlStore::next_deadline).unwrap_or(Micros::MAX);
         let look = if machine.core { LOOK } else { 1_000_000 };
-        let wake = now + (membership.wake().min(store).saturating_sub(local)).clamp(1, look);
+        let wake = now + (membership.next_deadline().min(store).saturating_sub(local)).clamp(1, look);
         if wake < machine.wake {
             machine.wake = wake;
             let incarnation = machine.incarnation;
@@ -111,45 +111,45 @@
     fn round_effect(&mut self, node: usize, effect: silvercross_mesh_membership::Effect<Body>) {
         use silvercross_mesh_membership::Effect;
         match effect {
-            Effect::Link { to } => {
+            Effect::OpenLink { to } => {
                 if let Some(to) = self.index(to.0) {
                     self.dial(node, to);
                 }
             }
-            Effect::Unlink { to } => {
+            Effect::CloseLink { to } => {
                 if let Some(to) = self.index(to.0) {
                     self.unlink(node, to);
                 }
             }
-            Effect::Send { to, letter } => {
+            Effect::SendMessage { to, message } => {
                 if let Some(to) = self.index(to.0) {
-                    self.send(node, to, Parcel::Round(letter));
+                    self.send(node, to, Parcel::Round(message));
                 }
             }
-            Effect::Datagram { to, datagram } => {
+            Effect::SendDatagram { to, datagram } => {
                 if let Some(to) = self.index(to.0) {
                     self.datagram(node, to, datagram);
                 }
             }
-            Effect::Try { node: about } => {
+            Effect::Probe { node: about } => {
                 if let Some(about) = self.index(about.0) {
                     self.probe(node, about);
                 }
             }
-            Effect::ConfirmRevisions { ticket } => self.confirm(node, ticket),
-            Effect::Record(record) => {
+            Effect::ConfirmRevisions { request_id } => self.confirm(node, request_id),
+            Effect::RecordChanged(record) => {
                 let now = self.local(node);
                 if let Some(store) = &mut self.machines[node].store {
                     let told = &record.body;
                     let spare = !told.roster.is_empty() && !told.roster.contains(&record.node.0);
-                    let up = record.core && !record.gone && !told.leaving && spare;
+                    let up = record.is_control && !record.gone && !told.leaving && spare;
                     store.set_candidate(now, control::Node(record.node.0), up);
-                    if record.core {
+                    if record.is_control {
                         store.set_stopping(now, control::Node(record.node.0), told.leaving);
                     }
                 }
             }
-            Effect::Page { key, revision, bytes } => {
+            Effect::EntryChanged { key, revision, bytes } => {
                 if let Ok(items) = bitcode::decode::<Items>(&bytes) {
                     self.take(node, &key, revision, items);
                 }
@@ -237,7 +237,7 @@
         }
         let Some(confirm) = machine.confirms.remove(&ticket) else { return };
         if let Some(membership) = &mut machine.membership {
-            membership.confirmed(now, ticket, whole.then_some(confirm.revisions));
+            membership.revisions_confirmed(now, ticket, whole.then_some(confirm.revisions));
         }
     }
 
@@ -253,7 +253,7 @@
             _ if machine.core => Why::Configured,
             Freshness::Waiting => return,
             Freshness::Current { .. } => Why::Fresh,
-            Freshness::BoundPassed { .. } => Why::Bound,
+            Freshness::TimedOut { .. } => Why::Bound,
         };
         life.ready = Some((self.now, why));
     }
--- a/crates/testing/control-sim/src/world.rs
+++ b/crates/testing/control-sim/src/world.rs
@@ -49,7 +49,7 @@
     /// Which rule of the control stores is broken on purpose.
     pub broken: Option<Mutation>,
     /// Which rule of readiness is broken on purpose.
-    pub unready: Option<silvercross_mesh_membership::Broken>,
+    pub unready: Option<silvercross_mesh_membership::Mutation>,
 }
 
 impl Plan {
@@ -176,13 +176,13 @@
         machine.looked = now;
         machine.revisions.clear();
         machine.life = self.history.lives.len();
-        let start = silvercross_mesh_membership::Start {
-            me: Node(machine.id),
+        let start = silvercross_mesh_membership::MembershipConfig {
+            local_node: Node(machine.id),
             zone: ["a", "b", "c"][machine.zone].to_string(),
-            core: machine.core,
+            is_control: machine.core,
             seeds: seeds.into_iter().map(Node).collect(),
-            life: now as u64,
-            seed,
+            incarnation: now as u64,
+            random_seed: seed,
         };
         machine.confirms.clear();
         let membership = Membership::new(now, start, Body { roster: Vec::new(), leaving: false });
@@ -344,14 +344,14 @@
             Event::Datagram { from, to, datagram } => {
                 let (now, from) = (self.local(to), Node(self.machines[from].id));
                 if let Some(membership) = &mut self.machines[to].membership {
-                    membership.datagram(now, from, datagram);
+                    membership.receive_datagram(now, from, datagram);
                     self.pump(to);
                 }
             }
             Event::Tried { node, incarnation, about, ok } if same(self, node, incarnation) => {
                 let (now, about) = (self.local(node), Node(self.machines[about].id));
                 if let Some(membership) = &mut self.machines[node].membership {
-                    membership.tried(now, about, ok);
+                    membership.probe_finished(now, about, ok);
                     self.pump(node);
                 }
             }
@@ -396,7 +396,7 @@
         match parcel {
             Parcel::Round(letter) => {
                 if let Some(membership) = &mut machine.membership {
-                    membership.letter(now, Node(id), letter);
+                    membership.receive(now, Node(id), letter);
                 }
             }
             Parcel::Store(version, message) => {
@@ -427,11 +427,11 @@
 #[allow(unused_mut, unused_variables)]
 fn unready_on_purpose(
     mut membership: Membership<Body>,
-    broken: Option<silvercross_mesh_membership::Broken>,
+    broken: Option<silvercross_mesh_membership::Mutation>,
 ) -> Membership<Body> {
     #[cfg(feature = "mutants")]
     if let Some(broken) = broken {
-        membership.break_it(broken);
+        membership.set_mutation(broken);
     }
     membership
 }
--- a/crates/testing/control-sim/tests/common/mod.rs
+++ b/crates/testing/control-sim/tests/common/mod.rs
@@ -352,7 +352,7 @@
 pub fn sidecar_below_old_state(
     below: Below,
     away: i64,
-    unready: Option<silvercross_mesh_membership::Broken>,
+    unready: Option<silvercross_mesh_membership::Mutation>,
 ) -> Outcome {
     let mut world = World::new(7, Plan { unready, ..Plan::quiet(0, 2) });
     let (sidecar, relay) = (world.cores() + 1, world.cores());
--- a/crates/testing/control-sim/tests/mutants.rs
+++ b/crates/testing/control-sim/tests/mutants.rs
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_sidecar_that_is_ready_without_a_majority_is_caught() {
-    let unready = silvercross_mesh_membership::Broken::AnswersAlone;
+    let unready = silvercross_mesh_membership::Mutation::AnswersWithoutMajority;
     let why = first(0..1_000, |seed| run_unready(seed, unready));
     assert!(why.contains("says ready without"), "{why}");
     let why = judged(sidecar_below_old_state(Below::Joins, 12 * S, Some(unready)));
