--- a/crates/control/idempotency-store/tests/wire_bytes.rs
+++ b/crates/control/idempotency-store/tests/wire_bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of everything that holders of records say to each other, log and keep, held fixed: processes of different builds
+//! The bytes of everything that replicas of the store say to each other, log and keep, held fixed: processes of different builds
 //! talk to each other and read each other's disks.
 
 use serde::{de::DeserializeOwned, Serialize};
--- a/crates/control/mesh-membership/tests/wire_bytes.rs
+++ b/crates/control/mesh-membership/tests/wire_bytes.rs
@@ -1,4 +1,4 @@
-//! The encoding of every letter and datagram between machines, held to fixed bytes: machines of different builds talk to
+//! The encoding of every message and datagram between machines, held to fixed bytes: machines of different builds talk to
 //! each other.
 
 use bitcode::{DecodeOwned, Encode};
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn letters_and_datagrams_are_encoded_as_they_always_were() {
+fn messages_and_datagrams_are_encoded_as_they_always_were() {
     let versions = vec![record(7).version(), RecordVersion { gone: true, ..record(8).version() }];
     let messages: Vec<(&str, Said)> = vec![
         (
@@ -93,7 +93,7 @@
     ];
     let mut lines = String::new();
     for (name, message) in messages {
-        add(&mut lines, &format!("letter/{name}"), message);
+        add(&mut lines, &format!("message/{name}"), message);
     }
     for (name, datagram) in datagrams {
         add(&mut lines, &format!("datagram/{name}"), datagram);
--- a/crates/daemon/mesh/src/disk.rs
+++ b/crates/daemon/mesh/src/disk.rs
@@ -11,6 +11,8 @@
 mod folder;
 mod io_faults;
 mod messages;
+#[cfg(test)]
+mod old_store_tests;
 mod recovery;
 #[cfg(test)]
 mod tests;
--- a/crates/daemon/mesh/src/peers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -8,6 +8,8 @@
 mod majority_read;
 #[cfg(test)]
 mod tests;
+#[cfg(test)]
+mod wire_bytes_tests;
 
 use crate::control_value::{ControlChange, ControlValue};
 use crate::disk::{DiskEvent, DiskWriteSender};
--- /dev/null
+++ b/crates/daemon/mesh/src/peers/wire_bytes_tests.rs
@@ -0,0 +1,169 @@
+//! The bytes of everything that daemons write to each other and to their disks, held fixed: daemons of different builds talk
+//! to each other, and each reads what the one before it wrote. The messages inside are held by the packages that own them.
+use super::frames::{framed, Frame, VERSION};
+use super::{RecordBody, UpstreamRecord};
+use crate::control_value::{ControlChange, ControlValue};
+use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus};
+use bitcode::{DecodeOwned, Encode};
+use silvercross_control_store::{Epoch, Message, Request, Revision, State, StoredKey};
+use silvercross_mesh_config::{parse_change, parse_update};
+use silvercross_mesh_membership::{MembershipMessage, NodeRecord, TreePosition};
+use silvercross_throttle::{LapseChange, LapseState};
+use std::fmt::{Debug, Write};
+
+/// One line per value: its name, then its bytes in hexadecimal.
+const TABLE: &str = include_str!("../../tests/data/wire.hex");
+
+/// A destination and a route, a later version of the destination, and a member.
+const PATCH: &[u8] = include_bytes!("../../tests/data/patch.json");
+const LATER: &[u8] = include_bytes!("../../tests/data/later.json");
+const MEMBERS: &[u8] = include_bytes!("../../tests/data/members.json");
+
+fn add_bytes(lines: &mut String, name: &str, bytes: &[u8]) {
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    writeln!(lines, "{name} {hex}").expect("a string grows");
+}
+
+/// Adds the line of a value to `lines`, after reading the value back from its encoding.
+fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
+    let bytes = bitcode::encode(&value);
+    assert_eq!(bitcode::decode::<T>(&bytes).as_ref().ok(), Some(&value), "{name}");
+    add_bytes(lines, name, &bytes);
+}
+
+fn epoch() -> Epoch {
+    Epoch { round: 300, owner: 0x7f00_0001 }
+}
+
+fn revision() -> Revision {
+    Revision { epoch: epoch(), sequence: 70_000 }
+}
+
+fn body() -> RecordBody {
+    let station = UpstreamRecord {
+        id: "life-1".to_string(),
+        service: "bakery".to_string(),
+        slots: 8,
+        draining: true,
+        silent: false,
+        colds: 2,
+        cold: 1_500_000,
+    };
+    RecordBody {
+        inbound: 9_004,
+        control: 9_000,
+        leaving: true,
+        roster: vec![1, 0x7f00_0001],
+        station: Some(station),
+    }
+}
+
+fn changes() -> Vec<(&'static str, ControlChange)> {
+    vec![
+        ("patch", ControlChange::Patch(parse_change(PATCH).expect("valid"))),
+        ("evacuate", ControlChange::Evacuate(true)),
+        ("call", ControlChange::Call(Box::new(parse_update(MEMBERS).expect("valid")))),
+        ("lapse", ControlChange::Lapse(LapseChange::Step { version: 2, to: 4 })),
+    ]
+}
+
+fn values() -> Vec<(&'static str, ControlValue)> {
+    let mut configuration = ControlValue::Blank;
+    assert_eq!(configuration.apply(&ControlChange::Patch(parse_change(PATCH).expect("valid"))), Ok(true));
+    let mut whole = configuration.clone();
+    let members = ControlChange::Call(Box::new(parse_update(MEMBERS).expect("valid")));
+    assert_eq!(whole.apply(&members), Ok(true));
+    assert!(matches!(whole, ControlValue::Whole(_)));
+    let mut tracked = configuration.clone();
+    assert_eq!(tracked.apply(&ControlChange::Patch(parse_change(LATER).expect("valid"))), Ok(true));
+    assert!(matches!(tracked, ControlValue::Tracked(_)));
+    let lapse =
+        LapseState { version: Some(2), due: Some(7), begun: true, step: 3, total_steps: 6, renewals: 1 };
+    vec![
+        ("blank", ControlValue::Blank),
+        ("configuration", configuration),
+        ("evacuation", ControlValue::Evacuation(true)),
+        ("whole", whole),
+        ("lapse", ControlValue::Lapse(lapse)),
+        ("tracked", tracked),
+    ]
+}
+
+fn frames() -> Vec<(&'static str, Frame)> {
+    let record = NodeRecord {
+        node: silvercross_mesh_membership::Node(0x7f00_0001),
+        incarnation: 1_700_000_000_000,
+        sequence: 300,
+        zone: "zone-a".to_string(),
+        is_control: true,
+        gone: false,
+        body: body(),
+    };
+    let hello = MembershipMessage::Hello { record, digest: 5, known: 12, position: TreePosition::default() };
+    let copy = Message::Append {
+        key: "configuration".to_string(),
+        epoch: epoch(),
+        to: revision(),
+        base: revision(),
+        changes: changes().into_iter().map(|(_, change)| change).collect(),
+        more: false,
+    };
+    let key = || "evacuation/a".to_string();
+    let ask = Request::Change(ControlChange::Evacuate(false));
+    vec![
+        ("hello", Frame::Hello { version: VERSION, node: 0x7f00_0001 }),
+        ("membership-hello", Frame::Round(hello)),
+        ("membership-sums", Frame::Round(MembershipMessage::PartDigests { digests: vec![1, 2] })),
+        ("store-claim", Frame::Store(4, Message::Claim { key: key(), epoch: epoch() })),
+        ("store-copy", Frame::Store(4, copy)),
+        ("store-forward", Frame::Store(4, Message::Forward { id: 5, key: key(), under: epoch(), ask })),
+        ("time", Frame::Time { asked: -5 }),
+        ("told", Frame::Told { asked: -5, wall: 1_700_000_000_000_000, stepped: true }),
+    ]
+}
+
+#[test]
+fn frames_and_stored_values_have_the_bytes_they_always_had() {
+    let mut lines = String::new();
+    for (name, frame) in frames() {
+        let bytes = framed(&frame);
+        let again: Frame = bitcode::decode(&bytes[4..]).expect("as it was written");
+        assert_eq!(framed(&again), bytes, "{name}");
+        add_bytes(&mut lines, &format!("frame/{name}"), &bytes);
+    }
+    add(&mut lines, "body", body());
+    add(&mut lines, "body/none", RecordBody { station: None, leaving: false, roster: Vec::new(), ..body() });
+    for (name, change) in changes() {
+        add(&mut lines, &format!("change/{name}"), change);
+    }
+    for (name, value) in values() {
+        add(&mut lines, &format!("value/{name}"), value.clone());
+        let (promised, accepted) = (epoch(), revision());
+        let stored = StoredKey { key: format!("key-{name}"), promised, accepted, value };
+        add(&mut lines, &format!("disk/{name}"), stored);
+    }
+    let headers = ForwardingHeaders {
+        version: forwarding_headers::VERSION,
+        service: "bakery".to_string(),
+        further: true,
+        priority: 3,
+        repeatable: false,
+        aim: -5,
+        ticket: 1 << 60,
+        asks: true,
+    };
+    // In a header line it is hexadecimal as well.
+    writeln!(lines, "header/request {}", forwarding_headers::write(&headers)).expect("a string grows");
+    add(&mut lines, "request", headers);
+    for (name, status) in [
+        ("absent", GateStatus::Absent),
+        ("full", GateStatus::Full(1_500_000)),
+        ("shut", GateStatus::Shut),
+        ("begun", GateStatus::Begun),
+        ("unseen", GateStatus::Unseen),
+    ] {
+        writeln!(lines, "header/{name} {}", forwarding_headers::write(&status)).expect("a string grows");
+        add(&mut lines, &format!("answer/{name}"), status);
+    }
+    assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
+}
