--- a/crates/daemon/mesh/src/body_buffer.rs
+++ b/crates/daemon/mesh/src/body_buffer.rs
@@ -1,138 +1,101 @@
-//! Bodies: a request's is held whole up to [`wire::MAX_BUFFERED_BODY_BYTES`], the rest of a larger one passed on as it comes, at the pace of
-//! whoever takes it. What is held by all requests together is bounded.
-use crate::wire::{self, Connection, ReadError};
+//! A request's body: buffered whole up to [`MAX_BUFFERED_BODY_BYTES`](crate::wire::MAX_BUFFERED_BODY_BYTES), the rest of
+//! a larger one streamed at the pace of whoever reads it.
+//!
+//! Knows neither who sends the body nor who gets it. Memory is accounted for in `body_budget.rs`.
+use crate::body_budget::BodyReservation;
+use crate::wire::{Connection, ReadError};
 use bytes::Bytes;
+use silvercross_net::http::Framing;
 use silvercross_net::stream::Decoder;
 use std::cell::{Cell, RefCell};
+use std::fmt;
 use std::rc::Rc;
 use tokio::sync::{mpsc, Mutex, Notify};
 
-/// Bodies held by all requests may take this part of the process's memory.
-const PART: u64 = 4;
-/// Pieces read ahead of whoever takes them.
-const AHEAD: usize = 2;
+/// Parts of a streamed body that are read ahead of whoever takes them.
+const MAX_PARTS_AHEAD: usize = 2;
 
-/// What all bodies held here take together.
-#[derive(Debug, Default)]
-pub struct BodyBudget {
-    most: Cell<u64>,
-    held: Cell<u64>,
-}
-
-impl BodyBudget {
-    /// For a process of so many bytes of memory.
-    pub fn new(memory: u64) -> Rc<Self> {
-        Rc::new(BodyBudget { most: Cell::new(memory / PART), held: Cell::new(0) })
-    }
-
-    /// Bytes held now.
-    pub fn held(&self) -> u64 {
-        self.held.get()
-    }
-
-    /// Room for one body, none of it taken yet.
-    pub fn share(self: &Rc<Self>) -> BodyReservation {
-        BodyReservation { stores: self.clone(), bytes: 0 }
-    }
-}
-
-/// One body's part of the stores; given back when it is dropped.
-#[derive(Debug)]
-pub struct BodyReservation {
-    stores: Rc<BodyBudget>,
-    bytes: u64,
+/// A part of a streamed body.
+enum Part {
+    Bytes(Bytes),
+    End,
 }
 
-impl BodyReservation {
-    /// Take so many bytes more; `false`, and nothing taken, if there is no room.
-    pub fn more(&mut self, bytes: u64) -> bool {
-        let held = self.stores.held.get() + bytes;
-        if held > self.stores.most.get() {
-            return false;
-        }
-        self.stores.held.set(held);
-        self.bytes += bytes;
-        true
-    }
-
-    /// Give all back.
-    pub fn empty(&mut self) {
-        self.stores.held.set(self.stores.held.get() - self.bytes);
-        self.bytes = 0;
-    }
-}
+/// The sender of a streamed body broke off before its end; the request can't be completed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct BodyInterrupted;
 
-impl Drop for BodyReservation {
-    fn drop(&mut self) {
-        self.empty();
+impl fmt::Display for BodyInterrupted {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "the body broke off before its end (send the request again)")
     }
 }
 
-/// A part of a body that comes.
-enum Piece {
-    Bytes(Bytes),
-    End,
-}
+impl std::error::Error for BodyInterrupted {}
 
-/// What is still to come of a body, taken by one attempt at a time.
-pub struct BodyStream {
+/// The streamed rest of a body, read by one attempt at a time.
+pub(crate) struct BodyStream {
     /// Bytes of the whole body, where that is stated.
-    pub length: Option<u64>,
-    pieces: Mutex<mpsc::Receiver<Piece>>,
-    wanted: Notify,
-    spent: Cell<bool>,
-    ended: Cell<bool>,
+    content_length: Option<usize>,
+    parts: Mutex<mpsc::Receiver<Part>>,
+    requested: Notify,
+    is_consumed: Cell<bool>,
+    has_ended: Cell<bool>,
 }
 
 impl BodyStream {
-    /// Whether any of it was taken: from then on it can't be sent again.
-    pub fn spent(&self) -> bool {
-        self.spent.get()
-    }
-
-    /// The next piece: `Ok(None)` at the body's end, `Err` if it broke off.
-    pub async fn next(&self) -> Result<Option<Bytes>, ()> {
-        if self.ended.get() {
+    /// The next part; `Ok(None)` at the body's end.
+    ///
+    /// # Errors
+    /// [`BodyInterrupted`] if the body's sender broke off.
+    pub(crate) async fn next(&self) -> Result<Option<Bytes>, BodyInterrupted> {
+        if self.has_ended.get() {
             return Ok(None);
         }
-        self.wanted.notify_one();
-        let mut pieces = self.pieces.lock().await;
-        // What is taken out counts as gone, whatever becomes of it.
-        match pieces.recv().await {
-            Some(Piece::Bytes(bytes)) => {
-                self.spent.set(true);
+        self.requested.notify_one();
+        let mut parts = self.parts.lock().await;
+        // What is taken out counts as consumed, whatever becomes of it.
+        match parts.recv().await {
+            Some(Part::Bytes(bytes)) => {
+                self.is_consumed.set(true);
                 Ok(Some(bytes))
             }
-            Some(Piece::End) => {
-                self.ended.set(true);
+            Some(Part::End) => {
+                self.has_ended.set(true);
                 Ok(None)
             }
-            None => Err(()),
+            None => Err(BodyInterrupted),
         }
     }
 }
 
-/// Brings what [`BodyStream`] hands out.
-pub struct BodyStreamWriter {
-    to: mpsc::Sender<Piece>,
-    rest: Rc<BodyStream>,
+/// Feeds a [`BodyStream`] from the connection that the body is received on.
+pub(crate) struct BodyStreamWriter {
+    parts: mpsc::Sender<Part>,
+    stream: Rc<BodyStream>,
 }
 
 impl BodyStreamWriter {
-    /// Returns once somebody wants the rest.
-    pub async fn wanted(&self) {
-        self.rest.wanted.notified().await;
+    /// Return once somebody wants the rest of the body.
+    pub(crate) async fn wait_until_requested(&self) {
+        self.stream.requested.notified().await;
     }
 
     /// Read the rest of a body from its connection, no faster than it is taken.
-    pub async fn bring(&self, line: &mut Connection, decoder: &mut Decoder) -> Result<(), ReadError> {
+    ///
+    /// # Errors
+    /// [`ReadError::Closed`] if nobody takes it any more: the connection is then left as it is.
+    pub(crate) async fn feed(
+        &self,
+        connection: &mut Connection,
+        decoder: &mut Decoder,
+    ) -> Result<(), ReadError> {
         loop {
-            // Nobody takes any more: the connection is left as it is.
-            let Ok(room) = self.to.reserve().await else { return Err(ReadError::Closed) };
-            match line.next(decoder).await? {
-                Some(bytes) => room.send(Piece::Bytes(bytes)),
+            let Ok(slot) = self.parts.reserve().await else { return Err(ReadError::Closed) };
+            match connection.read_body_part(decoder).await? {
+                Some(bytes) => slot.send(Part::Bytes(bytes)),
                 None => {
-                    room.send(Piece::End);
+                    slot.send(Part::End);
                     return Ok(());
                 }
             }
@@ -141,64 +104,90 @@
 }
 
 /// A request's body.
-pub struct BodyBuffer {
-    /// Its first part, or all of it.
-    pub held: RefCell<Rc<Vec<u8>>>,
+pub(crate) struct BodyBuffer {
+    /// Its beginning, or all of it.
+    prefix: RefCell<Rc<Vec<u8>>>,
     /// What comes behind that.
-    pub rest: Option<Rc<BodyStream>>,
-    share: RefCell<BodyReservation>,
+    stream: Option<Rc<BodyStream>>,
+    reservation: RefCell<BodyReservation>,
+}
+
+/// A body that is still being received, and what feeds it.
+pub(crate) struct StreamedBodyBuffer {
+    /// The body.
+    pub(crate) body: Rc<BodyBuffer>,
+    /// Feeds its rest.
+    pub(crate) writer: BodyStreamWriter,
 }
 
 impl BodyBuffer {
-    /// One that is here whole.
-    pub fn whole(held: Vec<u8>, share: BodyReservation) -> Rc<Self> {
-        Rc::new(BodyBuffer { held: RefCell::new(Rc::new(held)), rest: None, share: RefCell::new(share) })
+    /// A body that is buffered whole.
+    pub(crate) fn complete(bytes: Vec<u8>, reservation: BodyReservation) -> Rc<Self> {
+        Rc::new(BodyBuffer {
+            prefix: RefCell::new(Rc::new(bytes)),
+            stream: None,
+            reservation: RefCell::new(reservation),
+        })
+    }
+
+    /// A body whose rest is still being received. `content_length`: of the whole body, where it is stated.
+    pub(crate) fn streamed(
+        prefix: Vec<u8>,
+        content_length: Option<usize>,
+        reservation: BodyReservation,
+    ) -> StreamedBodyBuffer {
+        let (sender, receiver) = mpsc::channel(MAX_PARTS_AHEAD);
+        let stream = Rc::new(BodyStream {
+            content_length,
+            parts: Mutex::new(receiver),
+            requested: Notify::new(),
+            is_consumed: Cell::new(false),
+            has_ended: Cell::new(false),
+        });
+        let body = Rc::new(BodyBuffer {
+            prefix: RefCell::new(Rc::new(prefix)),
+            stream: Some(stream.clone()),
+            reservation: RefCell::new(reservation),
+        });
+        StreamedBodyBuffer { body, writer: BodyStreamWriter { parts: sender, stream } }
     }
 
-    /// One that is still coming; the second part brings the rest.
-    pub fn coming(
-        held: Vec<u8>,
-        length: Option<u64>,
-        share: BodyReservation,
-    ) -> (Rc<Self>, BodyStreamWriter) {
-        let (to, pieces) = mpsc::channel(AHEAD);
-        let rest = Rc::new(BodyStream {
-            length,
-            pieces: Mutex::new(pieces),
-            wanted: Notify::new(),
-            spent: Cell::new(false),
-            ended: Cell::new(false),
-        });
-        let (held, share) = (RefCell::new(Rc::new(held)), RefCell::new(share));
-        (Rc::new(BodyBuffer { held, rest: Some(rest.clone()), share }), BodyStreamWriter { to, rest })
+    /// The buffered beginning, or all of it.
+    pub(crate) fn prefix(&self) -> Rc<Vec<u8>> {
+        self.prefix.borrow().clone()
+    }
+
+    /// The rest, if the body is streamed.
+    pub(crate) fn stream(&self) -> Option<&BodyStream> {
+        self.stream.as_deref()
     }
 
-    /// What is held.
-    pub fn held(&self) -> Rc<Vec<u8>> {
-        self.held.borrow().clone()
+    /// Whether there is a rest to be streamed.
+    pub(crate) fn is_streamed(&self) -> bool {
+        self.stream.is_some()
     }
 
-    /// Whether it can't be sent (again) whole: a part that is not held has gone.
-    pub fn spent(&self) -> bool {
-        self.rest.as_ref().is_some_and(|r| r.spent())
+    /// Whether a part that is not buffered was taken: from then on the body can't be sent (again) whole.
+    pub(crate) fn is_consumed(&self) -> bool {
+        self.stream.as_ref().is_some_and(|stream| stream.is_consumed.get())
     }
 
     /// Whether all of it was taken.
-    pub fn at_end(&self) -> bool {
-        self.rest.as_ref().is_none_or(|r| r.ended.get())
+    pub(crate) fn is_at_end(&self) -> bool {
+        self.stream.as_ref().is_none_or(|stream| stream.has_ended.get())
     }
 
-    /// What was held is of no more use.
-    pub fn let_go(&self) {
-        *self.held.borrow_mut() = Rc::default();
-        self.share.borrow_mut().empty();
+    /// Release the buffered beginning: it is of no more use.
+    pub(crate) fn release_prefix(&self) {
+        *self.prefix.borrow_mut() = Rc::default();
+        self.reservation.borrow_mut().release();
     }
 
-    /// How its end is told to whoever gets it.
-    pub fn size(&self) -> wire::Size {
-        match &self.rest {
-            None => wire::Size::Length(self.held().len() as u64),
-            Some(rest) => rest.length.map_or(wire::Size::Chunks, wire::Size::Length),
+    /// How its end is stated to whoever gets it.
+    pub(crate) fn framing(&self) -> Framing {
+        match &self.stream {
+            None => Framing::Length(self.prefix.borrow().len()),
+            Some(stream) => stream.content_length.map_or(Framing::Chunked, Framing::Length),
         }
     }
 }
--- a/crates/daemon/mesh/src/client_listener/attempt.rs
+++ b/crates/daemon/mesh/src/client_listener/attempt.rs
@@ -1,118 +1,80 @@
-//! One attempt of a request: over a hop or through this machine's own gate, and the question what became of it.
-use crate::body_buffer::BodyBuffer;
-use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus};
-use crate::mutation::{self, Mutation};
+//! One attempt of a request: sent to another sidecar's gate, or through this machine's own gate.
+use super::attempt_query::{recover, SentAttempt};
+use super::outgoing_attempt::OutgoingAttempt;
+use crate::forwarding_headers;
 use crate::node_state::NodeState;
-use crate::peer_connection::{self, ExchangeOutcome, Order, Told};
-use crate::response_replay_cache;
-use crate::service_balancer::CONNECT;
-use crate::upstream_gate;
-use crate::wire::{PeerKind, RequestHead, Response};
-use std::net::SocketAddr;
+use crate::peer_connection::{exchange, ExchangeOutcome, OutgoingRequest};
+use crate::request_encoding::ForwardedRequest;
+use crate::service_balancer::CONNECT_TIMEOUT;
+use crate::upstream_gate::{deliver, Delivery};
+use crate::wire::PeerKind;
+use silvercross_time::Duration;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::time::{timeout_at, Instant};
+use tokio::time::Instant;
 
-/// A gate is asked what became of a request for no longer than this after the request was written: half of the gate's memory.
-const ASKS: Duration = Duration::from_micros(response_replay_cache::SPAN as u64 / 2);
-/// It is asked at once, then with a pause that grows.
-const PAUSE: Duration = Duration::from_millis(25);
-const PAUSE_MOST: Duration = Duration::from_millis(400);
-/// A body from this size on is offered to a gate before it is sent.
-const OFFERED: usize = 16 * 1024;
+/// A body from this size on is held back until the gate asks for it: one that the gate would reject crosses no link.
+const MIN_HELD_BACK_BODY_BYTES: usize = 16 * 1024;
 
-/// Take it over a hop, or through this machine's own gate.
-#[allow(clippy::too_many_arguments)]
-pub(super) async fn go(
-    node_state: &Rc<NodeState>,
-    asked: &RequestHead,
-    body_buffer: &Rc<BodyBuffer>,
-    id: &str,
-    bill: &ForwardingHeaders,
-    left: i64,
-    to: SocketAddr,
-    name: &str,
-) -> ExchangeOutcome {
-    if Some(to) == node_state.settings.inbound {
-        let mut mine = asked.clone();
-        (mine.deadline, mine.expects) = (Some(left), Some(name.to_string()));
-        return ExchangeOutcome::Response(Box::new(
-            upstream_gate::serve(node_state, &mine, bill, body_buffer, None).await,
-        ));
+/// Send an attempt; how that ended. Of one that may run once, and whose connection broke behind the request, the gate is
+/// asked what became of it.
+pub(super) async fn send(node_state: &Rc<NodeState>, attempt: &OutgoingAttempt) -> ExchangeOutcome {
+    if Some(attempt.gate) == node_state.settings.inbound {
+        let delivery = Delivery {
+            head: &attempt.head,
+            forwarding: &attempt.forwarding,
+            body: &attempt.body,
+            timeout: attempt.time_left,
+            expected_upstream: Some(&attempt.upstream),
+            replay_entry: None,
+        };
+        return ExchangeOutcome::Response(Box::new(deliver(node_state, delivery).await));
     }
+    send_to_gate(node_state, attempt).await
+}
+
+async fn send_to_gate(node_state: &Rc<NodeState>, attempt: &OutgoingAttempt) -> ExchangeOutcome {
     let started = Instant::now();
-    let limit = Duration::from_micros(CONNECT as u64);
     let from = Some(node_state.settings.ip.into());
-    let Some(line) = node_state.pool.acquire(from, to, limit, PeerKind::Sidecar).await else {
-        return ExchangeOutcome::NotConnected;
+    let connect_timeout = CONNECT_TIMEOUT.to_std();
+    let acquired = node_state.pool.acquire(from, attempt.gate, connect_timeout, PeerKind::Sidecar).await;
+    let Ok(connection) = acquired else { return ExchangeOutcome::NotSent };
+    let time_left = attempt.time_left - Duration::from(started.elapsed());
+    let body = &attempt.body;
+    let holds_body_back = body.is_streamed() || body.prefix().len() >= MIN_HELD_BACK_BODY_BYTES;
+    let bytes = encode(attempt, time_left, holds_body_back);
+    let request = OutgoingRequest {
+        to: attempt.gate,
+        bytes: &bytes,
+        body: Some(body).filter(|_| holds_body_back),
+        awaits_continue: holds_body_back,
+        attempt_id: attempt.attempt_id(),
+        is_head_request: attempt.head.is_head_request(),
     };
-    let mut hop = asked.clone();
-    hop.forwarding_headers = Some(forwarding_headers::write(bill));
-    let left = left - started.elapsed().as_micros() as i64;
-    // A body of some size is offered first: one that its gate would turn away crosses no link.
-    let coming = Some(body_buffer).filter(|f| f.rest.is_some() || f.held().len() >= OFFERED);
-    let bytes = upstream_gate::request(&hop, left, Some(name), body_buffer, coming.is_some());
-    let bodiless = asked.method == "HEAD";
-    let order = Order { to, bytes: &bytes, coming, awaits: coming.is_some(), id, bodiless };
-    // Heard before the first byte is written: whoever gets it is of this life or a later one.
-    let life = node_state.pool.life(to);
-    let written = Instant::now();
-    let came = peer_connection::exchange(&node_state.pool, line, order, node_state.stores.share()).await;
-    if !matches!(came, ExchangeOutcome::Broken) || bill.repeatable {
-        return came;
-    }
-    if mutation::is_active(Mutation::NonIdempotentRetried) {
-        return ExchangeOutcome::NotConnected;
-    }
-    let until = started + Duration::from_micros(left.max(0) as u64);
-    node_state.counters.outcome_queries.set(node_state.counters.outcome_queries.get() + 1);
-    let told = timeout_at(until.min(written + ASKS), ask(node_state, asked, id, bill, to, until)).await;
-    // Past its memory a gate that knows nothing proves nothing.
-    let known = written.elapsed() < ASKS;
-    let same = |of: Option<u64>| of == life || mutation::is_active(Mutation::AnyIncarnation);
-    let came = match told.ok().flatten() {
-        None => ExchangeOutcome::Broken,
-        Some(answer) => match answer.word.as_deref().map(forwarding_headers::read::<GateStatus>) {
-            None => ExchangeOutcome::Response(answer),
-            Some(Some(GateStatus::Unseen)) if known && same(answer.life) => ExchangeOutcome::NotConnected,
-            Some(Some(GateStatus::Absent | GateStatus::Full(_) | GateStatus::Shut)) => {
-                ExchangeOutcome::Response(answer)
-            }
-            Some(_) => ExchangeOutcome::Broken,
-        },
+    let sent = SentAttempt {
+        // Read before the first byte is written: whoever gets it is of this incarnation or a later one.
+        gate_incarnation: node_state.pool.gate_incarnation(attempt.gate),
+        written_at: Instant::now(),
+        deadline: started + time_left.to_std(),
     };
-    if !matches!(came, ExchangeOutcome::Broken) {
-        node_state.counters.recovered_requests.set(node_state.counters.recovered_requests.get() + 1);
+    let reservation = node_state.body_budget.reservation();
+    let outcome = exchange(&node_state.pool, connection, request, reservation).await;
+    match outcome {
+        ExchangeOutcome::ResponseLost if !attempt.forwarding.is_idempotent => {
+            recover(node_state, attempt, sent).await
+        }
+        _ => outcome,
     }
-    came
 }
 
-/// The hop broke after the request was written: its gate knows what became of it. `None`: nobody there knows.
-async fn ask(
-    node_state: &Rc<NodeState>,
-    asked: &RequestHead,
-    id: &str,
-    bill: &ForwardingHeaders,
-    to: SocketAddr,
-    until: Instant,
-) -> Option<Box<Response>> {
-    let bill = forwarding_headers::write(&ForwardingHeaders { asks: true, ..bill.clone() });
-    let (own, limit) = (node_state.settings.ip.into(), Duration::from_micros(CONNECT as u64));
-    let host = forwarding_headers::ASKED;
-    let bytes = format!("GET / HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: {id}\r\nWaybill: {bill}\r\n\r\n");
-    let mut pause = PAUSE;
-    while Instant::now() < until {
-        let bodiless = asked.method == "HEAD";
-        let order = Order { to, bytes: bytes.as_bytes(), coming: None, awaits: false, id, bodiless };
-        match peer_connection::query_attempt(own, to, limit, order, node_state.stores.share()).await {
-            // A gate that turns hops away at its door knows nothing of the attempt yet.
-            Told::Response(answer) if answer.word.is_some() && answer.life.is_none() => {}
-            Told::Response(answer) => return Some(answer),
-            Told::Gone => return None,
-            Told::Nothing => {}
-        }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(PAUSE_MOST);
-    }
-    None
+fn encode(attempt: &OutgoingAttempt, time_left: Duration, awaits_continue: bool) -> Vec<u8> {
+    let forwarding_headers = forwarding_headers::encode(&attempt.forwarding);
+    let request = ForwardedRequest {
+        head: &attempt.head,
+        time_left,
+        expected_upstream: Some(&attempt.upstream),
+        forwarding_headers: Some(&forwarding_headers),
+        body: &attempt.body,
+        awaits_continue,
+    };
+    request.encode()
 }
--- /dev/null
+++ b/crates/daemon/mesh/src/client_listener/client_connection.rs
@@ -0,0 +1,97 @@
+//! One client's connection: its requests are read one after the other, served and answered.
+use super::client_response::{refuse, DISCARD_TIMEOUT};
+use super::idle_wait::wait_for_request;
+use super::open_request::OpenRequestGuard;
+use super::route::serve;
+use super::streamed_request::serve_streamed;
+use crate::body_buffer::BodyBuffer;
+use crate::node_state::NodeState;
+use crate::wire::{Connection, PeerKind, ReadError, RequestHead};
+use silvercross_net::http::Framing;
+use silvercross_net::stream::Decoder;
+use silvercross_time::Duration;
+use std::rc::Rc;
+use tokio::time::{timeout_at, Instant};
+
+/// No timeout is shorter than this.
+const MIN_TIMEOUT: Duration = Duration::from_micros(1);
+
+/// Serve the requests of a connection until it ends.
+pub(super) async fn serve_connection(node_state: &Rc<NodeState>, mut connection: Connection) {
+    while serve_one(node_state, &mut connection).await {}
+}
+
+/// Serve one request, by the limits in force as it comes; whether another may come.
+async fn serve_one(node_state: &Rc<NodeState>, connection: &mut Connection) -> bool {
+    if !wait_for_request(node_state, connection).await {
+        return false;
+    }
+    let limits = node_state.routing_table().limits();
+    let max_body_bytes = limits.max_body_bytes.min(usize::MAX as u64) as usize;
+    let head_timeout = Duration::from_micros(limits.head_timeout).max(MIN_TIMEOUT).to_std();
+    connection.peer = PeerKind::External(limits.max_head_bytes);
+    let mut head = match connection.read_request_head(head_timeout, head_timeout, max_body_bytes).await {
+        Ok(head) => head,
+        Err(error) => return refuse(connection, error).await,
+    };
+    if head.expects_continue && connection.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
+        return false;
+    }
+    // Clients have no say in what sidecars tell each other.
+    head.forwarding_headers = None;
+    head.expected_upstream = None;
+    head.sender = Some(node_state.settings.destination.clone());
+    let deadline = Instant::now() + head.timeout_or_default().max(MIN_TIMEOUT).to_std();
+    let mut decoder = Decoder::new(head.framing, max_body_bytes);
+    let mut reservation = node_state.body_budget.reservation();
+    let read = connection.read_body_prefix(&mut decoder, head.content_length(), &mut reservation, false);
+    match timeout_at(deadline, read).await.unwrap_or(Err(ReadError::TimedOut)) {
+        Ok(prefix) if prefix.is_complete => {
+            let body = BodyBuffer::complete(prefix.bytes, reservation);
+            serve_buffered(node_state, connection, &head, body).await
+        }
+        Ok(prefix) => {
+            let body = BodyBuffer::streamed(prefix.bytes, head.content_length(), reservation);
+            serve_streamed(node_state, connection, &head, body, &mut decoder, deadline).await
+        }
+        Err(error) => {
+            if matches!(error, ReadError::BodyBudgetExhausted) {
+                let counter = &node_state.counters.rejected_for_memory;
+                counter.set(counter.get() + 1);
+            }
+            refuse(connection, error).await
+        }
+    }
+}
+
+/// Serve a request whose body is here whole; whether another may come.
+async fn serve_buffered(
+    node_state: &Rc<NodeState>,
+    connection: &mut Connection,
+    head: &RequestHead,
+    body: Rc<BodyBuffer>,
+) -> bool {
+    let open = OpenRequestGuard::new(node_state);
+    let mut response = serve(node_state, head, &body).await;
+    drop(body);
+    drop(open);
+    let closes = !head.keep_alive || head.is_http_10 || node_state.stopping();
+    let encoded = response.encode(node_state, head, closes);
+    let closes = closes || encoded.remainder == Some(Framing::UntilClose);
+    if connection.write(&encoded.bytes).await.is_err() {
+        return false;
+    }
+    if let Some(framing) = encoded.remainder {
+        let Some(mut write) = connection.take_write_half() else { return false };
+        let is_complete = response.forward_remainder(node_state, &mut write, framing).await;
+        connection.restore_write_half(write);
+        if !is_complete {
+            connection.reset_on_close();
+            return false;
+        }
+    }
+    if closes {
+        connection.close_gracefully(DISCARD_TIMEOUT).await;
+    }
+    !closes
+}
--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -1,108 +1,117 @@
-//! The way to a request's service: its route, what its member's standing says, and the service drawn from the split.
-use super::reply::Reply;
-use super::run::Run;
+//! The way to a request's service: its route, what its member's throttling says, and the service drawn from the split.
+use super::client_response::ClientResponse;
+use super::request_run::RequestRun;
 use crate::body_buffer::BodyBuffer;
 use crate::member_throttle::{self, ThrottleDecision};
 use crate::node_state::NodeState;
 use crate::wire::RequestHead;
 use silvercross_mesh_config::Route;
+use silvercross_time::Duration;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::time::Instant;
 
-/// Without a configuration a request waits for this part of its deadline, and so long at most, in microseconds.
-const WAIT_DEADLINE: i64 = 25;
-const WAIT_MOST: i64 = 200_000;
-/// Without an upstream it waits for this part of its aim.
-const WAIT_AIM: i64 = 4;
+/// Without a configuration a request waits for this part of its timeout, and so long at most.
+const CONFIGURATION_WAIT_DIVISOR: i64 = 25;
+const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(200);
+/// Without an upstream it waits for this part of its latency target.
+const UPSTREAM_WAIT_DIVISOR: i64 = 4;
+
+/// How long a request may take, and how much of that has passed before it is sent.
+#[derive(Clone, Copy)]
+struct TimeBudget {
+    total: Duration,
+    /// The throttling delay.
+    spent: Duration,
+}
 
 /// Find the route and the service, and have the request served.
 pub(super) async fn serve(
     node_state: &Rc<NodeState>,
-    asked: &RequestHead,
-    body_buffer: &Rc<BodyBuffer>,
-) -> Reply {
-    // A process that has just started knows the configuration and the upstreams within a moment: that is cheaper to wait for
-    // than a client's second try. No longer than a part of what the client, or the aim, allows.
-    let patience = asked.deadline.map_or(0, |d| d / WAIT_DEADLINE).min(WAIT_MOST);
-    node_state.wait_until(patience, || node_state.configured()).await;
+    head: &RequestHead,
+    body: &Rc<BodyBuffer>,
+) -> ClientResponse {
+    // A process that has just started knows the configuration and the upstreams within a moment: waiting for them is cheaper
+    // than a client's retry, as long as it takes only a part of what the client, or the latency target, allows.
+    let max_wait = head.timeout.map_or(Duration::ZERO, |timeout| timeout / CONFIGURATION_WAIT_DIVISOR);
+    let max_wait = max_wait.min(MAX_CONFIGURATION_WAIT);
+    node_state.wait_until(max_wait.as_micros(), || node_state.configured()).await;
     let table = node_state.routing_table();
     if !node_state.configured() {
-        return Reply::promise(503, "no configuration has come yet", None);
+        return ClientResponse::not_run(503, "no configuration has come yet", None);
     }
-    let Some(route) = table.find(&asked.host, &asked.target) else {
-        return Reply::own(404, "no route");
+    let Some(route) = table.find(&head.host, &head.target) else {
+        return ClientResponse::own(404, "no route");
+    };
+    let Some(attempt_id) = &head.attempt_id else {
+        return ClientResponse::own(400, "a request needs an Attempt-Id");
     };
-    let Some(id) = asked.id.clone() else { return Reply::own(400, "a request needs an Attempt-Id") };
-    let budget = asked.deadline.map_or(route.deadline, |d| d.min(route.deadline));
-    let (mut step, mut waited) = (None, 0);
+    let route_timeout = Duration::from_micros(route.deadline);
+    let mut budget = TimeBudget {
+        total: head.timeout.map_or(route_timeout, |timeout| timeout.min(route_timeout)),
+        spent: Duration::ZERO,
+    };
+    let mut step = None;
     if node_state.member_throttle.is_enabled() {
-        match member_throttle::throttle_request(
-            node_state,
-            asked,
-            route,
-            &id,
-            budget,
-            body_buffer.held().len(),
-        )
-        .await
+        let total = budget.total.as_micros();
+        let body_bytes = body.prefix().len();
+        match member_throttle::throttle_request(node_state, head, route, attempt_id, total, body_bytes).await
         {
-            ThrottleDecision::Proceed { standing, delayed } => (step, waited) = (standing, delayed),
+            ThrottleDecision::Proceed { standing, delayed } => {
+                (step, budget.spent) = (standing, Duration::from_micros(delayed));
+            }
             ThrottleDecision::Reject { standing, retry_after } => {
-                let mut reply =
-                    Reply::promise(429, "a lapsed trial's request has too little time", Some(retry_after));
-                member_throttle::set_step_header(&mut reply.lines, Some(standing));
-                return reply;
+                let why = "a lapsed trial's request has too little time";
+                let retry_after = Duration::from_micros(retry_after);
+                let mut response = ClientResponse::not_run(429, why, Some(retry_after));
+                member_throttle::set_step_header(&mut response.lines, Some(standing));
+                return response;
+            }
+            ThrottleDecision::UnknownMember => {
+                return ClientResponse::own(403, "the request names no member")
             }
-            ThrottleDecision::UnknownMember => return Reply::own(403, "the request names no member"),
         }
     }
-    let mut reply = send(node_state, asked, body_buffer, route, id, budget, waited).await;
+    let mut response = send(node_state, head, body, route, budget).await;
     if node_state.member_throttle.is_enabled() {
-        member_throttle::set_step_header(&mut reply.lines, step);
+        member_throttle::set_step_header(&mut response.lines, step);
     }
-    reply
+    response
 }
 
-/// Find the service and have the request served; it waited for so long already.
+/// Find the service and have the request served.
 async fn send(
     node_state: &Rc<NodeState>,
-    asked: &RequestHead,
-    body_buffer: &Rc<BodyBuffer>,
+    head: &RequestHead,
+    body: &Rc<BodyBuffer>,
     route: &Route,
-    id: String,
-    budget: i64,
-    waited: i64,
-) -> Reply {
+    budget: TimeBudget,
+) -> ClientResponse {
     let service = node_state.draw_by_share(&route.split);
-    node_state
-        .wait_until(route.latency_target / WAIT_AIM, || {
-            node_state.service_balancer(&service).is_some_and(|d| d.has_upstreams())
-        })
-        .await;
+    let has_upstreams =
+        || node_state.service_balancer(&service).is_some_and(|balancer| balancer.has_upstreams());
+    node_state.wait_until(route.latency_target / UPSTREAM_WAIT_DIVISOR, has_upstreams).await;
     let Some(service_balancer) = node_state.service_balancer(&service) else {
-        return Reply::promise(503, "no upstream of this service is known", None);
+        return ClientResponse::not_run(503, "no upstream of this service is known", None);
     };
-    if budget <= waited {
-        return Reply::promise(503, "its time is up", None);
+    if budget.total <= budget.spent {
+        return ClientResponse::not_run(503, "its time is up", None);
     }
-    let run = Run {
+    let run = RequestRun {
         node_state: node_state.clone(),
         service_balancer,
-        asked: Rc::new(asked.clone()),
-        body_buffer: body_buffer.clone(),
+        head: Rc::new(head.clone()),
+        body: body.clone(),
         service,
-        id,
         route: route.clone(),
-        started: before(waited),
-        budget,
-        waited,
+        started: before_now(budget.spent),
+        timeout: budget.total,
+        spent_before: budget.spent,
     };
     run.serve().await
 }
 
-/// The moment so many microseconds ago.
-fn before(waited: i64) -> Instant {
+/// The moment this long ago.
+fn before_now(span: Duration) -> Instant {
     let now = Instant::now();
-    now.checked_sub(Duration::from_micros(waited.max(0) as u64)).unwrap_or(now)
+    now.checked_sub(span.to_std()).unwrap_or(now)
 }
--- /dev/null
+++ b/crates/daemon/mesh/src/client_listener/streamed_request.rs
@@ -0,0 +1,79 @@
+//! A client's request whose body is still being received: it is read on while the request is served, no faster than it is
+//! sent on.
+use super::client_response::{refuse, DISCARD_TIMEOUT};
+use super::open_request::OpenRequestGuard;
+use super::route::serve;
+use crate::body_buffer::StreamedBodyBuffer;
+use crate::node_state::NodeState;
+use crate::wire::{Connection, ReadError, RequestHead};
+use silvercross_net::http::Framing;
+use silvercross_net::stream::Decoder;
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::io::AsyncWriteExt;
+use tokio::time::{timeout_at, Instant};
+
+/// How a response went out.
+struct SentResponse {
+    is_complete: bool,
+    closes: bool,
+}
+
+/// Serve a request whose body is streamed; whether another may come. Its body is here by `deadline`.
+pub(super) async fn serve_streamed(
+    node_state: &Rc<NodeState>,
+    connection: &mut Connection,
+    head: &RequestHead,
+    streamed: StreamedBodyBuffer,
+    decoder: &mut Decoder,
+    deadline: Instant,
+) -> bool {
+    let StreamedBodyBuffer { body, writer } = streamed;
+    let Some(mut write) = connection.take_write_half() else { return false };
+    let _open = OpenRequestGuard::new(node_state);
+    let is_responding = Cell::new(false);
+    let ended = {
+        let responding = async {
+            let mut response = serve(node_state, head, &body).await;
+            is_responding.set(true);
+            // Where part of the body was not read, the connection carries nothing more.
+            let closes = !head.keep_alive || head.is_http_10 || node_state.stopping() || !body.is_at_end();
+            let encoded = response.encode(node_state, head, closes);
+            let closes = closes || encoded.remainder == Some(Framing::UntilClose);
+            let is_complete = write.write_all(&encoded.bytes).await.is_ok()
+                && match encoded.remainder {
+                    Some(framing) => response.forward_remainder(node_state, &mut write, framing).await,
+                    None => true,
+                };
+            SentResponse { is_complete, closes }
+        };
+        let receiving = async {
+            writer.wait_until_requested().await;
+            let received = timeout_at(deadline, writer.feed(connection, decoder)).await;
+            match received.unwrap_or(Err(ReadError::TimedOut)) {
+                Err(error) if !is_responding.get() && !matches!(error, ReadError::Closed) => error,
+                _ => std::future::pending().await,
+            }
+        };
+        tokio::select! {
+            sent = responding => Ok(sent),
+            error = receiving => Err(error),
+        }
+    };
+    connection.restore_write_half(write);
+    match ended {
+        Ok(SentResponse { is_complete: false, .. }) => {
+            connection.reset_on_close();
+            false
+        }
+        Ok(SentResponse { closes: true, .. }) => {
+            connection.close_gracefully(DISCARD_TIMEOUT).await;
+            false
+        }
+        Ok(_) => true,
+        // Part of the body may be at an upstream. It is not certain that the request never ran, so nothing is promised
+        // (408 would).
+        Err(ReadError::TimedOut) => false,
+        Err(error) => refuse(connection, error).await,
+    }
+}
--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -344,23 +344,24 @@
 }
 
 async fn one(node_state: &Rc<NodeState>, line: &mut Connection, calls: &[&Call]) -> Next {
-    let asked = match line.request(IDLE, COMES, silvercross_mesh_config::MAX_BODY_BYTES).await {
+    let asked = match line.read_request_head(IDLE, COMES, silvercross_mesh_config::MAX_BODY_BYTES).await {
         Ok(asked) => asked,
-        Err(ReadError::Bad(bad)) => {
+        Err(ReadError::Invalid(bad)) => {
             return refused(line, &bad).await;
         }
         Err(_) => return Next::End,
     };
-    if asked.waits && line.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
+    if asked.expects_continue && line.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
         return Next::End;
     }
-    let body = match timeout(COMES, line.body(asked.framing, silvercross_mesh_config::MAX_BODY_BYTES)).await {
-        Ok(Ok(body)) => body,
-        Ok(Err(ReadError::Bad(bad))) => {
-            return refused(line, &bad).await;
-        }
-        _ => return Next::End,
-    };
+    let body =
+        match timeout(COMES, line.read_body(asked.framing, silvercross_mesh_config::MAX_BODY_BYTES)).await {
+            Ok(Ok(body)) => body,
+            Ok(Err(ReadError::Invalid(bad))) => {
+                return refused(line, &bad).await;
+            }
+            _ => return Next::End,
+        };
     if event_stream::meant(&asked) && find(calls, "GET", STATE.path).is_ok() {
         return Next::EventStream(Box::new(asked), body);
     }
@@ -382,8 +383,7 @@
 async fn refused(line: &mut Connection, bad: &Bad) -> Next {
     let bytes = wire::encode_response(wire::error_status(bad), b"", b"", true, false);
     if line.write(&bytes).await.is_ok() {
-        line.finish().await;
-        line.drain(AFTER).await;
+        line.close_gracefully(AFTER).await;
     }
     Next::End
 }
--- a/crates/daemon/mesh/src/event_stream.rs
+++ b/crates/daemon/mesh/src/event_stream.rs
@@ -345,7 +345,7 @@
             tokio::select! {
                 _ = news => tokio::time::sleep(GATHER).await,
                 // A follower says nothing; if it does, or ends, it is over.
-                _ = line.stirs() => return,
+                _ = line.wait_for_event() => return,
                 _ = node_state.idle_connections_closing() => return,
                 _ = tokio::time::sleep(STILL) => out.push(b'\n'),
             }
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -3,6 +3,7 @@
 //! listings.
 #![forbid(unsafe_code)]
 
+mod body_budget;
 mod body_buffer;
 mod client_listener;
 mod control;
@@ -20,6 +21,7 @@
 mod peers;
 mod rate_limited_log;
 mod reload;
+mod request_encoding;
 mod response_replay_cache;
 mod service_balancer;
 mod settings;
@@ -200,7 +202,7 @@
     tokio::task::spawn_local(Peers::listen(node_state.clone(), links));
     tokio::task::spawn_local(Peers::datagrams(node_state.clone()));
     tokio::task::spawn_local(Peers::tick(node_state.clone()));
-    tokio::task::spawn_local(upstream_gate::UpstreamGate::run_timer(node_state.clone()));
+    tokio::task::spawn_local(upstream_gate::run_timer(node_state.clone()));
     tokio::task::spawn_local(node_state.clone().watch());
     if node_state.settings.core {
         tokio::task::spawn_local(member_throttle::duty(node_state.clone()));
--- a/crates/daemon/mesh/src/member_throttle.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -311,7 +311,7 @@
     let Some(header) = directory.header() else {
         return ThrottleDecision::Proceed { standing: None, delayed: 0 };
     };
-    let member = match directory.identify(values(&asked.lines, header)) {
+    let member = match directory.identify(values(&asked.forwarded_lines, header)) {
         RequestIdentity::Member(member) => member,
         RequestIdentity::Anonymous => return ThrottleDecision::Proceed { standing: None, delayed: 0 },
         RequestIdentity::Reject => return ThrottleDecision::UnknownMember,
--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -2,6 +2,7 @@
 use crate::control_value::ControlValue;
 use crate::node_state::NodeState;
 use crate::peers::RecordBody;
+use crate::service_balancer::UpstreamCounts;
 use serde_json::{json, Value};
 use silvercross_control_store::{ControlStore, Role};
 use silvercross_mesh_membership::{Freshness, NodeRecord};
@@ -10,12 +11,13 @@
 /// The counters, by name.
 pub fn figures(node_state: &NodeState) -> Value {
     let c = &node_state.counters;
+    let replay_cache = node_state.response_replay_cache.load();
     let (out, waiting) = node_state.gate.with_admission(|w| w.load());
     let service_balancers: Vec<Value> = node_state
         .service_balancers()
         .iter()
         .map(|(name, service_balancer)| {
-            let (listed, avoided) = service_balancer.upstream_counts();
+            let UpstreamCounts { listed, avoided } = service_balancer.upstream_counts();
             json!({ "service": name, "listed": listed, "avoided": avoided, "open": service_balancer.open_requests() })
         })
         .collect();
@@ -27,8 +29,8 @@
         "letters": c.frames_sent.get(), "datagrams": c.datagrams_sent.get(), "strangers": c.foreign_messages.get(),
         "gateOut": out, "gateWaiting": waiting, "idle": node_state.pool.idle_count(),
         "asked": c.outcome_queries.get(), "recovered": c.recovered_requests.get(), "orphans": c.orphaned_requests.get(),
-        "receipts": node_state.response_replay_cache.load().0, "keptBytes": node_state.response_replay_cache.load().1,
-        "freshnessAsked": node_state.peers.membership(|r| r.metrics().freshness_requests), "noRoom": c.rejected_for_memory.get(), "heldBytes": node_state.stores.held(), "desks": service_balancers,
+        "receipts": replay_cache.entries, "keptBytes": replay_cache.response_bytes,
+        "freshnessAsked": node_state.peers.membership(|r| r.metrics().freshness_requests), "noRoom": c.rejected_for_memory.get(), "heldBytes": node_state.body_budget.reserved_bytes(), "desks": service_balancers,
         "feed": node_state.event_stream.get().map(|f| f.figures()),
     });
     if let Some(members) = node_state.member_throttle.figures() {
--- a/crates/daemon/mesh/src/node_state.rs
+++ b/crates/daemon/mesh/src/node_state.rs
@@ -11,7 +11,7 @@
 pub use counters::{ConnectionKind, Counters, GaugeGuard};
 pub use own_upstream::Heartbeat;
 
-use crate::body_buffer::BodyBudget;
+use crate::body_budget::BodyBudget;
 use crate::event_stream::EventStream;
 use crate::graceful_stop::GracefulStop;
 use crate::idle_timeout::IdleTimeout;
@@ -60,7 +60,7 @@
     /// Connections kept.
     pub pool: ConnectionPool,
     /// Room for the bodies held here.
-    pub stores: Rc<BodyBudget>,
+    pub body_budget: Rc<BodyBudget>,
     /// What is remembered of requests that may run once.
     pub response_replay_cache: Rc<ResponseReplayCache>,
     /// What stands before the upstream on this machine.
@@ -119,7 +119,7 @@
         let member_throttle =
             MemberThrottle::new(peers.control_store(|l| l.replica_nodes().len() == 1).unwrap_or(false));
         Rc::new(NodeState {
-            stores: BodyBudget::new(settings.memory),
+            body_budget: BodyBudget::new(settings.memory),
             response_replay_cache,
             tickets,
             reloadable: Cell::new(settings.reloadable),
--- a/crates/daemon/mesh/src/node_state/in_force.rs
+++ b/crates/daemon/mesh/src/node_state/in_force.rs
@@ -3,6 +3,7 @@
 use crate::control_value::{ControlValue, CONFIGURATION, EVACUATION};
 use silvercross_mesh_config::{Configuration, RoutingTable};
 use silvercross_mesh_membership::Freshness;
+use silvercross_time::Duration;
 use slog::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -132,7 +133,7 @@
         }
         self.idle_timeout
             .borrow_mut()
-            .set_limit(self.now().as_micros(), self.routing_table().limits().idle_timeout);
+            .set_limit(self.now(), Duration::from_micros(self.routing_table().limits().idle_timeout));
         info!(self.log, "configuration in force"; "round" => revision.0, "change" => revision.2);
         self.allow();
         self.reset_terms();
--- a/crates/daemon/mesh/src/node_state/own_upstream.rs
+++ b/crates/daemon/mesh/src/node_state/own_upstream.rs
@@ -1,6 +1,6 @@
 //! The upstream on this machine: its heartbeats and sign-off, asking its health after a restart, and what its gate is told.
 use super::NodeState;
-use crate::peer_connection;
+use crate::peer_connection::{self, HealthyUpstream};
 use crate::peers::UpstreamRecord;
 use serde::Deserialize;
 use silvercross_admission::{Allowance, Facts};
@@ -198,12 +198,14 @@
                     &node_state.pool,
                     station,
                     &path,
-                    node_state.stores.share(),
+                    node_state.body_budget.reservation(),
                 )
                 .await;
-                if let Some((id, cold)) = told.filter(|_| node_state.own.borrow().is_none()) {
+                if let Some(HealthyUpstream { id, warm_up_left }) =
+                    told.filter(|_| node_state.own.borrow().is_none())
+                {
                     if !node_state.ended.borrow().contains(&id) {
-                        node_state.met(id, cold);
+                        node_state.met(id, warm_up_left.as_micros());
                     }
                     return;
                 }
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -1,6 +1,7 @@
 //! The stop of the process: what is told to the platform and the others, and who waits for which step of it.
 use super::NodeState;
 use crate::graceful_stop::{GracefulStop, Phase};
+use silvercross_time::Instant;
 use slog::info;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,7 +25,7 @@
             self.reloadable.get().bounds.grace.max(0),
         );
         for (_, service_balancer) in self.service_balancers() {
-            service_balancer.answer_by(graceful_stop.answer_by());
+            service_balancer.answer_by(Instant::from_micros(graceful_stop.answer_by()));
         }
         *self.graceful_stop.borrow_mut() = Some(graceful_stop);
         self.member_throttle.release();
--- a/crates/daemon/mesh/src/node_state/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -6,6 +6,7 @@
 use rand_core::RngCore;
 use silvercross_facade::{Health, Host};
 use silvercross_mesh_config::RoutingTable;
+use silvercross_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -90,14 +91,14 @@
         let b = self.reloadable.get().bounds;
         ServiceSettings {
             service,
-            table,
+            routing_table: table,
             zones: &self.settings.zones,
-            zone: &self.settings.zone,
+            own_zone: &self.settings.zone,
             senders,
-            near,
-            drain: b.drain,
-            retry_share: b.retry_ratio * RETRY_PART,
-            retry_cap: b.retry_slack * RETRY_PART / f64::from(senders),
+            senders_in_zone: near,
+            drain_timeout: Duration::from_micros(b.drain),
+            retry_ratio: b.retry_ratio * RETRY_PART,
+            max_saved_retries: b.retry_slack * RETRY_PART / f64::from(senders),
         }
     }
 
@@ -155,7 +156,7 @@
         let service_balancer =
             ServiceBalancer::new(&self.terms(&service, table), hosts, seed, self.clock.clone());
         if let Some(graceful_stop) = &*self.graceful_stop.borrow() {
-            service_balancer.answer_by(graceful_stop.answer_by());
+            service_balancer.answer_by(Instant::from_micros(graceful_stop.answer_by()));
         }
         self.service_balancers.borrow_mut().insert(service, service_balancer);
     }
--- /dev/null
+++ b/crates/daemon/mesh/src/peer_connection/body_sender.rs
@@ -0,0 +1,49 @@
+//! A body that is sent while its response is awaited.
+use crate::body_buffer::BodyBuffer;
+use crate::wire::{write_body_part, LAST_CHUNK};
+use silvercross_net::http::Framing;
+use std::rc::Rc;
+use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::task::JoinHandle;
+
+/// A task that sends a body; it is aborted when this is dropped.
+pub(super) struct BodySender(JoinHandle<Option<OwnedWriteHalf>>);
+
+impl BodySender {
+    /// Begin to send a body on a connection's write half.
+    pub(super) fn spawn(write: OwnedWriteHalf, body: Rc<BodyBuffer>) -> Self {
+        BodySender(tokio::task::spawn_local(send(write, body)))
+    }
+
+    /// The write half, if the whole body has been sent.
+    pub(super) async fn finished(&mut self) -> Option<OwnedWriteHalf> {
+        match self.0.is_finished() {
+            true => (&mut self.0).await.ok().flatten(),
+            false => None,
+        }
+    }
+}
+
+impl Drop for BodySender {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
+
+async fn send(mut write: OwnedWriteHalf, body: Rc<BodyBuffer>) -> Option<OwnedWriteHalf> {
+    let framing = body.framing();
+    let prefix = body.prefix();
+    write_body_part(&mut write, &prefix, framing).await.ok()?;
+    drop(prefix);
+    if let Some(stream) = body.stream() {
+        while let Some(bytes) = stream.next().await.ok()? {
+            body.release_prefix();
+            write_body_part(&mut write, &bytes, framing).await.ok()?;
+        }
+    }
+    if framing == Framing::Chunked {
+        write.write_all(LAST_CHUNK).await.ok()?;
+    }
+    Some(write)
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/peer_connection/health_check.rs
@@ -0,0 +1,54 @@
+//! Asking an upstream for its health.
+use super::exchange::exchange;
+use super::outcome::ExchangeOutcome;
+use super::pool::ConnectionPool;
+use super::request::OutgoingRequest;
+use crate::body_budget::BodyReservation;
+use crate::wire::{PeerKind, MAX_HEAD_BYTES};
+use silvercross_time::Duration;
+use std::net::SocketAddr;
+use tokio::time::timeout;
+
+/// A health check is answered within this, connecting included.
+const HEALTH_CHECK_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
+
+/// What a healthy upstream said of itself.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct HealthyUpstream {
+    /// Its id.
+    pub(crate) id: String,
+    /// How long it is still warming up.
+    pub(crate) warm_up_left: Duration,
+}
+
+/// Ask an upstream for its health; `None` unless it is healthy and states its id.
+pub(crate) async fn check_health(
+    pool: &ConnectionPool,
+    to: SocketAddr,
+    path: &str,
+    reservation: BodyReservation,
+) -> Option<HealthyUpstream> {
+    let peer = PeerKind::External(MAX_HEAD_BYTES);
+    let connection = pool.acquire(None, to, HEALTH_CHECK_TIMEOUT, peer).await.ok()?;
+    let bytes = format!("GET {path} HTTP/1.1\r\nHost: {to}\r\n\r\n");
+    let request = OutgoingRequest {
+        to,
+        bytes: bytes.as_bytes(),
+        body: None,
+        awaits_continue: false,
+        attempt_id: "",
+        is_head_request: false,
+    };
+    match timeout(HEALTH_CHECK_TIMEOUT, exchange(pool, connection, request, reservation)).await {
+        Ok(ExchangeOutcome::Response(received))
+            if received.response.status == 200 && received.remainder.is_none() =>
+        {
+            let response = received.response;
+            Some(HealthyUpstream {
+                id: response.upstream_id?,
+                warm_up_left: response.warm_up_left.unwrap_or(Duration::ZERO),
+            })
+        }
+        _ => None,
+    }
+}
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -56,7 +56,7 @@
         let (node_state, to) = (node_state.clone(), SocketAddr::new(ip(node.0), self.port));
         let from = ip(self.me);
         tokio::task::spawn_local(async move {
-            let ok = peer_connection::connect(Some(from), to, CONNECT).await.is_some();
+            let ok = peer_connection::connect(Some(from), to, CONNECT).await.is_ok();
             node_state.peers.membership.borrow_mut().probe_finished(node_state.now().as_micros(), node, ok);
             node_state.peers.pump(&node_state);
         });
--- a/crates/daemon/mesh/src/peers/link.rs
+++ b/crates/daemon/mesh/src/peers/link.rs
@@ -68,8 +68,8 @@
             let c = &node_state.peers;
             let at = SocketAddr::new(ip(to), c.port);
             match peer_connection::connect(Some(ip(c.me)), at, CONNECT).await {
-                Some(stream) => carry(node_state.clone(), stream, Some(to), None).await,
-                None => {
+                Ok(stream) => carry(node_state.clone(), stream, Some(to), None).await,
+                Err(_) => {
                     if !c.links.borrow().contains_key(&to) {
                         c.down(&node_state, to);
                         c.pump(&node_state);
--- a/crates/daemon/mesh/src/response_replay_cache.rs
+++ b/crates/daemon/mesh/src/response_replay_cache.rs
@@ -1,223 +1,288 @@
-//! What a gate remembers of requests that may run once, so that an origin whose hop broke can ask what became of one: at work, its
-//! answer, or that it was never begun here. A request that was asked for before it came is barred.
+//! What a gate remembers of requests that may run once, so that an origin whose connection broke can ask what became of an
+//! attempt: in progress, its response, or that it was never begun here. An attempt that was asked for before it came is
+//! barred.
+//!
+//! Knows neither connections nor upstreams; `upstream_gate` tells it what happens, and answers queries from it.
 use crate::mutation::{self, Mutation};
 use rand_core::RngCore;
 use silvercross_facade::Clock;
+use silvercross_time::{Duration, Instant};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Requests remembered, those at work too. While there are as many, others are not remembered, and for [`SPAN`] from then on
-/// nothing is said of what is not known.
-const MOST: usize = 65_536;
-/// A request is remembered so long after its end, in microseconds.
-pub const SPAN: i64 = 60_000_000;
-/// Its answer is kept so long, in microseconds, or until the origin has shown that it has it.
-const KEPT: i64 = 10_000_000;
-/// Answers kept; the oldest goes first.
-const ANSWERS: usize = 4096;
-/// Their bytes, as a part of the process's memory.
-pub(crate) const PART: u64 = 32;
-
-/// An answer's bytes as they went on the hop.
+/// Attempts remembered, those in progress too. While there are as many, others are not remembered, and for [`RETENTION`]
+/// from then on nothing is said of unknown attempts.
+const MAX_ENTRIES: usize = 65_536;
+/// An attempt is remembered for this long after its end.
+pub(crate) const RETENTION: Duration = Duration::from_secs(60);
+/// A response is stored for this long, or until the origin has shown that it has it.
+const RESPONSE_RETENTION: Duration = Duration::from_secs(10);
+/// Responses stored; the oldest goes first.
+const MAX_STORED_RESPONSES: usize = 4096;
+/// Stored responses may take this part of the process's memory.
+pub(crate) const MEMORY_DIVISOR: u64 = 32;
+
+/// A response as it was sent to the origin.
 #[derive(Clone)]
-pub struct Kept {
-    /// The bytes.
-    pub bytes: Rc<Vec<u8>>,
-    /// They name this process's life.
-    pub lived: bool,
+pub(crate) struct StoredResponse {
+    /// Its bytes.
+    pub(crate) bytes: Rc<Vec<u8>>,
+    /// They state this process's incarnation.
+    pub(crate) states_incarnation: bool,
 }
 
-enum State {
-    /// It waits or is at the upstream.
-    Working,
-    /// This was answered.
-    Answered(Kept),
-    /// It may have run, and there is no answer (any more).
-    Begun,
+enum EntryState {
+    /// It is pending or at the upstream.
+    InProgress,
+    /// It was answered with this.
+    Responded(StoredResponse),
+    /// It may have run, and there is no response (any more).
+    MayHaveRun,
     /// It was not begun, and will not be.
-    Off,
+    NotRun,
 }
 
-/// What is known of a request.
+/// What is known of an attempt.
 #[derive(Clone)]
-pub enum Known {
-    /// It was answered so.
-    Answered(Kept),
+pub(crate) enum AttemptOutcome {
+    /// It was answered with this.
+    Responded(StoredResponse),
     /// It may have run.
-    Begun,
+    MayHaveRun,
     /// It came, was not begun, and will not be.
-    Off,
-    /// It has not come to this process, and will be turned away if it does.
-    Unseen,
+    NotRun,
+    /// It has not come to this process, and will be rejected if it does.
+    NeverReceived,
+}
+
+/// An attempt must not begin: it was asked for before it came, or is known already. Its origin has gone elsewhere.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct AttemptBarred;
+
+impl fmt::Display for AttemptBarred {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "the attempt is known here already (send it under another replay key)")
+    }
+}
+
+impl std::error::Error for AttemptBarred {}
+
+/// How much is remembered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ReplayCacheLoad {
+    /// Attempts.
+    pub(crate) entries: usize,
+    /// Bytes of stored responses.
+    pub(crate) response_bytes: u64,
+}
+
+/// When something happened to an attempt.
+struct TimedKey {
+    at: Instant,
+    replay_key: u64,
 }
 
-struct Inner {
-    states: BTreeMap<u64, State>,
+struct Entries {
+    states: BTreeMap<u64, EntryState>,
     /// Those that ended, in order.
-    ended: VecDeque<(i64, u64)>,
-    /// Those whose answer is kept, in order; some may have let go of it.
-    kept: VecDeque<(i64, u64)>,
-    bytes: u64,
-    blind_until: i64,
+    ended: VecDeque<TimedKey>,
+    /// Those whose response was stored, in order; some responses may be released already.
+    stored: VecDeque<TimedKey>,
+    stored_bytes: u64,
+    /// Until then an unknown attempt may have been here.
+    incomplete_until: Instant,
 }
 
-/// The receipts of one gate.
-pub struct ResponseReplayCache {
-    /// Tells this process from those before it.
-    pub life: u64,
+/// The attempts that one gate remembers.
+pub(crate) struct ResponseReplayCache {
+    /// Tells this process from those before it at its address.
+    pub(crate) incarnation: u64,
     clock: Clock,
-    most: u64,
-    inner: RefCell<Inner>,
-    ends: Notify,
+    max_stored_bytes: u64,
+    entries: RefCell<Entries>,
+    attempt_ended: Notify,
 }
 
 impl ResponseReplayCache {
-    /// With nothing remembered, for a process of so many bytes of memory.
-    pub fn new(clock: Clock, chance: &mut impl RngCore, memory: u64) -> Rc<Self> {
-        let inner = Inner {
+    /// With nothing remembered, for a process of this many bytes of memory.
+    pub(crate) fn new(clock: Clock, rng: &mut impl RngCore, memory_bytes: u64) -> Rc<Self> {
+        let entries = Entries {
             states: BTreeMap::new(),
             ended: VecDeque::new(),
-            kept: VecDeque::new(),
-            bytes: 0,
-            blind_until: i64::MIN,
+            stored: VecDeque::new(),
+            stored_bytes: 0,
+            incomplete_until: Instant::MIN,
         };
-        let ends = Notify::new();
-        let (life, most, inner) = (chance.next_u64(), memory / PART, RefCell::new(inner));
-        Rc::new(ResponseReplayCache { life, clock, most, inner, ends })
+        Rc::new(ResponseReplayCache {
+            incarnation: rng.next_u64(),
+            clock,
+            max_stored_bytes: memory_bytes / MEMORY_DIVISOR,
+            entries: RefCell::new(entries),
+            attempt_ended: Notify::new(),
+        })
     }
 
-    /// A request has come; `Err` if it was asked for before, or is known already: it must not begin.
-    pub fn enter(self: &Rc<Self>, ticket: u64) -> Result<ReplayEntry, ()> {
-        let now = self.remove_expired();
-        let mut inner = self.inner.borrow_mut();
-        if inner.states.contains_key(&ticket) {
-            return Err(());
+    /// An attempt has come.
+    ///
+    /// # Errors
+    /// [`AttemptBarred`] if it must not begin.
+    pub(crate) fn begin(self: &Rc<Self>, replay_key: u64) -> Result<ReplayEntry, AttemptBarred> {
+        let now = self.expire();
+        let mut entries = self.entries.borrow_mut();
+        if entries.states.contains_key(&replay_key) {
+            return Err(AttemptBarred);
         }
-        let written = inner.states.len() < MOST;
-        if written {
-            inner.states.insert(ticket, State::Working);
+        let is_remembered = entries.states.len() < MAX_ENTRIES;
+        if is_remembered {
+            entries.states.insert(replay_key, EntryState::InProgress);
         } else {
-            inner.blind_until = now + SPAN;
+            entries.incomplete_until = now + RETENTION;
         }
-        Ok(ReplayEntry { all: self.clone(), ticket, written, begun: Cell::new(false) })
+        Ok(ReplayEntry { cache: self.clone(), replay_key, is_remembered, has_begun: Cell::new(false) })
     }
 
-    /// What became of a request; waits for its end while it is at work.
-    pub async fn ask(&self, ticket: u64) -> Known {
+    /// What became of an attempt; waits for its end while it is in progress.
+    pub(crate) async fn query(&self, replay_key: u64) -> AttemptOutcome {
         loop {
-            let ends = self.ends.notified();
-            tokio::pin!(ends);
-            // In line before it is looked at, so that no end is missed.
-            ends.as_mut().enable();
-            let now = self.remove_expired();
-            {
-                let mut inner = self.inner.borrow_mut();
-                match inner.states.get(&ticket) {
-                    Some(State::Working) => {}
-                    Some(State::Answered(kept)) => return Known::Answered(kept.clone()),
-                    Some(State::Begun) => return Known::Begun,
-                    Some(State::Off) => return Known::Off,
-                    None if now < inner.blind_until || inner.states.len() >= MOST => return Known::Begun,
-                    None => {
-                        if mutation::is_active(Mutation::LateStartAllowed) {
-                            return Known::Unseen;
-                        }
-                        // It may still be on its way.
-                        inner.states.insert(ticket, State::Off);
-                        inner.ended.push_back((now, ticket));
-                        return Known::Unseen;
-                    }
-                }
+            let ended = self.attempt_ended.notified();
+            tokio::pin!(ended);
+            // Registered before the state is looked at, so that no end is missed.
+            ended.as_mut().enable();
+            if let Some(outcome) = self.outcome(replay_key) {
+                return outcome;
+            }
+            ended.await;
+        }
+    }
+
+    /// What became of an attempt; `None` while it is in progress. An attempt that is unknown is barred from here on, for it
+    /// may still be on its way.
+    fn outcome(&self, replay_key: u64) -> Option<AttemptOutcome> {
+        let now = self.expire();
+        let mut entries = self.entries.borrow_mut();
+        match entries.states.get(&replay_key) {
+            Some(EntryState::InProgress) => return None,
+            Some(EntryState::Responded(stored)) => return Some(AttemptOutcome::Responded(stored.clone())),
+            Some(EntryState::MayHaveRun) => return Some(AttemptOutcome::MayHaveRun),
+            Some(EntryState::NotRun) => return Some(AttemptOutcome::NotRun),
+            None if now < entries.incomplete_until || entries.states.len() >= MAX_ENTRIES => {
+                return Some(AttemptOutcome::MayHaveRun);
             }
-            ends.await;
+            None => {}
         }
+        if !mutation::is_active(Mutation::LateStartAllowed) {
+            entries.states.insert(replay_key, EntryState::NotRun);
+            entries.ended.push_back(TimedKey { at: now, replay_key });
+        }
+        Some(AttemptOutcome::NeverReceived)
+    }
+
+    /// The origin has shown that it has the response.
+    pub(crate) fn acknowledge(&self, replay_key: u64) {
+        self.entries.borrow_mut().release_response(replay_key);
     }
 
-    /// The origin has shown that it has the answer.
-    pub fn taken(&self, ticket: u64) {
-        self.inner.borrow_mut().let_go(ticket);
+    /// How much is remembered.
+    pub(crate) fn load(&self) -> ReplayCacheLoad {
+        let entries = self.entries.borrow();
+        ReplayCacheLoad { entries: entries.states.len(), response_bytes: entries.stored_bytes }
     }
 
-    /// How many are remembered, and the bytes of their answers.
-    pub fn load(&self) -> (usize, u64) {
-        let inner = self.inner.borrow();
-        (inner.states.len(), inner.bytes)
+    /// Forget what is past its retention.
+    pub(crate) fn remove_expired(&self) {
+        self.expire();
     }
 
-    fn end(&self, ticket: u64, state: State) {
-        let now = self.clock.now();
+    fn end(&self, replay_key: u64, state: EntryState) {
+        let at = self.now();
         {
-            let mut inner = self.inner.borrow_mut();
-            if let State::Answered(kept) = &state {
-                inner.bytes += kept.bytes.len() as u64;
-                inner.kept.push_back((now, ticket));
+            let mut entries = self.entries.borrow_mut();
+            if let EntryState::Responded(stored) = &state {
+                entries.stored_bytes += stored.bytes.len() as u64;
+                entries.stored.push_back(TimedKey { at, replay_key });
             }
-            inner.states.insert(ticket, state);
-            inner.ended.push_back((now, ticket));
-            while inner.bytes > self.most || inner.kept.len() > ANSWERS {
-                let Some((_, oldest)) = inner.kept.pop_front() else { break };
-                inner.let_go(oldest);
+            entries.states.insert(replay_key, state);
+            entries.ended.push_back(TimedKey { at, replay_key });
+            while entries.stored_bytes > self.max_stored_bytes || entries.stored.len() > MAX_STORED_RESPONSES
+            {
+                let Some(oldest) = entries.stored.pop_front() else { break };
+                entries.release_response(oldest.replay_key);
             }
         }
-        self.ends.notify_waiters();
+        self.attempt_ended.notify_waiters();
     }
 
-    /// Forget what is old enough; the time it is.
-    pub fn remove_expired(&self) -> i64 {
-        let now = self.clock.now();
-        let mut inner = self.inner.borrow_mut();
-        while let Some((_, ticket)) = inner.kept.pop_front_if(|k| k.0 + KEPT <= now) {
-            inner.let_go(ticket);
+    /// Forget what is past its retention; the present instant.
+    fn expire(&self) -> Instant {
+        let now = self.now();
+        let mut entries = self.entries.borrow_mut();
+        while let Some(stored) = entries.stored.pop_front_if(|s| s.at + RESPONSE_RETENTION <= now) {
+            entries.release_response(stored.replay_key);
         }
-        let span = if mutation::is_active(Mutation::ReplayEntryForgotten) { 0 } else { SPAN };
-        while let Some((_, ticket)) = inner.ended.pop_front_if(|e| e.0 + span <= now) {
-            inner.let_go(ticket);
-            inner.states.remove(&ticket);
+        let retention = match mutation::is_active(Mutation::ReplayEntryForgotten) {
+            true => Duration::ZERO,
+            false => RETENTION,
+        };
+        while let Some(ended) = entries.ended.pop_front_if(|e| e.at + retention <= now) {
+            entries.release_response(ended.replay_key);
+            entries.states.remove(&ended.replay_key);
         }
         now
     }
+
+    fn now(&self) -> Instant {
+        Instant::from_micros(self.clock.now())
+    }
 }
 
-impl Inner {
-    fn let_go(&mut self, ticket: u64) {
-        if let Some(state @ State::Answered(_)) = self.states.get_mut(&ticket) {
-            if let State::Answered(kept) = std::mem::replace(state, State::Begun) {
-                self.bytes -= kept.bytes.len() as u64;
+impl Entries {
+    fn release_response(&mut self, replay_key: u64) {
+        if let Some(state @ EntryState::Responded(_)) = self.states.get_mut(&replay_key) {
+            if let EntryState::Responded(stored) = std::mem::replace(state, EntryState::MayHaveRun) {
+                self.stored_bytes -= stored.bytes.len() as u64;
             }
         }
     }
 }
 
-/// One request's entry. Dropped without an answer it says whether it may have run.
-pub struct ReplayEntry {
-    all: Rc<ResponseReplayCache>,
-    /// The request's ticket.
-    pub ticket: u64,
-    written: bool,
-    begun: Cell<bool>,
+/// One attempt's entry. Dropped without a response it records whether the attempt may have run.
+pub(crate) struct ReplayEntry {
+    cache: Rc<ResponseReplayCache>,
+    replay_key: u64,
+    is_remembered: bool,
+    has_begun: Cell<bool>,
 }
 
 impl ReplayEntry {
-    /// From now on it may have run.
-    pub fn begun(&self) {
-        self.begun.set(true);
+    /// The attempt's replay key.
+    pub(crate) fn replay_key(&self) -> u64 {
+        self.replay_key
+    }
+
+    /// From now on the attempt may have run.
+    pub(crate) fn set_begun(&self) {
+        self.has_begun.set(true);
     }
 
-    /// It was answered so.
-    pub fn answered(mut self, kept: Kept) {
-        if std::mem::take(&mut self.written) {
-            self.all.end(self.ticket, State::Answered(kept));
+    /// Record the response that is sent.
+    pub(crate) fn set_response(mut self, response: StoredResponse) {
+        if std::mem::take(&mut self.is_remembered) {
+            self.cache.end(self.replay_key, EntryState::Responded(response));
         }
     }
 }
 
 impl Drop for ReplayEntry {
     fn drop(&mut self) {
-        if self.written {
-            let state = if self.begun.get() { State::Begun } else { State::Off };
-            self.all.end(self.ticket, state);
+        if self.is_remembered {
+            let state = match self.has_begun.get() {
+                true => EntryState::MayHaveRun,
+                false => EntryState::NotRun,
+            };
+            self.cache.end(self.replay_key, state);
         }
     }
 }
--- a/crates/daemon/mesh/src/tests/data_path.rs
+++ b/crates/daemon/mesh/src/tests/data_path.rs
@@ -209,14 +209,14 @@
                 .expect("a connection");
             let (mut other, _) = listener.accept().expect("a connection");
             let line = Connection::new(stream, PeerKind::Sidecar);
-            assert!(line.is_fresh());
+            assert!(line.is_reusable());
             // No await from here on: the reactor has no chance to hear of it.
             if closes {
                 drop(other);
             } else {
                 other.write_all(b"X").expect("written");
             }
-            assert!(!line.is_fresh(), "closes: {closes}");
+            assert!(!line.is_reusable(), "closes: {closes}");
         }
     });
 }
@@ -250,11 +250,12 @@
 fn an_unreadable_attempt_query_is_answered_may_have_run() {
     support::run(async {
         let (_, gate, _) = mesh(&[]).await;
-        for (host, want) in [("gate", GateStatus::Begun), ("h", GateStatus::Absent)] {
+        for (host, want) in [("gate", GateStatus::MayHaveRun), ("h", GateStatus::Unavailable)] {
             let mut hop = TestConnection::to(gate.inbound).await;
             let text = format!("GET / HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: a\r\nWaybill: ffff\r\n\r\n");
             hop.say(text.as_bytes()).await;
-            let word = value(&hop.head().await, "waybill-return").and_then(|t| forwarding_headers::read(&t));
+            let word =
+                value(&hop.head().await, "waybill-return").and_then(|t| forwarding_headers::decode(&t));
             assert_eq!(word, Some(want), "{host}");
         }
     });
--- a/crates/daemon/mesh/src/tests/idle_timeout.rs
+++ b/crates/daemon/mesh/src/tests/idle_timeout.rs
@@ -1,6 +1,7 @@
 //! How long clients' connections may be idle, also while the limit changes.
-use crate::idle_timeout::{line, IdleTimeout, LATE};
+use crate::idle_timeout::{keep_alive_header, IdleTimeout, CLOSE_DELAY};
 use crate::tests::support::{self, SidecarOptions, TestConnection};
+use silvercross_time::{Duration, Instant};
 
 const S: i64 = 1_000_000;
 
@@ -20,11 +21,20 @@
     ];
     for (n, (set, now, span)) in cases.into_iter().enumerate() {
         let mut idle_timeout = IdleTimeout::default();
-        set.iter().for_each(|(at, idle)| idle_timeout.set_limit(*at, *idle));
-        assert_eq!(idle_timeout.span(now, 60 * S), span + LATE, "case {n}");
+        set.iter().for_each(|(at, idle)| {
+            idle_timeout.set_limit(Instant::from_micros(*at), Duration::from_micros(*idle));
+        });
+        assert_eq!(
+            idle_timeout.close_after(Instant::from_micros(now), Duration::from_micros(60 * S)),
+            Duration::from_micros(span) + CLOSE_DELAY,
+            "case {n}"
+        );
     }
     for (idle, said) in [(None, None), (Some(900_000), None), (Some(15_700_000), Some(15))] {
-        assert_eq!(line(idle), said.map(|s| format!("Keep-Alive: timeout={s}\r\n")));
+        assert_eq!(
+            keep_alive_header(idle.map(Duration::from_micros)),
+            said.map(|s| format!("Keep-Alive: timeout={s}\r\n"))
+        );
     }
 }
 
--- a/crates/daemon/mesh/src/tests/large_bodies.rs
+++ b/crates/daemon/mesh/src/tests/large_bodies.rs
@@ -40,7 +40,7 @@
             let (sent, back) = (bytes(LARGE), bytes(LARGE - 77));
             let most = Rc::new(Cell::new(0));
             let (stores, peak, answer) = (
-                [origin.node_state.stores.clone(), gate.node_state.stores.clone()],
+                [origin.node_state.body_budget.clone(), gate.node_state.body_budget.clone()],
                 most.clone(),
                 back.clone(),
             );
@@ -49,7 +49,7 @@
                 let mut talk = TestConnection::over(stream);
                 let head = talk.head().await;
                 let (body, whole) = talk.body(&head).await;
-                peak.set(stores.iter().map(|s| s.held()).max().unwrap_or(0));
+                peak.set(stores.iter().map(|s| s.reserved_bytes()).max().unwrap_or(0));
                 let framing = match chunked {
                     true => "Transfer-Encoding: chunked\r\n".to_string(),
                     false => format!("Content-Length: {}\r\n", answer.len()),
@@ -60,7 +60,7 @@
                         talk.say(format!("{:x}\r\n", piece.len()).as_bytes()).await;
                     }
                     talk.say(piece).await;
-                    peak.set(peak.get().max(stores.iter().map(|s| s.held()).max().unwrap_or(0)));
+                    peak.set(peak.get().max(stores.iter().map(|s| s.reserved_bytes()).max().unwrap_or(0)));
                     if chunked {
                         talk.say(b"\r\n").await;
                     }
@@ -98,7 +98,13 @@
             // The same connection serves on.
             client.say(format!("GET /none HTTP/1.1\r\nHost: h\r\n{ID}\r\n").as_bytes()).await;
             assert_eq!(status(&client.head().await), "404");
-            assert_eq!((origin.node_state.stores.held(), gate.node_state.stores.held()), (0, 0));
+            assert_eq!(
+                (
+                    origin.node_state.body_budget.reserved_bytes(),
+                    gate.node_state.body_budget.reserved_bytes()
+                ),
+                (0, 0)
+            );
         }
     });
 }
@@ -135,7 +141,8 @@
         }
         upstream.await.expect("it ends");
         assert!(
-            first.node_state.stores.held() == 0 && second.node_state.counters.delivered_requests.get() == 4
+            first.node_state.body_budget.reserved_bytes() == 0
+                && second.node_state.counters.delivered_requests.get() == 4
         );
     });
 }
@@ -204,7 +211,10 @@
             assert_eq!(closed, n > 100_000, "{head}");
         }
         assert_eq!(
-            (origin.node_state.counters.rejected_for_memory.get(), origin.node_state.stores.held()),
+            (
+                origin.node_state.counters.rejected_for_memory.get(),
+                origin.node_state.body_budget.reserved_bytes()
+            ),
             (1, 0)
         );
     });
--- a/crates/daemon/mesh/src/tests/response_replay.rs
+++ b/crates/daemon/mesh/src/tests/response_replay.rs
@@ -1,5 +1,7 @@
 //! Requests that may run once, and what a gate remembers of them for origins whose connection broke.
-use crate::response_replay_cache::{Kept, Known, ResponseReplayCache, PART};
+use crate::response_replay_cache::{
+    AttemptOutcome, ReplayCacheLoad, ResponseReplayCache, StoredResponse, MEMORY_DIVISOR,
+};
 use crate::tests::support::{self, stamped, status, Relay, Sidecar, SidecarOptions, TestConnection, Way};
 use rand_core::SeedableRng;
 use std::cell::RefCell;
@@ -164,18 +166,18 @@
     support::run(async {
         let m = mesh().await;
         let bill = crate::forwarding_headers::ForwardingHeaders {
-            version: crate::forwarding_headers::VERSION,
+            version: crate::forwarding_headers::ENCODING_VERSION,
             service: "quotes".into(),
-            further: false,
+            is_retry: false,
             priority: 1,
-            repeatable: false,
-            aim: 1_000_000,
-            ticket: 9,
-            asks: false,
+            is_idempotent: false,
+            latency_target: silvercross_time::Duration::from_secs(1),
+            replay_key: 9,
+            is_query: false,
         };
         let ask = |asks: bool| {
-            let bill = crate::forwarding_headers::write(&crate::forwarding_headers::ForwardingHeaders {
-                asks,
+            let bill = crate::forwarding_headers::encode(&crate::forwarding_headers::ForwardingHeaders {
+                is_query: asks,
                 ..bill.clone()
             });
             format!("GET /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: d\r\nWaybill: {bill}\r\n\r\n")
@@ -190,10 +192,11 @@
         let mut asking = TestConnection::to(m.gate.inbound).await;
         asking.say(ask(true).as_bytes()).await;
         let head = asking.head().await;
-        let word = support::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
+        let word =
+            support::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::decode(&t));
         assert_eq!(
             (word, m.gate.node_state.counters.orphaned_requests.get()),
-            (Some(crate::forwarding_headers::GateStatus::Begun), 0)
+            (Some(crate::forwarding_headers::GateStatus::MayHaveRun), 0)
         );
     });
 }
@@ -202,22 +205,24 @@
 fn stored_responses_stay_within_their_limit_and_evicted_ones_may_have_run() {
     support::run(async {
         let clock = silvercross_facade::Clock::system();
-        let all = ResponseReplayCache::new(clock, &mut rand_pcg::Pcg64Mcg::seed_from_u64(1), 100 * PART);
+        let all =
+            ResponseReplayCache::new(clock, &mut rand_pcg::Pcg64Mcg::seed_from_u64(1), 100 * MEMORY_DIVISOR);
         for ticket in 1..=3 {
-            let replay_entry = all.enter(ticket).unwrap_or_else(|()| panic!("known"));
-            replay_entry.begun();
-            replay_entry.answered(Kept { bytes: Rc::new(vec![0; 40]), lived: false });
+            let replay_entry = all.begin(ticket).expect("not known");
+            replay_entry.set_begun();
+            replay_entry
+                .set_response(StoredResponse { bytes: Rc::new(vec![0; 40]), states_incarnation: false });
         }
-        assert_eq!(all.load(), (3, 80));
-        assert!(matches!(all.ask(1).await, Known::Begun));
-        assert!(matches!(all.ask(3).await, Known::Answered(_)));
-        all.taken(3);
-        assert!(matches!(all.ask(3).await, Known::Begun));
-        assert!(all.enter(2).is_err());
-        drop(all.enter(4).unwrap_or_else(|()| panic!("known")));
-        assert!(matches!(all.ask(4).await, Known::Off));
-        assert!(matches!(all.ask(5).await, Known::Unseen));
-        assert!(all.enter(5).is_err());
-        assert_eq!(all.load(), (5, 40));
+        assert_eq!(all.load(), ReplayCacheLoad { entries: 3, response_bytes: 80 });
+        assert!(matches!(all.query(1).await, AttemptOutcome::MayHaveRun));
+        assert!(matches!(all.query(3).await, AttemptOutcome::Responded(_)));
+        all.acknowledge(3);
+        assert!(matches!(all.query(3).await, AttemptOutcome::MayHaveRun));
+        assert!(all.begin(2).is_err());
+        drop(all.begin(4).expect("not known"));
+        assert!(matches!(all.query(4).await, AttemptOutcome::NotRun));
+        assert!(matches!(all.query(5).await, AttemptOutcome::NeverReceived));
+        assert!(all.begin(5).is_err());
+        assert_eq!(all.load(), ReplayCacheLoad { entries: 5, response_bytes: 40 });
     });
 }
--- a/crates/daemon/mesh/src/tests/support/mod.rs
+++ b/crates/daemon/mesh/src/tests/support/mod.rs
@@ -119,7 +119,7 @@
     let node_state = NodeState::new(settings, Logger::root(Discard, o!()), gate, peers, clock, chance);
     tokio::task::spawn_local(client_listener::listen(node_state.clone(), outer));
     tokio::task::spawn_local(upstream_gate::listen(node_state.clone(), inner));
-    tokio::task::spawn_local(upstream_gate::UpstreamGate::run_timer(node_state.clone()));
+    tokio::task::spawn_local(upstream_gate::run_timer(node_state.clone()));
     let items = format!(
         "{{\"deliver\":{{\"destinations\":[{{\"name\":\"{SERVICE}\",\"healthPath\":\"/health\",\"lineCap\":50,\"coldS\":0,\
          \"coldRateS\":0,\"edition\":1}}],\"sizeLimits\":{{\"envelopeBytes\":16384,\"contentBytes\":268435456,\"envelopeS\":3,\
--- a/crates/daemon/mesh/src/tests/upstream_gate.rs
+++ b/crates/daemon/mesh/src/tests/upstream_gate.rs
@@ -42,7 +42,7 @@
     support::run(async {
         let (_, at) = support::station().await;
         let terms = SidecarOptions {
-            descriptors: 2 * crate::upstream_gate::CONNECTIONS,
+            descriptors: 2 * crate::upstream_gate::SIDECAR_CONNECTION_DIVISOR,
             ..SidecarOptions::default()
         };
         let gate = support::sidecar(2, at, terms).await;
@@ -57,8 +57,12 @@
         }
         let mut three = TestConnection::to(gate.inbound).await;
         let head = three.head().await;
-        let word = support::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::read(&t));
-        assert_eq!(word, Some(crate::forwarding_headers::GateStatus::Full(crate::upstream_gate::NO_ROOM)));
+        let word =
+            support::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::decode(&t));
+        assert_eq!(
+            word,
+            Some(crate::forwarding_headers::GateStatus::Overloaded(crate::upstream_gate::MEMORY_RETRY_AFTER))
+        );
         assert_eq!((counters.hop_connections.get(), counters.rejected_hops.get()), (2, 1));
         drop(one);
         while counters.hop_connections.get() > 1 {
--- /dev/null
+++ b/crates/daemon/mesh/src/upstream_gate/admission.rs
@@ -0,0 +1,97 @@
+//! A request's admission: asked for, waited for, and returned when the request ends.
+use super::counting::count_rejection;
+use super::delivery_request::Delivery;
+use super::limits::PENDING_TIME_DIVISOR;
+use super::responses::gate_status;
+use crate::forwarding_headers::GateStatus;
+use crate::node_state::NodeState;
+use silvercross_admission::{Arrival, Verdict};
+use silvercross_time::Duration;
+use std::rc::Rc;
+
+/// An admitted request; its place is returned when this is dropped, however the request ends.
+pub(super) struct AdmittedRequest {
+    node_state: Rc<NodeState>,
+    /// The request's number at the controller.
+    pub(super) number: u64,
+}
+
+impl Drop for AdmittedRequest {
+    fn drop(&mut self) {
+        let (now, number) = (self.node_state.now().as_micros(), self.number);
+        self.node_state.gate.with_admission(|admission| admission.done(now, number));
+    }
+}
+
+/// A pending request; dropped before its decision it has been given up by its origin.
+struct PendingRequest<'p> {
+    node_state: &'p NodeState,
+    number: u64,
+    is_pending: bool,
+}
+
+impl Drop for PendingRequest<'_> {
+    fn drop(&mut self) {
+        if self.is_pending {
+            let (now, number) = (self.node_state.now().as_micros(), self.number);
+            self.node_state.gate.remove_pending(number);
+            self.node_state.gate.with_admission(|admission| admission.gone(now, number));
+        }
+    }
+}
+
+/// For how long a request may be pending here.
+pub(super) fn max_pending_time(latency_target: Duration) -> Duration {
+    latency_target / PENDING_TIME_DIVISOR
+}
+
+/// Ask for a request's admission, and wait for it where it is pending.
+///
+/// # Errors
+/// The status for the origin.
+pub(super) async fn admit(
+    node_state: &Rc<NodeState>,
+    delivery: &Delivery<'_>,
+    attempt_id: &str,
+) -> Result<AdmittedRequest, GateStatus> {
+    let number = node_state.gate.take_number();
+    let (forwarding, timeout) = (delivery.forwarding, delivery.timeout);
+    let patience =
+        max_pending_time(forwarding.latency_target).clamp(Duration::ZERO, timeout.max(Duration::ZERO));
+    let arrival = Arrival {
+        number,
+        id: attempt_id.to_string(),
+        expects: delivery.expected_upstream.map(str::to_string),
+        service: forwarding.service.clone(),
+        priority: forwarding.priority,
+        repeatable: forwarding.is_idempotent,
+        further: forwarding.is_retry,
+        aim: forwarding.latency_target.as_micros(),
+        patience: patience.as_micros(),
+        deadline: timeout.as_micros(),
+    };
+    let now = node_state.now().as_micros();
+    let mut reply = node_state.gate.add_pending(number);
+    match node_state.gate.with_admission(|admission| admission.arrive(now, arrival)) {
+        Verdict::Go => node_state.gate.remove_pending(number),
+        Verdict::Turn { why, retry_after } => {
+            node_state.gate.remove_pending(number);
+            count_rejection(node_state);
+            return Err(gate_status(why, retry_after));
+        }
+        Verdict::Wait => {
+            let mut pending = PendingRequest { node_state, number, is_pending: true };
+            let decision = (&mut reply).await;
+            pending.is_pending = false;
+            match decision {
+                Ok(Ok(())) => {}
+                Ok(Err(status)) => {
+                    count_rejection(node_state);
+                    return Err(status);
+                }
+                Err(_) => return Err(GateStatus::Unavailable),
+            }
+        }
+    }
+    Ok(AdmittedRequest { node_state: node_state.clone(), number })
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/upstream_gate/listener.rs
@@ -0,0 +1,72 @@
+//! Accepts connections of other sidecars, or tells them to go elsewhere.
+use super::limits::{
+    ACCEPT_RETRY_DELAY, DISCARD_TIMEOUT, MAX_CONCURRENT_REJECTIONS, MEMORY_RETRY_AFTER,
+    SIDECAR_CONNECTION_DIVISOR,
+};
+use super::sidecar_connection::serve_connection;
+use crate::forwarding_headers::{self, GateStatus};
+use crate::node_state::{ConnectionKind, GaugeGuard, NodeState};
+use crate::peer_connection::set_liveness_options;
+use crate::wire::header_names::GATE_STATUS;
+use crate::wire::{encode_response, Connection, PeerKind};
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+
+/// Accept connections of other sidecars, for as long as the process lives.
+pub(crate) async fn listen(node_state: Rc<NodeState>, listener: TcpListener) {
+    let rejections = Rc::new(Cell::new(0));
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+            continue;
+        };
+        set_liveness_options(&stream);
+        if !make_room(&node_state) {
+            node_state.reject_connection(ConnectionKind::Inbound);
+            if rejections.get() < MAX_CONCURRENT_REJECTIONS {
+                rejections.set(rejections.get() + 1);
+                let rejections = rejections.clone();
+                tokio::task::spawn_local(async move {
+                    reject(stream).await;
+                    rejections.set(rejections.get() - 1);
+                });
+            }
+            continue;
+        }
+        let node_state = node_state.clone();
+        let gauge = GaugeGuard::new(&node_state, |counters| &counters.hop_connections);
+        tokio::task::spawn_local(async move {
+            let _gauge = gauge;
+            serve_connection(&node_state, Connection::new(stream, PeerKind::Sidecar)).await;
+        });
+    }
+}
+
+/// Whether another connection may be taken; where all are in use, the one that has been idle for longest is closed for it.
+fn make_room(node_state: &NodeState) -> bool {
+    let counters = &node_state.counters;
+    let open = counters.hop_connections.get();
+    let evicting = node_state.gate.evictions_pending.get();
+    let max_open = (node_state.settings.descriptors / SIDECAR_CONNECTION_DIVISOR).max(1);
+    if open - evicting.min(open) < max_open {
+        return true;
+    }
+    if counters.idle_hop_connections.get() > evicting {
+        node_state.gate.evictions_pending.set(evicting + 1);
+        node_state.gate.evict_idle.notify_one();
+        return true;
+    }
+    false
+}
+
+/// Tell a sidecar to go elsewhere. Nothing is read of its connection before, so nothing was begun.
+async fn reject(stream: TcpStream) {
+    let mut connection = Connection::new(stream, PeerKind::Sidecar);
+    let status = forwarding_headers::encode(&GateStatus::Overloaded(MEMORY_RETRY_AFTER));
+    let lines = format!("{GATE_STATUS}: {status}\r\n");
+    let bytes = encode_response(503, lines.as_bytes(), b"", true, false);
+    if connection.write(&bytes).await.is_ok() {
+        connection.close_gracefully(DISCARD_TIMEOUT).await;
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/upstream_gate/timer.rs
@@ -0,0 +1,24 @@
+//! Calls the admission controller when its time comes.
+use crate::node_state::NodeState;
+use silvercross_time::Duration;
+use std::rc::Rc;
+
+/// The controller is called at least this often.
+const MAX_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Let the controller's time pass, for as long as the process lives.
+pub(crate) async fn run_timer(node_state: Rc<NodeState>) {
+    loop {
+        let now = node_state.now().as_micros();
+        let interval = node_state.gate.next_deadline().map_or(MAX_INTERVAL, |deadline| {
+            Duration::from_micros(deadline - now).clamp(Duration::ZERO, MAX_INTERVAL)
+        });
+        tokio::select! {
+            _ = tokio::time::sleep(interval.to_std()) => {
+                let now = node_state.now().as_micros();
+                node_state.gate.with_admission(|admission| admission.tick(now));
+            }
+            _ = node_state.gate.deadline_changed.notified() => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/wire/connection.rs
@@ -0,0 +1,166 @@
+//! One TCP connection: its two halves, the bytes received but not parsed yet, whether it can be reused, and its end.
+//!
+//! Knows no message: those are read in `reading.rs` and encoded in `writing.rs`.
+use super::PeerKind;
+use crate::mutation::{self, Mutation};
+use bytes::BytesMut;
+use std::io;
+use std::mem::MaybeUninit;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+/// Room made for one read.
+const READ_BYTES: usize = 16 * 1024;
+/// Input that is read away before a close; more is left unread.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+
+#[derive(Debug)]
+enum Halves {
+    /// Both are here.
+    Joined(TcpStream),
+    /// The write half was taken out.
+    ReadOnly(OwnedReadHalf),
+    /// Neither: while halves are exchanged, and after a failed reunion.
+    Taken,
+}
+
+/// A connection and what was received on it that is not parsed yet.
+#[derive(Debug)]
+pub(crate) struct Connection {
+    halves: Halves,
+    pub(super) received: BytesMut,
+    /// Who is at its other end.
+    pub(crate) peer: PeerKind,
+}
+
+/// What happened on a connection that was waited on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ConnectionEvent {
+    /// Bytes were received.
+    Received,
+    /// The other end closed in order.
+    Closed,
+    /// The connection broke.
+    Broken,
+}
+
+impl Connection {
+    /// Over a stream that is connected.
+    pub(crate) fn new(stream: TcpStream, peer: PeerKind) -> Self {
+        let _ = stream.set_nodelay(true);
+        Connection { halves: Halves::Joined(stream), received: BytesMut::new(), peer }
+    }
+
+    /// Whether an idle connection can carry another request: nothing was received that was not asked for, and the other
+    /// end has not closed. The system is asked, not the reactor, which knows only what had arrived when it last looked.
+    pub(crate) fn is_reusable(&self) -> bool {
+        let Halves::Joined(stream) = &self.halves else { return false };
+        if mutation::is_active(Mutation::SurplusBytesKept) {
+            return true;
+        }
+        let mut byte = [MaybeUninit::uninit(); 1];
+        let peeked = socket2::SockRef::from(stream).peek(&mut byte);
+        self.received.is_empty() && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// Whether bytes were received behind the last message.
+    pub(crate) fn has_unread_bytes(&self) -> bool {
+        !self.received.is_empty() && !mutation::is_active(Mutation::SurplusBytesKept)
+    }
+
+    /// Whether both halves are here.
+    pub(crate) fn has_both_halves(&self) -> bool {
+        matches!(self.halves, Halves::Joined(_))
+    }
+
+    /// Take the write half out, so that both directions can proceed at the same time; `None` if it is not here.
+    pub(crate) fn take_write_half(&mut self) -> Option<OwnedWriteHalf> {
+        match std::mem::replace(&mut self.halves, Halves::Taken) {
+            Halves::Joined(stream) => {
+                let (read, write) = stream.into_split();
+                self.halves = Halves::ReadOnly(read);
+                Some(write)
+            }
+            other => {
+                self.halves = other;
+                None
+            }
+        }
+    }
+
+    /// Put the write half back.
+    pub(crate) fn restore_write_half(&mut self, write: OwnedWriteHalf) {
+        if let Halves::ReadOnly(read) = std::mem::replace(&mut self.halves, Halves::Taken) {
+            self.halves = read.reunite(write).map_or(Halves::Taken, Halves::Joined);
+        }
+    }
+
+    /// Receive bytes behind those that are here; 0: the other end has closed.
+    pub(super) async fn receive(&mut self) -> io::Result<usize> {
+        self.received.reserve(READ_BYTES);
+        match &mut self.halves {
+            Halves::Joined(stream) => stream.read_buf(&mut self.received).await,
+            Halves::ReadOnly(read) => read.read_buf(&mut self.received).await,
+            Halves::Taken => Err(io::ErrorKind::NotConnected.into()),
+        }
+    }
+
+    /// Wait until bytes are received, which are kept, or the connection ends.
+    pub(crate) async fn wait_for_event(&mut self) -> ConnectionEvent {
+        match self.receive().await {
+            Ok(0) => ConnectionEvent::Closed,
+            Ok(_) => ConnectionEvent::Received,
+            Err(_) => ConnectionEvent::Broken,
+        }
+    }
+
+    /// Wait for the first byte of a request; `false`: none came in time, or the connection ended.
+    pub(crate) async fn wait_for_bytes(&mut self, idle_timeout: Duration) -> bool {
+        !self.received.is_empty() || matches!(timeout(idle_timeout, self.receive()).await, Ok(Ok(n)) if n > 0)
+    }
+
+    /// Write bytes; both halves have to be here.
+    ///
+    /// # Errors
+    /// Those of the socket, and `NotConnected` while the write half is out.
+    pub(crate) async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
+        match &mut self.halves {
+            Halves::Joined(stream) => stream.write_all(bytes).await,
+            Halves::ReadOnly(_) | Halves::Taken => Err(io::ErrorKind::NotConnected.into()),
+        }
+    }
+
+    /// Have the next close reset the connection: what was written can't be taken for complete.
+    pub(crate) fn reset_on_close(&mut self) {
+        if let Halves::Joined(stream) = &self.halves {
+            let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
+        }
+    }
+
+    /// Close the write half in order.
+    pub(crate) async fn shut_down_writing(&mut self) {
+        if let Halves::Joined(stream) = &mut self.halves {
+            let _ = stream.shutdown().await;
+        }
+    }
+
+    /// Close in order behind a last message: input is read away for at most this long, as a close with bytes unread
+    /// resets the connection, and the other end could lose the message.
+    pub(crate) async fn close_gracefully(&mut self, discard_timeout: Duration) {
+        self.shut_down_writing().await;
+        let read = async {
+            let mut left = MAX_DISCARDED_BYTES;
+            while let Ok(n) = self.receive().await {
+                self.received.clear();
+                if n == 0 || left < n {
+                    break;
+                }
+                left -= n;
+            }
+        };
+        let _ = timeout(discard_timeout, read).await;
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/wire/error.rs
@@ -0,0 +1,53 @@
+//! Why a message could not be read from a connection.
+use silvercross_net::http::Bad;
+use std::fmt;
+use std::io;
+
+/// Why a message could not be read.
+#[derive(Debug)]
+pub(crate) enum ReadError {
+    /// The connection ended between two messages.
+    Closed,
+    /// It ended, or broke, within a message.
+    Interrupted,
+    /// What was received is not a message within the limits.
+    Invalid(Bad),
+    /// The message was not complete in time.
+    TimedOut,
+    /// The memory for buffered bodies is in use.
+    BodyBudgetExhausted,
+}
+
+impl fmt::Display for ReadError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ReadError::Closed => {
+                write!(f, "the connection was closed between two messages (open another one)")
+            }
+            ReadError::Interrupted => {
+                write!(f, "the connection ended within a message (it may have been processed)")
+            }
+            ReadError::Invalid(bad) => {
+                write!(f, "the message is not valid HTTP/1.1 within the limits: {bad:?}")
+            }
+            ReadError::TimedOut => {
+                write!(f, "the message was not complete in time (send it faster or raise the limit)")
+            }
+            ReadError::BodyBudgetExhausted => write!(f, "too many bodies are buffered (retry later)"),
+        }
+    }
+}
+
+impl std::error::Error for ReadError {}
+
+impl From<io::Error> for ReadError {
+    fn from(_: io::Error) -> Self {
+        ReadError::Interrupted
+    }
+}
+
+impl From<Bad> for ReadError {
+    fn from(bad: Bad) -> Self {
+        ReadError::Invalid(bad)
+    }
+}
--- a/crates/daemon/mesh/src/wire/reading.rs
+++ b/crates/daemon/mesh/src/wire/reading.rs
@@ -1,189 +1,239 @@
-//! Messages as they are read from a connection: a request's head, an answer, and bodies whole, in part or piece by piece.
-use super::heads::{answered, asked};
-use super::{Connection, PeerKind, ReadError, RequestHead, Response, MAX_BUFFERED_BODY_BYTES};
-use crate::body_buffer::BodyReservation;
+//! Messages as they are read from a connection: a request's head, a response, and bodies whole, in part or streamed.
+use super::request_head::{self, RequestHead};
+use super::response::{self, ParsedResponseHead, Response};
+use super::{Connection, ReadError, MAX_BUFFERED_BODY_BYTES};
+use crate::body_budget::BodyReservation;
 use bytes::{Buf, Bytes};
 use silvercross_net::http::{Bad, Framing, Limits};
 use silvercross_net::stream::Decoder;
 use std::time::Duration;
 use tokio::time::timeout;
 
+/// The beginning of a body.
+#[derive(Debug)]
+pub(crate) struct BodyPrefix {
+    /// Its first bytes, or all of them.
+    pub(crate) bytes: Vec<u8>,
+    /// Whether these are all.
+    pub(crate) is_complete: bool,
+}
+
+/// The request that a response is read for.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ResponseRequest<'r> {
+    /// Its attempt id; empty if it has none.
+    pub(crate) attempt_id: &'r str,
+    /// It is a HEAD request.
+    pub(crate) is_head_request: bool,
+    /// Its body is held back: 100 (Continue) is returned as well.
+    pub(crate) awaits_continue: bool,
+}
+
+/// A response: complete, or up to the part of its body that is buffered.
+#[derive(Debug)]
+pub(crate) struct PartialResponse {
+    /// Its head and the buffered part.
+    pub(crate) response: Response,
+    /// How the rest of its body is to be read; `None`: there is no rest.
+    pub(crate) remainder: Option<Decoder>,
+}
+
 impl Connection {
-    /// Read the head of a request: at most `idle` for its first byte, `whole` from there on; a stated length of `body` at most.
-    pub async fn request(
+    /// Read the head of a request. A stated length of more than `max_body_bytes` is an error.
+    ///
+    /// # Errors
+    /// [`ReadError::Closed`] if no byte comes within `idle_timeout`, [`ReadError::TimedOut`] if the head is not complete
+    /// within `head_timeout` from there on.
+    pub(crate) async fn read_request_head(
         &mut self,
-        idle: Duration,
-        whole: Duration,
-        body: usize,
+        idle_timeout: Duration,
+        head_timeout: Duration,
+        max_body_bytes: usize,
     ) -> Result<RequestHead, ReadError> {
-        let (most, lines) = self.end.most();
-        let limits = Limits { head: most, body };
-        if self.come.is_empty() {
-            match timeout(idle, self.fill()).await {
+        let head_limits = self.peer.head_limits();
+        let limits = Limits { head: head_limits.bytes, body: max_body_bytes };
+        if self.received.is_empty() {
+            match timeout(idle_timeout, self.receive()).await {
                 Err(_) | Ok(Ok(0)) => return Err(ReadError::Closed),
-                Ok(r) => r.map_err(|_| ReadError::Closed)?,
+                Ok(received) => received.map_err(|_| ReadError::Closed)?,
             };
         }
         let read = async {
             loop {
-                // An empty line ahead of a request is passed over (RFC 9112, 2.2).
-                while self.come.starts_with(b"\r\n") {
-                    self.come.advance(2);
+                // An empty line ahead of a request is skipped (RFC 9112, 2.2).
+                while self.received.starts_with(b"\r\n") {
+                    self.received.advance(2);
                 }
-                if let Some((len, asked)) = asked(&self.come, limits, lines)? {
-                    self.come.advance(len);
-                    return Ok(asked);
+                if let Some(parsed) = request_head::parse(&self.received, limits, head_limits.lines)? {
+                    self.received.advance(parsed.length);
+                    return Ok(parsed.head);
                 }
-                if self.fill().await? == 0 {
-                    return Err(if self.come.is_empty() { ReadError::Closed } else { ReadError::Broken });
+                if self.receive().await? == 0 {
+                    return Err(self.end_of_input());
                 }
             }
         };
-        timeout(whole, read).await.unwrap_or(Err(ReadError::Late))
+        timeout(head_timeout, read).await.unwrap_or(Err(ReadError::TimedOut))
     }
 
-    /// Read a body whole, of `most` bytes at the most.
-    pub async fn body(&mut self, framing: Framing, most: usize) -> Result<Vec<u8>, ReadError> {
-        let mut decoder = Decoder::new(framing, most);
+    /// What it means that the other end has closed before a message was complete.
+    fn end_of_input(&self) -> ReadError {
+        match self.received.is_empty() {
+            true => ReadError::Closed,
+            false => ReadError::Interrupted,
+        }
+    }
+
+    /// Read a whole body of at most `max_bytes`.
+    pub(crate) async fn read_body(
+        &mut self,
+        framing: Framing,
+        max_bytes: usize,
+    ) -> Result<Vec<u8>, ReadError> {
+        let mut decoder = Decoder::new(framing, max_bytes);
         let mut body = Vec::new();
-        if let Framing::Length(n) = framing {
-            if n > most {
-                return Err(ReadError::Bad(Bad::BodyTooLarge));
+        if let Framing::Length(length) = framing {
+            if length > max_bytes {
+                return Err(ReadError::Invalid(Bad::BodyTooLarge));
             }
-            body.reserve_exact(n);
+            body.reserve_exact(length);
         }
         while !decoder.is_done() {
-            if self.piece(&mut decoder, &mut body)? {
+            if self.decode_received(&mut decoder, &mut body)? {
                 continue;
             }
-            if self.fill().await? == 0 && !decoder.ends_here() {
-                return Err(ReadError::Broken);
+            if self.receive().await? == 0 && !decoder.ends_here() {
+                return Err(ReadError::Interrupted);
             }
         }
         Ok(body)
     }
 
-    /// Read a body as far as it is held: whole, or its first [`MAX_BUFFERED_BODY_BYTES`] bytes and not many more. `false`: there is more of it.
-    /// [`ReadError::NoRoom`] where its share grows no further, unless it can be passed on from there (`passes`).
-    pub async fn held(
+    /// Read a body as far as it is buffered: whole, or its first [`MAX_BUFFERED_BODY_BYTES`] and not many more.
+    /// `stated_length`: the body's, if it states one. `may_stream`: the rest can be streamed from any point.
+    ///
+    /// # Errors
+    /// [`ReadError::BodyBudgetExhausted`] if the reservation can't grow and the rest may not be streamed from there.
+    pub(crate) async fn read_body_prefix(
         &mut self,
         decoder: &mut Decoder,
-        stated: Option<usize>,
-        share: &mut BodyReservation,
-        passes: bool,
-    ) -> Result<(Vec<u8>, bool), ReadError> {
-        let mut body = Vec::new();
-        body.reserve_exact(stated.unwrap_or(0).min(MAX_BUFFERED_BODY_BYTES));
+        stated_length: Option<usize>,
+        reservation: &mut BodyReservation,
+        may_stream: bool,
+    ) -> Result<BodyPrefix, ReadError> {
+        let mut bytes = Vec::new();
+        bytes.reserve_exact(stated_length.unwrap_or(0).min(MAX_BUFFERED_BODY_BYTES));
         while !decoder.is_done() {
-            let had = body.len();
-            if self.piece(decoder, &mut body)? {
-                match share.more((body.len() - had) as u64) {
-                    true => continue,
-                    false if decoder.is_done() || passes => return Ok((body, decoder.is_done())),
-                    false => return Err(ReadError::NoRoom),
+            let before = bytes.len();
+            if self.decode_received(decoder, &mut bytes)? {
+                if reservation.grow((bytes.len() - before) as u64) {
+                    continue;
                 }
+                if !decoder.is_done() && !may_stream {
+                    return Err(ReadError::BodyBudgetExhausted);
+                }
+                return Ok(BodyPrefix { bytes, is_complete: decoder.is_done() });
             }
-            if body.len() >= MAX_BUFFERED_BODY_BYTES {
-                return Ok((body, false));
+            if bytes.len() >= MAX_BUFFERED_BODY_BYTES {
+                return Ok(BodyPrefix { bytes, is_complete: false });
             }
-            if self.fill().await? == 0 && !decoder.ends_here() {
-                return Err(ReadError::Broken);
+            if self.receive().await? == 0 && !decoder.ends_here() {
+                return Err(ReadError::Interrupted);
             }
         }
-        Ok((body, true))
+        Ok(BodyPrefix { bytes, is_complete: true })
     }
 
-    /// The next piece of a body; `None`: it has come whole.
-    pub async fn next(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, ReadError> {
+    /// Read the next part of a streamed body; `None`: it is complete.
+    pub(crate) async fn read_body_part(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, ReadError> {
         loop {
             if decoder.is_done() {
                 return Ok(None);
             }
-            if let Some((skip, n)) = decoder.next(&self.come)? {
-                self.come.advance(skip);
-                if n > 0 {
-                    return Ok(Some(self.come.split_to(n).freeze()));
+            if let Some((framing_bytes, body_bytes)) = decoder.next(&self.received)? {
+                self.received.advance(framing_bytes);
+                if body_bytes > 0 {
+                    return Ok(Some(self.received.split_to(body_bytes).freeze()));
                 }
-                if skip > 0 {
+                if framing_bytes > 0 {
                     continue;
                 }
             }
             if decoder.is_done() {
                 return Ok(None);
             }
-            if self.fill().await? == 0 && !decoder.ends_here() {
-                return Err(ReadError::Broken);
+            if self.receive().await? == 0 && !decoder.ends_here() {
+                return Err(ReadError::Interrupted);
             }
         }
     }
 
-    /// Take one piece of a body that has come; `false` if more has to come first.
-    fn piece(&mut self, decoder: &mut Decoder, body: &mut Vec<u8>) -> Result<bool, ReadError> {
-        let Some((skip, n)) = decoder.next(&self.come)? else { return Ok(false) };
-        self.come.advance(skip);
-        body.extend_from_slice(&self.come[..n]);
-        self.come.advance(n);
-        Ok(skip + n > 0)
+    /// Decode received bytes into a body; `false` if more have to be received first.
+    fn decode_received(&mut self, decoder: &mut Decoder, body: &mut Vec<u8>) -> Result<bool, ReadError> {
+        let Some((framing_bytes, body_bytes)) = decoder.next(&self.received)? else { return Ok(false) };
+        self.received.advance(framing_bytes);
+        body.extend_from_slice(&self.received[..body_bytes]);
+        self.received.advance(body_bytes);
+        Ok(framing_bytes + body_bytes > 0)
     }
 
-    /// Read an answer: whole, if it has not more than [`MAX_BUFFERED_BODY_BYTES`] bytes, else the first part of it and how the rest is to be
-    /// read. `of` is the request's id: whole answers that carry another one are passed over, since they belong to a request
-    /// before; a connection that brought one carries no further request. `bodiless`: to a HEAD. `go`: a word to go on with the body (100) is returned as well.
-    pub async fn answer(
+    /// Read a response: complete if its body has no more than [`MAX_BUFFERED_BODY_BYTES`], else its beginning.
+    ///
+    /// A complete response with another attempt id is skipped, since it belongs to an earlier request; a connection that
+    /// brought one carries no further request (`keep_alive` is cleared).
+    ///
+    /// # Errors
+    /// [`ReadError::Interrupted`] also for another request's response that is too large to be skipped.
+    pub(crate) async fn read_response(
         &mut self,
-        of: &str,
-        bodiless: bool,
-        go: bool,
-        mut share: BodyReservation,
-    ) -> Result<(Response, Option<Decoder>), ReadError> {
-        let (most, lines) = self.end.most();
-        let limits = Limits { head: most, body: usize::MAX };
-        let mut passed_over = false;
+        request: ResponseRequest<'_>,
+        mut reservation: BodyReservation,
+    ) -> Result<PartialResponse, ReadError> {
+        let mut has_skipped = false;
         loop {
-            let Some((len, mut answer, framing)) =
-                answered(&self.come, limits, lines, self.end == PeerKind::Sidecar)?
-            else {
-                if self.fill().await? == 0 {
-                    return Err(if self.come.is_empty() { ReadError::Closed } else { ReadError::Broken });
-                }
-                continue;
-            };
-            self.come.advance(len);
-            if (100..200).contains(&answer.status) {
-                if go && answer.status == 100 {
-                    answer.share = Some(share);
-                    return Ok((answer, None));
+            let ParsedResponseHead { mut response, framing, .. } = self.read_response_head().await?;
+            if (100..200).contains(&response.status) {
+                if request.awaits_continue && response.status == 100 {
+                    response.reservation = Some(reservation);
+                    return Ok(PartialResponse { response, remainder: None });
                 }
                 continue;
             }
-            let mut decoder = Decoder::new(framing, usize::MAX);
-            if bodiless {
-                decoder = Decoder::new(Framing::Length(0), 0);
+            if let Framing::Length(length) = framing {
+                response.content_length = Some(length);
             }
-            let stated = match framing {
-                Framing::Length(n) => Some(n),
-                _ => None,
-            };
-            answer.length = stated.map(|n| n as u64);
-            let mut whole = true;
+            let framing = if request.is_head_request { Framing::Length(0) } else { framing };
+            let mut decoder = Decoder::new(framing, usize::MAX);
+            let mut is_complete = true;
             if !decoder.is_done() {
-                (answer.body, whole) = self.held(&mut decoder, stated, &mut share, true).await?;
-            }
-            match &answer.id {
-                Some(id) if id != of => {
-                    if !whole {
-                        // Too much to be passed over.
-                        return Err(ReadError::Broken);
-                    }
-                    share.empty();
-                    passed_over = true;
-                    continue;
-                }
-                _ => {
-                    answer.keep_alive &= !passed_over;
-                    answer.share = Some(share);
-                    return Ok((answer, (!whole).then_some(decoder)));
+                let stated = response.content_length;
+                let prefix = self.read_body_prefix(&mut decoder, stated, &mut reservation, true).await?;
+                (response.body, is_complete) = (prefix.bytes, prefix.is_complete);
+            }
+            if response.attempt_id.as_ref().is_some_and(|id| id != request.attempt_id) {
+                if !is_complete {
+                    return Err(ReadError::Interrupted);
                 }
+                reservation.release();
+                has_skipped = true;
+                continue;
+            }
+            response.keep_alive &= !has_skipped;
+            response.reservation = Some(reservation);
+            return Ok(PartialResponse { response, remainder: (!is_complete).then_some(decoder) });
+        }
+    }
+
+    /// Read the next head of a response, an interim one (1xx) as well.
+    async fn read_response_head(&mut self) -> Result<ParsedResponseHead, ReadError> {
+        let limits = Limits { head: self.peer.head_limits().bytes, body: usize::MAX };
+        loop {
+            if let Some(parsed) = response::parse(&self.received, limits, self.peer)? {
+                self.received.advance(parsed.length);
+                return Ok(parsed);
+            }
+            if self.receive().await? == 0 {
+                return Err(self.end_of_input());
             }
         }
     }
--- a/crates/daemon/mesh/src/wire/writing.rs
+++ b/crates/daemon/mesh/src/wire/writing.rs
@@ -1,23 +1,41 @@
-//! Messages as they are written: status lines, heads, and bodies whole or in pieces.
-use silvercross_net::http::Bad;
+//! Messages as they are written: status lines, heads, and bodies whole or in parts.
+//!
+//! `silvercross_net::http` encodes responses too, for the sidecar of today: into a fixed buffer, with the length ahead of
+//! the other headers and other reason phrases. Clients see those bytes, so the two encoders stay apart; parsing is shared.
+use silvercross_net::http::{Bad, Framing};
 use std::io;
 use tokio::io::AsyncWriteExt;
 
 /// The end of a body in chunks.
-pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
+pub(crate) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// How the end of a body that is written is told.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Size {
-    /// So many bytes.
-    Length(u64),
-    /// In chunks.
-    Chunks,
-    /// By the connection's end.
-    Close,
+/// A response's first bytes, or all of them.
+#[derive(Debug)]
+pub(crate) struct EncodedResponse {
+    /// The bytes.
+    pub(crate) bytes: Vec<u8>,
+    /// How the body's remainder has to be framed; `None`: the bytes are the whole response.
+    pub(crate) remainder: Option<Framing>,
 }
 
-/// The words of a status line.
+/// A response whose body is to be streamed from some point on.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ResponseStart<'r> {
+    /// Its status.
+    pub(crate) status: u16,
+    /// Header lines, each with its line end.
+    pub(crate) lines: &'r [u8],
+    /// The beginning of its body.
+    pub(crate) body: &'r [u8],
+    /// The length of the whole body, where it is known.
+    pub(crate) content_length: Option<usize>,
+    /// The connection ends behind it.
+    pub(crate) closes: bool,
+    /// Its receiver understands no chunks.
+    pub(crate) is_http_10: bool,
+}
+
+/// The reason phrase of a status line.
 fn reason(status: u16) -> &'static str {
     match status {
         100 => "Continue",
@@ -42,69 +60,73 @@
     }
 }
 
-/// The bytes of a whole answer: header lines, then a length, then the body; `close`: the connection ends behind it.
-pub fn encode_response(status: u16, lines: &[u8], body: &[u8], close: bool, bodiless: bool) -> Vec<u8> {
-    let room = lines.len() + body.len() + 96;
-    let mut out = head(status, lines, Size::Length(body.len() as u64), close, room);
-    if !bodiless {
+/// Encode a whole response. `lines`: header lines, each with its line end; `closes`: the connection ends behind it;
+/// `is_head_request`: its length is stated, its body left out.
+pub(crate) fn encode_response(
+    status: u16,
+    lines: &[u8],
+    body: &[u8],
+    closes: bool,
+    is_head_request: bool,
+) -> Vec<u8> {
+    let capacity = lines.len() + body.len() + 96;
+    let mut out = encode_head(status, lines, Framing::Length(body.len()), closes, capacity);
+    if !is_head_request {
         out.extend_from_slice(body);
     }
     out
 }
 
-/// The bytes of an answer's head.
-fn head(status: u16, lines: &[u8], size: Size, close: bool, room: usize) -> Vec<u8> {
-    let mut out = Vec::with_capacity(room);
+fn encode_head(status: u16, lines: &[u8], framing: Framing, closes: bool, capacity: usize) -> Vec<u8> {
+    let mut out = Vec::with_capacity(capacity);
     out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
     out.extend_from_slice(lines);
     if status != 204 && status != 304 {
-        match size {
-            Size::Length(n) => out.extend_from_slice(format!("Content-Length: {n}\r\n").as_bytes()),
-            Size::Chunks => out.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
-            Size::Close => {}
+        match framing {
+            Framing::Length(n) => out.extend_from_slice(format!("Content-Length: {n}\r\n").as_bytes()),
+            Framing::Chunked => out.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
+            Framing::UntilClose => {}
         }
     }
-    if close {
+    if closes {
         out.extend_from_slice(b"Connection: close\r\n");
     }
     out.extend_from_slice(b"\r\n");
     out
 }
 
-/// The bytes that an answer begins with whose rest is still coming, and how its end is told. `old`: to a client that knows no
-/// chunks; where no length is stated the connection's end has to do.
-pub fn encode_response_start(
-    status: u16,
-    lines: &[u8],
-    body: &[u8],
-    length: Option<u64>,
-    close: bool,
-    old: bool,
-) -> (Vec<u8>, Size) {
-    let size = match length {
-        Some(n) => Size::Length(n),
-        None if old => Size::Close,
-        None => Size::Chunks,
+/// Encode the beginning of a response whose body is streamed. Without a stated length the remainder goes in chunks, and
+/// to a receiver that understands none its end is that of the connection (RFC 9112, 6.3).
+pub(crate) fn encode_response_start(start: ResponseStart<'_>) -> EncodedResponse {
+    let ResponseStart { status, lines, body, content_length, closes, is_http_10 } = start;
+    let framing = match content_length {
+        Some(n) => Framing::Length(n),
+        None if is_http_10 => Framing::UntilClose,
+        None => Framing::Chunked,
     };
-    let room = lines.len() + body.len() + 128;
-    let mut out = head(status, lines, size, close || size == Size::Close, room);
-    let chunk = size == Size::Chunks && !body.is_empty();
-    if chunk {
-        out.extend_from_slice(format!("{:x}\r\n", body.len()).as_bytes());
+    let capacity = lines.len() + body.len() + 128;
+    let mut bytes = encode_head(status, lines, framing, closes || framing == Framing::UntilClose, capacity);
+    let is_chunk = framing == Framing::Chunked && !body.is_empty();
+    if is_chunk {
+        bytes.extend_from_slice(format!("{:x}\r\n", body.len()).as_bytes());
     }
-    out.extend_from_slice(body);
-    if chunk {
-        out.extend_from_slice(b"\r\n");
+    bytes.extend_from_slice(body);
+    if is_chunk {
+        bytes.extend_from_slice(b"\r\n");
     }
-    (out, size)
+    EncodedResponse { bytes, remainder: Some(framing) }
 }
 
-/// Write a piece of a body.
-pub async fn write_piece(to: &mut (impl AsyncWriteExt + Unpin), bytes: &[u8], size: Size) -> io::Result<()> {
+/// Write a part of a body, as a chunk where it is framed so.
+pub(crate) async fn write_body_part(
+    to: &mut (impl AsyncWriteExt + Unpin),
+    bytes: &[u8],
+    framing: Framing,
+) -> io::Result<()> {
     if bytes.is_empty() {
         return Ok(());
     }
-    if size == Size::Chunks {
+    if framing == Framing::Chunked {
         to.write_all(format!("{:x}\r\n", bytes.len()).as_bytes()).await?;
         to.write_all(bytes).await?;
         return to.write_all(b"\r\n").await;
@@ -112,8 +134,8 @@
     to.write_all(bytes).await
 }
 
-/// What a fault in a message is answered with.
-pub fn error_status(bad: &Bad) -> u16 {
+/// The status that tells a sender what is wrong with its message.
+pub(crate) fn error_status(bad: &Bad) -> u16 {
     match bad {
         Bad::HeadTooLarge => 431,
         Bad::BodyTooLarge => 413,
