--- a/crates/daemon/mesh/src/peers/wire_bytes_tests.rs
+++ b/crates/daemon/mesh/src/peers/wire_bytes_tests.rs
@@ -143,26 +143,26 @@
         add(&mut lines, &format!("disk/{name}"), stored);
     }
     let headers = ForwardingHeaders {
-        version: forwarding_headers::VERSION,
+        version: forwarding_headers::ENCODING_VERSION,
         service: "bakery".to_string(),
-        further: true,
+        is_retry: true,
         priority: 3,
-        repeatable: false,
-        aim: -5,
-        ticket: 1 << 60,
-        asks: true,
+        is_idempotent: false,
+        latency_target: silvercross_time::Duration::from_micros(-5),
+        replay_key: 1 << 60,
+        is_query: true,
     };
     // In a header line it is hexadecimal as well.
-    writeln!(lines, "header/request {}", forwarding_headers::write(&headers)).expect("a string grows");
+    writeln!(lines, "header/request {}", forwarding_headers::encode(&headers)).expect("a string grows");
     add(&mut lines, "request", headers);
     for (name, status) in [
-        ("absent", GateStatus::Absent),
-        ("full", GateStatus::Full(1_500_000)),
-        ("shut", GateStatus::Shut),
-        ("begun", GateStatus::Begun),
-        ("unseen", GateStatus::Unseen),
+        ("absent", GateStatus::Unavailable),
+        ("full", GateStatus::Overloaded(silvercross_time::Duration::from_micros(1_500_000))),
+        ("shut", GateStatus::Draining),
+        ("begun", GateStatus::MayHaveRun),
+        ("unseen", GateStatus::NeverReceived),
     ] {
-        writeln!(lines, "header/{name} {}", forwarding_headers::write(&status)).expect("a string grows");
+        writeln!(lines, "header/{name} {}", forwarding_headers::encode(&status)).expect("a string grows");
         add(&mut lines, &format!("answer/{name}"), status);
     }
     assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
