--- /dev/null
+++ b/crates/daemon/sidecar/tests/old_store.rs
@@ -0,0 +1,97 @@
+//! A store of records that the sidecar of version 0.1.0 wrote (`data/records-store-0.1.0`): it is read, written to and read
+//! again.
+use silvercross_idempotency_store::holder::Line;
+use silvercross_idempotency_store::machine::Machine;
+use silvercross_idempotency_store::Epoch;
+use silvercross_raft::{Durable, Entry, Payload, Write};
+use silvercross_sidecar::lifecycle::store::{Kept, Store, FILE};
+use std::fmt::Write as _;
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+const STORE: &[u8] = include_bytes!("data/records-store-0.1.0/records.redb");
+/// What is in it, one line each: its name, then its bytes in hexadecimal.
+const RECORDS: &str = include_str!("data/records-store-0.1.0/records.hex");
+/// The member whose store it is.
+const OWNER: u64 = 0x8bff_85de_cadc_779d;
+
+fn line<T: serde::Serialize>(lines: &mut String, name: &str, what: &T) {
+    let bytes = postcard::to_allocvec(what).expect("encoded");
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    writeln!(lines, "{name} {hex}").expect("a string grows");
+}
+
+/// All that is kept, and the state that the log makes.
+fn lines(kept: &Kept) -> String {
+    let mut lines = String::new();
+    for (group, epoch, durable) in kept {
+        line(&mut lines, &format!("group-{group}/epoch"), epoch);
+        line(&mut lines, &format!("group-{group}/writes"), &durable.writes);
+        line(&mut lines, &format!("group-{group}/term-and-vote"), &durable.hard);
+        line(&mut lines, &format!("group-{group}/snapshot"), &durable.snapshot);
+        for (i, entry) in durable.entries.iter().enumerate() {
+            let index = durable.snapshot.index + 1 + i as u64;
+            line(&mut lines, &format!("group-{group}/entry-{index}"), entry);
+        }
+        let state = applied(durable);
+        let hex: String = state.snapshot().iter().map(|byte| format!("{byte:02x}")).collect();
+        writeln!(lines, "group-{group}/state {hex}").expect("a string grows");
+    }
+    lines
+}
+
+fn applied(durable: &Durable) -> Machine {
+    let mut machine = Machine::restore(&durable.snapshot.data).expect("a snapshot of this version");
+    for (i, entry) in durable.entries.iter().enumerate() {
+        if let Payload::Command(bytes) = &entry.payload {
+            let line: Line = postcard::from_bytes(bytes).expect("a command");
+            machine.apply(durable.snapshot.index + 1 + i as u64, entry.at_ms, line.office_ms, line.logged);
+        }
+    }
+    machine
+}
+
+fn wait<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+    let started = Instant::now();
+    loop {
+        if let Some(found) = look() {
+            return found;
+        }
+        assert!(started.elapsed() < Duration::from_secs(60), "never came: {what}");
+        std::thread::sleep(Duration::from_millis(2));
+    }
+}
+
+/// The thread of a store before it may hold the file for a moment longer.
+fn open(path: &Path) -> (Store, Kept) {
+    wait("the store", || Store::open(path, OWNER, None).ok())
+}
+
+#[test]
+fn a_store_of_version_0_1_0_is_read_written_and_read_again() {
+    let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("old-store-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&dir);
+    std::fs::create_dir_all(&dir).expect("made");
+    let path = dir.join(FILE);
+    std::fs::write(&path, STORE).expect("copied");
+
+    let (store, kept) = open(&path);
+    assert!(lines(&kept) == RECORDS, "the records have changed; they are now:\n{}", lines(&kept));
+    // What operators and upstreams were told stands in it: an answer, and a document that was written.
+    let (group, epoch, before): &(u32, Epoch, Durable) = kept.first().expect("one group");
+    let last = before.snapshot.index + before.entries.len() as u64;
+    let added = Entry { payload: Payload::Nothing, ..before.entries.last().expect("entries").clone() };
+    let write =
+        Write { number: before.writes + 1, entries: [(last + 1, added.clone())].into(), ..Write::default() };
+    assert!(store.write(*group, *epoch, write));
+    assert!(wait("the write", || store.poll()).well);
+    drop(store);
+
+    let (store, again) = open(&path);
+    let after = &again.first().expect("one group").2;
+    assert_eq!((after.writes, after.hard), (before.writes + 1, before.hard));
+    assert_eq!(after.snapshot, before.snapshot);
+    assert_eq!(after.entries, [before.entries.clone(), vec![added]].concat());
+    drop(store);
+    let _ = std::fs::remove_dir_all(&dir);
+}
