--- a/crates/daemon/mesh/src/client_listener/attempt.rs
+++ b/crates/daemon/mesh/src/client_listener/attempt.rs
@@ -18,7 +18,7 @@
 /// Send an attempt; how that ended. Of one that may run once, and whose connection broke behind the request, the gate is
 /// asked what became of it.
 pub(super) async fn send(node_state: &Rc<NodeState>, attempt: &OutgoingAttempt) -> ExchangeOutcome {
-    if Some(attempt.gate) == node_state.settings.inbound {
+    if Some(attempt.gate) == node_state.settings.inbound_address {
         let delivery = Delivery {
             head: &attempt.head,
             forwarding: &attempt.forwarding,
--- a/crates/daemon/mesh/src/client_listener/client_connection.rs
+++ b/crates/daemon/mesh/src/client_listener/client_connection.rs
@@ -40,7 +40,7 @@
     // Clients have no say in what sidecars tell each other.
     head.forwarding_headers = None;
     head.expected_upstream = None;
-    head.sender = Some(node_state.settings.destination.clone());
+    head.sender = Some(node_state.settings.upstream_service.clone());
     let deadline = Instant::now() + head.timeout_or_default().max(MIN_TIMEOUT).to_std();
     let mut decoder = Decoder::new(head.framing, max_body_bytes);
     let mut reservation = node_state.body_budget.reservation();
--- a/crates/daemon/mesh/src/client_listener/listener.rs
+++ b/crates/daemon/mesh/src/client_listener/listener.rs
@@ -23,13 +23,13 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let max_open = node_state.settings.descriptors / CLIENT_CONNECTION_DIVISOR;
+        let max_open = node_state.settings.max_descriptors / CLIENT_CONNECTION_DIVISOR;
         if node_state.counters.client_connections.get() >= max_open {
             node_state.reject_connection(ConnectionKind::Outbound);
             continue;
         }
         let node_state = node_state.clone();
-        let gauge = GaugeGuard::new(&node_state, |counters| &counters.client_connections);
+        let gauge = GaugeGuard::new(&node_state.counters, |counters| &counters.client_connections);
         tokio::task::spawn_local(async move {
             let _gauge = gauge;
             // The limit of heads is set with each request.
--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -34,7 +34,7 @@
     // than a client's retry, as long as it takes only a part of what the client, or the latency target, allows.
     let max_wait = head.timeout.map_or(Duration::ZERO, |timeout| timeout / CONFIGURATION_WAIT_DIVISOR);
     let max_wait = max_wait.min(MAX_CONFIGURATION_WAIT);
-    node_state.wait_until(max_wait.as_micros(), || node_state.configured()).await;
+    node_state.wait_until(max_wait, || node_state.configured()).await;
     let table = node_state.routing_table();
     if !node_state.configured() {
         return ClientResponse::not_run(503, "no configuration has come yet", None);
@@ -52,16 +52,14 @@
     };
     let mut step = None;
     if node_state.member_throttle.is_enabled() {
-        let total = budget.total.as_micros();
-        let body_bytes = body.prefix().len();
+        let (total, body_bytes) = (budget.total, body.prefix().len());
         match member_throttle::throttle_request(node_state, head, route, attempt_id, total, body_bytes).await
         {
             ThrottleDecision::Proceed { standing, delayed } => {
-                (step, budget.spent) = (standing, Duration::from_micros(delayed));
+                (step, budget.spent) = (standing, delayed);
             }
             ThrottleDecision::Reject { standing, retry_after } => {
                 let why = "a lapsed trial's request has too little time";
-                let retry_after = Duration::from_micros(retry_after);
                 let mut response = ClientResponse::not_run(429, why, Some(retry_after));
                 member_throttle::set_step_header(&mut response.lines, Some(standing));
                 return response;
@@ -89,7 +87,8 @@
     let service = node_state.draw_by_share(&route.split);
     let has_upstreams =
         || node_state.service_balancer(&service).is_some_and(|balancer| balancer.has_upstreams());
-    node_state.wait_until(route.latency_target / UPSTREAM_WAIT_DIVISOR, has_upstreams).await;
+    let max_wait = Duration::from_micros(route.latency_target / UPSTREAM_WAIT_DIVISOR);
+    node_state.wait_until(max_wait, has_upstreams).await;
     let Some(service_balancer) = node_state.service_balancer(&service) else {
         return ClientResponse::not_run(503, "no upstream of this service is known", None);
     };
--- /dev/null
+++ b/crates/daemon/mesh/src/control/calls.rs
@@ -0,0 +1,110 @@
+//! The calls, each declared beside its handler, and which may be made where.
+use super::call::{call, Call};
+use super::changes::{change_configuration, change_key, redirect};
+use super::member_calls::{MEMBERS_LAPSE, MEMBERS_LIST, MEMBERS_RENEW};
+use super::response::CallResponse;
+use crate::control_value::{evacuation_key, ControlChange, ControlValue, CONFIGURATION_KEY};
+use crate::metrics::metrics_report;
+use crate::node_state::{Heartbeat, NodeState};
+use crate::state_report::state_report;
+use silvercross_control_store::CallOutcome;
+use std::rc::Rc;
+
+/// All calls at `control`.
+pub(crate) const CONTROL_CALLS: [&Call; 11] = [
+    &HEARTBEAT,
+    &SIGN_OFF,
+    &PATCH,
+    &GET,
+    &EVACUATE_START,
+    &EVACUATE_END,
+    &STATE,
+    &METRICS,
+    &MEMBERS_LIST,
+    &MEMBERS_RENEW,
+    &MEMBERS_LAPSE,
+];
+/// All calls at `ready`.
+pub(crate) const READY_CALLS: [&Call; 2] = [&READY, &METRICS];
+
+call!(HEARTBEAT, "POST", "/-/Stations.Heartbeat/{}", heartbeat);
+async fn heartbeat(node_state: &Rc<NodeState>, id: &str, body: &[u8]) -> CallResponse {
+    if node_state.settings.upstream_address.is_none() {
+        return CallResponse::error(404, "no upstream belongs to this machine (call the sidecar beside it)");
+    }
+    let heartbeat = match serde_json::from_slice::<Heartbeat>(body) {
+        Ok(heartbeat) => heartbeat,
+        Err(e) => return CallResponse::error(400, &format!("the heartbeat can't be read: {e}")),
+    };
+    if node_state.upstream_heartbeat(id, heartbeat) {
+        CallResponse::ok()
+    } else {
+        CallResponse::error(409, "this incarnation has signed off (start under another id)")
+    }
+}
+
+call!(SIGN_OFF, "POST", "/-/Stations.SignOff/{}", sign_off);
+async fn sign_off(node_state: &Rc<NodeState>, id: &str, _: &[u8]) -> CallResponse {
+    node_state.upstream_signed_off(id);
+    CallResponse::ok()
+}
+
+call!(PATCH, "POST", "/-/Config.Patch", patch);
+async fn patch(node_state: &Rc<NodeState>, _: &str, body: &[u8]) -> CallResponse {
+    change_configuration(node_state, body, PATCH.path).await
+}
+
+call!(GET, "GET", "/-/Config.Get", get);
+async fn get(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> CallResponse {
+    match node_state.peers.read_key(node_state, CONFIGURATION_KEY).await {
+        Some(CallOutcome::Value { value: ControlValue::Configuration(configuration), .. }) => {
+            CallResponse::json(200, configuration.to_json())
+        }
+        Some(CallOutcome::Value { value: ControlValue::WithMembers(all), .. }) => {
+            CallResponse::json(200, all.to_json())
+        }
+        Some(CallOutcome::Value { .. }) => CallResponse::ok(),
+        Some(_) => CallResponse::retry_later(),
+        None => redirect(node_state, GET.path),
+    }
+}
+
+call!(EVACUATE_START, "POST", "/-/Evacuate.Start/{}", evacuate_start);
+async fn evacuate_start(node_state: &Rc<NodeState>, zone: &str, _: &[u8]) -> CallResponse {
+    evacuate(node_state, zone, true).await
+}
+
+call!(EVACUATE_END, "POST", "/-/Evacuate.End/{}", evacuate_end);
+async fn evacuate_end(node_state: &Rc<NodeState>, zone: &str, _: &[u8]) -> CallResponse {
+    evacuate(node_state, zone, false).await
+}
+
+async fn evacuate(node_state: &Rc<NodeState>, zone: &str, on: bool) -> CallResponse {
+    let zones = &node_state.settings.zones;
+    if !zones.iter().any(|known| known == zone) {
+        return CallResponse::error(400, &format!("zone {zone:?}: unknown (name one of {zones:?})"));
+    }
+    let path = format!("/-/Evacuate.{}/{zone}", if on { "Start" } else { "End" });
+    change_key(node_state, &evacuation_key(zone), ControlChange::Evacuate(on), &path).await
+}
+
+call!(STATE, "GET", "/-/Post.State", state);
+async fn state(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> CallResponse {
+    CallResponse::json(200, state_report(node_state).to_string())
+}
+
+call!(METRICS, "GET", "/-/Post.Figures", metrics);
+async fn metrics(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> CallResponse {
+    CallResponse::json(200, metrics_report(node_state).to_string())
+}
+
+call!(READY, "GET", "/-/ready", ready);
+async fn ready(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> CallResponse {
+    match node_state.not_ready() {
+        None => CallResponse::json(200, "{\"ready\":true}".to_string()),
+        Some(reason) => {
+            node_state.count_not_ready_reply();
+            CallResponse::error(503, &reason.to_string())
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/control/listener.rs
@@ -0,0 +1,128 @@
+//! Connections for calls: one task each, one call at a time on it.
+use super::call::{find, Call};
+use super::response::CallResponse;
+use crate::event_stream;
+use crate::node_state::{ConnectionKind, NodeState};
+use crate::wire::{self, Connection, PeerKind, ReadError, RequestHead};
+use silvercross_mesh_config::MAX_BODY_BYTES;
+use silvercross_net::http::Bad;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::time::timeout;
+
+/// A connection on which no call comes is closed after this.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// A call comes whole within this: its head, and then its body.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Connections at a time; those beyond it are closed.
+pub(super) const MAX_CONNECTIONS: u64 = 256;
+/// Behind a last answer, what still comes is read away for so long.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
+/// The largest head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// After a failed accept the next one is tried after this.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+
+/// Accept connections for these calls, for as long as the process lives.
+pub(crate) async fn listen(
+    node_state: Rc<NodeState>,
+    listener: TcpListener,
+    calls: &'static [&'static Call],
+) {
+    let open = Rc::new(Cell::new(0));
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY).await;
+            continue;
+        };
+        if open.get() >= MAX_CONNECTIONS {
+            node_state.reject_connection(ConnectionKind::Call);
+            continue;
+        }
+        open.set(open.get() + 1);
+        let (node_state, open) = (node_state.clone(), open.clone());
+        tokio::task::spawn_local(async move {
+            let mut connection = Connection::new(stream, PeerKind::External(MAX_HEAD_BYTES));
+            let reader = serve_connection(&node_state, &mut connection, calls).await;
+            open.set(open.get() - 1);
+            // Readers of events have a limit of their own.
+            if let Some(EventReader { request, body }) = reader {
+                event_stream::serve(node_state, connection, *request, body).await;
+            }
+        });
+    }
+}
+
+/// A call for events, which takes its connection over.
+struct EventReader {
+    request: Box<RequestHead>,
+    body: Vec<u8>,
+}
+
+/// What follows on a connection.
+enum Next {
+    Call,
+    End,
+    Events(EventReader),
+}
+
+/// Serve calls until the connection ends, or until one takes it over.
+async fn serve_connection(
+    node_state: &Rc<NodeState>,
+    connection: &mut Connection,
+    calls: &[&Call],
+) -> Option<EventReader> {
+    loop {
+        match serve_call(node_state, connection, calls).await {
+            Next::Call => {}
+            Next::End => return None,
+            Next::Events(reader) => return Some(reader),
+        }
+    }
+}
+
+async fn serve_call(node_state: &Rc<NodeState>, connection: &mut Connection, calls: &[&Call]) -> Next {
+    let request = match connection.read_request_head(IDLE_TIMEOUT, READ_TIMEOUT, MAX_BODY_BYTES).await {
+        Ok(request) => request,
+        Err(ReadError::Invalid(bad)) => return answer_unreadable(connection, &bad).await,
+        Err(_) => return Next::End,
+    };
+    if request.expects_continue && connection.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
+        return Next::End;
+    }
+    let body = match timeout(READ_TIMEOUT, connection.read_body(request.framing, MAX_BODY_BYTES)).await {
+        Ok(Ok(body)) => body,
+        Ok(Err(ReadError::Invalid(bad))) => return answer_unreadable(connection, &bad).await,
+        _ => return Next::End,
+    };
+    let serves_events = find(calls, "GET", super::calls::STATE.path).is_ok();
+    if serves_events && event_stream::is_event_stream_call(&request) {
+        return Next::Events(EventReader { request: Box::new(request), body });
+    }
+    let response = match find(calls, &request.method, &request.target) {
+        Ok(found) => (found.call.handler)(node_state, &found.name, &body).await,
+        Err(error) => CallResponse::error(error.status(), "no such call"),
+    };
+    let response = response.with_bounded_redirections(&request.target);
+    // Who calls again goes elsewhere.
+    let close = !request.keep_alive || node_state.stopping();
+    let (lines, content) = (response.lines.as_bytes(), response.body.as_bytes());
+    let bytes = wire::encode_response(response.status, lines, content, close, false);
+    if connection.write(&bytes).await.is_ok() && !close {
+        Next::Call
+    } else {
+        Next::End
+    }
+}
+
+/// A call that can't be read: say why. What still comes of it is read away, else the close would reset the connection and cost the
+/// answer.
+async fn answer_unreadable(connection: &mut Connection, bad: &Bad) -> Next {
+    let bytes = wire::encode_response(wire::error_status(bad), b"", b"", true, false);
+    if connection.write(&bytes).await.is_ok() {
+        connection.close_gracefully(DRAIN_TIMEOUT).await;
+    }
+    Next::End
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/control/member_calls.rs
@@ -0,0 +1,49 @@
+//! Operators' calls that concern members.
+use super::call::{call, Call};
+use super::changes::{change_configuration, redirect};
+use super::response::CallResponse;
+use crate::control_value::{ControlValue, CONFIGURATION_KEY};
+use crate::member_throttle::{lapsed_item, members_report, percent_decoded, renewed_item, ItemChangeError};
+use crate::node_state::NodeState;
+use silvercross_control_store::CallOutcome;
+use std::rc::Rc;
+
+call!(MEMBERS_LIST, "GET", "/-/Members.List", members_list);
+async fn members_list(node_state: &Rc<NodeState>, _: &str, _: &[u8]) -> CallResponse {
+    CallResponse::json(200, members_report(node_state).to_string())
+}
+
+call!(MEMBERS_RENEW, "POST", "/-/Members.Renew/{}", members_renew);
+async fn members_renew(node_state: &Rc<NodeState>, name: &str, body: &[u8]) -> CallResponse {
+    let path = format!("/-/Members.Renew/{name}");
+    change_member(node_state, &path, name, |item| renewed_item(item, body)).await
+}
+
+call!(MEMBERS_LAPSE, "POST", "/-/Members.Lapse/{}", members_lapse);
+async fn members_lapse(node_state: &Rc<NodeState>, name: &str, _: &[u8]) -> CallResponse {
+    let path = format!("/-/Members.Lapse/{name}");
+    change_member(node_state, &path, name, lapsed_item).await
+}
+
+/// Read a member's item as it stands, change it, and send it as the next version. Of two that do so at once, one holds and the
+/// other is a conflict, unless both say the same.
+async fn change_member(
+    node_state: &Rc<NodeState>,
+    path: &str,
+    name: &str,
+    change: impl FnOnce(&str) -> Result<String, ItemChangeError>,
+) -> CallResponse {
+    let all = match node_state.peers.read_key(node_state, CONFIGURATION_KEY).await {
+        Some(CallOutcome::Value { value: ControlValue::WithMembers(all), .. }) => all,
+        Some(CallOutcome::Value { .. }) => return CallResponse::error(404, "no member was ever sent"),
+        Some(_) => return CallResponse::retry_later(),
+        None => return redirect(node_state, path),
+    };
+    let Some(item) = percent_decoded(name).and_then(|name| all.member_list.raw_json(&name)) else {
+        return CallResponse::error(404, &format!("{name:?} is no member here (see /-/Members.List)"));
+    };
+    match change(item) {
+        Ok(patch) => change_configuration(node_state, patch.as_bytes(), path).await,
+        Err(error) => CallResponse::error(400, &error.to_string()),
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/control_value/tests.rs
@@ -0,0 +1,85 @@
+//! Values and changes under the keys of the control store. In the package, for a program has no library to import.
+use super::*;
+use silvercross_control_store::StoredKey;
+
+#[test]
+fn a_key_takes_only_what_it_holds() {
+    let mut zone = ControlValue::Blank;
+    assert_eq!(zone.apply(&ControlChange::Evacuate(true)), Ok(true));
+    assert_eq!(zone.apply(&ControlChange::Evacuate(true)), Ok(false));
+    let patch = silvercross_mesh_config::parse_change(b"{}").expect("well-formed");
+    assert!(zone.apply(&ControlChange::Patch(patch)).is_err());
+    assert!(zone
+        .apply(&ControlChange::Lapse(silvercross_throttle::LapseChange::Begin { version: 1 }))
+        .is_err());
+    assert!(zone.apply(&ControlChange::Call(Box::default())).is_err());
+    assert_eq!(zone, ControlValue::Evacuation(true));
+}
+
+/// Orders for a zone carry no version: one that comes again while it holds changes nothing, and one that comes after its
+/// opposite is a new one, for nothing tells it from a late one.
+#[test]
+fn an_evacuation_again_is_acknowledged_and_the_last_order_holds() {
+    let mut zone = ControlValue::Blank;
+    for (on, changed) in [(true, true), (true, false), (false, true), (false, false), (true, true)] {
+        assert_eq!(zone.apply(&ControlChange::Evacuate(on)), Ok(changed));
+        assert_eq!(zone, ControlValue::Evacuation(on));
+    }
+}
+
+/// Disks that were written before there were members are read, and without members nothing is written differently.
+#[test]
+fn without_members_disk_and_links_hold_the_bytes_they_held_before_there_were_any() {
+    let patch = br#"{"withdraw":{"routes":[{"name":"r","edition":2}]}}"#;
+    let patch = silvercross_mesh_config::parse_change(patch).expect("well-formed");
+    let mut page = ControlValue::Blank;
+    page.apply(&ControlChange::Patch(patch.clone())).expect("valid");
+    let before: [(ControlValue, &[u8]); 3] = [
+        (ControlValue::Blank, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 0]),
+        (ControlValue::Evacuation(true), &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 2, 1]),
+        (page, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 1, 1, 1, 114, 1, 6, 2, 6, 1, 0, 0, 6, 1]),
+    ];
+    for (page, bytes) in before {
+        let (promised, accepted) = Default::default();
+        let stored = StoredKey { key: "k".to_string(), promised, accepted, value: page };
+        assert_eq!(bitcode::encode(&stored), bytes, "{:?}", stored.value);
+        assert_eq!(bitcode::decode::<StoredKey<ControlValue>>(bytes).ok(), Some(stored));
+    }
+    assert_eq!(bitcode::encode(&ControlChange::Evacuate(true)), [1, 1]);
+    assert_eq!(bitcode::encode(&ControlChange::Patch(patch)), [0, 1, 1, 114, 1, 6, 2, 6, 0, 0, 0]);
+}
+
+/// What was overtaken is kept where the key is, and nobody else gets it.
+#[test]
+fn nodes_get_what_stands_alone() {
+    let patch = |body: &str| {
+        ControlChange::Patch(silvercross_mesh_config::parse_change(body.as_bytes()).expect("well-formed"))
+    };
+    let at = |edition: u64, path: &str| {
+        patch(&format!(
+            r#"{{"deliver":{{"destinations":[{{"name":"d","healthPath":"{path}","edition":{edition}}}]}}}}"#
+        ))
+    };
+    let mut control_value = ControlValue::Blank;
+    assert_eq!(control_value.apply(&patch("{}")), Ok(false));
+    assert_eq!(control_value, ControlValue::Blank);
+    assert_eq!(control_value.apply(&at(1, "/a")), Ok(true));
+    assert!(matches!(control_value, ControlValue::Configuration(_)));
+    assert_eq!(control_value.apply(&at(2, "/b")), Ok(true));
+    assert!(matches!(control_value, ControlValue::Versioned(_)));
+    let mut plain = ControlValue::Blank;
+    assert_eq!(plain.apply(&at(2, "/b")), Ok(true));
+    assert_eq!(bitcode::encode(&control_value.clone().published()), bitcode::encode(&plain));
+    // On disk it is one value.
+    let mut again: ControlValue =
+        bitcode::decode(&bitcode::encode(&control_value)).expect("as it was written");
+    assert_eq!(again, control_value);
+    assert_eq!(again.apply(&at(1, "/a")), Ok(false));
+    assert!(again.apply(&at(1, "/c")).expect_err("another content").conflict);
+    assert_eq!(again, control_value);
+    // Members, sent later.
+    let members = br#"{"deliver":{"members":[{"name":"ana","key":"k","plan":"full","edition":1}]}}"#;
+    let members = silvercross_mesh_config::parse_update(members).expect("well-formed");
+    assert_eq!(control_value.apply(&ControlChange::Call(Box::new(members))), Ok(true));
+    assert!(matches!(control_value.published(), ControlValue::WithMembers(_)));
+}
--- a/crates/daemon/mesh/src/disk.rs
+++ b/crates/daemon/mesh/src/disk.rs
@@ -11,8 +11,6 @@
 mod folder;
 mod io_faults;
 mod messages;
-#[cfg(test)]
-mod old_store_tests;
 mod recovery;
 #[cfg(test)]
 mod tests;
--- a/crates/daemon/mesh/src/disk/tests.rs
+++ b/crates/daemon/mesh/src/disk/tests.rs
@@ -2,6 +2,7 @@
 //!
 //! In the package, for what is tested (recovery over a folder in memory, one attempt of the writer) is not public.
 mod memory_folder;
+mod old_store;
 
 use super::database::{DATABASE_FILE, KEYS_TABLE, MARKER_TABLE};
 use super::folder::{DataFolder, Folder};
--- a/crates/daemon/mesh/src/disk/old_store_tests.rs
+++ b/crates/daemon/mesh/src/disk/tests/old_store.rs
@@ -1,16 +1,16 @@
 //! A store that the program of version 0.1.0 wrote (`tests/data/control-store-0.1.0`): it is read, written to and read again.
-use super::database::DATABASE_FILE;
-use super::{open, DiskEvent, DiskWrite};
+use super::super::database::DATABASE_FILE;
+use super::super::{open, DiskEvent, DiskWrite};
 use crate::control_value::ControlValue;
 use silvercross_control_store::{Node, Revision, StoredKey, StoredState};
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-const STORE: &[u8] = include_bytes!("../../tests/data/control-store-0.1.0/control-store.redb");
+const STORE: &[u8] = include_bytes!("../../../tests/data/control-store-0.1.0/control-store.redb");
 /// One line per record of it: its key, then its bytes in hexadecimal.
-const RECORDS: &str = include_str!("../../tests/data/control-store-0.1.0/records.hex");
+const RECORDS: &str = include_str!("../../../tests/data/control-store-0.1.0/records.hex");
 /// The configuration in it, as operators read it.
-const CONFIGURATION: &str = include_str!("../../tests/data/control-store-0.1.0/configuration.json");
+const CONFIGURATION: &str = include_str!("../../../tests/data/control-store-0.1.0/configuration.json");
 
 /// A folder with a copy of the store.
 fn copied(name: &str) -> PathBuf {
--- /dev/null
+++ b/crates/daemon/mesh/src/event_stream/serve.rs
@@ -0,0 +1,176 @@
+//! Readers of events answered: with a page, or for as long as they follow.
+use super::query::EventQuery;
+use super::state::EventStream;
+use crate::node_state::NodeState;
+use crate::wire::{self, Connection, RequestHead};
+use serde_json::{json, Value};
+use silvercross_event_feed::{kind, Cursor, Line, Place, Reader};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{timeout, Instant};
+
+/// Readers that follow at a time; those beyond are told to come back.
+const MAX_FOLLOWERS: usize = 1_100;
+/// Lines that are written to a follower at a time.
+const LINES_PER_WRITE: usize = 64;
+/// What gathers in this time goes in one write.
+const GATHER_TIME: Duration = Duration::from_millis(50);
+/// A reader that takes nothing for so long is let go.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Without events an empty line goes so often, so that an end is noticed at both sides.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
+/// A cursor goes to a follower after so many events,
+const CURSOR_AFTER_LINES: usize = 64;
+/// or so long after the last one, if there were events since.
+const CURSOR_INTERVAL: Duration = Duration::from_secs(10);
+/// When a reader that found too many others comes back, in seconds.
+const RETRY_AFTER_S: u32 = 5;
+
+/// One more follower for as long as it lives.
+struct Follower<'e>(&'e Cell<usize>);
+
+impl<'e> Follower<'e> {
+    fn new(count: &'e Cell<usize>) -> Self {
+        count.set(count.get() + 1);
+        Follower(count)
+    }
+}
+
+impl Drop for Follower<'_> {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+fn error_response(status: u16, reason: &str, lines: &str) -> Vec<u8> {
+    let body = json!({ "error": reason }).to_string();
+    let lines = format!("Content-Type: application/json\r\n{lines}");
+    wire::encode_response(status, lines.as_bytes(), body.as_bytes(), true, false)
+}
+
+/// Answer a call for events; the connection ends with it.
+pub(crate) async fn serve(
+    node_state: Rc<NodeState>,
+    mut connection: Connection,
+    request: RequestHead,
+    body: Vec<u8>,
+) {
+    let bytes = match (node_state.event_stream.get(), EventQuery::read(&request.target, &body)) {
+        (None, _) => {
+            error_response(404, "no feed here (start the role with --feed, or ask another node)", "")
+        }
+        (_, Err(error)) => error_response(400, &error.to_string(), ""),
+        (Some(stream), Ok(query)) if query.follow => {
+            if stream.followers.get() < MAX_FOLLOWERS {
+                let _follower = Follower::new(&stream.followers);
+                return follow(&node_state, stream, &mut connection, query).await;
+            }
+            let retry_after = format!("Retry-After: {RETRY_AFTER_S}\r\n");
+            error_response(503, "enough readers follow here (ask another node)", &retry_after)
+        }
+        (Some(stream), Ok(query)) => page(&node_state, stream, query),
+    };
+    // A reader that is gone needs no answer.
+    let _ = timeout(WRITE_TIMEOUT, connection.write(&bytes)).await;
+}
+
+fn page(node_state: &NodeState, stream: &EventStream, query: EventQuery) -> Vec<u8> {
+    let mut reader = stream.feed.borrow().open(query.cursor, query.filter);
+    let lines = stream.feed.borrow().read(&mut reader, query.limit);
+    let mut output = Vec::new();
+    lines.iter().for_each(|line| append_line(node_state, line, &mut output));
+    append_cursor(stream, &reader, &mut output);
+    wire::encode_response(200, b"Content-Type: application/x-ndjson\r\n", &output, true, false)
+}
+
+/// When a follower gets a cursor.
+struct CursorSchedule {
+    lines_since: usize,
+    last: Instant,
+    is_first: bool,
+}
+
+impl CursorSchedule {
+    /// So many lines were written, and whether that is all there is; whether a cursor is due.
+    fn is_due(&mut self, lines: usize, is_all: bool) -> bool {
+        self.lines_since += lines;
+        let is_late = self.lines_since > 0 && self.last.elapsed() >= CURSOR_INTERVAL;
+        let is_due = self.is_first && is_all || self.lines_since >= CURSOR_AFTER_LINES || is_late;
+        if is_due {
+            *self = CursorSchedule { lines_since: 0, last: Instant::now(), is_first: false };
+        }
+        is_due
+    }
+}
+
+async fn follow(
+    node_state: &Rc<NodeState>,
+    stream: &EventStream,
+    connection: &mut Connection,
+    query: EventQuery,
+) {
+    let mut reader = stream.feed.borrow().open(query.cursor, query.filter);
+    let mut output =
+        b"HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\n\r\n".to_vec();
+    let mut cursors = CursorSchedule { lines_since: 0, last: Instant::now(), is_first: true };
+    loop {
+        let lines = stream.feed.borrow().read(&mut reader, LINES_PER_WRITE);
+        lines.iter().for_each(|line| append_line(node_state, line, &mut output));
+        let is_all = lines.len() < LINES_PER_WRITE;
+        if cursors.is_due(lines.len(), is_all) {
+            append_cursor(stream, &reader, &mut output);
+        }
+        if !output.is_empty() {
+            let written = timeout(WRITE_TIMEOUT, connection.write(&output)).await;
+            if !matches!(written, Ok(Ok(()))) {
+                return;
+            }
+        }
+        // Many wait for long: none keeps memory meanwhile.
+        output = Vec::new();
+        if !is_all {
+            continue;
+        }
+        let appended = stream.appended.notified();
+        if !stream.feed.borrow().has_more(&reader) {
+            tokio::select! {
+                _ = appended => tokio::time::sleep(GATHER_TIME).await,
+                // A follower says nothing; if it does, or ends, it is over.
+                _ = connection.wait_for_event() => return,
+                _ = node_state.idle_connections_closing() => return,
+                _ = tokio::time::sleep(KEEPALIVE_INTERVAL) => output.push(b'\n'),
+            }
+        }
+    }
+}
+
+fn place_text(place: &Place) -> String {
+    format!("{}.{}.{}{}", place.epoch, place.owner, place.version, if place.mark { "!" } else { "" })
+}
+
+fn append_line(node_state: &NodeState, line: &Line, output: &mut Vec<u8>) {
+    let value = match line {
+        Line::Gap { kind, count, more, why } => {
+            let address = node_state.settings.control_address;
+            let snapshot = address.map(|address| format!("http://{address}/-/Post.State"));
+            json!({ "gap": kind, "count": count, "more": more, "why": why.word(), "snapshot": snapshot })
+        }
+        Line::Event { event, after, missed, mark } => {
+            let told = &event.told;
+            let state: Value = serde_json::from_str(&told.state).unwrap_or(Value::Null);
+            let at = Cursor::of(&told.key, *mark).write();
+            json!({ "kind": kind(&told.key), "key": told.key, "place": place_text(&told.place),
+                "after": after.as_ref().map(place_text), "missed": missed, "zone": told.zone,
+                "service": told.service, "state": state, "at": at })
+        }
+    };
+    output.extend_from_slice(value.to_string().as_bytes());
+    output.push(b'\n');
+}
+
+fn append_cursor(stream: &EventStream, reader: &Reader, output: &mut Vec<u8>) {
+    let cursor = stream.feed.borrow().cursor(reader).write();
+    output.extend_from_slice(json!({ "cursor": cursor }).to_string().as_bytes());
+    output.push(b'\n');
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/event_stream/state.rs
@@ -0,0 +1,197 @@
+//! The events of this process: what it learns of nodes, upstreams and control entries, handed to the feed. Knows nothing of readers'
+//! connections.
+use crate::control_value::{evacuated_zone, ControlValue, CONFIGURATION_KEY};
+use crate::peers::{RecordBody, UpstreamRecord};
+use serde_json::{json, Value};
+use silvercross_event_feed::{Bounds, EventFeed, Place, Told};
+use silvercross_mesh_config::{Configuration, Route};
+use silvercross_mesh_membership::{NodeRecord, Revision};
+use std::cell::{Cell, RefCell};
+use std::net::Ipv4Addr;
+use tokio::sync::Notify;
+
+/// Longer texts of items are cut in events, in characters.
+const MAX_TEXT_CHARS: usize = 200;
+/// No more destinations of a route are named in an event.
+const MAX_NAMED_DESTINATIONS: usize = 8;
+
+/// The events of this process.
+pub(crate) struct EventStream {
+    pub(super) feed: RefCell<EventFeed>,
+    /// Told when there are events that were not there before.
+    pub(super) appended: Notify,
+    /// Readers that follow.
+    pub(super) followers: Cell<usize>,
+    rejected_calls: Cell<u64>,
+}
+
+fn cut(text: &str) -> String {
+    text.chars().take(MAX_TEXT_CHARS).collect()
+}
+
+fn ip(bits: u32) -> String {
+    Ipv4Addr::from_bits(bits).to_string()
+}
+
+/// An item of the configuration, or that it was dropped.
+struct Item<'i> {
+    /// What it is an item of.
+    collection: &'i str,
+    name: &'i str,
+    version: u64,
+}
+
+/// What an event says of an item that stands.
+struct ItemContent {
+    service: String,
+    state: Value,
+}
+
+impl EventStream {
+    /// Nothing has happened yet.
+    pub(crate) fn new() -> Self {
+        EventStream {
+            feed: RefCell::new(EventFeed::new(Bounds::default())),
+            appended: Notify::new(),
+            followers: Cell::new(0),
+            rejected_calls: Cell::new(0),
+        }
+    }
+
+    /// Counters, under the names of the metrics page.
+    pub(crate) fn metrics(&self) -> Value {
+        let feed = self.feed.borrow().figures();
+        json!({ "followers": self.followers.get(), "keys": feed.keys, "events": feed.events,
+            "dropped": feed.dropped, "forgotten": feed.forgotten })
+    }
+
+    fn append(&self, event: Told) {
+        if self.feed.borrow_mut().tell(event) {
+            self.appended.notify_waiters();
+        }
+    }
+
+    /// What is known of a node and of its upstream, as its record says.
+    pub(crate) fn record(&self, record: &NodeRecord<RecordBody>) {
+        let place =
+            Place { epoch: record.incarnation, owner: 0, version: record.sequence, mark: record.gone };
+        let (name, zone) = (ip(record.node.0), record.zone.clone());
+        let is = match record {
+            record if record.gone => "gone",
+            record if record.body.stopping => "leaving",
+            _ => "there",
+        };
+        let key = format!("node/{name}");
+        let state = json!({ "is": is, "core": record.is_control, "control": record.body.control_port });
+        let (state, ended) = (state.to_string(), record.gone);
+        self.append(Told { key, place, zone: zone.clone(), state, ended, ..Told::default() });
+        if record.is_control {
+            return;
+        }
+        let key = format!("upstream/{name}");
+        let upstream = record.body.upstream.as_ref().filter(|_| !record.gone);
+        let event = match upstream {
+            Some(upstream) => upstream_event(upstream, record.incarnation),
+            None => Told { state: json!({ "is": "none" }).to_string(), ended: true, ..Told::default() },
+        };
+        self.append(Told { key, place, zone, ..event });
+    }
+
+    /// A control entry is in force here.
+    pub(crate) fn control_entry(&self, key: &str, revision: Revision, value: &ControlValue) {
+        let (round, owner, change) = revision;
+        let place = Place { epoch: round, owner, ..Place::default() };
+        let state = json!({ "owner": ip(owner as u32), "round": round }).to_string();
+        self.append(Told { key: format!("owner/{key}"), place, state, rises: true, ..Told::default() });
+        match value {
+            ControlValue::Configuration(configuration) if key == CONFIGURATION_KEY => {
+                self.configuration(configuration);
+            }
+            ControlValue::Evacuation(is_evacuated) => {
+                let zone = evacuated_zone(key).unwrap_or(key).to_string();
+                let place = Place { version: change.saturating_add(1), ..place };
+                let state = json!({ "on": is_evacuated }).to_string();
+                self.append(Told { key: key.to_string(), place, zone, state, ..Told::default() });
+            }
+            _ => {}
+        }
+    }
+
+    /// An item stands, or with no content was dropped. `content` is asked for only where that is new.
+    fn item(&self, item: &Item, content: impl FnOnce() -> Option<ItemContent>) {
+        let key = format!("item/{}/{}", item.collection, item.name);
+        let place = Place { version: item.version.saturating_add(1), ..Place::default() };
+        // Most stand as they stood: nothing is made of them.
+        if self.feed.borrow().seen(&key).is_some_and(|seen| seen >= place) {
+            return;
+        }
+        let content = content();
+        let ended = content.is_none();
+        let ItemContent { service, mut state } =
+            content.unwrap_or_else(|| ItemContent { service: String::new(), state: json!({}) });
+        state["set"] = json!(!ended);
+        state["edition"] = json!(item.version);
+        let state = state.to_string();
+        self.append(Told { key, place, service, state, ended, rises: true, ..Told::default() });
+    }
+
+    fn configuration(&self, configuration: &Configuration) {
+        for destination in configuration.destinations() {
+            let (name, version) = (destination.name.as_str(), destination.version);
+            self.item(&Item { collection: "destination", name, version }, || {
+                let state = json!({ "coldS": destination.slow_start as f64 / 1e6 });
+                Some(ItemContent { service: destination.name.clone(), state })
+            });
+        }
+        for route in configuration.routes() {
+            let item = Item { collection: "route", name: &route.name, version: route.version };
+            self.item(&item, || Some(route_content(route)));
+        }
+        if let Some(limits) = configuration.limits() {
+            let item = Item { collection: "limits", name: "sizeLimits", version: limits.version };
+            self.item(&item, || {
+                let state = json!({ "contentBytes": limits.max_body_bytes });
+                Some(ItemContent { service: String::new(), state })
+            });
+        }
+        for (collection, name, version) in configuration.tombstones() {
+            self.item(&Item { collection, name, version }, || None);
+        }
+    }
+
+    /// A call was rejected by the node at `own_ip`, in this incarnation of it. Only that node tells of it.
+    pub(crate) fn call_rejected(&self, own_ip: Ipv4Addr, incarnation: u64, key: &str, reason: &str) {
+        let number = self.rejected_calls.get() + 1;
+        self.rejected_calls.set(number);
+        let place = Place { epoch: incarnation, owner: 0, version: number, mark: false };
+        let state = json!({ "number": number, "key": key, "why": cut(reason) }).to_string();
+        self.append(Told { key: format!("refused/{own_ip}"), place, state, ..Told::default() });
+    }
+}
+
+fn upstream_event(upstream: &UpstreamRecord, sidecar_incarnation: u64) -> Told {
+    let is = match upstream {
+        upstream if upstream.silent => "silent",
+        upstream if upstream.draining => "draining",
+        _ => "there",
+    };
+    let state = json!({ "is": is, "id": cut(&upstream.id), "slots": upstream.slots,
+        "colds": upstream.warm_ups, "life": sidecar_incarnation });
+    Told { service: upstream.service.clone(), state: state.to_string(), ..Told::default() }
+}
+
+fn route_content(route: &Route) -> ItemContent {
+    let to: Vec<Value> = route
+        .split
+        .iter()
+        .take(MAX_NAMED_DESTINATIONS)
+        .map(|(name, share)| json!([cut(name), share]))
+        .collect();
+    let service = match route.split.as_slice() {
+        [(only, _)] => only.clone(),
+        _ => String::new(),
+    };
+    let state = json!({ "depot": cut(&route.virtual_host), "lane": cut(&route.path_prefix),
+        "kind": route.kind.as_str(), "to": to });
+    ItemContent { service, state }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/graceful_stop/tests.rs
@@ -0,0 +1,71 @@
+//! In the package, for a program has no library to import.
+use super::{GracefulStop, Phase};
+use silvercross_time::{Duration, Instant};
+
+/// A look so often, as `runtime.rs` has it, and in a process that is not told to end, in microseconds.
+const STOP_CHECK_INTERVAL: i64 = 50_000;
+const LOOK_INTERVAL: i64 = 300_000;
+
+const fn at(micros: i64) -> Instant {
+    Instant::from_micros(micros)
+}
+
+/// Stood still when; asked when; busy until; shut from and to.
+type Case<'c> = ((i64, i64), &'c [i64], i64, i64, i64);
+
+/// Tell a process to end at 0 with a grace of 6 s: it stands still within `still`, is asked at `asked`, and has something open
+/// until `open`. When it shuts.
+fn shuts(still: (i64, i64), asked: &[i64], open: i64) -> i64 {
+    let awake = |t: i64| if t >= still.0 && t < still.1 { still.1 } else { t };
+    let looked = (1..).map(|n| -n * LOOK_INTERVAL).find(|t| awake(*t) == *t).expect("once awake");
+    let heard = awake(0);
+    let mut graceful_stop = GracefulStop::new(at(looked), at(heard), Duration::from_secs(6));
+    let (mut now, mut asked) = (heard, asked.iter().copied().filter(|a| *a >= heard).peekable());
+    loop {
+        now = awake(now + STOP_CHECK_INTERVAL);
+        while asked.next_if(|a| *a <= now).is_some() {
+            graceful_stop.not_ready_reply(at(now));
+        }
+        if graceful_stop.phase(at(now), now < open) == Phase::Shut {
+            return now;
+        }
+    }
+}
+
+#[test]
+fn it_is_gone_within_the_grace_that_the_platform_counts() {
+    const S: i64 = 1_000_000;
+    let never = (S * 60, S * 60);
+    let cases: [Case; 11] = [
+        (never, &[], 0, 2 * S, 5 * S / 2),
+        // It is asked twice: it goes as soon as the platform knows.
+        (never, &[S / 10, S + S / 10], 0, S + S / 2, 8 * S / 5),
+        // Once, or many times in a moment, is not twice.
+        (never, &[S / 10], 0, 2 * S, 5 * S / 2),
+        (never, &[S / 10, S / 5, 2 * S / 5], 0, 2 * S, 5 * S / 2),
+        // What is open is waited for, within bounds.
+        (never, &[], 4 * S, 4 * S, 9 * S / 2),
+        (never, &[], 60 * S, 5 * S, 6 * S),
+        // It stood still as it was told, and then had something to do.
+        ((-S, 4 * S), &[], 60 * S, 4 * S, 6 * S),
+        ((-S, 4 * S), &[], 0, 4 * S, 9 * S / 2),
+        ((-S / 2, 5 * S), &[], 60 * S, 5 * S, 6 * S),
+        // It stands still meanwhile.
+        ((S, 5 * S), &[], 60 * S, 5 * S, 6 * S),
+        ((S, 5 * S), &[S / 2], 0, 5 * S, 6 * S),
+    ];
+    for (n, (still, asked, open, from, to)) in cases.into_iter().enumerate() {
+        let shut_at = shuts(still, asked, open);
+        assert!((from..to).contains(&shut_at), "case {n}: shut at {shut_at}");
+    }
+}
+
+#[test]
+fn a_short_grace_is_kept_too() {
+    for grace in [0, 400_000, 600_000, 1_500_000] {
+        let mut graceful_stop = GracefulStop::new(at(0), at(0), Duration::from_micros(grace));
+        assert!(graceful_stop.answer_by() <= graceful_stop.end_by());
+        assert!(graceful_stop.end_by() <= at(grace));
+        assert_eq!(graceful_stop.phase(at(grace), true), Phase::Shut);
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/member_throttle/item_changes.rs
@@ -0,0 +1,115 @@
+//! Operators' changes of one member: its item as it stands, changed, and sent as the next version. Keys are the wire's.
+use serde_json::{json, Map, Value};
+use std::fmt;
+
+/// What a renewal may change of an item.
+const RENEWABLE_KEYS: [&str; 4] = ["plan", "lapsesAt", "lapsesInS", "slowing"];
+/// What a lapse that begins now is sent as, in seconds: no span may be 0.
+const AT_ONCE_S: f64 = 0.001;
+
+/// Why a member's item can't be changed so.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum ItemChangeError {
+    /// The item that stands is none.
+    UnreadableItem,
+    /// The body of the call is no JSON object.
+    UnreadableBody,
+    /// A key that a renewal doesn't change.
+    NotRenewable { key: String },
+    /// Nothing says until when.
+    NoEnd,
+}
+
+impl fmt::Display for ItemChangeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ItemChangeError::UnreadableItem => {
+                write!(f, "the item can't be read (send it anew with Config.Patch)")
+            }
+            ItemChangeError::UnreadableBody => {
+                write!(f, "the body is no JSON object (send {{\"lapsesInS\":...}} or nothing)")
+            }
+            ItemChangeError::NotRenewable { key } => write!(
+                f,
+                "{key}: is not changed by a renewal (give one of {RENEWABLE_KEYS:?}, or use Config.Patch)"
+            ),
+            ItemChangeError::NoEnd => {
+                write!(f, "lapsesInS: is missing, and so are lapsesAt and plan (say until when)")
+            }
+        }
+    }
+}
+
+impl std::error::Error for ItemChangeError {}
+
+/// A name out of a call's path, where `%20` stands for a blank; `None` if it is no text.
+pub(crate) fn percent_decoded(path: &str) -> Option<String> {
+    let mut bytes = Vec::with_capacity(path.len());
+    let mut rest = path.as_bytes();
+    while let Some((first, after)) = rest.split_first() {
+        if *first == b'%' {
+            let code = std::str::from_utf8(after.get(..2)?).ok()?;
+            bytes.push(u8::from_str_radix(code, 16).ok()?);
+            rest = after.get(2..)?;
+        } else {
+            bytes.push(*first);
+            rest = after;
+        }
+    }
+    String::from_utf8(bytes).ok()
+}
+
+fn next_version(item: &str) -> Result<Map<String, Value>, ItemChangeError> {
+    let Ok(Value::Object(mut item)) = serde_json::from_str(item) else {
+        return Err(ItemChangeError::UnreadableItem);
+    };
+    let version = item.get("edition").and_then(|v| v.as_u64().or_else(|| v.as_f64().map(|v| v as u64)));
+    item.insert("edition".to_string(), json!(version.unwrap_or(0).saturating_add(1)));
+    Ok(item)
+}
+
+fn patch(item: Map<String, Value>) -> String {
+    json!({ "deliver": { "members": [item] } }).to_string()
+}
+
+/// The call that renews a member: its item's next version, with what `body` changes of it. Without a body a trial that was
+/// given for a span gets the same span again.
+///
+/// # Errors
+/// What keeps the item from being renewed so.
+pub(crate) fn renewed_item(item: &str, body: &[u8]) -> Result<String, ItemChangeError> {
+    let mut item = next_version(item)?;
+    let given = if body.trim_ascii().is_empty() { b"{}" } else { body };
+    let Ok(Value::Object(given)) = serde_json::from_slice(given) else {
+        return Err(ItemChangeError::UnreadableBody);
+    };
+    if let Some(key) = given.keys().find(|key| !RENEWABLE_KEYS.contains(&key.as_str())) {
+        return Err(ItemChangeError::NotRenewable { key: key.clone() });
+    }
+    let is_full = given.get("plan").is_some_and(|plan| plan == "full");
+    let has_end = given.contains_key("lapsesAt") || given.contains_key("lapsesInS");
+    if !has_end && !is_full && item.get("lapsesInS").is_none_or(Value::is_null) {
+        return Err(ItemChangeError::NoEnd);
+    }
+    if has_end || is_full {
+        item.remove("lapsesAt");
+        item.remove("lapsesInS");
+    }
+    if has_end && !is_full {
+        item.insert("plan".to_string(), json!("trial"));
+    }
+    item.extend(given);
+    Ok(patch(item))
+}
+
+/// The call that ends a member's trial now.
+///
+/// # Errors
+/// [`ItemChangeError::UnreadableItem`].
+pub(crate) fn lapsed_item(item: &str) -> Result<String, ItemChangeError> {
+    let mut item = next_version(item)?;
+    item.remove("lapsesAt");
+    item.insert("lapsesInS".to_string(), json!(AT_ONCE_S));
+    item.insert("plan".to_string(), json!("trial"));
+    Ok(patch(item))
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
@@ -0,0 +1,141 @@
+//! The singleton that takes lapses on: it runs on the node that owns a lapse's key, by the time of day that the replicas agree on.
+use super::state::{LapseOwner, MemberThrottle};
+use super::wall_clock::wall_micros;
+use crate::control_value::{ControlChange, CONFIGURATION_KEY};
+use crate::node_state::NodeState;
+use silvercross_control_store::{CallOutcome, Epoch};
+use silvercross_throttle::{lapse_key, member_of_lapse_key, LapseState};
+use silvercross_time::{Duration, Instant};
+use slog::{debug, info};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// An owner looks after what is due so often.
+const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+/// Lapses that are due and that it looks at each time, and as many that were stirred; the rest come next.
+const MAX_LAPSES_AT_A_TIME: usize = 128;
+/// The machine's clock is read so often.
+const CLOCK_READ_INTERVAL: Duration = Duration::from_secs(1);
+/// The other replicas are asked for their time so often where it is known; where not, as often as the clock is read.
+const PEERS_ASK_INTERVAL: Duration = Duration::from_secs(10);
+
+fn is_due(last: Option<Instant>, now: Instant, interval: Duration) -> bool {
+    last.is_none_or(|last| now - last >= interval)
+}
+
+/// Look after lapses, for as long as the process lives; sleeps while there is no member.
+pub(crate) async fn run_lapse_owner(node_state: Rc<NodeState>) {
+    let members = &node_state.member_throttle;
+    loop {
+        if members.has_members() {
+            look_after_clocks(&node_state);
+            look_after_lapses(&node_state);
+            tokio::time::sleep(LOOK_INTERVAL.to_std()).await;
+        } else {
+            members.changed.notified().await;
+        }
+    }
+}
+
+/// Read this machine's clock, and ask the other replicas for theirs.
+fn look_after_clocks(node_state: &Rc<NodeState>) {
+    let now = node_state.now();
+    let mut owner = node_state.member_throttle.owner.borrow_mut();
+    let owner = &mut *owner;
+    if is_due(owner.clock_read_at, now, CLOCK_READ_INTERVAL) {
+        owner.clock_read_at = Some(now);
+        if owner.clock.observe_local(now.as_micros(), wall_micros()) {
+            info!(node_state.log, "the time of day was set");
+        }
+    }
+    let is_known = owner.clock.wall_time(now.as_micros()).is_some();
+    if is_known && !owner.is_time_known {
+        // What waits for the time of day need not wait for its next look.
+        owner.stirred.extend(owner.owned.keys().cloned());
+    }
+    owner.is_time_known = is_known;
+    let interval = if is_known { PEERS_ASK_INTERVAL } else { CLOCK_READ_INTERVAL };
+    if is_due(owner.peers_asked_at, now, interval) {
+        owner.peers_asked_at = Some(now);
+        node_state.peers.request_wall_clocks(node_state);
+    }
+}
+
+/// The lapses whose keys this node owns, and, where it owns the configuration, those that have no key yet.
+fn owned_lapses(node_state: &NodeState, members: &MemberThrottle) -> BTreeMap<String, Epoch> {
+    let index = members.index();
+    let observed = members.observed.borrow();
+    let owned_keys = node_state.peers.control_store(|store| store.owned_keys()).unwrap_or_default();
+    let mut owned = BTreeMap::new();
+    for (key, epoch, _) in owned_keys {
+        if key == CONFIGURATION_KEY {
+            let unwritten = index
+                .members()
+                .filter(|member| member.lapse_time.is_some() && !observed.contains_key(&member.name));
+            owned.extend(unwritten.map(|member| (member.name.clone(), epoch)));
+        } else if let Some(name) = member_of_lapse_key(&key) {
+            owned.insert(name.to_string(), epoch);
+        }
+    }
+    owned
+}
+
+impl LapseOwner {
+    /// These are owned from now on: new ones are looked at, those lost are forgotten.
+    fn set_owned(&mut self, owned: BTreeMap<String, Epoch>) {
+        for name in self.owned.keys().filter(|name| !owned.contains_key(*name)) {
+            self.timer.forget(name);
+        }
+        for (name, epoch) in &owned {
+            if self.owned.get(name) != Some(epoch) {
+                self.stirred.insert(name.clone());
+            }
+        }
+        self.owned = owned;
+        self.stirred.retain(|name| self.owned.contains_key(name));
+    }
+
+    /// Those to look at now.
+    fn due(&mut self, now: Instant) -> BTreeSet<String> {
+        let due = self.timer.due(now.as_micros(), MAX_LAPSES_AT_A_TIME).into_iter();
+        due.chain(self.stirred.iter().take(MAX_LAPSES_AT_A_TIME).cloned()).collect()
+    }
+}
+
+/// Decide on what is due, and propose the changes that follow.
+fn look_after_lapses(node_state: &Rc<NodeState>) {
+    let now = node_state.now();
+    let members = &node_state.member_throttle;
+    let owned = owned_lapses(node_state, members);
+    let (index, observed) = (members.index(), members.observed.borrow());
+    let mut owner = members.owner.borrow_mut();
+    let owner = &mut *owner;
+    owner.set_owned(owned);
+    for name in owner.due(now) {
+        let Some(epoch) = owner.owned.get(&name).copied() else { continue };
+        let blank = LapseState::default();
+        let lapse = match observed.get(&name) {
+            // The owner's own value under this epoch, written anew, is on its way here.
+            Some(observed) if observed.epoch != epoch => continue,
+            Some(observed) => &observed.lapse,
+            None => &blank,
+        };
+        owner.stirred.remove(&name);
+        let member = index.member(&name);
+        let decision = owner.timer.decide(now.as_micros(), &name, epoch, lapse, member, &owner.clock);
+        if let Some(change) = decision.proposal {
+            propose(node_state.clone(), name, ControlChange::Lapse(change));
+        }
+    }
+}
+
+fn propose(node_state: Rc<NodeState>, member: String, change: ControlChange) {
+    tokio::task::spawn_local(async move {
+        let proposed = format!("{change:?}");
+        let outcome = node_state.peers.change_key(&node_state, &lapse_key(&member), change).await;
+        if let Some(CallOutcome::Rejected(rejection)) = outcome {
+            debug!(node_state.log, "a lapse's change is rejected"; "member" => &member, "change" => proposed,
+                "why" => rejection.reason);
+        }
+    });
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/member_throttle/state.rs
@@ -0,0 +1,180 @@
+//! What one node knows of members: who they are, how far each lapse has come, the requests that wait, and what the owner of lapses
+//! remembers. Knows nothing of the rest of the process.
+use super::wall_clock::{wall_micros, WallClock};
+use serde_json::{json, Value};
+use silvercross_control_store::Epoch;
+use silvercross_mesh_membership::Revision;
+use silvercross_throttle::{
+    member_of_lapse_key, ClockSettings, DelayQueue, LapseState, LapseTimer, LapseTransition, LapseView,
+    MemberIndex, MemberList, PeerClockReading, TrustedClock,
+};
+use silvercross_time::Instant;
+use slog::{info, Logger};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use tokio::sync::{oneshot, Notify};
+
+/// Requests that wait at a time; further ones go on at once.
+const MAX_DELAYED_REQUESTS: usize = 1024;
+/// Bytes of their bodies, together.
+const MAX_DELAYED_BYTES: usize = 8 << 20;
+/// Delayed requests are counted by the tenth of the steps that held for them, 0 to 10.
+pub(super) const STEP_TENTHS: usize = 11;
+
+/// A lapse as a control entry told it.
+pub(super) struct ObservedLapse {
+    /// The ownership under which it was written.
+    pub(super) epoch: Epoch,
+    pub(super) lapse: LapseState,
+}
+
+/// The members, as one node knows them.
+pub(crate) struct MemberThrottle {
+    /// A header names members.
+    is_enabled: Cell<bool>,
+    index: RefCell<Rc<MemberIndex>>,
+    pub(super) lapses: RefCell<LapseView>,
+    /// Every lapse that was told, by member; no more than there are control entries.
+    pub(super) observed: RefCell<BTreeMap<String, ObservedLapse>>,
+    pub(super) delayed: RefCell<DelayQueue<oneshot::Sender<()>>>,
+    pub(super) owner: RefCell<LapseOwner>,
+    /// Told when members or lapses have changed.
+    pub(super) changed: Notify,
+    pub(super) delays_by_tenth: [Cell<u64>; STEP_TENTHS],
+    pub(super) rejected: Cell<u64>,
+}
+
+/// What the owner of lapses' keys remembers.
+pub(super) struct LapseOwner {
+    pub(super) timer: LapseTimer,
+    pub(super) clock: TrustedClock,
+    /// When the time of day was read last.
+    pub(super) clock_read_at: Option<Instant>,
+    /// When the other replicas were asked for theirs.
+    pub(super) peers_asked_at: Option<Instant>,
+    /// The time of day was known at the last look.
+    pub(super) is_time_known: bool,
+    /// The lapses looked after, and under which ownership.
+    pub(super) owned: BTreeMap<String, Epoch>,
+    /// To be looked at though not due.
+    pub(super) stirred: BTreeSet<String>,
+}
+
+impl MemberThrottle {
+    /// There are no members yet. `is_only_replica`: nobody else could tell the time.
+    pub(crate) fn new(is_only_replica: bool) -> Self {
+        let owner = LapseOwner {
+            timer: LapseTimer::new(),
+            clock: TrustedClock::new(ClockSettings::default(), is_only_replica),
+            clock_read_at: None,
+            peers_asked_at: None,
+            is_time_known: false,
+            owned: BTreeMap::new(),
+            stirred: BTreeSet::new(),
+        };
+        MemberThrottle {
+            is_enabled: Cell::new(false),
+            index: RefCell::default(),
+            lapses: RefCell::new(LapseView::new()),
+            observed: RefCell::default(),
+            delayed: RefCell::new(DelayQueue::new(MAX_DELAYED_REQUESTS, MAX_DELAYED_BYTES)),
+            owner: RefCell::new(owner),
+            changed: Notify::new(),
+            delays_by_tenth: Default::default(),
+            rejected: Cell::new(0),
+        }
+    }
+
+    /// Whether requests are to be looked at. Until a call sends members' header they are not.
+    pub(crate) fn is_enabled(&self) -> bool {
+        self.is_enabled.get()
+    }
+
+    /// Whether there is any member.
+    pub(super) fn has_members(&self) -> bool {
+        self.index.borrow().members().next().is_some()
+    }
+
+    /// The members by their keys.
+    pub(super) fn index(&self) -> Rc<MemberIndex> {
+        self.index.borrow().clone()
+    }
+
+    /// These are the members from now on.
+    pub(crate) fn set_members(&self, now: Instant, log: &Logger, list: &MemberList) {
+        let index = Rc::new(MemberIndex::new(list));
+        self.is_enabled.set(index.header().is_some());
+        {
+            let mut lapses = self.lapses.borrow_mut();
+            lapses.retain_members(|name| index.member(name).is_some());
+            for (name, observed) in self.observed.borrow().iter() {
+                if index.member(name).is_some() {
+                    log_transition(log, name, lapses.observe(now.as_micros(), name, &observed.lapse));
+                }
+            }
+        }
+        self.owner.borrow_mut().stirred.extend(index.members().map(|member| member.name.clone()));
+        *self.index.borrow_mut() = index;
+        self.changed.notify_one();
+    }
+
+    /// The control entry of a lapse is in force; `None`: nothing was written there yet. Other keys change nothing.
+    pub(crate) fn apply_lapse(
+        &self,
+        now: Instant,
+        log: &Logger,
+        key: &str,
+        revision: Revision,
+        lapse: Option<LapseState>,
+    ) {
+        let Some(name) = member_of_lapse_key(key) else { return };
+        let lapse = lapse.unwrap_or_default();
+        log_transition(log, name, self.lapses.borrow_mut().observe(now.as_micros(), name, &lapse));
+        let epoch = Epoch { round: revision.0, owner: revision.1 as u32 };
+        self.observed.borrow_mut().insert(name.to_string(), ObservedLapse { epoch, lapse });
+        self.owner.borrow_mut().stirred.insert(name.to_string());
+        self.changed.notify_one();
+    }
+
+    /// This replica's time of day; nothing where there is no member and it is not looked after.
+    pub(crate) fn wall_clock(&self, now: Instant) -> Option<WallClock> {
+        let owner = self.owner.borrow();
+        (self.has_members() && owner.clock_read_at.is_some())
+            .then(|| WallClock { wall_micros: wall_micros(), stepped: owner.clock.stepped(now.as_micros()) })
+    }
+
+    /// Another replica told its time of day.
+    pub(crate) fn wall_clock_reported(&self, reading: PeerClockReading) {
+        self.owner.borrow_mut().clock.observe_peer(reading);
+    }
+
+    /// The process stops: all that wait go on, and nothing waits any more.
+    pub(crate) fn release_waiting(&self) {
+        for waiting in self.delayed.borrow_mut().release_all() {
+            // Its request may have ended meanwhile.
+            let _ = waiting.send(());
+        }
+    }
+
+    /// Counters, under the names of the metrics page; nothing where no member was ever sent.
+    pub(crate) fn metrics(&self) -> Option<Value> {
+        if !self.is_enabled() && !self.has_members() {
+            return None;
+        }
+        let index = self.index();
+        let delayed = self.delayed.borrow();
+        let waits: Vec<u64> = self.delays_by_tenth.iter().map(Cell::get).collect();
+        let tenths = self.lapses.borrow().count_by_tenth(index.members());
+        Some(json!({
+            "standing": index.members().count(), "tenths": tenths, "waits": waits, "turned": self.rejected.get(),
+            "passed": delayed.bypassed(), "waiting": delayed.len(), "bytes": delayed.bytes(),
+        }))
+    }
+}
+
+/// One line for each change.
+fn log_transition(log: &Logger, name: &str, transition: Option<LapseTransition>) {
+    let Some(LapseTransition { to, .. }) = transition else { return };
+    info!(log, "member"; "name" => name, "step" => to.step, "of" => to.total_steps, "lapsed" => to.begun, "edition" => to.version);
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/members_command/client.rs
@@ -0,0 +1,116 @@
+//! Calls to nodes' control addresses.
+use crate::peer_connection;
+use anyhow::{anyhow, bail, Context, Result};
+use serde_json::Value;
+use silvercross_net::http;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::time::timeout;
+
+/// A call is answered within this.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The largest answer, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 32 << 20;
+/// A call is made so many times, as often as it is redirected.
+const MAX_CALLS: usize = 3;
+/// The call that every node answers with its members.
+const LIST_PATH: &str = "/-/Members.List";
+
+/// What one node said of members.
+pub(super) struct NodeReport {
+    /// Its control address.
+    pub(super) address: String,
+    /// Its answer; `None`: it did not answer.
+    pub(super) members: Option<Value>,
+}
+
+struct Response {
+    status: u16,
+    /// Where it redirects the caller.
+    location: Option<String>,
+    body: Value,
+}
+
+/// One call on a connection of its own, which ends with the answer.
+async fn call_once(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<Response> {
+    let length = body.len();
+    let request = format!(
+        "{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\
+         Connection: close\r\n\r\n{body}"
+    );
+    let mut stream = peer_connection::connect(None, at, CALL_TIMEOUT).await.context("not reached")?;
+    stream.write_all(request.as_bytes()).await?;
+    let mut bytes = Vec::new();
+    stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut bytes).await?;
+    let mut room = http::lines();
+    let head = http::answer_head(&bytes, &mut room).ok().flatten().context("no answer")?;
+    let location = head.headers.one("location").ok().flatten().map(str::to_string);
+    let body = serde_json::from_slice(bytes.get(head.len..).unwrap_or_default());
+    Ok(Response { status: head.status, location, body: body.unwrap_or(Value::Null) })
+}
+
+/// A call, and the same again wherever it is redirected.
+async fn call(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<Response> {
+    let (mut at, mut path) = (at, path.to_string());
+    for _ in 0..MAX_CALLS {
+        let response = timeout(CALL_TIMEOUT, call_once(at, method, &path, body)).await;
+        let response = response.unwrap_or_else(|_| Err(anyhow!("no answer in time"))).context(at)?;
+        if response.status != 307 {
+            return Ok(response);
+        }
+        let location = response.location.as_deref();
+        let target = location.and_then(|location| location.strip_prefix("http://")?.split_once('/'));
+        let (host, rest) = target.with_context(|| format!("{at}: it names nobody to ask"))?;
+        (at, path) = (host.parse().with_context(|| format!("{host}: no address"))?, format!("/{rest}"));
+    }
+    bail!("{at}: redirected again and again")
+}
+
+/// Change a member: `operation` is the call's name behind `Members.`.
+pub(super) async fn change_member(at: SocketAddr, operation: &str, name: &str, body: &str) -> Result<()> {
+    let path = format!("/-/Members.{operation}/{}", percent_encoded(name));
+    let response = call(at, "POST", &path, body).await?;
+    match response.status {
+        200 => Ok(()),
+        503 => bail!("{name}: not settled now (look with members show, then send it again)"),
+        status => bail!("{status} {}", response.body["error"].as_str().unwrap_or("")),
+    }
+}
+
+/// A name as it stands in a path.
+fn percent_encoded(name: &str) -> String {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
+    let encoded = |byte: u8| match is_plain(byte) {
+        true => char::from(byte).to_string(),
+        false => format!("%{byte:02X}"),
+    };
+    name.bytes().map(encoded).collect()
+}
+
+/// What each node says of its members, the one asked first of all.
+pub(super) async fn ask_all_nodes(at: SocketAddr) -> Result<Vec<NodeReport>> {
+    let first = call(at, "GET", LIST_PATH, "").await?.body;
+    let nodes = first["nodes"].as_array().into_iter().flatten();
+    let mut addresses: Vec<String> =
+        nodes.filter_map(|node| node["control"].as_str().map(str::to_string)).collect();
+    addresses.sort();
+    let others = addresses.into_iter().filter(|address| first["control"].as_str() != Some(address));
+    let tasks: Vec<_> = others.map(|address| tokio::spawn(ask_node(address))).collect();
+    let mut reports = vec![NodeReport { address: at.to_string(), members: Some(first) }];
+    for task in tasks {
+        reports.push(task.await?);
+    }
+    Ok(reports)
+}
+
+async fn ask_node(address: String) -> NodeReport {
+    let members = match address.parse() {
+        Ok(at) => {
+            let response = timeout(CALL_TIMEOUT, call(at, "GET", LIST_PATH, "")).await;
+            response.ok().and_then(Result::ok).map(|response| response.body)
+        }
+        Err(_) => None,
+    };
+    NodeReport { address, members }
+}
--- a/crates/daemon/mesh/src/mutation.rs
+++ b/crates/daemon/mesh/src/mutation.rs
@@ -1,14 +1,14 @@
-//! The data path's rules broken on purpose, so that the judge of its tests can be judged. Without the feature `mutants` nothing
-//! heeds them.
+//! Rules of the data path changed on purpose, so that tests can see the checkers catch it. Without the feature `mutants` no rule
+//! can be changed.
 
 /// One rule that is not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutation {
-    /// A gate forgets a ticket as soon as its attempt has ended.
+pub(crate) enum Mutation {
+    /// A sidecar forgets a request that may run once as soon as its attempt has ended.
     ReplayEntryForgotten,
-    /// A connection on which something came behind an answer is used again.
+    /// A connection on which something came behind a response is used again.
     SurplusBytesKept,
-    /// What another life of a gate's process does not know counts as not begun.
+    /// What another incarnation of a sidecar does not know counts as not begun.
     AnyIncarnation,
     /// What was asked for before it came may still begin.
     LateStartAllowed,
@@ -18,22 +18,24 @@
 
 #[cfg(all(test, feature = "mutants"))]
 thread_local! {
-    static BROKEN: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
+    static ACTIVE: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
-/// Breaks one rule on this thread, or none.
+/// Change one rule on this thread, or none.
 #[cfg(all(test, feature = "mutants"))]
-pub fn set_mutation(broken: Option<Mutation>) {
-    BROKEN.set(broken);
+pub(crate) fn set_mutation(mutation: Option<Mutation>) {
+    ACTIVE.set(mutation);
 }
 
+/// Whether this rule is changed on this thread.
 #[cfg(all(test, feature = "mutants"))]
-pub fn is_active(broken: Mutation) -> bool {
-    BROKEN.get() == Some(broken)
+pub(crate) fn is_active(mutation: Mutation) -> bool {
+    ACTIVE.get() == Some(mutation)
 }
 
+/// No rule can be changed.
 #[cfg(not(all(test, feature = "mutants")))]
 #[inline(always)]
-pub fn is_active(_: Mutation) -> bool {
+pub(crate) fn is_active(_: Mutation) -> bool {
     false
 }
--- /dev/null
+++ b/crates/daemon/mesh/src/node_state/balancers.rs
@@ -0,0 +1,120 @@
+//! The balancer of each service: opened with its first upstream, and told of upstreams and settings.
+use super::state::NodeState;
+use super::upstream_lists::{UpstreamLists, UpstreamPlace};
+use crate::service_balancer::{ServiceBalancer, ServiceSettings};
+use rand_core::RngCore;
+use silvercross_facade::Host;
+use silvercross_mesh_config::RoutingTable;
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+
+/// The part of the mesh's retries that sidecars may use together; the rest covers those whose number is not known.
+const RETRY_BUDGET_PART: f64 = 0.5;
+/// The incarnation that stands for this process: the upstream beside it is never renewed by it.
+const OWN_INCARNATION: u64 = 0;
+
+/// Upstreams by service.
+struct KnownUpstreams {
+    hosts: BTreeMap<String, Vec<Host>>,
+    /// Those of them whose sidecar began another incarnation, as they were before.
+    renewed: BTreeMap<String, Vec<Host>>,
+}
+
+impl NodeState {
+    /// The balancer of a service, if an upstream of it was ever known.
+    pub(crate) fn service_balancer(&self, service: &str) -> Option<Rc<ServiceBalancer>> {
+        self.service_balancers.borrow().get(service).cloned()
+    }
+
+    /// All balancers, by service.
+    pub(crate) fn service_balancers(&self) -> Vec<(String, Rc<ServiceBalancer>)> {
+        let balancers = self.service_balancers.borrow();
+        balancers.iter().map(|(service, balancer)| (service.clone(), balancer.clone())).collect()
+    }
+
+    /// Set each balancer to the configuration, the limits and the number of sidecars in force.
+    pub(super) fn reconfigure_balancers(self: &Rc<Self>) {
+        let table = self.routing_table();
+        for (service, balancer) in self.service_balancers() {
+            balancer.reconfigure(&self.service_settings(&service, &table));
+        }
+        self.update_upstream_lists();
+    }
+
+    fn service_settings<'t>(&'t self, service: &'t str, table: &'t RoutingTable) -> ServiceSettings<'t> {
+        let sidecars = self.sidecar_counts();
+        let limits = self.reloadable.get().limits;
+        ServiceSettings {
+            service,
+            routing_table: table,
+            zones: &self.settings.zones,
+            own_zone: &self.settings.zone,
+            senders: sidecars.total,
+            senders_in_zone: sidecars.in_zone,
+            drain_timeout: limits.drain_timeout,
+            retry_ratio: limits.retry_ratio * RETRY_BUDGET_PART,
+            max_saved_retries: limits.retry_allowance * RETRY_BUDGET_PART / f64::from(sidecars.total),
+        }
+    }
+
+    /// Tell each balancer which upstreams there are.
+    pub(super) fn update_upstream_lists(self: &Rc<Self>) {
+        if self.settings.outbound_address.is_none() {
+            return;
+        }
+        let KnownUpstreams { mut hosts, mut renewed } = self.known_upstreams();
+        let table = self.routing_table();
+        // A service whose last upstream has gone is told so.
+        for (service, _) in self.service_balancers() {
+            hosts.entry(service).or_default();
+        }
+        for (service, hosts) in hosts {
+            match self.service_balancer(&service) {
+                Some(balancer) => {
+                    if let Some(gone) = renewed.remove(&service) {
+                        balancer.reset_upstreams(gone);
+                    }
+                    balancer.set_upstreams(hosts);
+                }
+                None => self.open_balancer(service, &hosts, &table),
+            }
+        }
+        self.routing_changed.notify_waiters();
+    }
+
+    /// The upstreams that the other nodes' records and the heartbeats here tell of.
+    fn known_upstreams(&self) -> KnownUpstreams {
+        let (other_nodes, in_force) = (self.other_nodes.borrow(), self.in_force.borrow());
+        let mut warm_ups = self.warm_ups.borrow_mut();
+        let mut lists = UpstreamLists::new(self.now(), &in_force, &mut warm_ups);
+        for record in other_nodes.values() {
+            let Some(upstream) = &record.body.upstream else { continue };
+            let place = UpstreamPlace {
+                ip: Ipv4Addr::from_bits(record.node.0),
+                zone: &record.zone,
+                sidecar_incarnation: record.incarnation,
+            };
+            lists.add(place, &record.body, upstream);
+        }
+        if let Some(local) = &*self.local_upstream.borrow() {
+            let body = self.record_body_with(Some(local.record.clone()));
+            let (ip, zone) = (self.settings.ip, self.settings.zone.as_str());
+            let place = UpstreamPlace { ip, zone, sidecar_incarnation: OWN_INCARNATION };
+            lists.add(place, &body, &local.record);
+        }
+        lists.forget_unlisted();
+        KnownUpstreams { hosts: lists.hosts, renewed: lists.renewed }
+    }
+
+    /// The first upstreams of a service have come.
+    fn open_balancer(&self, service: String, hosts: &[Host], table: &RoutingTable) {
+        let seed = self.rng.borrow_mut().next_u64();
+        let settings = self.service_settings(&service, table);
+        let balancer = ServiceBalancer::new(&settings, hosts, seed, self.clock.clone());
+        if let Some(stop) = &*self.graceful_stop.borrow() {
+            balancer.answer_by(stop.answer_by());
+        }
+        self.service_balancers.borrow_mut().insert(service, balancer);
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/node_state/local_upstream.rs
@@ -0,0 +1,94 @@
+//! The upstream on this machine, as its heartbeats tell it. Knows nothing of what follows from them.
+use crate::peers::UpstreamRecord;
+use serde::Deserialize;
+use silvercross_time::{Duration, Instant};
+
+/// A warm-up that ends so much later than the one before is another one.
+const NEW_WARM_UP_AFTER: Duration = Duration::from_millis(500);
+/// The longest warm-up that counts, in seconds.
+const MAX_WARM_UP_S: f64 = 1e6;
+
+/// A heartbeat, as an upstream sends it. The keys are the wire's.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Heartbeat {
+    #[serde(rename = "destination")]
+    pub(super) service: String,
+    #[serde(default)]
+    pub(super) zone: String,
+    #[serde(default)]
+    pub(super) slots: u32,
+    #[serde(default)]
+    pub(super) state: String,
+    #[serde(default, rename = "coldLeftS")]
+    pub(super) warm_up_left_s: f64,
+    #[serde(default)]
+    pub(super) sequence: u64,
+}
+
+impl Heartbeat {
+    /// Whether the upstream is to get no more requests.
+    pub(super) fn is_draining(&self) -> bool {
+        self.state == "draining"
+    }
+
+    /// How much of its warm-up is left.
+    pub(super) fn warm_up_left(&self) -> Duration {
+        Duration::from_micros((self.warm_up_left_s.clamp(0.0, MAX_WARM_UP_S) * 1e6) as i64)
+    }
+}
+
+/// The upstream on this machine.
+pub(super) struct LocalUpstream {
+    /// What the other nodes are told of it.
+    pub(super) record: UpstreamRecord,
+    /// Of the latest heartbeat.
+    sequence: u64,
+    pub(super) last_heartbeat: Instant,
+    warm_up_ends: Instant,
+    /// The other nodes have been told of it as it is.
+    pub(super) is_published: bool,
+}
+
+impl LocalUpstream {
+    /// By the first heartbeat of an incarnation.
+    pub(super) fn new(id: &str, heartbeat: Heartbeat, now: Instant) -> Self {
+        let (draining, warm_up_left) = (heartbeat.is_draining(), heartbeat.warm_up_left());
+        let record = UpstreamRecord {
+            id: id.to_string(),
+            service: heartbeat.service,
+            slots: heartbeat.slots,
+            draining,
+            silent: false,
+            warm_ups: u32::from(warm_up_left > Duration::ZERO),
+            warm_up_left,
+        };
+        let (sequence, warm_up_ends) = (heartbeat.sequence, now + warm_up_left);
+        LocalUpstream { record, sequence, last_heartbeat: now, warm_up_ends, is_published: true }
+    }
+
+    /// Whether a heartbeat is older than one that was taken.
+    pub(super) fn is_overtaken(&self, heartbeat: &Heartbeat) -> bool {
+        heartbeat.sequence < self.sequence
+    }
+
+    /// A further heartbeat of the same incarnation; whether the other nodes are to hear of it.
+    pub(super) fn renew(&mut self, heartbeat: Heartbeat, now: Instant) -> bool {
+        let (draining, warm_up_left) = (heartbeat.is_draining(), heartbeat.warm_up_left());
+        let is_warming_up = warm_up_left > Duration::ZERO;
+        let before = self.record.clone();
+        (self.sequence, self.last_heartbeat) = (heartbeat.sequence, now);
+        (self.record.silent, self.record.draining) = (false, draining);
+        (self.record.service, self.record.slots) = (heartbeat.service, heartbeat.slots);
+        if is_warming_up && now + warm_up_left > self.warm_up_ends + NEW_WARM_UP_AFTER {
+            self.record.warm_ups += 1;
+            self.record.warm_up_left = warm_up_left;
+        }
+        if is_warming_up || now < self.warm_up_ends {
+            self.warm_up_ends = now + warm_up_left;
+        }
+        let has_changed = self.record != before || !self.is_published;
+        self.is_published = true;
+        has_changed
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/node_state/reloading.rs
@@ -0,0 +1,27 @@
+//! Other settings put in force while the process runs.
+use super::state::NodeState;
+use crate::settings::NodeSettings;
+use std::rc::Rc;
+
+impl NodeState {
+    /// Go by other settings, as far as they can change; the keys that differed.
+    pub(crate) fn apply_reloadable_settings(self: &Rc<Self>, settings: &NodeSettings) -> Vec<&'static str> {
+        let mut changed_keys = Vec::new();
+        if *self.seeds.borrow() != settings.seeds {
+            changed_keys.push("seeds");
+            self.seeds.borrow_mut().clone_from(&settings.seeds);
+            self.peers.set_seeds(self, &settings.seed_nodes());
+        }
+        let (old, new) = (self.reloadable.replace(settings.reloadable), settings.reloadable);
+        if old.heartbeat_interval != new.heartbeat_interval {
+            changed_keys.push("heartbeatS");
+        }
+        if old.limits != new.limits {
+            changed_keys.push("bounds");
+            let now = self.now().as_micros();
+            self.gate.with_admission(|admission| admission.bounds(now, new.limits.admission_bounds()));
+            self.reconfigure_balancers();
+        }
+        changed_keys
+    }
+}
--- /dev/null
+++ b/crates/daemon/mesh/src/node_state/state.rs
@@ -0,0 +1,180 @@
+//! The parts that the tasks of a process share.
+use super::counters::{ConnectionKind, Counters};
+use super::in_force::InForce;
+use super::local_upstream::LocalUpstream;
+use super::upstream_lists::WarmUps;
+use crate::body_budget::BodyBudget;
+use crate::event_stream::EventStream;
+use crate::graceful_stop::GracefulStop;
+use crate::idle_timeout::IdleTimeout;
+use crate::member_throttle::MemberThrottle;
+use crate::peer_connection::ConnectionPool;
+use crate::peers::{Peers, RecordBody};
+use crate::rate_limited_log::RateLimitedLog;
+use crate::response_replay_cache::ResponseReplayCache;
+use crate::service_balancer::ServiceBalancer;
+use crate::settings::{NodeSettings, ReloadableSettings, WatchedSettingsFile};
+use crate::upstream_gate::UpstreamGate;
+use rand_core::RngCore;
+use rand_pcg::Pcg64Mcg;
+use silvercross_facade::Clock;
+use silvercross_mesh_membership::{Node, NodeRecord};
+use silvercross_time::Instant;
+use slog::Logger;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// Of the file descriptors, the part that idle connections may keep.
+const IDLE_CONNECTIONS_PART: u64 = 4;
+
+/// One process of the mesh.
+pub(crate) struct NodeState {
+    /// What its machine told it at the start.
+    pub(crate) settings: NodeSettings,
+    /// What of that can change, as it is in force now.
+    pub(crate) reloadable: Cell<ReloadableSettings>,
+    /// Where other settings come from.
+    pub(crate) settings_file: WatchedSettingsFile,
+    /// Its log.
+    pub(crate) log: Logger,
+    /// Its counters and gauges.
+    pub(crate) counters: Rc<Counters>,
+    /// Idle connections that are kept.
+    pub(crate) pool: ConnectionPool,
+    /// Memory for the bodies held here.
+    pub(crate) body_budget: Rc<BodyBudget>,
+    /// What is remembered of requests that may run once.
+    pub(crate) response_replay_cache: Rc<ResponseReplayCache>,
+    /// Admission to the upstream on this machine.
+    pub(crate) gate: UpstreamGate,
+    /// Links and who decides about them.
+    pub(crate) peers: Peers,
+    /// Members and how far each is slowed.
+    pub(crate) member_throttle: MemberThrottle,
+    /// Events for other tools, where they are asked for.
+    pub(crate) event_stream: OnceCell<EventStream>,
+    /// Requests open now.
+    pub(crate) open_requests: Cell<u64>,
+    /// How long clients' connections may be idle.
+    pub(crate) idle_timeout: RefCell<IdleTimeout>,
+    /// Operators' calls that were rejected, for the log.
+    pub(crate) rejected_calls_log: RateLimitedLog,
+    pub(super) rejected_connections_logs: [RateLimitedLog; ConnectionKind::COUNT],
+    pub(super) clock: Clock,
+    pub(super) in_force: RefCell<InForce>,
+    pub(super) service_balancers: RefCell<BTreeMap<String, Rc<ServiceBalancer>>>,
+    pub(super) other_nodes: RefCell<BTreeMap<Node, NodeRecord<RecordBody>>>,
+    pub(super) warm_ups: RefCell<WarmUps>,
+    pub(super) local_upstream: RefCell<Option<LocalUpstream>>,
+    /// Incarnations of the upstream here that have ended: a late heartbeat brings none back.
+    pub(super) ended_upstreams: RefCell<Vec<String>>,
+    pub(super) rng: RefCell<Pcg64Mcg>,
+    pub(super) last_attempt_number: Cell<u64>,
+    pub(super) seeds: RefCell<Vec<SocketAddr>>,
+    /// When this process was awake last, as its periodic task sees it.
+    pub(super) last_awake: Cell<Instant>,
+    pub(super) graceful_stop: RefCell<Option<GracefulStop>>,
+    pub(super) upstream_was_asked: Cell<bool>,
+    pub(super) started_at: Instant,
+    pub(super) readiness_logged: Cell<bool>,
+    pub(super) idle_connections_closing: Cell<bool>,
+    pub(super) listeners_closing: Cell<bool>,
+    /// Told when a step of the stop is reached.
+    pub(super) stop_step_reached: Notify,
+    /// Told when a configuration or an upstream has come.
+    pub(super) routing_changed: Notify,
+}
+
+impl NodeState {
+    /// A process that knows itself only.
+    pub(crate) fn new(
+        settings: NodeSettings,
+        log: Logger,
+        gate: UpstreamGate,
+        peers: Peers,
+        clock: Clock,
+        mut rng: Pcg64Mcg,
+    ) -> Rc<Self> {
+        let now = Instant::from_micros(clock.now());
+        let response_replay_cache = ResponseReplayCache::new(clock.clone(), &mut rng, settings.memory_bytes);
+        let last_attempt_number = Cell::new(rng.next_u64());
+        let pool = ConnectionPool::default();
+        pool.set_max_idle((settings.max_descriptors / IDLE_CONNECTIONS_PART) as usize);
+        let is_only_replica = peers.control_store(|store| store.replica_nodes().len() == 1);
+        Rc::new(NodeState {
+            body_budget: BodyBudget::new(settings.memory_bytes),
+            response_replay_cache,
+            last_attempt_number,
+            reloadable: Cell::new(settings.reloadable),
+            seeds: RefCell::new(settings.seeds.clone()),
+            settings_file: WatchedSettingsFile::default(),
+            settings,
+            log,
+            counters: Rc::default(),
+            pool,
+            gate,
+            peers,
+            member_throttle: MemberThrottle::new(is_only_replica.unwrap_or(false)),
+            event_stream: OnceCell::new(),
+            open_requests: Cell::new(0),
+            idle_timeout: RefCell::default(),
+            rejected_calls_log: RateLimitedLog::default(),
+            rejected_connections_logs: Default::default(),
+            clock,
+            in_force: RefCell::default(),
+            service_balancers: RefCell::default(),
+            other_nodes: RefCell::default(),
+            warm_ups: RefCell::default(),
+            local_upstream: RefCell::default(),
+            ended_upstreams: RefCell::default(),
+            rng: RefCell::new(rng),
+            last_awake: Cell::new(now),
+            graceful_stop: RefCell::default(),
+            upstream_was_asked: Cell::new(false),
+            started_at: now,
+            readiness_logged: Cell::new(false),
+            idle_connections_closing: Cell::new(false),
+            listeners_closing: Cell::new(false),
+            stop_step_reached: Notify::new(),
+            routing_changed: Notify::new(),
+        })
+    }
+
+    /// The present, on a clock that no step of the time of day moves.
+    pub(crate) fn now(&self) -> Instant {
+        Instant::from_micros(self.clock.now())
+    }
+
+    /// Note that this process is awake. A stop is counted from here if the process then stands still.
+    pub(crate) fn note_awake(&self) {
+        self.last_awake.set(self.now());
+    }
+
+    /// One of a split, drawn by its share.
+    pub(crate) fn draw_by_share(&self, split: &[(String, f64)]) -> String {
+        if let [(only, _)] = split {
+            return only.clone();
+        }
+        let total: f64 = split.iter().map(|(_, share)| share).sum();
+        // Uniform in [0, 1): the 53 bits that a double holds.
+        let fraction = (self.rng.borrow_mut().next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+        let mut left = fraction * total;
+        for (name, share) in split {
+            left -= share;
+            if left < 0.0 {
+                return name.clone();
+            }
+        }
+        split.last().map(|(name, _)| name.clone()).unwrap_or_default()
+    }
+
+    /// A number for an attempt that no other one has: drawn once, and counted on from there; never 0.
+    pub(crate) fn next_attempt_number(&self) -> u64 {
+        let number = self.last_attempt_number.get().wrapping_add(1).max(1);
+        self.last_attempt_number.set(number);
+        number
+    }
+}
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -1,101 +1,109 @@
-//! The stop of the process: what is told to the platform and the others, and who waits for which step of it.
-use super::NodeState;
+//! The stop of the process: what the platform and the other nodes are told, and who waits for which step of it.
+use super::state::NodeState;
 use crate::graceful_stop::{GracefulStop, Phase};
-use silvercross_time::Instant;
+use silvercross_time::{Duration, Instant};
 use slog::info;
 use std::rc::Rc;
-use std::time::Duration;
+
+/// Where a process that stops stands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct StopProgress {
+    /// What is to be done now.
+    pub(crate) phase: Phase,
+    /// By when the process ends, whatever is open.
+    pub(crate) end_by: Instant,
+}
 
 impl NodeState {
     /// Whether the process is on its way out.
-    pub fn stopping(&self) -> bool {
+    pub(crate) fn stopping(&self) -> bool {
         self.graceful_stop.borrow().is_some()
     }
 
-    /// From now on the platform is told no, and the others that nothing more is to be sent here. All that is open, and all that
-    /// comes later, is answered within the grace.
-    pub fn begin_stop(self: &Rc<Self>) {
+    /// From now on the platform is told "not ready", and the others that nothing more is to be sent here. All that is open, and
+    /// all that comes later, is answered within the grace.
+    pub(crate) fn begin_stop(self: &Rc<Self>) {
         if self.stopping() {
             return;
         }
         info!(self.log, "stopping");
-        let graceful_stop = GracefulStop::new(
-            self.looked.get(),
-            self.now().as_micros(),
-            self.reloadable.get().bounds.grace.max(0),
-        );
-        for (_, service_balancer) in self.service_balancers() {
-            service_balancer.answer_by(Instant::from_micros(graceful_stop.answer_by()));
+        let grace = self.reloadable.get().limits.grace.max(Duration::ZERO);
+        let stop = GracefulStop::new(self.last_awake.get(), self.now(), grace);
+        for (_, balancer) in self.service_balancers() {
+            balancer.answer_by(stop.answer_by());
         }
-        *self.graceful_stop.borrow_mut() = Some(graceful_stop);
-        self.member_throttle.release();
-        self.tell();
-        self.peers.leave_replicas(self);
+        *self.graceful_stop.borrow_mut() = Some(stop);
+        self.member_throttle.release_waiting();
+        self.publish_own_record();
+        self.peers.leave_replica_set(self);
     }
 
-    /// What a process that stops is to do now, and by when it ends whatever is open; `None`: it does not stop.
-    pub fn graceful_stop(&self) -> Option<(Phase, i64)> {
-        let (now, busy) = (self.now().as_micros(), self.is_busy());
-        self.graceful_stop.borrow_mut().as_mut().map(|e| (e.phase(now, busy), e.last()))
+    /// Where a process that stops stands; `None`: it does not stop.
+    pub(crate) fn stop_progress(&self) -> Option<StopProgress> {
+        let (now, is_busy) = (self.now(), self.is_busy());
+        let mut stop = self.graceful_stop.borrow_mut();
+        stop.as_mut().map(|stop| StopProgress { phase: stop.phase(now, is_busy), end_by: stop.end_by() })
     }
 
-    /// The platform asked whether this machine's clients may be given work, and was told no.
-    pub fn count_not_ready_reply(&self) {
-        let now = self.now().as_micros();
-        self.graceful_stop.borrow_mut().iter_mut().for_each(|e| e.not_ready_reply(now));
+    /// The platform asked whether this machine's clients may be given work, and was told "not ready".
+    pub(crate) fn count_not_ready_reply(&self) {
+        let now = self.now();
+        self.graceful_stop.borrow_mut().iter_mut().for_each(|stop| stop.not_ready_reply(now));
     }
 
-    /// Whether a request or an operator's call is open here, or a request at the upstream behind the gate.
-    pub fn is_busy(&self) -> bool {
-        let (out, waiting) = self.gate.with_admission(|w| w.load());
-        self.open_requests.get() + self.counters.open_control_calls.get() > 0 || out + waiting > 0
+    /// Whether a request or a control call is open here, or a request at the upstream on this machine.
+    pub(crate) fn is_busy(&self) -> bool {
+        let (in_flight, queued) = self.gate.with_admission(|admission| admission.load());
+        let open = self.open_requests.get() + self.counters.open_control_calls.get();
+        open > 0 || in_flight + queued > 0
     }
 
     /// Connections between two requests end from now on.
-    pub fn close_idle_connections(&self) {
+    pub(crate) fn close_idle_connections(&self) {
         self.idle_connections_closing.set(true);
-        self.stop.notify_waiters();
+        self.stop_step_reached.notify_waiters();
     }
 
     /// Waits until [`NodeState::close_idle_connections`].
-    pub async fn idle_connections_closing(&self) {
-        let told = self.stop.notified();
+    pub(crate) async fn idle_connections_closing(&self) {
+        let progress = self.stop_step_reached.notified();
         if !self.idle_connections_closing.get() {
-            told.await;
+            progress.await;
         }
     }
 
-    /// Clients are let in no more.
-    pub fn close_listeners(&self) {
-        self.shut.set(true);
-        self.stop.notify_waiters();
+    /// No connection of a client is accepted any more.
+    pub(crate) fn close_listeners(&self) {
+        self.listeners_closing.set(true);
+        self.stop_step_reached.notify_waiters();
     }
 
     /// Waits until [`NodeState::close_listeners`].
-    pub async fn listeners_closing(&self) {
+    pub(crate) async fn listeners_closing(&self) {
         loop {
-            let told = self.stop.notified();
-            if self.shut.get() {
+            let progress = self.stop_step_reached.notified();
+            if self.listeners_closing.get() {
                 return;
             }
-            told.await;
+            progress.await;
         }
     }
 
-    /// Wait until that is so, at most for so many microseconds; looked at whenever news has come.
-    pub async fn wait_until(&self, span: i64, so: impl Fn() -> bool) {
-        if so() || span <= 0 {
+    /// Wait until that is so, at most for this long; looked at whenever a configuration or an upstream has come.
+    pub(crate) async fn wait_until(&self, limit: Duration, is_so: impl Fn() -> bool) {
+        if is_so() || limit <= Duration::ZERO {
             return;
         }
-        let told = async {
+        let becomes_so = async {
             loop {
-                let news = self.news.notified();
-                if so() {
+                let changed = self.routing_changed.notified();
+                if is_so() {
                     return;
                 }
-                news.await;
+                changed.await;
             }
         };
-        let _ = tokio::time::timeout(Duration::from_micros(span as u64), told).await;
+        // Who waited looks again at what it waited for.
+        let _ = tokio::time::timeout(limit.to_std(), becomes_so).await;
     }
 }
--- a/crates/daemon/mesh/src/node_state/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -1,163 +1,108 @@
-//! The upstreams of each service, listed for its balancer: from the records of the other sidecars and the upstream here.
+//! The upstreams of each service, gathered from records. Knows nothing of balancers.
 use super::in_force::InForce;
-use super::NodeState;
 use crate::peers::{RecordBody, UpstreamRecord};
-use crate::service_balancer::{self, ServiceBalancer, ServiceSettings};
-use rand_core::RngCore;
+use crate::service_balancer;
 use silvercross_facade::{Health, Host};
-use silvercross_mesh_config::RoutingTable;
 use silvercross_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use std::rc::Rc;
 
-/// The part of the mesh's further sends that sidecars may use together; the rest covers those whose number is not known.
-const RETRY_PART: f64 = 0.5;
-
-/// When an upstream went cold, as it was first told here.
-pub(super) struct Cold {
-    colds: u32,
-    born_ms: u64,
-    life: u64,
-}
-
-/// Upstreams by service, while they are gathered.
-struct Lists<'p> {
-    now: i64,
-    force: &'p InForce,
-    colds: &'p mut BTreeMap<String, Cold>,
-    hosts: BTreeMap<String, Vec<Host>>,
-    /// Those whose sidecar has begun another life: what was known of them is void.
-    renewed: BTreeMap<String, Vec<Host>>,
+/// When an upstream began to warm up, as it was first told here.
+#[derive(Default)]
+pub(super) struct WarmUp {
+    /// Its count of warm-ups then.
+    warm_ups: u32,
+    /// In milliseconds on this process's clock; 0: it was warm when it was first told of.
+    began_ms: u64,
+    /// The incarnation of the sidecar that told so.
+    sidecar_incarnation: u64,
 }
 
-impl Lists<'_> {
-    fn add(&mut self, ip: Ipv4Addr, zone: &str, life: u64, body: &RecordBody, station: &UpstreamRecord) {
-        if station.silent {
-            return;
-        }
-        let gate = SocketAddr::new(IpAddr::V4(ip), body.inbound);
-        let shut = station.draining || body.leaving || self.force.evacuated.contains(zone);
-        let health = if shut { Health::Draining } else { Health::Ready };
-        let renewed = self.colds.get(&station.id).is_some_and(|k| k.life != life);
-        let born_ms = self.born(life, station);
-        let host = service_balancer::upstream_host(&station.id, gate, zone, health, station.slots, born_ms);
-        if renewed {
-            let gone = Host { health: Health::Gone, ..host.clone() };
-            self.renewed.entry(station.service.clone()).or_default().push(gone);
-        }
-        self.hosts.entry(station.service.clone()).or_default().push(host);
-    }
+/// The warm-ups of all upstreams that are listed, by the upstream's id.
+pub(super) type WarmUps = BTreeMap<String, WarmUp>;
 
-    /// Since when it has been cold, in milliseconds; 0: it is not.
-    fn born(&mut self, life: u64, station: &UpstreamRecord) -> u64 {
-        let span = self.force.table.destination(&station.service).map_or(0, |d| d.slow_start);
-        let known = self.colds.get(&station.id);
-        if let Some(k) = known.filter(|k| k.colds == station.colds && k.life == life) {
-            return k.born_ms;
-        }
-        let born = if station.cold > 0 { self.now - (span - station.cold).max(0) } else { 0 };
-        let born_ms = match known {
-            Some(k) if k.colds == station.colds => k.born_ms,
-            _ => (born / 1000) as u64,
-        };
-        self.colds.insert(station.id.clone(), Cold { colds: station.colds, born_ms, life });
-        born_ms
-    }
+/// Where an upstream is, and who says so.
+pub(super) struct UpstreamPlace<'r> {
+    /// The address of its node.
+    pub(super) ip: Ipv4Addr,
+    /// Its zone.
+    pub(super) zone: &'r str,
+    /// The incarnation of the sidecar beside it.
+    pub(super) sidecar_incarnation: u64,
 }
 
-impl NodeState {
-    /// The desk of a service, if an upstream of it is known.
-    pub fn service_balancer(&self, service: &str) -> Option<Rc<ServiceBalancer>> {
-        self.service_balancers.borrow().get(service).cloned()
-    }
+/// The upstreams by service, while they are gathered.
+pub(super) struct UpstreamLists<'p> {
+    now: Instant,
+    in_force: &'p InForce,
+    warm_ups: &'p mut WarmUps,
+    /// All upstreams that are there.
+    pub(super) hosts: BTreeMap<String, Vec<Host>>,
+    /// Those whose sidecar has begun another incarnation: what was known of them is void.
+    pub(super) renewed: BTreeMap<String, Vec<Host>>,
+}
 
-    /// All desks.
-    pub fn service_balancers(&self) -> Vec<(String, Rc<ServiceBalancer>)> {
-        self.service_balancers.borrow().iter().map(|(n, d)| (n.clone(), d.clone())).collect()
+impl<'p> UpstreamLists<'p> {
+    /// None are known yet.
+    pub(super) fn new(now: Instant, in_force: &'p InForce, warm_ups: &'p mut WarmUps) -> Self {
+        UpstreamLists { now, in_force, warm_ups, hosts: BTreeMap::new(), renewed: BTreeMap::new() }
     }
 
-    /// Set each balancer to the configuration, the bounds and the number of sidecars in force.
-    pub(super) fn reset_terms(self: &Rc<Self>) {
-        let table = self.routing_table();
-        for (service, service_balancer) in self.service_balancers() {
-            service_balancer.reconfigure(&self.terms(&service, &table));
+    /// Add an upstream, unless it is silent.
+    pub(super) fn add(&mut self, place: UpstreamPlace, body: &RecordBody, upstream: &UpstreamRecord) {
+        if upstream.silent {
+            return;
         }
-        self.relist();
-    }
-
-    fn terms<'t>(&'t self, service: &'t str, table: &'t RoutingTable) -> ServiceSettings<'t> {
-        let (senders, near) = self.sides();
-        let b = self.reloadable.get().bounds;
-        ServiceSettings {
-            service,
-            routing_table: table,
-            zones: &self.settings.zones,
-            own_zone: &self.settings.zone,
-            senders,
-            senders_in_zone: near,
-            drain_timeout: Duration::from_micros(b.drain),
-            retry_ratio: b.retry_ratio * RETRY_PART,
-            max_saved_retries: b.retry_slack * RETRY_PART / f64::from(senders),
+        let address = SocketAddr::new(IpAddr::V4(place.ip), body.inbound_port);
+        let is_evacuated = self.in_force.evacuated_zones.contains(place.zone);
+        let is_closed = upstream.draining || body.stopping || is_evacuated;
+        let health = if is_closed { Health::Draining } else { Health::Ready };
+        let incarnation = place.sidecar_incarnation;
+        let known = self.warm_ups.get(&upstream.id);
+        let is_renewed = known.is_some_and(|known| known.sidecar_incarnation != incarnation);
+        let began_ms = self.warm_up_began_ms(incarnation, upstream);
+        let host = service_balancer::upstream_host(
+            &upstream.id,
+            address,
+            place.zone,
+            health,
+            upstream.slots,
+            began_ms,
+        );
+        if is_renewed {
+            let gone = Host { health: Health::Gone, ..host.clone() };
+            self.renewed.entry(upstream.service.clone()).or_default().push(gone);
         }
+        self.hosts.entry(upstream.service.clone()).or_default().push(host);
     }
 
-    /// Tell each desk which upstreams there are.
-    pub(super) fn relist(self: &Rc<Self>) {
-        if self.settings.outbound.is_none() {
-            return;
-        }
-        let (mut lists, mut renewed) = self.known_upstreams();
-        let table = self.routing_table();
-        // A service whose last upstream has gone is told so.
-        for (service, _) in self.service_balancers() {
-            lists.entry(service).or_default();
-        }
-        for (service, hosts) in lists {
-            match self.service_balancer(&service) {
-                Some(service_balancer) => {
-                    if let Some(gone) = renewed.remove(&service) {
-                        service_balancer.reset_upstreams(gone);
-                    }
-                    service_balancer.set_upstreams(hosts);
-                }
-                None => self.open_desk(service, &hosts, &table),
-            }
-        }
-        self.news.notify_waiters();
+    /// Since when it has been warming up, in milliseconds; 0: it is warm.
+    fn warm_up_began_ms(&mut self, sidecar_incarnation: u64, upstream: &UpstreamRecord) -> u64 {
+        let warm_ups = upstream.warm_ups;
+        let known = self.warm_ups.get(&upstream.id);
+        let began_ms = match known.filter(|known| known.warm_ups == warm_ups) {
+            Some(known) if known.sidecar_incarnation == sidecar_incarnation => return known.began_ms,
+            Some(known) => known.began_ms,
+            None => self.estimated_warm_up_began_ms(upstream),
+        };
+        self.warm_ups.insert(upstream.id.clone(), WarmUp { warm_ups, began_ms, sidecar_incarnation });
+        began_ms
     }
 
-    /// Those that are known, and of them those that began another life, by service.
-    fn known_upstreams(&self) -> (BTreeMap<String, Vec<Host>>, BTreeMap<String, Vec<Host>>) {
-        let (others, force) = (self.others.borrow(), self.force.borrow());
-        let mut colds = self.colds.borrow_mut();
-        let own = self.own.borrow();
-        let (hosts, renewed) = (BTreeMap::new(), BTreeMap::new());
-        let mut lists =
-            Lists { now: self.now().as_micros(), force: &force, colds: &mut colds, hosts, renewed };
-        for r in others.values() {
-            if let Some(station) = &r.body.station {
-                lists.add(Ipv4Addr::from_bits(r.node.0), &r.zone, r.incarnation, &r.body, station);
-            }
-        }
-        if let Some(own) = own.as_ref() {
-            let body = self.body_of(Some(own.station.clone()));
-            lists.add(self.settings.ip, &self.settings.zone, 0, &body, &own.station);
+    /// By how much of it is left, and how long the configuration says that it takes.
+    fn estimated_warm_up_began_ms(&self, upstream: &UpstreamRecord) -> u64 {
+        if upstream.warm_up_left <= Duration::ZERO {
+            return 0;
         }
-        let Lists { hosts, renewed, .. } = lists;
-        let listed: BTreeSet<&String> = hosts.values().flatten().map(|h| &h.name).collect();
-        colds.retain(|id, _| listed.contains(id));
-        (hosts, renewed)
+        let destination = self.in_force.table.destination(&upstream.service);
+        let takes = Duration::from_micros(destination.map_or(0, |destination| destination.slow_start));
+        let began = self.now - (takes - upstream.warm_up_left).max(Duration::ZERO);
+        (began.as_micros() / 1000) as u64
     }
 
-    /// The first upstreams of a service have come.
-    fn open_desk(&self, service: String, hosts: &[Host], table: &RoutingTable) {
-        let seed = self.chance.borrow_mut().next_u64();
-        let service_balancer =
-            ServiceBalancer::new(&self.terms(&service, table), hosts, seed, self.clock.clone());
-        if let Some(graceful_stop) = &*self.graceful_stop.borrow() {
-            service_balancer.answer_by(Instant::from_micros(graceful_stop.answer_by()));
-        }
-        self.service_balancers.borrow_mut().insert(service, service_balancer);
+    /// Forget the warm-ups of upstreams that are not listed any more.
+    pub(super) fn forget_unlisted(&mut self) {
+        let listed: BTreeSet<&String> = self.hosts.values().flatten().map(|host| &host.name).collect();
+        self.warm_ups.retain(|id, _| listed.contains(id));
     }
 }
--- /dev/null
+++ b/crates/daemon/mesh/src/peers/calls.rs
@@ -0,0 +1,81 @@
+//! Operators' calls to the control store: handed to the replica here, and their outcome waited for.
+use super::state::Peers;
+use crate::control_value::{ControlChange, ControlValue};
+use crate::node_state::NodeState;
+use silvercross_control_store::{CallOutcome, ControlStore};
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::timeout;
+
+/// A call without an outcome after this counts as [`CallOutcome::Unknown`].
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// A call that waits for its outcome.
+pub(super) struct PendingCall {
+    number: u64,
+    outcome: oneshot::Receiver<CallOutcome<ControlValue>>,
+}
+
+impl Peers {
+    /// Read a key, confirmed by a majority; `None` where this node can't serve it and the caller is to go elsewhere.
+    pub(crate) async fn read_key(
+        &self,
+        node_state: &Rc<NodeState>,
+        key: &str,
+    ) -> Option<CallOutcome<ControlValue>> {
+        self.call(node_state, key, None).await
+    }
+
+    /// Change a key; `None` where this node can't serve it and the caller is to go elsewhere.
+    pub(crate) async fn change_key(
+        &self,
+        node_state: &Rc<NodeState>,
+        key: &str,
+        change: ControlChange,
+    ) -> Option<CallOutcome<ControlValue>> {
+        self.call(node_state, key, Some(change)).await
+    }
+
+    async fn call(
+        &self,
+        node_state: &Rc<NodeState>,
+        key: &str,
+        change: Option<ControlChange>,
+    ) -> Option<CallOutcome<ControlValue>> {
+        let store = self.control_store.as_ref()?;
+        if store.borrow().is_outside() || node_state.is_outsider() {
+            return None;
+        }
+        let call = self.begin_call(node_state, store, key, change);
+        self.carry_out_effects(node_state);
+        Some(self.outcome(call).await)
+    }
+
+    /// Hand a change, or a read where there is none, to the control store. It begins when its effects are carried out next.
+    pub(super) fn begin_call(
+        &self,
+        node_state: &NodeState,
+        store: &RefCell<ControlStore<ControlValue>>,
+        key: &str,
+        change: Option<ControlChange>,
+    ) -> PendingCall {
+        let number = self.take_number();
+        let (to, outcome) = oneshot::channel();
+        self.pending_calls.borrow_mut().insert(number, to);
+        let now = node_state.now().as_micros();
+        match change {
+            Some(change) => store.borrow_mut().call(now, number, key, change),
+            None => store.borrow_mut().read(now, number, key),
+        }
+        PendingCall { number, outcome }
+    }
+
+    /// The outcome of a call, at the latest after [`CALL_TIMEOUT`].
+    pub(super) async fn outcome(&self, call: PendingCall) -> CallOutcome<ControlValue> {
+        let outcome = timeout(CALL_TIMEOUT, call.outcome).await;
+        self.pending_calls.borrow_mut().remove(&call.number);
+        outcome.ok().and_then(Result::ok).unwrap_or(CallOutcome::Unknown)
+    }
+}
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -1,49 +1,42 @@
-//! What membership and the control store want done, done: sent, written, answered, handed on.
-use super::frames::Frame;
-use super::link::CONNECT;
-use super::{ip, told, Peers, RecordBody};
+//! The deciders' effects carried out: sent, written, answered, put in force.
+use super::frame::Frame;
+use super::links::LINK_CONNECT_TIMEOUT;
+use super::record::RecordBody;
+use super::state::{entry_revision, ip_of, store_node, Peers};
 use crate::control_value::ControlValue;
 use crate::disk::DiskWrite;
 use crate::node_state::NodeState;
 use crate::peer_connection;
 use silvercross_control_store::{CallOutcome, Effect as StoreEffect};
-use silvercross_mesh_membership::{Effect, Node, NodeRecord};
-use std::net::SocketAddr;
+use silvercross_mesh_membership::{Datagram, Effect as MembershipEffect, Node, NodeRecord};
 use std::rc::Rc;
 
 impl Peers {
     /// Do what membership wants done.
-    pub(super) fn effect(&self, node_state: &Rc<NodeState>, effect: Effect<RecordBody>) {
+    pub(super) fn carry_out_membership_effect(
+        &self,
+        node_state: &Rc<NodeState>,
+        effect: MembershipEffect<RecordBody>,
+    ) {
         match effect {
-            Effect::OpenLink { to } => self.link(node_state, to.0),
-            Effect::CloseLink { to } => {
-                self.links.borrow_mut().remove(&to.0);
-                self.down(node_state, to.0);
+            MembershipEffect::OpenLink { to } => self.open_link(node_state, to),
+            MembershipEffect::CloseLink { to } => {
+                self.links.borrow_mut().remove(&to);
+                self.link_lost(node_state, to);
             }
-            Effect::SendMessage { to, message } => self.send(node_state, to.0, &Frame::Round(message)),
-            Effect::SendDatagram { to, datagram } => {
-                let bytes = bitcode::encode(&datagram);
-                let _ = self.udp.try_send_to(&bytes, SocketAddr::new(ip(to.0), self.port));
-                node_state.counters.datagrams_sent.set(node_state.counters.datagrams_sent.get() + 1);
+            MembershipEffect::SendMessage { to, message } => {
+                self.send(node_state, to, &Frame::Membership(message))
             }
-            Effect::Probe { node } => self.try_link(node_state, node),
-            Effect::ConfirmRevisions { request_id } => {
-                let node_state = node_state.clone();
-                tokio::task::spawn_local(async move {
-                    let revisions = node_state.peers.confirm(&node_state).await;
-                    node_state.peers.membership.borrow_mut().revisions_confirmed(
-                        node_state.now().as_micros(),
-                        request_id,
-                        revisions,
-                    );
-                    node_state.peers.pump(&node_state);
-                });
+            MembershipEffect::SendDatagram { to, datagram } => self.send_datagram(node_state, to, &datagram),
+            MembershipEffect::Probe { node } => self.probe(node_state, node),
+            MembershipEffect::ConfirmRevisions { request_id } => {
+                confirm_revisions(node_state.clone(), request_id)
             }
-            Effect::RecordChanged(record) => {
-                self.tell_store(node_state, &record);
+            MembershipEffect::RecordChanged(record) => {
+                self.update_replica_candidate(node_state, &record);
                 node_state.apply_record(record);
             }
-            Effect::EntryChanged { key, revision, bytes } => {
+            MembershipEffect::EntryChanged { key, revision, bytes } => {
                 if let Ok(control_value) = bitcode::decode::<ControlValue>(&bytes) {
                     node_state.apply_control_entry(&key, revision, control_value);
                 }
@@ -51,60 +44,86 @@
         }
     }
 
-    /// Whether a link to this node could be made.
-    fn try_link(&self, node_state: &Rc<NodeState>, node: Node) {
-        let (node_state, to) = (node_state.clone(), SocketAddr::new(ip(node.0), self.port));
-        let from = ip(self.me);
+    fn send_datagram(&self, node_state: &NodeState, to: Node, datagram: &Datagram) {
+        // A datagram may be lost anyway; membership sends another.
+        let _ = self.udp.try_send_to(&bitcode::encode(datagram), self.address_of(to));
+        node_state.counters.datagrams_sent.set(node_state.counters.datagrams_sent.get() + 1);
+    }
+
+    /// See whether this node's machine takes a connection, and tell membership.
+    fn probe(&self, node_state: &Rc<NodeState>, node: Node) {
+        let (node_state, to) = (node_state.clone(), self.address_of(node));
+        let from = ip_of(self.own_node);
         tokio::task::spawn_local(async move {
-            let ok = peer_connection::connect(Some(from), to, CONNECT).await.is_ok();
-            node_state.peers.membership.borrow_mut().probe_finished(node_state.now().as_micros(), node, ok);
-            node_state.peers.pump(&node_state);
+            let connected = peer_connection::connect(Some(from), to, LINK_CONNECT_TIMEOUT).await.is_ok();
+            let now = node_state.now().as_micros();
+            node_state.peers.membership.borrow_mut().probe_finished(now, node, connected);
+            node_state.peers.carry_out_effects(&node_state);
         });
     }
 
-    /// Tell the control store of a machine that may come for a lost replica, or that stops.
-    fn tell_store(&self, node_state: &Rc<NodeState>, record: &NodeRecord<RecordBody>) {
-        let Some(l) = &self.ledger else { return };
-        // It has a disk, knows who the holders are, and is none of them.
-        let told = &record.body;
-        let spare = !told.roster.is_empty() && !told.roster.contains(&record.node.0);
-        let up = record.is_control && !record.gone && !told.leaving && spare;
-        let node = silvercross_control_store::Node(record.node.0);
-        l.borrow_mut().set_candidate(node_state.now().as_micros(), node, up);
+    /// Tell the control store of a control node that may replace a lost replica, or that stops.
+    fn update_replica_candidate(&self, node_state: &NodeState, record: &NodeRecord<RecordBody>) {
+        let Some(store) = &self.control_store else { return };
+        let body = &record.body;
+        // It has a disk, knows the replica set, and is not in it.
+        let is_spare = !body.replica_set.is_empty() && !body.replica_set.contains(&record.node.0);
+        let is_candidate = record.is_control && !record.gone && !body.stopping && is_spare;
+        let (node, now) = (store_node(record.node), node_state.now().as_micros());
+        store.borrow_mut().set_candidate(now, node, is_candidate);
         if record.is_control {
-            l.borrow_mut().set_stopping(node_state.now().as_micros(), node, told.leaving);
+            store.borrow_mut().set_stopping(now, node, body.stopping);
         }
     }
 
     /// Do what the control store wants done.
-    pub(super) fn deed(&self, node_state: &Rc<NodeState>, deed: StoreEffect<ControlValue>) {
-        match deed {
+    pub(super) fn carry_out_store_effect(
+        &self,
+        node_state: &Rc<NodeState>,
+        effect: StoreEffect<ControlValue>,
+    ) {
+        match effect {
             StoreEffect::Send { to, version, message } => {
-                self.send(node_state, to.0, &Frame::Store(version, message))
+                let frame = Frame::ControlStore { replica_set_version: version, message };
+                self.send(node_state, Node(to.0), &frame);
             }
             StoreEffect::Store { write, metadata, keys } => {
-                if let Some(writes) = &self.writes {
+                if let Some(writes) = &self.disk_writes {
+                    // The writer ends only with the process.
                     let _ = writes.send(DiskWrite { number: write, metadata, keys });
                 }
             }
             StoreEffect::Answer { token, verdict } => {
-                if let Some(to) = self.asked.borrow_mut().remove(&token) {
-                    let verdict = match verdict {
-                        CallOutcome::Value { revision, value } => {
-                            CallOutcome::Value { revision, value: value.published() }
-                        }
-                        other => other,
-                    };
-                    let _ = to.send(verdict);
+                if let Some(to) = self.pending_calls.borrow_mut().remove(&token) {
+                    // Who called may have given up.
+                    let _ = to.send(published(verdict));
                 }
             }
             StoreEffect::Committed { key, revision, value } => {
-                let at = told(revision);
+                let revision = entry_revision(revision);
                 let value = value.published();
                 let bytes = bitcode::encode(&value);
-                self.membership.borrow_mut().publish(node_state.now().as_micros(), &key, at, bytes);
-                node_state.apply_control_entry(&key, at, value);
+                self.membership.borrow_mut().publish(node_state.now().as_micros(), &key, revision, bytes);
+                node_state.apply_control_entry(&key, revision, value);
             }
         }
     }
 }
+
+/// Confirm the revisions of all keys with a majority, and hand them to membership.
+fn confirm_revisions(node_state: Rc<NodeState>, request_id: u64) {
+    tokio::task::spawn_local(async move {
+        let revisions = node_state.peers.confirmed_revisions(&node_state).await;
+        let now = node_state.now().as_micros();
+        node_state.peers.membership.borrow_mut().revisions_confirmed(now, request_id, revisions);
+        node_state.peers.carry_out_effects(&node_state);
+    });
+}
+
+/// An outcome as callers get it: values without the versions that were taken before.
+fn published(outcome: CallOutcome<ControlValue>) -> CallOutcome<ControlValue> {
+    match outcome {
+        CallOutcome::Value { revision, value } => CallOutcome::Value { revision, value: value.published() },
+        other => other,
+    }
+}
--- a/crates/daemon/mesh/src/peers/isolated_control_tests.rs
+++ b/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
@@ -1,16 +1,23 @@
 //! Control machines and sidecars of one process, with links on loopback: what a sidecar makes of a control machine that is
 //! left alone with an old configuration.
-use super::*;
-use crate::control_value::CONFIGURATION;
-use crate::settings;
-use crate::{disk, upstream_gate};
+use crate::control_value::{ControlChange, ControlValue, CONFIGURATION_KEY};
+use crate::node_state::{NodeState, NotReady};
+use crate::peers::{self, LocalControlStore, Peers, RecordBody};
+use crate::{disk, settings, upstream_gate};
 use rand_core::SeedableRng;
 use silvercross_admission::AdmissionController;
-use silvercross_control_store::{Epoch, Metadata, ReplicaSet, Start, State, StoredKey, StoredState};
+use silvercross_control_store::{
+    ControlStore, Epoch, Metadata, ReplicaSet, Start, State, StoredKey, StoredState,
+};
 use silvercross_facade::Clock;
-use silvercross_mesh_membership::{Freshness, READINESS_TIMEOUT};
+use silvercross_mesh_membership::{Freshness, Membership, Node, READINESS_TIMEOUT};
 use slog::{o, Discard, Logger};
-use tokio::net::TcpListener;
+use std::cell::Cell;
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::sync::mpsc;
 
 type StoreNode = silvercross_control_store::Node;
 
@@ -39,7 +46,7 @@
     let replica_set = ReplicaSet { version: 1, members, leaving: None, joining: None };
     let epoch = Epoch { round: changes, owner: address(last).to_bits() };
     let accepted = silvercross_control_store::Revision { epoch, sequence: 1 };
-    let (key, value) = (CONFIGURATION.to_string(), configuration(changes));
+    let (key, value) = (CONFIGURATION_KEY.to_string(), configuration(changes));
     let stored = StoredKey { key, promised: epoch, accepted, value };
     StoredState { metadata: Some(Metadata { replica_set, ..Metadata::default() }), keys: vec![stored] }
 }
@@ -76,8 +83,8 @@
          countersAt: {{inbound: '{ip}:1', outbound: '{ip}:1', ready: '{ip}:1'}}\n"
     );
     let settings = settings::parse(&text).expect("settings");
-    let (me, core) = (Node(ip.to_bits()), settings.core);
-    let body = RecordBody { inbound: 1, control: 1, leaving: false, roster: Vec::new(), station: None };
+    let (me, core) = (Node(ip.to_bits()), settings.is_control);
+    let body = RecordBody { inbound_port: 1, control_port: 1, ..RecordBody::default() };
     // The seeds name the first control machine alone.
     let seeds = vec![Node(address(CONTROL[0]).to_bits())];
     let start = silvercross_mesh_membership::MembershipConfig {
@@ -99,19 +106,20 @@
     });
     let store = disk.map(|disk| {
         let me: StoreNode = silvercross_control_store::Node(ip.to_bits());
-        let keys = vec![CONFIGURATION.to_string()];
+        let keys = vec![CONFIGURATION_KEY.to_string()];
         let start = Start { me, replica_set: vec![], keys, fresh: false, seed: u64::from(last) };
-        (ControlStore::new(clock.now(), start, disk), writes)
+        LocalControlStore { store: ControlStore::new(clock.now(), start, disk), disk_writes: writes }
     });
     let peers = Peers::new(ip, port, membership, store, udp);
-    let gate =
-        upstream_gate::UpstreamGate::new(AdmissionController::new(settings.reloadable.bounds.of_gate()));
+    let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
+        settings.reloadable.limits.admission_bounds(),
+    ));
     let chance = rand_pcg::Pcg64Mcg::seed_from_u64(u64::from(last));
     let node_state = NodeState::new(settings, Logger::root(Discard, o!()), gate, peers, clock, chance);
-    tokio::task::spawn_local(Peers::listen(node_state.clone(), links));
-    tokio::task::spawn_local(Peers::datagrams(node_state.clone()));
-    tokio::task::spawn_local(Peers::tick(node_state.clone()));
-    tokio::task::spawn_local(Peers::synced(node_state.clone(), synced));
+    tokio::task::spawn_local(peers::accept_links(node_state.clone(), links));
+    tokio::task::spawn_local(peers::receive_datagrams(node_state.clone()));
+    tokio::task::spawn_local(peers::run_deciders(node_state.clone()));
+    tokio::task::spawn_local(peers::follow_disk(node_state.clone(), synced));
     node_state
 }
 
@@ -139,7 +147,7 @@
 }
 
 fn change(node_state: &NodeState) -> u64 {
-    node_state.revisions().get(CONFIGURATION).map_or(0, |revision| revision.0)
+    node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |revision| revision.0)
 }
 
 /// It had the configuration after one change and stood still; the others acknowledged a second one and stopped; it goes on.
@@ -150,7 +158,7 @@
         let alone = process(1, port, Clock::system(), Some(disk_of(1, 1))).await;
         let page = bitcode::encode(&configuration(1));
         let at = (1, u64::from(address(1).to_bits()), 1);
-        alone.peers.membership.borrow_mut().publish(alone.now().as_micros(), CONFIGURATION, at, page);
+        alone.peers.membership.borrow_mut().publish(alone.now().as_micros(), CONFIGURATION_KEY, at, page);
         let ((slow, _), (quick, moved)) = (clock(), clock());
         let waits = process(11, port, slow, None).await;
         let serves = process(12, port, quick, None).await;
@@ -159,22 +167,25 @@
         let unsettled = || alone.peers.control_store(|l| l.metrics().unsettled).unwrap_or(0);
         until(|| unsettled() >= 2).await;
         for sidecar in [&waits, &serves] {
-            assert_eq!((sidecar.ready(), sidecar.unready()), (false, Some("not yet known to be current")));
+            assert_eq!(
+                (sidecar.is_ready(), sidecar.not_ready()),
+                (false, Some(NotReady::NotKnownToBeCurrent))
+            );
         }
         // While there is no majority they serve what they have, once the bound is passed.
         moved.set(moved.get() + READINESS_TIMEOUT);
-        until(|| serves.ready()).await;
+        until(|| serves.is_ready()).await;
         assert!(matches!(serves.freshness(), Freshness::TimedOut { after } if after >= READINESS_TIMEOUT));
-        assert_eq!((change(&serves), waits.ready()), (1, false));
+        assert_eq!((change(&serves), waits.is_ready()), (1, false));
         // One of the others comes back: a majority has the second change.
         let back = process(2, port, Clock::system(), Some(disk_of(2, 2))).await;
-        until(|| waits.ready()).await;
+        until(|| waits.is_ready()).await;
         assert!(change(&waits) >= 2, "{:?}", waits.revisions());
         assert!(matches!(waits.freshness(), Freshness::Current { .. }));
         until(|| change(&serves) >= 2).await;
-        assert!(serves.ready() && back.peers.control_store(|l| l.is_voter()) == Some(true));
+        assert!(serves.is_ready() && back.peers.control_store(|l| l.is_voter()) == Some(true));
         // It stays ready, whatever becomes of the others, until it stops.
         waits.begin_stop();
-        assert_eq!((waits.ready(), waits.unready()), (false, Some("stopping")));
+        assert_eq!((waits.is_ready(), waits.not_ready()), (false, Some(NotReady::Stopping)));
     });
 }
--- a/crates/daemon/mesh/src/peers/wire_bytes_tests.rs
+++ b/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
@@ -1,7 +1,7 @@
 //! The bytes of everything that daemons write to each other and to their disks, held fixed: daemons of different builds talk
 //! to each other, and each reads what the one before it wrote. The messages inside are held by the packages that own them.
-use super::frames::{framed, Frame, VERSION};
-use super::{RecordBody, UpstreamRecord};
+use super::super::frame::{encode_frame, Frame, PROTOCOL_VERSION};
+use super::super::record::{RecordBody, UpstreamRecord};
 use crate::control_value::{ControlChange, ControlValue};
 use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus};
 use bitcode::{DecodeOwned, Encode};
@@ -9,15 +9,16 @@
 use silvercross_mesh_config::{parse_change, parse_update};
 use silvercross_mesh_membership::{MembershipMessage, NodeRecord, TreePosition};
 use silvercross_throttle::{LapseChange, LapseState};
+use silvercross_time::{Duration, Instant};
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its bytes in hexadecimal.
-const TABLE: &str = include_str!("../../tests/data/wire.hex");
+const TABLE: &str = include_str!("../../../tests/data/wire.hex");
 
 /// A destination and a route, a later version of the destination, and a member.
-const PATCH: &[u8] = include_bytes!("../../tests/data/patch.json");
-const LATER: &[u8] = include_bytes!("../../tests/data/later.json");
-const MEMBERS: &[u8] = include_bytes!("../../tests/data/members.json");
+const PATCH: &[u8] = include_bytes!("../../../tests/data/patch.json");
+const LATER: &[u8] = include_bytes!("../../../tests/data/later.json");
+const MEMBERS: &[u8] = include_bytes!("../../../tests/data/members.json");
 
 fn add_bytes(lines: &mut String, name: &str, bytes: &[u8]) {
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -40,21 +41,21 @@
 }
 
 fn body() -> RecordBody {
-    let station = UpstreamRecord {
+    let upstream = UpstreamRecord {
         id: "life-1".to_string(),
         service: "bakery".to_string(),
         slots: 8,
         draining: true,
         silent: false,
-        colds: 2,
-        cold: 1_500_000,
+        warm_ups: 2,
+        warm_up_left: Duration::from_micros(1_500_000),
     };
     RecordBody {
-        inbound: 9_004,
-        control: 9_000,
-        leaving: true,
-        roster: vec![1, 0x7f00_0001],
-        station: Some(station),
+        inbound_port: 9_004,
+        control_port: 9_000,
+        stopping: true,
+        replica_set: vec![1, 0x7f00_0001],
+        upstream: Some(upstream),
     }
 }
 
@@ -73,10 +74,10 @@
     let mut whole = configuration.clone();
     let members = ControlChange::Call(Box::new(parse_update(MEMBERS).expect("valid")));
     assert_eq!(whole.apply(&members), Ok(true));
-    assert!(matches!(whole, ControlValue::Whole(_)));
+    assert!(matches!(whole, ControlValue::WithMembers(_)));
     let mut tracked = configuration.clone();
     assert_eq!(tracked.apply(&ControlChange::Patch(parse_change(LATER).expect("valid"))), Ok(true));
-    assert!(matches!(tracked, ControlValue::Tracked(_)));
+    assert!(matches!(tracked, ControlValue::Versioned(_)));
     let lapse =
         LapseState { version: Some(2), due: Some(7), begun: true, step: 3, total_steps: 6, renewals: 1 };
     vec![
@@ -110,15 +111,17 @@
     };
     let key = || "evacuation/a".to_string();
     let ask = Request::Change(ControlChange::Evacuate(false));
+    let asked = Instant::from_micros(-5);
+    let store = |message| Frame::ControlStore { replica_set_version: 4, message };
     vec![
-        ("hello", Frame::Hello { version: VERSION, node: 0x7f00_0001 }),
-        ("membership-hello", Frame::Round(hello)),
-        ("membership-sums", Frame::Round(MembershipMessage::PartDigests { digests: vec![1, 2] })),
-        ("store-claim", Frame::Store(4, Message::Claim { key: key(), epoch: epoch() })),
-        ("store-copy", Frame::Store(4, copy)),
-        ("store-forward", Frame::Store(4, Message::Forward { id: 5, key: key(), under: epoch(), ask })),
-        ("time", Frame::Time { asked: -5 }),
-        ("told", Frame::Told { asked: -5, wall: 1_700_000_000_000_000, stepped: true }),
+        ("hello", Frame::Hello { version: PROTOCOL_VERSION, node: 0x7f00_0001 }),
+        ("membership-hello", Frame::Membership(hello)),
+        ("membership-sums", Frame::Membership(MembershipMessage::PartDigests { digests: vec![1, 2] })),
+        ("store-claim", store(Message::Claim { key: key(), epoch: epoch() })),
+        ("store-copy", store(copy)),
+        ("store-forward", store(Message::Forward { id: 5, key: key(), under: epoch(), ask })),
+        ("time", Frame::WallClockRequest { asked }),
+        ("told", Frame::WallClockReply { asked, wall_micros: 1_700_000_000_000_000, stepped: true }),
     ]
 }
 
@@ -126,13 +129,17 @@
 fn frames_and_stored_values_have_the_bytes_they_always_had() {
     let mut lines = String::new();
     for (name, frame) in frames() {
-        let bytes = framed(&frame);
+        let bytes = encode_frame(&frame);
         let again: Frame = bitcode::decode(&bytes[4..]).expect("as it was written");
-        assert_eq!(framed(&again), bytes, "{name}");
+        assert_eq!(encode_frame(&again), bytes, "{name}");
         add_bytes(&mut lines, &format!("frame/{name}"), &bytes);
     }
     add(&mut lines, "body", body());
-    add(&mut lines, "body/none", RecordBody { station: None, leaving: false, roster: Vec::new(), ..body() });
+    add(
+        &mut lines,
+        "body/none",
+        RecordBody { upstream: None, stopping: false, replica_set: Vec::new(), ..body() },
+    );
     for (name, change) in changes() {
         add(&mut lines, &format!("change/{name}"), change);
     }
--- /dev/null
+++ b/crates/daemon/mesh/src/state_report.rs
@@ -0,0 +1,109 @@
+//! The state page: who is there, what is in force, and, on a control node, the control store's keys. The keys of the JSON are the
+//! operators' and stay, whatever the code calls what they show.
+use crate::control_value::ControlValue;
+use crate::node_state::NodeState;
+use crate::peers::RecordBody;
+use serde_json::{json, Value};
+use silvercross_control_store::{ControlStore, Role};
+use silvercross_mesh_membership::{Freshness, NodeRecord};
+use std::net::Ipv4Addr;
+
+fn address(node: u32) -> String {
+    Ipv4Addr::from_bits(node).to_string()
+}
+
+fn node_row(record: &NodeRecord<RecordBody>) -> Value {
+    let body = &record.body;
+    let upstream = body.upstream.as_ref();
+    let at = upstream.map(|upstream| {
+        json!({ "id": upstream.id, "service": upstream.service, "slots": upstream.slots,
+            "draining": upstream.draining, "silent": upstream.silent, "colds": upstream.warm_ups })
+    });
+    let control =
+        (body.control_port > 0).then(|| format!("{}:{}", address(record.node.0), body.control_port));
+    json!({ "node": address(record.node.0), "zone": record.zone, "core": record.is_control, "gone": record.gone,
+        "leaving": body.stopping, "life": record.incarnation, "seq": record.sequence,
+        "holders": body.replica_set.iter().map(|replica| address(*replica)).collect::<Vec<_>>(),
+        "control": control, "upstream": upstream.map(|upstream| upstream.id.clone()),
+        "service": upstream.map(|upstream| upstream.service.clone()), "at": at })
+}
+
+/// What the control store on this node holds: each key as it stands here, and what this replica is to it.
+fn store_report(store: &ControlStore<ControlValue>) -> Value {
+    let keys: Vec<Value> = store
+        .key_states()
+        .iter()
+        .map(|key| {
+            let role = match key.role {
+                Role::Owner => "owner",
+                Role::Claiming => "claiming",
+                Role::Replica => "holder",
+                Role::Repairing => "repairing",
+            };
+            json!({ "key": key.key, "role": role, "owner": key.owner.map(|node| address(node.0)),
+                "promised": { "round": key.promised.round, "owner": address(key.promised.owner) },
+                "accepted": { "round": key.accepted.epoch.round, "owner": address(key.accepted.epoch.owner),
+                    "change": key.accepted.sequence } })
+        })
+        .collect();
+    let replicas: Vec<String> = store.replica_nodes().iter().map(|node| address(node.0)).collect();
+    json!({ "voter": store.is_voter(), "roster": replicas, "keys": keys, "figures": store_metrics(store) })
+}
+
+fn store_metrics(store: &ControlStore<ControlValue>) -> Value {
+    let metrics = store.metrics();
+    json!({ "claims": metrics.claims, "taken": metrics.taken, "steppedDown": metrics.stepped_down,
+        "copiesSent": metrics.copies_sent, "wholesSent": metrics.wholes_sent, "behind": metrics.behind,
+        "refusedLowerEpoch": metrics.rejected_lower_epoch, "strangers": metrics.strangers,
+        "unsettled": metrics.unsettled, "passed": metrics.forwarded, "repairs": metrics.repairs,
+        "outlived": metrics.outlived, "replicaSets": metrics.replica_sets, "wentBack": metrics.went_back,
+        "diskFull": metrics.no_room, "unsaid": metrics.unsaid })
+}
+
+/// The disk under the control store: whether it takes writes, and if not what an operator has to do.
+fn disk_report(node_state: &NodeState) -> Value {
+    match node_state.peers.disk_full_cause() {
+        None => json!({ "state": "ok" }),
+        Some(cause) => {
+            json!({ "state": "full", "why": cause, "mend": "free space on the disk of dataDir" })
+        }
+    }
+}
+
+fn owned_keys(store: &ControlStore<ControlValue>) -> Vec<Value> {
+    let owned = store.owned_keys();
+    let row = owned.iter().map(
+        |(key, epoch, revision)| json!({ "key": key, "round": epoch.round, "change": revision.sequence }),
+    );
+    row.collect()
+}
+
+/// Who is there, what is in force, and, where this node has a control store, its keys.
+pub(crate) fn state_report(node_state: &NodeState) -> Value {
+    let (settings, peers) = (&node_state.settings, &node_state.peers);
+    let revisions: Vec<Value> = node_state
+        .revisions()
+        .iter()
+        .map(|(key, revision)| {
+            json!({ "key": key, "round": revision.0, "owner": address(revision.1 as u32), "change": revision.2 })
+        })
+        .collect();
+    let nodes: Vec<Value> = peers.membership(|membership| membership.records().map(node_row).collect());
+    let parent = peers.membership(|membership| membership.parent()).map(|parent| address(parent.0));
+    let linked: Vec<String> =
+        peers.membership(|membership| membership.linked_nodes().iter().map(|node| address(node.0)).collect());
+    let sync_age = peers.membership(|membership| membership.last_sync_age(node_state.now().as_micros()));
+    let (freshness, after) = match node_state.freshness() {
+        Freshness::Waiting => ("waiting", None),
+        Freshness::Current { after } => ("current", Some(after)),
+        Freshness::TimedOut { after } => ("bound passed", Some(after)),
+    };
+    json!({ "node": settings.name, "ip": settings.ip.to_string(), "zone": settings.zone, "zones": settings.zones,
+        "core": settings.is_control, "version": env!("CARGO_PKG_VERSION"), "parent": parent, "linked": linked,
+        "newsAgeUs": sync_age, "ready": node_state.is_ready(),
+        "unready": node_state.not_ready().map(|reason| reason.to_string()), "freshness": freshness,
+        "freshnessUs": after, "configured": node_state.configured(), "evacuated": node_state.evacuated_zones(),
+        "revisions": revisions, "nodes": nodes, "owns": peers.control_store(owned_keys),
+        "ledger": peers.control_store(store_report),
+        "disk": peers.control_store(|_| disk_report(node_state)) })
+}
--- a/crates/daemon/mesh/src/tests/changes.rs
+++ b/crates/daemon/mesh/src/tests/changes.rs
@@ -1,6 +1,6 @@
 //! What is open while the settings file, the configuration or the process' own state changes ends as if nothing had; and what
 //! comes new is treated as what was there.
-use crate::control::{self, CALLS, READY_CALLS};
+use crate::control::{self, CONTROL_CALLS, READY_CALLS};
 use crate::reload;
 use crate::tests::support::{
     self, bytes, stamped, status, value, Sidecar, SidecarOptions, TestConnection, ID,
@@ -79,8 +79,9 @@
                 let (path, text) = settings;
                 std::fs::write(path, format!("{text}seeds: ['127.0.0.9:1']\nbounds: ['drainS=0.1', 'graceS=2']\n"))
                     .expect("written");
-                at.node_state.reload.begin(path);
-                assert!(matches!(reload::look(&at.node_state, true), reload::Looked::Taken(took, _) if took.len() == 2));
+                at.node_state.settings_file.begin(path);
+                let outcome = reload::reload(&at.node_state, true);
+                assert!(matches!(outcome, reload::ReloadOutcome::Reloaded { in_force, .. } if in_force.len() == 2));
             }
             Change::Dropped => at.patch(&withdrawn(&[of])),
             Change::AllDropped => at.patch(&withdrawn(&["safe", "once", "up"])),
@@ -264,7 +265,7 @@
         let sidecar = support::sidecar(1, station, SidecarOptions::default()).await;
         sidecar.beat();
         let (calls, at) = support::station().await;
-        tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
+        tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CONTROL_CALLS));
         // The upstream takes connections and answers nothing.
         let mut held: Vec<TestConnection> = Vec::new();
         for n in 0..40 {
@@ -342,7 +343,7 @@
             for head in [head, said] {
                 assert_eq!(value(&head, "connection").is_some(), stopping, "{head}");
             }
-            assert_eq!(sidecar.node_state.own_record_body().leaving, stopping);
+            assert_eq!(sidecar.node_state.own_record_body().stopping, stopping);
         }
         assert_eq!(client.more().await, 0);
     });
@@ -373,7 +374,7 @@
             let sidecar = support::sidecar(last, nobody, SidecarOptions::default()).await;
             let calls = TcpListener::bind((sidecar.node_state.settings.ip, 0)).await.expect("a port");
             at.push(calls.local_addr().expect("bound"));
-            tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CALLS));
+            tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CONTROL_CALLS));
             sidecars.push(sidecar);
         }
         assert_eq!(follow(at[0], "/-/Config.Get").await, ["503"]);
--- a/crates/daemon/mesh/src/tests/data_path.rs
+++ b/crates/daemon/mesh/src/tests/data_path.rs
@@ -227,7 +227,11 @@
         let (_, nobody) = support::station().await;
         let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
         let (listener, at) = support::station().await;
-        tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), listener, &control::CALLS));
+        tokio::task::spawn_local(control::listen(
+            sidecar.node_state.clone(),
+            listener,
+            &control::CONTROL_CALLS,
+        ));
         let large = silvercross_mesh_config::MAX_BODY_BYTES + 1;
         for (framing, want) in
             [(format!("Content-Length: {large}"), "413"), ("Transfer-Encoding: gzip".to_string(), "400")]
--- a/crates/daemon/mesh/src/tests/interrupted_requests/world.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/world.rs
@@ -247,7 +247,7 @@
                     if matches!(case.strike, Some((.., Cut::Restart))) {
                         let next = support::sidecar_at(
                             one.ip,
-                            one.node_state.settings.station.expect("one"),
+                            one.node_state.settings.upstream_address.expect("one"),
                             SidecarOptions::default(),
                         );
                         let next = next.await.0;
--- a/crates/daemon/mesh/src/tests/support/mod.rs
+++ b/crates/daemon/mesh/src/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Sidecars of one process on real sockets of loopback, with clients and upstreams of the test's own. What the tree would bring,
 //! records and the configuration, is handed to them.
-use crate::control_value::{ControlChange, ControlValue, CONFIGURATION};
+use crate::control_value::{ControlChange, ControlValue, CONFIGURATION_KEY};
 use crate::node_state::{Heartbeat, NodeState};
 use crate::peers::{Peers, RecordBody, UpstreamRecord};
 use crate::{client_listener, settings, upstream_gate};
@@ -96,10 +96,9 @@
          internalPorts: [1, 1]\nfirstStart: true\nlocalStation: '{station}'\n"
     );
     let mut settings = settings::parse(&text).expect("settings");
-    (settings.memory, settings.descriptors) = (terms.memory, terms.descriptors);
+    (settings.memory_bytes, settings.max_descriptors) = (terms.memory, terms.descriptors);
     let clock = silvercross_facade::Clock::read_by(now);
-    let body =
-        RecordBody { inbound: inbound.port(), control: 0, leaving: false, roster: Vec::new(), station: None };
+    let body = RecordBody { inbound_port: inbound.port(), ..RecordBody::default() };
     let me = Node(ip.to_bits());
     let start = MembershipConfig {
         local_node: me,
@@ -112,8 +111,9 @@
     let mut membership = Membership::new(clock.now(), start, body);
     become_current(&mut membership, clock.now());
     let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
-    let gate =
-        upstream_gate::UpstreamGate::new(AdmissionController::new(settings.reloadable.bounds.of_gate()));
+    let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
+        settings.reloadable.limits.admission_bounds(),
+    ));
     let peers = Peers::new(ip, 1, membership, None, udp);
     let chance = rand_pcg::Pcg64Mcg::seed_from_u64(u64::from(inbound.port()));
     let node_state = NodeState::new(settings, Logger::root(Discard, o!()), gate, peers, clock, chance);
@@ -133,14 +133,14 @@
     let patch = silvercross_mesh_config::parse_change(items.as_bytes()).expect("a configuration");
     let mut control_value = ControlValue::Blank;
     control_value.apply(&ControlChange::Patch(patch)).expect("applies");
-    node_state.apply_control_entry(CONFIGURATION, (1, 1, 1), control_value.clone());
+    node_state.apply_control_entry(CONFIGURATION_KEY, (1, 1, 1), control_value.clone());
     (Sidecar { node_state, at, inbound, ip, control_value: Rc::new(RefCell::new(control_value)) }, text)
 }
 
 /// A core machine links with the sidecar, says that a majority has acknowledged nothing so far, and goes.
 fn become_current(membership: &mut Membership<RecordBody>, now: i64) {
     let node = Node(Ipv4Addr::new(127, 0, 0, 250).to_bits());
-    let body = RecordBody { inbound: 0, control: 0, leaving: false, roster: Vec::new(), station: None };
+    let body = RecordBody::default();
     let record = NodeRecord {
         node,
         incarnation: 1,
@@ -187,8 +187,12 @@
         let patch = silvercross_mesh_config::parse_change(change.as_bytes()).expect("a change");
         let mut control_value = self.control_value.borrow_mut();
         control_value.apply(&ControlChange::Patch(patch)).expect("applies");
-        let change = self.node_state.revisions().get(CONFIGURATION).map_or(0, |r| r.2) + 1;
-        self.node_state.apply_control_entry(CONFIGURATION, (1, 1, change), control_value.clone().published());
+        let change = self.node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |r| r.2) + 1;
+        self.node_state.apply_control_entry(
+            CONFIGURATION_KEY,
+            (1, 1, change),
+            control_value.clone().published(),
+        );
     }
 
     /// Other limits for clients: seconds idle, and bytes of a head.
@@ -202,8 +206,9 @@
     /// Tell this one of a machine without an upstream: where it takes calls, and who it says holds the control state.
     pub fn hears_of_core(&self, at: SocketAddr, zone: &str, leaving: bool, roster: &[Ipv4Addr]) {
         let IpAddr::V4(ip) = at.ip() else { return };
-        let roster = roster.iter().map(|r| r.to_bits()).collect();
-        let body = RecordBody { inbound: 0, control: at.port(), leaving, roster, station: None };
+        let replica_set = roster.iter().map(|replica| replica.to_bits()).collect();
+        let control_port = at.port();
+        let body = RecordBody { control_port, stopping: leaving, replica_set, ..RecordBody::default() };
         let node = Node(ip.to_bits());
         self.node_state.apply_record(NodeRecord {
             node,
@@ -218,22 +223,17 @@
 
     /// Tell this one of another and its upstream.
     pub fn hears_of(&self, other: &Sidecar) {
-        let station = UpstreamRecord {
+        let upstream = UpstreamRecord {
             id: format!("i-{}", other.ip),
             service: SERVICE.to_string(),
             slots: 8,
             draining: false,
             silent: false,
-            colds: 0,
-            cold: 0,
-        };
-        let body = RecordBody {
-            inbound: other.inbound.port(),
-            control: 0,
-            leaving: false,
-            roster: Vec::new(),
-            station: Some(station),
+            warm_ups: 0,
+            warm_up_left: silvercross_time::Duration::ZERO,
         };
+        let inbound_port = other.inbound.port();
+        let body = RecordBody { inbound_port, upstream: Some(upstream), ..RecordBody::default() };
         let node = Node(other.ip.to_bits());
         let record = NodeRecord {
             node,
--- a/crates/daemon/mesh/src/upstream_gate/delivery.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery.rs
@@ -22,7 +22,9 @@
 /// Deliver a request to the upstream on this machine, if it is admitted. A response without body and with a
 /// [`GateStatus`] is the gate's own.
 pub(crate) async fn deliver(node_state: &Rc<NodeState>, delivery: Delivery<'_>) -> ReceivedResponse {
-    let (Some(upstream), Some(attempt_id)) = (node_state.settings.station, &delivery.head.attempt_id) else {
+    let (Some(upstream), Some(attempt_id)) =
+        (node_state.settings.upstream_address, &delivery.head.attempt_id)
+    else {
         return status_response(GateStatus::Unavailable);
     };
     let started = Instant::now();
--- a/crates/daemon/mesh/src/upstream_gate/listener.rs
+++ b/crates/daemon/mesh/src/upstream_gate/listener.rs
@@ -35,7 +35,7 @@
             continue;
         }
         let node_state = node_state.clone();
-        let gauge = GaugeGuard::new(&node_state, |counters| &counters.hop_connections);
+        let gauge = GaugeGuard::new(&node_state.counters, |counters| &counters.hop_connections);
         tokio::task::spawn_local(async move {
             let _gauge = gauge;
             serve_connection(&node_state, Connection::new(stream, PeerKind::Sidecar)).await;
@@ -48,7 +48,7 @@
     let counters = &node_state.counters;
     let open = counters.hop_connections.get();
     let evicting = node_state.gate.evictions_pending.get();
-    let max_open = (node_state.settings.descriptors / SIDECAR_CONNECTION_DIVISOR).max(1);
+    let max_open = (node_state.settings.max_descriptors / SIDECAR_CONNECTION_DIVISOR).max(1);
     if open - evicting.min(open) < max_open {
         return true;
     }
--- a/crates/daemon/mesh/src/upstream_gate/sidecar_connection.rs
+++ b/crates/daemon/mesh/src/upstream_gate/sidecar_connection.rs
@@ -80,7 +80,7 @@
 
 /// Whether a request has come; an idle connection may have to give way to another.
 async fn wait_for_request(node_state: &Rc<NodeState>, connection: &mut Connection) -> bool {
-    let _gauge = GaugeGuard::new(node_state, |counters| &counters.idle_hop_connections);
+    let _gauge = GaugeGuard::new(&node_state.counters, |counters| &counters.idle_hop_connections);
     let gate = &node_state.gate;
     tokio::select! {
         has_come = connection.wait_for_bytes(IDLE_TIMEOUT) => has_come,
