--- a/crates/testing/architecture-tests/src/packages.rs
+++ b/crates/testing/architecture-tests/src/packages.rs
@@ -1,4 +1,5 @@
-//! Which package has to pass which check. Owners add their package here once it holds; a package is never taken off again.
+//! Which package has to pass which check. Owners add their package here once it holds, one a line so that
+//! two owners' lines don't meet; a package is never taken off again.
 
 /// Packages that decide without I/O: they import no socket, clock, disk, thread or source of randomness. Taken from the
 /// packages' own documentation ("No I/O, no clock").
@@ -23,6 +24,7 @@
 ];
 
 /// Packages in which no files import each other in a circle.
+#[rustfmt::skip]
 pub const WITHOUT_CIRCLES: &[&str] = &[
     "balancer/management",
     "balancer/net",
@@ -30,9 +32,11 @@
     "testing/architecture-tests",
     "testing/control-sim",
     "testing/test-rng",
+    "tools/ctl",
 ];
 
 /// Packages whose functions fail with a type of their own, never with `Result<_, String>`.
+#[rustfmt::skip]
 pub const WITH_TYPED_ERRORS: &[&str] = &[
     "balancer/management",
     "balancer/net",
@@ -40,9 +44,17 @@
     "testing/architecture-tests",
     "testing/control-sim",
     "testing/test-rng",
+    "tools/ctl",
 ];
 
 /// Packages in which no withdrawn word is left but in names of the wire. (`testing/architecture-tests` holds the list of
 /// these words and so can't be one.)
-pub const WITH_CURRENT_NAMES: &[&str] =
-    &["balancer/management", "balancer/net", "balancer/time", "testing/control-sim", "testing/test-rng"];
+#[rustfmt::skip]
+pub const WITH_CURRENT_NAMES: &[&str] = &[
+    "balancer/management",
+    "balancer/net",
+    "balancer/time",
+    "testing/control-sim",
+    "testing/test-rng",
+    "tools/ctl",
+];
--- a/crates/testing/architecture-tests/src/words.rs
+++ b/crates/testing/architecture-tests/src/words.rs
@@ -1,7 +1,7 @@
 //! The check that withdrawn words are gone from names, messages and comments, wherever the wire does not need them.
 //!
 //! A name is looked at part by part (`depot_count` and `DepotCount` both hold `depot`). A literal, or what stands between
-//! backticks in a comment, may hold a withdrawn word only if it is, as a whole, one of [`WIRE_NAMES`]. Tables of old and new
+//! backticks in a literal or a comment, may hold a withdrawn word only if it is, as a whole, one of [`WIRE_NAMES`]. Tables of old and new
 //! names are in `docs/`, which this check does not read.
 use crate::source::SourceFile;
 use crate::tokens::{Kind, Token};
@@ -52,6 +52,14 @@
     "lane",
     "lanes",
     "lineCap",
+    // What a node's state and metrics hold.
+    "desks",
+    "holder",
+    "holders",
+    "ledger",
+    "life",
+    "newsAgeUs",
+    "roster",
     // Paths of the mesh's own calls.
     "/-/Stations.Heartbeat",
     "/-/Stations.SignOff",
@@ -95,8 +103,7 @@
         Kind::Word => vec![(token.text.as_str(), true)],
         Kind::Sign => Vec::new(),
         Kind::Literal if WIRE_NAMES.contains(&token.text.as_str()) => Vec::new(),
-        Kind::Literal => vec![(token.text.as_str(), false)],
-        Kind::Comment => {
+        Kind::Literal | Kind::Comment => {
             let spans = token.text.split('`').enumerate();
             spans
                 .filter(|(at, text)| at % 2 == 0 || !WIRE_NAMES.contains(&text.trim_matches('"')))
