--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -50,6 +50,9 @@
         total: head.timeout.map_or(route_timeout, |timeout| timeout.min(route_timeout)),
         spent: Duration::ZERO,
     };
+    if !node_state.accepts_request(budget.total) {
+        return ClientResponse::not_run(503, "this sidecar stops before the request could be answered", None);
+    }
     let mut step = None;
     if node_state.member_throttle.is_enabled() {
         let (total, body_bytes) = (budget.total, body.prefix().len());
--- a/crates/daemon/mesh/src/graceful_stop.rs
+++ b/crates/daemon/mesh/src/graceful_stop.rs
@@ -11,6 +11,9 @@
 const LATE_ARRIVALS_WAIT: Duration = Duration::from_millis(200);
 /// Nothing is open for so long: the end.
 const QUIET_BEFORE_END: Duration = Duration::from_millis(250);
+/// For so long after the signal every request is accepted. A later one has to be certain of its answer: it is accepted only if
+/// its timeout ends before all that is open is answered.
+const UNCONDITIONAL_ACCEPT_SPAN: Duration = Duration::from_millis(2_800);
 /// The process is gone so long before its grace ends,
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
 /// and has answered all that is open so long before that.
@@ -53,6 +56,13 @@
         (self.end_by - ANSWER_MARGIN).max(self.from)
     }
 
+    /// Whether a request that comes now and may take so long is accepted. One that is not is rejected at once, before anything
+    /// runs: accepted, it could be given up with an upstream at work on it.
+    pub(crate) fn accepts_request(&self, now: Instant, request_timeout: Duration) -> bool {
+        let unconditional_span = UNCONDITIONAL_ACCEPT_SPAN.min((self.end_by - self.from) / 2);
+        now < self.from + unconditional_span || now.saturating_add(request_timeout) <= self.answer_by()
+    }
+
     /// The process ends by then, whatever is open.
     pub(crate) fn end_by(&self) -> Instant {
         self.end_by
--- a/crates/daemon/mesh/src/graceful_stop/tests.rs
+++ b/crates/daemon/mesh/src/graceful_stop/tests.rs
@@ -60,6 +60,29 @@
     }
 }
 
+#[test]
+fn late_in_its_grace_it_accepts_only_requests_that_are_certain_to_be_answered() {
+    let stop = GracefulStop::new(at(0), at(0), Duration::from_secs(6));
+    for (now_ms, timeout_ms, accepted) in [
+        (0, 60_000, true),
+        (2_500, 60_000, true),
+        (3_000, 60_000, false),
+        (3_000, 3_000, false),
+        (3_000, 2_000, true),
+        (4_500, 1_000, false),
+        (4_500, 500, true),
+        (5_000, 100, false),
+    ] {
+        let got = stop.accepts_request(at(now_ms * 1_000), Duration::from_millis(timeout_ms));
+        assert_eq!(got, accepted, "at {now_ms} ms, timeout {timeout_ms} ms");
+    }
+    let short = GracefulStop::new(at(0), at(0), Duration::from_secs(1));
+    assert!(
+        !short.accepts_request(at(500_000), Duration::from_secs(60)),
+        "a short grace has a second half too"
+    );
+}
+
 #[test]
 fn a_short_grace_is_kept_too() {
     for grace in [0, 400_000, 600_000, 1_500_000] {
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -38,6 +38,12 @@
         self.peers.leave_replica_set(self);
     }
 
+    /// Whether a request that may take so long is accepted: always, but late in the grace of a process that stops.
+    pub(crate) fn accepts_request(&self, request_timeout: Duration) -> bool {
+        let now = self.now();
+        self.graceful_stop.borrow().as_ref().is_none_or(|stop| stop.accepts_request(now, request_timeout))
+    }
+
     /// Where a process that stops stands; `None`: it does not stop.
     pub(crate) fn stop_progress(&self) -> Option<StopProgress> {
         let (now, is_busy) = (self.now(), self.is_busy());
--- a/crates/daemon/mesh/src/tests/mod.rs
+++ b/crates/daemon/mesh/src/tests/mod.rs
@@ -3,6 +3,7 @@
 mod changes;
 mod data_path;
 mod forwarding_headers;
+mod graceful_stop;
 mod idle_timeout;
 mod interrupted_requests;
 mod large_bodies;
