--- a/crates/daemon/mesh/src/control/tests.rs
+++ b/crates/daemon/mesh/src/control/tests.rs
@@ -6,17 +6,17 @@
 #[test]
 fn calls_beyond_the_limit_are_closed_and_counted() {
     support::run(async {
-        let (_, nobody) = support::station().await;
-        let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
-        let (listener, at) = support::station().await;
+        let nobody = support::bind_upstream().await.address;
+        let sidecar = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let support::BoundUpstream { listener, address: at } = support::bind_upstream().await;
         tokio::task::spawn_local(listen(sidecar.node_state.clone(), listener, &READY_CALLS));
         let mut open = Vec::new();
         for _ in 0..MAX_CONNECTIONS {
-            open.push(TestConnection::to(at).await);
+            open.push(TestConnection::connect(at).await);
         }
-        assert_eq!(TestConnection::to(at).await.more().await, 0);
+        assert_eq!(TestConnection::connect(at).await.receive().await, 0);
         assert_eq!(sidecar.node_state.counters.rejected_calls.get(), 1);
-        open[0].say(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
-        assert_eq!(support::status(&open[0].head().await), "200");
+        open[0].send(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
+        assert_eq!(support::status(&open[0].read_head().await), "200");
     });
 }
--- a/crates/daemon/mesh/src/peers/tests/links.rs
+++ b/crates/daemon/mesh/src/peers/tests/links.rs
@@ -86,23 +86,23 @@
 #[test]
 fn links_without_a_first_frame_are_limited_and_end() {
     support::run(async {
-        let (_, nobody) = support::station().await;
-        let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
-        let (listener, at) = support::station().await;
+        let nobody = support::bind_upstream().await.address;
+        let sidecar = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let support::BoundUpstream { listener, address: at } = support::bind_upstream().await;
         tokio::task::spawn_local(accept_links(sidecar.node_state.clone(), listener));
         let counters = &sidecar.node_state.counters;
         let mut open = Vec::new();
         for _ in 0..MAX_UNIDENTIFIED_LINKS {
-            open.push(TestConnection::to(at).await);
+            open.push(TestConnection::connect(at).await);
         }
-        assert_eq!(TestConnection::to(at).await.more().await, 0);
+        assert_eq!(TestConnection::connect(at).await.receive().await, 0);
         assert_eq!(
             (counters.unidentified_links.get(), counters.rejected_links.get()),
             (MAX_UNIDENTIFIED_LINKS, 1)
         );
         // A first word that is too large to be one ends its link at once.
-        open[0].say(&(MAX_HELLO_BYTES as u32 + 1).to_le_bytes()).await;
-        while open[0].more().await > 0 {}
+        open[0].send(&(MAX_HELLO_BYTES as u32 + 1).to_le_bytes()).await;
+        while open[0].receive().await > 0 {}
         assert_eq!(
             (counters.unidentified_links.get(), counters.foreign_messages.get()),
             (MAX_UNIDENTIFIED_LINKS - 1, 1)
--- a/crates/daemon/mesh/src/reload/tests.rs
+++ b/crates/daemon/mesh/src/reload/tests.rs
@@ -11,8 +11,9 @@
 #[test]
 fn what_can_change_takes_hold_the_rest_is_named_and_a_broken_file_changes_nothing() {
     support::run(async {
-        let (_, at) = support::station().await;
-        let (sidecar, text) = support::sidecar_of(1, at, SidecarOptions::default()).await;
+        let at = support::bind_upstream().await.address;
+        let support::StartedSidecar { sidecar, settings: text } =
+            support::start_sidecar_with_settings(1, at, SidecarOptions::default()).await;
         let node_state = &sidecar.node_state;
         let path = std::env::temp_dir().join(format!("silvercross-mesh-reload-{}.yaml", std::process::id()));
         let write = |text: &str| std::fs::write(&path, text).expect("written");
@@ -28,7 +29,7 @@
         assert_eq!(reloadable.heartbeat_interval, Duration::from_millis(700));
         assert_eq!((limits.drain_timeout, limits.retry_allowance), (Duration::ZERO, 6.0));
         // The gate goes by it: a leaving upstream gets nothing from here on.
-        sidecar.beat();
+        sidecar.send_heartbeat();
         let draining = "{\"destination\":\"quotes\",\"state\":\"draining\",\"slots\":8,\"sequence\":2}";
         node_state.upstream_heartbeat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
         let state = node_state.gate.with_admission(|w| w.station().map(|s| s.state));
--- a/crates/daemon/mesh/src/tests/graceful_stop.rs
+++ b/crates/daemon/mesh/src/tests/graceful_stop.rs
@@ -1,5 +1,8 @@
 //! Requests that come while a sidecar stops.
-use super::support::{self, status, value, SidecarOptions, TestConnection};
+use super::support::{
+    self, bind_upstream, header_value, status, upstream_response_head, BoundUpstream, SidecarOptions,
+    TestConnection,
+};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,15 +16,15 @@
         while let Ok((stream, _)) = listener.accept().await {
             let counted = counted.clone();
             tokio::task::spawn_local(async move {
-                let mut connection = TestConnection::over(stream);
+                let mut connection = TestConnection::from_stream(stream);
                 loop {
-                    let head = connection.head().await;
-                    let Some(id) = value(&head, "attempt-id") else { return };
+                    let head = connection.read_head().await;
+                    if head.is_empty() {
+                        return;
+                    }
                     counted.set(counted.get() + 1);
-                    let text = format!(
-                        "HTTP/1.1 200 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 2\r\n\r\nok"
-                    );
-                    connection.say(text.as_bytes()).await;
+                    let response_head = upstream_response_head(&head, 200, "Content-Length: 2\r\n");
+                    connection.send(format!("{response_head}ok").as_bytes()).await;
                 }
             });
         }
@@ -34,27 +37,29 @@
 #[test]
 fn late_in_its_grace_a_sidecar_rejects_what_it_might_have_to_give_up() {
     support::run_paused(async {
-        let (listener, upstream) = support::station().await;
+        let BoundUpstream { listener, address } = bind_upstream().await;
         let requests = count_requests(listener);
-        let (_, nobody) = support::station().await;
-        let origin = support::sidecar(1, nobody, SidecarOptions::default()).await;
-        let gate = support::sidecar(2, upstream, SidecarOptions::default()).await;
-        gate.beat();
-        origin.hears_of(&gate);
+        let nobody = bind_upstream().await.address;
+        let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = support::start_sidecar(2, address, SidecarOptions::default()).await;
+        gate.send_heartbeat();
+        origin.learn_sidecar(&gate);
         origin.node_state.begin_stop();
         // The grace is 6 s, so that all is answered 5 s after the signal.
-        for (advance, timeout_ms, want, reached) in
+        for (advance_ms, timeout_ms, expected, delivered) in
             [(2000, 5000, "200", 1), (1000, 5000, "503", 1), (0, 500, "200", 2), (1700, 500, "503", 2)]
         {
-            tokio::time::advance(Duration::from_millis(advance)).await;
-            gate.beat();
-            origin.hears_of(&gate);
-            let mut client = TestConnection::to(origin.at).await;
-            let request = format!("GET /safe/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a{advance}-{timeout_ms}\r\nDeadline-Ms: {timeout_ms}\r\n\r\n");
-            client.say(request.as_bytes()).await;
-            let head = client.head().await;
-            assert_eq!((status(&head), requests.get()), (want, reached), "{head}");
-            assert_eq!(value(&head, "retry-after").is_some(), want == "503", "{head}");
+            tokio::time::advance(Duration::from_millis(advance_ms)).await;
+            gate.send_heartbeat();
+            origin.learn_sidecar(&gate);
+            let mut client = TestConnection::connect(origin.outbound).await;
+            let request = format!(
+                "GET /safe/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a{advance_ms}-{timeout_ms}\r\nDeadline-Ms: {timeout_ms}\r\n\r\n"
+            );
+            client.send(request.as_bytes()).await;
+            let head = client.read_head().await;
+            assert_eq!((status(&head), requests.get()), (expected, delivered), "{head}");
+            assert_eq!(header_value(&head, "retry-after").is_some(), expected == "503", "{head}");
         }
     });
 }
--- a/crates/daemon/mesh/src/tests/idle_timeout.rs
+++ b/crates/daemon/mesh/src/tests/idle_timeout.rs
@@ -1,90 +1,99 @@
 //! How long clients' connections may be idle, also while the limit changes.
 use crate::idle_timeout::{keep_alive_header, IdleTimeout, CLOSE_DELAY};
-use crate::tests::support::{self, SidecarOptions, TestConnection};
+use crate::tests::support::{
+    self, bind_upstream, header_value, status, SidecarOptions, TestConnection, ATTEMPT_ID_LINE,
+};
 use silvercross_time::{Duration, Instant};
 
-const S: i64 = 1_000_000;
+/// Seconds, and the limit in seconds that is set then.
+type LimitChange = (i64, i64);
 
-/// Limits set when; looked at when; closed after.
-type Case<'c> = (&'c [(i64, i64)], i64, i64);
+/// What was set before a connection is looked at, and how long it is kept then, in seconds.
+struct Case<'c> {
+    changes: &'c [LimitChange],
+    looked_at: i64,
+    kept: i64,
+}
+
+fn second(seconds: i64) -> Instant {
+    Instant::ZERO + Duration::from_secs(seconds)
+}
 
 #[test]
 fn a_connection_that_became_idle_under_a_longer_limit_keeps_it() {
-    let cases: [Case; 7] = [
-        (&[], 5 * S, 60 * S),
-        (&[(0, 15 * S)], 5 * S, 15 * S),
-        (&[(0, 15 * S), (4 * S, 2 * S)], 14 * S, 15 * S),
-        (&[(0, 15 * S), (4 * S, 2 * S)], 21 * S, 2 * S),
-        (&[(0, 15 * S), (4 * S, 2 * S), (5 * S, 4 * S), (6 * S, 3 * S)], 19 * S, 15 * S),
-        (&[(0, 2 * S), (4 * S, 15 * S)], 5 * S, 15 * S),
-        (&[(0, 9 * S), (S, 15 * S), (2 * S, 9 * S), (16 * S, 3 * S)], 24 * S, 15 * S),
+    let cases = [
+        Case { changes: &[], looked_at: 5, kept: 60 },
+        Case { changes: &[(0, 15)], looked_at: 5, kept: 15 },
+        Case { changes: &[(0, 15), (4, 2)], looked_at: 14, kept: 15 },
+        Case { changes: &[(0, 15), (4, 2)], looked_at: 21, kept: 2 },
+        Case { changes: &[(0, 15), (4, 2), (5, 4), (6, 3)], looked_at: 19, kept: 15 },
+        Case { changes: &[(0, 2), (4, 15)], looked_at: 5, kept: 15 },
+        Case { changes: &[(0, 9), (1, 15), (2, 9), (16, 3)], looked_at: 24, kept: 15 },
     ];
-    for (n, (set, now, span)) in cases.into_iter().enumerate() {
+    for (number, Case { changes, looked_at, kept }) in cases.into_iter().enumerate() {
         let mut idle_timeout = IdleTimeout::default();
-        set.iter().for_each(|(at, idle)| {
-            idle_timeout.set_limit(Instant::from_micros(*at), Duration::from_micros(*idle));
-        });
+        for (at, limit) in changes {
+            idle_timeout.set_limit(second(*at), Duration::from_secs(*limit));
+        }
         assert_eq!(
-            idle_timeout.close_after(Instant::from_micros(now), Duration::from_micros(60 * S)),
-            Duration::from_micros(span) + CLOSE_DELAY,
-            "case {n}"
+            idle_timeout.close_after(second(looked_at), Duration::from_secs(60)),
+            Duration::from_secs(kept) + CLOSE_DELAY,
+            "case {number}"
         );
     }
-    for (idle, said) in [(None, None), (Some(900_000), None), (Some(15_700_000), Some(15))] {
-        assert_eq!(
-            keep_alive_header(idle.map(Duration::from_micros)),
-            said.map(|s| format!("Keep-Alive: timeout={s}\r\n"))
-        );
+    for (idle_ms, seconds) in [(None, None), (Some(900), None), (Some(15_700), Some(15))] {
+        let header = seconds.map(|seconds| format!("Keep-Alive: timeout={seconds}\r\n"));
+        assert_eq!(keep_alive_header(idle_ms.map(Duration::from_millis)), header);
     }
 }
 
-async fn asked(talk: &mut TestConnection, filler: usize) -> (String, Option<String>) {
-    let filler = "x".repeat(filler);
-    talk.say(format!("GET /none HTTP/1.1\r\nHost: h\r\nFiller: {filler}\r\n{}\r\n", support::ID).as_bytes())
-        .await;
-    let said = talk.head().await;
-    talk.body(&said).await;
-    (support::status(&said).to_string(), support::value(&said, "keep-alive"))
+/// Send a request with a header of this many bytes; the status, and the idle timeout that the response states.
+async fn request(connection: &mut TestConnection, filler_bytes: usize) -> (String, Option<String>) {
+    let filler = "x".repeat(filler_bytes);
+    let request = format!("GET /none HTTP/1.1\r\nHost: h\r\nFiller: {filler}\r\n{ATTEMPT_ID_LINE}\r\n");
+    connection.send(request.as_bytes()).await;
+    let head = connection.read_head().await;
+    connection.read_body(&head).await;
+    (status(&head).to_string(), header_value(&head, "keep-alive"))
 }
 
-/// The next request on a connection that rested goes by the limits in force as it comes.
+/// The next request on a connection that was idle goes by the limits in force as it comes.
 #[test]
 fn an_idle_connection_is_not_closed_by_a_shorter_limit_and_its_next_request_uses_the_newest() {
     support::run(async {
-        let (_, nobody) = support::station().await;
-        let sidecar = support::sidecar(1, nobody, SidecarOptions::default()).await;
-        sidecar.limits(2, 15.0, 300);
-        let mut talk = TestConnection::to(sidecar.at).await;
-        assert_eq!(asked(&mut talk, 1).await, ("404".into(), Some("timeout=15".into())));
-        assert!(talk.is_open().await);
-        for (edition, idle) in [(3, 0.001), (4, 30.0)] {
-            sidecar.limits(edition, idle, 16384);
-            assert!(talk.is_open().await);
+        let nobody = bind_upstream().await.address;
+        let sidecar = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        sidecar.set_limits(2, 15.0, 300);
+        let mut connection = TestConnection::connect(sidecar.outbound).await;
+        assert_eq!(request(&mut connection, 1).await, ("404".into(), Some("timeout=15".into())));
+        assert!(connection.is_open_and_quiet().await);
+        for (version, idle_seconds) in [(3, 0.001), (4, 30.0)] {
+            sidecar.set_limits(version, idle_seconds, 16384);
+            assert!(connection.is_open_and_quiet().await);
         }
-        assert_eq!(asked(&mut talk, 4000).await, ("404".into(), Some("timeout=30".into())));
+        assert_eq!(request(&mut connection, 4000).await, ("404".into(), Some("timeout=30".into())));
     });
 }
 
-/// Two connections rest under a short limit, one at a sidecar where a longer one comes meanwhile.
+/// Two connections are idle under a short limit, one at a sidecar where a longer one comes meanwhile.
 #[test]
 fn an_idle_connection_is_closed_in_time_and_kept_by_a_longer_limit() {
     support::run(async {
-        let (_, nobody) = support::station().await;
-        let (one, other) = (
-            support::sidecar(1, nobody, SidecarOptions::default()).await,
-            support::sidecar(2, nobody, SidecarOptions::default()).await,
-        );
-        for sidecar in [&one, &other] {
+        let nobody = bind_upstream().await.address;
+        let lengthening = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let unchanged = support::start_sidecar(2, nobody, SidecarOptions::default()).await;
+        for sidecar in [&lengthening, &unchanged] {
             *sidecar.node_state.idle_timeout.borrow_mut() = IdleTimeout::default();
-            sidecar.limits(2, 0.05, 16384);
+            sidecar.set_limits(2, 0.05, 16384);
         }
-        let (mut kept, mut ends) = (TestConnection::to(one.at).await, TestConnection::to(other.at).await);
-        for talk in [&mut kept, &mut ends] {
-            assert_eq!(asked(talk, 1).await, ("404".into(), None));
+        let mut kept = TestConnection::connect(lengthening.outbound).await;
+        let mut closed = TestConnection::connect(unchanged.outbound).await;
+        for connection in [&mut kept, &mut closed] {
+            assert_eq!(request(connection, 1).await, ("404".into(), None));
         }
-        one.limits(3, 30.0, 16384);
-        assert_eq!(ends.more().await, 0);
-        assert!(kept.is_open().await);
-        assert_eq!(asked(&mut kept, 1).await, ("404".into(), Some("timeout=30".into())));
+        lengthening.set_limits(3, 30.0, 16384);
+        assert_eq!(closed.receive().await, 0);
+        assert!(kept.is_open_and_quiet().await);
+        assert_eq!(request(&mut kept, 1).await, ("404".into(), Some("timeout=30".into())));
     });
 }
--- a/crates/daemon/mesh/src/tests/interrupted_requests.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests.rs
@@ -1,139 +1,195 @@
-//! The data path cut at each place in turn: an origin, two gates and their upstreams in one process, on sockets of loopback and in
-//! paused time, a relay on each link between them. One request is struck on its way, at a stated byte, in a stated manner; what
-//! its client and the upstreams saw is then held against the rules. Nothing is drawn by lot.
+//! Requests interrupted at each place in turn: an origin, two gates and their upstreams in one process, on sockets of loopback
+//! and in paused time, with a relay on each link between them. One request is interrupted on its way, at a stated byte, by a
+//! stated fault; what its client and the upstreams saw is then checked against the rules. Nothing is random.
+mod case;
+mod checker;
+mod client;
+mod message_reader;
 mod relay;
-mod world;
+mod run;
+mod upstream;
 
-use relay::{Cut, Link, Way};
+use case::{Direction, Fault, Interruption, Link, RequestKind, UpstreamBehaviour};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
-pub use world::{play, Case, Saw};
-use world::{Ask, Says};
 
-/// Behind a head, and behind so many bytes of a body, not each byte is a place of its own.
-const BODY: usize = 64;
-/// A stride beyond all heads: the borders alone.
-const BORDERS: usize = usize::MAX;
+pub(crate) use case::Case;
+pub(crate) use run::run_case;
 
-/// The places to cut a message of these bytes: each `stride`th byte of its head and of a small body, and all borders.
-fn places(bytes: &[u8], stride: usize) -> Vec<usize> {
+/// Behind a head, and behind this many bytes of a body, not each byte is a place of its own.
+const SMALL_BODY_BYTES: usize = 64;
+/// A stride beyond all heads: the boundaries alone.
+const BOUNDARIES_ONLY: usize = usize::MAX;
+
+/// The places to interrupt a message of these bytes: each `stride`th byte of its head and of a small body, and all
+/// boundaries.
+fn offsets(bytes: &[u8], stride: usize) -> Vec<usize> {
     let head = bytes.windows(4).position(|w| w == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4);
-    let dense = if bytes.len() - head <= BODY { bytes.len() } else { head };
-    let mut all: Vec<usize> = (0..=dense).step_by(stride).collect();
+    let dense = if bytes.len() - head <= SMALL_BODY_BYTES { bytes.len() } else { head };
+    let mut offsets: Vec<usize> = (0..=dense).step_by(stride).collect();
     let middle = (head + bytes.len()) / 2;
-    all.extend([1, head - 1, head, head + 1, middle, bytes.len() - 1, bytes.len()]);
-    all.retain(|at| *at <= bytes.len());
-    all.sort_unstable();
-    all.dedup();
-    all
+    offsets.extend([1, head - 1, head, head + 1, middle, bytes.len() - 1, bytes.len()]);
+    offsets.retain(|offset| *offset <= bytes.len());
+    offsets.sort_unstable();
+    offsets.dedup();
+    offsets
 }
 
-/// All cases of one request, whose bytes on each link are known from a run that nothing was done to.
+/// All cases of one request, whose bytes on each link are known from a run without interruption.
 fn cases_of(plain: Case, stride: usize) -> Vec<Case> {
-    let (saw, _) = play(plain, 0);
-    assert!(saw.broken.is_empty(), "{plain:?}: {:?}", saw.broken);
-    let mut all = Vec::new();
-    for ((link, way), bytes) in &saw.carried {
-        let mut add = |cut, at| all.push(Case { strike: Some((*link, *way, at, cut)), ..plain });
-        for at in places(bytes, if plain.ask == Ask::Big { BORDERS } else { stride }) {
-            [Cut::Silence, Cut::Reset, Cut::Close, Cut::Frozen].into_iter().for_each(|cut| add(cut, at));
-            if *link == Link::Hop {
-                add(Cut::Restart, at);
+    let observed = run_case(plain, 0);
+    assert!(observed.violations.is_empty(), "{plain:?}: {:?}", observed.violations);
+    let mut cases = Vec::new();
+    for (traffic, bytes) in &observed.carried {
+        let (link, direction) = (traffic.link, traffic.direction);
+        let mut add = |fault, offset| {
+            let interruption = Some(Interruption { link, direction, offset, fault });
+            cases.push(Case { interruption, ..plain });
+        };
+        let stride = if plain.request == RequestKind::LargeUpload { BOUNDARIES_ONLY } else { stride };
+        for offset in offsets(bytes, stride) {
+            for fault in [Fault::Silence, Fault::Reset, Fault::Close, Fault::Freeze] {
+                add(fault, offset);
+            }
+            if link == Link::Sidecars {
+                add(Fault::Restart, offset);
             }
-            if *way == Way::Request {
-                add(Cut::Torn, at);
+            if direction == Direction::Request {
+                add(Fault::DelayedRequest, offset);
             }
-            if *way == Way::Request || at == 0 {
-                add(Cut::Other, at);
+            if direction == Direction::Request || offset == 0 {
+                add(Fault::ForeignResponse, offset);
             }
         }
-        if *way == Way::Answer {
-            for cut in [Cut::Byte, Cut::Double, Cut::LateByte, Cut::LateDouble] {
-                add(cut, 0);
+        if direction == Direction::Response {
+            for fault in
+                [Fault::SurplusByte, Fault::DoubleResponse, Fault::LateSurplusByte, Fault::LateDoubleResponse]
+            {
+                add(fault, 0);
             }
         }
     }
-    all
+    cases
 }
 
-const ASKS: [Ask; 4] = [Ask::Safe, Ask::Once, Ask::Up, Ask::Big];
-
 /// All that a request may be like, on each link that it has to pass.
-fn kinds() -> impl Iterator<Item = Case> {
-    let says = [Says::Served, Says::Failed, Says::Away, Says::Long];
-    let ways = [(true, false), (false, false), (true, true)];
-    let kinds = ASKS.into_iter().flat_map(move |ask| says.into_iter().map(move |says| (ask, says)));
-    kinds.flat_map(move |(ask, says)| {
-        ways.into_iter().map(move |(warm, own)| Case { ask, says, warm, own, strike: None })
+fn plain_cases() -> impl Iterator<Item = Case> {
+    const REQUESTS: [RequestKind; 4] =
+        [RequestKind::Safe, RequestKind::Once, RequestKind::HeldBackUpload, RequestKind::LargeUpload];
+    const UPSTREAMS: [UpstreamBehaviour; 4] = [
+        UpstreamBehaviour::Serves,
+        UpstreamBehaviour::Fails,
+        UpstreamBehaviour::Rejects,
+        UpstreamBehaviour::ServesLong,
+    ];
+    let pairs = REQUESTS
+        .into_iter()
+        .flat_map(|request| UPSTREAMS.into_iter().map(move |upstream| (request, upstream)));
+    pairs.flat_map(|(request, upstream)| {
+        let paths = [(true, false), (false, false), (true, true)];
+        paths.into_iter().map(move |(is_warm, is_local)| Case {
+            request,
+            upstream,
+            is_warm,
+            is_local,
+            interruption: None,
+        })
     })
 }
 
-/// A few hundred: all borders of one that may run once, on connections that are used again, and each `STEP`th of all.
-pub fn few_cases() -> Vec<Case> {
+/// A few hundred: all boundaries of a request that may run once, on reused connections, and each `STEP`th of all.
+pub(crate) fn selected_cases() -> Vec<Case> {
     const STEP: usize = 11;
-    let mut all =
-        cases_of(Case { ask: Ask::Once, says: Says::Served, warm: true, own: false, strike: None }, BORDERS);
-    // A large body costs most, and is carried alike whatever is said to it.
-    let large = |k: &Case| k.ask == Ask::Big || k.says == Says::Long;
-    let few = kinds().filter(|k| !large(k) || (k.ask == Ask::Big) != (k.says == Says::Long) && !k.warm);
-    let others: Vec<Case> = few.flat_map(|kind| cases_of(kind, BORDERS)).collect();
-    all.extend(others.into_iter().step_by(STEP));
-    all
+    let once = Case {
+        request: RequestKind::Once,
+        upstream: UpstreamBehaviour::Serves,
+        is_warm: true,
+        is_local: false,
+        interruption: None,
+    };
+    let mut cases = cases_of(once, BOUNDARIES_ONLY);
+    // A large body costs most, and is carried alike whatever it is answered.
+    let is_large_request = |case: &Case| case.request == RequestKind::LargeUpload;
+    let is_large_response = |case: &Case| case.upstream == UpstreamBehaviour::ServesLong;
+    let selected = plain_cases().filter(|case| match (is_large_request(case), is_large_response(case)) {
+        (false, false) => true,
+        (true, true) => false,
+        _ => !case.is_warm,
+    });
+    let others: Vec<Case> = selected.flat_map(|plain| cases_of(plain, BOUNDARIES_ONLY)).collect();
+    cases.extend(others.into_iter().step_by(STEP));
+    cases
 }
 
-/// Each byte where the upstream serves, all borders where it fails or sends away.
+/// Each byte where the upstream serves, all boundaries where it fails or rejects.
 fn all_cases() -> Vec<Case> {
-    kinds().flat_map(|kind| cases_of(kind, if kind.says == Says::Served { 1 } else { BORDERS })).collect()
+    let stride = |case: &Case| match case.upstream {
+        UpstreamBehaviour::Serves => 1,
+        _ => BOUNDARIES_ONLY,
+    };
+    plain_cases().flat_map(|plain| cases_of(plain, stride(&plain))).collect()
 }
 
-/// How often each cut ended in each status.
-type ExchangeOutcome = BTreeMap<(String, String), usize>;
+/// What came of many cases.
+#[derive(Default)]
+struct Summary {
+    violations: Vec<String>,
+    /// How often each fault ended in each status.
+    statuses: BTreeMap<(String, String), usize>,
+}
 
-/// Play them all, on so many threads; what broke, and what came of them.
-fn play_all(cases: &[Case], threads: usize) -> (Vec<String>, ExchangeOutcome) {
-    let next = AtomicUsize::new(0);
-    let work = || {
-        let (mut broken, mut came) = (Vec::new(), ExchangeOutcome::new());
-        loop {
-            let number = next.fetch_add(1, Ordering::Relaxed);
-            let Some(case) = cases.get(number) else { return (broken, came) };
-            let (Saw { broken: faults, .. }, status) = play(*case, number);
-            broken.extend(faults.into_iter().map(|fault| format!("{case:?}: {fault}")));
-            *came
-                .entry((case.strike.map(|s| format!("{:?}", s.3)).unwrap_or_default(), status))
-                .or_insert(0) += 1;
+impl Summary {
+    fn add(&mut self, other: Summary) {
+        self.violations.extend(other.violations);
+        for (key, count) in other.statuses {
+            *self.statuses.entry(key).or_insert(0) += count;
         }
-    };
+    }
+}
+
+/// Run cases until none is left.
+fn run_next_cases(cases: &[Case], next: &AtomicUsize) -> Summary {
+    let mut summary = Summary::default();
+    loop {
+        let number = next.fetch_add(1, Ordering::Relaxed);
+        let Some(case) = cases.get(number) else { return summary };
+        let observed = run_case(*case, number);
+        let violations = observed.violations.into_iter();
+        summary.violations.extend(violations.map(|violation| format!("{case:?}: {violation}")));
+        let fault = case.interruption.map(|interruption| format!("{:?}", interruption.fault));
+        *summary.statuses.entry((fault.unwrap_or_default(), observed.status)).or_insert(0) += 1;
+    }
+}
+
+/// Run all cases on this many threads.
+fn run_all(cases: &[Case], threads: usize) -> Summary {
+    let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
-        let all: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
-        let (mut broken, mut came) = (Vec::new(), ExchangeOutcome::new());
-        for one in all {
-            let (b, c) = one.join().expect("it ends");
-            broken.extend(b);
-            c.into_iter().for_each(|(status, n)| *came.entry(status).or_insert(0) += n);
-        }
-        (broken, came)
+        let running: Vec<_> = (0..threads).map(|_| scope.spawn(|| run_next_cases(cases, &next))).collect();
+        let mut summary = Summary::default();
+        running.into_iter().for_each(|thread| summary.add(thread.join().expect("it ends")));
+        summary
     })
 }
 
-fn judged(cases: &[Case], threads: usize) {
-    let (broken, came) = play_all(cases, threads);
-    println!("{} cases, answered {came:?}", cases.len());
-    let shown: Vec<_> = broken.iter().take(20).collect();
-    assert!(broken.is_empty(), "{} broken: {shown:#?}", broken.len());
+fn check_all(cases: &[Case], threads: usize) {
+    let Summary { violations, statuses } = run_all(cases, threads);
+    println!("{} cases, answered {statuses:?}", cases.len());
+    let shown: Vec<_> = violations.iter().take(20).collect();
+    assert!(violations.is_empty(), "{} violations: {shown:#?}", violations.len());
     for status in ["200", "500", "502", "503", "504"] {
-        assert!(came.keys().any(|k| k.1 == status), "no case ended with {status}: {came:?}");
+        assert!(statuses.keys().any(|key| key.1 == status), "no case ended with {status}: {statuses:?}");
     }
 }
 
 #[test]
 fn a_request_interrupted_at_any_boundary_runs_at_most_once_and_is_answered_truly() {
-    judged(&few_cases(), 2);
+    check_all(&selected_cases(), 2);
 }
 
 /// `cargo test --profile mesh -p silvercross-mesh -- --ignored --nocapture at_each_byte`
 #[test]
 #[ignore = "minutes; each byte of each head"]
 fn a_request_interrupted_at_each_byte_runs_at_most_once_and_is_answered_truly() {
-    judged(&all_cases(), 3);
+    check_all(&all_cases(), 3);
 }
--- a/crates/daemon/mesh/src/tests/interrupted_requests/relay.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/relay.rs
@@ -1,4 +1,5 @@
-//! A relay of bytes between two ends, which strikes one connection once.
+//! A relay of bytes between two ends, which interrupts one connection once.
+use super::case::{Direction, Fault, Interruption, Link, Traffic};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,237 +9,271 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Between which two ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Link {
-    /// An origin and a gate.
-    Hop,
-    /// A gate and its upstream.
-    Station,
+/// Where the interruption falls, and what was seen of it; shared by all relays of a case.
+#[derive(Default)]
+pub(super) struct Plan {
+    interruption: Option<Interruption>,
+    /// From now on a connection may be interrupted.
+    pub(super) is_armed: Cell<bool>,
+    /// It has been.
+    pub(super) is_interrupted: Cell<bool>,
+    /// The bytes of the chosen connections.
+    pub(super) carried: RefCell<BTreeMap<Traffic, Vec<u8>>>,
+    /// On each link the first connection that carried a request since the plan was armed.
+    chosen: RefCell<BTreeMap<Link, u64>>,
+    connections: Cell<u64>,
+    /// What is frozen is forwarded.
+    is_resumed: Cell<bool>,
+    resumed: Notify,
 }
 
-/// In which direction the bytes go that are counted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
-    Request,
-    Answer,
-}
+impl Plan {
+    /// Armed later, by the client.
+    pub(super) fn new(interruption: Option<Interruption>) -> Plan {
+        Plan { interruption, ..Plan::default() }
+    }
 
-/// What is done to a connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    /// Nothing goes on any more, in either direction, and nobody is told.
-    Silence,
-    /// Both sides are reset.
-    Reset,
-    /// Both sides are closed in order.
-    Close,
-    /// Nothing goes on until the client has its answer; then all of it does.
-    Frozen,
-    /// The gate's process is killed, and another one stands at its address.
-    Restart,
-    /// Who asked is reset; the rest of the request comes only once the client has its answer.
-    Torn,
-    /// Another request's answer goes to who asked.
-    Other,
-    /// A byte goes on behind the answer.
-    Byte,
-    /// The answer goes on twice.
-    Double,
-    /// The byte comes only once the next request has gone on.
-    LateByte,
-    /// The second answer does.
-    LateDouble,
-}
+    /// Forward what is frozen.
+    pub(super) fn resume(&self) {
+        self.is_resumed.set(true);
+        self.resumed.notify_waiters();
+    }
 
-/// Where the strike falls, and what was seen of it.
-#[derive(Default)]
-pub struct Plan {
-    pub strike: Option<(Link, Way, usize, Cut)>,
-    /// From now on a connection may be struck.
-    pub armed: Cell<bool>,
-    /// On each link the first connection that carried a request since then.
-    pub chosen: RefCell<BTreeMap<Link, u64>>,
-    pub connections: Cell<u64>,
-    pub struck: Cell<bool>,
-    /// What is frozen goes on.
-    pub awake: Cell<bool>,
-    pub wake: Notify,
-    /// The bytes of the chosen connections.
-    pub carried: RefCell<BTreeMap<(Link, Way), Vec<u8>>>,
+    async fn wait_until_resumed(&self) {
+        while !self.is_resumed.get() {
+            self.resumed.notified().await;
+        }
+    }
 }
 
-/// An answer that belongs to no request here.
-pub const OTHER: &[u8] =
+/// A response that belongs to no request of a case.
+const FOREIGN_RESPONSE: &[u8] =
     b"HTTP/1.1 200 X\r\nAttempt-Id: zz\r\nPostmark: zz.1\r\nContent-Length: 4\r\n\r\n#END";
 
 /// A relay before an address, which may come to stand for another process.
 #[derive(Clone)]
-pub struct Relay {
-    pub at: SocketAddr,
-    pub to: Rc<Cell<SocketAddr>>,
+pub(super) struct Relay {
+    pub(super) address: SocketAddr,
+    to: Rc<Cell<SocketAddr>>,
     /// Where the process stands that takes the place of a killed one.
-    pub next: Rc<Cell<Option<SocketAddr>>>,
+    pub(super) next: Rc<Cell<Option<SocketAddr>>>,
     link: Link,
     plan: Rc<Plan>,
 }
 
 /// One connection through a relay.
-struct Carried {
-    /// Gone where it was torn off.
-    from: Option<TcpStream>,
-    on: TcpStream,
-    chosen: bool,
-    /// Bytes passed since it was chosen, by way.
-    passed: [usize; 2],
-    answer: Vec<u8>,
+struct RelayedConnection {
+    /// `None` once it was reset while the request goes on.
+    sender: Option<TcpStream>,
+    receiver: TcpStream,
+    is_chosen: bool,
+    /// Bytes forwarded since it was chosen, by direction.
+    forwarded: [usize; 2],
+    /// The response so far.
+    response: Vec<u8>,
+    /// To be sent behind the next request.
     late: Vec<u8>,
 }
 
 impl Relay {
-    pub async fn before(ip: Ipv4Addr, to: SocketAddr, link: Link, plan: &Rc<Plan>) -> Relay {
+    /// Start a relay at this address of loopback.
+    pub(super) async fn start(ip: Ipv4Addr, to: SocketAddr, link: Link, plan: &Rc<Plan>) -> Relay {
         let listener = TcpListener::bind((ip, 0)).await.expect("a port");
-        let at = listener.local_addr().expect("bound");
-        let relay = Relay { at, to: Rc::new(Cell::new(to)), next: Rc::default(), link, plan: plan.clone() };
-        let own = relay.clone();
+        let address = listener.local_addr().expect("bound");
+        let relay =
+            Relay { address, to: Rc::new(Cell::new(to)), next: Rc::default(), link, plan: plan.clone() };
+        let accepting = relay.clone();
         tokio::task::spawn_local(async move {
-            while let Ok((from, _)) = listener.accept().await {
-                let Ok(on) = TcpStream::connect(own.to.get()).await else { continue };
+            while let Ok((sender, _)) = listener.accept().await {
+                let Ok(receiver) = TcpStream::connect(accepting.to.get()).await else { continue };
                 // Each write goes out at once, not only with the next request's acknowledgement.
-                for stream in [&from, &on] {
+                for stream in [&sender, &receiver] {
                     stream.set_nodelay(true).expect("an option");
                 }
-                let (passed, answer, late) = ([0; 2], Vec::new(), Vec::new());
-                let carried = Carried { from: Some(from), on, chosen: false, passed, answer, late };
-                tokio::task::spawn_local(own.clone().carry(carried));
+                tokio::task::spawn_local(accepting.clone().relay(RelayedConnection {
+                    sender: Some(sender),
+                    receiver,
+                    is_chosen: false,
+                    forwarded: [0; 2],
+                    response: Vec::new(),
+                    late: Vec::new(),
+                }));
             }
         });
         relay
     }
 
-    async fn carry(self, mut c: Carried) {
+    async fn relay(self, mut connection: RelayedConnection) {
         let number = self.plan.connections.get();
         self.plan.connections.set(number + 1);
-        let (mut asks, mut answers) = (vec![0; 64 * 1024], vec![0; 64 * 1024]);
+        let (mut requests, mut responses) = (vec![0; 64 * 1024], vec![0; 64 * 1024]);
         loop {
-            let Some(from) = &mut c.from else {
-                // Whatever is answered, nobody is there to hear it.
-                let _ = tokio::io::copy(&mut c.on, &mut tokio::io::sink()).await;
+            let Some(sender) = &mut connection.sender else {
+                // Whatever is answered, nobody is there to read it.
+                let _ = tokio::io::copy(&mut connection.receiver, &mut tokio::io::sink()).await;
                 return;
             };
-            let (way, came) = tokio::select! {
+            let (direction, read) = tokio::select! {
                 biased;
-                came = from.read(&mut asks) => (Way::Request, came),
-                came = c.on.read(&mut answers) => (Way::Answer, came),
+                read = sender.read(&mut requests) => (Direction::Request, read),
+                read = connection.receiver.read(&mut responses) => (Direction::Response, read),
             };
-            let bytes = match came {
+            let bytes = match read {
                 // Ends are passed on as they are.
                 Ok(0) => return,
-                Err(_) => return reset(&c),
-                Ok(n) => if way == Way::Request { &asks[..n] } else { &answers[..n] }.to_vec(),
+                Err(_) => return connection.reset(),
+                Ok(n) if direction == Direction::Request => requests[..n].to_vec(),
+                Ok(n) => responses[..n].to_vec(),
             };
-            if self.plan.armed.get() && way == Way::Request && !c.chosen {
-                c.chosen = *self.plan.chosen.borrow_mut().entry(self.link).or_insert(number) == number;
-                c.passed = [0; 2];
+            let may_choose = self.plan.is_armed.get() && direction == Direction::Request;
+            if may_choose && !connection.is_chosen {
+                let chosen = *self.plan.chosen.borrow_mut().entry(self.link).or_insert(number);
+                connection.is_chosen = chosen == number;
+                connection.forwarded = [0; 2];
             }
-            if self.pass(&mut c, way, bytes).await.is_none() {
+            if self.forward(&mut connection, direction, bytes).await.is_none() {
                 return;
             }
         }
     }
 
-    /// Pass bytes on, struck if it is time; `None`: the connection has ended.
-    async fn pass(&self, c: &mut Carried, way: Way, bytes: Vec<u8>) -> Option<()> {
-        let strike = self
-            .plan
-            .strike
-            .filter(|s| c.chosen && !self.plan.struck.get() && (s.0, s.1) == (self.link, way));
-        if c.chosen {
-            self.plan.carried.borrow_mut().entry((self.link, way)).or_default().extend_from_slice(&bytes);
+    /// The interruption, if it is to come on this connection in this direction.
+    fn pending_interruption(
+        &self,
+        connection: &RelayedConnection,
+        direction: Direction,
+    ) -> Option<Interruption> {
+        self.plan.interruption.filter(|interruption| {
+            connection.is_chosen
+                && !self.plan.is_interrupted.get()
+                && (interruption.link, interruption.direction) == (self.link, direction)
+        })
+    }
+
+    /// Forward bytes, interrupted if it is time; `None`: the connection has ended.
+    async fn forward(
+        &self,
+        connection: &mut RelayedConnection,
+        direction: Direction,
+        bytes: Vec<u8>,
+    ) -> Option<()> {
+        let interruption = self.pending_interruption(connection, direction);
+        if connection.is_chosen {
+            let traffic = Traffic { link: self.link, direction };
+            self.plan.carried.borrow_mut().entry(traffic).or_default().extend_from_slice(&bytes);
         }
-        let before = c.passed[way as usize];
-        c.passed[way as usize] += bytes.len();
+        let before = connection.forwarded[direction as usize];
+        connection.forwarded[direction as usize] += bytes.len();
         let mut late = Vec::new();
-        match way {
-            Way::Request => {
-                late = std::mem::take(&mut c.late);
-                c.answer.clear();
+        match direction {
+            Direction::Request => {
+                late = std::mem::take(&mut connection.late);
+                connection.response.clear();
             }
-            Way::Answer => c.answer.extend_from_slice(&bytes),
+            Direction::Response => connection.response.extend_from_slice(&bytes),
         }
-        match strike {
-            Some((.., cut @ (Cut::Byte | Cut::Double | Cut::LateByte | Cut::LateDouble))) => {
-                self.write(c, way, &bytes).await?;
-                if c.answer.ends_with(b"#END") || c.answer.ends_with(b"0\r\n\r\n") {
-                    self.plan.struck.set(true);
-                    let more = match cut {
-                        Cut::Byte | Cut::LateByte => b"X".to_vec(),
-                        _ => c.answer.clone(),
-                    };
-                    match cut {
-                        Cut::Byte | Cut::Double => self.write(c, way, &more).await?,
-                        _ => c.late = more,
-                    }
-                }
+        match interruption {
+            Some(interruption) if interruption.fault.comes_behind_response() => {
+                connection.write(direction, &bytes).await?;
+                self.add_surplus(connection, direction, interruption.fault).await?;
             }
-            Some((.., at, cut)) if before + bytes.len() >= at => {
-                self.plan.struck.set(true);
-                let (first, rest) = bytes.split_at(at - before);
-                self.write(c, way, first).await?;
-                self.strike(c, cut).await?;
-                self.write(c, way, rest).await?;
+            Some(Interruption { offset, fault, .. }) if before + bytes.len() >= offset => {
+                self.plan.is_interrupted.set(true);
+                let (first, rest) = bytes.split_at(offset - before);
+                connection.write(direction, first).await?;
+                self.interrupt(connection, fault).await?;
+                connection.write(direction, rest).await?;
             }
-            _ => self.write(c, way, &bytes).await?,
+            _ => connection.write(direction, &bytes).await?,
         }
         match late.is_empty() {
             true => Some(()),
-            false => self.write(c, Way::Answer, &late).await,
+            false => connection.write(Direction::Response, &late).await,
         }
     }
 
-    async fn write(&self, c: &mut Carried, way: Way, bytes: &[u8]) -> Option<()> {
-        let to = if way == Way::Request { &mut c.on } else { c.from.as_mut()? };
-        to.write_all(bytes).await.ok()
+    /// Send something behind a response that is complete, at once or with the next request.
+    async fn add_surplus(
+        &self,
+        connection: &mut RelayedConnection,
+        direction: Direction,
+        fault: Fault,
+    ) -> Option<()> {
+        let response = &connection.response;
+        if !response.ends_with(b"#END") && !response.ends_with(b"0\r\n\r\n") {
+            return Some(());
+        }
+        self.plan.is_interrupted.set(true);
+        let surplus = match fault {
+            Fault::SurplusByte | Fault::LateSurplusByte => b"X".to_vec(),
+            _ => response.clone(),
+        };
+        match fault {
+            Fault::SurplusByte | Fault::DoubleResponse => connection.write(direction, &surplus).await?,
+            _ => connection.late = surplus,
+        }
+        Some(())
     }
 
-    async fn strike(&self, c: &mut Carried, cut: Cut) -> Option<()> {
-        match cut {
-            Cut::Silence => std::future::pending().await,
-            Cut::Reset => {
-                reset(c);
+    /// Interrupt a connection; `None`: it has ended.
+    async fn interrupt(&self, connection: &mut RelayedConnection, fault: Fault) -> Option<()> {
+        match fault {
+            Fault::Silence => std::future::pending().await,
+            Fault::Reset => {
+                connection.reset();
                 None
             }
-            Cut::Close => None,
-            Cut::Restart => {
-                // The system of a killed process closes in order towards its upstream, and resets who asks.
-                c.from.as_ref().into_iter().for_each(linger);
+            Fault::Close => None,
+            Fault::Restart => {
+                // The system of a killed process closes in order towards its upstream, and resets who sends.
+                connection.sender.as_ref().into_iter().for_each(reset_on_close);
                 self.next.take().into_iter().for_each(|next| self.to.set(next));
                 None
             }
-            Cut::Torn => {
-                c.from.take().as_ref().into_iter().for_each(linger);
-                while !self.plan.awake.get() {
-                    self.plan.wake.notified().await;
-                }
+            Fault::DelayedRequest => {
+                connection.sender.take().as_ref().into_iter().for_each(reset_on_close);
+                self.plan.wait_until_resumed().await;
                 Some(())
             }
-            Cut::Frozen => {
-                while !self.plan.awake.get() {
-                    self.plan.wake.notified().await;
-                }
+            Fault::Freeze => {
+                self.plan.wait_until_resumed().await;
                 Some(())
             }
-            Cut::Other => self.write(c, Way::Answer, OTHER).await,
-            Cut::Byte | Cut::Double | Cut::LateByte | Cut::LateDouble => Some(()),
+            Fault::ForeignResponse => connection.write(Direction::Response, FOREIGN_RESPONSE).await,
+            Fault::SurplusByte
+            | Fault::DoubleResponse
+            | Fault::LateSurplusByte
+            | Fault::LateDoubleResponse => Some(()),
         }
     }
 }
 
-fn linger(stream: &TcpStream) {
-    let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
+impl RelayedConnection {
+    async fn write(&mut self, direction: Direction, bytes: &[u8]) -> Option<()> {
+        let to = match direction {
+            Direction::Request => &mut self.receiver,
+            Direction::Response => self.sender.as_mut()?,
+        };
+        to.write_all(bytes).await.ok()
+    }
+
+    /// Both sides are reset as they are dropped.
+    fn reset(&self) {
+        self.sender.as_ref().into_iter().for_each(reset_on_close);
+        reset_on_close(&self.receiver);
+    }
+}
+
+impl Fault {
+    /// It adds something behind a complete response.
+    fn comes_behind_response(self) -> bool {
+        matches!(
+            self,
+            Fault::SurplusByte | Fault::DoubleResponse | Fault::LateSurplusByte | Fault::LateDoubleResponse
+        )
+    }
 }
 
-fn reset(c: &Carried) {
-    c.from.as_ref().into_iter().for_each(linger);
-    linger(&c.on);
+fn reset_on_close(stream: &TcpStream) {
+    let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/daemon/mesh/src/tests/large_bodies.rs
+++ b/crates/daemon/mesh/src/tests/large_bodies.rs
@@ -1,152 +1,206 @@
 //! Bodies that are streamed, and the budget of buffered ones.
-use crate::tests::support::{self, bytes, stamped, status, value, SidecarOptions, TestConnection, ID};
+use crate::body_budget::BodyBudget;
+use crate::tests::support::{
+    self, bind_upstream, header_value, patterned_bytes, status, upstream_response_head, BoundUpstream,
+    ReceivedBody, Sidecar, SidecarOptions, TestConnection, ATTEMPT_ID_LINE,
+};
 use crate::wire::MAX_BUFFERED_BODY_BYTES;
 use std::cell::Cell;
+use std::io::ErrorKind;
 use std::rc::Rc;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
 
 const LARGE: usize = 6 * MAX_BUFFERED_BODY_BYTES + 12_345;
 
-/// An origin that knows of `gates` sidecars, each with its own upstream.
-async fn mesh(gates: u8) -> (support::Sidecar, Vec<(support::Sidecar, tokio::net::TcpListener)>) {
-    let (_, nobody) = support::station().await;
-    let origin = support::sidecar(1, nobody, SidecarOptions::default()).await;
-    let mut all = Vec::new();
-    for last in 2..2 + gates {
-        let (listener, at) = support::station().await;
-        let gate = support::sidecar(last, at, SidecarOptions::default()).await;
-        origin.hears_of(&gate);
-        all.push((gate, listener));
+/// A sidecar with its own upstream.
+struct Gate {
+    sidecar: Sidecar,
+    upstream: TcpListener,
+}
+
+/// An origin that knows of `count` gates.
+async fn start_mesh(count: u8) -> (Sidecar, Vec<Gate>) {
+    let nobody = bind_upstream().await.address;
+    let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+    let mut gates = Vec::new();
+    for last_octet in 2..2 + count {
+        let BoundUpstream { listener, address } = bind_upstream().await;
+        let sidecar = support::start_sidecar(last_octet, address, SidecarOptions::default()).await;
+        origin.learn_sidecar(&sidecar);
+        gates.push(Gate { sidecar, upstream: listener });
+    }
+    (origin, gates)
+}
+
+/// An origin and a gate before an upstream; the same sidecar if it is beside the origin.
+async fn start_pair(is_local: bool) -> (Sidecar, Gate) {
+    if is_local {
+        let BoundUpstream { listener, address } = bind_upstream().await;
+        let origin = support::start_sidecar(1, address, SidecarOptions::default()).await;
+        return (origin.clone(), Gate { sidecar: origin, upstream: listener });
+    }
+    let (origin, mut gates) = start_mesh(1).await;
+    (origin, gates.remove(0))
+}
+
+/// What an upstream received.
+struct UpstreamRequest {
+    head: String,
+    body: ReceivedBody,
+}
+
+/// The most that any of these budgets has had reserved.
+struct PeakReservation {
+    budgets: [Rc<BodyBudget>; 2],
+    bytes: Cell<u64>,
+}
+
+impl PeakReservation {
+    fn sample(&self) {
+        let reserved = self.budgets.iter().map(|budget| budget.reserved_bytes()).max().unwrap_or(0);
+        self.bytes.set(self.bytes.get().max(reserved));
+    }
+}
+
+/// The header line that states a body's end.
+fn framing(is_chunked: bool, length: usize) -> String {
+    match is_chunked {
+        true => "Transfer-Encoding: chunked\r\n".to_string(),
+        false => format!("Content-Length: {length}\r\n"),
+    }
+}
+
+/// Send a body in parts of this many bytes.
+async fn send_body(
+    connection: &mut TestConnection,
+    body: &[u8],
+    part_bytes: usize,
+    is_chunked: bool,
+    sent_part: impl Fn(),
+) {
+    for part in body.chunks(part_bytes) {
+        if is_chunked {
+            connection.send(format!("{:x}\r\n", part.len()).as_bytes()).await;
+        }
+        connection.send(part).await;
+        sent_part();
+        if is_chunked {
+            connection.send(b"\r\n").await;
+        }
+    }
+    if is_chunked {
+        connection.send(b"0\r\n\r\n").await;
     }
-    (origin, all)
+}
+
+/// An upstream that reads one request and answers it with this body.
+async fn answer_once(
+    listener: TcpListener,
+    response_body: Vec<u8>,
+    is_chunked: bool,
+    peak: Rc<PeakReservation>,
+) -> UpstreamRequest {
+    let (stream, _) = listener.accept().await.expect("a connection");
+    let mut connection = TestConnection::from_stream(stream);
+    let head = connection.read_head().await;
+    let body = connection.read_body(&head).await;
+    peak.sample();
+    let framing = framing(is_chunked, response_body.len());
+    connection.send(upstream_response_head(&head, 200, &framing).as_bytes()).await;
+    send_body(&mut connection, &response_body, 100_000, is_chunked, || peak.sample()).await;
+    UpstreamRequest { head, body }
 }
 
 #[test]
 fn large_request_and_response_bodies_are_streamed_in_bounded_memory() {
     support::run(async {
-        for (chunked, here) in [(false, false), (true, false), (false, true)] {
-            let (origin, gate, listener) = match here {
-                true => {
-                    let (listener, at) = support::station().await;
-                    let origin = support::sidecar(1, at, SidecarOptions::default()).await;
-                    (origin.clone(), origin, listener)
-                }
-                false => {
-                    let (origin, mut gates) = mesh(1).await;
-                    let (gate, listener) = gates.remove(0);
-                    (origin, gate, listener)
-                }
-            };
-            gate.beat();
-            let (sent, back) = (bytes(LARGE), bytes(LARGE - 77));
-            let most = Rc::new(Cell::new(0));
-            let (stores, peak, answer) = (
-                [origin.node_state.body_budget.clone(), gate.node_state.body_budget.clone()],
-                most.clone(),
-                back.clone(),
-            );
-            let upstream = tokio::task::spawn_local(async move {
-                let (stream, _) = listener.accept().await.expect("a connection");
-                let mut talk = TestConnection::over(stream);
-                let head = talk.head().await;
-                let (body, whole) = talk.body(&head).await;
-                peak.set(stores.iter().map(|s| s.reserved_bytes()).max().unwrap_or(0));
-                let framing = match chunked {
-                    true => "Transfer-Encoding: chunked\r\n".to_string(),
-                    false => format!("Content-Length: {}\r\n", answer.len()),
-                };
-                talk.say(stamped(&head, 200, &framing).as_bytes()).await;
-                for piece in answer.chunks(100_000) {
-                    if chunked {
-                        talk.say(format!("{:x}\r\n", piece.len()).as_bytes()).await;
-                    }
-                    talk.say(piece).await;
-                    peak.set(peak.get().max(stores.iter().map(|s| s.reserved_bytes()).max().unwrap_or(0)));
-                    if chunked {
-                        talk.say(b"\r\n").await;
-                    }
-                }
-                if chunked {
-                    talk.say(b"0\r\n\r\n").await;
-                }
-                (head, body, whole)
-            });
-            let mut client = TestConnection::to(origin.at).await;
-            let framing = match chunked {
-                true => "Transfer-Encoding: chunked\r\n".to_string(),
-                false => format!("Content-Length: {LARGE}\r\n"),
-            };
-            client.say(format!("POST /up/x HTTP/1.1\r\nHost: h\r\n{ID}{framing}\r\n").as_bytes()).await;
-            if chunked {
-                for piece in sent.chunks(70_000) {
-                    client.say(format!("{:x}\r\n", piece.len()).as_bytes()).await;
-                    client.say(piece).await;
-                    client.say(b"\r\n").await;
-                }
-                client.say(b"0\r\n\r\n").await;
-            } else {
-                client.say(&sent).await;
-            }
-            let head = client.head().await;
+        for (is_chunked, is_local) in [(false, false), (true, false), (false, true)] {
+            let (origin, gate) = start_pair(is_local).await;
+            gate.sidecar.send_heartbeat();
+            let budgets = [&origin, &gate.sidecar].map(|sidecar| sidecar.node_state.body_budget.clone());
+            let peak = Rc::new(PeakReservation { budgets, bytes: Cell::new(0) });
+            let (body, response_body) = (patterned_bytes(LARGE), patterned_bytes(LARGE - 77));
+            let answering = answer_once(gate.upstream, response_body.clone(), is_chunked, peak.clone());
+            let upstream = tokio::task::spawn_local(answering);
+            let mut client = TestConnection::connect(origin.outbound).await;
+            let framing = framing(is_chunked, LARGE);
+            let head = format!("POST /up/x HTTP/1.1\r\nHost: h\r\n{ATTEMPT_ID_LINE}{framing}\r\n");
+            client.send(head.as_bytes()).await;
+            let part_bytes = if is_chunked { 70_000 } else { LARGE };
+            send_body(&mut client, &body, part_bytes, is_chunked, || ()).await;
+            let head = client.read_head().await;
             assert_eq!(status(&head), "200", "{head}");
-            let (body, whole) = client.body(&head).await;
-            assert!(whole && body == back);
-            let (head, body, whole) = upstream.await.expect("it ends");
-            assert!(whole && body == sent);
-            assert_eq!(value(&head, "sender").as_deref(), Some("quotes"));
-            assert!(value(&head, "expect").is_none() && value(&head, "waybill").is_none(), "{head}");
-            assert!(most.get() <= 2 * (MAX_BUFFERED_BODY_BYTES as u64 + 65_536), "{}", most.get());
-            // The same connection serves on.
-            client.say(format!("GET /none HTTP/1.1\r\nHost: h\r\n{ID}\r\n").as_bytes()).await;
-            assert_eq!(status(&client.head().await), "404");
-            assert_eq!(
-                (
-                    origin.node_state.body_budget.reserved_bytes(),
-                    gate.node_state.body_budget.reserved_bytes()
-                ),
-                (0, 0)
+            let received = client.read_body(&head).await;
+            assert!(received == ReceivedBody { bytes: response_body, is_complete: true });
+            let request = upstream.await.expect("it ends");
+            assert!(request.body == ReceivedBody { bytes: body, is_complete: true });
+            let head = request.head;
+            assert_eq!(header_value(&head, "sender").as_deref(), Some("quotes"));
+            assert!(
+                header_value(&head, "expect").is_none() && header_value(&head, "waybill").is_none(),
+                "{head}"
             );
+            let max_reserved = 2 * (MAX_BUFFERED_BODY_BYTES as u64 + 65_536);
+            assert!(peak.bytes.get() <= max_reserved, "{}", peak.bytes.get());
+            // The same connection serves on.
+            client.send(format!("GET /none HTTP/1.1\r\nHost: h\r\n{ATTEMPT_ID_LINE}\r\n").as_bytes()).await;
+            assert_eq!(status(&client.read_head().await), "404");
+            let reserved = peak.budgets.each_ref().map(|budget| budget.reserved_bytes());
+            assert_eq!(reserved, [0, 0]);
         }
     });
 }
 
 #[test]
 fn a_large_request_rejected_by_one_gate_is_sent_whole_to_another() {
+    const REQUESTS: u64 = 4;
     support::run(async {
-        let (origin, gates) = mesh(2).await;
-        // The first gate has heard of no upstream, so it turns all away.
-        gates[1].0.beat();
-        let sent = bytes(LARGE);
-        let mut gates = gates.into_iter();
-        let ((first, _one), (second, listener)) = (gates.next().expect("two"), gates.next().expect("two"));
-        let want = sent.clone();
+        let (origin, gates) = start_mesh(2).await;
+        let [first, second] = <[Gate; 2]>::try_from(gates).unwrap_or_else(|_| panic!("two gates"));
+        // The first gate has heard of no upstream, so it rejects all.
+        second.sidecar.send_heartbeat();
+        let body = patterned_bytes(LARGE);
+        let (listener, expected) = (second.upstream, body.clone());
         let upstream = tokio::task::spawn_local(async move {
-            for _ in 0..4 {
+            for _ in 0..REQUESTS {
                 let (stream, _) = listener.accept().await.expect("a connection");
-                let mut talk = TestConnection::over(stream);
-                let head = talk.head().await;
-                let (body, whole) = talk.body(&head).await;
-                assert!(whole && body == want);
-                talk.say(stamped(&head, 200, "Connection: close\r\nContent-Length: 0\r\n").as_bytes()).await;
+                let mut connection = TestConnection::from_stream(stream);
+                let head = connection.read_head().await;
+                let received = connection.read_body(&head).await;
+                assert!(received.is_complete && received.bytes == expected);
+                let framing = "Connection: close\r\nContent-Length: 0\r\n";
+                connection.send(upstream_response_head(&head, 200, framing).as_bytes()).await;
             }
         });
-        for i in 0..4 {
-            let mut client = TestConnection::to(origin.at).await;
+        for id in 0..REQUESTS {
+            let mut client = TestConnection::connect(origin.outbound).await;
             let head = format!(
-                "POST /up/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {i}\r\nContent-Length: {LARGE}\r\n\r\n"
+                "POST /up/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {id}\r\nContent-Length: {LARGE}\r\n\r\n"
             );
-            client.say(head.as_bytes()).await;
-            client.say(&sent).await;
-            let head = client.head().await;
+            client.send(head.as_bytes()).await;
+            client.send(&body).await;
+            let head = client.read_head().await;
             assert_eq!(status(&head), "200", "{head}");
         }
         upstream.await.expect("it ends");
-        assert!(
-            first.node_state.body_budget.reserved_bytes() == 0
-                && second.node_state.counters.delivered_requests.get() == 4
-        );
+        assert_eq!(first.sidecar.node_state.body_budget.reserved_bytes(), 0);
+        assert_eq!(second.sidecar.node_state.counters.delivered_requests.get(), REQUESTS);
     });
 }
 
+/// How a client's connection ended: closed in order, or with this error.
+async fn read_to_end(client: &mut TestConnection) -> Option<ErrorKind> {
+    let mut buffer = vec![0; 1 << 16];
+    loop {
+        match client.stream.read(&mut buffer).await {
+            Ok(0) => return None,
+            Ok(_) => {}
+            Err(e) => return Some(e.kind()),
+        }
+    }
+}
+
 #[test]
 fn a_response_that_breaks_off_does_not_appear_complete() {
     support::run(async {
@@ -155,38 +209,30 @@
             ("Content-Length: 9000000\r\n", "1.1"),
             ("Transfer-Encoding: chunked\r\n", "1.0"),
         ] {
-            let (origin, mut gates) = mesh(1).await;
-            let (gate, listener) = gates.remove(0);
-            gate.beat();
+            let (origin, mut gates) = start_mesh(1).await;
+            let Gate { sidecar, upstream } = gates.remove(0);
+            sidecar.send_heartbeat();
             tokio::task::spawn_local(async move {
-                let (stream, _) = listener.accept().await.expect("a connection");
-                let mut talk = TestConnection::over(stream);
-                let head = talk.head().await;
-                talk.say(stamped(&head, 200, framing).as_bytes()).await;
-                let piece = bytes(2 * MAX_BUFFERED_BODY_BYTES);
+                let (stream, _) = upstream.accept().await.expect("a connection");
+                let mut connection = TestConnection::from_stream(stream);
+                let head = connection.read_head().await;
+                connection.send(upstream_response_head(&head, 200, framing).as_bytes()).await;
+                let part = patterned_bytes(2 * MAX_BUFFERED_BODY_BYTES);
                 if framing.starts_with('T') {
-                    talk.say(format!("{:x}\r\n", piece.len()).as_bytes()).await;
+                    connection.send(format!("{:x}\r\n", part.len()).as_bytes()).await;
                 }
-                talk.say(&piece).await;
+                connection.send(&part).await;
             });
-            let mut client = TestConnection::to(origin.at).await;
-            let ask = format!("GET /safe/x HTTP/{version}\r\nHost: h\r\n{ID}\r\n");
-            client.say(ask.as_bytes()).await;
-            let head = client.head().await;
+            let mut client = TestConnection::connect(origin.outbound).await;
+            let request = format!("GET /safe/x HTTP/{version}\r\nHost: h\r\n{ATTEMPT_ID_LINE}\r\n");
+            client.send(request.as_bytes()).await;
+            let head = client.read_head().await;
             assert_eq!(status(&head), "200", "{head}");
             if version == "1.0" {
-                // No length and no chunks: only a reset tells.
-                let mut room = vec![0; 1 << 16];
-                let end = loop {
-                    match tokio::io::AsyncReadExt::read(&mut client.stream, &mut room).await {
-                        Ok(0) => break None,
-                        Ok(_) => {}
-                        Err(e) => break Some(e.kind()),
-                    }
-                };
-                assert_eq!(end, Some(std::io::ErrorKind::ConnectionReset));
+                // No length and no chunks: only a reset shows it.
+                assert_eq!(read_to_end(&mut client).await, Some(ErrorKind::ConnectionReset));
             } else {
-                assert!(!client.body(&head).await.1);
+                assert!(!client.read_body(&head).await.is_complete);
             }
         }
     });
@@ -195,27 +241,25 @@
 #[test]
 fn bodies_beyond_the_buffer_budget_are_refused_with_retry_after() {
     support::run(async {
-        let (_, nobody) = support::station().await;
-        let terms = SidecarOptions { memory: 4 * 100_000, ..SidecarOptions::default() };
-        let origin = support::sidecar(1, nobody, terms).await;
-        for n in [99_000, 200_000, 99_000] {
-            let mut client = TestConnection::to(origin.at).await;
-            client
-                .say(format!("POST /up/x HTTP/1.1\r\nHost: h\r\n{ID}Content-Length: {n}\r\n\r\n").as_bytes())
-                .await;
-            let _ = tokio::io::AsyncWriteExt::write_all(&mut client.stream, &bytes(n)).await;
-            let head = client.head().await;
+        let nobody = bind_upstream().await.address;
+        let options = SidecarOptions { memory_bytes: 4 * 100_000, ..SidecarOptions::default() };
+        let origin = support::start_sidecar(1, nobody, options).await;
+        for body_bytes in [99_000, 200_000, 99_000] {
+            let mut client = TestConnection::connect(origin.outbound).await;
+            let head = format!(
+                "POST /up/x HTTP/1.1\r\nHost: h\r\n{ATTEMPT_ID_LINE}Content-Length: {body_bytes}\r\n\r\n"
+            );
+            client.send(head.as_bytes()).await;
+            // Refused before its end, the rest finds a closed connection.
+            let _ = client.stream.write_all(&patterned_bytes(body_bytes)).await;
+            let head = client.read_head().await;
             assert_eq!(status(&head), "503", "{head}");
-            assert!(value(&head, "retry-after").is_some());
-            let closed = value(&head, "connection").is_some();
-            assert_eq!(closed, n > 100_000, "{head}");
+            assert!(header_value(&head, "retry-after").is_some());
+            let closes = header_value(&head, "connection").is_some();
+            assert_eq!(closes, body_bytes > 100_000, "{head}");
         }
-        assert_eq!(
-            (
-                origin.node_state.counters.rejected_for_memory.get(),
-                origin.node_state.body_budget.reserved_bytes()
-            ),
-            (1, 0)
-        );
+        let node_state = &origin.node_state;
+        assert_eq!(node_state.counters.rejected_for_memory.get(), 1);
+        assert_eq!(node_state.body_budget.reserved_bytes(), 0);
     });
 }
--- a/crates/daemon/mesh/src/tests/mod.rs
+++ b/crates/daemon/mesh/src/tests/mod.rs
@@ -1,14 +1,20 @@
 //! Tests of whole sidecars in one process, on sockets of loopback. They stand inside the package because a program has no
 //! library to import: they call its private items, and hand to sidecars what membership would bring.
-mod changes;
-mod data_path;
+mod added_routes;
+mod connection_reuse;
+mod control_redirects;
 mod forwarding_headers;
 mod graceful_stop;
+mod heartbeats;
 mod idle_timeout;
 mod interrupted_requests;
 mod large_bodies;
 #[cfg(feature = "mutants")]
 mod mutations_detected;
+mod open_requests;
+mod request_framing;
 mod response_replay;
+mod response_validation;
+mod stopping;
 pub(crate) mod support;
 mod upstream_gate;
--- a/crates/daemon/mesh/src/tests/mutations_detected.rs
+++ b/crates/daemon/mesh/src/tests/mutations_detected.rs
@@ -1,48 +1,49 @@
-//! The judge of the cut points judged: each rule of the data path broken on purpose is found.
+//! The checker of interrupted requests is checked itself: each rule of the request path that is broken on purpose is
+//! detected.
 use crate::mutation::{self, Mutation};
-use crate::tests::interrupted_requests::{few_cases, play};
+use crate::tests::interrupted_requests::{run_case, selected_cases};
 
-/// The first fault that the judge finds where a rule is broken.
-fn found(rule: Mutation) -> String {
-    let cases = few_cases();
-    mutation::set_mutation(Some(rule));
-    let fault = cases.iter().enumerate().find_map(|(number, case)| {
-        let (saw, _) = play(*case, number);
-        saw.broken.into_iter().next().map(|fault| format!("{case:?}: {fault}"))
+/// The first violation that the checker finds with this mutation; empty if there is none.
+fn first_violation(mutation: Mutation) -> String {
+    let cases = selected_cases();
+    mutation::set_mutation(Some(mutation));
+    let violation = cases.iter().enumerate().find_map(|(number, case)| {
+        let violation = run_case(*case, number).violations.into_iter().next();
+        violation.map(|violation| format!("{case:?}: {violation}"))
     });
     mutation::set_mutation(None);
-    fault.unwrap_or_default()
+    violation.unwrap_or_default()
 }
 
 #[test]
 fn forgetting_an_attempt_early_is_detected() {
-    let fault = found(Mutation::ReplayEntryForgotten);
-    assert!(fault.contains("TWICE"), "{fault:?}");
+    let violation = first_violation(Mutation::ReplayEntryForgotten);
+    assert!(violation.contains("TWICE"), "{violation:?}");
 }
 
 #[test]
 fn reusing_a_connection_after_a_surplus_byte_is_detected() {
-    let fault = found(Mutation::SurplusBytesKept);
-    assert!(fault.contains("surplus byte"), "{fault:?}");
+    let violation = first_violation(Mutation::SurplusBytesKept);
+    assert!(violation.contains("surplus byte"), "{violation:?}");
 }
 
 #[test]
 fn resending_after_a_reset_of_a_reused_connection_is_detected() {
-    let fault = found(Mutation::NonIdempotentRetried);
-    assert!(fault.contains("TWICE") || fault.contains("REFUSED"), "{fault:?}");
-    assert!(fault.contains("warm: true"), "{fault:?}");
+    let violation = first_violation(Mutation::NonIdempotentRetried);
+    assert!(violation.contains("TWICE") || violation.contains("REFUSED"), "{violation:?}");
+    assert!(violation.contains("is_warm: true"), "{violation:?}");
 }
 
 #[test]
 fn trusting_another_incarnation_is_detected() {
-    let fault = found(Mutation::AnyIncarnation);
-    assert!(fault.contains("TWICE") || fault.contains("REFUSED"), "{fault:?}");
-    assert!(fault.contains("Restart"), "{fault:?}");
+    let violation = first_violation(Mutation::AnyIncarnation);
+    assert!(violation.contains("TWICE") || violation.contains("REFUSED"), "{violation:?}");
+    assert!(violation.contains("Restart"), "{violation:?}");
 }
 
 #[test]
 fn starting_a_request_queried_before_it_arrived_is_detected() {
-    let fault = found(Mutation::LateStartAllowed);
-    assert!(fault.contains("TWICE") || fault.contains("REFUSED"), "{fault:?}");
-    assert!(fault.contains("Torn"), "{fault:?}");
+    let violation = first_violation(Mutation::LateStartAllowed);
+    assert!(violation.contains("TWICE") || violation.contains("REFUSED"), "{violation:?}");
+    assert!(violation.contains("DelayedRequest"), "{violation:?}");
 }
--- /dev/null
+++ b/crates/daemon/mesh/src/tests/response_validation.rs
@@ -0,0 +1,114 @@
+//! Responses of upstreams that are not as they should be.
+use crate::tests::support::{
+    self, bind_upstream, header_value, post, scripted_mesh, status, upload_head, BoundUpstream, ScriptedMesh,
+    Sidecar, SidecarOptions, TestConnection, GOOD_RESPONSE,
+};
+use crate::wire::MAX_BUFFERED_BODY_BYTES;
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+
+#[test]
+fn only_a_response_with_its_attempt_id_counts_and_only_the_upstream_promises_that_nothing_ran() {
+    let cases = [
+        // Without an attempt id it may be any request's: a failure, and the promise that nothing ran.
+        ("once", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", "502"),
+        ("once", "HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", "502"),
+        ("once", "HTTP/1.1 503 X\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n", "502"),
+        ("once", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", "502"),
+        // These promise that nothing ran, which this upstream has not said.
+        ("once", "HTTP/1.1 503 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n", "502"),
+        ("once", "HTTP/1.1 429 X\r\nAttempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", "502"),
+        ("once", "HTTP/1.1 408 X\r\nAttempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", "502"),
+        // A success did run, whatever else it says.
+        (
+            "once",
+            "HTTP/1.1 200 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nNot-Delivered: x\r\nContent-Length: 0\r\n\r\n",
+            "502",
+        ),
+        // And those that are as they should be.
+        ("once", "HTTP/1.1 503 X\r\nAttempt-Id: {id}\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n", "503"),
+        ("once", "HTTP/1.1 500 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n", "500"),
+        ("once", "HTTP/1.1 404 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n", "404"),
+        ("safe", "HTTP/1.1 503 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n", "503"),
+    ];
+    for (route, text, expected) in cases {
+        support::run(async move {
+            let ScriptedMesh { origin, .. } = scripted_mesh(&[text; 8]).await;
+            assert_eq!(post(&origin, route, "a").await.status, expected, "{route}: {text}");
+        });
+    }
+}
+
+/// An upstream that answers behind each request's head, reads no more, and keeps all connections open; the attempt ids that
+/// it saw.
+fn answer_heads(listener: TcpListener, text: &'static str) -> Rc<RefCell<Vec<String>>> {
+    let attempt_ids = Rc::new(RefCell::new(Vec::new()));
+    let seen = attempt_ids.clone();
+    tokio::task::spawn_local(async move {
+        let mut open = Vec::new();
+        while let Ok((stream, _)) = listener.accept().await {
+            let mut connection = TestConnection::from_stream(stream);
+            let head = connection.read_head().await;
+            let id = header_value(&head, "attempt-id").unwrap_or_default();
+            connection.send(text.replace("{id}", &id).as_bytes()).await;
+            seen.borrow_mut().push(id);
+            open.push(connection);
+        }
+    });
+    attempt_ids
+}
+
+/// Upload a body that is full of requests, and read the response's head while it is being sent.
+async fn upload_until_answered(origin: &Sidecar, id: &str, body_bytes: usize) -> String {
+    let mut client = TestConnection::connect(origin.outbound).await;
+    client.send(upload_head(id, body_bytes).as_bytes()).await;
+    let (mut read, mut write) = client.stream.into_split();
+    // Answered before its end, the rest may find a closed connection.
+    let writing = tokio::task::spawn_local(async move {
+        let body = "POST /once/x HTTP/1.1\r\n\r\n".repeat(body_bytes / 25 + 1);
+        let _ = write.write_all(&body.as_bytes()[..body_bytes]).await;
+        write
+    });
+    let mut received = Vec::new();
+    while !received.windows(4).any(|w| w == b"\r\n\r\n") {
+        let length = read.read_buf(&mut received).await.unwrap_or(0);
+        assert!(length > 0, "{id}, {body_bytes}: {received:?}");
+    }
+    writing.abort();
+    String::from_utf8_lossy(&received).into_owned()
+}
+
+/// The response counts, its connection carries nothing further, and what is unread of a body is nowhere taken for a
+/// request.
+#[test]
+fn a_response_before_the_request_is_complete_counts_and_ends_the_connection() {
+    const REJECTED: &str =
+        "HTTP/1.1 503 X\r\nAttempt-Id: {id}\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n";
+    const FAILED: &str = "HTTP/1.1 500 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n";
+    const OF_ANOTHER: &str =
+        "HTTP/1.1 503 X\r\nAttempt-Id: zz\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n";
+    for (text, expected) in [(REJECTED, "503"), (FAILED, "500"), (GOOD_RESPONSE, "200"), (OF_ANOTHER, "504")]
+    {
+        for body_bytes in [20_000, MAX_BUFFERED_BODY_BYTES + 4_000_000] {
+            support::run_paused(async move {
+                let nobody = bind_upstream().await.address;
+                let BoundUpstream { listener, address } = bind_upstream().await;
+                let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+                let gate = support::start_sidecar(2, address, SidecarOptions::default()).await;
+                gate.send_heartbeat();
+                origin.learn_sidecar(&gate);
+                let attempt_ids = answer_heads(listener, text);
+                for id in ["a", "b"] {
+                    let head = upload_until_answered(&origin, id, body_bytes).await;
+                    assert_eq!(status(&head), expected, "{body_bytes}");
+                }
+                let ran = attempt_ids.borrow().clone();
+                assert!(ran.iter().all(|id| ["a", "b"].contains(&id.as_str())), "{ran:?}");
+                // Each on a connection of its own, though the upstream kept them all open.
+                assert_eq!(ran.iter().filter(|id| *id == "b").count(), 1, "{ran:?}");
+            });
+        }
+    }
+}
--- a/crates/daemon/mesh/src/tests/upstream_gate.rs
+++ b/crates/daemon/mesh/src/tests/upstream_gate.rs
@@ -1,81 +1,91 @@
-//! Tests of the gate as other sidecars meet it: the largest head, hops beyond the bound.
-use crate::tests::support::{self, stamped, status, SidecarOptions, TestConnection};
+//! The gate as other sidecars meet it: the largest head, connections beyond the limit.
+use crate::forwarding_headers::{self, GateStatus};
+use crate::tests::support::{
+    self, bind_upstream, header_value, status, upstream_response_head, SidecarOptions, TestConnection,
+};
+use crate::upstream_gate::{MEMORY_RETRY_AFTER, SIDECAR_CONNECTION_DIVISOR};
+
+/// Header lines and bytes of a head that a client may send.
+const MAX_HEADER_LINES: usize = 64;
+const MAX_HEAD_BYTES: usize = 16_384;
+
+fn request_with(header_lines: usize, filler_bytes: usize) -> String {
+    let more = "X-More: 1\r\n".repeat(header_lines - 3);
+    let filler = "a".repeat(filler_bytes);
+    format!(
+        "GET /safe/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {header_lines}-{filler_bytes}\r\n{more}X: {filler}\r\n\r\n"
+    )
+}
 
 /// What a sidecar adds to a head must not make it too large for the next one.
 #[test]
 fn the_largest_head_of_a_client_passes_between_sidecars() {
     support::run(async {
-        let ((listener, at), (_, nobody)) = (support::station().await, support::station().await);
-        let origin = support::sidecar(1, nobody, SidecarOptions::default()).await;
-        let gate = support::sidecar(2, at, SidecarOptions::default()).await;
-        gate.beat();
-        origin.hears_of(&gate);
+        let upstream = bind_upstream().await;
+        let nobody = bind_upstream().await.address;
+        let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let gate = support::start_sidecar(2, upstream.address, SidecarOptions::default()).await;
+        gate.send_heartbeat();
+        origin.learn_sidecar(&gate);
         tokio::task::spawn_local(async move {
-            let (stream, _) = listener.accept().await.expect("a connection");
-            let mut talk = TestConnection::over(stream);
+            let (stream, _) = upstream.listener.accept().await.expect("a connection");
+            let mut connection = TestConnection::from_stream(stream);
             loop {
-                let head = talk.head().await;
+                let head = connection.read_head().await;
                 if head.is_empty() {
                     return;
                 }
-                talk.say(stamped(&head, 200, "Content-Length: 0\r\n").as_bytes()).await;
+                connection.send(upstream_response_head(&head, 200, "Content-Length: 0\r\n").as_bytes()).await;
             }
         });
-        let ask = |lines: usize, fill: usize| {
-            let more = "X-More: 1\r\n".repeat(lines - 3);
-            format!(
-                "GET /safe/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {lines}-{fill}\r\n{more}X: {}\r\n\r\n",
-                "a".repeat(fill)
-            )
-        };
-        let room = 16_384 - ask(64, 0).len() - 4;
-        for (lines, fill, want) in [(64, room, "200"), (64, room + 20, "431"), (65, 0, "431")] {
-            let mut client = TestConnection::to(origin.at).await;
-            client.say(ask(lines, fill).as_bytes()).await;
-            assert_eq!(status(&client.head().await), want, "{lines} lines, {fill}");
+        let room = MAX_HEAD_BYTES - request_with(MAX_HEADER_LINES, 0).len() - 4;
+        for (header_lines, filler_bytes, expected) in [
+            (MAX_HEADER_LINES, room, "200"),
+            (MAX_HEADER_LINES, room + 20, "431"),
+            (MAX_HEADER_LINES + 1, 0, "431"),
+        ] {
+            let mut client = TestConnection::connect(origin.outbound).await;
+            client.send(request_with(header_lines, filler_bytes).as_bytes()).await;
+            let head = client.read_head().await;
+            assert_eq!(status(&head), expected, "{header_lines} lines, {filler_bytes}");
         }
     });
 }
 
 #[test]
 fn connections_beyond_the_limit_are_told_that_nothing_began() {
+    const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n";
     support::run(async {
-        let (_, at) = support::station().await;
-        let terms = SidecarOptions {
-            descriptors: 2 * crate::upstream_gate::SIDECAR_CONNECTION_DIVISOR,
-            ..SidecarOptions::default()
-        };
-        let gate = support::sidecar(2, at, terms).await;
+        let address = bind_upstream().await.address;
+        let options =
+            SidecarOptions { descriptors: 2 * SIDECAR_CONNECTION_DIVISOR, ..SidecarOptions::default() };
+        let gate = support::start_sidecar(2, address, options).await;
         let counters = &gate.node_state.counters;
-        let (mut one, mut two) =
-            (TestConnection::to(gate.inbound).await, TestConnection::to(gate.inbound).await);
+        let mut first = TestConnection::connect(gate.inbound).await;
+        let mut second = TestConnection::connect(gate.inbound).await;
         // Neither is idle.
-        one.say(b"GET").await;
-        two.say(b"GET").await;
+        first.send(b"GET").await;
+        second.send(b"GET").await;
         while counters.hop_connections.get() < 2 || counters.idle_hop_connections.get() > 0 {
             tokio::task::yield_now().await;
         }
-        let mut three = TestConnection::to(gate.inbound).await;
-        let head = three.head().await;
-        let word =
-            support::value(&head, "waybill-return").and_then(|t| crate::forwarding_headers::decode(&t));
-        assert_eq!(
-            word,
-            Some(crate::forwarding_headers::GateStatus::Overloaded(crate::upstream_gate::MEMORY_RETRY_AFTER))
-        );
+        let mut third = TestConnection::connect(gate.inbound).await;
+        let head = third.read_head().await;
+        let status = header_value(&head, "waybill-return").and_then(|t| forwarding_headers::decode(&t));
+        assert_eq!(status, Some(GateStatus::Overloaded(MEMORY_RETRY_AFTER)));
         assert_eq!((counters.hop_connections.get(), counters.rejected_hops.get()), (2, 1));
-        drop(one);
+        drop(first);
         while counters.hop_connections.get() > 1 {
             tokio::task::yield_now().await;
         }
-        let mut four = TestConnection::to(gate.inbound).await;
-        four.say(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
-        assert!(support::value(&four.head().await, "waybill-life").is_some());
-        // An idle one makes place.
-        let mut five = TestConnection::to(gate.inbound).await;
-        assert_eq!(four.more().await, 0);
-        five.say(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
-        assert!(support::value(&five.head().await, "waybill-life").is_some());
+        let mut fourth = TestConnection::connect(gate.inbound).await;
+        fourth.send(REQUEST).await;
+        assert!(header_value(&fourth.read_head().await, "waybill-life").is_some());
+        // An idle one gives way.
+        let mut fifth = TestConnection::connect(gate.inbound).await;
+        assert_eq!(fourth.receive().await, 0);
+        fifth.send(REQUEST).await;
+        assert!(header_value(&fifth.read_head().await, "waybill-life").is_some());
         assert_eq!((counters.hop_connections.get(), counters.rejected_hops.get()), (2, 1));
     });
 }
