--- a/crates/daemon/mesh/src/control_value.rs
+++ b/crates/daemon/mesh/src/control_value.rs
@@ -1,4 +1,8 @@
-//! What stands under a key of the ledger: the configuration, whether a zone is evacuated, or how far a member's lapse has come.
+//! What stands under a key of the control store: the configuration, whether a zone is evacuated, or how far a member's lapse has
+//! come; and the changes that calls make of it.
+//!
+//! Both are stored and go between nodes in bitcode: the order and types of variants and fields are the format. Knows nothing of
+//! nodes, calls or disks.
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Rejection, State};
 use silvercross_mesh_config::{
@@ -39,7 +43,7 @@
     Versioned(Box<VersionedConfiguration>),
 }
 
-/// A call's change.
+/// What a call changes under a key.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) enum ControlChange {
     /// Items set and dropped.
@@ -111,33 +115,34 @@
         change: &ConfigurationChange,
         members: &MemberListChange,
     ) -> Result<bool, Rejection> {
-        let without_members =
-            |configuration| ConfigurationWithMembers { configuration, ..ConfigurationWithMembers::default() };
         let before = std::mem::take(self);
-        let (form, mut tracked) = match before {
-            ControlValue::Blank => (0, VersionedConfiguration::default()),
-            ControlValue::Configuration(c) => (
-                1,
-                VersionedConfiguration { current: without_members(c), ..VersionedConfiguration::default() },
-            ),
-            ControlValue::WithMembers(w) => {
-                (2, VersionedConfiguration { current: *w, ..VersionedConfiguration::default() })
+        let was_blank = before == ControlValue::Blank;
+        let knew_members = matches!(before, ControlValue::WithMembers(_) | ControlValue::Versioned(_));
+        let mut versioned = match before {
+            ControlValue::Blank => VersionedConfiguration::default(),
+            ControlValue::Configuration(configuration) => VersionedConfiguration {
+                current: ConfigurationWithMembers { configuration, ..ConfigurationWithMembers::default() },
+                ..VersionedConfiguration::default()
+            },
+            ControlValue::WithMembers(current) => {
+                VersionedConfiguration { current: *current, ..VersionedConfiguration::default() }
             }
-            ControlValue::Versioned(tracked) => (3, *tracked),
+            ControlValue::Versioned(versioned) => *versioned,
             other => {
                 *self = other;
                 return Err(wrong_kind());
             }
         };
-        let outcome = tracked.take(change, members);
-        let changed = outcome == Ok(true);
-        *self = match form {
-            _ if !tracked.history.is_empty() => ControlValue::Versioned(Box::new(tracked)),
-            0 if !changed => ControlValue::Blank,
-            0 | 1 if !changed || members.is_empty() => {
-                ControlValue::Configuration(tracked.current.configuration)
-            }
-            _ => ControlValue::WithMembers(Box::new(tracked.current)),
+        let outcome = versioned.take(change, members);
+        let has_changed = outcome == Ok(true);
+        *self = if !versioned.history.is_empty() {
+            ControlValue::Versioned(Box::new(versioned))
+        } else if was_blank && !has_changed {
+            ControlValue::Blank
+        } else if !knew_members && (!has_changed || members.is_empty()) {
+            ControlValue::Configuration(versioned.current.configuration)
+        } else {
+            ControlValue::WithMembers(Box::new(versioned.current))
         };
         outcome
     }
--- a/crates/daemon/mesh/src/event_stream.rs
+++ b/crates/daemon/mesh/src/event_stream.rs
@@ -1,4 +1,4 @@
-//! What happens in the mesh as events, for other tools: JSON lines at `control`, as pages or followed.
+//! What happens in the mesh as events, for other tools: JSON lines at `control`, read at once or followed.
 //!
 //! Off unless the role is started with `--feed`. `silvercross-event-feed` decides which events there are and who has missed
 //! which; `state.rs` hands it what this node learns, `query.rs` reads what a reader asks for, `serve.rs` answers.
--- a/crates/daemon/mesh/src/event_stream/query.rs
+++ b/crates/daemon/mesh/src/event_stream/query.rs
@@ -5,8 +5,8 @@
 
 /// The path of the event stream. A name of the wire.
 pub(super) const EVENTS_PATH: &str = "/-/Post.Events";
-/// Lines of a page, at most.
-const MAX_PAGE_LINES: usize = 1_000;
+/// Lines of one response, at most.
+const MAX_LINES_PER_RESPONSE: usize = 1_000;
 
 /// What is asked for.
 pub(super) struct EventQuery {
@@ -14,9 +14,9 @@
     pub(super) cursor: Cursor,
     /// Which events it wants.
     pub(super) filter: Filter,
-    /// Whether it follows, or gets one page.
+    /// Whether it follows, or gets one response.
     pub(super) follow: bool,
-    /// Lines of that page, at most.
+    /// Lines of that response, at most.
     pub(super) limit: usize,
 }
 
@@ -40,7 +40,7 @@
                 write!(f, "{name:?}: not known (after, kind, service, zone, follow, limit)")
             }
             QueryError::BadLimit { value } => {
-                write!(f, "limit {value:?}: not between 1 and {MAX_PAGE_LINES}")
+                write!(f, "limit {value:?}: not between 1 and {MAX_LINES_PER_RESPONSE}")
             }
             QueryError::BadCursor { cause } => f.write_str(cause),
             QueryError::BodyNotText => write!(f, "the body is no text (send cursors, one a line)"),
@@ -67,7 +67,7 @@
     /// The first fault.
     pub(super) fn read(target: &str, body: &[u8]) -> Result<EventQuery, QueryError> {
         let (cursor, filter) = (Cursor::default(), Filter::default());
-        let mut query = EventQuery { cursor, filter, follow: false, limit: MAX_PAGE_LINES };
+        let mut query = EventQuery { cursor, filter, follow: false, limit: MAX_LINES_PER_RESPONSE };
         let parameters = target.split_once('?').map_or("", |(_, parameters)| parameters);
         for pair in parameters.split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
@@ -79,7 +79,8 @@
                 "zone" => query.filter.zones.extend(list()),
                 "follow" => query.follow = value != "0",
                 "limit" => {
-                    let limit = value.parse().ok().filter(|limit| (1..=MAX_PAGE_LINES).contains(limit));
+                    let limit =
+                        value.parse().ok().filter(|limit| (1..=MAX_LINES_PER_RESPONSE).contains(limit));
                     query.limit = limit.ok_or_else(|| QueryError::BadLimit { value: value.to_string() })?;
                 }
                 _ => return Err(QueryError::UnknownParameter { name: name.to_string() }),
--- a/crates/daemon/mesh/src/event_stream/serve.rs
+++ b/crates/daemon/mesh/src/event_stream/serve.rs
@@ -1,4 +1,4 @@
-//! Readers of events answered: with a page, or for as long as they follow.
+//! Readers of events answered: with what there is, or for as long as they follow.
 use super::query::EventQuery;
 use super::state::EventStream;
 use crate::node_state::NodeState;
@@ -69,13 +69,13 @@
             let retry_after = format!("Retry-After: {RETRY_AFTER_S}\r\n");
             error_response(503, "enough readers follow here (ask another node)", &retry_after)
         }
-        (Some(stream), Ok(query)) => page(&node_state, stream, query),
+        (Some(stream), Ok(query)) => current_events(&node_state, stream, query),
     };
     // A reader that is gone needs no answer.
     let _ = timeout(WRITE_TIMEOUT, connection.write(&bytes)).await;
 }
 
-fn page(node_state: &NodeState, stream: &EventStream, query: EventQuery) -> Vec<u8> {
+fn current_events(node_state: &NodeState, stream: &EventStream, query: EventQuery) -> Vec<u8> {
     let mut reader = stream.feed.borrow().open(query.cursor, query.filter);
     let lines = stream.feed.borrow().read(&mut reader, query.limit);
     let mut output = Vec::new();
--- a/crates/daemon/mesh/src/graceful_stop.rs
+++ b/crates/daemon/mesh/src/graceful_stop.rs
@@ -44,9 +44,9 @@
 }
 
 impl GracefulStop {
-    /// It was told so at `told_at`, was awake at `last_awake` before, and is killed after `grace`.
-    pub(crate) fn new(last_awake: Instant, told_at: Instant, grace: Duration) -> Self {
-        let from = if told_at - last_awake > MAX_AWAKE_INTERVAL { last_awake } else { told_at };
+    /// It was told so at `notified_at`, was awake at `last_awake` before, and is killed after `grace`.
+    pub(crate) fn new(last_awake: Instant, notified_at: Instant, grace: Duration) -> Self {
+        let from = if notified_at - last_awake > MAX_AWAKE_INTERVAL { last_awake } else { notified_at };
         let end_by = from + (grace - EXIT_MARGIN).max(Duration::ZERO);
         GracefulStop { from, end_by, not_ready_replies: 0, last_reply: None, quiet_since: None }
     }
@@ -83,8 +83,8 @@
             return Phase::Shut;
         }
         let knows_at = self.from + PLATFORM_KNOWS_AFTER.min((self.end_by - self.from) / 2);
-        let was_told = self.last_reply.filter(|_| self.not_ready_replies >= NOT_READY_REPLIES_NEEDED);
-        if now < was_told.map_or(knows_at, |at| (at + LATE_ARRIVALS_WAIT).min(knows_at)) {
+        let was_answered = self.last_reply.filter(|_| self.not_ready_replies >= NOT_READY_REPLIES_NEEDED);
+        if now < was_answered.map_or(knows_at, |at| (at + LATE_ARRIVALS_WAIT).min(knows_at)) {
             return Phase::Serve;
         }
         self.quiet_since = (!is_busy).then(|| self.quiet_since.unwrap_or(now));
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -7,6 +7,9 @@
 //! `client_listener`, `service_balancer` and `peer_connection` to another sidecar's `upstream_gate`; what nodes tell each other goes through
 //! `peers`; `node_state` is what the tasks share.
 #![forbid(unsafe_code)]
+// Test files hold long tables of cases, and helpers that all tests share.
+#![cfg_attr(not(test), deny(missing_docs, unreachable_pub))]
+#![cfg_attr(not(test), deny(clippy::too_many_lines, clippy::too_many_arguments))]
 
 mod body_budget;
 mod body_buffer;
