--- a/crates/testing/architecture-tests/src/packages.rs
+++ b/crates/testing/architecture-tests/src/packages.rs
@@ -31,6 +31,7 @@
     "balancer/time",
     "testing/architecture-tests",
     "testing/control-sim",
+    "testing/history-checker",
     "testing/test-rng",
     "tools/ctl",
 ];
@@ -43,18 +44,19 @@
     "balancer/time",
     "testing/architecture-tests",
     "testing/control-sim",
+    "testing/history-checker",
     "testing/test-rng",
     "tools/ctl",
 ];
 
 /// Packages in which no withdrawn word is left but in names of the wire. (`testing/architecture-tests` holds the list of
 /// these words and so can't be one.)
-#[rustfmt::skip]
 pub const WITH_CURRENT_NAMES: &[&str] = &[
     "balancer/management",
     "balancer/net",
     "balancer/time",
     "testing/control-sim",
+    "testing/history-checker",
     "testing/test-rng",
     "tools/ctl",
 ];
--- a/crates/testing/history-checker/src/history.rs
+++ b/crates/testing/history-checker/src/history.rs
@@ -1,13 +1,16 @@
-//! What happened, in order of time. Times are microseconds on the driver's one clock.
-use crate::idempotency::{Answer, Invocation};
+//! What happened to a fleet and what was seen of it, in order of time. The only input of the checkers.
+//!
+//! Instants are of the driver's one clock; in JSON they are microseconds. The names in JSON are those of recorded histories
+//! and stay, also where they differ from the names here.
+
+use crate::operation::{Answer, Invocation};
 use serde::{Deserialize, Serialize};
+use silvercross_time::Instant;
 
 /// A process of the fleet, counted by its start: a restart is another one.
 pub type Process = usize;
-/// Microseconds on the driver's clock.
-pub type Micros = i64;
 
-/// How somebody holds a member to be.
+/// How a member is listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
@@ -15,9 +18,9 @@
     Alive,
     /// In doubt.
     Suspect,
-    /// Gone without a word.
+    /// Gone without a notice.
     Failed,
-    /// Gone by its own word.
+    /// Gone after it said so.
     Left,
 }
 
@@ -32,29 +35,62 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedMember {
     /// Its identity, as it is shown.
-    pub id: String,
-    /// How it is held to be.
+    #[serde(rename = "id")]
+    pub identity: String,
+    /// How it is listed.
     pub state: MemberState,
-    /// How new that is.
+    /// The incarnation that this is of.
     pub incarnation: u64,
 }
 
-/// One process' list, as it was asked for and told.
+/// One process' list, as it was asked for and answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberList {
-    /// Whose.
-    pub by: Process,
-    /// The identity it says it has.
-    pub id: String,
-    /// The view it tells.
+    /// Whose list.
+    #[serde(rename = "by")]
+    pub process: Process,
+    /// The identity that the process says it has.
+    #[serde(rename = "id")]
+    pub identity: String,
+    /// The view that it reports; `out`: it has stood down and takes no part.
     pub view: String,
-    /// How many it says send.
+    /// How many members it says send.
     pub senders: Option<usize>,
     /// All others in its list.
-    pub others: Vec<ListedMember>,
+    #[serde(rename = "others")]
+    pub members: Vec<ListedMember>,
     /// Upstreams that it holds to be draining.
-    #[serde(default)]
-    pub drains: Vec<String>,
+    #[serde(default, rename = "drains")]
+    pub draining: Vec<String>,
+}
+
+impl MemberList {
+    /// Whether the process takes part in the fleet.
+    pub fn takes_part(&self) -> bool {
+        self.view != "out"
+    }
+}
+
+/// A direction between two machines; a pair in JSON.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(usize, usize)", into = "(usize, usize)")]
+pub struct DirectedLink {
+    /// The sending machine.
+    pub from: usize,
+    /// The receiving machine.
+    pub to: usize,
+}
+
+impl From<(usize, usize)> for DirectedLink {
+    fn from((from, to): (usize, usize)) -> DirectedLink {
+        DirectedLink { from, to }
+    }
+}
+
+impl From<DirectedLink> for (usize, usize) {
+    fn from(link: DirectedLink) -> (usize, usize) {
+        (link.from, link.to)
+    }
 }
 
 /// What was done, or seen.
@@ -67,59 +103,66 @@
         process: Process,
         /// On which machine.
         machine: usize,
-        /// With an empty folder: it has to be somebody new.
+        /// With an empty folder: it has to have a new identity.
         fresh: bool,
     },
-    /// A process is no more; `told`: it was asked to end, and could say so.
+    /// A process is no more.
     Ended {
         /// Which.
         process: Process,
-        /// Whether it left by its own word.
-        told: bool,
+        /// Whether it was asked to end, and could leave the fleet.
+        #[serde(rename = "told")]
+        graceful: bool,
     },
     /// A process was stopped, slowed or otherwise kept from its work.
-    Hampered {
+    #[serde(rename = "hampered")]
+    Impaired {
         /// Which.
         process: Process,
     },
-    /// It is let alone again.
-    Free {
+    /// A process is no longer impaired.
+    #[serde(rename = "free")]
+    Recovered {
         /// Which.
         process: Process,
     },
-    /// Datagrams and connections from the first machine's processes to the second's get through, or not. `pairs` holds
-    /// all that don't, in place of what held before.
-    Cut {
-        /// Machines, from and to.
-        pairs: Vec<(usize, usize)>,
+    /// Datagrams and connections over these links don't get through; those over all others do.
+    #[serde(rename = "cut")]
+    Partitioned {
+        /// All links that are closed, in place of those that were before.
+        #[serde(rename = "pairs")]
+        links: Vec<DirectedLink>,
     },
-    /// All links have been well, and all processes let alone, since now.
-    Calm,
-    /// An upstream's drain was told to a process by its own list.
-    DrainTold {
+    /// All links are well and no process is impaired from now on.
+    #[serde(rename = "calm")]
+    Healed,
+    /// An upstream's drain was announced to a process by its own list.
+    #[serde(rename = "drain_told")]
+    DrainAnnounced {
         /// The upstream.
         host: String,
         /// The machines whose lists said so.
         machines: Vec<usize>,
     },
-    /// A process told its list. Asked at the event's time, answered by `end`.
+    /// A process reported its list.
     #[serde(rename = "look")]
     MemberList(MemberList),
-    /// A client's request: asked at the event's time, answered by `end`.
+    /// A client's request.
     Request {
-        /// Which process it went to.
+        /// The process that it went to.
         process: Process,
         /// The answer's status; 0: none.
         status: u16,
     },
-    /// Something was asked of a key of the records, and answered or not.
+    /// Something was asked of a key of the idempotency store, and answered or not.
     Operation {
-        /// Which process was asked.
+        /// The process that was asked.
         process: Process,
         /// The key.
         key: String,
         /// What was asked.
-        call: Invocation,
+        #[serde(rename = "call")]
+        invocation: Invocation,
         /// The answer.
         answer: Option<Answer>,
     },
@@ -130,15 +173,17 @@
         /// Where.
         by: String,
     },
-    /// A client got an answer that was marked as held.
-    Marked {
+    /// A client got an answer that was marked as the kept one.
+    #[serde(rename = "marked")]
+    MarkedAnswer {
         /// The key.
         key: String,
         /// The answer, or a digest of it.
         answer: String,
     },
     /// A client got an answer to a keyed request without the mark that claims to be its outcome.
-    Unmarked {
+    #[serde(rename = "unmarked")]
+    UnmarkedAnswer {
         /// The key.
         key: String,
         /// The answer, or a digest of it.
@@ -146,15 +191,39 @@
     },
 }
 
+impl EventKind {
+    /// A partition of these pairs of machines, from and to.
+    pub fn partitioned(pairs: impl IntoIterator<Item = (usize, usize)>) -> EventKind {
+        EventKind::Partitioned { links: pairs.into_iter().map(DirectedLink::from).collect() }
+    }
+}
+
+/// An instant as the microseconds of recorded histories.
+mod micros {
+    use serde::{Deserialize, Deserializer, Serializer};
+    use silvercross_time::Instant;
+
+    pub(super) fn serialize<S: Serializer>(at: &Instant, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_i64(at.as_micros())
+    }
+
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Instant, D::Error> {
+        i64::deserialize(deserializer).map(Instant::from_micros)
+    }
+}
+
 /// One entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// When it began.
-    pub at: Micros,
-    /// When it was over; the same for what takes no time.
-    pub end: Micros,
+    /// When it began, or was asked.
+    #[serde(rename = "at", with = "micros")]
+    pub began: Instant,
+    /// When it was over, or answered; the same for what takes no time.
+    #[serde(rename = "end", with = "micros")]
+    pub ended: Instant,
     /// What it was.
-    pub what: EventKind,
+    #[serde(rename = "what")]
+    pub kind: EventKind,
 }
 
 /// All of it.
@@ -165,19 +234,19 @@
 }
 
 impl History {
-    /// Something that took no time.
-    pub fn now(&mut self, at: Micros, what: EventKind) {
-        self.events.push(Event { at, end: at, what });
+    /// Adds something that took no time.
+    pub fn record(&mut self, at: Instant, kind: EventKind) {
+        self.record_span(at, at, kind);
     }
 
-    /// Something that was asked and answered.
-    pub fn took(&mut self, at: Micros, end: Micros, what: EventKind) {
-        self.events.push(Event { at, end, what });
+    /// Adds something that was asked and answered.
+    pub fn record_span(&mut self, began: Instant, ended: Instant, kind: EventKind) {
+        self.events.push(Event { began, ended, kind });
     }
 
-    /// In order, as checkers want it: drivers may have noted an answer after what came later.
+    /// In order, as the checkers need it: drivers may have noted an answer after what came later.
     pub fn sorted(mut self) -> Self {
-        self.events.sort_by_key(|e| e.at);
+        self.events.sort_by_key(|event| event.began);
         self
     }
 }
--- a/crates/testing/history-checker/src/idempotency.rs
+++ b/crates/testing/history-checker/src/idempotency.rs
@@ -1,231 +1,203 @@
-//! What is promised of records, held against a history.
+//! What is promised of the idempotency store, held against a history.
 //!
 //! | property | in words | broken by |
 //! | --- | --- | --- |
 //! | `not_linear` | operations on one key can be put into one order that respects time and answers | stale reads, forks of the log, what is applied twice or lost |
-//! | `twice` | a keyed request has its effect once | a take that two hold, a take that was lost |
+//! | `twice` | a keyed request has its effect once | a claim that two have, a claim that was lost |
 //! | `mark_lost` | an answer that was marked is the answer to that key ever after | an answer before its commit, before its sync, a lost or forgotten log |
-//! | `unanswered` | a settled while after calm, whatever is asked is answered | no way back to a leader |
-use crate::history::{EventKind, History, Micros};
-use crate::linearizability::{self, Linearizability, Object, Operation};
-use crate::membership::{Violation, MAX_VIOLATIONS_IN_WORDS};
-use serde::{Deserialize, Serialize};
+//! | `unanswered` | a settle time after the heal, whatever is asked is answered | no way back to a leader |
+
+use crate::history::{EventKind, History};
+use crate::keyed_entry::KeyedEntry;
+use crate::linearizability::{self, Linearizability, Operation};
+use crate::operation::{Answer, Invocation};
+use crate::violation::{Property, ViolationLog};
+use silvercross_time::{Duration, Instant};
 use std::collections::BTreeMap;
 
-/// What is asked of a key. Values are numbers that clients never use twice; 0: none.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Invocation {
-    /// A document's value is to be this.
-    Put(u64),
-    /// The same, if it is the first now.
-    Cas(u64, u64),
-    /// What is it?
-    Get,
-    /// This client takes a keyed request.
-    #[serde(rename = "take")]
-    Claim(u64),
-    /// And holds its answer.
-    #[serde(rename = "hold")]
-    Complete(u64, u64),
-    /// And gives it back: it never ran.
-    #[serde(rename = "give")]
-    Release(u64),
-}
+/// Operations of a history that is not linearizable that are shown with the violation.
+const MAX_OPERATIONS_SHOWN: usize = 5;
 
-/// The answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Answer {
-    /// Done.
-    Done,
-    /// Not done: it was something else.
-    #[serde(rename = "other")]
-    Mismatch,
-    /// This.
-    Value(u64),
-    /// Nobody had taken it.
-    #[serde(rename = "yours")]
-    Claimed,
-    /// Somebody has, and there is no answer.
-    #[serde(rename = "busy")]
-    InProgress,
+/// The result of a check.
+#[derive(Clone, Debug, Default)]
+pub struct IdempotencyReport {
+    /// Promises broken.
+    pub violations: ViolationLog,
+    /// Operations.
+    pub operations: usize,
+    /// Of these, answered ones.
+    pub answered_operations: usize,
+    /// Keys with a marked answer.
+    pub marked_answers: usize,
+    /// Marked answers that were asked for again, and were the same.
+    pub repeated_marked_answers: usize,
+    /// Keys whose order was not found out: their history is too long for the search.
+    pub undecided_keys: usize,
+    /// Effects counted.
+    pub effects: usize,
+    /// The longest time between two marked answers, one after the other.
+    pub longest_gap: Duration,
+    /// From the last heal to the first answer after it.
+    pub answered_after: Option<Duration>,
 }
 
-/// A key's state: nothing, taken by whom, or a value.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum State {
-    /// Nothing.
-    None,
-    /// By this client.
-    Taken(u64),
-    /// This.
-    Value(u64),
+/// An answer that was marked for a key.
+#[derive(Clone, Copy)]
+struct Marked<'h> {
+    at: Instant,
+    answer: &'h str,
 }
 
-/// A document, or a keyed request.
-pub struct Key;
+/// An effect of a keyed request, shown in a violation as a pair of its microseconds and its place.
+struct Effect<'h> {
+    at: Instant,
+    by: &'h str,
+}
 
-impl Object for Key {
-    type State = State;
-    type Invocation = Invocation;
-    type Answer = Answer;
+/// What a history says, by key.
+#[derive(Default)]
+struct Check<'h> {
+    report: IdempotencyReport,
+    operations: BTreeMap<&'h str, Vec<Operation<Invocation, Answer>>>,
+    effects: BTreeMap<&'h str, Vec<Effect<'h>>>,
+    marked: BTreeMap<&'h str, Marked<'h>>,
+    healed_at: Option<Instant>,
+}
 
-    fn first(&self) -> State {
-        State::None
+/// Holds a history against what is promised. `settle`: so long after the heal everything that is asked is answered;
+/// `exactly_once`: requests are rejected, not served unmarked, while most replicas can't be asked, so that effects come once.
+pub fn check(history: &History, settle: Duration, exactly_once: bool) -> IdempotencyReport {
+    let mut check = Check::default();
+    check.collect(history);
+    check.report.longest_gap = longest_gap(history);
+    if exactly_once {
+        check.check_unmarked(history);
     }
-
-    fn after(&self, state: &State, call: &Invocation, answer: Option<&Answer>) -> Option<State> {
-        let value = match state {
-            State::Value(v) => *v,
-            _ => 0,
-        };
-        let (next, says) = match *call {
-            Invocation::Put(v) => (State::Value(v), Answer::Done),
-            Invocation::Cas(old, new) if old == value => (State::Value(new), Answer::Done),
-            Invocation::Cas(..) => (*state, Answer::Mismatch),
-            Invocation::Get => (*state, Answer::Value(value)),
-            Invocation::Claim(by) => match state {
-                State::None => (State::Taken(by), Answer::Claimed),
-                State::Taken(_) => (*state, Answer::InProgress),
-                State::Value(v) => (*state, Answer::Value(*v)),
-            },
-            Invocation::Complete(by, v) if *state == State::Taken(by) => (State::Value(v), Answer::Done),
-            Invocation::Complete(..) => (*state, Answer::Mismatch),
-            Invocation::Release(by) if *state == State::Taken(by) => (State::None, Answer::Done),
-            Invocation::Release(_) => (*state, Answer::Mismatch),
-        };
-        answer.is_none_or(|a| *a == says).then_some(next)
+    check.check_linearizable();
+    if exactly_once {
+        check.check_effects();
     }
+    check.check_answered(history, settle);
+    check.report
 }
 
-/// What came of a check.
-#[derive(Clone, Debug, Default)]
-pub struct IdempotencyReport {
-    /// Promises broken; [`MAX_VIOLATIONS_IN_WORDS`] of a kind in words.
-    pub violations: Vec<Violation>,
-    /// How many of each.
-    pub violation_counts: BTreeMap<&'static str, usize>,
-    /// Operations, and how many of them were answered.
-    pub operations: (usize, usize),
-    /// Marked answers.
-    pub marked: usize,
-    /// Marked answers that were asked for again, and were the same.
-    pub same: usize,
-    /// Keys whose order was not found out: their history is too long for the search.
-    pub too_hard: usize,
-    /// Effects counted.
-    pub effects: usize,
-    /// The longest time between two marked answers, both begun and given, one after the other.
-    pub longest_dark: Micros,
-    /// From the last calm to the first answer behind it.
-    pub answered_after: Option<Micros>,
+/// The longest time between the ends of two marked answers since the clock began, one after the other.
+fn longest_gap(history: &History) -> Duration {
+    let is_counted = |kind: &EventKind| matches!(kind, EventKind::MarkedAnswer { .. });
+    let events = history.events.iter();
+    let counted = events.filter(|event| is_counted(&event.kind) && event.began > Instant::ZERO);
+    let mut ends: Vec<Instant> = counted.map(|event| event.ended).collect();
+    ends.sort_unstable();
+    ends.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(Duration::ZERO)
 }
 
-impl IdempotencyReport {
-    fn breach(&mut self, property: &'static str, at: Micros, text: String) {
-        let n = self.violation_counts.entry(property).or_default();
-        *n += 1;
-        if *n <= MAX_VIOLATIONS_IN_WORDS {
-            self.violations.push(Violation { property, at, text });
-        }
-    }
+fn mark_lost_text(key: &str, before: Marked<'_>, answer: &str, what: &str) -> String {
+    format!("{key}: {:?} was marked at {}, and {what}{answer:?} later", before.answer, before.at.as_micros())
 }
 
-/// Hold a history against what is promised. `settle`: so long after calm everything that is asked is answered; `once`: requests
-/// are refused, not served unmarked, while most holders can't be asked, so that effects come once.
-pub fn check(history: &History, settle: Micros, once: bool) -> IdempotencyReport {
-    let mut v = IdempotencyReport::default();
-    let mut keys: BTreeMap<&str, Vec<Operation<Invocation, Answer>>> = BTreeMap::new();
-    let mut effects: BTreeMap<&str, Vec<(Micros, &str)>> = BTreeMap::new();
-    let mut marks: BTreeMap<&str, (Micros, &str)> = BTreeMap::new();
-    let mut calm: Option<Micros> = None;
-    for e in &history.events {
-        match &e.what {
-            EventKind::Calm => calm = Some(e.at),
-            EventKind::Cut { .. } | EventKind::Hampered { .. } | EventKind::Ended { .. } => calm = None,
-            EventKind::Operation { key, call, answer, .. } => {
-                v.operations.0 += 1;
-                v.operations.1 += usize::from(answer.is_some());
-                let ended = answer.is_some().then_some(e.end);
-                keys.entry(key).or_default().push(Operation {
-                    began: e.at,
-                    ended,
-                    call: *call,
-                    answer: *answer,
-                });
-            }
-            EventKind::Effect { key, by } => {
-                v.effects += 1;
-                effects.entry(key).or_default().push((e.at, by));
-            }
-            EventKind::Marked { key, answer } => match marks.get(key.as_str()) {
-                None => {
-                    v.marked += 1;
-                    marks.insert(key, (e.end, answer));
+impl<'h> Check<'h> {
+    fn collect(&mut self, history: &'h History) {
+        for event in &history.events {
+            match &event.kind {
+                EventKind::Healed => self.healed_at = Some(event.began),
+                EventKind::Partitioned { .. } | EventKind::Impaired { .. } | EventKind::Ended { .. } => {
+                    self.healed_at = None;
+                }
+                EventKind::Operation { key, invocation, answer, .. } => {
+                    self.report.operations += 1;
+                    self.report.answered_operations += usize::from(answer.is_some());
+                    let ended = answer.is_some().then_some(event.ended);
+                    let (began, invocation, answer) = (event.began, *invocation, *answer);
+                    let operation = Operation { began, ended, invocation, answer };
+                    self.operations.entry(key).or_default().push(operation);
+                }
+                EventKind::Effect { key, by } => {
+                    self.report.effects += 1;
+                    self.effects.entry(key).or_default().push(Effect { at: event.began, by });
                 }
-                Some((_, before)) if *before == answer => v.same += 1,
-                Some((at, before)) => {
-                    let text = format!("{key}: {before:?} was marked at {at}, and {answer:?} later");
-                    v.breach("mark_lost", e.at, text);
+                EventKind::MarkedAnswer { key, answer } => {
+                    self.mark(event.began, key, Marked { at: event.ended, answer });
                 }
-            },
-            _ => {}
+                _ => {}
+            }
         }
     }
-    let mut given: Vec<Micros> = Vec::new();
-    for e in &history.events {
-        if matches!(e.what, EventKind::Marked { .. }) && e.at > 0 {
-            given.push(e.end);
+
+    /// A marked answer comes: the first of its key stays.
+    fn mark(&mut self, began: Instant, key: &'h str, marked: Marked<'h>) {
+        match self.marked.get(key).copied() {
+            None => {
+                self.report.marked_answers += 1;
+                self.marked.insert(key, marked);
+            }
+            Some(before) if before.answer == marked.answer => self.report.repeated_marked_answers += 1,
+            Some(before) => {
+                let text = mark_lost_text(key, before, marked.answer, "");
+                self.report.violations.push(Property::MarkLost, began, text);
+            }
         }
     }
-    given.sort_unstable();
-    v.longest_dark = given.windows(2).map(|w| w[1] - w[0]).max().unwrap_or(0);
-    // Whatever answered without a mark something else to a key that was marked before.
-    for e in &history.events {
-        if let (EventKind::Unmarked { key, answer }, true) = (&e.what, once) {
-            if let Some((at, before)) = marks.get(key.as_str()).filter(|m| m.0 < e.at) {
-                if before != answer {
-                    let text =
-                        format!("{key}: {before:?} was marked at {at}, and the answer is {answer:?} later");
-                    v.breach("mark_lost", e.at, text);
-                }
+
+    /// Whatever answered without a mark something else to a key that was marked before.
+    fn check_unmarked(&mut self, history: &History) {
+        for event in &history.events {
+            let EventKind::UnmarkedAnswer { key, answer } = &event.kind else { continue };
+            let before = self.marked.get(key.as_str()).filter(|marked| marked.at < event.began);
+            if let Some(before) = before.filter(|before| before.answer != answer) {
+                let text = mark_lost_text(key, *before, answer, "the answer is ");
+                self.report.violations.push(Property::MarkLost, event.began, text);
             }
         }
     }
-    for (key, ops) in &keys {
-        match linearizability::check(&Key, ops) {
-            Linearizability::Linearizable => {}
-            Linearizability::SearchLimitReached => v.too_hard += 1,
-            Linearizability::NotLinearizable { ordered } => {
-                let mut ops = ops.clone();
-                ops.sort_by_key(|o| o.ended.unwrap_or(i64::MAX));
-                let near = ops.iter().skip(ordered.saturating_sub(2)).take(5);
-                let text: Vec<String> =
-                    near.map(|o| format!("{}..{:?} {:?} {:?}", o.began, o.ended, o.call, o.answer)).collect();
-                let at = ops.get(ordered).map_or(0, |o| o.began);
-                v.breach("not_linear", at, format!("{key}: {}", text.join("; ")));
+
+    fn check_linearizable(&mut self) {
+        for (key, operations) in &mut self.operations {
+            match linearizability::check(&KeyedEntry, operations) {
+                Linearizability::Linearizable => {}
+                Linearizability::SearchLimitReached => self.report.undecided_keys += 1,
+                Linearizability::NotLinearizable { ordered } => {
+                    operations.sort_by_key(|operation| operation.ended.unwrap_or(Instant::MAX));
+                    let at = operations.get(ordered).map_or(Instant::ZERO, |operation| operation.began);
+                    let near = operations.iter().skip(ordered.saturating_sub(2)).take(MAX_OPERATIONS_SHOWN);
+                    let shown: Vec<String> = near.map(show).collect();
+                    let text = format!("{key}: {}", shown.join("; "));
+                    self.report.violations.push(Property::NotLinear, at, text);
+                }
             }
         }
     }
-    for (key, list) in effects.iter().filter(|(_, l)| once && l.len() > 1) {
-        let text = format!("{key} had its effect {} times: {list:?}", list.len());
-        v.breach("twice", list[1].0, text);
+
+    fn check_effects(&mut self) {
+        for (key, effects) in self.effects.iter().filter(|(_, effects)| effects.len() > 1) {
+            let shown: Vec<(i64, &str)> =
+                effects.iter().map(|effect| (effect.at.as_micros(), effect.by)).collect();
+            let text = format!("{key} had its effect {} times: {shown:?}", effects.len());
+            self.report.violations.push(Property::Twice, effects[1].at, text);
+        }
     }
-    if let Some(calm) = calm {
-        let last = history.events.iter().map(|e| e.end).max().unwrap_or(0);
-        let bound = calm + settle;
-        for e in history.events.iter().filter(|e| e.at > calm) {
-            if let EventKind::Operation { answer, key, .. } = &e.what {
-                let took = e.end - calm;
-                if answer.is_some() && v.answered_after.is_none_or(|a| took < a) {
-                    v.answered_after = Some(took);
-                }
-                if answer.is_none() && e.at > bound && e.end < last {
-                    v.breach("unanswered", e.at, format!("{key}: asked {} after calm", e.at - calm));
-                }
+
+    /// After the last heal and the settle time all is answered, but what was still open at the end.
+    fn check_answered(&mut self, history: &History, settle: Duration) {
+        let Some(healed_at) = self.healed_at else { return };
+        let last = history.events.iter().map(|event| event.ended).max().unwrap_or(Instant::ZERO);
+        for event in history.events.iter().filter(|event| event.began > healed_at) {
+            let EventKind::Operation { answer, key, .. } = &event.kind else { continue };
+            let took = event.ended - healed_at;
+            if answer.is_some() && self.report.answered_after.is_none_or(|after| took < after) {
+                self.report.answered_after = Some(took);
+            }
+            if answer.is_none() && event.began > healed_at + settle && event.ended < last {
+                let after = (event.began - healed_at).as_micros();
+                let text = format!("{key}: asked {after} after the heal");
+                self.report.violations.push(Property::Unanswered, event.began, text);
             }
         }
     }
-    v
+}
+
+/// An operation as a violation shows it: its microseconds, what was asked, and the answer.
+fn show(operation: &Operation<Invocation, Answer>) -> String {
+    let ended = operation.ended.map(Instant::as_micros);
+    let (began, invocation, answer) = (operation.began.as_micros(), operation.invocation, operation.answer);
+    format!("{began}..{ended:?} {invocation:?} {answer:?}")
 }
--- a/crates/tools/scenario-runner/src/fleet/figures.rs
+++ b/crates/tools/scenario-runner/src/fleet/figures.rs
@@ -1,8 +1,9 @@
 //! What a run of a fleet comes to: the judge's verdict and what it cost, by names that scripts expect things of.
 use super::script::{Expect, FleetScript};
 use serde::Serialize;
-use silvercross_history_checker::membership::{self, MembershipReport};
-use silvercross_history_checker::{EventKind, History};
+use silvercross_history_checker::membership::{self, MembershipReport, SenderRange};
+use silvercross_history_checker::{EventKind, History, Violation};
+use silvercross_time::Duration;
 use std::collections::BTreeMap;
 
 /// All figures of a run. Times are in protocol periods.
@@ -42,33 +43,28 @@
         mut figures: BTreeMap<String, f64>,
     ) -> Self {
         let period = script.fleet.period_ms * 1e3;
-        let verdict = membership::check(history, (script.settle() * period) as i64);
-        let MembershipReport {
-            violations,
-            violation_counts,
-            agreed_after,
-            lists_read,
-            failed_while_running,
-            views,
-            ..
-        } = verdict;
-        let (senders, drain) = (verdict.senders, verdict.drain_known_after);
-        figures.extend(drain.map(|d| ("drain_known_after".to_string(), d as f64 / period)));
-        figures.insert("breaches".into(), violation_counts.values().sum::<usize>() as f64);
-        for (property, n) in violation_counts {
+        let settle = Duration::from_micros((script.settle() * period) as i64);
+        let report = membership::check(history, settle);
+        let periods = |span: Duration| span.as_micros() as f64 / period;
+        let MembershipReport { violations, agreed_after, lists_read, failed_while_running, views, .. } =
+            report;
+        let (senders, drain) = (report.senders, report.drain_known_after);
+        figures.extend(drain.map(|d| ("drain_known_after".to_string(), periods(d))));
+        figures.insert("breaches".into(), violations.total() as f64);
+        for (property, n) in violations.counts {
             figures.insert(format!("breaches.{property}"), n as f64);
         }
-        figures.extend(agreed_after.map(|a| ("agreed_after".to_string(), a as f64 / period)));
+        figures.extend(agreed_after.map(|a| ("agreed_after".to_string(), periods(a))));
         figures.insert("looks".into(), lists_read as f64);
         figures.insert("failed_while_running".into(), failed_while_running as f64);
         figures.insert("settle".into(), script.settle());
-        if let Some((least, most)) = senders {
+        if let Some(SenderRange { least, most }) = senders {
             figures.insert("senders.least".into(), least as f64);
             figures.insert("senders.most".into(), most as f64);
         }
         let (mut served, mut refused, mut other) = (0u64, 0u64, 0u64);
         for e in &history.events {
-            if let EventKind::Request { status, .. } = &e.what {
+            if let EventKind::Request { status, .. } = &e.kind {
                 match status {
                     200 => served += 1,
                     429 | 503 => refused += 1,
@@ -86,14 +82,14 @@
             figures.insert(format!("view.{view}"), *n as f64);
         }
         let words =
-            |b: membership::Violation| format!("{:.1}: {}: {}", b.at as f64 / period, b.property, b.text);
+            |b: Violation| format!("{:.1}: {}: {}", b.at.as_micros() as f64 / period, b.property, b.text);
         let mut new = FleetFigures {
             script: script.name.clone(),
             mode,
             seed,
             void: None,
             figures,
-            breaches: violations.into_iter().map(words).collect(),
+            breaches: violations.samples.into_iter().map(words).collect(),
             expectations: Vec::new(),
             views,
         };
--- a/crates/tools/scenario-runner/src/fleet/sim.rs
+++ b/crates/tools/scenario-runner/src/fleet/sim.rs
@@ -9,6 +9,7 @@
 use silvercross_swim::rumours::Rumour;
 use silvercross_swim::wire::{Fleet, From, Message, Packet};
 use silvercross_swim::{Config, Event, Identity, Incarnation, Members, Mutant, Start, State};
+use silvercross_time::Instant;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
@@ -228,7 +229,8 @@
         });
         self.at.insert(at, number);
         self.detected.remove(&self.procs[number].members.me().id);
-        self.history.now(self.now, EventKind::Started { process: number, machine, fresh });
+        self.history
+            .record(Instant::from_micros(self.now), EventKind::Started { process: number, machine, fresh });
         self.procs[number].members.list_is(self.seq.min(1), true, std::iter::empty());
         self.pump(number);
     }
@@ -348,7 +350,7 @@
                 let fault = self.script.faults[i].clone();
                 if fault.kind.is_link() {
                     self.links.end(i);
-                    self.history.now(now, EventKind::Cut { pairs: self.links.cut() });
+                    self.history.record(Instant::from_micros(now), EventKind::partitioned(self.links.cut()));
                 } else if fault.kind == Kind::Pause {
                     let here: Vec<usize> = (0..self.procs.len())
                         .filter(|n| self.procs[*n].paused && fault.who.contains(&self.procs[*n].machine))
@@ -385,7 +387,7 @@
         for bytes in waiting {
             self.procs[number].members.datagram(now, &bytes);
         }
-        self.history.now(now, EventKind::Free { process: number });
+        self.history.record(Instant::from_micros(now), EventKind::Recovered { process: number });
         self.pump(number);
     }
 
@@ -409,7 +411,7 @@
         if !told {
             self.detected.insert(id, (now, None));
         }
-        self.history.now(now, EventKind::Ended { process: number, told });
+        self.history.record(Instant::from_micros(now), EventKind::Ended { process: number, graceful: told });
     }
 
     fn running_on(&self, machine: usize) -> Vec<usize> {
@@ -424,7 +426,7 @@
         let period = self.period as f64;
         if fault.kind.is_link() {
             self.links.begin(i, &fault);
-            self.history.now(now, EventKind::Cut { pairs: self.links.cut() });
+            self.history.record(Instant::from_micros(now), EventKind::partitioned(self.links.cut()));
             return self.maybe_calm();
         }
         for m in self.script.machines(&fault.who) {
@@ -445,7 +447,7 @@
                 Kind::Pause => {
                     for n in running {
                         self.procs[n].paused = true;
-                        self.history.now(now, EventKind::Hampered { process: n });
+                        self.history.record(Instant::from_micros(now), EventKind::Impaired { process: n });
                     }
                 }
                 Kind::Start | Kind::StartEmpty | Kind::StartMoved => {
@@ -483,7 +485,7 @@
                 let host = format!("s-{}", self.seq);
                 self.drained.push(host.clone());
                 let machines = self.script.machines(&fault.who);
-                self.history.now(now, EventKind::DrainTold { host, machines });
+                self.history.record(Instant::from_micros(now), EventKind::DrainAnnounced { host, machines });
                 self.tell_lists(&fault);
             }
             Kind::ListAgain => self.tell_lists(&fault),
@@ -523,7 +525,7 @@
     fn maybe_calm(&mut self) {
         let still = self.procs.iter().any(|p| p.running && p.paused);
         if !self.links.are_broken() && !still {
-            self.history.now(self.now, EventKind::Calm);
+            self.history.record(Instant::from_micros(self.now), EventKind::Healed);
         }
     }
 
@@ -538,19 +540,23 @@
                 State::Left => MemberState::Left,
             };
             let seen = |s: &silvercross_swim::table::Slot| ListedMember {
-                id: s.card.id.to_string(),
+                identity: s.card.id.to_string(),
                 state: state(s.state),
                 incarnation: s.card.incarnation.0,
             };
             let look = MemberList {
-                by: n,
-                id: m.me().id.to_string(),
+                process: n,
+                identity: m.me().id.to_string(),
                 view: m.view().name().to_string(),
                 senders: m.senders(),
-                others: m.others().map(seen).collect(),
-                drains: drained.iter().filter(|h| m.drains(h, 7) || p.listed.contains(h)).cloned().collect(),
+                members: m.others().map(seen).collect(),
+                draining: drained
+                    .iter()
+                    .filter(|h| m.drains(h, 7) || p.listed.contains(h))
+                    .cloned()
+                    .collect(),
             };
-            self.history.now(now, EventKind::MemberList(look));
+            self.history.record(Instant::from_micros(now), EventKind::MemberList(look));
         }
     }
 
--- a/crates/tools/scenario-runner/src/fleet/sockets.rs
+++ b/crates/tools/scenario-runner/src/fleet/sockets.rs
@@ -206,7 +206,7 @@
     }
 
     fn note(&self, what: EventKind) {
-        lock(&self.history).now(self.now(), what);
+        lock(&self.history).record(silvercross_time::Instant::from_micros(self.now()), what);
     }
 
     fn folder(&self, number: usize) -> PathBuf {
@@ -289,7 +289,11 @@
                         let status = ask(at, asked.fetch_add(1, Ordering::Relaxed) + 1, PATIENCE);
                         // Whoever asked a process that was just ended or stopped was owed nothing.
                         if asking.load(Ordering::Relaxed) && began > 0 {
-                            lock(&history).took(began, now(), EventKind::Request { process, status });
+                            lock(&history).record_span(
+                                silvercross_time::Instant::from_micros(began),
+                                silvercross_time::Instant::from_micros(now()),
+                                EventKind::Request { process, status },
+                            );
                         }
                         thread::sleep(Duration::from_secs_f64(1.0 / rate));
                     }
@@ -318,7 +322,8 @@
         self.begin_records()?;
         for e in &mut lock(&self.history).events {
             // There from the beginning.
-            (e.at, e.end) = (i64::MIN / 4, i64::MIN / 4);
+            let long_ago = silvercross_time::Instant::from_micros(i64::MIN / 4);
+            (e.began, e.ended) = (long_ago, long_ago);
         }
         let period = self.period.as_micros() as f64;
         let mut plan: Vec<(i64, bool, usize)> = Vec::new();
@@ -381,9 +386,9 @@
                 *sums.entry(name.clone()).or_default() += value.as_f64().unwrap_or(0.0);
             }
             lock(&self.history).events.push(Event {
-                at: began,
-                end,
-                what: EventKind::MemberList(as_look(n, &v)),
+                began: silvercross_time::Instant::from_micros(began),
+                ended: silvercross_time::Instant::from_micros(end),
+                kind: EventKind::MemberList(as_look(n, &v)),
             });
         }
         self.sums = sums;
@@ -398,7 +403,7 @@
             }
             let machine = p.machine;
             p.process = None;
-            self.note(EventKind::Ended { process: n, told: true });
+            self.note(EventKind::Ended { process: n, graceful: true });
             if let Some(i) = self.again.iter().position(|m| *m == machine) {
                 self.again.swap_remove(i);
                 let folder = self.folder(self.folders[machine]);
@@ -428,7 +433,7 @@
                 net.links.begin(i, fault);
                 net.links.cut()
             };
-            self.note(EventKind::Cut { pairs: cut });
+            self.note(EventKind::partitioned(cut));
             return Ok(());
         }
         for m in self.script.machines(&fault.who) {
@@ -511,7 +516,10 @@
                         let host = host.0.clone();
                         let machines = self.script.machines(&fault.who);
                         self.drained.push((host.clone(), Instant::now()));
-                        lock(&self.history).now(self.now(), EventKind::DrainTold { host, machines });
+                        lock(&self.history).record(
+                            silvercross_time::Instant::from_micros(self.now()),
+                            EventKind::DrainAnnounced { host, machines },
+                        );
                     }
                 }
                 let seq = lists.seq;
@@ -543,7 +551,7 @@
                 let machine = p.machine;
                 self.untarget(n);
                 self.relays.net().fronts.insert(front, (machine, None));
-                self.note(EventKind::Ended { process: n, told: false });
+                self.note(EventKind::Ended { process: n, graceful: false });
             }
             Kind::Stop | Kind::Restart => {
                 p.asking.store(false, Ordering::Relaxed);
@@ -559,7 +567,7 @@
                 if let Some(process) = &p.process {
                     process.signal("STOP");
                 }
-                self.note(EventKind::Hampered { process: n });
+                self.note(EventKind::Impaired { process: n });
             }
             _ => {}
         }
@@ -572,7 +580,7 @@
                 net.links.end(i);
                 net.links.cut()
             };
-            self.note(EventKind::Cut { pairs: cut });
+            self.note(EventKind::partitioned(cut));
         } else if matches!(fault.kind, Kind::DiskSlow | Kind::DiskFails | Kind::DiskFull) {
             let who = self.about.remove(&i).unwrap_or_else(|| self.script.machines(&fault.who));
             who.into_iter().for_each(|m| self.disk_is(m, ""));
@@ -585,7 +593,7 @@
                     if let Some(process) = &p.process {
                         process.signal("CONT");
                     }
-                    self.note(EventKind::Free { process: n });
+                    self.note(EventKind::Recovered { process: n });
                 }
             }
         }
@@ -637,7 +645,7 @@
         info!(self.log, "the records are founded and whole"; "after_s" => began.elapsed().as_secs_f64());
         self.origin = Instant::now();
         *lock(&self.clock) = self.origin;
-        lock(&self.history).events.retain(|e| !matches!(e.what, EventKind::Effect { .. }));
+        lock(&self.history).events.retain(|e| !matches!(e.kind, EventKind::Effect { .. }));
         let shared = Shared {
             targets: Arc::default(),
             history: self.history.clone(),
@@ -669,8 +677,8 @@
         let mut marked: Vec<String> = lock(&self.history)
             .events
             .iter()
-            .filter_map(|e| match &e.what {
-                EventKind::Marked { key, .. } => Some(key.clone()),
+            .filter_map(|e| match &e.kind {
+                EventKind::MarkedAnswer { key, .. } => Some(key.clone()),
                 _ => None,
             })
             .collect();
@@ -702,10 +710,10 @@
                             Some((200, true, body)) => body,
                             other => format!("not the marked one: {other:?}"),
                         };
-                        lock(&shared.history).took(
-                            began,
-                            shared.now(),
-                            EventKind::Marked { key: key.clone(), answer },
+                        lock(&shared.history).record_span(
+                            silvercross_time::Instant::from_micros(began),
+                            silvercross_time::Instant::from_micros(shared.now()),
+                            EventKind::MarkedAnswer { key: key.clone(), answer },
                         );
                     }
                 });
@@ -746,7 +754,7 @@
     fn maybe_calm(&mut self) {
         let still = self.procs.iter().any(|p| p.process.is_some() && p.paused);
         if !self.relays.net().links.are_broken() && !still {
-            self.note(EventKind::Calm);
+            self.note(EventKind::Healed);
         }
     }
 
@@ -806,16 +814,16 @@
         _ => MemberState::Failed,
     };
     let seen = |o: &serde_json::Value| ListedMember {
-        id: text(&o["id"]),
+        identity: text(&o["id"]),
         state: state(o["state"].as_str().unwrap_or("")),
         incarnation: o["incarnation"].as_u64().unwrap_or(0),
     };
     MemberList {
-        by,
-        id: text(&v["id"]),
+        process: by,
+        identity: text(&v["id"]),
         view: text(&v["view"]),
         senders: v["senders"].as_u64().map(|n| n as usize),
-        others: v["others"].as_array().into_iter().flatten().map(seen).collect(),
-        drains: v["drains"].as_array().into_iter().flatten().map(text).collect(),
+        members: v["others"].as_array().into_iter().flatten().map(seen).collect(),
+        draining: v["drains"].as_array().into_iter().flatten().map(text).collect(),
     }
 }
--- a/crates/tools/scenario-runner/src/fleet/stand_ins.rs
+++ b/crates/tools/scenario-runner/src/fleet/stand_ins.rs
@@ -120,7 +120,11 @@
                     let origin = *effects.origin.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                     let at = origin.elapsed().as_micros() as i64 - effects.gather;
                     let what = EventKind::Effect { key: key.clone(), by: name.clone() };
-                    effects.history.lock().unwrap_or_else(std::sync::PoisonError::into_inner).now(at, what);
+                    effects
+                        .history
+                        .lock()
+                        .unwrap_or_else(std::sync::PoisonError::into_inner)
+                        .record(silvercross_time::Instant::from_micros(at), what);
                     format!("{name} did {key} at {at}")
                 });
                 let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
--- a/crates/tools/scenario-runner/src/records/clients.rs
+++ b/crates/tools/scenario-runner/src/records/clients.rs
@@ -3,8 +3,7 @@
 use crate::fleet::relay::chance;
 use rand_core::RngCore;
 use serde_json::Value;
-use silvercross_history_checker::idempotency::{Answer, Invocation};
-use silvercross_history_checker::{EventKind, History};
+use silvercross_history_checker::{Answer, EventKind, History, Invocation};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -62,7 +61,11 @@
     }
 
     fn note(&self, began: i64, what: EventKind) {
-        lock(&self.history).took(began, self.now(), what);
+        lock(&self.history).record_span(
+            silvercross_time::Instant::from_micros(began),
+            silvercross_time::Instant::from_micros(self.now()),
+            what,
+        );
     }
 }
 
@@ -150,10 +153,10 @@
         shared.note(began, EventKind::Request { process: target.process, status });
         match got {
             Some((200, true, body)) => {
-                return shared.note(began, EventKind::Marked { key: key.to_string(), answer: body });
+                return shared.note(began, EventKind::MarkedAnswer { key: key.to_string(), answer: body });
             }
             Some((200, false, body)) => {
-                return shared.note(began, EventKind::Unmarked { key: key.to_string(), answer: body });
+                return shared.note(began, EventKind::UnmarkedAnswer { key: key.to_string(), answer: body });
             }
             // As clients do: again, soon, through whoever comes next.
             _ => std::thread::sleep(Duration::from_millis(u64::from(rng.next_u32() % 100))),
@@ -207,6 +210,6 @@
     };
     shared.note(
         began,
-        EventKind::Operation { process: target.process, key: name.to_string(), call: asked, answer },
+        EventKind::Operation { process: target.process, key: name.to_string(), invocation: asked, answer },
     );
 }
--- a/crates/tools/scenario-runner/src/records/mod.rs
+++ b/crates/tools/scenario-runner/src/records/mod.rs
@@ -9,6 +9,7 @@
 use crate::fleet::{FleetFigures, FleetScript};
 use silvercross_history_checker::idempotency::{check, IdempotencyReport};
 use silvercross_history_checker::History;
+use silvercross_time::Duration;
 use std::collections::BTreeMap;
 
 /// The judge's verdict on what was held, beside the figures of a run.
@@ -16,27 +17,31 @@
     let period = script.fleet.period_ms * 1e3;
     let settle = script.settle().max(4.0 * script.records.as_ref().map_or(0.0, |r| r.election));
     let once = script.records.as_ref().is_none_or(|r| r.refuse);
-    let v: IdempotencyReport = check(history, (settle * period) as i64, once);
+    let settle = Duration::from_micros((settle * period) as i64);
+    let v: IdempotencyReport = check(history, settle, once);
     let mut all: BTreeMap<String, f64> = BTreeMap::new();
     let mut put = |name: &str, v: f64| {
         all.insert(name.to_string(), v);
     };
-    put("operations", v.operations.0 as f64);
-    put("answered", v.operations.1 as f64);
-    put("marked", v.marked as f64);
-    put("marked_same", v.same as f64);
+    put("operations", v.operations as f64);
+    put("answered", v.answered_operations as f64);
+    put("marked", v.marked_answers as f64);
+    put("marked_same", v.repeated_marked_answers as f64);
     put("effects", v.effects as f64);
-    put("longest_dark", v.longest_dark as f64 / period);
-    put("too_hard", v.too_hard as f64);
-    v.answered_after.into_iter().for_each(|a| put("answered_after", a as f64 / period));
-    for (property, n) in &v.violation_counts {
+    put("longest_dark", v.longest_gap.as_micros() as f64 / period);
+    put("too_hard", v.undecided_keys as f64);
+    v.answered_after.into_iter().for_each(|a| put("answered_after", a.as_micros() as f64 / period));
+    for (property, n) in &v.violations.counts {
         put(&format!("breaches.{property}"), *n as f64);
     }
-    let more = v.violation_counts.values().sum::<usize>() as f64;
+    let more = v.violations.total() as f64;
     *all.entry("breaches".into()).or_default() +=
         more + figures.figures.get("breaches").copied().unwrap_or(0.0);
     figures.figures.extend(all);
-    let words =
-        v.violations.iter().map(|b| format!("{:.1}: {}: {}", b.at as f64 / period, b.property, b.text));
+    let words = v
+        .violations
+        .samples
+        .iter()
+        .map(|b| format!("{:.1}: {}: {}", b.at.as_micros() as f64 / period, b.property, b.text));
     figures.breaches.extend(words);
 }
--- a/crates/tools/scenario-runner/src/records/sim.rs
+++ b/crates/tools/scenario-runner/src/records/sim.rs
@@ -6,11 +6,11 @@
 use crate::fleet::FleetFigures;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use silvercross_history_checker::idempotency::{Answer as Says, Invocation};
-use silvercross_history_checker::{EventKind, History};
+use silvercross_history_checker::{Answer as Says, EventKind, History, Invocation};
 use silvercross_idempotency_store::placement::Place;
 use silvercross_idempotency_store::{Answer, Command, Config, Epoch, Outcome, Records, Said, Take, Want};
 use silvercross_raft::{Durable, Mutant, Node, Write};
+use silvercross_time::Instant;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -234,7 +234,10 @@
             waiting: VecDeque::new(),
             heard: BTreeMap::new(),
         });
-        self.history.now(self.now, EventKind::Started { process: number, machine, fresh: false });
+        self.history.record(
+            Instant::from_micros(self.now),
+            EventKind::Started { process: number, machine, fresh: false },
+        );
         self.pump(number);
     }
 
@@ -374,7 +377,8 @@
                 match fault.kind {
                     k if k.is_link() => {
                         self.links.end(i);
-                        self.history.now(now, EventKind::Cut { pairs: self.links.cut() });
+                        self.history
+                            .record(Instant::from_micros(now), EventKind::partitioned(self.links.cut()));
                     }
                     Kind::Pause => {
                         for n in 0..self.procs.len() {
@@ -408,7 +412,7 @@
         p.paused = false;
         p.records.tick(now);
         let waiting = std::mem::take(&mut p.waiting);
-        self.history.now(now, EventKind::Free { process: n });
+        self.history.record(Instant::from_micros(now), EventKind::Recovered { process: n });
         self.pump(n);
         for what in waiting {
             match what {
@@ -462,7 +466,7 @@
                 self.think(c);
             }
         }
-        self.history.now(self.now, EventKind::Ended { process: n, told: false });
+        self.history.record(Instant::from_micros(self.now), EventKind::Ended { process: n, graceful: false });
     }
 
     fn running_on(&self, machine: usize) -> Option<usize> {
@@ -481,7 +485,7 @@
         self.about.insert(i, fault.who.clone());
         if fault.kind.is_link() {
             self.links.begin(i, &fault);
-            self.history.now(self.now, EventKind::Cut { pairs: self.links.cut() });
+            self.history.record(Instant::from_micros(self.now), EventKind::partitioned(self.links.cut()));
             return;
         }
         for m in fault.who.clone() {
@@ -503,7 +507,7 @@
                 }
                 (Kind::Pause, Some(n)) => {
                     self.procs[n].paused = true;
-                    self.history.now(self.now, EventKind::Hampered { process: n });
+                    self.history.record(Instant::from_micros(self.now), EventKind::Impaired { process: n });
                 }
                 (Kind::Start | Kind::StartMoved, None) => self.start(m),
                 (Kind::StartEmpty, None) => {
@@ -539,7 +543,7 @@
         let still = self.procs.iter().any(|p| p.running && p.paused);
         let sick = self.disks.iter().any(|d| d.fails || d.full || d.slow_ms > 0.0);
         if !self.links.are_broken() && !still && !sick {
-            self.history.now(self.now, EventKind::Calm);
+            self.history.record(Instant::from_micros(self.now), EventKind::Healed);
         }
     }
 
@@ -604,7 +608,10 @@
                 (call, command) =
                     (Invocation::Release(by), Command::Give { key: k.clone(), may_have_run: false });
             } else {
-                self.history.now(self.now, EventKind::Effect { key: k.clone(), by: format!("p{n}") });
+                self.history.record(
+                    Instant::from_micros(self.now),
+                    EventKind::Effect { key: k.clone(), by: format!("p{n}") },
+                );
                 self.values += 1;
                 let body = self.values.to_le_bytes().to_vec();
                 let answer = Answer { status: 200, lines: Vec::new(), body: Some(body) };
@@ -650,7 +657,11 @@
     }
 
     fn note(&mut self, began: Micros, process: usize, key: String, call: Invocation, answer: Option<Says>) {
-        self.history.took(began, self.now, EventKind::Operation { process, key, call, answer });
+        self.history.record_span(
+            Instant::from_micros(began),
+            Instant::from_micros(self.now),
+            EventKind::Operation { process, key, invocation: call, answer },
+        );
     }
 
     fn done(&mut self, process: usize, id: u64, outcome: Option<Outcome>) {
@@ -669,8 +680,10 @@
                 if let Invocation::Complete(_, v) = call {
                     if self.procs[process].records.is_full(self.procs[process].records.group_of(&key)) {
                         self.marked.insert(key.clone(), v);
-                        self.history
-                            .now(self.now, EventKind::Marked { key: key.clone(), answer: v.to_string() });
+                        self.history.record(
+                            Instant::from_micros(self.now),
+                            EventKind::MarkedAnswer { key: key.clone(), answer: v.to_string() },
+                        );
                     }
                 }
                 Some(Says::Done)
@@ -695,7 +708,10 @@
             (_, Some(Outcome::Take(Take::Held(a)))) => {
                 let v = a.body.map_or(0, |b| number(&b));
                 if self.marked.contains_key(&key) {
-                    self.history.now(self.now, EventKind::Marked { key: key.clone(), answer: v.to_string() });
+                    self.history.record(
+                        Instant::from_micros(self.now),
+                        EventKind::MarkedAnswer { key: key.clone(), answer: v.to_string() },
+                    );
                 }
                 Some(Says::Value(v))
             }
