--- /dev/null
+++ b/crates/control/mesh-membership/src/anti_entropy.rs
@@ -0,0 +1,173 @@
+//! Anti-entropy: neighbours compare digests, list the versions in the buckets that differ, and fetch what they lack. What
+//! changes meanwhile is disseminated in `updates`.
+use crate::control_entry::{EntryRevision, Revision};
+use crate::membership::Membership;
+use crate::message::MembershipMessage;
+use crate::node::Node;
+use crate::record::{NodeRecord, RecordVersion};
+use crate::version_table::BUCKETS;
+use silvercross_time::Instant;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+/// Records and entries, by whose they are.
+#[derive(Default)]
+struct Selection {
+    nodes: BTreeSet<Node>,
+    keys: BTreeSet<String>,
+}
+
+/// The versions in some buckets at the other side of a link.
+struct RemoteVersions {
+    records: BTreeMap<Node, RecordVersion>,
+    entries: BTreeMap<String, Revision>,
+}
+
+impl<T: Clone + PartialEq + Debug> Membership<T> {
+    /// Introduces this node on a link that came up.
+    pub(crate) fn send_hello(&mut self, to: Node) {
+        self.flush_updates();
+        if let Some(record) = self.own_record().cloned() {
+            let (digest, known_items) = (self.table.digest(), self.table.known_items() as u32);
+            let position = self.position();
+            self.send(to, MembershipMessage::Hello { record, digest, known_items, position });
+        }
+    }
+
+    /// A neighbour introduced itself. One that knows nothing gets everything; otherwise the lower node begins to compare.
+    pub(crate) fn receive_hello(
+        &mut self,
+        now: Instant,
+        from: Node,
+        record: NodeRecord<T>,
+        digest: u64,
+        known_items: u32,
+    ) {
+        let knew_nothing = self.table.known_items() <= 1;
+        self.receive_introduction(now, from, record);
+        if known_items <= 1 {
+            self.send_snapshot(from);
+        } else if !knew_nothing && self.config.local_node < from && !self.table.in_sync(now, digest) {
+            self.send_bucket_digests(from);
+        }
+    }
+
+    /// The record that a neighbour sent of itself. It is shown a newer one of it, if that is known here.
+    fn receive_introduction(&mut self, now: Instant, from: Node, record: NodeRecord<T>) {
+        let introduced = record.version();
+        if record.node != from {
+            self.metrics.rejected_items += 1;
+            return;
+        }
+        let body = record.body.clone();
+        self.receive_record(now, from, record);
+        let has_newer = self.table.record(from).is_some_and(|known| {
+            known.version() > introduced || (known.version() == introduced && known.body != body)
+        });
+        if has_newer {
+            self.send_update(from, BTreeSet::from([from]), BTreeSet::new());
+        }
+    }
+
+    /// Keeps a link alive, and compares.
+    pub(crate) fn send_keepalive(&mut self, to: Node, wants_reply: bool) {
+        self.flush_updates();
+        let position = self.position();
+        let digest = self.table.digest();
+        self.send(to, MembershipMessage::KeepAlive { digest, wants_reply, position });
+    }
+
+    /// A neighbour compares.
+    pub(crate) fn receive_keepalive(&mut self, now: Instant, from: Node, digest: u64, wants_reply: bool) {
+        let equal = self.table.in_sync(now, digest);
+        let between_control_nodes = self.config.is_control && self.placement.is_control(from);
+        if equal && (between_control_nodes || self.links.parent == Some(from)) {
+            self.synced_at = Some(now);
+        }
+        if wants_reply {
+            self.send_keepalive(from, false);
+            if !equal {
+                self.send_bucket_digests(from);
+            }
+        }
+    }
+
+    fn send_bucket_digests(&mut self, to: Node) {
+        self.flush_updates();
+        let digests = self.table.bucket_digests();
+        debug_assert_eq!(digests.len(), BUCKETS);
+        self.send(to, MembershipMessage::BucketDigests { digests });
+    }
+
+    /// Lists the versions in the buckets that differ.
+    pub(crate) fn receive_bucket_digests(&mut self, from: Node, digests: &[u32]) {
+        let buckets = self.table.differing_buckets(digests);
+        if buckets.is_empty() {
+            return;
+        }
+        self.flush_updates();
+        let versions = self.table.versions_in(&buckets);
+        self.metrics.indexes_sent += 1;
+        let (records, entries) = (versions.records, versions.entries);
+        self.send(from, MembershipMessage::VersionIndex { buckets, records, entries });
+    }
+
+    /// Compares what the other listed: sends what is newer here and fetches what is newer there.
+    pub(crate) fn receive_version_index(
+        &mut self,
+        now: Instant,
+        from: Node,
+        buckets: &[u8],
+        records: Vec<RecordVersion>,
+        entries: Vec<EntryRevision>,
+    ) {
+        let remote = RemoteVersions {
+            records: records.into_iter().map(|version| (version.node, version)).collect(),
+            entries: entries.into_iter().map(|entry| (entry.key, entry.revision)).collect(),
+        };
+        let newer_here = self.newer_here(buckets, &remote);
+        let newer_there = self.newer_there(&remote);
+        self.send_update(from, newer_here.nodes, newer_here.keys);
+        if let Some(own) = remote.records.get(&self.config.local_node).copied() {
+            self.receive_own_version(now, own);
+        }
+        if !newer_there.nodes.is_empty() || !newer_there.keys.is_empty() {
+            let nodes = newer_there.nodes.into_iter().collect();
+            let keys = newer_there.keys.into_iter().collect();
+            self.send(from, MembershipMessage::Fetch { nodes, keys });
+        }
+    }
+
+    /// What is newer here, in these buckets. A node that is gone is not shown to one that never knew it.
+    fn newer_here(&self, buckets: &[u8], remote: &RemoteVersions) -> Selection {
+        let local = self.table.versions_in(buckets);
+        let records = local.records.iter().filter(|version| match remote.records.get(&version.node) {
+            Some(other) => other < *version,
+            None => !version.gone,
+        });
+        let entries = local
+            .entries
+            .into_iter()
+            .filter(|entry| remote.entries.get(&entry.key).is_none_or(|other| *other < entry.revision));
+        Selection {
+            nodes: records.map(|version| version.node).collect(),
+            keys: entries.map(|entry| entry.key).collect(),
+        }
+    }
+
+    /// What is newer there.
+    fn newer_there(&self, remote: &RemoteVersions) -> Selection {
+        let records = remote
+            .records
+            .values()
+            .filter(|other| self.table.version(other.node).map_or(!other.gone, |own| own < **other));
+        let entries = remote
+            .entries
+            .iter()
+            .filter(|(key, other)| self.table.entry(key).is_none_or(|own| own.revision < **other));
+        Selection {
+            nodes: records.map(|other| other.node).collect(),
+            keys: entries.map(|(key, _)| key.clone()).collect(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/mesh-membership/src/events.rs
@@ -0,0 +1,149 @@
+//! What the caller reports: messages, datagrams, links, outcomes and the passing of time. Each call notes the time, leaves
+//! the work to the role that it concerns, and lets the roles settle. Knows no rule of the protocol itself.
+use crate::datagram::Datagram;
+use crate::effect::Effect;
+use crate::limits::MAX_NODES;
+use crate::membership::Membership;
+use crate::message::MembershipMessage;
+use crate::node::Node;
+use crate::timing::{FORGET_INTERVAL, GONE_RECORD_RETENTION, STALL_THRESHOLD};
+use crate::watch::Watch;
+use silvercross_time::Instant;
+use std::fmt::Debug;
+
+impl<T: Clone + PartialEq + Debug> Membership<T> {
+    /// Other seeds than at the start; nodes met meanwhile stay known.
+    pub fn set_seeds(&mut self, now: Instant, seeds: &[Node]) {
+        self.config.seeds = self.config.shuffled(seeds);
+        self.links.placement_changed = true;
+        self.tick(now);
+    }
+
+    /// A message came over a link. One of a node without a link is dropped.
+    pub fn receive(&mut self, now: Instant, from: Node, message: MembershipMessage<T>) {
+        self.note_time(now);
+        let Some(link) = self.links.up.get_mut(&from) else { return };
+        link.heard_at = now;
+        match message {
+            MembershipMessage::Hello { record, digest, known_items, position } => {
+                link.set_position(position);
+                link.greeted = true;
+                self.receive_hello(now, from, record, digest, known_items);
+                self.choose_links(now);
+            }
+            MembershipMessage::KeepAlive { digest, wants_reply, position } => {
+                let moved = link.set_position(position);
+                self.receive_keepalive(now, from, digest, wants_reply);
+                if moved {
+                    self.choose_links(now);
+                }
+            }
+            MembershipMessage::BucketDigests { digests } => self.receive_bucket_digests(from, &digests),
+            MembershipMessage::VersionIndex { buckets, records, entries } => {
+                self.receive_version_index(now, from, &buckets, records, entries);
+            }
+            MembershipMessage::Fetch { nodes, keys } => {
+                let (nodes, keys) = (nodes.into_iter().collect(), keys.into_iter().collect());
+                self.send_update(from, nodes, keys);
+            }
+            MembershipMessage::Update { records, entries }
+            | MembershipMessage::Snapshot { records, entries } => {
+                records.into_iter().for_each(|record| self.receive_record(now, from, record));
+                entries.into_iter().for_each(|entry| self.receive_entry(now, from, entry));
+            }
+            MembershipMessage::FreshnessRequest { number } => self.receive_freshness_request(from, number),
+            MembershipMessage::FreshnessReply { number, revisions } => {
+                self.finish_freshness_request(now, number, revisions);
+            }
+        }
+        self.settle(now);
+    }
+
+    /// A datagram came.
+    pub fn receive_datagram(&mut self, now: Instant, from: Node, datagram: Datagram) {
+        self.note_time(now);
+        self.handle_datagram(now, from, datagram);
+        self.settle(now);
+    }
+
+    /// A link is up, by either side's making.
+    pub fn link_up(&mut self, now: Instant, node: Node) {
+        self.note_time(now);
+        let full = self.links.up.len() >= MAX_NODES && !self.links.up.contains_key(&node);
+        if node == self.config.local_node || full {
+            self.effects.push(Effect::CloseLink { to: node });
+            return;
+        }
+        self.add_link(now, node);
+        self.send_hello(node);
+        self.settle(now);
+    }
+
+    /// A link went down, or could not be made.
+    pub fn link_down(&mut self, now: Instant, node: Node) {
+        self.note_time(now);
+        self.lose_link(now, node);
+        self.settle(now);
+    }
+
+    /// The outcome of [`Effect::Probe`]: whether the machine of the node accepted a connection.
+    pub fn probe_finished(&mut self, now: Instant, node: Node, reachable: bool) {
+        self.note_time(now);
+        self.handle_probe_outcome(now, node, reachable);
+        self.settle(now);
+    }
+
+    /// Time went on.
+    pub fn tick(&mut self, now: Instant) {
+        self.note_time(now);
+        self.tend_links(now);
+        self.tend_watches(now);
+        if now >= self.next_forget_at {
+            self.next_forget_at = now + FORGET_INTERVAL;
+            self.table.forget_gone(now, self.config.local_node);
+            self.links.failed.retain(|_, failed| failed.retry_at + GONE_RECORD_RETENTION > now);
+        }
+        if now >= self.links.next_choice_at {
+            self.choose_links(now);
+        }
+        self.settle(now);
+    }
+
+    /// When the next tick is due.
+    pub fn next_deadline(&self) -> Instant {
+        let own = self.watches.next_heartbeat_at.min(self.next_forget_at).min(self.links.next_choice_at);
+        own.min(self.links_deadline()).min(self.watches_deadline()).min(self.freshness_deadline())
+    }
+
+    /// What is to be done since the last take. Updates are gathered into as few messages as fit for each link.
+    pub fn take_effects(&mut self) -> Vec<Effect<T>> {
+        self.flush_updates();
+        std::mem::take(&mut self.effects)
+    }
+
+    /// Notes the time. After a stall, what was not heard says nothing of others.
+    pub(crate) fn note_time(&mut self, now: Instant) {
+        let since = now - self.last_call_at;
+        if since > STALL_THRESHOLD {
+            self.check.stalled(now, since);
+            self.links.up.values_mut().for_each(|link| link.heard_at = now);
+            self.watches.watched.values_mut().for_each(|watch| *watch = Watch::new(now));
+        }
+        self.last_call_at = self.last_call_at.max(now);
+    }
+
+    /// Lets the roles act on what an event has changed.
+    pub(crate) fn settle(&mut self, now: Instant) {
+        if self.links.placement_changed {
+            self.choose_links(now);
+        }
+        self.announce_position();
+        self.tend_freshness(now);
+    }
+
+    /// Sends a message over a link.
+    pub(crate) fn send(&mut self, to: Node, message: MembershipMessage<T>) {
+        self.metrics.messages_sent += 1;
+        self.effects.push(Effect::SendMessage { to, message });
+    }
+}
--- /dev/null
+++ b/crates/control/mesh-membership/src/tests/mod.rs
@@ -0,0 +1,2 @@
+//! Tests of rings and trees alone. Inside the package, for `Placement` and `ParentCandidates` are private to it.
+mod placement;
--- a/crates/control/mesh-membership/tests/capacity.rs
+++ b/crates/control/mesh-membership/tests/capacity.rs
@@ -1,14 +1,16 @@
 //! What one node of a large mesh costs, from the deciding code in simulated time, many nodes in one process. Run by hand:
 //! `NODES=100,300,1000 cargo test --release -p silvercross-mesh-membership --test capacity -- --ignored --nocapture`
-mod common;
+mod simulation;
 
-use common::{control_node, sidecar, World, MS, S};
+use silvercross_mesh_membership::Revision;
+use silvercross_time::Duration;
+use simulation::{control_node, ms, secs, sidecar, World};
 use std::time::Instant;
 
 /// Where a run names no sizes.
 const SIZES: &str = "30,100,300,1000";
-/// Of one page of the configuration, for its time through the tree.
-const PAGE: usize = 100;
+/// Bytes of one control entry, for its time through the tree.
+const ENTRY_BYTES: usize = 100;
 
 /// Resident memory of this process, in bytes.
 fn resident() -> u64 {
@@ -21,59 +23,56 @@
     nodes: usize,
     messages: f64,
     bytes: f64,
-    core_links: usize,
+    control_node_children: usize,
     memory: f64,
     processor: f64,
-    page_ms: f64,
+    entry_ms: f64,
     join_bytes: u64,
     zone_ms: f64,
 }
 
 fn measure(nodes: usize) -> Row {
     let empty = resident();
-    let mut world = World::new(nodes - 3, 1, 2 * S);
-    world.run(20 * S);
+    let mut world = World::new(nodes - 3, 1, secs(2));
+    world.run(secs(20));
     assert_eq!(world.disagreement(), None);
     let memory = resident().saturating_sub(empty) as f64 / nodes as f64;
     let before = world.traffic;
     let began = Instant::now();
-    world.run(10 * S);
+    world.run(secs(10));
     let processor = began.elapsed().as_secs_f64() / 10.0 / nodes as f64;
     let rest = world.traffic;
     let sent = (rest.messages + rest.datagrams) - (before.messages + before.datagrams);
-    world.publish(control_node(0), "k", (0, 1, 0));
-    let page = world.until_page("k", (0, 1, 0), 10 * S).expect("everywhere");
-    let core_links = world.children(control_node(0)).len();
+    let revision = Revision::new(0, 1, 0);
+    world.publish(control_node(0), "k", revision);
+    let entry = world.until_entry("k", revision, secs(10)).expect("everywhere");
+    let control_node_children = world.children(control_node(0)).len();
     // One node joins: what its snapshot takes, beside what flows anyhow in that time.
     let joining = sidecar(0);
-    world.kill(joining, false);
-    world.run(5 * S);
+    world.kill(joining);
+    world.run(secs(5));
     let at = world.traffic;
     world.start(joining, 2);
-    world.run(S);
+    world.run(secs(1));
     let usual = (rest.bytes - before.bytes) / 10;
     let join_bytes = (world.traffic.bytes - at.bytes).saturating_sub(usual);
     // A zone without power, until the rest agrees on who is there.
-    let lost: Vec<_> =
-        world.machines.iter().filter(|(_, machine)| machine.zone == 2).map(|(node, _)| *node).collect();
-    for node in lost {
-        world.kill(node, true);
-    }
-    let mut zone = 0;
-    while world.disagreement().is_some() && zone < 120 * S {
-        world.run(250 * MS);
-        zone += 250 * MS;
+    world.nodes_of_zone(2).into_iter().for_each(|node| world.power_off(node));
+    let mut zone_lost = Duration::ZERO;
+    while world.disagreement().is_some() && zone_lost < secs(120) {
+        world.run(ms(250));
+        zone_lost += ms(250);
     }
     Row {
         nodes,
         messages: sent as f64 / 10.0 / nodes as f64,
         bytes: (rest.bytes - before.bytes) as f64 / 10.0 / nodes as f64,
-        core_links,
+        control_node_children,
         memory,
         processor,
-        page_ms: page as f64 / 1e3,
+        entry_ms: entry.as_micros() as f64 / 1e3,
         join_bytes,
-        zone_ms: zone as f64 / 1e3,
+        zone_ms: zone_lost.as_micros() as f64 / 1e3,
     }
 }
 
@@ -81,8 +80,8 @@
 #[ignore = "minutes; by hand, in release"]
 fn cost_of_a_node_by_the_size_of_the_mesh() {
     let sizes = std::env::var("NODES").unwrap_or_else(|_| SIZES.to_string());
-    println!("a page of {PAGE} bytes; processor time: of the deciding code, delivery in the model included");
-    println!("nodes | msgs/s, bytes/s a node | children of a core node | memory a node, KB | processor a node, us/s | page everywhere, ms | bytes a join | zone lost, agreed after ms");
+    println!("a control entry of {ENTRY_BYTES} bytes; processor time: of the deciding code, delivery in the model included");
+    println!("nodes | msgs/s, bytes/s a node | children of a control node | memory a node, KB | processor a node, us/s | entry everywhere, ms | bytes a join | zone lost, agreed after ms");
     for size in sizes.split(',') {
         let row = measure(size.trim().parse().expect("a number of nodes"));
         println!(
@@ -90,10 +89,10 @@
             row.nodes,
             row.messages,
             row.bytes,
-            row.core_links,
+            row.control_node_children,
             row.memory / 1024.0,
             row.processor * 1e6,
-            row.page_ms,
+            row.entry_ms,
             row.join_bytes,
             row.zone_ms,
         );
--- a/crates/control/mesh-membership/tests/mutants.rs
+++ b/crates/control/mesh-membership/tests/mutants.rs
@@ -1,24 +1,27 @@
-//! Checks that break one rule each are found by the judge of the world.
+//! Checks in which one rule each is changed on purpose are caught by the simulation's checker.
 #![cfg(feature = "mutants")]
 
-mod common;
-use common::starts::{run, starts_during_a_read, Case, Trouble, Ways, Who};
-use common::S;
+mod simulation;
 use silvercross_mesh_membership::Mutation;
+use simulation::schedules::{run, starts_during_a_read, Case, Fault, Reachable, Starting, KEY, OLD};
+use simulation::{secs, World};
 
-fn caught(found: &[String]) {
-    assert!(found.iter().any(|found| found.contains("is current with k Some((1, 0, 0))")), "{found:?}");
+/// A node called itself current with the old entry.
+fn assert_caught(world: &World) {
+    let stale = world.found.iter().any(|found| found.key == KEY && found.has == Some(OLD));
+    assert!(stale, "{:?}", world.found);
 }
 
 #[test]
-fn a_core_node_that_answers_without_a_majority_is_caught() {
-    for trouble in [Trouble::CutBothWays, Trouble::CutIn, Trouble::Alone] {
-        let case = Case { trouble, who: Who::Restarts, ways: Ways::Below, span: 5 * S };
-        caught(&run(&case, Some(Mutation::AnswersWithoutMajority)).1.found);
+fn a_control_node_that_answers_without_a_majority_is_caught() {
+    for fault in [Fault::CutBothWays, Fault::CutIn, Fault::Alone] {
+        let (starting, reachable) = (Starting::Restarts, Reachable::Below);
+        let case = Case { fault, starting, reachable, span: secs(5) };
+        assert_caught(&run(&case, Some(Mutation::AnswersWithoutMajority)).1);
     }
 }
 
 #[test]
-fn a_request_that_joins_the_one_under_way_is_caught() {
-    caught(&starts_during_a_read(Some(Mutation::JoinsReadInFlight)).found);
+fn a_request_that_joins_the_one_in_flight_is_caught() {
+    assert_caught(&starts_during_a_read(Some(Mutation::JoinsReadInFlight)));
 }
--- /dev/null
+++ b/crates/control/mesh-membership/tests/simulation/network.rs
@@ -0,0 +1,118 @@
+//! Connections, messages and datagrams on their way, and what they cost.
+use super::secs;
+use super::world::{Body, Connection, Event, Pair, Route, World};
+use silvercross_mesh_membership::{Datagram, MembershipMessage, Node};
+use silvercross_time::{Duration, Instant};
+use std::collections::BTreeMap;
+
+/// What a message or datagram costs besides its content.
+const HEADER_BYTES: u64 = 40;
+/// Between machines of the same zone.
+const LOCAL_DELAY: Duration = Duration::from_micros(200);
+
+impl World {
+    pub(super) fn delay(&self, a: Node, b: Node) -> Duration {
+        if self.machines[&a].zone == self.machines[&b].zone {
+            LOCAL_DELAY
+        } else {
+            self.zone_delay
+        }
+    }
+
+    /// The delay to a machine that may not exist.
+    fn delay_or_second(&self, a: Node, b: Node) -> Duration {
+        if self.machines.contains_key(&b) {
+            self.delay(a, b)
+        } else {
+            secs(1)
+        }
+    }
+
+    pub(super) fn open_link(&mut self, node: Node, to: Node) {
+        self.count += 1;
+        let id = self.count;
+        self.dials.insert(Route { from: node, to }, id);
+        let at = self.now + self.delay_or_second(node, to) * 2;
+        self.push(at, node, Event::Dial { to, id });
+    }
+
+    pub(super) fn close_link(&mut self, node: Node, to: Node) {
+        self.dials.remove(&Route { from: node, to });
+        let Some(connection) = self.connections.remove(&Pair::of(node, to)) else { return };
+        if !self.is_cut_from(node, to) {
+            let at = self.now + self.delay(node, to);
+            self.push(at, to, Event::Down { peer: node, connection: connection.id });
+        }
+    }
+
+    /// A dial has come through, is refused, or is tried again while nothing answers.
+    pub(super) fn finish_dial(&mut self, node: Node, to: Node, id: u64) {
+        let route = Route { from: node, to };
+        if self.dials.get(&route) != Some(&id) {
+            return;
+        }
+        let Some(target) = self.machines.get(&to) else { return };
+        let (powered, runs) = (target.powered, target.membership.is_some());
+        if !powered || self.is_cut(node, to) {
+            let again = self.now + secs(1);
+            return self.push(again, node, Event::Dial { to, id });
+        }
+        self.dials.remove(&route);
+        let now = self.now;
+        if !runs {
+            return self.with(node, |membership| membership.link_down(now, to));
+        }
+        self.count += 1;
+        let connection = self.count;
+        let pair = Pair::of(node, to);
+        self.connections
+            .insert(pair, Connection { id: connection, lost: false, last_arrival: BTreeMap::new() });
+        self.push(now, node, Event::Up { peer: to, connection });
+        self.push(now, to, Event::Up { peer: node, connection });
+    }
+
+    pub(super) fn send_message(&mut self, node: Node, to: Node, message: MembershipMessage<Body>) {
+        let (now, delay) = (self.now, self.delay(node, to));
+        let cut = self.is_cut_from(node, to);
+        self.traffic.messages += 1;
+        let bytes = bitcode::encode(&message).len() as u64;
+        self.count_bytes(node, to, bytes, matches!(message, MembershipMessage::Update { .. }));
+        let Some(connection) = self.connections.get_mut(&Pair::of(node, to)) else {
+            if !cut {
+                self.push(now + delay * 2, node, Event::Down { peer: to, connection: 0 });
+            }
+            return;
+        };
+        if cut || connection.lost {
+            connection.lost = true;
+            return;
+        }
+        let arrival = connection.last_arrival.entry(to).or_insert(Instant::ZERO);
+        *arrival = (*arrival).max(now + delay);
+        let (at, connection) = (*arrival, connection.id);
+        self.push(at, to, Event::Message { from: node, connection, message });
+    }
+
+    pub(super) fn send_datagram(&mut self, node: Node, to: Node, datagram: Datagram) {
+        let bytes = bitcode::encode(&datagram).len() as u64;
+        self.traffic.datagrams += 1;
+        self.count_bytes(node, to, bytes, false);
+        let lost = self.below(1_000) < self.loss;
+        let runs = self.machines.get(&to).is_some_and(|machine| machine.membership.is_some());
+        if runs && !lost && !self.is_cut_from(node, to) {
+            let at = self.now + self.delay(node, to);
+            self.push(at, to, Event::Datagram { from: node, datagram });
+        }
+    }
+
+    fn count_bytes(&mut self, from: Node, to: Node, bytes: u64, is_update: bool) {
+        let bytes = bytes + HEADER_BYTES;
+        self.traffic.bytes += bytes;
+        self.traffic.updates += u64::from(is_update);
+        if self.machines[&from].zone != self.machines[&to].zone {
+            self.traffic.crossing += 1;
+            self.traffic.crossing_bytes += bytes;
+            self.traffic.updates_crossing += u64::from(is_update);
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/mesh-membership/tests/single_node.rs
@@ -0,0 +1,170 @@
+//! Single rules of one node: updates, refutation, and whom it suspects.
+mod support;
+use silvercross_mesh_membership::*;
+use silvercross_time::{Duration, Instant};
+use support::{after, at, config, heartbeat, hello, keepalive, record, update, START};
+
+const ME: Node = Node(10);
+const PARENT: Node = Node(1);
+const LINKED: [Node; 3] = [PARENT, Node(20), Node(21)];
+const KEY: &str = "k";
+
+fn membership() -> Membership<u32> {
+    let mut membership = Membership::new(START, config(ME, false, PARENT, 5), 0);
+    for node in LINKED {
+        membership.link_up(START, node);
+        membership.receive(START, node, hello(node, node == PARENT));
+    }
+    membership.take_effects();
+    membership
+}
+
+fn gone(record: NodeRecord<u32>) -> NodeRecord<u32> {
+    NodeRecord { gone: true, ..record }
+}
+
+fn entry(revision: Revision, bytes: usize) -> ControlEntry {
+    ControlEntry { key: KEY.into(), revision, bytes: vec![1; bytes] }
+}
+
+/// To whom updates were sent.
+fn updated(membership: &mut Membership<u32>) -> Vec<Node> {
+    let updates = |effect| match effect {
+        Effect::SendMessage { to, message: MembershipMessage::Update { .. } } => Some(to),
+        _ => None,
+    };
+    membership.take_effects().into_iter().filter_map(updates).collect()
+}
+
+#[test]
+fn an_update_goes_to_all_but_where_it_came_from_and_only_once() {
+    let mut membership = membership();
+    let both = || update(vec![record(Node(30), 1, 1)], vec![entry(Revision::new(1, 0, 0), 3)]);
+    membership.receive(at(1), Node(20), both());
+    assert_eq!(updated(&mut membership), [PARENT, Node(21)], "one message each");
+    membership.receive(at(2), Node(21), both());
+    membership.receive(at(2), PARENT, both());
+    assert!(updated(&mut membership).is_empty());
+    assert!(membership.metrics().redundant_bytes > 0);
+}
+
+#[test]
+fn nothing_goes_back() {
+    let mut membership = membership();
+    let (from, other) = (Node(20), Node(30));
+    let newest = Revision::new(2, 5, 0);
+    membership.publish(at(1), KEY, newest, vec![2]);
+    membership.publish(at(1), KEY, Revision::new(2, 4, 9), vec![3]);
+    membership.receive(
+        at(1),
+        from,
+        update(vec![record(other, 2, 1)], vec![entry(Revision::new(1, 9, 9), 3)]),
+    );
+    membership.receive(at(1), from, update(vec![gone(record(other, 1, 7))], vec![entry(newest, 3)]));
+    assert_eq!(membership.control_entry(KEY), Some(EntryView { key: KEY, revision: newest, bytes: &[2] }));
+    assert_eq!(membership.record(other), Some(&record(other, 2, 1)));
+    membership.receive(at(1), from, update(vec![gone(record(other, 2, 1))], vec![]));
+    assert!(membership.record(other).is_some_and(|record| record.gone));
+    let too_long = entry(Revision::new(3, 0, 0), MAX_CONTROL_ENTRY_BYTES + 1);
+    membership.receive(at(1), from, update(vec![], vec![too_long]));
+    assert_eq!(membership.metrics().rejected_items, 1);
+}
+
+#[test]
+fn a_node_refutes_what_others_say_of_it() {
+    let mut membership = membership();
+    let from = Node(20);
+    let own = membership.record(ME).expect("own").clone();
+    membership.receive(at(1), from, update(vec![gone(own.clone())], vec![]));
+    assert_eq!(membership.record(ME), Some(&NodeRecord { sequence: own.sequence + 1, ..own.clone() }));
+    assert_eq!(updated(&mut membership), LINKED, "also where it came from");
+    let dead = Datagram::DeclaredDead { incarnation: 5, sequence: own.sequence + 1 };
+    membership.receive_datagram(at(1), from, dead);
+    assert_eq!(membership.record(ME).map(|record| record.sequence), Some(own.sequence + 2));
+    membership.receive(at(1), from, update(vec![record(ME, 8, 3)], vec![]));
+    assert_eq!(membership.incarnation(), 9);
+    membership.leave(at(2));
+    membership.receive(at(3), from, update(vec![gone(record(ME, 99, 3))], vec![]));
+    let signed_off = membership.record(ME).is_some_and(|record| record.gone && record.incarnation == 9);
+    assert!(signed_off, "it did sign off");
+}
+
+/// Hears the links and some of those watched until the given time.
+fn listen(membership: &mut Membership<u32>, from: Instant, to: Instant, heard: &[Node]) -> Vec<Effect<u32>> {
+    let mut effects = Vec::new();
+    let mut now = from;
+    while now < to {
+        LINKED.into_iter().for_each(|node| membership.receive(now, node, keepalive(&[PARENT])));
+        heard.iter().for_each(|node| membership.receive_datagram(now, *node, heartbeat(1, 0)));
+        membership.tick(now);
+        effects.extend(membership.take_effects());
+        now += Duration::from_millis(50);
+    }
+    effects
+}
+
+fn suspects(effects: &[Effect<u32>]) -> Vec<Node> {
+    let suspect = |effect: &Effect<u32>| match effect {
+        Effect::SendDatagram { datagram: Datagram::Suspect { suspect, .. }, .. } => Some(*suspect),
+        _ => None,
+    };
+    let mut nodes: Vec<Node> = effects.iter().filter_map(suspect).collect();
+    nodes.dedup();
+    nodes
+}
+
+/// What another watcher says of the suspect.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Answer {
+    Confirms,
+    HeardIt,
+}
+
+#[test]
+fn a_silent_node_is_declared_gone_by_two_or_after_a_failed_probe_and_not_when_another_heard_it() {
+    use Answer::{Confirms, HeardIt};
+    let heard = [PARENT, Node(20)];
+    let (suspect, incarnation) = (Node(21), 1);
+    let suspected_at = after(HEARTBEAT_TIMEOUT + Duration::from_millis(100));
+    let cases = [
+        (vec![Confirms, Confirms], true),
+        (vec![Confirms, HeardIt], false),
+        (vec![], true),
+        (vec![Confirms], true),
+    ];
+    for (answers, gone) in cases {
+        let mut membership = membership();
+        let effects = listen(&mut membership, START, suspected_at, &heard);
+        assert_eq!(suspects(&effects), [suspect]);
+        for (answer, from) in answers.iter().zip(heard) {
+            let answer = match answer {
+                Confirms => Datagram::SuspectConfirmed { suspect, incarnation },
+                HeardIt => Datagram::SuspectAlive { suspect, incarnation, elapsed: Duration::ZERO },
+            };
+            membership.receive_datagram(suspected_at, from, answer);
+        }
+        let until = suspected_at + SUSPECT_REPLY_TIMEOUT + Duration::from_millis(100);
+        let effects = listen(&mut membership, suspected_at, until, &heard);
+        let probes = effects.contains(&Effect::Probe { node: suspect });
+        assert_eq!(probes, answers.is_empty());
+        if probes {
+            membership.probe_finished(suspected_at + Duration::from_millis(500), suspect, false);
+        }
+        assert_eq!(membership.record(suspect).is_some_and(|record| record.gone), gone, "{answers:?}");
+    }
+}
+
+#[test]
+fn a_node_that_hears_nobody_or_stalled_suspects_nobody() {
+    let mut membership = membership();
+    let effects = listen(&mut membership, START, after(HEARTBEAT_TIMEOUT * 3), &[]);
+    assert!(suspects(&effects).is_empty(), "all are silent: rather it is cut off itself");
+    let mut membership = self::membership();
+    listen(&mut membership, START, after(Duration::from_millis(500)), &LINKED);
+    let resumed = after(Duration::from_secs(60));
+    let not_yet = resumed + HEARTBEAT_TIMEOUT - Duration::from_millis(100);
+    let effects = listen(&mut membership, resumed, not_yet, &[PARENT]);
+    assert!(suspects(&effects).is_empty());
+    let effects = listen(&mut membership, not_yet, not_yet + Duration::from_millis(300), &[PARENT]);
+    assert!(!suspects(&effects).is_empty());
+}
--- a/crates/control/mesh-membership/tests/wire_bytes.rs
+++ b/crates/control/mesh-membership/tests/wire_bytes.rs
@@ -3,8 +3,10 @@
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_mesh_membership::{
-    ControlEntry, Datagram, MembershipMessage, Node, NodeRecord, RecordVersion, TreePosition,
+    ControlEntry, Datagram, EntryRevision, MembershipMessage, Node, NodeRecord, RecordVersion, Revision,
+    TreePosition,
 };
+use silvercross_time::Duration;
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its encoding in hexadecimal.
@@ -18,7 +20,7 @@
     writeln!(lines, "{name} {hex}").expect("a string grows");
 }
 
-type Said = MembershipMessage<(u16, String)>;
+type Message = MembershipMessage<(u16, String)>;
 
 fn record(node: u32) -> NodeRecord<(u16, String)> {
     NodeRecord {
@@ -36,60 +38,85 @@
     TreePosition { path: vec![Node(7), Node(0x7f00_0001)], peers: vec![Node(2)], full: true }
 }
 
-fn page() -> ControlEntry {
+fn control_entry() -> ControlEntry {
     ControlEntry {
         key: "configuration".to_string(),
-        revision: (3, 0x7f00_0001, 70_000),
+        revision: Revision::new(3, 0x7f00_0001, 70_000),
         bytes: vec![0, 1, 255],
     }
 }
 
-fn keyed() -> Vec<(String, (u64, u64, u64))> {
-    vec![("configuration".to_string(), (3, 0x7f00_0001, 70_000)), ("evacuation/a".to_string(), (1, 2, 3))]
+fn entry_revisions() -> Vec<EntryRevision> {
+    let of = |key: &str, revision| EntryRevision { key: key.to_string(), revision };
+    vec![
+        of("configuration", Revision::new(3, 0x7f00_0001, 70_000)),
+        of("evacuation/a", Revision::new(1, 2, 3)),
+    ]
 }
 
 #[test]
 fn messages_and_datagrams_are_encoded_as_they_always_were() {
     let versions = vec![record(7).version(), RecordVersion { gone: true, ..record(8).version() }];
-    let messages: Vec<(&str, Said)> = vec![
+    let messages: Vec<(&str, Message)> = vec![
         (
             "hello",
-            MembershipMessage::Hello { record: record(7), digest: 1 << 60, known: 12, position: position() },
+            MembershipMessage::Hello {
+                record: record(7),
+                digest: 1 << 60,
+                known_items: 12,
+                position: position(),
+            },
         ),
-        ("pulse", MembershipMessage::KeepAlive { digest: 5, ask: true, position: TreePosition::default() }),
-        ("sums", MembershipMessage::PartDigests { digests: vec![1, 1 << 31] }),
         (
-            "index",
-            MembershipMessage::VersionIndex { parts: vec![0, 200], records: versions, entries: keyed() },
+            "keep-alive",
+            MembershipMessage::KeepAlive { digest: 5, wants_reply: true, position: TreePosition::default() },
         ),
+        ("bucket-digests", MembershipMessage::BucketDigests { digests: vec![1, 1 << 31] }),
         (
-            "want",
+            "version-index",
+            MembershipMessage::VersionIndex {
+                buckets: vec![0, 200],
+                records: versions,
+                entries: entry_revisions(),
+            },
+        ),
+        (
+            "fetch",
             MembershipMessage::Fetch {
-                records: vec![Node(7), Node(8)],
-                entries: vec!["configuration".to_string()],
+                nodes: vec![Node(7), Node(8)],
+                keys: vec!["configuration".to_string()],
             },
         ),
         (
-            "news",
+            "update",
             MembershipMessage::Update {
                 records: vec![NodeRecord { gone: true, ..record(8) }],
-                entries: vec![page()],
+                entries: vec![control_entry()],
             },
         ),
         (
             "snapshot",
-            MembershipMessage::Snapshot { records: vec![record(7), record(8)], entries: vec![page()] },
+            MembershipMessage::Snapshot {
+                records: vec![record(7), record(8)],
+                entries: vec![control_entry()],
+            },
         ),
         ("freshness-request", MembershipMessage::FreshnessRequest { number: 9 }),
-        ("freshness-reply", MembershipMessage::FreshnessReply { number: 9, revisions: Some(keyed()) }),
+        (
+            "freshness-reply",
+            MembershipMessage::FreshnessReply { number: 9, revisions: Some(entry_revisions()) },
+        ),
         ("freshness-reply-none", MembershipMessage::FreshnessReply { number: 9, revisions: None }),
     ];
     let datagrams = vec![
-        ("beat", Datagram::Heartbeat { incarnation: 1_700_000_000_000, sequence: 300 }),
-        ("dead", Datagram::DeclaredDead { incarnation: 1_700_000_000_000, sequence: 300 }),
-        ("ask", Datagram::Suspect { about: Node(7), incarnation: 4 }),
-        ("agree", Datagram::SuspectConfirmed { about: Node(7), incarnation: 4 }),
-        ("heard", Datagram::SuspectAlive { about: Node(7), incarnation: 4, elapsed: 750_000 }),
+        ("heartbeat", Datagram::Heartbeat { incarnation: 1_700_000_000_000, sequence: 300 }),
+        ("declared-dead", Datagram::DeclaredDead { incarnation: 1_700_000_000_000, sequence: 300 }),
+        ("suspect", Datagram::Suspect { suspect: Node(7), incarnation: 4 }),
+        ("suspect-confirmed", Datagram::SuspectConfirmed { suspect: Node(7), incarnation: 4 }),
+        (
+            "suspect-alive",
+            Datagram::SuspectAlive { suspect: Node(7), incarnation: 4, elapsed: Duration::from_millis(750) },
+        ),
     ];
     let mut lines = String::new();
     for (name, message) in messages {
--- a/crates/daemon/mesh/src/event_stream/state.rs
+++ b/crates/daemon/mesh/src/event_stream/state.rs
@@ -99,7 +99,7 @@
 
     /// A control entry is in force here.
     pub(crate) fn control_entry(&self, key: &str, revision: Revision, value: &ControlValue) {
-        let (round, owner, change) = revision;
+        let (round, owner, change) = revision.into();
         let place = Place { epoch: round, owner, ..Place::default() };
         let state = json!({ "owner": ip(owner as u32), "round": round }).to_string();
         self.append(Told { key: format!("owner/{key}"), place, state, rises: true, ..Told::default() });
--- a/crates/daemon/mesh/src/member_throttle/report.rs
+++ b/crates/daemon/mesh/src/member_throttle/report.rs
@@ -22,8 +22,8 @@
         "name": member.name, "plan": if member.plan == Plan::Full { "full" } else { "trial" }, "edition": member.version,
         "step": status.throttle_step.step, "of": status.throttle_step.total_steps, "lapsed": status.begun,
         "ageS": status.age.map(|micros| micros as f64 / 1e6), "lapsesAt": due.map(|micros| micros as f64 / 1e6),
-        "owner": revision.map(|revision| Ipv4Addr::from_bits(revision.1 as u32).to_string()),
-        "round": revision.map(|revision| revision.0),
+        "owner": revision.map(|revision| Ipv4Addr::from_bits(revision.owner as u32).to_string()),
+        "round": revision.map(|revision| revision.epoch),
     })
 }
 
--- a/crates/daemon/mesh/src/member_throttle/state.rs
+++ b/crates/daemon/mesh/src/member_throttle/state.rs
@@ -131,7 +131,7 @@
         let Some(name) = member_of_lapse_key(key) else { return };
         let lapse = lapse.unwrap_or_default();
         log_transition(log, name, self.lapses.borrow_mut().observe(now.as_micros(), name, &lapse));
-        let epoch = Epoch { round: revision.0, owner: revision.1 as u32 };
+        let epoch = Epoch { round: revision.epoch, owner: revision.owner as u32 };
         self.observed.borrow_mut().insert(name.to_string(), ObservedLapse { epoch, lapse });
         self.owner.borrow_mut().stirred.insert(name.to_string());
         self.changed.notify_one();
--- a/crates/daemon/mesh/src/node_state/control_entries.rs
+++ b/crates/daemon/mesh/src/node_state/control_entries.rs
@@ -75,7 +75,7 @@
         self.in_force.borrow_mut().configure(configuration);
         let idle_timeout = Duration::from_micros(self.routing_table().limits().idle_timeout);
         self.idle_timeout.borrow_mut().set_limit(self.now(), idle_timeout);
-        info!(self.log, "configuration in force"; "round" => revision.0, "change" => revision.2);
+        info!(self.log, "configuration in force"; "round" => revision.epoch, "change" => revision.sequence);
         self.update_upstream_allowance();
         self.reconfigure_balancers();
         self.routing_changed.notify_waiters();
--- a/crates/daemon/mesh/src/peers/deciders.rs
+++ b/crates/daemon/mesh/src/peers/deciders.rs
@@ -44,7 +44,7 @@
     fn next_deadline(&self) -> Instant {
         let of_membership = self.membership.borrow().next_deadline();
         let of_store = self.control_store.as_ref().and_then(|store| store.borrow().next_deadline());
-        Instant::from_micros(of_store.map_or(of_membership, |at| at.min(of_membership)))
+        of_store.map_or(of_membership, |at| Instant::from_micros(at).min(of_membership))
     }
 }
 
@@ -55,10 +55,10 @@
         let sleep = peers.next_deadline().saturating_since(node_state.now()).min(MAX_SLEEP);
         tokio::select! {
             _ = tokio::time::sleep(sleep.to_std()) => {
-                let now = node_state.now().as_micros();
+                let now = node_state.now();
                 peers.membership.borrow_mut().tick(now);
                 if let Some(store) = &peers.control_store {
-                    store.borrow_mut().tick(now);
+                    store.borrow_mut().tick(now.as_micros());
                 }
                 peers.carry_out_effects(&node_state);
             }
@@ -108,7 +108,7 @@
         let IpAddr::V4(from) = from.ip() else { continue };
         match bitcode::decode::<Datagram>(&buffer[..length]) {
             Ok(datagram) => {
-                let now = node_state.now().as_micros();
+                let now = node_state.now();
                 peers.membership.borrow_mut().receive_datagram(now, Node(from.to_bits()), datagram);
                 peers.carry_out_effects(&node_state);
             }
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -8,7 +8,7 @@
 use crate::node_state::NodeState;
 use crate::peer_connection;
 use silvercross_control_store::{CallOutcome, Effect as StoreEffect};
-use silvercross_mesh_membership::{Datagram, Effect as MembershipEffect, Node, NodeRecord};
+use silvercross_mesh_membership::{ControlEntry, Datagram, Effect as MembershipEffect, Node, NodeRecord};
 use std::rc::Rc;
 
 impl Peers {
@@ -36,7 +36,7 @@
                 self.update_replica_candidate(node_state, &record);
                 node_state.apply_record(record);
             }
-            MembershipEffect::EntryChanged { key, revision, bytes } => {
+            MembershipEffect::EntryChanged(ControlEntry { key, revision, bytes }) => {
                 if let Ok(control_value) = bitcode::decode::<ControlValue>(&bytes) {
                     node_state.apply_control_entry(&key, revision, control_value);
                 }
@@ -56,7 +56,7 @@
         let from = ip_of(self.own_node);
         tokio::task::spawn_local(async move {
             let connected = peer_connection::connect(Some(from), to, LINK_CONNECT_TIMEOUT).await.is_ok();
-            let now = node_state.now().as_micros();
+            let now = node_state.now();
             node_state.peers.membership.borrow_mut().probe_finished(now, node, connected);
             node_state.peers.carry_out_effects(&node_state);
         });
@@ -103,7 +103,7 @@
                 let revision = entry_revision(revision);
                 let value = value.published();
                 let bytes = bitcode::encode(&value);
-                self.membership.borrow_mut().publish(node_state.now().as_micros(), &key, revision, bytes);
+                self.membership.borrow_mut().publish(node_state.now(), &key, revision, bytes);
                 node_state.apply_control_entry(&key, revision, value);
             }
         }
@@ -114,7 +114,7 @@
 fn confirm_revisions(node_state: Rc<NodeState>, request_id: u64) {
     tokio::task::spawn_local(async move {
         let revisions = node_state.peers.confirmed_revisions(&node_state).await;
-        let now = node_state.now().as_micros();
+        let now = node_state.now();
         node_state.peers.membership.borrow_mut().revisions_confirmed(now, request_id, revisions);
         node_state.peers.carry_out_effects(&node_state);
     });
--- a/crates/daemon/mesh/src/peers/links.rs
+++ b/crates/daemon/mesh/src/peers/links.rs
@@ -46,10 +46,10 @@
 
     /// No link to this node is left.
     pub(super) fn link_lost(&self, node_state: &Rc<NodeState>, node: Node) {
-        let now = node_state.now().as_micros();
+        let now = node_state.now();
         self.membership.borrow_mut().link_down(now, node);
         if let Some(store) = &self.control_store {
-            store.borrow_mut().set_reachable(now, store_node(node), false);
+            store.borrow_mut().set_reachable(now.as_micros(), store_node(node), false);
         }
         self.deadline_changed.notify_one();
     }
@@ -83,10 +83,10 @@
         let number = self.take_number();
         let (link, queues) = Link::new(number);
         self.links.borrow_mut().entry(node).or_default().push(link);
-        let now = node_state.now().as_micros();
+        let now = node_state.now();
         self.membership.borrow_mut().link_up(now, node);
         if let Some(store) = &self.control_store {
-            store.borrow_mut().set_reachable(now, store_node(node), true);
+            store.borrow_mut().set_reachable(now.as_micros(), store_node(node), true);
         }
         self.carry_out_effects(node_state);
         (number, queues)
@@ -98,7 +98,7 @@
         match frame {
             Frame::Hello { .. } => return false,
             Frame::Membership(message) => {
-                self.membership.borrow_mut().receive(now.as_micros(), from, message);
+                self.membership.borrow_mut().receive(now, from, message);
             }
             Frame::ControlStore { replica_set_version, message } => {
                 if let Some(store) = &self.control_store {
--- a/crates/daemon/mesh/src/peers/majority_read.rs
+++ b/crates/daemon/mesh/src/peers/majority_read.rs
@@ -3,17 +3,14 @@
 use crate::control_value::{evacuation_key, ControlValue, CONFIGURATION_KEY};
 use crate::node_state::NodeState;
 use silvercross_control_store::CallOutcome;
-use silvercross_mesh_membership::Revision;
+use silvercross_mesh_membership::EntryRevision;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 impl Peers {
     /// The revisions of all keys that were ever written, each read by a majority; `None` where that can't be had now. A node
     /// whose store is no replica reads at those that are.
-    pub(super) async fn confirmed_revisions(
-        &self,
-        node_state: &Rc<NodeState>,
-    ) -> Option<Vec<(String, Revision)>> {
+    pub(super) async fn confirmed_revisions(&self, node_state: &Rc<NodeState>) -> Option<Vec<EntryRevision>> {
         let store = self.control_store.as_ref()?;
         let known = store.borrow().key_states().into_iter().map(|state| state.key);
         let zones = node_state.settings.zones.iter().map(|zone| evacuation_key(zone));
@@ -30,7 +27,8 @@
             for (key, call) in unread.iter().zip(calls) {
                 let CallOutcome::Value { revision, value } = self.outcome(call).await else { return None };
                 if value != ControlValue::Blank {
-                    revisions.push((key.clone(), entry_revision(revision)));
+                    let revision = entry_revision(revision);
+                    revisions.push(EntryRevision { key: key.clone(), revision });
                 }
                 named.extend(value.named_keys());
             }
--- a/crates/daemon/mesh/src/peers/own_node.rs
+++ b/crates/daemon/mesh/src/peers/own_node.rs
@@ -9,19 +9,19 @@
 impl Peers {
     /// Publish this node's record to all others.
     pub(crate) fn publish_own_record(&self, node_state: &Rc<NodeState>, body: RecordBody) {
-        self.membership.borrow_mut().update_body(node_state.now().as_micros(), body);
+        self.membership.borrow_mut().update_body(node_state.now(), body);
         self.carry_out_effects(node_state);
     }
 
     /// Go by other seeds than at the start.
     pub(crate) fn set_seeds(&self, node_state: &Rc<NodeState>, seeds: &[Node]) {
-        self.membership.borrow_mut().set_seeds(node_state.now().as_micros(), seeds);
+        self.membership.borrow_mut().set_seeds(node_state.now(), seeds);
         self.carry_out_effects(node_state);
     }
 
     /// This node leaves the mesh: its record says that it is gone.
     pub(crate) fn leave_membership(&self, node_state: &Rc<NodeState>) {
-        self.membership.borrow_mut().leave(node_state.now().as_micros());
+        self.membership.borrow_mut().leave(node_state.now());
         self.carry_out_effects(node_state);
     }
 
--- a/crates/daemon/mesh/src/peers/state.rs
+++ b/crates/daemon/mesh/src/peers/state.rs
@@ -56,7 +56,11 @@
 pub(super) fn entry_revision(
     revision: silvercross_control_store::Revision,
 ) -> silvercross_mesh_membership::Revision {
-    (revision.epoch.round, u64::from(revision.epoch.owner), revision.sequence)
+    silvercross_mesh_membership::Revision::new(
+        revision.epoch.round,
+        u64::from(revision.epoch.owner),
+        revision.sequence,
+    )
 }
 
 impl Peers {
--- a/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
+++ b/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
@@ -10,7 +10,8 @@
     ControlStore, Epoch, Metadata, ReplicaSet, Start, State, StoredKey, StoredState,
 };
 use silvercross_facade::Clock;
-use silvercross_mesh_membership::{Freshness, Membership, Node, READINESS_TIMEOUT};
+use silvercross_mesh_membership::{Freshness, Membership, Node, Revision, READINESS_TIMEOUT};
+use silvercross_time::Instant;
 use slog::{o, Discard, Logger};
 use std::cell::Cell;
 use std::net::Ipv4Addr;
@@ -95,7 +96,7 @@
         incarnation: 1,
         random_seed: u64::from(last),
     };
-    let membership = Membership::new(clock.now(), start, body);
+    let membership = Membership::new(Instant::from_micros(clock.now()), start, body);
     let udp = UdpSocket::bind((ip, port)).await.expect("the port");
     let links = TcpListener::bind((ip, port)).await.expect("the port");
     let (writes, todo) = std::sync::mpsc::channel::<disk::DiskWrite>();
@@ -147,7 +148,7 @@
 }
 
 fn change(node_state: &NodeState) -> u64 {
-    node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |revision| revision.0)
+    node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |revision| revision.epoch)
 }
 
 /// It had the configuration after one change and stood still; the others acknowledged a second one and stopped; it goes on.
@@ -157,8 +158,8 @@
         let port = port(&[1, 2, 11, 12]).await;
         let alone = process(1, port, Clock::system(), Some(disk_of(1, 1))).await;
         let page = bitcode::encode(&configuration(1));
-        let at = (1, u64::from(address(1).to_bits()), 1);
-        alone.peers.membership.borrow_mut().publish(alone.now().as_micros(), CONFIGURATION_KEY, at, page);
+        let at = Revision::new(1, u64::from(address(1).to_bits()), 1);
+        alone.peers.membership.borrow_mut().publish(alone.now(), CONFIGURATION_KEY, at, page);
         let ((slow, _), (quick, moved)) = (clock(), clock());
         let waits = process(11, port, slow, None).await;
         let serves = process(12, port, quick, None).await;
@@ -173,7 +174,7 @@
             );
         }
         // While there is no majority they serve what they have, once the bound is passed.
-        moved.set(moved.get() + READINESS_TIMEOUT);
+        moved.set(moved.get() + READINESS_TIMEOUT.as_micros());
         until(|| serves.is_ready()).await;
         assert!(matches!(serves.freshness(), Freshness::TimedOut { after } if after >= READINESS_TIMEOUT));
         assert_eq!((change(&serves), waits.is_ready()), (1, false));
--- a/crates/daemon/mesh/src/peers/tests/links.rs
+++ b/crates/daemon/mesh/src/peers/tests/links.rs
@@ -49,7 +49,7 @@
         let (link, queues) = Link::new(1);
         let entry = silvercross_mesh_membership::ControlEntry {
             key: "k".to_string(),
-            revision: (1, 2, 3),
+            revision: silvercross_mesh_membership::Revision::new(1, 2, 3),
             bytes: vec![7; 1 << 20],
         };
         let update = MembershipMessage::Update { records: Vec::new(), entries: vec![entry] };
--- a/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
+++ b/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
@@ -100,7 +100,8 @@
         gone: false,
         body: body(),
     };
-    let hello = MembershipMessage::Hello { record, digest: 5, known: 12, position: TreePosition::default() };
+    let hello =
+        MembershipMessage::Hello { record, digest: 5, known_items: 12, position: TreePosition::default() };
     let copy = Message::Append {
         key: "configuration".to_string(),
         epoch: epoch(),
@@ -116,7 +117,7 @@
     vec![
         ("hello", Frame::Hello { version: PROTOCOL_VERSION, node: 0x7f00_0001 }),
         ("membership-hello", Frame::Membership(hello)),
-        ("membership-sums", Frame::Membership(MembershipMessage::PartDigests { digests: vec![1, 2] })),
+        ("membership-sums", Frame::Membership(MembershipMessage::BucketDigests { digests: vec![1, 2] })),
         ("store-claim", store(Message::Claim { key: key(), epoch: epoch() })),
         ("store-copy", store(copy)),
         ("store-forward", store(Message::Forward { id: 5, key: key(), under: epoch(), ask })),
--- a/crates/daemon/mesh/src/startup.rs
+++ b/crates/daemon/mesh/src/startup.rs
@@ -97,7 +97,7 @@
         control_port: settings.control_address.map_or(0, |address| address.port()),
         ..RecordBody::default()
     };
-    Membership::new(now.as_micros(), config, body)
+    Membership::new(now, config, body)
 }
 
 /// The control store by what the disk holds; `None` on a node without a disk.
--- a/crates/daemon/mesh/src/state_report.rs
+++ b/crates/daemon/mesh/src/state_report.rs
@@ -6,6 +6,7 @@
 use serde_json::{json, Value};
 use silvercross_control_store::{ControlStore, Role};
 use silvercross_mesh_membership::{Freshness, NodeRecord};
+use silvercross_time::Duration;
 use std::net::Ipv4Addr;
 
 fn address(node: u32) -> String {
@@ -85,14 +86,14 @@
         .revisions()
         .iter()
         .map(|(key, revision)| {
-            json!({ "key": key, "round": revision.0, "owner": address(revision.1 as u32), "change": revision.2 })
+            json!({ "key": key, "round": revision.epoch, "owner": address(revision.owner as u32), "change": revision.sequence })
         })
         .collect();
     let nodes: Vec<Value> = peers.membership(|membership| membership.records().map(node_row).collect());
     let parent = peers.membership(|membership| membership.parent()).map(|parent| address(parent.0));
     let linked: Vec<String> =
         peers.membership(|membership| membership.linked_nodes().iter().map(|node| address(node.0)).collect());
-    let sync_age = peers.membership(|membership| membership.last_sync_age(node_state.now().as_micros()));
+    let sync_age = peers.membership(|membership| membership.last_sync_age(node_state.now()));
     let (freshness, after) = match node_state.freshness() {
         Freshness::Waiting => ("waiting", None),
         Freshness::Current { after } => ("current", Some(after)),
@@ -100,9 +101,9 @@
     };
     json!({ "node": settings.name, "ip": settings.ip.to_string(), "zone": settings.zone, "zones": settings.zones,
         "core": settings.is_control, "version": env!("CARGO_PKG_VERSION"), "parent": parent, "linked": linked,
-        "newsAgeUs": sync_age, "ready": node_state.is_ready(),
+        "newsAgeUs": sync_age.map(Duration::as_micros), "ready": node_state.is_ready(),
         "unready": node_state.not_ready().map(|reason| reason.to_string()), "freshness": freshness,
-        "freshnessUs": after, "configured": node_state.configured(), "evacuated": node_state.evacuated_zones(),
+        "freshnessUs": after.map(Duration::as_micros), "configured": node_state.configured(), "evacuated": node_state.evacuated_zones(),
         "revisions": revisions, "nodes": nodes, "owns": peers.control_store(owned_keys),
         "ledger": peers.control_store(store_report),
         "disk": peers.control_store(|_| disk_report(node_state)) })
--- a/crates/daemon/mesh/src/tests/support/sidecar.rs
+++ b/crates/daemon/mesh/src/tests/support/sidecar.rs
@@ -7,9 +7,9 @@
 use silvercross_admission::AdmissionController;
 use silvercross_control_store::State;
 use silvercross_mesh_membership::{
-    Effect, Membership, MembershipConfig, MembershipMessage, Node, NodeRecord, TreePosition,
+    Effect, Membership, MembershipConfig, MembershipMessage, Node, NodeRecord, Revision, TreePosition,
 };
-use silvercross_time::Duration;
+use silvercross_time::{Duration, Instant};
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -86,7 +86,7 @@
     let mut settings = settings::parse(&text).expect("settings");
     (settings.memory_bytes, settings.max_descriptors) = (options.memory_bytes, options.descriptors);
     let clock = silvercross_facade::Clock::read_by(now);
-    let membership = isolated_membership(ip, inbound.port(), clock.now());
+    let membership = isolated_membership(ip, inbound.port(), Instant::from_micros(clock.now()));
     let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
     let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
         settings.reloadable.limits.admission_bounds(),
@@ -100,7 +100,7 @@
     let mut control_value = ControlValue::Blank;
     let change = silvercross_mesh_config::parse_change(configuration().as_bytes()).expect("a configuration");
     control_value.apply(&ControlChange::Patch(change)).expect("applies");
-    node_state.apply_control_entry(CONFIGURATION_KEY, (1, 1, 1), control_value.clone());
+    node_state.apply_control_entry(CONFIGURATION_KEY, Revision::new(1, 1, 1), control_value.clone());
     let control_value = Rc::new(RefCell::new(control_value));
     StartedSidecar { sidecar: Sidecar { node_state, outbound, inbound, ip, control_value }, settings: text }
 }
@@ -131,7 +131,7 @@
 }
 
 /// Membership of a node that knows itself only, and that its state is current.
-fn isolated_membership(ip: Ipv4Addr, inbound: u16, now: i64) -> Membership<RecordBody> {
+fn isolated_membership(ip: Ipv4Addr, inbound: u16, now: Instant) -> Membership<RecordBody> {
     let body = RecordBody { inbound_port: inbound, ..RecordBody::default() };
     let config = MembershipConfig {
         local_node: Node(ip.to_bits()),
@@ -147,13 +147,13 @@
 }
 
 /// A control node links with the sidecar, says that a majority has acknowledged nothing so far, and goes.
-fn become_current(membership: &mut Membership<RecordBody>, now: i64) {
+fn become_current(membership: &mut Membership<RecordBody>, now: Instant) {
     let node = Node(Ipv4Addr::new(127, 0, 0, 250).to_bits());
     let body = RecordBody::default();
     let record = node_record(node, "a", true, body);
     let position = TreePosition { path: vec![node], ..TreePosition::default() };
     membership.link_up(now, node);
-    let hello = MembershipMessage::Hello { record: record.clone(), digest: 0, known: 2, position };
+    let hello = MembershipMessage::Hello { record: record.clone(), digest: 0, known_items: 2, position };
     membership.receive(now, node, hello);
     let asked = membership.take_effects().into_iter().find_map(|effect| match effect {
         Effect::SendMessage { message: MembershipMessage::FreshnessRequest { number }, .. } => Some(number),
@@ -192,10 +192,10 @@
         let change = silvercross_mesh_config::parse_change(change.as_bytes()).expect("a change");
         let mut control_value = self.control_value.borrow_mut();
         control_value.apply(&ControlChange::Patch(change)).expect("applies");
-        let number = self.node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |r| r.2) + 1;
+        let number = self.node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |r| r.sequence) + 1;
         self.node_state.apply_control_entry(
             CONFIGURATION_KEY,
-            (1, 1, number),
+            Revision::new(1, 1, number),
             control_value.clone().published(),
         );
     }
--- a/crates/testing/control-sim/src/convert.rs
+++ b/crates/testing/control-sim/src/convert.rs
@@ -15,11 +15,10 @@
 
 /// A revision that came with a membership update, for the history.
 pub(crate) fn observed_update(revision: membership::Revision) -> ObservedRevision {
-    let (round, owner, sequence) = revision;
-    ObservedRevision { round, owner, sequence }
+    ObservedRevision { round: revision.epoch, owner: revision.owner, sequence: revision.sequence }
 }
 
 /// A revision for a membership update.
 pub(crate) fn update(revision: ObservedRevision) -> membership::Revision {
-    (revision.round, revision.owner, revision.sequence)
+    membership::Revision::new(revision.round, revision.owner, revision.sequence)
 }
--- a/crates/testing/control-sim/src/effects.rs
+++ b/crates/testing/control-sim/src/effects.rs
@@ -46,7 +46,7 @@
             is_stopping: machine.is_stopping,
         };
         if let Some(membership) = &mut machine.membership {
-            membership.update_body(now, status);
+            membership.update_body(Instant::from_micros(now), status);
         }
     }
 
@@ -73,7 +73,7 @@
         let Some(membership) = &machine.membership else { return };
         let store_deadline = machine.store.as_ref().and_then(ControlStore::next_deadline);
         let deadline =
-            Instant::from_micros(membership.next_deadline().min(store_deadline.unwrap_or(i64::MAX)));
+            membership.next_deadline().min(store_deadline.map_or(Instant::MAX, Instant::from_micros));
         let most = if machine.is_control { STATUS_INTERVAL } else { MAX_SIDECAR_SLEEP };
         let sleep = deadline.saturating_since(local_now).clamp(Duration::from_micros(1), most);
         let wakeup = now + sleep;
@@ -114,7 +114,7 @@
             }
             Effect::ConfirmRevisions { request_id } => self.begin_majority_read(node, request_id),
             Effect::RecordChanged(record) => self.report_candidate(node, record),
-            Effect::EntryChanged { key, revision, bytes } => {
+            Effect::EntryChanged(membership::ControlEntry { key, revision, bytes }) => {
                 if let Ok(items) = bitcode::decode::<Items>(&bytes) {
                     self.apply_value(node, &key, observed_update(revision), items);
                 }
@@ -154,7 +154,7 @@
                 let revision = observed(revision);
                 let (now, bytes) = (self.local_now(node).as_micros(), bitcode::encode(&value));
                 if let Some(membership) = &mut self.nodes[node].membership {
-                    membership.publish(now, &key, update(revision), bytes);
+                    membership.publish(Instant::from_micros(now), &key, update(revision), bytes);
                 }
                 self.apply_value(node, &key, revision, value);
             }
--- a/crates/testing/control-sim/src/fault_end.rs
+++ b/crates/testing/control-sim/src/fault_end.rs
@@ -52,7 +52,7 @@
             return self.end_fault_after(SIGN_OFF_INTERVAL, again);
         }
         if let Some(membership) = machine.membership.as_mut().filter(|_| !machine.is_frozen) {
-            membership.leave(now);
+            membership.leave(Instant::from_micros(now));
             self.run_effects(node);
         }
     }
--- a/crates/testing/control-sim/src/lifecycle.rs
+++ b/crates/testing/control-sim/src/lifecycle.rs
@@ -67,7 +67,7 @@
             random_seed: seed,
         };
         let status = NodeStatus { replica_ids: Vec::new(), is_stopping: false };
-        let membership = Membership::new(now.as_micros(), start, status);
+        let membership = Membership::new(now, start, status);
         self.nodes[node].membership = Some(mutated_membership(membership, self.plan.membership_mutation));
     }
 
@@ -166,7 +166,7 @@
             return;
         }
         if let Some(membership) = &mut self.nodes[node].membership {
-            membership.set_seeds(now, &ids);
+            membership.set_seeds(Instant::from_micros(now), &ids);
             self.run_effects(node);
         }
     }
--- a/crates/testing/control-sim/src/majority_reads.rs
+++ b/crates/testing/control-sim/src/majority_reads.rs
@@ -6,6 +6,8 @@
 use crate::plan::key_name;
 use crate::world::World;
 use silvercross_control_store::CallOutcome;
+use silvercross_mesh_membership::EntryRevision;
+use silvercross_time::Instant;
 
 /// Tokens of these reads; operators' are below.
 const FIRST_MAJORITY_READ_TOKEN: u64 = 1 << 40;
@@ -55,8 +57,11 @@
         }
         let Some(read) = machine.majority_reads.remove(&request_id) else { return };
         if let Some(membership) = &mut machine.membership {
-            let confirmed =
-                read.confirmed.into_iter().map(|confirmed| (confirmed.key, update(confirmed.revision)));
+            let confirmed = read
+                .confirmed
+                .into_iter()
+                .map(|confirmed| EntryRevision { key: confirmed.key, revision: update(confirmed.revision) });
+            let now = Instant::from_micros(now);
             membership.revisions_confirmed(now, request_id, is_read.then(|| confirmed.collect()));
         }
     }
--- a/crates/testing/control-sim/src/network.rs
+++ b/crates/testing/control-sim/src/network.rs
@@ -10,7 +10,7 @@
 use silvercross_control_store as control;
 use silvercross_mesh_membership as membership;
 use silvercross_mesh_membership::Datagram;
-use silvercross_time::Duration;
+use silvercross_time::{Duration, Instant};
 
 /// A connection that nobody accepts fails after this.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -174,7 +174,7 @@
         let (now, peer_id) = (self.local_now(node).as_micros(), self.nodes[peer].id);
         let machine = &mut self.nodes[node];
         if let Some(membership) = &mut machine.membership {
-            membership.link_down(now, membership::Node(peer_id));
+            membership.link_down(Instant::from_micros(now), membership::Node(peer_id));
         }
         if let Some(store) = &mut machine.store {
             store.set_reachable(now, control::Node(peer_id), false);
@@ -187,7 +187,7 @@
         let machine = &mut self.nodes[node];
         machine.connections.entry(peer).or_default().push(connection);
         if let Some(membership) = &mut machine.membership {
-            membership.link_up(now, membership::Node(peer_id));
+            membership.link_up(Instant::from_micros(now), membership::Node(peer_id));
         }
         if let Some(store) = &mut machine.store {
             store.set_reachable(now, control::Node(peer_id), true);
--- a/crates/testing/control-sim/src/node_events.rs
+++ b/crates/testing/control-sim/src/node_events.rs
@@ -36,7 +36,7 @@
             Event::DatagramArrived { from, to, datagram } => {
                 let (now, from) = (self.local_now(to).as_micros(), Node(self.nodes[from].id));
                 if let Some(membership) = &mut self.nodes[to].membership {
-                    membership.receive_datagram(now, from, datagram);
+                    membership.receive_datagram(Instant::from_micros(now), from, datagram);
                     self.run_effects(to);
                 }
             }
@@ -44,7 +44,7 @@
                 let (now, about) = (self.local_now(node).as_micros(), Node(self.nodes[about].id));
                 let is_current = self.nodes[node].generation == generation;
                 if let Some(membership) = self.nodes[node].membership.as_mut().filter(|_| is_current) {
-                    membership.probe_finished(now, about, is_reachable);
+                    membership.probe_finished(Instant::from_micros(now), about, is_reachable);
                     self.run_effects(node);
                 }
             }
@@ -69,7 +69,7 @@
         let machine = &mut self.nodes[node];
         machine.next_wakeup = Instant::MAX;
         if let Some(membership) = &mut machine.membership {
-            membership.tick(now.as_micros());
+            membership.tick(now);
         }
         if let Some(store) = &mut machine.store {
             store.tick(now.as_micros());
@@ -94,7 +94,7 @@
         match frame {
             Frame::Membership(message) => {
                 if let Some(membership) = &mut machine.membership {
-                    membership.receive(now, Node(from_id), message);
+                    membership.receive(Instant::from_micros(now), Node(from_id), message);
                 }
             }
             Frame::Store { version, message } => {
