--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -58,13 +58,13 @@
         let (total, body_bytes) = (budget.total, body.prefix().len());
         match member_throttle::throttle_request(node_state, head, route, attempt_id, total, body_bytes).await
         {
-            ThrottleDecision::Proceed { standing, delayed } => {
-                (step, budget.spent) = (standing, delayed);
+            ThrottleDecision::Proceed { step: of_member, delayed } => {
+                (step, budget.spent) = (of_member, delayed);
             }
-            ThrottleDecision::Reject { standing, retry_after } => {
+            ThrottleDecision::Reject { step, retry_after } => {
                 let why = "a lapsed trial's request has too little time";
                 let mut response = ClientResponse::not_run(429, why, Some(retry_after));
-                member_throttle::set_step_header(&mut response.lines, Some(standing));
+                member_throttle::set_step_header(&mut response.lines, Some(step));
                 return response;
             }
             ThrottleDecision::UnknownMember => {
--- a/crates/daemon/mesh/src/disk/error.rs
+++ b/crates/daemon/mesh/src/disk/error.rs
@@ -25,7 +25,9 @@
     /// A sync failed: nobody knows what the disk holds.
     SyncFailed { path: String, cause: String },
     /// Writing failed in a running process, for whatever reason: nobody knows what the disk holds.
-    WriterFailed { cause: String },
+    FailedWhileRunning(Box<DiskError>),
+    /// The writer thread has ended.
+    ThreadEnded { cause: String },
     /// The file was removed under the running process.
     FileMissing { path: String },
     /// The file or folder can't be opened, read or written; nothing is known against the content.
@@ -78,7 +80,7 @@
     /// The code that the process ends with.
     pub(crate) fn exit_code(&self) -> i32 {
         match self {
-            DiskError::SyncFailed { .. } | DiskError::WriterFailed { .. } => EXIT_DISK_FAILED,
+            DiskError::SyncFailed { .. } | DiskError::FailedWhileRunning(_) => EXIT_DISK_FAILED,
             _ => EXIT_CANNOT_START,
         }
     }
@@ -105,7 +107,10 @@
             DiskError::NoThread { cause } => {
                 write!(f, "the disk's thread can't be started: {cause} (raise the limits of this process)")
             }
-            DiskError::WriterFailed { cause } => f.write_str(cause),
+            DiskError::FailedWhileRunning(error) => error.fmt(f),
+            DiskError::ThreadEnded { cause } => {
+                write!(f, "the disk's thread has ended: {cause} (start this process again)")
+            }
             DiskError::Damaged { path, cause }
             | DiskError::OutOfSpace { path, cause }
             | DiskError::SyncFailed { path, cause } => write!(f, "{path}: {cause}"),
--- a/crates/daemon/mesh/src/disk/messages.rs
+++ b/crates/daemon/mesh/src/disk/messages.rs
@@ -1,4 +1,5 @@
 //! What goes to the writer thread and what comes back from it.
+use super::error::DiskError;
 use crate::control_value::ControlValue;
 use silvercross_control_store::{Metadata, StoredKey};
 use std::sync::mpsc;
@@ -22,9 +23,9 @@
     /// This write and all before it are synced.
     Synced(u64),
     /// The disk takes no writes, and why. Pending ones are retried.
-    OutOfSpace(String),
+    OutOfSpace(DiskError),
     /// The disk takes writes again.
     SpaceAvailable,
     /// What the disk holds is unknown from here on: the process has to end. Nothing is reported after this.
-    Failed(String),
+    Failed(DiskError),
 }
--- a/crates/daemon/mesh/src/disk/recovery.rs
+++ b/crates/daemon/mesh/src/disk/recovery.rs
@@ -51,7 +51,7 @@
     }
     let (database, out_of_space) = match opened {
         Ok(database) => (Some(database), None),
-        Err(error @ DiskError::OutOfSpace { .. }) => (None, Some(error.to_string())),
+        Err(error @ DiskError::OutOfSpace { .. }) => (None, Some(error)),
         Err(error) => return Err(error),
     };
     let exists = |name: &str| match folder.open(name) {
--- a/crates/daemon/mesh/src/disk/tests/memory_folder.rs
+++ b/crates/daemon/mesh/src/disk/tests/memory_folder.rs
@@ -14,9 +14,9 @@
 
 #[derive(Clone, Debug, Default)]
 struct Content {
-    now: Vec<u8>,
+    current: Vec<u8>,
     synced: Vec<u8>,
-    since: Vec<Change>,
+    unsynced: Vec<Change>,
 }
 
 #[derive(Clone, Debug)]
@@ -30,8 +30,8 @@
     files: Vec<Content>,
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
-    /// Since the folder was synced.
-    since: Vec<NameChange>,
+    /// Changes of names since the folder was synced.
+    unsynced: Vec<NameChange>,
     /// Operations that change something, so far.
     done: usize,
     /// Power goes after so many.
@@ -119,8 +119,8 @@
 
 fn left(content: &Content, kept: Kept) -> Vec<u8> {
     let mut bytes = content.synced.clone();
-    let last = content.since.len().saturating_sub(1);
-    for (i, op) in content.since.iter().enumerate() {
+    let last = content.unsynced.len().saturating_sub(1);
+    for (i, op) in content.unsynced.iter().enumerate() {
         let there = match kept {
             Kept::None => false,
             Kept::All | Kept::Torn | Kept::TornFront => true,
@@ -184,13 +184,13 @@
     /// A file's content, and a way to put another there.
     pub(super) fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let inner = self.inner();
-        inner.names.get(name).map(|file| inner.files[*file].now.clone())
+        inner.names.get(name).map(|file| inner.files[*file].current.clone())
     }
 
     pub(super) fn put(&self, name: &str, bytes: Vec<u8>) {
         let mut inner = self.inner();
         let file = inner.files.len();
-        inner.files.push(Content { now: bytes.clone(), synced: bytes, since: Vec::new() });
+        inner.files.push(Content { current: bytes.clone(), synced: bytes, unsynced: Vec::new() });
         inner.names.insert(name.to_string(), file);
         inner.durable_names.insert(name.to_string(), file);
     }
@@ -199,9 +199,9 @@
     pub(super) fn after_power_loss(&self) -> Vec<(String, MemoryFolder)> {
         let inner = self.inner();
         let mut all = Vec::new();
-        for names in 0..1_u32 << inner.since.len() {
+        for names in 0..1_u32 << inner.unsynced.len() {
             let mut durable_names = inner.durable_names.clone();
-            for (_, name) in inner.since.iter().enumerate().filter(|(i, _)| names >> i & 1 == 1) {
+            for (_, name) in inner.unsynced.iter().enumerate().filter(|(i, _)| names >> i & 1 == 1) {
                 match name {
                     NameChange::Made(name, file) => durable_names.insert(name.clone(), *file),
                     NameChange::Renamed(from, to, file) => {
@@ -245,7 +245,7 @@
         let file = inner.files.len();
         inner.files.push(Content::default());
         inner.names.insert(name.to_string(), file);
-        inner.since.push(NameChange::Made(name.to_string(), file));
+        inner.unsynced.push(NameChange::Made(name.to_string(), file));
         Ok(File(self.clone(), file))
     }
 
@@ -254,7 +254,7 @@
         inner.may(Operation::Rename)?;
         let file = inner.names.remove(from).ok_or(ErrorKind::NotFound)?;
         inner.names.insert(to.to_string(), file);
-        inner.since.push(NameChange::Renamed(from.to_string(), to.to_string(), file));
+        inner.unsynced.push(NameChange::Renamed(from.to_string(), to.to_string(), file));
         Ok(())
     }
 
@@ -262,7 +262,7 @@
         let mut inner = self.inner();
         inner.may(Operation::FolderSync)?;
         inner.durable_names = inner.names.clone();
-        inner.since.clear();
+        inner.unsynced.clear();
         Ok(())
     }
 
@@ -273,14 +273,14 @@
 
 impl StorageBackend for File {
     fn len(&self) -> Result<u64, Error> {
-        Ok(self.0.inner().files[self.1].now.len() as u64)
+        Ok(self.0.inner().files[self.1].current.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
         let mut inner = self.0.inner();
         inner.may(Operation::Read)?;
         let at = offset as usize;
-        let piece = inner.files[self.1].now.get(at..at + out.len()).ok_or(ErrorKind::UnexpectedEof)?;
+        let piece = inner.files[self.1].current.get(at..at + out.len()).ok_or(ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(piece);
         Ok(())
     }
@@ -297,8 +297,8 @@
         let mut inner = self.0.inner();
         inner.may(Operation::Sync)?;
         let content = &mut inner.files[self.1];
-        content.synced = content.now.clone();
-        content.since.clear();
+        content.synced = content.current.clone();
+        content.unsynced.clear();
         Ok(())
     }
 }
@@ -308,8 +308,8 @@
         let mut inner = self.0.inner();
         inner.may(Operation::Write)?;
         let content = &mut inner.files[self.1];
-        apply(&mut content.now, &op);
-        content.since.push(op);
+        apply(&mut content.current, &op);
+        content.unsynced.push(op);
         Ok(())
     }
 }
--- a/crates/daemon/mesh/src/disk/thread.rs
+++ b/crates/daemon/mesh/src/disk/thread.rs
@@ -59,8 +59,8 @@
     received: &mpsc::Receiver<DiskWrite>,
     report: &UnboundedSender<DiskEvent>,
 ) {
-    if let Some(cause) = &writer.out_of_space {
-        let _ = report.send(DiskEvent::OutOfSpace(cause.clone()));
+    if let Some(error) = &writer.out_of_space {
+        let _ = report.send(DiskEvent::OutOfSpace(error.clone()));
     }
     loop {
         if writer.out_of_space.is_some() {
--- a/crates/daemon/mesh/src/disk/writer.rs
+++ b/crates/daemon/mesh/src/disk/writer.rs
@@ -15,7 +15,7 @@
     /// Not synced yet, in order. As many as the store has under way.
     pub(super) pending: Vec<DiskWrite>,
     /// Why it takes no writes.
-    pub(super) out_of_space: Option<String>,
+    pub(super) out_of_space: Option<DiskError>,
 }
 
 impl<F: Folder> Writer<F> {
@@ -31,11 +31,10 @@
                 // After an error redb takes nothing more; the file is opened again with the next try, and what of the failed
                 // transaction came onto the disk is undone or overwritten by then.
                 self.database = None;
-                let cause = error.to_string();
-                let is_first = self.out_of_space.replace(cause.clone()).is_none();
-                is_first.then_some(DiskEvent::OutOfSpace(cause)).into_iter().collect()
+                let is_first = self.out_of_space.replace(error.clone()).is_none();
+                is_first.then_some(DiskEvent::OutOfSpace(error)).into_iter().collect()
             }
-            Err(error) => vec![DiskEvent::Failed(error.to_string())],
+            Err(error) => vec![DiskEvent::Failed(error)],
         }
     }
 
--- a/crates/daemon/mesh/src/member_throttle/requests.rs
+++ b/crates/daemon/mesh/src/member_throttle/requests.rs
@@ -15,14 +15,14 @@
     /// It goes on.
     Proceed {
         /// The step that holds for it to its end, if it is a member's on trial.
-        standing: Option<ThrottleStep>,
+        step: Option<ThrottleStep>,
         /// How long it has waited.
         delayed: Duration,
     },
     /// It has too little time left.
     Reject {
         /// The step in force.
-        standing: ThrottleStep,
+        step: ThrottleStep,
         /// When to come back.
         retry_after: Duration,
     },
@@ -31,8 +31,8 @@
 }
 
 impl ThrottleDecision {
-    fn proceed_at_once(standing: Option<ThrottleStep>) -> Self {
-        ThrottleDecision::Proceed { standing, delayed: Duration::ZERO }
+    fn proceed_at_once(step: Option<ThrottleStep>) -> Self {
+        ThrottleDecision::Proceed { step, delayed: Duration::ZERO }
     }
 }
 
@@ -77,28 +77,29 @@
         RequestIdentity::Reject => return ThrottleDecision::UnknownMember,
     };
     let from = node_state.now();
-    let step = members.lapses.borrow().status(from.as_micros(), member).throttle_step;
+    let member_step = members.lapses.borrow().status(from.as_micros(), member).throttle_step;
     let (kind, target) = (route_kind(route), route.latency_target);
-    let throttle = RequestThrottle::at_head(member, step, kind, id.as_bytes(), target, budget.as_micros());
-    let standing = throttle.throttle_step();
+    let throttle =
+        RequestThrottle::at_head(member, member_step, kind, id.as_bytes(), target, budget.as_micros());
+    let step = throttle.throttle_step();
     let wait = match throttle.decision() {
-        DelayDecision::Forward => return ThrottleDecision::proceed_at_once(Some(standing)),
+        DelayDecision::Forward => return ThrottleDecision::proceed_at_once(Some(step)),
         DelayDecision::Reject { retry_after } => {
             members.rejected.set(members.rejected.get() + 1);
-            return ThrottleDecision::Reject { standing, retry_after: Duration::from_micros(retry_after) };
+            return ThrottleDecision::Reject { step, retry_after: Duration::from_micros(retry_after) };
         }
         DelayDecision::Delay(wait) => wait,
     };
     let (release, released) = oneshot::channel();
     let queued = members.delayed.borrow_mut().push(from.as_micros(), wait, bytes, release);
-    let Ok(ticket) = queued else { return ThrottleDecision::proceed_at_once(Some(standing)) };
+    let Ok(ticket) = queued else { return ThrottleDecision::proceed_at_once(Some(step)) };
     let delayed_request = DelayedRequest { members, ticket };
-    let tenth = (standing.step * 10).div_ceil(standing.total_steps.max(1)).min(10) as usize;
+    let tenth = (step.step * 10).div_ceil(step.total_steps.max(1)).min(10) as usize;
     let count = &members.delays_by_tenth[tenth];
     count.set(count.get() + 1);
     // It goes on when its time is up, or earlier when the process stops.
     let _ = tokio::time::timeout(Duration::from_micros(wait).to_std(), released).await;
     drop(delayed_request);
     let delayed = (node_state.now() - from).max(Duration::ZERO);
-    ThrottleDecision::Proceed { standing: Some(standing), delayed }
+    ThrottleDecision::Proceed { step: Some(step), delayed }
 }
--- a/crates/daemon/mesh/src/member_throttle/step_header.rs
+++ b/crates/daemon/mesh/src/member_throttle/step_header.rs
@@ -14,7 +14,7 @@
 }
 
 /// Put the step among a response's header lines; one that came from elsewhere is left out.
-pub(crate) fn set_step_header(lines: &mut Vec<u8>, standing: Option<ThrottleStep>) {
+pub(crate) fn set_step_header(lines: &mut Vec<u8>, step: Option<ThrottleStep>) {
     if header_values(lines, STEP_HEADER).next().is_some() {
         let mut kept = Vec::with_capacity(lines.len());
         for line in lines.split_inclusive(|byte| *byte == b'\n') {
@@ -24,7 +24,7 @@
         }
         *lines = kept;
     }
-    if let Some(standing) = standing {
-        lines.extend_from_slice(format!("{STEP_HEADER}: {standing}\r\n").as_bytes());
+    if let Some(step) = step {
+        lines.extend_from_slice(format!("{STEP_HEADER}: {step}\r\n").as_bytes());
     }
 }
--- a/crates/daemon/mesh/src/peers/deciders.rs
+++ b/crates/daemon/mesh/src/peers/deciders.rs
@@ -1,7 +1,7 @@
 //! The loop of the two deciders: their time passes, what the disk and datagrams bring is handed to them, and their effects are
 //! carried out until they want nothing more.
 use super::state::Peers;
-use crate::disk::DiskEvent;
+use crate::disk::{DiskError, DiskEvent};
 use crate::node_state::NodeState;
 use silvercross_mesh_membership::{Datagram, Node};
 use silvercross_time::{Duration, Instant};
@@ -71,29 +71,29 @@
 pub(crate) async fn follow_disk(
     node_state: Rc<NodeState>,
     mut events: mpsc::UnboundedReceiver<DiskEvent>,
-) -> String {
+) -> DiskError {
     let peers = &node_state.peers;
     while let Some(event) = events.recv().await {
         let Some(store) = &peers.control_store else { continue };
         let now = node_state.now().as_micros();
         match event {
             DiskEvent::Synced(write) => store.borrow_mut().write_completed(now, write),
-            DiskEvent::OutOfSpace(cause) => {
+            DiskEvent::OutOfSpace(error) => {
                 warn!(node_state.log, "disk full: this node promises nothing and gives up its keys until there is space";
-                    "why" => cause.as_str(), "mend" => "free space on the disk of dataDir");
-                *peers.disk_full_cause.borrow_mut() = Some(cause);
+                    "why" => error.to_string(), "mend" => "free space on the disk of dataDir");
+                *peers.disk_full.borrow_mut() = Some(error);
                 store.borrow_mut().set_disk_has_space(now, false);
             }
             DiskEvent::SpaceAvailable => {
                 info!(node_state.log, "disk has space again");
-                *peers.disk_full_cause.borrow_mut() = None;
+                *peers.disk_full.borrow_mut() = None;
                 store.borrow_mut().set_disk_has_space(now, true);
             }
-            DiskEvent::Failed(cause) => return cause,
+            DiskEvent::Failed(error) => return error,
         }
         peers.carry_out_effects(&node_state);
     }
-    "its thread has ended".to_string()
+    DiskError::ThreadEnded { cause: "it sends nothing more".to_string() }
 }
 
 /// Take datagrams, for as long as the process lives.
--- a/crates/daemon/mesh/src/peers/state.rs
+++ b/crates/daemon/mesh/src/peers/state.rs
@@ -4,7 +4,7 @@
 use super::frame_writer::Link;
 use super::record::RecordBody;
 use crate::control_value::ControlValue;
-use crate::disk::DiskWriteSender;
+use crate::disk::{DiskError, DiskWriteSender};
 use silvercross_control_store::{CallOutcome, ControlStore};
 use silvercross_mesh_membership::{Membership, Node};
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
     pub(super) control_store: Option<RefCell<ControlStore<ControlValue>>>,
     pub(super) disk_writes: Option<DiskWriteSender>,
     /// Why the disk takes no writes, while it takes none.
-    pub(super) disk_full_cause: RefCell<Option<String>>,
+    pub(super) disk_full: RefCell<Option<DiskError>>,
     pub(super) pending_calls: RefCell<BTreeMap<u64, oneshot::Sender<CallOutcome<ControlValue>>>>,
     /// The links that are up, by node; the newest is written to.
     pub(super) links: RefCell<BTreeMap<Node, Vec<Link>>>,
@@ -82,7 +82,7 @@
             membership: RefCell::new(membership),
             control_store,
             disk_writes,
-            disk_full_cause: RefCell::default(),
+            disk_full: RefCell::default(),
             pending_calls: RefCell::default(),
             links: RefCell::default(),
             next_number: Cell::new(1),
@@ -102,8 +102,8 @@
     }
 
     /// Why the disk takes no writes, while it takes none.
-    pub(crate) fn disk_full_cause(&self) -> Option<String> {
-        self.disk_full_cause.borrow().clone()
+    pub(crate) fn disk_full(&self) -> Option<DiskError> {
+        self.disk_full.borrow().clone()
     }
 
     /// Where a node takes links and datagrams.
--- a/crates/daemon/mesh/src/runtime.rs
+++ b/crates/daemon/mesh/src/runtime.rs
@@ -56,7 +56,9 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            cause = disk_failure(&mut disk_task) => return Err(DiskError::WriterFailed { cause }.into()),
+            error = disk_failure(&mut disk_task) => {
+                return Err(DiskError::FailedWhileRunning(Box::new(error)).into());
+            }
             _ = hangup.recv() => {
                 reload::reload(&node_state, true);
             }
@@ -67,9 +69,9 @@
 }
 
 /// Why the disk has failed, once it has.
-async fn disk_failure(task: &mut Option<JoinHandle<String>>) -> String {
+async fn disk_failure(task: &mut Option<JoinHandle<DiskError>>) -> DiskError {
     match task {
-        Some(task) => task.await.unwrap_or_else(|error| error.to_string()),
+        Some(task) => task.await.unwrap_or_else(|error| DiskError::ThreadEnded { cause: error.to_string() }),
         None => std::future::pending().await,
     }
 }
--- a/crates/daemon/mesh/src/startup.rs
+++ b/crates/daemon/mesh/src/startup.rs
@@ -32,7 +32,7 @@
     /// What its tasks share.
     pub(crate) node_state: Rc<NodeState>,
     /// Ends when its disk has failed, with the reason; `None` where it has none.
-    pub(crate) disk_task: Option<JoinHandle<String>>,
+    pub(crate) disk_task: Option<JoinHandle<disk::DiskError>>,
 }
 
 /// The control store of a node with a disk.
--- a/crates/daemon/mesh/src/state_report.rs
+++ b/crates/daemon/mesh/src/state_report.rs
@@ -63,10 +63,10 @@
 
 /// The disk under the control store: whether it takes writes, and if not what an operator has to do.
 fn disk_report(node_state: &NodeState) -> Value {
-    match node_state.peers.disk_full_cause() {
+    match node_state.peers.disk_full() {
         None => json!({ "state": "ok" }),
-        Some(cause) => {
-            json!({ "state": "full", "why": cause, "mend": "free space on the disk of dataDir" })
+        Some(error) => {
+            json!({ "state": "full", "why": error.to_string(), "mend": "free space on the disk of dataDir" })
         }
     }
 }
--- a/crates/testing/architecture-tests/src/words.rs
+++ b/crates/testing/architecture-tests/src/words.rs
@@ -59,10 +59,19 @@
     "ledger",
     "life",
     "newsAgeUs",
+    "receipts",
     "roster",
+    // Settings of a node, and files of its control store.
+    "ledger.new",
+    "ledger.redb",
+    "ledger.unreadable",
+    "ledger.unreadable.2",
+    "localStation",
     // Paths of the mesh's own calls.
     "/-/Stations.Heartbeat",
+    "/-/Stations.Heartbeat/{}",
     "/-/Stations.SignOff",
+    "/-/Stations.SignOff/{}",
     "Stations.Heartbeat",
     "Stations.SignOff",
     // Headers.
