--- a/crates/testing/architecture-tests/src/words.rs
+++ b/crates/testing/architecture-tests/src/words.rs
@@ -77,6 +77,9 @@
     // Headers.
     "Expect-Station",
     "Postmark",
+    "Waybill",
+    "Waybill-Life",
+    "Waybill-Return",
     "Station",
     "expect-station",
     "postmark",
