--- a/crates/daemon/mesh/src/client_listener/request_run.rs
+++ b/crates/daemon/mesh/src/client_listener/request_run.rs
@@ -95,7 +95,7 @@
             // The sender is held here too, so the channel never closes.
             let Some(event) = events.recv().await else { return ClientResponse::own(502, "lost") };
             let next = match event {
-                RequestEvent::AttemptEnded(number, outcome) => {
+                RequestEvent::AttemptEnded { number, outcome } => {
                     let attempt = Attempt { request: request.handle, number };
                     self.attempt_ended(&mut progress, attempt, outcome, &sender, &events)
                 }
@@ -227,7 +227,7 @@
         let (node_state, sender) = (self.node_state.clone(), sender.clone());
         let task = tokio::task::spawn_local(async move {
             let outcome = attempt::send(&node_state, &outgoing).await;
-            let _ = sender.send(RequestEvent::AttemptEnded(number, outcome));
+            let _ = sender.send(RequestEvent::AttemptEnded { number, outcome });
         });
         progress.running.0.insert(number, task.abort_handle());
     }
--- a/crates/daemon/mesh/src/service_balancer/event.rs
+++ b/crates/daemon/mesh/src/service_balancer/event.rs
@@ -6,6 +6,11 @@
 pub(crate) enum RequestEvent {
     /// The module wants this done.
     Step(Step<()>),
-    /// The attempt with this number has ended.
-    AttemptEnded(u32, ExchangeOutcome),
+    /// An attempt has ended.
+    AttemptEnded {
+        /// The attempt's number within the request.
+        number: u32,
+        /// How it ended.
+        outcome: ExchangeOutcome,
+    },
 }
--- a/crates/daemon/mesh/src/upstream_gate/admission.rs
+++ b/crates/daemon/mesh/src/upstream_gate/admission.rs
@@ -77,7 +77,7 @@
         Verdict::Turn { why, retry_after } => {
             node_state.gate.remove_pending(number);
             count_rejection(node_state);
-            return Err(gate_status(why, retry_after));
+            return Err(gate_status(why, retry_after.map(Duration::from_micros)));
         }
         Verdict::Wait => {
             let mut pending = PendingRequest { node_state, number, is_pending: true };
--- a/crates/daemon/mesh/src/upstream_gate/responses.rs
+++ b/crates/daemon/mesh/src/upstream_gate/responses.rs
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 
 /// The status for the origin of a request that was rejected.
-pub(super) fn gate_status(why: Turned, retry_after: Option<i64>) -> GateStatus {
+pub(super) fn gate_status(why: Turned, retry_after: Option<Duration>) -> GateStatus {
     match why {
         Turned::NoStation | Turned::Another => GateStatus::Unavailable,
         Turned::Draining | Turned::Evacuated => GateStatus::Draining,
         Turned::Cold | Turned::Full | Turned::Late => {
-            GateStatus::Overloaded(Duration::from_micros(retry_after.unwrap_or(0)))
+            GateStatus::Overloaded(retry_after.unwrap_or(Duration::ZERO))
         }
         Turned::Twice => GateStatus::MayHaveRun,
     }
--- a/crates/daemon/mesh/src/upstream_gate/state.rs
+++ b/crates/daemon/mesh/src/upstream_gate/state.rs
@@ -5,6 +5,7 @@
 use super::responses::gate_status;
 use crate::forwarding_headers::GateStatus;
 use silvercross_admission::{AdmissionController, Effect};
+use silvercross_time::{Duration, Instant};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -51,7 +52,9 @@
         for effect in effects {
             let (number, reply) = match effect {
                 Effect::Go(number) => (number, Ok(())),
-                Effect::Turn { number, why, retry_after } => (number, Err(gate_status(why, retry_after))),
+                Effect::Turn { number, why, retry_after } => {
+                    (number, Err(gate_status(why, retry_after.map(Duration::from_micros))))
+                }
             };
             if let Some(request) = self.pending.borrow_mut().remove(&number) {
                 let _ = request.send(reply);
@@ -61,9 +64,9 @@
         result
     }
 
-    /// When the controller has to be called again, in microseconds of its clock.
-    pub(super) fn next_deadline(&self) -> Option<i64> {
-        self.admission.borrow().wake()
+    /// When the controller has to be called again.
+    pub(super) fn next_deadline(&self) -> Option<Instant> {
+        self.admission.borrow().wake().map(Instant::from_micros)
     }
 
     /// A number that no other request at this gate has.
--- a/crates/daemon/mesh/src/upstream_gate/timer.rs
+++ b/crates/daemon/mesh/src/upstream_gate/timer.rs
@@ -9,10 +9,11 @@
 /// Let the controller's time pass, for as long as the process lives.
 pub(crate) async fn run_timer(node_state: Rc<NodeState>) {
     loop {
-        let now = node_state.now().as_micros();
-        let interval = node_state.gate.next_deadline().map_or(MAX_INTERVAL, |deadline| {
-            Duration::from_micros(deadline - now).clamp(Duration::ZERO, MAX_INTERVAL)
-        });
+        let now = node_state.now();
+        let interval = node_state
+            .gate
+            .next_deadline()
+            .map_or(MAX_INTERVAL, |deadline| (deadline - now).clamp(Duration::ZERO, MAX_INTERVAL));
         tokio::select! {
             _ = tokio::time::sleep(interval.to_std()) => {
                 let now = node_state.now().as_micros();
