--- a/crates/control/mesh-config/src/canonical.rs
+++ b/crates/control/config-item/src/canonical.rs
@@ -2,23 +2,23 @@
 
 use serde_json::{Number, Value};
 
-/// The text with keys in order, no blanks, and each number written in one way: 4 and 4.0 are the same. `None` if it is
-/// no JSON.
-pub(crate) fn canonical(text: &str) -> Option<String> {
+/// The text with keys in order, without blanks, and each number written in one way: 4 and 4.0 are the same. `None` if it
+/// is no JSON. On disk are hashes of this text: it must not change.
+pub fn canonical_json(text: &str) -> Option<String> {
     let value = serde_json::from_str::<Value>(text).ok()?;
     let mut out = String::with_capacity(text.len());
-    write(&mut out, &value);
+    write_value(&mut out, &value);
     Some(out)
 }
 
-/// No deeper than what the reader of JSON allows (128).
-fn write(out: &mut String, value: &Value) {
+/// Recurses no deeper than what the JSON parser admits (128).
+fn write_value(out: &mut String, value: &Value) {
     match value {
-        Value::Number(number) => out.push_str(&plain(number)),
+        Value::Number(number) => out.push_str(&canonical_number(number)),
         Value::Array(list) => {
             out.push('[');
             for value in list {
-                write(out, value);
+                write_value(out, value);
                 out.push(',');
             }
             out.push(']');
@@ -30,7 +30,7 @@
             for (key, value) in entries {
                 out.push_str(&Value::from(key.as_str()).to_string());
                 out.push(':');
-                write(out, value);
+                write_value(out, value);
                 out.push(',');
             }
             out.push('}');
@@ -40,9 +40,9 @@
 }
 
 /// A whole number in digits, however it was written; any other as the shortest text that reads back as it.
-fn plain(number: &Number) -> String {
+fn canonical_number(number: &Number) -> String {
     match number.as_f64().filter(|_| number.is_f64()) {
-        // Far above what an edition or a size can be; beyond it the float's own text is as good.
+        // Far above what a version or a size can be; beyond it the float's own text is as good.
         Some(float) if float.fract() == 0.0 && float.abs() < 1e30 => format!("{}", float as i128),
         _ => number.to_string(),
     }
--- a/crates/control/mesh-config/src/lib.rs
+++ b/crates/control/mesh-config/src/lib.rs
@@ -1,27 +1,43 @@
-//! The mesh's configuration, decided without I/O: the items an operator sends ([`parse_change`]), what of them is in
-//! force ([`Configuration`]: the highest edition of each name holds, whether it sets or drops; [`ConfigurationWithMembers`] once members
-//! were sent; [`VersionedConfiguration`] with what stood before) and where a request goes ([`RoutingTable`]).
+//! The mesh's configuration, decided without I/O: the items an operator sends ([`parse_change`], [`parse_update`]), which of
+//! them are in force ([`Configuration`]: the highest version of each name stands, whether it sets or withdraws;
+//! [`ConfigurationWithMembers`] once members were sent; [`VersionedConfiguration`] with what stood before) and where a
+//! request goes ([`RoutingTable`]).
+//!
+//! Nothing here knows who sends a call, how it is replicated (`silvercross-control-store`) or how a request is forwarded.
+//! What all items have in common is in `silvercross-config-item`, members are in `silvercross-throttle`.
 #![forbid(unsafe_code)]
+#![deny(missing_docs, unreachable_pub)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
-mod canonical;
+mod change;
+mod client_limits;
 mod configuration;
+mod consistency;
+mod destination;
+mod error;
 mod history;
-mod item;
+mod item_version;
 #[doc(hidden)]
 pub mod mutation;
-mod read;
+mod parse;
+mod rejection;
+mod route;
 mod routing_table;
 mod versioned;
+mod wire;
 mod with_members;
 
-pub use configuration::{Configuration, MAX_ITEMS, MAX_TOMBSTONES};
+pub use change::{ConfigurationChange, ConfigurationUpdate};
+pub use client_limits::ClientLimits;
+pub use configuration::{Configuration, NamedTombstone, MAX_TOMBSTONES};
+pub use consistency::MAX_ITEMS;
+pub use destination::Destination;
+pub use error::{ConfigurationError, ConfigurationProblem};
 pub use history::{History, MAX_SUPERSEDED};
-pub use item::{
-    ClientLimits, ConfigurationChange, ConfigurationError, Destination, Route, RouteKind, MAX_DURATION,
-};
-pub use read::{parse_change, parse_update, MAX_BODY_BYTES, MAX_NAME_BYTES};
+pub use item_version::ItemKind;
+pub use parse::{parse_change, parse_update, MAX_BODY_BYTES, MAX_DURATION};
+pub use route::{Route, WeightedDestination};
 pub use routing_table::RoutingTable;
+pub use silvercross_config_item::{RouteKind, MAX_NAME_BYTES};
 pub use versioned::VersionedConfiguration;
-pub use with_members::{
-    ConfigurationUpdate, ConfigurationWithMembers, MAX_MEMBERS, MAX_MEMBER_LIST_BYTES, MAX_MEMBER_NAME_BYTES,
-};
+pub use with_members::{ConfigurationWithMembers, MAX_MEMBERS, MAX_MEMBER_LIST_BYTES, MAX_MEMBER_NAME_BYTES};
--- a/crates/control/mesh-config/src/mutation.rs
+++ b/crates/control/mesh-config/src/mutation.rs
@@ -1,33 +1,33 @@
-//! Rules left out on purpose, for the tests' own test.
+//! Rules changed on purpose, so that tests of the model can see them caught.
 
 use std::cell::Cell;
 
-/// How applying a call is broken on purpose; without the feature `mutants` nothing heeds it.
+/// A rule of applying a call that is changed; without the feature `mutants` nothing heeds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Of two calls under one version both are done.
+    /// Of two calls under one version both are applied.
     SameVersionTwice,
-    /// What was overtaken is not remembered: of two calls under one overtaken version both are done.
-    OvertakenForgotten,
-    /// A call that was taken is refused once a later version stands.
-    RefusesRepeat,
-    /// A setting whose drop is no longer remembered by name comes back.
-    DropsForgotten,
-    /// What a refused call overtakes, and was not known, is remembered all the same.
-    NotesRefused,
+    /// What was superseded is not remembered: of two calls under one superseded version both are applied.
+    SupersededForgotten,
+    /// A call that was taken is rejected once a later version stands.
+    RepeatRejected,
+    /// An item whose withdrawal is no longer remembered by name comes back.
+    TombstonesForgotten,
+    /// What a rejected call supersedes, and was not known, is remembered all the same.
+    RejectedCallRemembered,
 }
 
 thread_local! {
-    static BROKEN: Cell<Option<Mutation>> = const { Cell::new(None) };
+    static ACTIVE: Cell<Option<Mutation>> = const { Cell::new(None) };
 }
 
-/// Breaks a rule on this thread until it is called again.
+/// Changes a rule on this thread until it is called again.
 #[cfg(feature = "mutants")]
 #[doc(hidden)]
-pub fn set_mutation(broken: Option<Mutation>) {
-    BROKEN.set(broken);
+pub fn set_mutation(mutation: Option<Mutation>) {
+    ACTIVE.set(mutation);
 }
 
-pub(crate) fn is(broken: Mutation) -> bool {
-    cfg!(feature = "mutants") && BROKEN.get() == Some(broken)
+pub(crate) fn is_active(mutation: Mutation) -> bool {
+    cfg!(feature = "mutants") && ACTIVE.get() == Some(mutation)
 }
--- a/crates/control/mesh-config/src/versioned.rs
+++ b/crates/control/mesh-config/src/versioned.rs
@@ -4,17 +4,19 @@
 use silvercross_control_store::{Rejection, State};
 use silvercross_throttle::MemberListChange;
 
-use crate::configuration::conflict;
-use crate::history::{History, ItemKind, Note, Said};
-use crate::item::{ConfigurationChange, ConfigurationError};
+use crate::change::{ConfigurationChange, ConfigurationUpdate};
+use crate::error::ConfigurationProblem;
+use crate::history::History;
+use crate::item_version::{ItemKind, ItemVersion, VersionDigest};
 use crate::mutation::{self, Mutation};
-use crate::with_members::{ConfigurationUpdate, ConfigurationWithMembers};
+use crate::rejection::{version_conflict, version_taken};
+use crate::with_members::ConfigurationWithMembers;
 
 /// Everything that stands, and the versions that were taken before.
 ///
-/// Of two calls that say different things under one version of an item, one at most is ever done: the other is a
-/// conflict while that version stands, and also once it was overtaken. A call that was taken is done again and changes
-/// nothing: each of its items stands, or was overtaken with this content.
+/// Of two calls that say different things under one version of an item, one at most is ever applied: the other is a
+/// conflict while that version stands, and also once it was superseded. A call that was taken is applied again and changes
+/// nothing: each of its items stands, or was superseded with this content.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct VersionedConfiguration {
     /// What stands.
@@ -26,84 +28,84 @@
 impl State for VersionedConfiguration {
     type Change = ConfigurationUpdate;
 
-    fn apply(&mut self, call: &ConfigurationUpdate) -> Result<bool, Rejection> {
-        self.take(&call.configuration, &call.members)
+    fn apply(&mut self, update: &ConfigurationUpdate) -> Result<bool, Rejection> {
+        self.merge(&update.configuration, &update.members)
     }
 }
 
 /// What a call says beside its new versions.
 #[derive(Default)]
 struct Review<'a> {
-    /// Versions that are overtaken with it, or were before it came.
-    overtaken: Vec<Note>,
-    /// Items that were dropped since, by drops that are no longer remembered by name.
-    gone: Vec<(ItemKind, &'a str)>,
+    /// Versions that are superseded with it, or were before it came.
+    superseded: Vec<VersionDigest>,
+    /// Items that were withdrawn since, by withdrawals that are no longer remembered by name.
+    withdrawn: Vec<ItemVersion<'a>>,
 }
 
 impl VersionedConfiguration {
     /// Apply a call whole or not at all, as [`State::apply`].
-    pub fn take(
+    ///
+    /// # Errors
+    /// A conflict of versions, or what would stand is invalid. Nothing of the call is in force.
+    pub fn merge(
         &mut self,
         change: &ConfigurationChange,
         members: &MemberListChange,
     ) -> Result<bool, Rejection> {
         let mut review = Review::default();
-        for said in change.said().chain(members.item_versions().map(Said::member)) {
-            self.review(said, &mut review)?;
+        for item in change.item_versions().chain(members.item_versions().map(ItemVersion::of_member)) {
+            self.review(item, &mut review)?;
         }
-        if mutation::is(Mutation::NotesRefused) {
-            self.history.remember(review.overtaken.clone());
+        if mutation::is_active(Mutation::RejectedCallRemembered) {
+            self.history.remember(review.superseded.clone());
         }
-        let taken = if review.gone.is_empty() {
+        let outcome = if review.withdrawn.is_empty() {
             self.current.merge(change, members)?
         } else {
-            let names = review.gone.iter().filter(|(kind, _)| *kind == ItemKind::Member);
-            let members = members.without(names.map(|(_, name)| *name));
-            self.current.merge(&change.without(&review.gone), &members)?
+            let withdrawn_members = review.withdrawn.iter().filter(|item| item.kind == ItemKind::Member);
+            let members = members.without(withdrawn_members.map(|item| item.name));
+            self.current.merge(&change.without(&review.withdrawn), &members)?
         };
-        let remembered = self.history.remember(review.overtaken);
-        for drop in taken.iter().flatten() {
-            self.history.forgot(drop);
+        let is_remembered = self.history.remember(review.superseded);
+        for tombstone in &outcome.forgotten {
+            self.history.raise_floor(tombstone);
         }
-        Ok(taken.is_some() || remembered)
+        Ok(outcome.is_changed || is_remembered)
     }
 
-    fn review<'a>(&self, said: Said<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
-        let Some(standing) = self.current.current(said.kind, said.name) else {
-            return self.review_unknown(said, review);
+    fn review<'a>(&self, sent: ItemVersion<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
+        let Some(current) = self.current.current(sent.kind, sent.name) else {
+            return self.review_unknown(sent, review);
         };
-        if said.version > standing.version {
-            review.overtaken.push(History::note(&standing));
-        } else if said.version < standing.version {
-            if self.history.taken(&said) == Some(false) || mutation::is(Mutation::RefusesRepeat) {
-                return Err(conflict(said.name, said.version));
+        if sent.version > current.version {
+            review.superseded.push(current.digest());
+        } else if sent.version < current.version {
+            let is_other = self.history.was_taken(&sent) == Some(false);
+            if is_other || mutation::is_active(Mutation::RepeatRejected) {
+                return Err(version_taken(sent.name, sent.version));
             }
-            review.overtaken.push(History::note(&said));
+            review.superseded.push(sent.digest());
         }
         Ok(())
     }
 
-    /// Nothing is known of the name: it is new, or its drop is no longer remembered by name.
-    fn review_unknown<'a>(&self, said: Said<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
-        let Some(floor) = self.history.floor(&said).filter(|floor| said.version <= *floor) else {
+    /// Nothing is known of the name: it is new, or its withdrawal is no longer remembered by name.
+    fn review_unknown<'a>(&self, sent: ItemVersion<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
+        let version = sent.version;
+        let Some(floor) = self.history.floor(&sent).filter(|floor| version <= *floor) else {
             return Ok(());
         };
-        match self.history.taken(&said) {
-            Some(false) => return Err(conflict(said.name, said.version)),
-            // Whatever it was, it does not come back. A drop finds nothing to drop.
+        match self.history.was_taken(&sent) {
+            Some(false) => return Err(version_taken(sent.name, version)),
+            // Whatever it was, it does not come back. A withdrawal finds nothing to withdraw.
             Some(true) => {}
-            None if said.is_drop() => {}
+            None if sent.is_withdrawal() => {}
             None => {
-                let reason = format!(
-                    "{} is not above {floor}, up to which names like it were dropped and are no longer known (raise the \
-                     edition above that)",
-                    said.version
-                );
-                let reason = ConfigurationError::new(said.name, "edition", reason).to_string();
-                return Err(Rejection { conflict: true, reason });
+                let problem = ConfigurationProblem::VersionNotAboveFloor { version, floor };
+                return Err(version_conflict(sent.name, problem));
             }
         }
-        review.gone.push((said.kind, said.name));
+        review.withdrawn.push(sent);
         Ok(())
     }
 }
--- a/crates/control/mesh-config/tests/repeats/main.rs
+++ b/crates/control/mesh-config/tests/repeats/main.rs
@@ -240,7 +240,7 @@
 
 /// Past the bound a drop is no longer known by name. What it dropped stays dropped all the same.
 #[test]
-fn after_65536_drops_nothing_comes_back() {
+fn after_65536_withdrawals_nothing_comes_back() {
     for (list, first, second) in [
         ("destinations", set(&[service("a", 4, "/x")], &[]), set(&[service("a", 6, "/y")], &[])),
         ("members", member(4, "k"), member(6, "l")),
@@ -276,7 +276,7 @@
 
 /// Few names share the floor of a drop that was forgotten: others are taken at any version.
 #[test]
-fn one_forgotten_drop_holds_up_few_other_names() {
+fn one_forgotten_withdrawal_blocks_few_other_names() {
     let mut state = VersionedConfiguration::default();
     assert_eq!(say(&mut state, &call(drop("routes", "high", u64::MAX))), Done);
     assert_eq!(say(&mut state, &many_drops(0, MAX_TOMBSTONES, 1)), Done);
@@ -364,8 +364,12 @@
         sent.push(items);
         for number in 0..3 {
             let name = number.to_string();
-            let to =
-                state.current.configuration.routes().find(|r| r.name == name).map(|r| r.split[0].0.clone());
+            let to = state
+                .current
+                .configuration
+                .routes()
+                .find(|r| r.name == name)
+                .map(|r| r.split[0].name.clone());
             if to != model.standing(true, number).map(|to| to.to_string()) {
                 return Err(format!("route {number} goes to {to:?} after {sent:?}"));
             }
@@ -427,26 +431,26 @@
 #[test]
 fn same_version_of_two_operators_both_done_is_caught() {
     assert!(caught(Mutation::SameVersionTwice).contains("Again and not Conflict"));
-    assert!(caught(Mutation::OvertakenForgotten).contains("not Conflict"));
+    assert!(caught(Mutation::SupersededForgotten).contains("not Conflict"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn repeat_refused_after_a_later_change_is_caught() {
-    assert!(caught(Mutation::RefusesRepeat).contains("Conflict and not"));
+fn repeat_rejected_after_a_later_change_is_caught() {
+    assert!(caught(Mutation::RepeatRejected).contains("Conflict and not"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn what_a_refused_call_leaves_behind_is_caught() {
-    assert!(caught(Mutation::NotesRefused).contains("left something behind"));
+fn what_a_rejected_call_leaves_behind_is_caught() {
+    assert!(caught(Mutation::RejectedCallRemembered).contains("left something behind"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn a_dropped_item_that_comes_back_is_caught() {
-    silvercross_mesh_config::mutation::set_mutation(Some(Mutation::DropsForgotten));
-    let outcome = std::panic::catch_unwind(after_65536_drops_nothing_comes_back);
+fn a_withdrawn_item_that_comes_back_is_caught() {
+    silvercross_mesh_config::mutation::set_mutation(Some(Mutation::TombstonesForgotten));
+    let outcome = std::panic::catch_unwind(after_65536_withdrawals_nothing_comes_back);
     silvercross_mesh_config::mutation::set_mutation(None);
     let why = outcome.expect_err("not found");
     assert!(why.downcast_ref::<String>().is_some_and(|why| why.contains("destinations")));
--- a/crates/control/mesh-config/tests/wire_bytes.rs
+++ b/crates/control/mesh-config/tests/wire_bytes.rs
@@ -33,8 +33,8 @@
     let mut whole = ConfigurationWithMembers::default();
     assert_eq!(whole.apply(&call), Ok(true));
     let mut tracked = VersionedConfiguration::default();
-    assert_eq!(tracked.take(&call.configuration, &call.members), Ok(true));
-    assert_eq!(tracked.take(&later, &Default::default()), Ok(true));
+    assert_eq!(tracked.merge(&call.configuration, &call.members), Ok(true));
+    assert_eq!(tracked.merge(&later, &Default::default()), Ok(true));
     assert!(!tracked.history.is_empty());
 
     let mut lines = String::new();
--- a/crates/control/throttle/src/lib.rs
+++ b/crates/control/throttle/src/lib.rs
@@ -1,51 +1,58 @@
-//! The mesh's members, decided without I/O: who a request is of ([`MemberList`], [`MemberIndex`]), when a member's trial lapses
-//! and how far its slowing has come ([`LapseState`], written by the [`LapseTimer`] of the key's owner, followed by every node's
-//! [`LapseView`]), and how long a read waits for it ([`decide_delay`], [`DelayQueue`]).
+//! Throttling of members whose trial has lapsed, decided without I/O: whose a request is ([`MemberIndex`]), when a trial
+//! lapses and how far its throttle has closed ([`LapseState`], changed by the [`LapseTimer`] of the key's owner, followed
+//! by every node's [`LapseView`]), and how long a read waits for it ([`decide_delay`], [`DelayQueue`]).
 //!
 //! # How the configuration carries members
 //!
-//! The package for the configuration depends on this one, not the other way round, and therefore [`MemberError`] and [`RouteKind`]
-//! stand here a second time. Its reader lets the lists `members` and `identification` pass in `deliver` and `members` in
-//! `withdraw`, and hands both objects to [`read`], whose fault it passes on field by field. The [`MemberListChange`] goes beside its
-//! change and the [`MemberList`] beside its configuration, under one key once members were sent. Applying a call asks
-//! [`MemberList::would_change`] before any item is put in force; [`MemberList::to_json`] adds to what is read back and adds nothing where
-//! there are no members. The [`MemberIndex`] is made beside the routing table, once for each change.
+//! The package for the configuration depends on this one, not the other way round. Its parser lets the lists `members` and
+//! `membership` pass in `deliver` and `members` in `withdraw`, and hands both objects to [`parse_members`], whose error it
+//! passes on. The [`MemberListChange`] goes beside its change and the [`MemberList`] beside its configuration, under one key
+//! once members were sent. Applying a call asks [`MemberList::would_change`] before any item is put in force;
+//! [`MemberList::to_json`] adds to what is read back and adds nothing where there are no members. The [`MemberIndex`] is
+//! made beside the routing table, once for each change.
 #![forbid(unsafe_code)]
+#![deny(missing_docs, unreachable_pub)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
+mod clock_settings;
+mod delay;
 mod delay_queue;
-mod item;
+mod error;
 mod lapse;
+mod lapse_step;
 mod lapse_timer;
 mod lapse_view;
+mod member;
+mod member_index;
 mod member_list;
 mod mutation;
-mod read;
-mod throttle;
+mod parse;
+mod throttle_step;
+mod timer_decision;
 mod trusted_clock;
+mod unix_time;
 
+pub use clock_settings::ClockSettings;
+#[cfg(feature = "mutants")]
+#[doc(hidden)]
+pub use delay::decide_delay_mutated;
+pub use delay::{decide_delay, DelayDecision, RequestStage, RequestThrottle, ThrottleRequest};
 pub use delay_queue::{DelayQueue, DelayTicket};
-pub use item::{
-    LapseTime, Member, MemberError, MemberIdentification, Plan, ThrottleSchedule, UnknownMemberPolicy,
-};
-pub use item::{
-    MAX_DELAY_PPM, MAX_KEYS, MAX_KEY_BYTES, MAX_MEMBERS, MAX_NAME_BYTES, MAX_STEPS, MAX_TIME, MIN_STEP,
-};
-pub use lapse::{
-    lapse_key, member_of_lapse_key, throttle_step, LapseChange, LapseState, ThrottleStep, LAPSE_KEY_PREFIX,
-};
-pub use lapse_timer::{
-    LapseTimer, TimerDecision, WaitingFor, CLOCK_RECHECK_INTERVAL, MAX_SLEEP, PROPOSAL_RETRY_INTERVAL,
-};
+pub use error::{MemberError, MemberProblem};
+pub use lapse::{lapse_key, member_of_lapse_key, LapseChange, LapseState, LAPSE_KEY_PREFIX};
+pub use lapse_step::{CLOCK_RECHECK_INTERVAL, MAX_SLEEP};
+pub use lapse_timer::{LapseTimer, PROPOSAL_RETRY_INTERVAL};
 pub use lapse_view::{LapseTransition, LapseView, MemberStatus};
-pub use member_list::{
-    MemberIndex, MemberItemVersion, MemberList, MemberListChange, RequestIdentity, MAX_TOMBSTONES,
+pub use member::{
+    LapseTime, Member, MemberIdentification, Plan, ThrottleSchedule, UnknownMemberPolicy, MAX_DELAY_PPM,
+    MAX_KEYS, MAX_KEY_BYTES, MAX_MEMBERS, MAX_STEPS, MAX_TIME, MIN_STEP,
 };
+pub use member_index::{MemberIndex, RequestIdentity};
+pub use member_list::{MemberItemVersion, MemberList, MemberListChange, MAX_TOMBSTONES};
 pub use mutation::Mutation;
-pub use read::read;
-#[cfg(feature = "mutants")]
-#[doc(hidden)]
-pub use throttle::decide_delay_mutated;
-pub use throttle::{decide_delay, DelayDecision, RequestStage, RequestThrottle, RouteKind, ThrottleRequest};
-pub use trusted_clock::{ClockSettings, PeerClockReading, TrustedClock, MAX_PEER_CLOCKS};
-
-pub use silvercross_control_store::Micros;
+pub use parse::parse_members;
+pub use silvercross_config_item::{RouteKind, MAX_NAME_BYTES};
+pub use throttle_step::{throttle_step, ThrottleStep};
+pub use timer_decision::{TimerDecision, WaitingFor};
+pub use trusted_clock::{PeerClockReading, TrustedClock, MAX_PEER_CLOCKS};
+pub use unix_time::UnixTime;
--- a/crates/control/throttle/src/member_list.rs
+++ b/crates/control/throttle/src/member_list.rs
@@ -1,56 +1,58 @@
-//! Which members are in force, and who a request is of.
+//! Which members are in force.
 
 use std::collections::BTreeMap;
 
 use bitcode::{Decode, Encode};
+use silvercross_config_item::{
+    forget_tombstones, newer_entries, newer_item, resulting_items, store_entries, Entries, Entry, Item,
+    ItemError, ItemProblem, MergeOutcome, NewerEntries, Tombstone, Versioned,
+};
 use silvercross_control_store::{Rejection, State};
 
-use crate::item::{
-    Entries, Entry, Item, Member, MemberError, MemberIdentification, UnknownMemberPolicy, MAX_MEMBERS,
-};
-use crate::read::shared;
+use crate::error::{MemberError, MemberProblem};
+use crate::member::{Member, MemberIdentification, MAX_MEMBERS};
 
-/// How many drops are remembered, so that an older setting of a dropped name does not come back. Beyond it the drops
-/// that were taken first are forgotten.
+/// How many withdrawals are remembered, so that an older version of a withdrawn member does not come back. Beyond it
+/// those that were taken first are forgotten.
 pub const MAX_TOMBSTONES: usize = 65_536;
 
 /// What one call says of members. Holds at most what the call's body says.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct MemberListChange {
-    pub(crate) members: Entries,
+    pub(crate) members: Entries<Member>,
     pub(crate) identification: Option<Item<MemberIdentification>>,
 }
 
-/// What a call says of an item of members, or what holds for it.
+/// A version of an item of members: what a call sends, or what stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberItemVersion<'a> {
     /// The member's name; `None` for how requests name members.
     pub name: Option<&'a str>,
     /// The item's version.
     pub version: u64,
-    /// As it was sent; `None` if it is dropped.
+    /// As it was sent; `None` if it is withdrawn.
     pub raw_json: Option<&'a str>,
 }
 
 impl<'a> MemberItemVersion<'a> {
-    fn member(name: &'a str, entry: &'a Entry) -> MemberItemVersion<'a> {
+    fn of_member(name: &'a str, entry: &'a Entry<Member>) -> MemberItemVersion<'a> {
         let raw_json = entry.item().map(|item| item.raw_json.as_str());
         MemberItemVersion { name: Some(name), version: entry.version(), raw_json }
     }
 
-    fn identification(item: &'a Item<MemberIdentification>) -> MemberItemVersion<'a> {
-        MemberItemVersion { name: None, version: item.parsed.version, raw_json: Some(&item.raw_json) }
+    fn of_identification(item: &'a Item<MemberIdentification>) -> MemberItemVersion<'a> {
+        MemberItemVersion { name: None, version: item.parsed.version(), raw_json: Some(&item.raw_json) }
     }
 }
 
 impl MemberListChange {
-    /// All that it says.
+    /// The versions of all items it sets or withdraws.
     pub fn item_versions(&self) -> impl Iterator<Item = MemberItemVersion<'_>> {
-        let members = self.members.iter().map(|(name, entry)| MemberItemVersion::member(name, entry));
-        members.chain(self.identification.as_ref().map(MemberItemVersion::identification))
+        let members = self.members.iter().map(|(name, entry)| MemberItemVersion::of_member(name, entry));
+        members.chain(self.identification.as_ref().map(MemberItemVersion::of_identification))
     }
 
-    /// Without these members.
+    /// The change without these members.
     pub fn without<'a>(&self, names: impl Iterator<Item = &'a str>) -> MemberListChange {
         let mut rest = self.clone();
         for name in names {
@@ -64,7 +66,7 @@
         self.len() == 0
     }
 
-    /// How many items the call sets or drops.
+    /// How many items the call sets or withdraws.
     pub fn len(&self) -> usize {
         self.members.len() + usize::from(self.identification.is_some())
     }
@@ -72,13 +74,13 @@
 
 /// The members in force and how requests name them. At most [`MAX_MEMBERS`] and [`MAX_TOMBSTONES`].
 ///
-/// Two are equal if the same holds in them, whenever it was dropped.
+/// Two are equal if the same stands in them, whenever it was withdrawn.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 pub struct MemberList {
-    members: Entries,
+    members: Entries<Member>,
     identification: Option<Item<MemberIdentification>>,
-    /// Drops taken so far.
-    drops: u64,
+    /// Withdrawals taken so far.
+    withdrawals: u64,
 }
 
 impl PartialEq for MemberList {
@@ -89,73 +91,76 @@
 
 /// What of a call would come into force.
 struct Newer<'a> {
-    members: BTreeMap<&'a str, &'a Entry>,
+    members: NewerEntries<'a, Member>,
     identification: Option<&'a Item<MemberIdentification>>,
 }
 
+impl Newer<'_> {
+    fn is_empty(&self) -> bool {
+        self.members.is_empty() && self.identification.is_none()
+    }
+}
+
 impl State for MemberList {
     type Change = MemberListChange;
 
-    /// The higher edition of each name holds, a lower one changes nothing, and the same edition with other content is a
-    /// conflict.
-    fn apply(&mut self, sent: &MemberListChange) -> Result<bool, Rejection> {
-        self.merge(sent).map(|taken| taken.is_some())
+    /// The highest version of each name stands, a lower one changes nothing, and the same version with another content is
+    /// a conflict.
+    fn apply(&mut self, change: &MemberListChange) -> Result<bool, Rejection> {
+        self.merge(change).map(|outcome| outcome.is_changed)
     }
 }
 
 impl MemberList {
-    /// The same; `None` if nothing changed, else the drops that were forgotten for it, by name and version.
-    pub fn merge(&mut self, sent: &MemberListChange) -> Result<Option<Vec<(String, u64)>>, Rejection> {
-        let newer = self.newer(sent)?;
-        let changed = !newer.members.is_empty() || newer.identification.is_some();
-        for (name, new) in newer.members {
-            let entry = match new {
-                Entry::Set(item) => Entry::Set(item.clone()),
-                Entry::Dropped { version, .. } => {
-                    self.drops += 1;
-                    Entry::Dropped { version: *version, order: self.drops }
-                }
-            };
-            self.members.insert(name.to_string(), entry);
-        }
+    /// Apply a change as [`State::apply`] and say which tombstones were forgotten for it.
+    ///
+    /// # Errors
+    /// A conflict, or what the members that would stand have in common and may not. Nothing is in force of it.
+    pub fn merge(&mut self, change: &MemberListChange) -> Result<MergeOutcome<Tombstone>, Rejection> {
+        let newer = self.newer(change)?;
+        let is_changed = !newer.is_empty();
+        store_entries(&mut self.members, newer.members, &mut self.withdrawals);
         if let Some(identification) = newer.identification {
             self.identification = Some(identification.clone());
         }
-        let forgotten = self.forget();
-        Ok(changed.then_some(forgotten))
+        Ok(MergeOutcome { is_changed, forgotten: self.forget_first_tombstones() })
     }
 
-    /// What holds for a member, or (`None`) for how requests name members.
+    /// What applying the change would return, without doing it.
+    ///
+    /// # Errors
+    /// As [`MemberList::merge`].
+    pub fn would_change(&self, change: &MemberListChange) -> Result<bool, Rejection> {
+        self.newer(change).map(|newer| !newer.is_empty())
+    }
+
+    /// The version that stands of a member, or (`None`) of how requests name members.
     pub fn current<'a>(&'a self, name: Option<&str>) -> Option<MemberItemVersion<'a>> {
         match name {
             Some(name) => {
-                self.members.get_key_value(name).map(|(name, entry)| MemberItemVersion::member(name, entry))
+                let entry = self.members.get_key_value(name);
+                entry.map(|(name, entry)| MemberItemVersion::of_member(name, entry))
             }
-            None => self.identification.as_ref().map(MemberItemVersion::identification),
+            None => self.identification.as_ref().map(MemberItemVersion::of_identification),
         }
     }
 
-    /// What applying the call would say, without doing it.
-    pub fn would_change(&self, sent: &MemberListChange) -> Result<bool, Rejection> {
-        self.newer(sent).map(|newer| !newer.members.is_empty() || newer.identification.is_some())
-    }
-
     /// The members in force, by name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().filter_map(Entry::member)
+        self.members.values().filter_map(Entry::parsed)
     }
 
     /// A member in force.
     pub fn member(&self, name: &str) -> Option<&Member> {
-        self.members.get(name).and_then(Entry::member)
+        self.members.get(name).and_then(Entry::parsed)
     }
 
-    /// A member's item as it was sent, with the fields that are not known here (an allowance's, for one).
+    /// A member's item as it was sent, with the fields that are not known here (a quota's, for one).
     pub fn raw_json(&self, name: &str) -> Option<&str> {
         self.members.get(name).and_then(Entry::item).map(|item| item.raw_json.as_str())
     }
 
-    /// How requests name their member; nobody is slowed where nothing was sent.
+    /// How requests name their member; nobody is throttled where nothing was sent.
     pub fn identification(&self) -> Option<&MemberIdentification> {
         self.identification.as_ref().map(|item| &item.parsed)
     }
@@ -170,14 +175,14 @@
         self.members().count() + usize::from(self.identification.is_some())
     }
 
-    /// The keys to add to what is read back (`"members":[...],"identification":{...}`), each item as it was sent; empty where
+    /// The keys to add to what is read back (`"members":[...],"membership":{...}`), each item as it was sent; empty where
     /// no item stands.
     pub fn to_json(&self) -> String {
         let mut parts = Vec::new();
-        let raws: Vec<&str> =
-            self.members.values().filter_map(Entry::item).map(|item| item.raw_json.as_str()).collect();
-        if !raws.is_empty() {
-            parts.push(format!("\"members\":[{}]", raws.join(",")));
+        let items = self.members.values().filter_map(Entry::item);
+        let members: Vec<&str> = items.map(|item| item.raw_json.as_str()).collect();
+        if !members.is_empty() {
+            parts.push(format!("\"members\":[{}]", members.join(",")));
         }
         if let Some(identification) = &self.identification {
             parts.push(format!("\"membership\":{}", identification.raw_json));
@@ -185,158 +190,81 @@
         parts.join(",")
     }
 
-    fn newer<'a>(&self, sent: &'a MemberListChange) -> Result<Newer<'a>, Rejection> {
-        let mut members = BTreeMap::new();
-        for (name, new) in &sent.members {
-            match self.members.get(name) {
-                Some(old) if new.version() < old.version() => {}
-                Some(old) if new.version() == old.version() => {
-                    if old != new {
-                        return Err(conflict(name, new.version()));
-                    }
-                }
-                _ => {
-                    members.insert(name.as_str(), new);
-                }
-            }
-        }
-        let identification = match (&self.identification, &sent.identification) {
-            (_, None) => None,
-            (None, new) => new.as_ref(),
-            (Some(old), Some(new)) if new.parsed.version > old.parsed.version => Some(new),
-            (Some(old), Some(new)) if new.parsed.version == old.parsed.version && old != new => {
-                return Err(conflict("membership", new.parsed.version))
-            }
-            _ => None,
-        };
+    fn newer<'a>(&self, change: &'a MemberListChange) -> Result<Newer<'a>, Rejection> {
+        let members =
+            newer_entries(&self.members, &change.members, |name, version| Err(conflict(name, version)))?;
+        let identification =
+            newer_item(self.identification.as_ref(), change.identification.as_ref(), |version| {
+                conflict("membership", version)
+            })?;
         if members.values().any(|entry| entry.item().is_some()) {
-            self.check(&members).map_err(|fault| Rejection { conflict: false, reason: fault.to_string() })?;
+            let invalid = |error: MemberError| Rejection { conflict: false, reason: error.to_string() };
+            self.check(&members).map_err(invalid)?;
         }
         Ok(Newer { members, identification })
     }
 
     /// Whether the members would be valid with these entries in place of the present ones.
-    fn check(&self, newer: &BTreeMap<&str, &Entry>) -> Result<(), MemberError> {
-        let kept = self.members.iter().filter(|(name, _)| !newer.contains_key(name.as_str()));
-        let old = kept.filter_map(|(_, entry)| entry.member());
-        let new = newer.values().filter_map(|entry| entry.member());
-        // The keys of the newer members alone are looked for: the present ones share none.
-        let mut count = 0;
+    fn check(&self, newer: &NewerEntries<'_, Member>) -> Result<(), MemberError> {
+        // Of the keys, only those of the newer members are looked for: the present members share none.
         let mut keys = BTreeMap::new();
-        for member in new {
-            count += 1;
-            for key in &member.keys {
-                if let Some(other) = keys.insert(key.as_str(), member.name.as_str()) {
-                    return Err(shared(member, other));
-                }
-            }
+        for member in newer.values().filter_map(|entry| entry.parsed()) {
+            check_keys(&mut keys, member)?;
         }
-        for member in old {
-            count += 1;
+        for (name, entry) in &self.members {
+            let Some(member) = entry.parsed().filter(|_| !newer.contains_key(name.as_str())) else {
+                continue;
+            };
             for key in &member.keys {
-                if let Some(other) = keys.get(key.as_str()).and_then(|name| newer.get(*name)?.member()) {
-                    return Err(shared(other, &member.name));
+                if let Some(other) = keys.get(key.as_str()).and_then(|name| newer.get(name)?.parsed()) {
+                    return Err(key_of_other(other, &member.name));
                 }
             }
         }
+        let count = resulting_items(&self.members, newer).count();
         if count > MAX_MEMBERS {
-            let reason = format!("would be {count}, above {MAX_MEMBERS} (withdraw some first)");
-            return Err(MemberError::new("deliver", "members", reason));
+            let problem = ItemProblem::TooMany { count, max: MAX_MEMBERS };
+            return Err(ItemError::new("deliver", "members", problem));
         }
         Ok(())
     }
 
-    /// Forget the drops that were taken first, down to the bound.
-    fn forget(&mut self) -> Vec<(String, u64)> {
-        let order = |entry: &Entry| match entry {
-            Entry::Set(_) => None,
-            Entry::Dropped { order, .. } => Some(*order),
-        };
-        let mut forgotten = Vec::new();
-        let mut orders: Vec<u64> = self.members.values().filter_map(order).collect();
-        if orders.len() > MAX_TOMBSTONES {
-            orders.sort_unstable();
-            let kept = orders[orders.len() - MAX_TOMBSTONES];
-            self.members.retain(|name, entry| {
-                let keeps = order(entry).is_none_or(|order| order >= kept);
-                if !keeps {
-                    forgotten.push((name.clone(), entry.version()));
-                }
-                keeps
-            });
+    fn forget_first_tombstones(&mut self) -> Vec<Tombstone> {
+        let mut orders: Vec<u64> = self.members.values().filter_map(Entry::tombstone_order).collect();
+        if orders.len() <= MAX_TOMBSTONES {
+            return Vec::new();
         }
-        forgotten
+        orders.sort_unstable();
+        forget_tombstones(&mut self.members, orders[orders.len() - MAX_TOMBSTONES])
     }
 }
 
-fn conflict(name: &str, version: u64) -> Rejection {
-    let reason =
-        format!("{version} stands already with other content (read the configuration, raise the edition)");
-    Rejection { conflict: true, reason: MemberError::new(name, "edition", reason).to_string() }
-}
-
-/// Who a request is of.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestIdentity<'a> {
-    /// A member's.
-    Member(&'a Member),
-    /// No member's: served as everything was before there were members.
-    Anonymous,
-    /// No member's, and such are to be refused before they are sent on.
-    Reject,
-}
-
-/// The members by key, made once for each change of the roll. No larger than the roll.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct MemberIndex {
-    identification: Option<MemberIdentification>,
-    members: BTreeMap<String, Member>,
-    /// Key to name.
-    keys: BTreeMap<String, String>,
-}
-
-impl MemberIndex {
-    /// The directory of what stands in `roll`.
-    pub fn new(roll: &MemberList) -> MemberIndex {
-        let mut directory =
-            MemberIndex { identification: roll.identification().cloned(), ..MemberIndex::default() };
-        for member in roll.members() {
-            for key in &member.keys {
-                directory.keys.insert(key.clone(), member.name.clone());
-            }
-            directory.members.insert(member.name.clone(), member.clone());
-        }
-        directory
-    }
-
-    /// The header to look for, in lower case; nothing is looked for where no `identification` stands.
-    pub fn header(&self) -> Option<&str> {
-        self.identification.as_ref().map(|identification| identification.header.as_str())
-    }
-
-    /// Who a request is of, by all values of that header on it. Several values, even equal ones, name nobody: which of
-    /// them an upstream would believe is not known here.
-    pub fn identify<'v>(&self, values: impl IntoIterator<Item = &'v [u8]>) -> RequestIdentity<'_> {
-        let Some(identification) = &self.identification else { return RequestIdentity::Anonymous };
-        let mut values = values.into_iter();
-        let named = match (values.next(), values.next()) {
-            (Some(one), None) => std::str::from_utf8(one.trim_ascii()).ok(),
-            _ => None,
-        };
-        match named.and_then(|key| self.keys.get(key)).and_then(|name| self.members.get(name)) {
-            Some(member) => RequestIdentity::Member(member),
-            None if identification.unknown == UnknownMemberPolicy::Reject => RequestIdentity::Reject,
-            None => RequestIdentity::Anonymous,
+/// Add a member's keys to those seen so far, by the name of the member that has them.
+///
+/// # Errors
+/// One of them was seen before.
+pub(crate) fn check_keys<'a>(
+    seen: &mut BTreeMap<&'a str, &'a str>,
+    member: &'a Member,
+) -> Result<(), MemberError> {
+    for key in &member.keys {
+        if let Some(other) = seen.insert(key, &member.name) {
+            return Err(key_of_other(member, other));
         }
     }
+    Ok(())
+}
 
-    /// A member by its name.
-    pub fn member(&self, name: &str) -> Option<&Member> {
-        self.members.get(name)
-    }
+fn key_of_other(member: &Member, other: &str) -> MemberError {
+    let problem = if member.name == other {
+        MemberProblem::KeyTwice
+    } else {
+        MemberProblem::KeyOfOtherMember { member: other.to_string() }
+    };
+    ItemError::new(&member.name, "keys", problem)
+}
 
-    /// All members, by name.
-    pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.members.values()
-    }
+fn conflict(name: &str, version: u64) -> Rejection {
+    let error: MemberError = ItemError::new(name, "edition", ItemProblem::VersionTaken { version });
+    Rejection { conflict: true, reason: error.to_string() }
 }
--- a/crates/control/throttle/src/mutation.rs
+++ b/crates/control/throttle/src/mutation.rs
@@ -1,6 +1,6 @@
-//! Rules left out on purpose.
+//! Rules changed on purpose, so that tests of the model can see them caught.
 
-/// How a part is broken on purpose; without the feature `mutants` nothing heeds it.
+/// A rule that is changed; without the feature `mutants` nothing heeds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// The owner's own time of day decides, whatever it did and whatever the others say.
@@ -9,10 +9,10 @@
     StepFromLocalTime,
     /// The delay is drawn for each node apart.
     DelayByNode(u32),
-    /// What has begun is weighed again and may be refused.
+    /// What has begun is decided again and may be rejected.
     RefusalMidway,
     /// A new owner counts steps from its own beginning.
     StepLostAtHandOver,
-    /// A new owner takes the step's span for over.
+    /// A new owner takes the step in force for over.
     StepDoubledAtHandOver,
 }
--- a/crates/control/throttle/src/trusted_clock.rs
+++ b/crates/control/throttle/src/trusted_clock.rs
@@ -1,245 +1,261 @@
-//! What time of day it is, as far as it can be believed.
+//! The time of day, as far as it can be trusted.
+//!
+//! All clocks are kept as offsets: time of day less this node's monotonic clock.
 
 use std::collections::BTreeMap;
 
-use silvercross_control_store::{Micros, Node};
+use silvercross_control_store::Node;
+use silvercross_time::{Duration, Instant};
 
+use crate::clock_settings::ClockSettings;
 use crate::mutation::Mutation;
+use crate::unix_time::UnixTime;
 
-/// No more other holders are remembered; beyond it the one heard longest ago makes room.
+/// No more other nodes' clocks are remembered; beyond it the one read longest ago makes room.
 pub const MAX_PEER_CLOCKS: usize = 64;
 
-/// Bounds of what is believed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClockSettings {
-    /// The time of day moved against the monotonic clock by more than this between two readings: a step.
-    pub max_step: Micros,
-    /// What it may move besides, in millionths of the time between.
-    pub max_drift_ppm: i64,
-    /// So long without a step, and read at least as often, a clock is steady.
-    pub steady_after: Micros,
-    /// What another holder said is heeded so long.
-    pub reading_lifetime: Micros,
-    /// An answer whose round trip took longer says nothing.
-    pub max_round_trip: Micros,
-    /// Two clocks that are no further apart agree.
-    pub agreement_tolerance: Micros,
-}
-
-impl Default for ClockSettings {
-    fn default() -> Self {
-        ClockSettings {
-            max_step: 1_000_000,
-            max_drift_ppm: 1_000,
-            steady_after: 600_000_000,
-            reading_lifetime: 30_000_000,
-            max_round_trip: 1_000_000,
-            agreement_tolerance: 2_000_000,
-        }
-    }
-}
-
-/// Another holder's time of day, as it answered.
+/// Another node's time of day, as it answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerClockReading {
-    /// Which holder.
+    /// Which node.
     pub node: Node,
     /// When it was asked, on this node's monotonic clock.
-    pub sent_at: Micros,
+    pub sent_at: Instant,
     /// When its answer came, on the same.
-    pub received_at: Micros,
-    /// Its time of day at some moment between, in microseconds since 1970.
-    pub wall: i64,
+    pub received_at: Instant,
+    /// Its time of day at some moment between.
+    pub wall: UnixTime,
     /// Whether it saw its own clock step lately ([`TrustedClock::stepped`]).
     pub stepped: bool,
 }
 
+/// An offset, and when it was read.
 #[derive(Clone, Copy, Debug)]
-struct Own {
-    /// Time of day less monotonic.
-    offset: i64,
-    at: Micros,
-    /// An earlier offset and when, against many small steps.
-    anchor: (i64, Micros),
+struct OffsetReading {
+    offset: Duration,
+    at: Instant,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct LocalClock {
+    last: OffsetReading,
+    /// An earlier reading, against many small steps.
+    anchor: OffsetReading,
     /// Since when it was read without a gap or a step.
-    since: Micros,
-    stepped: Option<Micros>,
+    steady_since: Instant,
+    stepped_at: Option<Instant>,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct PeerClock {
+    /// Its offset lies between these two.
+    earliest: Duration,
+    latest: Duration,
+    read_at: Instant,
+    stepped_at: Option<Instant>,
 }
 
+/// A clock in a vote: between which offsets it is, and whether it stepped lately.
 #[derive(Clone, Copy, Debug)]
-struct Other {
-    /// Its offset lies between.
-    low: i64,
-    high: i64,
-    at: Micros,
-    stepped: Option<Micros>,
+struct VotingClock {
+    earliest: Duration,
+    latest: Duration,
+    stepped: bool,
 }
 
-/// The time of day as one holder knows it, from its own clock and those of others. Holds at most [`MAX_PEER_CLOCKS`] others.
+impl VotingClock {
+    fn middle(&self) -> Duration {
+        self.earliest + (self.latest - self.earliest) / 2
+    }
+
+    fn agrees_with(&self, offset: Duration, tolerance: Duration) -> bool {
+        self.earliest.saturating_add(-tolerance) <= offset && offset <= self.latest.saturating_add(tolerance)
+    }
+}
+
+/// The offsets that the greatest number of clocks agree on.
+#[derive(Clone, Copy, Debug)]
+struct Majority {
+    count: usize,
+    earliest: Duration,
+    latest: Duration,
+}
+
+/// The time of day as one node knows it, from its own clock and those of others. Holds at most [`MAX_PEER_CLOCKS`] others.
 ///
-/// A time of day is believed if two clocks agree on it, one of them without a step lately, and no others agree on another
-/// time as many. Only where no other was heard lately does the own clock do alone: steady, and in agreement with
-/// the others when they were last heard. Anything else gives no time at all, and nobody lapses by it.
+/// A time of day is trusted if two clocks agree on it, one of them without a step lately, and no others agree on another
+/// time as many. Only where no other was heard lately does the own clock do alone: steady, and in agreement with the
+/// others when they were last heard. Anything else gives no time at all, and nobody lapses by it.
 #[derive(Clone, Debug)]
 pub struct TrustedClock {
-    guard: ClockSettings,
-    single: bool,
-    own: Option<Own>,
-    others: BTreeMap<Node, Other>,
+    settings: ClockSettings,
+    is_only_node: bool,
+    local: Option<LocalClock>,
+    peers: BTreeMap<Node, PeerClock>,
     /// The own clock has not agreed with others since it stepped, differed or started.
-    doubt: bool,
-    mutant: Option<Mutation>,
+    is_in_doubt: bool,
+    mutation: Option<Mutation>,
 }
 
 impl TrustedClock {
-    /// A clock that was not read yet. `single` says that this is the only holder there is: then a steady own clock is
-    /// enough.
-    pub fn new(guard: ClockSettings, single: bool) -> TrustedClock {
-        TrustedClock { guard, single, own: None, others: BTreeMap::new(), doubt: true, mutant: None }
+    /// A clock that was not read yet. `is_only_node` says that there are no others: then a steady own clock is enough.
+    pub fn new(settings: ClockSettings, is_only_node: bool) -> TrustedClock {
+        TrustedClock {
+            settings,
+            is_only_node,
+            local: None,
+            peers: BTreeMap::new(),
+            is_in_doubt: true,
+            mutation: None,
+        }
     }
 
-    /// Breaks a rule on purpose.
+    /// Change a rule on purpose.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
-    pub fn set_mutation(&mut self, mutant: Mutation) {
-        self.mutant = Some(mutant);
+    pub fn set_mutation(&mut self, mutation: Mutation) {
+        self.mutation = Some(mutation);
     }
 
     /// Take a reading of the own clocks, both at one moment; about once a second. Whether the time of day has stepped
     /// since the last.
-    pub fn observe_local(&mut self, now: Micros, wall: i64) -> bool {
-        let offset = wall.saturating_sub(now);
-        let fresh = Own { offset, at: now, anchor: (offset, now), since: now, stepped: None };
-        let Some(own) = &mut self.own else {
-            self.own = Some(fresh);
+    pub fn observe_local(&mut self, now: Instant, wall: UnixTime) -> bool {
+        let reading = OffsetReading { offset: wall.offset_from(now), at: now };
+        let fresh = LocalClock { last: reading, anchor: reading, steady_since: now, stepped_at: None };
+        let Some(local) = &mut self.local else {
+            self.local = Some(fresh);
             return false;
         };
-        let gap = now.saturating_sub(own.at);
-        if gap < 0 {
+        let gap = now.saturating_since(local.last.at);
+        if gap.is_negative() {
             return false;
         }
-        let guard = self.guard;
-        let moved = |from: i64, span: Micros| far(offset, from) > guard.allowed(span);
-        let stepped = moved(own.offset, gap) || moved(own.anchor.0, now.saturating_sub(own.anchor.1).max(0));
+        let settings = self.settings;
+        let since_anchor = now.saturating_since(local.anchor.at).max(Duration::ZERO);
+        let stepped = distance(reading.offset, local.last.offset) > settings.allowed_move(gap)
+            || distance(reading.offset, local.anchor.offset) > settings.allowed_move(since_anchor);
         if stepped {
-            *own = Own { stepped: Some(now), ..fresh };
-            self.doubt = true;
-        } else if gap > guard.steady_after {
-            *own = Own { stepped: own.stepped, ..fresh };
+            *local = LocalClock { stepped_at: Some(now), ..fresh };
+            self.is_in_doubt = true;
+        } else if gap > settings.steady_after {
+            *local = LocalClock { stepped_at: local.stepped_at, ..fresh };
         } else {
-            if now.saturating_sub(own.anchor.1) >= guard.steady_after {
-                own.anchor = (offset, now);
+            if now.saturating_since(local.anchor.at) >= settings.steady_after {
+                local.anchor = reading;
             }
-            own.offset = offset;
-            own.at = now;
+            local.last = reading;
         }
         stepped
     }
 
-    /// Take another holder's answer.
-    pub fn observe_peer(&mut self, voice: PeerClockReading) {
-        let width = voice.received_at.saturating_sub(voice.sent_at);
-        if width < 0 || width > self.guard.max_round_trip {
+    /// Take another node's answer.
+    pub fn observe_peer(&mut self, reading: PeerClockReading) {
+        let PeerClockReading { node, sent_at, received_at, wall, stepped } = reading;
+        let round_trip = received_at.saturating_since(sent_at);
+        if round_trip.is_negative() || round_trip > self.settings.max_round_trip {
             return;
         }
-        let (low, high) =
-            (voice.wall.saturating_sub(voice.received_at), voice.wall.saturating_sub(voice.sent_at));
-        let before = self.others.get(&voice.node).copied();
-        if before.is_some_and(|old| old.at > voice.received_at) {
+        let (earliest, latest) = (wall.offset_from(received_at), wall.offset_from(sent_at));
+        let before = self.peers.get(&node).copied();
+        if before.is_some_and(|old| old.read_at > received_at) {
             return;
         }
         // It may have started again since it stepped and not know.
         let moved = before.is_some_and(|old| {
-            let allowed = self.guard.allowed(voice.received_at.saturating_sub(old.at));
-            low.saturating_sub(old.high) > allowed || old.low.saturating_sub(high) > allowed
+            let allowed = self.settings.allowed_move(received_at.saturating_since(old.read_at));
+            earliest.saturating_add(-old.latest) > allowed || old.earliest.saturating_add(-latest) > allowed
         });
-        let known = before.and_then(|old| old.stepped);
-        let stepped = if voice.stepped || moved { Some(voice.received_at) } else { known };
-        if before.is_none() && self.others.len() >= MAX_PEER_CLOCKS {
-            if let Some(oldest) = self.others.iter().min_by_key(|(_, other)| other.at).map(|(node, _)| *node)
-            {
-                self.others.remove(&oldest);
-            }
+        let known = before.and_then(|old| old.stepped_at);
+        let stepped_at = if stepped || moved { Some(received_at) } else { known };
+        if before.is_none() {
+            self.make_room();
         }
-        self.others.insert(voice.node, Other { low, high, at: voice.received_at, stepped });
-        let agreed = self.vote(voice.received_at);
-        self.doubt = match (agreed, self.own) {
-            (Some(offset), Some(own)) => far(offset, own.offset) > self.guard.agreement_tolerance,
+        self.peers.insert(node, PeerClock { earliest, latest, read_at: received_at, stepped_at });
+        self.is_in_doubt = match (self.agreed_offset(received_at), self.local) {
+            (Some(agreed), Some(local)) => {
+                distance(agreed, local.last.offset) > self.settings.agreement_tolerance
+            }
             _ => true,
         };
     }
 
-    /// Whether the own time of day stepped within the steady span: told to others with the reading.
-    pub fn stepped(&self, now: Micros) -> bool {
-        self.own.is_some_and(|own| self.guard.lately(now, own.stepped))
+    fn make_room(&mut self) {
+        if self.peers.len() < MAX_PEER_CLOCKS {
+            return;
+        }
+        let oldest = self.peers.iter().min_by_key(|(_, peer)| peer.read_at).map(|(node, _)| *node);
+        if let Some(node) = oldest {
+            self.peers.remove(&node);
+        }
     }
 
-    /// The time of day, if it is to be believed.
-    pub fn wall_time(&self, now: Micros) -> Option<i64> {
-        if cfg!(feature = "mutants") && self.mutant == Some(Mutation::OwnClock) {
-            return self.own.map(|own| own.offset.saturating_add(now));
+    /// Whether the own time of day stepped within the steady span: sent to others with the reading.
+    pub fn stepped(&self, now: Instant) -> bool {
+        self.local.is_some_and(|local| self.settings.is_recent(now, local.stepped_at))
+    }
+
+    /// The time of day, if it is to be trusted.
+    pub fn wall_time(&self, now: Instant) -> Option<UnixTime> {
+        if cfg!(feature = "mutants") && self.mutation == Some(Mutation::OwnClock) {
+            return self.local.map(|local| UnixTime::at_offset(now, local.last.offset));
         }
-        let alone = !self.others.values().any(|other| self.fresh(now, other.at));
-        let offset = if alone {
-            let own = self.own.filter(|own| self.fresh(now, own.at))?;
-            let steady = now.saturating_sub(own.since) >= self.guard.steady_after;
-            (steady && (self.single || !self.doubt)).then_some(own.offset)
-        } else {
-            self.vote(now)
-        };
-        offset.map(|offset| offset.saturating_add(now))
+        let is_alone = !self.peers.values().any(|peer| self.settings.is_fresh(now, peer.read_at));
+        let offset = if is_alone { self.own_offset(now) } else { self.agreed_offset(now) };
+        offset.map(|offset| UnixTime::at_offset(now, offset))
+    }
+
+    /// The own clock's offset, where it does alone.
+    fn own_offset(&self, now: Instant) -> Option<Duration> {
+        let local = self.local.filter(|local| self.settings.is_fresh(now, local.last.at))?;
+        let is_steady = now.saturating_since(local.steady_since) >= self.settings.steady_after;
+        (is_steady && (self.is_only_node || !self.is_in_doubt)).then_some(local.last.offset)
+    }
+
+    fn voting_clocks(&self, now: Instant) -> Vec<VotingClock> {
+        let local = self.local.iter().map(|local| PeerClock {
+            earliest: local.last.offset,
+            latest: local.last.offset,
+            read_at: local.last.at,
+            stepped_at: local.stepped_at,
+        });
+        local
+            .chain(self.peers.values().copied())
+            .filter(|clock| self.settings.is_fresh(now, clock.read_at))
+            .map(|PeerClock { earliest, latest, stepped_at, .. }| VotingClock {
+                earliest,
+                latest,
+                stepped: self.settings.is_recent(now, stepped_at),
+            })
+            .collect()
     }
 
     /// The offset that most clocks agree on.
-    fn vote(&self, now: Micros) -> Option<i64> {
-        let own = self.own.iter().map(|own| (own.offset, own.offset, own.at, own.stepped));
-        let others = self.others.values().map(|other| (other.low, other.high, other.at, other.stepped));
-        let clocks: Vec<(i64, i64, bool)> = own
-            .chain(others)
-            .filter(|(_, _, at, _)| self.fresh(now, *at))
-            .map(|(low, high, _, stepped)| (low, high, self.guard.lately(now, stepped)))
-            .collect();
-        let tolerance = self.guard.agreement_tolerance;
-        // The count of clocks that agree, and the earliest and latest offset that so many agree on.
-        let mut best: Option<(usize, i64, i64)> = None;
-        for &(low, high, _) in &clocks {
-            let middle = low + (high - low) / 2;
-            let agree = |(low, high, _): &&(i64, i64, bool)| {
-                low.saturating_sub(tolerance) <= middle && middle <= high.saturating_add(tolerance)
-            };
-            let count = clocks.iter().filter(agree).count();
-            let sound = clocks.iter().filter(agree).any(|(_, _, stepped)| !stepped);
-            if count < 2 || !sound {
+    fn agreed_offset(&self, now: Instant) -> Option<Duration> {
+        let clocks = self.voting_clocks(now);
+        let tolerance = self.settings.agreement_tolerance;
+        let mut best: Option<Majority> = None;
+        for middle in clocks.iter().map(VotingClock::middle) {
+            let agreeing = || clocks.iter().filter(|clock| clock.agrees_with(middle, tolerance));
+            let count = agreeing().count();
+            if count < 2 || agreeing().all(|clock| clock.stepped) {
                 continue;
             }
             best = match best {
-                Some((most, ..)) if most > count => best,
-                Some((most, first, last)) if most == count => {
-                    Some((most, first.min(middle), last.max(middle)))
-                }
-                _ => Some((count, middle, middle)),
+                Some(best) if best.count > count => Some(best),
+                Some(best) if best.count == count => Some(Majority {
+                    count,
+                    earliest: best.earliest.min(middle),
+                    latest: best.latest.max(middle),
+                }),
+                _ => Some(Majority { count, earliest: middle, latest: middle }),
             };
         }
         // The earliest of them: who lapses a little late loses nothing.
-        best.filter(|(_, first, last)| far(*first, *last) <= 2 * tolerance).map(|(_, first, _)| first)
-    }
-
-    fn fresh(&self, now: Micros, at: Micros) -> bool {
-        now.saturating_sub(at) <= self.guard.reading_lifetime
-    }
-}
-
-impl ClockSettings {
-    fn allowed(&self, span: Micros) -> i64 {
-        self.max_step
-            .saturating_add((i128::from(span.max(0)) * i128::from(self.max_drift_ppm) / 1_000_000) as i64)
-    }
-
-    fn lately(&self, now: Micros, stepped: Option<Micros>) -> bool {
-        stepped.is_some_and(|at| now.saturating_sub(at) < self.steady_after)
+        best.filter(|best| distance(best.earliest, best.latest) <= tolerance * 2).map(|best| best.earliest)
     }
 }
 
-fn far(a: i64, b: i64) -> i64 {
-    a.saturating_sub(b).saturating_abs()
+/// How far two offsets are apart, held at the bounds of the type.
+fn distance(a: Duration, b: Duration) -> Duration {
+    Duration::from_micros(a.as_micros().saturating_sub(b.as_micros()).saturating_abs())
 }
--- a/crates/control/throttle/tests/common/mod.rs
+++ b/crates/control/throttle/tests/common/mod.rs
@@ -6,11 +6,12 @@
 use silvercross_throttle::{
     decide_delay, throttle_step, ClockSettings, DelayDecision, LapseChange, LapseState, LapseTime,
     LapseTimer, LapseView, Member, Mutation, PeerClockReading, Plan, RequestStage, RouteKind,
-    ThrottleRequest, ThrottleSchedule, ThrottleStep, TrustedClock,
+    ThrottleRequest, ThrottleSchedule, ThrottleStep, TrustedClock, UnixTime,
 };
+use silvercross_time::{Duration, Instant};
 
 pub const S: i64 = 1_000_000;
-const HOLDERS: usize = 3;
+const NODES: usize = 3;
 const STEP: i64 = 10;
 const STEPS: u32 = 4;
 /// Within which nodes in touch hold what was said.
@@ -18,8 +19,12 @@
 /// The day's time at true time 0.
 const DAY: i64 = 1_790_000_000;
 
-pub fn guard() -> ClockSettings {
-    ClockSettings { steady_after: 60 * S, reading_lifetime: 10 * S, ..ClockSettings::default() }
+pub fn clock_settings() -> ClockSettings {
+    ClockSettings {
+        steady_after: Duration::from_secs(60),
+        reading_lifetime: Duration::from_secs(10),
+        ..ClockSettings::default()
+    }
 }
 
 pub fn member(version: u64, lapse_time: Option<LapseTime>) -> Member {
@@ -30,14 +35,14 @@
         lapse_time,
         throttle: ThrottleSchedule {
             max_delay_ppm: 400_000,
-            ramp: STEP * S * i64::from(STEPS),
+            ramp: Duration::from_secs(STEP * i64::from(STEPS)),
             steps: STEPS,
         },
         version,
     }
 }
 
-struct Holder {
+struct NodeModel {
     mono: i64,
     skew: i64,
     /// Microseconds its time of day is wrong by.
@@ -49,21 +54,28 @@
     item: Member,
     item_due: Option<(i64, Member)>,
     owns: Option<(Epoch, LapseState)>,
-    clerk: LapseTimer,
+    timer: LapseTimer,
     clock: TrustedClock,
-    board: LapseView,
+    view: LapseView,
     copies: Vec<(i64, LapseState)>,
     shown: (u64, u32),
 }
 
+impl NodeModel {
+    /// Its monotonic clock at a second of true time.
+    fn monotonic(&self, t: i64) -> Instant {
+        Instant::from_micros(t * S + self.mono)
+    }
+}
+
 pub struct World {
     t: i64,
     seed: u64,
-    mutant: Option<Mutation>,
-    holders: Vec<Holder>,
+    mutation: Option<Mutation>,
+    nodes: Vec<NodeModel>,
     owner: usize,
     epoch: Epoch,
-    page: LapseState,
+    state: LapseState,
     item: Member,
     item_at: i64,
     pending: Vec<(i64, Epoch, LapseChange)>,
@@ -88,16 +100,17 @@
 }
 
 impl World {
-    pub fn new(seed: u64, mutant: Option<Mutation>) -> World {
-        let first = member(1, Some(LapseTime::At((DAY + 40 + (seed % 100) as i64) * S)));
+    pub fn new(seed: u64, mutation: Option<Mutation>) -> World {
+        let first =
+            member(1, Some(LapseTime::At(UnixTime::from_micros((DAY + 40 + (seed % 100) as i64) * S))));
         let mut world = World {
             t: 0,
             seed,
-            mutant,
-            holders: Vec::new(),
+            mutation,
+            nodes: Vec::new(),
             owner: 0,
             epoch: Epoch { round: 1, owner: 0 },
-            page: LapseState::default(),
+            state: LapseState::default(),
             item: first.clone(),
             item_at: 0,
             pending: Vec::new(),
@@ -108,10 +121,10 @@
             begins: 0,
             steps: 0,
         };
-        for i in 0..HOLDERS {
+        for i in 0..NODES {
             let (mono, skew) = ((world.draw(1_000_000) as i64) * 1_000, world.draw(600_000) as i64 - 300_000);
-            let (clerk, clock, board) = world.fresh();
-            world.holders.push(Holder {
+            let (timer, clock, view) = world.fresh();
+            world.nodes.push(NodeModel {
                 mono,
                 skew,
                 wrong: 0,
@@ -121,9 +134,9 @@
                 item: first.clone(),
                 item_due: None,
                 owns: (i == 0).then(|| (world.epoch, LapseState::default())),
-                clerk,
+                timer,
                 clock,
-                board,
+                view,
                 copies: Vec::new(),
                 shown: (0, 0),
             });
@@ -133,15 +146,15 @@
 
     fn fresh(&self) -> (LapseTimer, TrustedClock, LapseView) {
         #[allow(unused_mut)]
-        let (mut clerk, mut clock, mut board) =
-            (LapseTimer::new(), TrustedClock::new(guard(), false), LapseView::new());
+        let (mut timer, mut clock, mut view) =
+            (LapseTimer::new(), TrustedClock::new(clock_settings(), false), LapseView::new());
         #[cfg(feature = "mutants")]
-        if let Some(mutant) = self.mutant {
-            clerk.set_mutation(mutant);
-            clock.set_mutation(mutant);
-            board.set_mutation(mutant);
+        if let Some(mutation) = self.mutation {
+            timer.set_mutation(mutation);
+            clock.set_mutation(mutation);
+            view.set_mutation(mutation);
         }
-        (clerk, clock, board)
+        (timer, clock, view)
     }
 
     fn draw(&mut self, below: u64) -> u64 {
@@ -160,12 +173,12 @@
         asked: &ThrottleRequest,
     ) -> DelayDecision {
         #[cfg(feature = "mutants")]
-        match self.mutant {
+        match self.mutation {
             Some(Mutation::DelayByNode(_)) => {
-                let mutant = Mutation::DelayByNode(_node as u32);
-                return silvercross_throttle::decide_delay_mutated(mutant, member, at, asked);
+                let mutation = Mutation::DelayByNode(_node as u32);
+                return silvercross_throttle::decide_delay_mutated(mutation, member, at, asked);
             }
-            Some(mutant) => return silvercross_throttle::decide_delay_mutated(mutant, member, at, asked),
+            Some(mutation) => return silvercross_throttle::decide_delay_mutated(mutation, member, at, asked),
             None => {}
         }
         decide_delay(member, at, asked)
@@ -173,8 +186,8 @@
 
     /// Play a schedule, then calm, by whose end all must have come to pass.
     pub fn run(&mut self, schedule: &[(u8, u8)]) -> Verdict {
-        for &(deed, arg) in schedule {
-            self.deed(deed, arg);
+        for &(event, arg) in schedule {
+            self.event(event, arg);
             for _ in 0..1 + arg % 16 {
                 self.tick()?;
             }
@@ -183,10 +196,10 @@
     }
 
     fn calm(&mut self) -> Verdict {
-        for i in 0..HOLDERS {
+        for i in 0..NODES {
             self.heal(i);
-            self.holders[i].wrong = 0;
-            self.holders[i].frozen_until = -1;
+            self.nodes[i].wrong = 0;
+            self.nodes[i].frozen_until = -1;
         }
         for _ in 0..400 {
             self.tick()?;
@@ -197,12 +210,12 @@
     }
 
     fn heal(&mut self, i: usize) {
-        let (t, item, page) = (self.t, self.item.clone(), self.page.clone());
-        let holder = &mut self.holders[i];
-        if holder.cut {
-            (holder.cut, holder.touch) = (false, t);
-            holder.item_due = Some((t + 1, item));
-            holder.copies.push((t + 1, page));
+        let (t, item, state) = (self.t, self.item.clone(), self.state.clone());
+        let node_model = &mut self.nodes[i];
+        if node_model.cut {
+            (node_model.cut, node_model.touch) = (false, t);
+            node_model.item_due = Some((t + 1, item));
+            node_model.copies.push((t + 1, state));
             self.let_alone(i);
         }
     }
@@ -214,63 +227,63 @@
         }
     }
 
-    pub fn deed(&mut self, deed: u8, arg: u8) {
-        let (t, i) = (self.t, usize::from(arg) % HOLDERS);
-        match deed % 10 {
+    pub fn event(&mut self, event: u8, arg: u8) {
+        let (t, i) = (self.t, usize::from(arg) % NODES);
+        match event % 10 {
             0 | 1 => {
-                let one_wrong = self.holders.iter().any(|h| h.wrong != 0);
-                if self.holders[i].wrong != 0 {
-                    self.holders[i].wrong = 0;
+                let one_wrong = self.nodes.iter().any(|h| h.wrong != 0);
+                if self.nodes[i].wrong != 0 {
+                    self.nodes[i].wrong = 0;
                     self.mended = t;
                 } else if !one_wrong && t > self.mended + 12 {
                     let hours = 1 + i64::from(arg / 64);
-                    self.holders[i].wrong = if arg & 4 == 0 { hours } else { -hours } * 3_600 * S;
+                    self.nodes[i].wrong = if arg & 4 == 0 { hours } else { -hours } * 3_600 * S;
                 }
             }
             2 | 3 => {
                 // The old owner may not know for a while; what it still sends is fenced.
                 let knows = arg & 8 != 0;
                 if knows {
-                    self.holders[self.owner].owns = None;
+                    self.nodes[self.owner].owns = None;
                 }
                 self.epoch = Epoch { round: self.epoch.round + 1, owner: i as u32 };
                 self.owner = i;
-                self.holders[i].owns = Some((self.epoch, self.page.clone()));
+                self.nodes[i].owns = Some((self.epoch, self.state.clone()));
                 self.alone = t;
             }
             4 => {
                 let version = self.item.version + 1 + u64::from(arg & 1);
                 let lapse_time = match arg % 4 {
                     0 => None,
-                    1 => Some(LapseTime::In((20 + i64::from(arg)) * S)),
-                    _ => Some(LapseTime::At((DAY + t + i64::from(arg) - 40) * S)),
+                    1 => Some(LapseTime::In(Duration::from_secs(20 + i64::from(arg)))),
+                    _ => Some(LapseTime::At(UnixTime::from_micros((DAY + t + i64::from(arg) - 40) * S))),
                 };
                 self.item = member(version, lapse_time);
                 self.item_at = t;
-                for j in 0..HOLDERS {
+                for j in 0..NODES {
                     let late = 1 + self.draw(2) as i64;
-                    self.holders[j].item_due = Some((t + late, self.item.clone()));
+                    self.nodes[j].item_due = Some((t + late, self.item.clone()));
                 }
             }
             5 => {
-                if self.holders[i].cut {
+                if self.nodes[i].cut {
                     self.heal(i);
                 } else {
-                    self.holders[i].cut = true;
+                    self.nodes[i].cut = true;
                     self.let_alone(i);
                 }
             }
             6 => {
-                self.holders[i].frozen_until = t + i64::from(arg / 4);
+                self.nodes[i].frozen_until = t + i64::from(arg / 4);
                 self.let_alone(i);
             }
             7 => {
-                let (clerk, clock, board) = self.fresh();
-                let page = self.page.clone();
-                let holder = &mut self.holders[i];
-                (holder.clerk, holder.clock, holder.board) = (clerk, clock, board);
-                (holder.touch, holder.shown) = (t, (0, 0));
-                holder.copies = vec![(t + 1, page)];
+                let (timer, clock, view) = self.fresh();
+                let state = self.state.clone();
+                let node_model = &mut self.nodes[i];
+                (node_model.timer, node_model.clock, node_model.view) = (timer, clock, view);
+                (node_model.touch, node_model.shown) = (t, (0, 0));
+                node_model.copies = vec![(t + 1, state)];
                 self.let_alone(i);
             }
             8 => {
@@ -285,55 +298,64 @@
         self.t += 1;
         let t = self.t;
         self.commit()?;
-        let wall = |h: &Holder| (DAY + t) * S + h.skew + h.wrong;
+        let wall = |h: &NodeModel| (DAY + t) * S + h.skew + h.wrong;
         let said: Vec<(i64, bool, bool)> = self
-            .holders
+            .nodes
             .iter()
-            .map(|h| (wall(h), h.clock.stepped(t * S + h.mono), h.cut || h.frozen_until >= t))
+            .map(|h| (wall(h), h.clock.stepped(h.monotonic(t)), h.cut || h.frozen_until >= t))
             .collect();
         let mut asked = Vec::new();
-        for (i, holder) in self.holders.iter_mut().enumerate() {
-            if holder.frozen_until >= t {
-                holder.touch = t + 1;
+        for (i, node_model) in self.nodes.iter_mut().enumerate() {
+            if node_model.frozen_until >= t {
+                node_model.touch = t + 1;
                 continue;
             }
-            let now = t * S + holder.mono;
-            holder.clock.observe_local(now, said[i].0);
-            if !holder.cut && t % 2 == 0 {
+            let now = node_model.monotonic(t);
+            node_model.clock.observe_local(now, UnixTime::from_micros(said[i].0));
+            if !node_model.cut && t % 2 == 0 {
                 for (j, &(wall, stepped, silent)) in said.iter().enumerate() {
                     if j != i && !silent {
-                        let (asked, answered) = (now - 200_000, now);
+                        let (sent_at, received_at) = (now - Duration::from_millis(200), now);
+                        let wall = UnixTime::from_micros(wall - 100_000);
                         let node = Node(j as u32);
-                        holder.clock.observe_peer(PeerClockReading {
+                        node_model.clock.observe_peer(PeerClockReading {
                             node,
-                            sent_at: asked,
-                            received_at: answered,
-                            wall: wall - 100_000,
+                            sent_at,
+                            received_at,
+                            wall,
                             stepped,
                         });
                     }
                 }
             }
-            if !holder.cut {
-                if let Some((_, item)) = holder.item_due.take_if(|(at, _)| *at <= t) {
-                    holder.item = item;
+            if !node_model.cut {
+                if let Some((_, item)) = node_model.item_due.take_if(|(at, _)| *at <= t) {
+                    node_model.item = item;
                 }
-                let (here, later): (Vec<_>, Vec<_>) = holder.copies.drain(..).partition(|(at, _)| *at <= t);
-                holder.copies = later;
+                let (here, later): (Vec<_>, Vec<_>) =
+                    node_model.copies.drain(..).partition(|(at, _)| *at <= t);
+                node_model.copies = later;
                 for (_, copy) in here {
-                    holder.board.observe(now, "m", &copy);
+                    node_model.view.observe(now, "m", &copy);
                 }
                 // What an owner of old learns in the end.
-                if i != self.owner && holder.owns.is_some() && t % 8 == 0 {
-                    holder.owns = None;
-                    holder.clerk.forget("m");
+                if i != self.owner && node_model.owns.is_some() && t % 8 == 0 {
+                    node_model.owns = None;
+                    node_model.timer.forget("m");
                 }
             }
-            if let Some((epoch, page)) = &mut holder.owns {
+            if let Some((epoch, state)) = &mut node_model.owns {
                 if *epoch == self.epoch {
-                    page.clone_from(&self.page);
+                    state.clone_from(&self.state);
                 }
-                let advice = holder.clerk.decide(now, "m", *epoch, page, Some(&holder.item), &holder.clock);
+                let advice = node_model.timer.decide(
+                    now,
+                    "m",
+                    *epoch,
+                    state,
+                    Some(&node_model.item),
+                    &node_model.clock,
+                );
                 asked.extend(advice.proposal.map(|change| (*epoch, change)));
             }
         }
@@ -341,7 +363,7 @@
             let late = 1 + self.draw(2) as i64;
             self.pending.push((t + late, epoch, change));
         }
-        self.judge()
+        self.check()
     }
 
     /// Changes that arrive at the ledger: the fence lets through the owner's alone, and its ledger commits in touch.
@@ -350,21 +372,21 @@
         let (here, later): (Vec<_>, Vec<_>) = self.pending.drain(..).partition(|(at, ..)| *at <= t);
         self.pending = later;
         for (_, epoch, change) in here {
-            if epoch != self.epoch || self.holders[self.owner].cut {
+            if epoch != self.epoch || self.nodes[self.owner].cut {
                 continue;
             }
-            let old = self.page.clone();
-            if !self.page.apply(&change).unwrap_or(false) {
+            let old = self.state.clone();
+            if !self.state.apply(&change).unwrap_or(false) {
                 continue;
             }
             self.legal(&old, &change)?;
             self.changed = t;
-            for i in 0..HOLDERS {
+            for i in 0..NODES {
                 let late = self.draw(3) as i64;
-                let copy = self.page.clone();
+                let copy = self.state.clone();
                 // A node that is cut off gets the newest when it is back.
-                if !self.holders[i].cut {
-                    self.holders[i].copies.push((t + late, copy));
+                if !self.nodes[i].cut {
+                    self.nodes[i].copies.push((t + late, copy));
                 }
             }
         }
@@ -380,20 +402,20 @@
                 ensure(Some(version) > old.version, || "renewed by no newer edition".into())
             }
             LapseChange::Due { at, .. } => {
-                let at = at / S - DAY;
+                let at = at.as_micros() / S - DAY;
                 self.due = Some(at);
                 let Some(LapseTime::In(span)) = self.item.lapse_time else { return Ok(()) };
-                let least = self.item_at + span / S;
+                let least = self.item_at + span.as_micros() / S;
                 let newest = old.version == Some(self.item.version);
-                ensure(!newest || (at >= least - 3 && at <= t + span / S + 3), || {
-                    format!("due at {at}, item {} at {} for {span}", self.item.version, self.item_at)
+                ensure(!newest || (at >= least - 3 && at <= t + span.as_micros() / S + 3), || {
+                    format!("due at {at}, item {} at {} for {span:?}", self.item.version, self.item_at)
                 })
             }
             LapseChange::Begin { version } => {
                 self.begins += 1;
                 let due = match self.item.lapse_time {
                     _ if version != self.item.version => return Ok(()),
-                    Some(LapseTime::At(at)) => Some(at / S - DAY),
+                    Some(LapseTime::At(at)) => Some(at.as_micros() / S - DAY),
                     _ => self.due,
                 };
                 ensure(due.is_some_and(|due| t >= due - 3), || format!("lapsed at {t}, due at {due:?}"))
@@ -408,37 +430,37 @@
     }
 
     fn throttle_step(&self) -> ThrottleStep {
-        throttle_step(&self.item, &self.page)
+        throttle_step(&self.item, &self.state)
     }
 
-    fn judge(&mut self) -> Verdict {
+    fn check(&mut self) -> Verdict {
         let t = self.t;
         // An owner that is let alone does not tarry.
-        let owner = &self.holders[self.owner];
-        let page = &self.page;
-        let ready = page.begun && page.step < page.total_steps && page.version == Some(self.item.version);
+        let owner = &self.nodes[self.owner];
+        let state = &self.state;
+        let ready = state.begun && state.step < state.total_steps && state.version == Some(self.item.version);
         let well = !owner.cut && owner.frozen_until < t && owner.item.version == self.item.version;
         let since = self.alone.max(self.changed).max(owner.touch).max(self.item_at + TOUCH);
         ensure(!(ready && well) || t <= since + STEP + 5, || {
-            format!("step {} of {} stalls at {t}, since {since}", page.step, page.total_steps)
+            format!("step {} of {} stalls at {t}, since {since}", state.step, state.total_steps)
         })?;
         let calm = t > self.changed.max(self.item_at) + TOUCH;
         let want = self.throttle_step();
         let mut rows = Vec::new();
-        for holder in &mut self.holders {
-            let status = holder.board.status(t * S + holder.mono, &holder.item);
+        for node_model in &mut self.nodes {
+            let status = node_model.view.status(node_model.monotonic(t), &node_model.item);
             // A renewal takes hold by its item or by its lapse, whichever comes first.
             let version = status.version;
-            let (shown, step) = holder.shown;
+            let (shown, step) = node_model.shown;
             ensure(version != shown || status.throttle_step.step >= step, || {
                 format!("a node went back to {status:?}")
             })?;
-            holder.shown = (version, status.throttle_step.step);
-            let touch = !holder.cut && holder.frozen_until < t && t > holder.touch + TOUCH;
+            node_model.shown = (version, status.throttle_step.step);
+            let touch = !node_model.cut && node_model.frozen_until < t && t > node_model.touch + TOUCH;
             ensure(!(calm && touch) || status.throttle_step == want, || {
                 format!("at {t} a node in touch stands at {} and not {want}", status.throttle_step)
             })?;
-            rows.push((holder.item.clone(), status.throttle_step));
+            rows.push((node_model.item.clone(), status.throttle_step));
         }
         if t % 8 == 0 {
             self.requests(&rows)?;
@@ -454,7 +476,9 @@
         let stage =
             [RequestStage::Head, RequestStage::Head, RequestStage::BodyStarted, RequestStage::Retried]
                 [self.draw(4) as usize];
-        let (latency_target, remaining_deadline) = (600_000, self.draw(4_000_000) as i64);
+        let (target, left) = (600_000, self.draw(4_000_000) as i64);
+        let (latency_target, remaining_deadline) =
+            (Duration::from_micros(target), Duration::from_micros(left));
         let asked = ThrottleRequest { kind, stage, id: &id, latency_target, remaining_deadline };
         let mut first: Option<(&Member, ThrottleStep, DelayDecision)> = None;
         for (node, (member, at)) in rows.iter().enumerate() {
@@ -464,19 +488,20 @@
                     format!("{kind:?} at {stage:?}, step {at}: {slow:?}")
                 })?;
             }
-            let most = latency_target * 4 * i64::from(at.step) / 10 / i64::from(at.total_steps.max(1));
+            let most = target * 4 * i64::from(at.step) / 10 / i64::from(at.total_steps.max(1));
             match slow {
                 DelayDecision::Forward => ensure(
                     asked.stage != RequestStage::Head || kind != RouteKind::Safe || at.step == 0,
                     || format!("a read goes on at once at step {at}"),
                 )?,
                 DelayDecision::Delay(wait) => {
-                    ensure(wait >= most / 2 && wait <= most && wait <= remaining_deadline / 2, || {
+                    let wait = wait.as_micros();
+                    ensure(wait >= most / 2 && wait <= most && wait <= left / 2, || {
                         format!("waits {wait} at {at}, {asked:?}")
                     })?
                 }
                 DelayDecision::Reject { retry_after } => {
-                    ensure(remaining_deadline / 2 < most / 2 && retry_after == most, || {
+                    ensure(left / 2 < most / 2 && retry_after.as_micros() == most, || {
                         format!("refused at {at}, {asked:?}")
                     })?
                 }
--- a/crates/control/throttle/tests/mutants.rs
+++ b/crates/control/throttle/tests/mutants.rs
@@ -7,13 +7,13 @@
 use silvercross_throttle::Mutation;
 
 /// The model finds it within so many schedules, in these words.
-fn caught(mutant: Mutation, schedules: u64, words: &str) {
+fn caught(mutation: Mutation, schedules: u64, words: &str) {
     let found = (0..schedules).find_map(|seed| {
-        let why = World::new(seed, Some(mutant)).run(&schedule(seed)).err()?;
+        let why = World::new(seed, Some(mutation)).run(&schedule(seed)).err()?;
         why.contains(words).then_some((seed, why))
     });
-    let (seed, why) = found.unwrap_or_else(|| panic!("{mutant:?} was not found in {schedules} schedules"));
-    println!("{mutant:?}, seed {seed}: {why}");
+    let (seed, why) = found.unwrap_or_else(|| panic!("{mutation:?} was not found in {schedules} schedules"));
+    println!("{mutation:?}, seed {seed}: {why}");
 }
 
 #[test]
--- a/crates/control/throttle/tests/rules.rs
+++ b/crates/control/throttle/tests/rules.rs
@@ -3,21 +3,36 @@
 use serde_json::{json, Map, Value};
 use silvercross_control_store::{Epoch, Node, State};
 use silvercross_throttle::{
-    decide_delay, lapse_key, member_of_lapse_key, read, ClockSettings, DelayDecision, DelayQueue,
+    decide_delay, lapse_key, member_of_lapse_key, parse_members, ClockSettings, DelayDecision, DelayQueue,
     LapseChange, LapseState, LapseTime, LapseTimer, LapseView, Member, MemberError, MemberIndex, MemberList,
     MemberListChange, PeerClockReading, Plan, RequestIdentity, RequestStage, RequestThrottle, RouteKind,
-    ThrottleRequest, ThrottleSchedule, ThrottleStep, TimerDecision, TrustedClock, WaitingFor,
+    ThrottleRequest, ThrottleSchedule, ThrottleStep, TimerDecision, TrustedClock, UnixTime, WaitingFor,
 };
+use silvercross_time::{Duration, Instant};
 
 const S: i64 = 1_000_000;
 const DAY: i64 = 1_790_000_000 * S;
 
+/// A moment of the monotonic clock, in microseconds.
+fn at(micros: i64) -> Instant {
+    Instant::from_micros(micros)
+}
+
+fn span(micros: i64) -> Duration {
+    Duration::from_micros(micros)
+}
+
+/// A time of day, in microseconds.
+fn wall(micros: i64) -> UnixTime {
+    UnixTime::from_micros(micros)
+}
+
 fn map(value: &Value) -> Map<String, Value> {
     value.as_object().cloned().unwrap_or_default()
 }
 
 fn try_read(body: &Value) -> Result<MemberListChange, MemberError> {
-    read(&map(&body["deliver"]), &map(&body["withdraw"]))
+    parse_members(&map(&body["deliver"]), &map(&body["withdraw"]))
 }
 
 fn sent(body: Value) -> MemberListChange {
@@ -90,7 +105,7 @@
         }
         let fault = try_read(&bad).expect_err(&bad.to_string());
         assert_eq!((fault.item.as_str(), fault.key.as_str()), (item, named), "{fault}");
-        assert!(fault.reason.contains('('), "{fault}");
+        assert!(fault.problem.to_string().contains('('), "{fault}");
     }
 }
 
@@ -145,76 +160,84 @@
 
 #[test]
 fn steps_only_rise_and_an_old_step_does_not_touch_a_renewal() {
-    let mut page = LapseState::default();
+    let mut state = LapseState::default();
     assert_eq!(member_of_lapse_key(&lapse_key("a/b")), Some("a/b"));
-    assert!(page.apply(&LapseChange::Begin { version: 1 }).is_err(), "not renewed yet");
-    assert!(page.apply(&LapseChange::Renew { version: 1, total_steps: 0 }).is_err());
-    assert_eq!(page.apply(&LapseChange::Renew { version: 1, total_steps: 2 }), Ok(true));
-    assert_eq!(page.apply(&LapseChange::Renew { version: 1, total_steps: 2 }), Ok(false));
-    assert!(page.apply(&LapseChange::Step { version: 1, to: 1 }).is_err(), "not begun");
-    assert_eq!(page.apply(&LapseChange::Due { version: 1, at: 5 }), Ok(true));
-    assert!(page.apply(&LapseChange::Due { version: 1, at: 6 }).is_err());
-    assert_eq!(page.apply(&LapseChange::Begin { version: 1 }), Ok(true));
-    assert_eq!(page.apply(&LapseChange::Begin { version: 1 }), Ok(false));
-    assert!(page.apply(&LapseChange::Step { version: 1, to: 2 }).is_err(), "one left out");
-    assert_eq!(page.apply(&LapseChange::Step { version: 1, to: 1 }), Ok(true));
-    assert_eq!(page.apply(&LapseChange::Step { version: 1, to: 1 }), Ok(false));
-    assert_eq!(page.apply(&LapseChange::Step { version: 1, to: 2 }), Ok(true));
-    assert!(page.apply(&LapseChange::Step { version: 1, to: 3 }).is_err(), "beyond the last");
-    assert_eq!(page.apply(&LapseChange::Renew { version: 3, total_steps: 2 }), Ok(true));
-    let renewed = page.clone();
+    assert!(state.apply(&LapseChange::Begin { version: 1 }).is_err(), "not renewed yet");
+    assert!(state.apply(&LapseChange::Renew { version: 1, total_steps: 0 }).is_err());
+    assert_eq!(state.apply(&LapseChange::Renew { version: 1, total_steps: 2 }), Ok(true));
+    assert_eq!(state.apply(&LapseChange::Renew { version: 1, total_steps: 2 }), Ok(false));
+    assert!(state.apply(&LapseChange::Step { version: 1, to: 1 }).is_err(), "not begun");
+    assert_eq!(state.apply(&LapseChange::Due { version: 1, at: wall(5) }), Ok(true));
+    assert!(state.apply(&LapseChange::Due { version: 1, at: wall(6) }).is_err());
+    assert_eq!(state.apply(&LapseChange::Begin { version: 1 }), Ok(true));
+    assert_eq!(state.apply(&LapseChange::Begin { version: 1 }), Ok(false));
+    assert!(state.apply(&LapseChange::Step { version: 1, to: 2 }).is_err(), "one left out");
+    assert_eq!(state.apply(&LapseChange::Step { version: 1, to: 1 }), Ok(true));
+    assert_eq!(state.apply(&LapseChange::Step { version: 1, to: 1 }), Ok(false));
+    assert_eq!(state.apply(&LapseChange::Step { version: 1, to: 2 }), Ok(true));
+    assert!(state.apply(&LapseChange::Step { version: 1, to: 3 }).is_err(), "beyond the last");
+    assert_eq!(state.apply(&LapseChange::Renew { version: 3, total_steps: 2 }), Ok(true));
+    let renewed = state.clone();
     for old in [
         LapseChange::Step { version: 1, to: 2 },
         LapseChange::Begin { version: 1 },
         LapseChange::Renew { version: 2, total_steps: 9 },
     ] {
-        assert_eq!(page.apply(&old), Ok(false));
+        assert_eq!(state.apply(&old), Ok(false));
     }
-    assert_eq!((&page, page.step, page.begun, page.renewals), (&renewed, 0, false, 1));
+    assert_eq!((&state, state.step, state.begun, state.renewals), (&renewed, 0, false, 1));
 }
 
-fn voice(node: u32, now: i64, wall: i64) -> PeerClockReading {
-    PeerClockReading { node: Node(node), sent_at: now - 1_000, received_at: now, wall, stepped: false }
+fn reading(node: u32, now: i64, time: i64) -> PeerClockReading {
+    PeerClockReading {
+        node: Node(node),
+        sent_at: at(now - 1_000),
+        received_at: at(now),
+        wall: wall(time),
+        stepped: false,
+    }
 }
 
 #[test]
 fn a_time_of_day_is_believed_only_in_company() {
     let hour = 3_600 * S;
     let mut clock = TrustedClock::new(ClockSettings::default(), false);
-    assert!(!clock.observe_local(0, DAY));
-    assert_eq!(clock.wall_time(0), None, "nobody agrees");
-    clock.observe_peer(voice(1, 0, DAY));
-    assert_eq!(clock.wall_time(0), Some(DAY));
+    assert!(!clock.observe_local(at(0), wall(DAY)));
+    assert_eq!(clock.wall_time(at(0)), None, "nobody agrees");
+    clock.observe_peer(reading(1, 0, DAY));
+    assert_eq!(clock.wall_time(at(0)), Some(wall(DAY)));
     // It steps and one other does not follow: no time. Two others that agree outvote it.
-    assert!(clock.observe_local(S, DAY + S + hour));
-    assert!(clock.stepped(S));
-    clock.observe_peer(voice(1, S, DAY + S));
-    assert_eq!(clock.wall_time(S), None);
-    clock.observe_peer(voice(2, S, DAY + S + 400_000));
-    assert!(clock.wall_time(S).is_some_and(|time| (time - DAY - S).abs() < S));
+    assert!(clock.observe_local(at(S), wall(DAY + S + hour)));
+    assert!(clock.stepped(at(S)));
+    clock.observe_peer(reading(1, S, DAY + S));
+    assert_eq!(clock.wall_time(at(S)), None);
+    clock.observe_peer(reading(2, S, DAY + S + 400_000));
+    assert!(clock.wall_time(at(S)).is_some_and(|time| (time.as_micros() - DAY - S).abs() < S));
     // Another that stepped alike is no witness.
     let mut pair = TrustedClock::new(ClockSettings::default(), false);
-    pair.observe_local(0, DAY);
-    pair.observe_local(S, DAY + S + hour);
-    pair.observe_peer(PeerClockReading { stepped: true, ..voice(1, S, DAY + S + hour) });
-    assert_eq!(pair.wall_time(S), None);
+    pair.observe_local(at(0), wall(DAY));
+    pair.observe_local(at(S), wall(DAY + S + hour));
+    pair.observe_peer(PeerClockReading { stepped: true, ..reading(1, S, DAY + S + hour) });
+    assert_eq!(pair.wall_time(at(S)), None);
     // Alone afterwards, being steady is not enough: it is in doubt until others agree.
     for s in 2..2_000 {
-        clock.observe_local(s * S, DAY + s * S + hour);
+        clock.observe_local(at(s * S), wall(DAY + s * S + hour));
     }
-    assert_eq!(clock.wall_time(1_999 * S), None);
+    assert_eq!(clock.wall_time(at(1_999 * S)), None);
     // A slow answer says nothing.
-    clock
-        .observe_peer(PeerClockReading { sent_at: 1_990 * S, ..voice(1, 1_999 * S, DAY + 1_999 * S + hour) });
-    assert_eq!(clock.wall_time(1_999 * S), None);
+    clock.observe_peer(PeerClockReading {
+        sent_at: at(1_990 * S),
+        ..reading(1, 1_999 * S, DAY + 1_999 * S + hour)
+    });
+    assert_eq!(clock.wall_time(at(1_999 * S)), None);
 }
 
 #[test]
 fn a_single_holder_waits_for_a_steady_clock() {
     let mut clock = TrustedClock::new(ClockSettings::default(), true);
     let mut read = |s: i64, wrong: i64| {
-        clock.observe_local(s * S, DAY + s * S + wrong);
-        clock.wall_time(s * S).is_some()
+        clock.observe_local(at(s * S), wall(DAY + s * S + wrong));
+        clock.wall_time(at(s * S)).is_some()
     };
     assert_eq!((0..700).filter(|&s| read(s, 0)).min(), Some(600));
     assert!(!read(700, -3_600 * S));
@@ -228,98 +251,101 @@
         keys: vec!["k1".into()],
         plan: Plan::Trial,
         lapse_time: Some(lapse_time),
-        throttle: ThrottleSchedule { max_delay_ppm: 400_000, ramp: 40 * S, steps: 4 },
+        throttle: ThrottleSchedule { max_delay_ppm: 400_000, ramp: span(40 * S), steps: 4 },
         version: 1,
     }
 }
 
 #[test]
 fn the_clerk_wakes_when_it_is_time_and_asks_once() {
-    let (mut clerk, mut clock, mut page) =
+    let (mut timer, mut clock, mut state) =
         (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false), LapseState::default());
-    let member = member(LapseTime::In(20 * S));
+    let member = member(LapseTime::In(span(20 * S)));
     let epoch = Epoch { round: 1, owner: 1 };
     let mut now = 0;
     let mut asked = Vec::new();
     while let TimerDecision { proposal, next_deadline: Some(next_deadline), waiting_for } = {
-        clock.observe_local(now, DAY + now);
-        clock.observe_peer(voice(1, now, DAY + now));
-        clerk.decide(now, "a", epoch, &page, Some(&member), &clock)
+        clock.observe_local(at(now), wall(DAY + now));
+        clock.observe_peer(reading(1, now, DAY + now));
+        timer.decide(at(now), "a", epoch, &state, Some(&member), &clock)
     } {
         assert_eq!(
-            (clerk.next_deadline(), waiting_for == WaitingFor::Answer),
+            (timer.next_deadline(), waiting_for == WaitingFor::Commit),
             (Some(next_deadline), proposal.is_some())
         );
         match proposal {
             Some(change) => {
-                let again = clerk.decide(now + 1, "a", epoch, &page, Some(&member), &clock);
+                let again = timer.decide(at(now + 1), "a", epoch, &state, Some(&member), &clock);
                 assert_eq!((again.proposal, again.next_deadline), (None, Some(next_deadline)), "asked once");
-                assert_eq!(page.apply(&change), Ok(true));
+                assert_eq!(state.apply(&change), Ok(true));
                 asked.push((now / S, change));
             }
             None => {
-                now = next_deadline;
-                assert_eq!(clerk.due(now, 9), ["a"]);
+                now = next_deadline.as_micros();
+                assert_eq!(timer.due(at(now), 9), ["a"]);
             }
         }
     }
     let version = 1;
     let mut want = vec![
         (0, LapseChange::Renew { version, total_steps: 4 }),
-        (0, LapseChange::Due { version, at: DAY + 20 * S }),
+        (0, LapseChange::Due { version, at: wall(DAY + 20 * S) }),
         (20, LapseChange::Begin { version }),
     ];
     want.extend((1..=4).map(|to| (20 + 10 * i64::from(to), LapseChange::Step { version, to })));
     assert_eq!(asked, want);
-    assert_eq!((clerk.next_deadline(), clerk.len()), (None, 1));
-    clerk.decide(now, "a", epoch, &page, None, &clock);
-    assert!(clerk.is_empty());
+    assert_eq!((timer.next_deadline(), timer.len()), (None, 1));
+    timer.decide(at(now), "a", epoch, &state, None, &clock);
+    assert!(timer.is_empty());
 }
 
 #[test]
 fn a_member_whose_lapse_is_far_off_costs_the_ledger_nothing() {
-    let (mut clerk, mut clock) = (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false));
-    clock.observe_local(0, DAY);
-    clock.observe_peer(voice(1, 0, DAY));
-    let far = member(LapseTime::At(DAY + 86_400 * S));
-    let advice = clerk.decide(0, "a", Epoch::default(), &LapseState::default(), Some(&far), &clock);
+    let (mut timer, mut clock) = (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false));
+    clock.observe_local(at(0), wall(DAY));
+    clock.observe_peer(reading(1, 0, DAY));
+    let far = member(LapseTime::At(wall(DAY + 86_400 * S)));
+    let advice = timer.decide(at(0), "a", Epoch::default(), &LapseState::default(), Some(&far), &clock);
     assert_eq!((advice.proposal, advice.waiting_for), (None, WaitingFor::LapseTime));
 }
 
 #[test]
 fn a_node_follows_what_is_newest_and_a_newer_item_renews_at_once() {
-    let mut board = LapseView::new();
-    let mut a = member(LapseTime::In(S));
-    let at = |version, step| LapseState {
+    let mut view = LapseView::new();
+    let mut a = member(LapseTime::In(span(S)));
+    let stepped = |version, step| LapseState {
         version: Some(version),
         begun: true,
         step,
         total_steps: 4,
         ..LapseState::default()
     };
-    assert_eq!(board.status(0, &a).age, None);
-    assert!(board.observe(S, "a", &at(1, 2)).is_some());
-    assert!(board.observe(2 * S, "a", &at(1, 1)).is_none(), "late copy");
-    let status = board.status(3 * S, &a);
-    assert_eq!((status.throttle_step, status.age), (ThrottleStep { step: 2, total_steps: 4 }, Some(2 * S)));
-    assert_eq!(board.count_by_tenth([&a].into_iter())[5], 1);
+    assert_eq!(view.status(at(0), &a).age, None);
+    assert!(view.observe(at(S), "a", &stepped(1, 2)).is_some());
+    assert!(view.observe(at(2 * S), "a", &stepped(1, 1)).is_none(), "late copy");
+    let status = view.status(at(3 * S), &a);
+    assert_eq!(
+        (status.throttle_step, status.age),
+        (ThrottleStep { step: 2, total_steps: 4 }, Some(span(2 * S)))
+    );
+    assert_eq!(view.count_by_tenth([&a].into_iter())[5], 1);
     a.version = 2;
-    assert_eq!(board.status(3 * S, &a).throttle_step.step, 0);
-    assert!(board.observe(4 * S, "a", &at(3, 1)).is_some());
-    assert_eq!(board.status(4 * S, &a).throttle_step.step, 1, "the item lags");
+    assert_eq!(view.status(at(3 * S), &a).throttle_step.step, 0);
+    assert!(view.observe(at(4 * S), "a", &stepped(3, 1)).is_some());
+    assert_eq!(view.status(at(4 * S), &a).throttle_step.step, 1, "the item lags");
     a.plan = Plan::Full;
-    assert_eq!(board.status(4 * S, &a).throttle_step.step, 0);
+    assert_eq!(view.status(at(4 * S), &a).throttle_step.step, 0);
 }
 
 #[test]
 fn a_wait_is_gentle_bounded_and_evenly_drawn() {
-    let a = member(LapseTime::In(S));
+    let a = member(LapseTime::In(span(S)));
     let asked = |left| ThrottleRequest {
         kind: RouteKind::Safe,
         stage: RequestStage::Head,
         id: b"x",
-        latency_target: S,
-        remaining_deadline: left,
+        latency_target: span(S),
+        remaining_deadline: span(left),
     };
     let half = ThrottleStep { step: 2, total_steps: 4 };
     // A fifth of the target at most, and a tenth at least; the mean between them.
@@ -327,7 +353,9 @@
     for id in 0..1_000u32 {
         let id = id.to_string();
         match decide_delay(&a, half, &ThrottleRequest { id: id.as_bytes(), ..asked(4 * S) }) {
-            DelayDecision::Delay(wait) if (100_000..=200_000).contains(&wait) => sum += wait,
+            DelayDecision::Delay(wait) if (100_000..=200_000).contains(&wait.as_micros()) => {
+                sum += wait.as_micros()
+            }
             other => panic!("{other:?}"),
         }
     }
@@ -335,52 +363,53 @@
     assert_eq!(decide_delay(&a, ThrottleStep { step: 0, total_steps: 4 }, &asked(S)), DelayDecision::Forward);
     assert_eq!(
         decide_delay(&a, half, &asked(200_000)),
-        DelayDecision::Delay(100_000),
+        DelayDecision::Delay(span(100_000)),
         "cut to half of what is left"
     );
-    assert_eq!(decide_delay(&a, half, &asked(199_998)), DelayDecision::Reject { retry_after: 200_000 });
+    assert_eq!(decide_delay(&a, half, &asked(199_998)), DelayDecision::Reject { retry_after: span(200_000) });
     for kind in [RouteKind::Unsafe, RouteKind::Upload] {
-        let terms = RequestThrottle::at_head(&a, half, kind, b"x", S, 1);
+        let terms = RequestThrottle::at_head(&a, half, kind, b"x", span(S), span(1));
         assert_eq!((terms.decision(), terms.throttle_step()), (DelayDecision::Forward, half));
     }
-    let huge = ThrottleRequest { latency_target: i64::MAX, remaining_deadline: i64::MAX, ..asked(0) };
-    assert!(matches!(decide_delay(&a, half, &huge), DelayDecision::Delay(wait) if wait <= i64::MAX / 2));
+    let huge =
+        ThrottleRequest { latency_target: Duration::MAX, remaining_deadline: Duration::MAX, ..asked(0) };
+    assert!(matches!(decide_delay(&a, half, &huge), DelayDecision::Delay(wait) if wait <= Duration::MAX / 2));
 }
 
 /// Waits fixed once: nodes of two builds must draw alike.
 #[test]
 fn the_draw_does_not_change_from_build_to_build() {
-    let a = member(LapseTime::In(S));
+    let a = member(LapseTime::In(span(S)));
     let waiting_for = [b"9c41d07be2a35f68", b"0000000000000000"].map(|id| {
         RequestThrottle::at_head(
             &a,
             ThrottleStep { step: 3, total_steps: 4 },
             RouteKind::Safe,
             id,
-            600_000,
-            4 * S,
+            span(600_000),
+            span(4 * S),
         )
         .decision()
     });
-    assert_eq!(waiting_for, [DelayDecision::Delay(114_815), DelayDecision::Delay(111_749)]);
+    assert_eq!(waiting_for, [DelayDecision::Delay(span(114_815)), DelayDecision::Delay(span(111_749))]);
 }
 
 #[test]
 fn what_finds_no_room_goes_on_at_once_and_a_stop_releases_all() {
-    let mut parked = DelayQueue::new(3, 100);
-    let late = parked.push(0, 30, 40, "late").unwrap();
-    parked.push(0, 10, 40, "first").unwrap();
-    assert_eq!(parked.push(0, 5, 21, "too large"), Err("too large"));
-    parked.push(0, 10, 20, "second").unwrap();
-    assert_eq!(parked.push(0, 5, 0, "one more"), Err("one more"));
+    let mut queue = DelayQueue::new(3, 100);
+    let late = queue.push(at(0), span(30), 40, "late").unwrap();
+    queue.push(at(0), span(10), 40, "first").unwrap();
+    assert_eq!(queue.push(at(0), span(5), 21, "too large"), Err("too large"));
+    queue.push(at(0), span(10), 20, "second").unwrap();
+    assert_eq!(queue.push(at(0), span(5), 0, "one more"), Err("one more"));
     assert_eq!(
-        (parked.len(), parked.bytes(), parked.bypassed(), parked.next_deadline()),
-        (3, 100, 2, Some(10))
+        (queue.len(), queue.bytes(), queue.bypassed(), queue.next_deadline()),
+        (3, 100, 2, Some(at(10)))
     );
-    assert_eq!((parked.pop(9), parked.pop(10)), (None, Some("first")));
-    assert_eq!((parked.cancel(late), parked.cancel(late)), (Some("late"), None));
-    assert_eq!(parked.release_all(), ["second"]);
-    assert_eq!((parked.bytes(), parked.push(0, 1, 1, "after")), (0, Err("after")));
-    parked.reopen();
-    assert!(parked.push(0, 1, 1, "again").is_ok());
+    assert_eq!((queue.pop(at(9)), queue.pop(at(10))), (None, Some("first")));
+    assert_eq!((queue.cancel(late), queue.cancel(late)), (Some("late"), None));
+    assert_eq!(queue.release_all(), ["second"]);
+    assert_eq!((queue.bytes(), queue.push(at(0), span(1), 1, "after")), (0, Err("after")));
+    queue.reopen();
+    assert!(queue.push(at(0), span(1), 1, "again").is_ok());
 }
--- a/crates/control/throttle/tests/wire_bytes.rs
+++ b/crates/control/throttle/tests/wire_bytes.rs
@@ -3,7 +3,7 @@
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::State;
-use silvercross_throttle::{read, LapseChange, LapseState, MemberList};
+use silvercross_throttle::{parse_members, LapseChange, LapseState, MemberList, UnixTime};
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its encoding in hexadecimal.
@@ -31,12 +31,12 @@
 #[test]
 fn members_and_lapses_are_encoded_as_they_always_were() {
     let map = |text: &str| serde_json::from_str(text).expect("an object");
-    let sent = read(&map(DELIVER), &map(WITHDRAW)).expect("valid");
+    let sent = parse_members(&map(DELIVER), &map(WITHDRAW)).expect("valid");
     let mut roll = MemberList::default();
     assert_eq!(roll.apply(&sent), Ok(true));
     let lapse = LapseState {
         version: Some(2),
-        due: Some(1_700_000_000_000_000),
+        due: Some(UnixTime::from_micros(1_700_000_000_000_000)),
         begun: true,
         step: 3,
         total_steps: 6,
@@ -50,7 +50,11 @@
     add(&mut lines, "lapse", lapse);
     add(&mut lines, "lapse/none", LapseState::default());
     add(&mut lines, "change/renew", LapseChange::Renew { version: 2, total_steps: 6 });
-    add(&mut lines, "change/due", LapseChange::Due { version: 2, at: 1_700_000_000_000_000 });
+    add(
+        &mut lines,
+        "change/due",
+        LapseChange::Due { version: 2, at: UnixTime::from_micros(1_700_000_000_000_000) },
+    );
     add(&mut lines, "change/begin", LapseChange::Begin { version: 2 });
     add(&mut lines, "change/step", LapseChange::Step { version: 2, to: 4 });
     assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
--- a/crates/daemon/mesh/src/client_listener/client_connection.rs
+++ b/crates/daemon/mesh/src/client_listener/client_connection.rs
@@ -28,7 +28,7 @@
     }
     let limits = node_state.routing_table().limits();
     let max_body_bytes = limits.max_body_bytes.min(usize::MAX as u64) as usize;
-    let head_timeout = Duration::from_micros(limits.head_timeout).max(MIN_TIMEOUT).to_std();
+    let head_timeout = limits.head_timeout.max(MIN_TIMEOUT).to_std();
     connection.peer = PeerKind::External(limits.max_head_bytes);
     let mut head = match connection.read_request_head(head_timeout, head_timeout, max_body_bytes).await {
         Ok(head) => head,
--- a/crates/daemon/mesh/src/client_listener/idle_wait.rs
+++ b/crates/daemon/mesh/src/client_listener/idle_wait.rs
@@ -1,7 +1,6 @@
 //! Waits for a client's next request, by the idle timeouts in force meanwhile.
 use crate::node_state::NodeState;
 use crate::wire::{Connection, ConnectionEvent};
-use silvercross_time::Duration;
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
@@ -9,7 +8,7 @@
 pub(super) async fn wait_for_request(node_state: &Rc<NodeState>, connection: &mut Connection) -> bool {
     let (idle_since, idle_since_timer) = (node_state.now(), Instant::now());
     let close_after = || {
-        let default = Duration::from_micros(node_state.routing_table().limits().idle_timeout);
+        let default = node_state.routing_table().limits().idle_timeout;
         node_state.idle_timeout.borrow().close_after(node_state.now(), default)
     };
     while !connection.has_unread_bytes() {
--- a/crates/daemon/mesh/src/client_listener/request_run.rs
+++ b/crates/daemon/mesh/src/client_listener/request_run.rs
@@ -241,7 +241,7 @@
             is_retry,
             priority: self.route.priority,
             is_idempotent,
-            latency_target: Duration::from_micros(self.route.latency_target) - elapsed,
+            latency_target: self.route.latency_target - elapsed,
             replay_key: if is_idempotent { 0 } else { self.node_state.next_attempt_number() },
             is_query: false,
         };
--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -45,7 +45,7 @@
     let Some(attempt_id) = &head.attempt_id else {
         return ClientResponse::own(400, "a request needs an Attempt-Id");
     };
-    let route_timeout = Duration::from_micros(route.deadline);
+    let route_timeout = route.deadline;
     let mut budget = TimeBudget {
         total: head.timeout.map_or(route_timeout, |timeout| timeout.min(route_timeout)),
         spent: Duration::ZERO,
@@ -90,7 +90,7 @@
     let service = node_state.draw_by_share(&route.split);
     let has_upstreams =
         || node_state.service_balancer(&service).is_some_and(|balancer| balancer.has_upstreams());
-    let max_wait = Duration::from_micros(route.latency_target / UPSTREAM_WAIT_DIVISOR);
+    let max_wait = route.latency_target / UPSTREAM_WAIT_DIVISOR;
     node_state.wait_until(max_wait, has_upstreams).await;
     let Some(service_balancer) = node_state.service_balancer(&service) else {
         return ClientResponse::not_run(503, "no upstream of this service is known", None);
--- a/crates/daemon/mesh/src/control_value.rs
+++ b/crates/daemon/mesh/src/control_value.rs
@@ -133,7 +133,7 @@
                 return Err(wrong_kind());
             }
         };
-        let outcome = versioned.take(change, members);
+        let outcome = versioned.merge(change, members);
         let has_changed = outcome == Ok(true);
         *self = if !versioned.history.is_empty() {
             ControlValue::Versioned(Box::new(versioned))
--- a/crates/daemon/mesh/src/event_stream/state.rs
+++ b/crates/daemon/mesh/src/event_stream/state.rs
@@ -4,7 +4,7 @@
 use crate::peers::{RecordBody, UpstreamRecord};
 use serde_json::{json, Value};
 use silvercross_event_feed::{Bounds, EventFeed, Place, Told};
-use silvercross_mesh_config::{Configuration, Route};
+use silvercross_mesh_config::{Configuration, NamedTombstone, Route};
 use silvercross_mesh_membership::{NodeRecord, Revision};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -139,7 +139,7 @@
         for destination in configuration.destinations() {
             let (name, version) = (destination.name.as_str(), destination.version);
             self.item(&Item { collection: "destination", name, version }, || {
-                let state = json!({ "coldS": destination.slow_start as f64 / 1e6 });
+                let state = json!({ "coldS": destination.slow_start.as_secs_f64() });
                 Some(ItemContent { service: destination.name.clone(), state })
             });
         }
@@ -154,7 +154,8 @@
                 Some(ItemContent { service: String::new(), state })
             });
         }
-        for (collection, name, version) in configuration.tombstones() {
+        for NamedTombstone { kind, name, version } in configuration.tombstones() {
+            let collection = kind.as_str();
             self.item(&Item { collection, name, version }, || None);
         }
     }
@@ -181,14 +182,10 @@
 }
 
 fn route_content(route: &Route) -> ItemContent {
-    let to: Vec<Value> = route
-        .split
-        .iter()
-        .take(MAX_NAMED_DESTINATIONS)
-        .map(|(name, share)| json!([cut(name), share]))
-        .collect();
+    let to: Vec<Value> =
+        route.split.iter().take(MAX_NAMED_DESTINATIONS).map(|to| json!([cut(&to.name), to.weight])).collect();
     let service = match route.split.as_slice() {
-        [(only, _)] => only.clone(),
+        [only] => only.name.clone(),
         _ => String::new(),
     };
     let state = json!({ "depot": cut(&route.virtual_host), "lane": cut(&route.path_prefix),
--- a/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
+++ b/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
@@ -4,7 +4,7 @@
 use crate::control_value::{ControlChange, CONFIGURATION_KEY};
 use crate::node_state::NodeState;
 use silvercross_control_store::{CallOutcome, Epoch};
-use silvercross_throttle::{lapse_key, member_of_lapse_key, LapseState};
+use silvercross_throttle::{lapse_key, member_of_lapse_key, LapseState, UnixTime};
 use silvercross_time::{Duration, Instant};
 use slog::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,11 +44,11 @@
     let owner = &mut *owner;
     if is_due(owner.clock_read_at, now, CLOCK_READ_INTERVAL) {
         owner.clock_read_at = Some(now);
-        if owner.clock.observe_local(now.as_micros(), wall_micros()) {
+        if owner.clock.observe_local(now, UnixTime::from_micros(wall_micros())) {
             info!(node_state.log, "the time of day was set");
         }
     }
-    let is_known = owner.clock.wall_time(now.as_micros()).is_some();
+    let is_known = owner.clock.wall_time(now).is_some();
     if is_known && !owner.is_time_known {
         // What waits for the time of day need not wait for its next look.
         owner.stirred.extend(owner.owned.keys().cloned());
@@ -97,7 +97,7 @@
 
     /// Those to look at now.
     fn due(&mut self, now: Instant) -> BTreeSet<String> {
-        let due = self.timer.due(now.as_micros(), MAX_LAPSES_AT_A_TIME).into_iter();
+        let due = self.timer.due(now, MAX_LAPSES_AT_A_TIME).into_iter();
         due.chain(self.stirred.iter().take(MAX_LAPSES_AT_A_TIME).cloned()).collect()
     }
 }
@@ -122,7 +122,7 @@
         };
         owner.stirred.remove(&name);
         let member = index.member(&name);
-        let decision = owner.timer.decide(now.as_micros(), &name, epoch, lapse, member, &owner.clock);
+        let decision = owner.timer.decide(now, &name, epoch, lapse, member, &owner.clock);
         if let Some(change) = decision.proposal {
             propose(node_state.clone(), name, ControlChange::Lapse(change));
         }
--- a/crates/daemon/mesh/src/member_throttle/report.rs
+++ b/crates/daemon/mesh/src/member_throttle/report.rs
@@ -8,7 +8,7 @@
 
 fn member_row(node_state: &NodeState, member: &Member, revisions: &BTreeMap<String, Revision>) -> Value {
     let members = &node_state.member_throttle;
-    let status = members.lapses.borrow().status(node_state.now().as_micros(), member);
+    let status = members.lapses.borrow().status(node_state.now(), member);
     let due = match member.lapse_time {
         Some(LapseTime::At(at)) => Some(at),
         _ => {
@@ -21,7 +21,7 @@
     json!({
         "name": member.name, "plan": if member.plan == Plan::Full { "full" } else { "trial" }, "edition": member.version,
         "step": status.throttle_step.step, "of": status.throttle_step.total_steps, "lapsed": status.begun,
-        "ageS": status.age.map(|micros| micros as f64 / 1e6), "lapsesAt": due.map(|micros| micros as f64 / 1e6),
+        "ageS": status.age.map(|age| age.as_secs_f64()), "lapsesAt": due.map(|due| due.as_micros() as f64 / 1e6),
         "owner": revision.map(|revision| Ipv4Addr::from_bits(revision.owner as u32).to_string()),
         "round": revision.map(|revision| revision.epoch),
     })
@@ -29,7 +29,7 @@
 
 /// The members as they stand on this node, and where the other nodes can be asked the same.
 pub(crate) fn members_report(node_state: &NodeState) -> Value {
-    let (settings, now) = (&node_state.settings, node_state.now().as_micros());
+    let (settings, now) = (&node_state.settings, node_state.now());
     let index = node_state.member_throttle.index();
     let revisions = node_state.revisions();
     let rows: Vec<Value> = index.members().map(|member| member_row(node_state, member, &revisions)).collect();
--- a/crates/daemon/mesh/src/member_throttle/requests.rs
+++ b/crates/daemon/mesh/src/member_throttle/requests.rs
@@ -5,7 +5,7 @@
 use crate::wire::RequestHead;
 use silvercross_mesh_config::Route;
 use silvercross_throttle::{
-    DelayDecision, DelayTicket, Plan, RequestIdentity, RequestThrottle, RouteKind, ThrottleStep,
+    DelayDecision, DelayTicket, Plan, RequestIdentity, RequestThrottle, ThrottleStep,
 };
 use silvercross_time::Duration;
 use tokio::sync::oneshot;
@@ -48,14 +48,6 @@
     }
 }
 
-fn route_kind(route: &Route) -> RouteKind {
-    match route.kind {
-        silvercross_mesh_config::RouteKind::Safe => RouteKind::Safe,
-        silvercross_mesh_config::RouteKind::Unsafe => RouteKind::Unsafe,
-        silvercross_mesh_config::RouteKind::Upload => RouteKind::Upload,
-    }
-}
-
 /// Find out whose a request is, and have it wait. Its body of `bytes` was taken, but it was sent nowhere; `budget` is the time
 /// that its client allows.
 pub(crate) async fn throttle_request(
@@ -77,28 +69,27 @@
         RequestIdentity::Reject => return ThrottleDecision::UnknownMember,
     };
     let from = node_state.now();
-    let member_step = members.lapses.borrow().status(from.as_micros(), member).throttle_step;
-    let (kind, target) = (route_kind(route), route.latency_target);
-    let throttle =
-        RequestThrottle::at_head(member, member_step, kind, id.as_bytes(), target, budget.as_micros());
+    let member_step = members.lapses.borrow().status(from, member).throttle_step;
+    let (kind, target) = (route.kind, route.latency_target);
+    let throttle = RequestThrottle::at_head(member, member_step, kind, id.as_bytes(), target, budget);
     let step = throttle.throttle_step();
     let wait = match throttle.decision() {
         DelayDecision::Forward => return ThrottleDecision::proceed_at_once(Some(step)),
         DelayDecision::Reject { retry_after } => {
             members.rejected.set(members.rejected.get() + 1);
-            return ThrottleDecision::Reject { step, retry_after: Duration::from_micros(retry_after) };
+            return ThrottleDecision::Reject { step, retry_after };
         }
         DelayDecision::Delay(wait) => wait,
     };
     let (release, released) = oneshot::channel();
-    let queued = members.delayed.borrow_mut().push(from.as_micros(), wait, bytes, release);
+    let queued = members.delayed.borrow_mut().push(from, wait, bytes, release);
     let Ok(ticket) = queued else { return ThrottleDecision::proceed_at_once(Some(step)) };
     let delayed_request = DelayedRequest { members, ticket };
     let tenth = (step.step * 10).div_ceil(step.total_steps.max(1)).min(10) as usize;
     let count = &members.delays_by_tenth[tenth];
     count.set(count.get() + 1);
     // It goes on when its time is up, or earlier when the process stops.
-    let _ = tokio::time::timeout(Duration::from_micros(wait).to_std(), released).await;
+    let _ = tokio::time::timeout(wait.to_std(), released).await;
     drop(delayed_request);
     let delayed = (node_state.now() - from).max(Duration::ZERO);
     ThrottleDecision::Proceed { step: Some(step), delayed }
--- a/crates/daemon/mesh/src/member_throttle/state.rs
+++ b/crates/daemon/mesh/src/member_throttle/state.rs
@@ -110,7 +110,7 @@
             lapses.retain_members(|name| index.member(name).is_some());
             for (name, observed) in self.observed.borrow().iter() {
                 if index.member(name).is_some() {
-                    log_transition(log, name, lapses.observe(now.as_micros(), name, &observed.lapse));
+                    log_transition(log, name, lapses.observe(now, name, &observed.lapse));
                 }
             }
         }
@@ -130,7 +130,7 @@
     ) {
         let Some(name) = member_of_lapse_key(key) else { return };
         let lapse = lapse.unwrap_or_default();
-        log_transition(log, name, self.lapses.borrow_mut().observe(now.as_micros(), name, &lapse));
+        log_transition(log, name, self.lapses.borrow_mut().observe(now, name, &lapse));
         let epoch = Epoch { round: revision.epoch, owner: revision.owner as u32 };
         self.observed.borrow_mut().insert(name.to_string(), ObservedLapse { epoch, lapse });
         self.owner.borrow_mut().stirred.insert(name.to_string());
@@ -141,7 +141,7 @@
     pub(crate) fn wall_clock(&self, now: Instant) -> Option<WallClock> {
         let owner = self.owner.borrow();
         (self.has_members() && owner.clock_read_at.is_some())
-            .then(|| WallClock { wall_micros: wall_micros(), stepped: owner.clock.stepped(now.as_micros()) })
+            .then(|| WallClock { wall_micros: wall_micros(), stepped: owner.clock.stepped(now) })
     }
 
     /// Another replica told its time of day.
--- a/crates/daemon/mesh/src/node_state/control_entries.rs
+++ b/crates/daemon/mesh/src/node_state/control_entries.rs
@@ -3,7 +3,6 @@
 use crate::control_value::{evacuated_zone, ControlValue, CONFIGURATION_KEY};
 use silvercross_mesh_config::{Configuration, RoutingTable};
 use silvercross_mesh_membership::Revision;
-use silvercross_time::Duration;
 use slog::info;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -73,7 +72,7 @@
 
     fn configure(self: &Rc<Self>, configuration: &Configuration, revision: Revision) {
         self.in_force.borrow_mut().configure(configuration);
-        let idle_timeout = Duration::from_micros(self.routing_table().limits().idle_timeout);
+        let idle_timeout = self.routing_table().limits().idle_timeout;
         self.idle_timeout.borrow_mut().set_limit(self.now(), idle_timeout);
         info!(self.log, "configuration in force"; "round" => revision.epoch, "change" => revision.sequence);
         self.update_upstream_allowance();
--- a/crates/daemon/mesh/src/node_state/state.rs
+++ b/crates/daemon/mesh/src/node_state/state.rs
@@ -18,6 +18,7 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use silvercross_facade::Clock;
+use silvercross_mesh_config::WeightedDestination;
 use silvercross_mesh_membership::{Node, NodeRecord};
 use silvercross_time::Instant;
 use slog::Logger;
@@ -154,21 +155,21 @@
     }
 
     /// One of a split, drawn by its share.
-    pub(crate) fn draw_by_share(&self, split: &[(String, f64)]) -> String {
-        if let [(only, _)] = split {
-            return only.clone();
+    pub(crate) fn draw_by_share(&self, split: &[WeightedDestination]) -> String {
+        if let [only] = split {
+            return only.name.clone();
         }
-        let total: f64 = split.iter().map(|(_, share)| share).sum();
+        let total: f64 = split.iter().map(|to| to.weight).sum();
         // Uniform in [0, 1): the 53 bits that a double holds.
         let fraction = (self.rng.borrow_mut().next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         let mut left = fraction * total;
-        for (name, share) in split {
-            left -= share;
+        for to in split {
+            left -= to.weight;
             if left < 0.0 {
-                return name.clone();
+                return to.name.clone();
             }
         }
-        split.last().map(|(name, _)| name.clone()).unwrap_or_default()
+        split.last().map(|to| to.name.clone()).unwrap_or_default()
     }
 
     /// A number for an attempt that no other one has: drawn once, and counted on from there; never 0.
--- a/crates/daemon/mesh/src/node_state/upstream_heartbeats.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_heartbeats.rs
@@ -113,7 +113,7 @@
         let allowance = Allowance {
             line_cap: destination.max_connections,
             cold_rate: if rate.is_finite() { rate } else { 0.0 },
-            cold_span: destination.slow_start,
+            cold_span: destination.slow_start.as_micros(),
         };
         let now = self.now().as_micros();
         self.gate.with_admission(|admission| admission.allowance(now, allowance));
--- a/crates/daemon/mesh/src/node_state/upstream_lists.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_lists.rs
@@ -95,7 +95,7 @@
             return 0;
         }
         let destination = self.in_force.table.destination(&upstream.service);
-        let takes = Duration::from_micros(destination.map_or(0, |destination| destination.slow_start));
+        let takes = destination.map_or(Duration::ZERO, |destination| destination.slow_start);
         let began = self.now - (takes - upstream.warm_up_left).max(Duration::ZERO);
         (began.as_micros() / 1000) as u64
     }
--- a/crates/daemon/mesh/src/peers/links.rs
+++ b/crates/daemon/mesh/src/peers/links.rs
@@ -6,7 +6,7 @@
 use crate::node_state::{ConnectionKind, GaugeGuard, NodeState};
 use crate::peer_connection;
 use silvercross_mesh_membership::Node;
-use silvercross_throttle::PeerClockReading;
+use silvercross_throttle::{PeerClockReading, UnixTime};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -115,9 +115,13 @@
             Frame::WallClockReply { asked, wall_micros, stepped } => {
                 let replica = store_node(from);
                 if self.control_store(|store| store.replica_nodes().contains(&replica)) == Some(true) {
-                    let (sent_at, received_at) = (asked.as_micros(), now.as_micros());
-                    let reading =
-                        PeerClockReading { node: replica, sent_at, received_at, wall: wall_micros, stepped };
+                    let reading = PeerClockReading {
+                        node: replica,
+                        sent_at: asked,
+                        received_at: now,
+                        wall: UnixTime::from_micros(wall_micros),
+                        stepped,
+                    };
                     node_state.member_throttle.wall_clock_reported(reading);
                 }
             }
--- a/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
+++ b/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
@@ -78,8 +78,14 @@
     let mut tracked = configuration.clone();
     assert_eq!(tracked.apply(&ControlChange::Patch(parse_change(LATER).expect("valid"))), Ok(true));
     assert!(matches!(tracked, ControlValue::Versioned(_)));
-    let lapse =
-        LapseState { version: Some(2), due: Some(7), begun: true, step: 3, total_steps: 6, renewals: 1 };
+    let lapse = LapseState {
+        version: Some(2),
+        due: Some(silvercross_throttle::UnixTime::from_micros(7)),
+        begun: true,
+        step: 3,
+        total_steps: 6,
+        renewals: 1,
+    };
     vec![
         ("blank", ControlValue::Blank),
         ("configuration", configuration),
--- a/crates/daemon/mesh/src/service_balancer/settings.rs
+++ b/crates/daemon/mesh/src/service_balancer/settings.rs
@@ -63,9 +63,7 @@
     /// The module's settings.
     pub(super) fn module_settings(&self) -> ModuleSettings {
         let routes = || {
-            self.routing_table
-                .routes()
-                .filter(|route| route.split.iter().any(|(service, _)| service == self.service))
+            self.routing_table.routes().filter(|route| route.split.iter().any(|to| to.name == self.service))
         };
         let max_attempts = routes().map(|route| route.max_attempts).max().unwrap_or(1).max(1);
         let service = self.routing_table.destination(self.service);
@@ -85,7 +83,8 @@
             must_ask_in: i64::MAX / 8,
             drain_grace: self.drain_timeout.as_micros(),
             cold_from: WARM_UP_START_SHARE,
-            warm_within: service.map_or(DEFAULT_WARM_UP.as_micros(), |service| service.slow_start.max(1)),
+            warm_within: service
+                .map_or(DEFAULT_WARM_UP.as_micros(), |service| service.slow_start.as_micros().max(1)),
             fall_multiple: OVERLOAD_MULTIPLE,
             fall_span: OVERLOAD_WINDOW.as_micros(),
             attempts_cap: max_attempts + MAX_UNDELIVERED_ATTEMPTS,
@@ -115,9 +114,9 @@
 /// A route as a class of requests.
 fn class(route: &Route) -> Class {
     Class {
-        aim: route.latency_target.min(route.deadline),
+        aim: route.latency_target.min(route.deadline).as_micros(),
         aim_stretch: 0.0,
-        deadline: route.deadline,
+        deadline: route.deadline.as_micros(),
         worth: HIGHEST_VALUE / f64::from(1u32 << route.priority.min(MAX_PRIORITY)),
         late_worth: LATE_VALUE_SHARE,
         effect: if route.kind == RouteKind::Safe { Effect::Repeatable } else { Effect::Once },
