--- a/crates/testing/architecture-tests/src/circles.rs
+++ b/crates/testing/architecture-tests/src/circles.rs
@@ -26,8 +26,10 @@
 
 impl<'f> Modules<'f> {
     fn new(files: &'f [SourceFile]) -> Self {
+        let has_library = files.iter().any(|file| file.path == "lib.rs");
         let mut modules = BTreeMap::new();
-        for file in files {
+        // A program beside a library is a crate of its own, which imports the library by its name.
+        for file in files.iter().filter(|file| !(has_library && file.path == "main.rs")) {
             let code = file.code();
             let defined = code.windows(3).filter(|w| DEFINES.iter().any(|word| w[0].is(word))).map(|w| {
                 let name = if w[1].is("!") || w[1].is("mut") { &w[2] } else { &w[1] };
--- a/crates/testing/architecture-tests/src/packages.rs
+++ b/crates/testing/architecture-tests/src/packages.rs
@@ -40,6 +40,7 @@
     "testing/history-checker",
     "testing/test-rng",
     "tools/ctl",
+    "tools/testbed",
 ];
 
 /// Packages whose functions fail with a type of their own, never with `Result<_, String>`.
@@ -58,6 +59,7 @@
     "testing/history-checker",
     "testing/test-rng",
     "tools/ctl",
+    "tools/testbed",
 ];
 
 /// Packages in which no withdrawn word is left but in names of the wire. (`testing/architecture-tests` holds the list of
@@ -74,4 +76,5 @@
     "testing/history-checker",
     "testing/test-rng",
     "tools/ctl",
+    "tools/testbed",
 ];
--- a/crates/testing/architecture-tests/src/words.rs
+++ b/crates/testing/architecture-tests/src/words.rs
@@ -74,6 +74,9 @@
     "/-/Stations.SignOff/{}",
     "Stations.Heartbeat",
     "Stations.SignOff",
+    // Keys of the settings.
+    "editionS",
+    "localStation",
     // Headers.
     "Expect-Station",
     "Postmark",
--- a/crates/testing/architecture-tests/tests/checks.rs
+++ b/crates/testing/architecture-tests/tests/checks.rs
@@ -132,6 +132,17 @@
     assert_eq!(circle_count(&[parent, children[0], back]), 1);
 }
 
+#[test]
+fn a_program_beside_a_library_is_a_crate_of_its_own() {
+    let program = ("main.rs", "use package::a::A; fn main() { package::a::f() }");
+    let library = ("lib.rs", "pub mod a; pub const LIMIT: u8 = 1;");
+    let module = ("a.rs", "use crate::LIMIT; pub struct A; pub fn f() -> u8 { LIMIT }");
+    assert_eq!(circle_count(&[library, program, module]), 0);
+    // Without a library the program is the root of its files.
+    let root = ("main.rs", "mod a; const LIMIT: u8 = 1; fn main() { a::f(); }");
+    assert_eq!(circle_count(&[root, module]), 1);
+}
+
 #[test]
 fn what_is_imported_for_tests_alone_makes_no_circle() {
     let a = ("a.rs", "use crate::b::B; pub struct A(B);");
--- a/crates/tools/ctl/tests/feed.rs
+++ b/crates/tools/ctl/tests/feed.rs
@@ -1,11 +1,11 @@
 //! The feed against real processes: owners change, nodes are killed, the reader's own node among them.
 use serde_json::{json, Value};
-use silvercross_testbed::line::call;
-use silvercross_testbed::mesh::Plan;
+use silvercross_testbed::http_connection::call;
+use silvercross_testbed::mesh::MeshPlan;
 use silvercross_testbed::operator::{patch, Route};
-use silvercross_testbed::station::Manner;
-use silvercross_testbed::village::{told, LIMIT};
-use silvercross_testbed::{client::Kind, program, until, Village};
+use silvercross_testbed::testbed::{get_json, METRICS_PATH};
+use silvercross_testbed::upstream::UpstreamBehaviour;
+use silvercross_testbed::{client::RequestKind, program, wait_until, Testbed, WAIT_TIMEOUT};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::path::Path;
@@ -22,11 +22,11 @@
 }
 
 /// Follow at these nodes, into a file.
-fn follow(v: &Village, at: &[usize], to: &Path, more: &[&str]) -> Follower {
+fn follow(testbed: &Testbed, at: &[usize], to: &Path, more: &[&str]) -> Follower {
     let mut command = Command::new(env!("CARGO_BIN_EXE_silvercrossctl"));
     command.args(["events", "--follow", "--json"]).args(more);
     for m in at {
-        command.args(["--at", &v.mesh.control(*m).to_string()]);
+        command.args(["--at", &testbed.mesh.control(*m).to_string()]);
     }
     let out = File::create(to).expect("a file");
     Follower(command.stdin(Stdio::null()).stdout(out).stderr(Stdio::null()).spawn().expect("it runs"))
@@ -47,7 +47,7 @@
 }
 
 /// Nothing twice; in order; what was skipped is told.
-fn judge(all: &[Value]) -> BTreeMap<String, Value> {
+fn check_events(all: &[Value]) -> BTreeMap<String, Value> {
     let mut last: BTreeMap<String, Value> = BTreeMap::new();
     for event in all.iter().filter(|l| l["key"].is_string()) {
         let key = event["key"].as_str().unwrap_or_default().to_string();
@@ -60,8 +60,8 @@
                 assert_eq!(missed.map(|m| m.min(b.2 - p.2)), missed, "{event}");
             }
             if key.starts_with("item/") {
-                let told = b.2 - a.2 - 1;
-                assert!(missed.unwrap_or(told) >= told, "untold editions: {before} then {event}");
+                let skipped = b.2 - a.2 - 1;
+                assert!(missed.unwrap_or(skipped) >= skipped, "untold editions: {before} then {event}");
             }
             assert!(missed != Some(0) || before["state"] != event["state"], "twice: {event}");
         }
@@ -73,35 +73,41 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_reader_goes_from_node_to_node_without_a_gap_untold() {
     let program = program::find().expect("the program is built");
-    let plan = Plan { words: vec!["--feed"], ..Plan::default() };
-    let mut v = Village::open(&plan, Manner::default(), &program).await.expect("it starts");
-    let side = v.mesh.sides().start;
-    let path = v.mesh.dir().join("events");
-    let _reader = follow(&v, &[side, side + 1, 0], &path, &[]);
-    until("the feed is there", LIMIT, || std::future::ready(lines(&path).len() > 10)).await.expect("lines");
+    let plan = MeshPlan { arguments: vec!["--feed"], ..MeshPlan::default() };
+    let mut testbed = Testbed::start(&plan, UpstreamBehaviour::default(), &program).await.expect("it starts");
+    let side = testbed.mesh.side_machines().start;
+    let path = testbed.mesh.dir().join("events");
+    let _reader = follow(&testbed, &[side, side + 1, 0], &path, &[]);
+    wait_until("the feed is there", WAIT_TIMEOUT, || std::future::ready(lines(&path).len() > 10))
+        .await
+        .expect("lines");
 
-    let route = Route::of("bakery", Kind::Safe);
+    let route = Route::of("bakery", RequestKind::Safe);
     let has = |all: &[Value], key: &str, so: &dyn Fn(&Value) -> bool| {
         all.iter().any(|e| e["key"] == key && so(&e["state"]))
     };
     for edition in 2..=12u64 {
         let mut other = route.clone();
         other.name = format!("r-extra-{}", edition % 3);
-        other.lane = format!("/extra-{}/", edition % 3);
-        v.operator.patch(&patch(&[route.clone(), other], &[], edition).clone()).await.expect("acknowledged");
+        other.path_prefix = format!("/extra-{}/", edition % 3);
+        testbed
+            .operator
+            .patch(&patch(&[route.clone(), other], &[], edition).clone())
+            .await
+            .expect("acknowledged");
         match edition {
             // The reader's node goes; then the one that it went to stands still; then an owner is lost.
-            4 => v.mesh.kill(side).expect("killed"),
-            6 => v.mesh.freeze(side + 1).expect("frozen"),
-            7 => v.mesh.kill(1).expect("killed"),
-            8 => v.mesh.thaw(side + 1).expect("thawed"),
-            9 => v.mesh.start(side, false).expect("started"),
-            10 => v.mesh.start(1, false).expect("started"),
+            4 => testbed.mesh.kill(side).expect("killed"),
+            6 => testbed.mesh.freeze(side + 1).expect("frozen"),
+            7 => testbed.mesh.kill(1).expect("killed"),
+            8 => testbed.mesh.thaw(side + 1).expect("thawed"),
+            9 => testbed.mesh.start(side, false).expect("started"),
+            10 => testbed.mesh.start(1, false).expect("started"),
             _ => {}
         }
         if edition == 5 {
-            let key = format!("node/{}", v.mesh.machines[side].ip);
-            until("gone is told", LIMIT, || {
+            let key = format!("node/{}", testbed.mesh.machines[side].address);
+            wait_until("gone is told", WAIT_TIMEOUT, || {
                 std::future::ready(has(&lines(&path), &key, &|s| s["is"] == "gone"))
             })
             .await
@@ -109,16 +115,16 @@
         }
     }
     // An upstream leaves, a name is dropped, a zone is evacuated, a call is refused.
-    let station = v.stations.remove(&(side + 2)).expect("there");
-    assert!(station.drain().await);
-    assert!(station.sign_off().await);
-    v.operator.patch(&patch(&[], &["r-extra-0"], 20)).await.expect("acknowledged");
-    let zone = v.mesh.machines[side].zone.clone();
-    v.operator.evacuate(&zone, true).await.expect("acknowledged");
-    let upstream = format!("upstream/{}", v.mesh.machines[side + 2].ip);
+    let upstream = testbed.upstreams.remove(&(side + 2)).expect("there");
+    assert!(upstream.drain().await);
+    assert!(upstream.sign_off().await);
+    testbed.operator.patch(&patch(&[], &["r-extra-0"], 20)).await.expect("acknowledged");
+    let zone = testbed.mesh.machines[side].zone.clone();
+    testbed.operator.set_evacuated(&zone, true).await.expect("acknowledged");
+    let upstream = format!("upstream/{}", testbed.mesh.machines[side + 2].address);
     let evacuation = format!("evacuation/{zone}");
-    let node = format!("node/{}", v.mesh.machines[side].ip);
-    let end = until("all of it is told", LIMIT * 2, || {
+    let node = format!("node/{}", testbed.mesh.machines[side].address);
+    let end = wait_until("all of it is told", WAIT_TIMEOUT * 2, || {
         let all = lines(&path);
         let so = has(&all, "item/route/r-extra-0", &|s| s["set"] == false)
             && has(&all, "item/route/r-bakery-safe", &|s| s["edition"] == 12)
@@ -132,16 +138,17 @@
         std::future::ready(so)
     });
     end.await.unwrap_or_else(|e| panic!("{e}: {}", std::fs::read_to_string(&path).unwrap_or_default()));
-    let last = judge(&lines(&path));
+    let last = check_events(&lines(&path));
 
     // A page at any other node, from nothing, ends in the same states.
     for m in [0, side + 3] {
-        until("the same states", LIMIT, || async {
-            let said = call(v.mesh.control(m), "GET", "/-/Post.Events", b"", Duration::from_secs(2)).await;
+        wait_until("the same states", WAIT_TIMEOUT, || async {
+            let said =
+                call(testbed.mesh.control(m), "GET", "/-/Post.Events", b"", Duration::from_secs(2)).await;
             let body = said.map(|a| a.body).unwrap_or_default();
             let all: Vec<Value> =
                 String::from_utf8_lossy(&body).lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-            let there = judge(&all);
+            let there = check_events(&all);
             let same = |(key, e): (&String, &Value)| last.get(key).is_none_or(|l| l["state"] == e["state"]);
             !there.is_empty() && there.iter().all(same)
         })
@@ -151,14 +158,16 @@
     // Refusals are told by the node that refused.
     let body = json!({ "deliver": { "destinations": [{ "name": "bakery", "lineCap": 1, "edition": 1 }] } })
         .to_string();
-    let said =
-        call(v.mesh.control(0), "POST", "/-/Config.Patch", body.as_bytes(), LIMIT).await.expect("answered");
+    let said = call(testbed.mesh.control(0), "POST", "/-/Config.Patch", body.as_bytes(), WAIT_TIMEOUT)
+        .await
+        .expect("answered");
     assert_eq!(said.status, 409);
-    let page =
-        call(v.mesh.control(0), "GET", "/-/Post.Events?kind=refused", b"", LIMIT).await.expect("answered");
+    let page = call(testbed.mesh.control(0), "GET", "/-/Post.Events?kind=refused", b"", WAIT_TIMEOUT)
+        .await
+        .expect("answered");
     assert!(String::from_utf8_lossy(&page.body).contains("stands already"));
     assert_eq!(
-        told(v.mesh.control(0), "/-/Post.Figures").await["feed"]["followers"].as_u64().map(|n| n <= 1),
+        get_json(testbed.mesh.control(0), METRICS_PATH).await["feed"]["followers"].as_u64().map(|n| n <= 1),
         Some(true)
     );
 }
@@ -166,9 +175,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_the_word_there_is_no_feed() {
     let program = program::find().expect("the program is built");
-    let plan = Plan { side: 1, services: vec!["bakery".to_string()], ..Plan::default() };
-    let v = Village::open(&plan, Manner::default(), &program).await.expect("it starts");
-    let said = call(v.mesh.control(0), "GET", "/-/Post.Events", b"", LIMIT).await.expect("answered");
+    let plan = MeshPlan { side_count: 1, services: vec!["bakery".to_string()], ..MeshPlan::default() };
+    let testbed = Testbed::start(&plan, UpstreamBehaviour::default(), &program).await.expect("it starts");
+    let said =
+        call(testbed.mesh.control(0), "GET", "/-/Post.Events", b"", WAIT_TIMEOUT).await.expect("answered");
     assert!(said.status == 404 && String::from_utf8_lossy(&said.body).contains("--feed"));
-    assert!(told(v.mesh.control(0), "/-/Post.Figures").await["feed"].is_null());
+    assert!(get_json(testbed.mesh.control(0), METRICS_PATH).await["feed"].is_null());
 }
--- a/crates/tools/testbed/src/client.rs
+++ b/crates/tools/testbed/src/client.rs
@@ -1,17 +1,21 @@
 //! A stand-in client: one request at a time on a connection that it keeps, and what came of it.
-use crate::line::{Answer, Line};
+use crate::http_connection::{HttpConnection, Response};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::timeout;
 
 /// The host of all routes here.
-pub const HOST: &str = "village.example";
+pub const HOST: &str = "testbed.example";
 /// How long a client waits, in milliseconds.
 pub const DEADLINE_MS: u64 = 3000;
+/// How long after its deadline a client gives up, in milliseconds.
+const DEADLINE_SLACK_MS: u64 = 300;
+/// A connection is up within this.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum RequestKind {
     /// It may.
     Safe,
     /// It must not.
@@ -20,41 +24,41 @@
     Upload,
 }
 
-impl Kind {
+impl RequestKind {
     /// All of them.
-    pub const ALL: [Kind; 3] = [Kind::Safe, Kind::Unsafe, Kind::Upload];
+    pub const ALL: [RequestKind; 3] = [RequestKind::Safe, RequestKind::Unsafe, RequestKind::Upload];
 
     /// As operators write it.
     pub fn word(self) -> &'static str {
         match self {
-            Kind::Safe => "safe",
-            Kind::Unsafe => "unsafe",
-            Kind::Upload => "upload",
+            RequestKind::Safe => "safe",
+            RequestKind::Unsafe => "unsafe",
+            RequestKind::Upload => "upload",
         }
     }
 
-    /// The lane of a service for requests of this kind.
-    pub fn lane(self, service: &str) -> String {
+    /// The path prefix of a service for requests of this kind.
+    pub fn path_prefix(self, service: &str) -> String {
         format!("/{service}/{}/", self.word())
     }
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Debug)]
-pub enum Came {
-    /// A whole answer.
-    Answer(Box<Answer>),
+pub enum Outcome {
+    /// A complete answer.
+    Answer(Box<Response>),
     /// No connection: not sent.
     NotSent,
-    /// The connection ended, or time did, with no whole answer.
+    /// The connection or the time ended, with no complete answer.
     Lost,
 }
 
-impl Came {
+impl Outcome {
     /// Its status, if there was an answer.
     pub fn status(&self) -> Option<u16> {
         match self {
-            Came::Answer(a) => Some(a.status),
+            Outcome::Answer(response) => Some(response.status),
             _ => None,
         }
     }
@@ -63,58 +67,53 @@
 /// A client on a side machine.
 pub struct Client {
     to: SocketAddr,
-    line: Option<Line>,
-    lines: String,
-}
-
-/// A name for a try.
-pub fn id() -> String {
-    format!("{:016x}", crate::fresh())
+    connection: Option<HttpConnection>,
+    header_lines: String,
 }
 
 impl Client {
     /// On the machine with this `outbound` address.
     pub fn new(to: SocketAddr) -> Self {
-        Client { to, line: None, lines: String::new() }
+        Client { to, connection: None, header_lines: String::new() }
     }
 
     /// The same, with a header on each of its requests.
-    pub fn with(mut self, name: &str, value: &str) -> Self {
-        self.lines.push_str(&format!("{name}: {value}\r\n"));
+    pub fn with_header(mut self, name: &str, value: &str) -> Self {
+        self.header_lines.push_str(&format!("{name}: {value}\r\n"));
         self
     }
 
-    /// One try.
-    pub async fn ask(&mut self, target: &str, id: &str, body: &[u8]) -> Came {
-        let limit = Duration::from_millis(DEADLINE_MS + 300);
-        let mut line = match self.line.take() {
-            Some(line) => line,
-            None => match Line::connect(Some(self.to.ip()), self.to, Duration::from_secs(1)).await {
-                Ok(line) => line,
-                Err(_) => return Came::NotSent,
+    /// One attempt.
+    pub async fn send(&mut self, target: &str, attempt_id: &str, body: &[u8]) -> Outcome {
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
+            None => match HttpConnection::connect(Some(self.to.ip()), self.to, CONNECT_TIMEOUT).await {
+                Ok(connection) => connection,
+                Err(_) => return Outcome::NotSent,
             },
         };
         let method = if body.is_empty() { "GET" } else { "POST" };
+        let (header_lines, length) = (&self.header_lines, body.len());
+        // A sidecar has to replace the sender that a client claims to be.
         let mut bytes = format!(
-            "{method} {target} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: {id}\r\nDeadline-Ms: {DEADLINE_MS}\r\n\
-             Sender: somebody-else\r\n{}Content-Length: {}\r\n\r\n",
-            self.lines,
-            body.len()
+            "{method} {target} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: {attempt_id}\r\nDeadline-Ms: {DEADLINE_MS}\r\n\
+             Sender: somebody-else\r\n{header_lines}Content-Length: {length}\r\n\r\n"
         )
         .into_bytes();
         bytes.extend_from_slice(body);
-        let went = async {
-            line.write(&bytes).await?;
-            line.answer().await
+        let exchange = async {
+            connection.write(&bytes).await?;
+            connection.read_response().await
         };
-        match timeout(limit, went).await {
-            Ok(Ok(answer)) => {
-                if answer.keep_alive {
-                    self.line = Some(line);
+        let limit = Duration::from_millis(DEADLINE_MS + DEADLINE_SLACK_MS);
+        match timeout(limit, exchange).await {
+            Ok(Ok(response)) => {
+                if response.keep_alive {
+                    self.connection = Some(connection);
                 }
-                Came::Answer(Box::new(answer))
+                Outcome::Answer(Box::new(response))
             }
-            _ => Came::Lost,
+            _ => Outcome::Lost,
         }
     }
 }
--- /dev/null
+++ b/crates/tools/testbed/src/execution_log.rs
@@ -0,0 +1,51 @@
+//! Which requests ran, and at which upstreams: what the checker goes by.
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
+use std::sync::{Mutex, PoisonError};
+
+/// Which requests ran, and where. Bounded by the length of a run only: it is the checker's memory.
+#[derive(Debug, Default)]
+pub struct ExecutionLog {
+    upstreams_by_attempt: Mutex<BTreeMap<String, Vec<String>>>,
+    count_by_upstream: Mutex<BTreeMap<String, u64>>,
+    in_flight: AtomicUsize,
+    unrecorded: AtomicU64,
+}
+
+impl ExecutionLog {
+    /// An attempt begins to run at an upstream.
+    pub fn record(&self, attempt: &str, upstream: &str) {
+        let mut attempts = self.upstreams_by_attempt.lock().unwrap_or_else(PoisonError::into_inner);
+        attempts.entry(attempt.into()).or_default().push(upstream.into());
+        drop(attempts);
+        let mut counts = self.count_by_upstream.lock().unwrap_or_else(PoisonError::into_inner);
+        *counts.entry(upstream.into()).or_default() += 1;
+    }
+
+    /// An attempt runs of which only the number is kept.
+    pub(crate) fn count_unrecorded(&self) {
+        self.unrecorded.fetch_add(1, Relaxed);
+    }
+
+    /// The counter of attempts at work now.
+    pub(crate) fn in_flight_counter(&self) -> &AtomicUsize {
+        &self.in_flight
+    }
+
+    /// The upstreams at which an attempt ran, in order.
+    pub fn upstreams_of(&self, attempt: &str) -> Vec<String> {
+        let attempts = self.upstreams_by_attempt.lock().unwrap_or_else(PoisonError::into_inner);
+        attempts.get(attempt).cloned().unwrap_or_default()
+    }
+
+    /// How many attempts an upstream ran.
+    pub fn count_at(&self, upstream: &str) -> u64 {
+        let counts = self.count_by_upstream.lock().unwrap_or_else(PoisonError::into_inner);
+        counts.get(upstream).copied().unwrap_or(0)
+    }
+
+    /// How many attempts are at work now.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.load(Relaxed)
+    }
+}
--- a/crates/tools/testbed/src/faults.rs
+++ b/crates/tools/testbed/src/faults.rs
@@ -1,314 +1,285 @@
-//! A short list of faults, each on a mesh of its own with clients on every side, and a table of what the witness saw.
-use crate::client::{self, Came, Client, Kind};
-use crate::mesh::{Plan, DRAIN_S};
-use crate::operator::{patch, Route};
-use crate::station::Manner;
-use crate::until;
-use crate::village::{is_ready, Village, LIMIT};
-use crate::witness::{judge, Judged, Tried};
-use anyhow::{bail, Result};
+//! A short list of faults, each on a mesh of its own with clients on every side, and a table of what the checker saw.
+use crate::checker::{check_attempts, Verdict};
+use crate::client::{Client, RequestKind};
+use crate::identifiers::attempt_id;
+use crate::mesh::{MeshPlan, DRAIN_S};
+use crate::operator::{patch, Operator, Route};
+use crate::testbed::Testbed;
+use crate::traffic::{Clients, CLIENTS_PER_SIDE};
+use crate::upstream::UpstreamBehaviour;
+use crate::wait::{wait_until, WAIT_TIMEOUT};
+use anyhow::Result;
+use serde_json::Value;
 use std::path::Path;
-use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
-use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use tokio::task::JoinHandle;
 
-/// Clients on each side.
-const CLIENTS: usize = 4;
-/// Between two requests of a client.
-const PAUSE: Duration = Duration::from_millis(8);
-/// The platform asks so often.
-const ASKS: Duration = Duration::from_secs(1);
-/// Bytes of an upload.
-const UPLOAD: usize = 200_000;
+/// How long a sidecar stands still.
+const FREEZE_SPAN: Duration = Duration::from_secs(3);
+/// Changes that each of two operators makes at once.
+const RACING_CHANGES: u64 = 20;
+/// Attempts before the fault and after it.
+const ATTEMPTS_AROUND: usize = 200;
+/// Faults of a play that are shown.
+const MAX_SHOWN_FAULTS: usize = 5;
 
-/// Clients on all sides, for as long as it lives.
-pub struct Clients {
-    stop: Arc<AtomicBool>,
-    tried: Arc<Mutex<Vec<Tried>>>,
-    tasks: Vec<JoinHandle<()>>,
+/// A fault that is played.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FaultPlay {
+    /// None.
+    Calm,
+    /// A control machine is killed and loses its disk; then another one is killed.
+    ControlWiped,
+    /// All control machines are killed.
+    AllControlKilled,
+    /// A sidecar is killed.
+    SideKilled,
+    /// A sidecar stands still for seconds.
+    SideFrozen,
+    /// Sidecars are stopped and started, one after another.
+    RollingRestart,
+    /// A zone is evacuated and taken back.
+    Evacuation,
+    /// Two operators change one route at the same time.
+    TwoOperators,
 }
 
-impl Drop for Clients {
-    fn drop(&mut self) {
-        self.tasks.iter().for_each(JoinHandle::abort);
+impl FaultPlay {
+    /// All, in the order of the table.
+    pub const ALL: [FaultPlay; 8] = [
+        FaultPlay::Calm,
+        FaultPlay::ControlWiped,
+        FaultPlay::AllControlKilled,
+        FaultPlay::SideKilled,
+        FaultPlay::SideFrozen,
+        FaultPlay::RollingRestart,
+        FaultPlay::Evacuation,
+        FaultPlay::TwoOperators,
+    ];
+
+    /// Its name on the command line and in the table.
+    pub fn name(self) -> &'static str {
+        match self {
+            FaultPlay::Calm => "calm",
+            FaultPlay::ControlWiped => "core-wiped",
+            FaultPlay::AllControlKilled => "all-core-killed",
+            FaultPlay::SideKilled => "side-killed",
+            FaultPlay::SideFrozen => "side-frozen",
+            FaultPlay::RollingRestart => "rolling-term",
+            FaultPlay::Evacuation => "evacuation",
+            FaultPlay::TwoOperators => "two-operators",
+        }
     }
 }
 
-impl Clients {
-    /// Start them. They ask all services, in all kinds; a side that misses its ready calls twice gets no new work.
-    pub fn start(village: &Village) -> Self {
-        Clients::start_with(village, CLIENTS, PAUSE)
+/// Play one fault under load: what the checker saw, with anything that should have happened and did not.
+///
+/// # Errors
+/// When the mesh does not start or does not get idle.
+pub async fn play(fault: FaultPlay, program: &Path) -> Result<Verdict> {
+    let behaviour = UpstreamBehaviour::default();
+    let mut testbed = Testbed::start(&MeshPlan::default(), behaviour, program).await?;
+    let clients = Clients::start(&testbed);
+    clients.wait_for_more(ATTEMPTS_AROUND).await?;
+    let mut faults = match disturb(fault, &mut testbed, &clients).await {
+        Ok(faults) => faults,
+        Err(error) => vec![format!("{error:#}")],
+    };
+    if let Err(error) = clients.wait_for_more(ATTEMPTS_AROUND).await {
+        faults.push(format!("{error:#}"));
     }
-
-    /// So many on each side, with this pause between two requests of one.
-    pub fn start_with(village: &Village, many: usize, pause: Duration) -> Self {
-        let (stop, tried): (Arc<AtomicBool>, Arc<Mutex<Vec<Tried>>>) = Default::default();
-        let mut tasks = Vec::new();
-        for m in village.mesh.sides() {
-            let (ready, outbound) = (village.mesh.ready(m), village.mesh.outbound(m));
-            let shut = Arc::new(AtomicBool::new(false));
-            let (told, ends) = (shut.clone(), stop.clone());
-            tasks.push(tokio::spawn(async move {
-                let mut missed = 0;
-                while !ends.load(Relaxed) {
-                    missed = if is_ready(ready).await { 0 } else { missed + 1 };
-                    told.store(missed >= 2, Relaxed);
-                    tokio::time::sleep(ASKS).await;
-                }
-            }));
-            for c in 0..many {
-                let (stop, tried, shut) = (stop.clone(), tried.clone(), shut.clone());
-                let services = village.services().to_vec();
-                let sender = village.mesh.machines[m].service.clone();
-                tasks.push(tokio::spawn(async move {
-                    let mut client = Client::new(outbound);
-                    for n in c.. {
-                        if stop.load(Relaxed) {
-                            return;
-                        }
-                        if shut.load(Relaxed) {
-                            tokio::time::sleep(pause).await;
-                            continue;
-                        }
-                        let kind = if n % 40 == 39 { Kind::Upload } else { Kind::ALL[n % 2] };
-                        let one = ask(&mut client, kind, &services[n / 2 % services.len()], &sender).await;
-                        let wait = match &one.came {
-                            Came::Answer(a) => {
-                                a.retry_after.map_or(pause, |s| Duration::from_secs_f64(s.clamp(0.0, 1.0)))
-                            }
-                            _ => pause * 4,
-                        };
-                        tried.lock().unwrap_or_else(PoisonError::into_inner).push(one);
-                        tokio::time::sleep(wait).await;
-                    }
-                }));
-            }
-        }
-        Clients { stop, tried, tasks }
+    let attempts = clients.end().await;
+    testbed.wait_until_idle().await?;
+    let mut verdict = check_attempts(&attempts, &testbed.executions);
+    verdict.faults.append(&mut faults);
+    match testbed.operator.configuration().await {
+        Ok(configuration) => verdict.faults.extend(testbed.operator.missing_from(&configuration)),
+        Err(error) => verdict.faults.push(format!("{error:#}")),
     }
+    Ok(verdict)
+}
 
-    /// How many tries have ended.
-    pub fn count(&self) -> usize {
-        self.tried.lock().unwrap_or_else(PoisonError::into_inner).len()
+async fn disturb(fault: FaultPlay, testbed: &mut Testbed, clients: &Clients) -> Result<Vec<String>> {
+    match fault {
+        FaultPlay::Calm => clients.wait_for_more(1000).await?,
+        FaultPlay::ControlWiped => control_wiped(testbed, clients).await?,
+        FaultPlay::AllControlKilled => all_control_killed(testbed, clients).await?,
+        FaultPlay::SideKilled => side_killed(testbed, clients).await?,
+        FaultPlay::SideFrozen => side_frozen(testbed).await?,
+        FaultPlay::RollingRestart => rolling_restart(testbed).await?,
+        FaultPlay::Evacuation => return evacuation(testbed, clients).await,
+        FaultPlay::TwoOperators => two_operators(testbed).await?,
     }
+    Ok(Vec::new())
+}
 
-    /// Wait until so many more have ended.
-    pub async fn more(&self, n: usize) -> Result<()> {
-        let from = self.count();
-        until("requests go on", LIMIT, || std::future::ready(self.count() >= from + n)).await
-    }
+/// A further route, at this version.
+fn extra_route(testbed: &Testbed, version: u64) -> Value {
+    let route = Route::of(&testbed.services()[0], RequestKind::Safe);
+    let path_prefix = format!("/extra/{version}/");
+    patch(&[Route { name: "r-extra".into(), path_prefix, ..route }], &[], version)
+}
 
-    /// End them; all that they tried.
-    pub async fn end(mut self) -> Vec<Tried> {
-        self.stop.store(true, Relaxed);
-        for task in self.tasks.drain(..) {
-            let _ = task.await;
-        }
-        std::mem::take(&mut self.tried.lock().unwrap_or_else(PoisonError::into_inner))
+/// Whether a machine answers a read with all that this operator knows to be acknowledged.
+async fn reads_back(operator: &Operator, address: std::net::SocketAddr) -> bool {
+    let answer = operator.call_once(address, "GET", "/-/Config.Get", b"").await;
+    answer.is_ok_and(|response| {
+        response.status == 200
+            && serde_json::from_slice(&response.body)
+                .is_ok_and(|configuration| operator.missing_from(&configuration).is_empty())
+    })
+}
+
+async fn control_wiped(testbed: &mut Testbed, clients: &Clients) -> Result<()> {
+    testbed.mesh.kill(0)?;
+    testbed.mesh.wipe(0)?;
+    testbed.operator.patch(&extra_route(testbed, 2)).await?;
+    clients.wait_for_more(300).await?;
+    testbed.mesh.start(0, false)?;
+    testbed.operator.patch(&extra_route(testbed, 5)).await?;
+    // Once it is back, it answers as the others do; then another one may go.
+    let address = testbed.mesh.control(0);
+    wait_until("the wiped one answers Config.Get", WAIT_TIMEOUT, || reads_back(&testbed.operator, address))
+        .await?;
+    testbed.mesh.kill(1)?;
+    clients.wait_for_more(300).await?;
+    testbed.mesh.start(1, false)
+}
+
+async fn all_control_killed(testbed: &mut Testbed, clients: &Clients) -> Result<()> {
+    testbed.operator.patch(&extra_route(testbed, 2)).await?;
+    for machine in testbed.mesh.control_machines() {
+        testbed.mesh.kill(machine)?;
     }
+    clients.wait_for_more(500).await?;
+    for machine in testbed.mesh.control_machines() {
+        testbed.mesh.start(machine, false)?;
+    }
+    testbed.operator.patch(&extra_route(testbed, 4)).await
 }
 
-/// One try of a kind.
-pub async fn ask(client: &mut Client, kind: Kind, service: &str, sender: &str) -> Tried {
-    let (id, target) = (client::id(), format!("{}page", kind.lane(service)));
-    let body = match kind {
-        Kind::Safe => Vec::new(),
-        Kind::Unsafe => id.clone().into_bytes(),
-        Kind::Upload => id.bytes().cycle().take(UPLOAD).collect(),
-    };
-    let came = client.ask(&target, &id, &body).await;
-    Tried { id, kind, target, sender: sender.to_string(), body, came }
+async fn side_killed(testbed: &mut Testbed, clients: &Clients) -> Result<()> {
+    let side = testbed.mesh.side_machines().start;
+    testbed.mesh.kill(side)?;
+    clients.wait_for_more(300).await?;
+    testbed.mesh.start(side, false)?;
+    testbed.wait_until_settled().await
 }
 
-/// A fault's name, in the order of the table.
-pub const FAULTS: [&str; 8] = [
-    "calm",
-    "core-wiped",
-    "all-core-killed",
-    "side-killed",
-    "side-frozen",
-    "rolling-term",
-    "evacuation",
-    "two-operators",
-];
+async fn side_frozen(testbed: &mut Testbed) -> Result<()> {
+    let side = testbed.mesh.side_machines().start;
+    testbed.mesh.freeze(side)?;
+    tokio::time::sleep(FREEZE_SPAN).await;
+    testbed.mesh.thaw(side)?;
+    testbed.wait_until_settled().await
+}
 
-/// Play one fault under load; what the witness saw, with anything that should have happened and did not.
-pub async fn play(fault: &str, program: &Path) -> Result<Judged> {
-    let mut village = Village::open(&Plan::default(), Manner::default(), program).await?;
-    let clients = Clients::start(&village);
-    clients.more(200).await?;
-    let mut faults = match disturb(fault, &mut village, &clients).await {
-        Ok(faults) => faults,
-        Err(e) => vec![format!("{e:#}")],
-    };
-    if let Err(e) = clients.more(200).await {
-        faults.push(format!("{e:#}"));
+/// Stop a machine gracefully, its upstream first, and start it again; its upstream too, if it has one.
+pub(crate) async fn restart_gracefully(testbed: &mut Testbed, machine: usize) -> Result<()> {
+    if let Some(upstream) = testbed.upstreams.remove(&machine) {
+        upstream.leave(Duration::from_secs_f64(DRAIN_S)).await;
     }
-    let tried = clients.end().await;
-    village.idle().await?;
-    let mut judged = judge(&tried, &village.runs);
-    judged.faults.append(&mut faults);
-    match village.operator.get().await {
-        Ok(whole) => judged.faults.extend(village.operator.missing(&whole)),
-        Err(e) => judged.faults.push(format!("{e:#}")),
+    testbed.mesh.terminate(machine)?;
+    let what = format!("{} ends", testbed.mesh.machines[machine].name);
+    wait_until(&what, WAIT_TIMEOUT, || std::future::ready(testbed.mesh.has_ended(machine))).await?;
+    testbed.mesh.start(machine, false)?;
+    if !testbed.mesh.machines[machine].is_control {
+        testbed.start_upstream(machine).await?;
     }
-    Ok(judged)
+    Ok(())
 }
 
-async fn disturb(fault: &str, v: &mut Village, clients: &Clients) -> Result<Vec<String>> {
-    let mut faults = Vec::new();
-    let sides: Vec<usize> = v.mesh.sides().collect();
-    let service = v.services()[0].clone();
-    let extra = |n: u64| Route {
-        name: "r-extra".into(),
-        lane: format!("/extra/{n}/"),
-        ..Route::of(&service, Kind::Safe)
+async fn rolling_restart(testbed: &mut Testbed) -> Result<()> {
+    for machine in testbed.mesh.side_machines() {
+        restart_gracefully(testbed, machine).await?;
+        testbed.wait_until_settled().await?;
+    }
+    Ok(())
+}
+
+async fn evacuation(testbed: &mut Testbed, clients: &Clients) -> Result<Vec<String>> {
+    let sides: Vec<usize> = testbed.mesh.side_machines().collect();
+    let zone = testbed.mesh.machines[sides[0]].zone.clone();
+    testbed.operator.set_evacuated(&zone, true).await?;
+    let is_evacuated = |state: &Value| {
+        state["evacuated"].as_array().is_some_and(|zones| zones.iter().any(|known| *known == zone))
     };
-    match fault {
-        "calm" => clients.more(1000).await?,
-        "core-wiped" => {
-            v.mesh.kill(0)?;
-            v.mesh.wipe(0)?;
-            v.operator.patch(&patch(&[extra(2)], &[], 2)).await?;
-            clients.more(300).await?;
-            v.mesh.start(0, false)?;
-            v.operator.patch(&patch(&[extra(5)], &[], 5)).await?;
-            // Once it is back, it answers as the others do; then another one may go.
-            let (at, operator) = (v.mesh.control(0), v.operator.clone());
-            until("the wiped one answers Config.Get", LIMIT, || async {
-                matches!(operator.once(at, "GET", "/-/Config.Get", b"").await, Ok(a) if a.status == 200
-                    && serde_json::from_slice(&a.body).is_ok_and(|w| operator.missing(&w).is_empty()))
-            })
-            .await?;
-            v.mesh.kill(1)?;
-            clients.more(300).await?;
-            v.mesh.start(1, false)?;
-        }
-        "all-core-killed" => {
-            v.operator.patch(&patch(&[extra(2)], &[], 2)).await?;
-            for c in v.mesh.cores() {
-                v.mesh.kill(c)?;
-            }
-            clients.more(500).await?;
-            for c in v.mesh.cores() {
-                v.mesh.start(c, false)?;
-            }
-            v.operator.patch(&patch(&[extra(4)], &[], 4)).await?;
-        }
-        "side-killed" => {
-            v.mesh.kill(sides[0])?;
-            clients.more(300).await?;
-            v.mesh.start(sides[0], false)?;
-            v.settled().await?;
-        }
-        "side-frozen" => {
-            v.mesh.freeze(sides[0])?;
-            tokio::time::sleep(Duration::from_secs(3)).await;
-            v.mesh.thaw(sides[0])?;
-            v.settled().await?;
-        }
-        "rolling-term" => {
-            for m in sides {
-                if let Some(station) = v.stations.remove(&m) {
-                    station.leave(Duration::from_secs_f64(DRAIN_S)).await;
-                }
-                v.mesh.terminate(m)?;
-                let name = v.mesh.machines[m].name.clone();
-                until(&format!("{name} ends"), LIMIT, || std::future::ready(v.mesh.has_ended(m))).await?;
-                v.mesh.start(m, false)?;
-                v.station(m).await?;
-                v.settled().await?;
-            }
-        }
-        "evacuation" => {
-            let zone = v.mesh.machines[sides[0]].zone.clone();
-            v.operator.evacuate(&zone, true).await?;
-            let has = |s: &serde_json::Value, z: &str| {
-                s["evacuated"].as_array().is_some_and(|l| l.iter().any(|e| e == z))
-            };
-            v.until_told("evacuated", &sides, |s| has(s, &zone)).await?;
-            // What was on its way before has its answer by now.
-            clients.more(CLIENTS * sides.len() * 2).await?;
-            let ids = v.of_zone(&zone);
-            let before: Vec<u64> = ids.iter().map(|i| v.runs.at(i)).collect();
-            clients.more(500).await?;
-            let after: Vec<u64> = ids.iter().map(|i| v.runs.at(i)).collect();
-            if before != after {
-                faults.push(format!("evacuated, yet sent to: {before:?} then {after:?}"));
-            }
-            v.operator.evacuate(&zone, false).await?;
-            let (runs, first) = (v.runs.clone(), ids.first().cloned().unwrap_or_default());
-            until("the zone is sent to again", LIMIT, || std::future::ready(runs.at(&first) > after[0]))
-                .await?;
-        }
-        "two-operators" => {
-            let services = v.services().to_vec();
-            let send = |start: usize, editions: Vec<u64>, service: String| {
-                let operator = v.operator.beginning_at(start);
-                async move {
-                    let route = Route {
-                        name: "r-race".into(),
-                        lane: "/race/".into(),
-                        ..Route::of(&service, Kind::Safe)
-                    };
-                    for e in editions {
-                        operator.patch(&patch(std::slice::from_ref(&route), &[], e)).await?;
-                    }
-                    anyhow::Ok(())
-                }
-            };
-            let one = send(0, (0..20).map(|n| 10 + n * 7).collect(), services[0].clone());
-            let other = send(1, (0..20).map(|n| 11 + n * 7).collect(), services[1].clone());
-            let (a, b) = tokio::join!(one, other);
-            a.and(b)?;
-            for m in sides {
-                let (to, runs) = (v.mesh.outbound(m), v.runs.clone());
-                let right: Vec<String> = v
-                    .stations
-                    .values()
-                    .filter(|s| s.service() == services[1])
-                    .map(|s| s.id().into())
-                    .collect();
-                until("the last edition is in force everywhere", LIMIT, || async {
-                    let id = client::id();
-                    let came = Client::new(to).ask("/race/x", &id, b"").await;
-                    came.status() == Some(200) && runs.of(&id).iter().all(|s| right.contains(s))
-                })
-                .await?;
-            }
-        }
-        other => bail!("{other}: no such fault (one of {FAULTS:?})"),
+    testbed.wait_for_state("evacuated", &sides, is_evacuated).await?;
+    // What was on its way before has its answer by now.
+    clients.wait_for_more(CLIENTS_PER_SIDE * sides.len() * 2).await?;
+    let upstreams = testbed.upstreams_in_zone(&zone);
+    let counts = || -> Vec<u64> { upstreams.iter().map(|id| testbed.executions.count_at(id)).collect() };
+    let before = counts();
+    clients.wait_for_more(500).await?;
+    let after = counts();
+    let mut faults = Vec::new();
+    if before != after {
+        faults.push(format!("evacuated, yet sent to: {before:?} then {after:?}"));
     }
+    testbed.operator.set_evacuated(&zone, false).await?;
+    wait_until("the zone is sent to again", WAIT_TIMEOUT, || std::future::ready(counts()[0] > after[0]))
+        .await?;
     Ok(faults)
 }
 
-/// Play all faults, or the one named, and print the table; whether nothing was wrong.
-pub async fn faults(program: &Path, only: Option<&str>) -> Result<bool> {
+/// Change the route that is raced for, at rising versions.
+async fn race(operator: Operator, first_version: u64, service: String) -> Result<()> {
+    let route = Route {
+        name: "r-race".into(),
+        path_prefix: "/race/".into(),
+        ..Route::of(&service, RequestKind::Safe)
+    };
+    for number in 0..RACING_CHANGES {
+        let change = patch(std::slice::from_ref(&route), &[], first_version + number * 7);
+        operator.patch(&change).await?;
+    }
+    Ok(())
+}
+
+async fn two_operators(testbed: &mut Testbed) -> Result<()> {
+    let services = testbed.services().to_vec();
+    let one = race(testbed.operator.beginning_at(0), 10, services[0].clone());
+    let other = race(testbed.operator.beginning_at(1), 11, services[1].clone());
+    let (one, other) = tokio::join!(one, other);
+    one.and(other)?;
+    let of_last = testbed.upstreams.values().filter(|upstream| upstream.service() == services[1]);
+    let right: Vec<String> = of_last.map(|upstream| upstream.id().into()).collect();
+    for machine in testbed.mesh.side_machines() {
+        let to = testbed.mesh.outbound(machine);
+        wait_until("the last version is in force everywhere", WAIT_TIMEOUT, || async {
+            let id = attempt_id();
+            let outcome = Client::new(to).send("/race/x", &id, b"").await;
+            let ran_at = testbed.executions.upstreams_of(&id);
+            outcome.status() == Some(200) && ran_at.iter().all(|upstream| right.contains(upstream))
+        })
+        .await?;
+    }
+    Ok(())
+}
+
+/// Play these faults and print the table; whether nothing was wrong.
+pub async fn run(program: &Path, plays: &[FaultPlay]) -> bool {
     println!(
-        "{:<16} {:>6} {:>7} {:>11} {:>9} {:>9}  verdict",
-        "fault", "tries", "served", "come-back", "no-word", "not-sent"
+        "{:<16} {:>8} {:>7} {:>9} {:>9} {:>9}  verdict",
+        "fault", "attempts", "served", "rejected", "lost", "not-sent"
     );
-    let mut good = true;
-    for fault in FAULTS.iter().filter(|f| only.is_none_or(|o| o == **f)) {
-        let j = match play(fault, program).await {
-            Ok(judged) => judged,
-            Err(e) => Judged { faults: vec![format!("{e:#}")], ..Judged::default() },
+    let mut is_kept = true;
+    for fault in plays {
+        let verdict = match play(*fault, program).await {
+            Ok(verdict) => verdict,
+            Err(error) => Verdict::of_fault(format!("{error:#}")),
         };
-        let verdict =
-            if j.faults.is_empty() { "kept".to_string() } else { format!("{} BROKEN", j.faults.len()) };
+        let Verdict { attempts, served, rejected, failed, not_sent, faults } = &verdict;
         println!(
-            "{fault:<16} {:>6} {:>7} {:>11} {:>9} {:>9}  {verdict}",
-            j.tried, j.served, j.promised, j.failed, j.not_sent
+            "{:<16} {attempts:>8} {served:>7} {rejected:>9} {failed:>9} {not_sent:>9}  {}",
+            fault.name(),
+            verdict.summary()
         );
-        for fault in j.faults.iter().take(5) {
-            println!("    {fault}");
-        }
-        good &= j.faults.is_empty();
+        faults.iter().take(MAX_SHOWN_FAULTS).for_each(|fault| println!("    {fault}"));
+        is_kept &= faults.is_empty();
     }
     println!(
-        "kept: nothing that may run once ran twice or after a promise, answers whole with the right stamp, the\n\
+        "kept: nothing that may run once ran twice or after a promise, answers complete with the right stamp, the\n\
          configuration read back as acknowledged, and what each fault waits for came."
     );
-    Ok(good)
+    is_kept
 }
--- a/crates/tools/testbed/src/links.rs
+++ b/crates/tools/testbed/src/links.rs
@@ -9,30 +9,43 @@
 use tokio::task::JoinHandle;
 
 /// A relay's own connection is up within this.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Between two attempts to listen again after a cut.
+const REOPEN_INTERVAL: Duration = Duration::from_millis(20);
+/// The largest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 1 << 16;
 
-/// Machines by number that are cut off from all others, together; empty: nobody is.
-type Apart = Vec<usize>;
+/// Machines by number that are cut off from all others, together; empty: none is.
+type IsolatedMachines = Vec<usize>;
 
 /// All links of a mesh. Dropping it ends them.
 #[derive(Debug)]
 pub struct Links {
-    apart: watch::Sender<Apart>,
+    isolated: watch::Sender<IsolatedMachines>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// One machine's way to another.
+/// What stands between one machine and another, in one direction of calls.
 #[derive(Clone, Debug)]
-struct Way {
+struct Relay {
     from: usize,
     to: usize,
     /// Where the caller is heard from.
     caller: SocketAddr,
-    /// Where it calls.
+    /// Where it calls, and the relay listens.
     called: SocketAddr,
-    /// Where the other one listens.
-    listens: SocketAddr,
-    apart: watch::Receiver<Apart>,
+    /// Where the other machine listens.
+    target: SocketAddr,
+    isolated: watch::Receiver<IsolatedMachines>,
+}
+
+/// A relay's sockets.
+struct RelaySockets {
+    listener: TcpListener,
+    /// Takes the caller's datagrams.
+    near: UdpSocket,
+    /// Sends them on.
+    far: UdpSocket,
 }
 
 impl Drop for Links {
@@ -42,103 +55,111 @@
 }
 
 impl Links {
-    /// Between all machines of a mesh that was laid out so.
+    /// Between all machines of a mesh that was prepared for it.
+    ///
+    /// # Errors
+    /// When a relay can't listen.
     pub async fn between(mesh: &Mesh) -> Result<Self> {
-        let (apart, told) = watch::channel(Apart::new());
+        let (isolated, changes) = watch::channel(IsolatedMachines::new());
         let mut tasks = Vec::new();
-        let all = 0..mesh.machines.len();
-        for (from, to) in all.clone().flat_map(|a| all.clone().map(move |b| (a, b))).filter(|(a, b)| a != b) {
-            let (caller, listens) = (mesh.internal(from), mesh.internal(to));
-            let called = SocketAddr::new(listens.ip(), caller.port());
-            let way = Way { from, to, caller, called, listens, apart: told.clone() };
-            let open = way.open().await.with_context(|| format!("a link at {called}"))?;
-            tasks.push(tokio::spawn(way.run(open)));
+        let count = mesh.machines.len();
+        let pairs = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
+        for (from, to) in pairs.filter(|(from, to)| from != to) {
+            let (caller, target) = (mesh.internal(from), mesh.internal(to));
+            let called = SocketAddr::new(target.ip(), caller.port());
+            let relay = Relay { from, to, caller, called, target, isolated: changes.clone() };
+            let sockets = relay.open().await.with_context(|| format!("a link at {called}"))?;
+            tasks.push(tokio::spawn(relay.run(sockets)));
         }
-        Ok(Links { apart, tasks })
+        Ok(Links { isolated, tasks })
     }
 
     /// Cut these machines off from all others; among themselves they still hear each other. What is on its way is lost,
     /// connections stay silent, new ones are refused.
     pub fn cut(&self, machines: &[usize]) {
-        self.apart.send_replace(machines.to_vec());
+        self.isolated.send_replace(machines.to_vec());
     }
 
     /// All hear all again; connections that were cut are reset.
     pub fn join(&self) {
-        self.apart.send_replace(Apart::new());
+        self.isolated.send_replace(IsolatedMachines::new());
     }
 }
 
-impl Way {
-    fn is_cut(&self, apart: &Apart) -> bool {
-        apart.contains(&self.from) != apart.contains(&self.to)
+impl Relay {
+    fn is_cut(&self, isolated: &IsolatedMachines) -> bool {
+        isolated.contains(&self.from) != isolated.contains(&self.to)
     }
 
-    async fn open(&self) -> std::io::Result<(TcpListener, UdpSocket, UdpSocket)> {
+    async fn open(&self) -> std::io::Result<RelaySockets> {
         let far = UdpSocket::bind((self.caller.ip(), 0)).await?;
-        Ok((TcpListener::bind(self.called).await?, UdpSocket::bind(self.called).await?, far))
+        let listener = TcpListener::bind(self.called).await?;
+        Ok(RelaySockets { listener, near: UdpSocket::bind(self.called).await?, far })
     }
 
-    async fn run(mut self, open: (TcpListener, UdpSocket, UdpSocket)) {
-        let mut open = Some(open);
+    async fn open_again(&self) -> RelaySockets {
         loop {
-            let (listener, near, far) = match open.take() {
-                Some(open) => open,
-                None => match self.open().await {
-                    Ok(open) => open,
-                    Err(_) => {
-                        tokio::time::sleep(Duration::from_millis(20)).await;
-                        continue;
-                    }
-                },
-            };
-            let mut room = vec![0; 1 << 16];
-            let mut apart = self.apart.clone();
-            let this = self.clone();
-            let told = apart.wait_for(|a| this.is_cut(a));
-            tokio::pin!(told);
-            loop {
-                tokio::select! {
-                    biased;
-                    ended = &mut told => match ended {
-                        Ok(_) => break,
-                        Err(_) => return,
-                    },
-                    came = listener.accept() => if let Ok((stream, _)) = came {
-                        tokio::spawn(self.clone().carry(stream));
-                    },
-                    came = near.recv_from(&mut room) => if let Ok((n, from)) = came {
-                        if from.ip() == self.caller.ip() {
-                            let _ = far.try_send_to(&room[..n], self.listens);
-                        }
-                    },
-                }
+            if let Ok(sockets) = self.open().await {
+                return sockets;
             }
-            drop((listener, near));
-            if self.apart.wait_for(|a| !this.is_cut(a)).await.is_err() {
+            tokio::time::sleep(REOPEN_INTERVAL).await;
+        }
+    }
+
+    async fn run(mut self, mut sockets: RelaySockets) {
+        loop {
+            if !self.relay_until_cut(&sockets).await {
                 return;
             }
+            drop(sockets);
+            let this = self.clone();
+            if self.isolated.wait_for(|isolated| !this.is_cut(isolated)).await.is_err() {
+                return;
+            }
+            sockets = self.open_again().await;
+        }
+    }
+
+    /// Whether the link was cut; otherwise all links end.
+    async fn relay_until_cut(&self, sockets: &RelaySockets) -> bool {
+        let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
+        let mut isolated = self.isolated.clone();
+        let cut = isolated.wait_for(|isolated| self.is_cut(isolated));
+        tokio::pin!(cut);
+        loop {
+            tokio::select! {
+                biased;
+                change = &mut cut => return change.is_ok(),
+                accepted = sockets.listener.accept() => if let Ok((stream, _)) = accepted {
+                    tokio::spawn(self.clone().relay_connection(stream));
+                },
+                received = sockets.near.recv_from(&mut datagram) => if let Ok((length, from)) = received {
+                    if from.ip() == self.caller.ip() {
+                        // A datagram that does not fit in is lost, as on a link.
+                        let _ = sockets.far.try_send_to(&datagram[..length], self.target);
+                    }
+                },
+            }
         }
     }
 
-    async fn carry(mut self, mut stream: TcpStream) {
+    async fn relay_connection(mut self, mut stream: TcpStream) {
         let Ok(socket) = tokio::net::TcpSocket::new_v4() else { return };
         if socket.bind(SocketAddr::new(self.caller.ip(), 0)).is_err() {
             return;
         }
-        let Ok(Ok(mut on)) = tokio::time::timeout(CONNECT, socket.connect(self.listens)).await else {
-            return;
-        };
-        let _ = (stream.set_nodelay(true), on.set_nodelay(true));
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(self.target));
+        let Ok(Ok(mut onward)) = connecting.await else { return };
+        let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
         let this = self.clone();
         tokio::select! {
             biased;
-            ended = self.apart.wait_for(|a| this.is_cut(a)) => if ended.is_err() {
+            change = self.isolated.wait_for(|isolated| this.is_cut(isolated)) => if change.is_err() {
                 return;
             },
-            _ = tokio::io::copy_bidirectional(&mut stream, &mut on) => return,
+            _ = tokio::io::copy_bidirectional(&mut stream, &mut onward) => return,
         }
         // Silent until the machines are joined.
-        let _ = self.apart.wait_for(|a| !this.is_cut(a)).await;
+        let _ = self.isolated.wait_for(|isolated| !this.is_cut(isolated)).await;
     }
 }
--- a/crates/tools/testbed/src/main.rs
+++ b/crates/tools/testbed/src/main.rs
@@ -1,66 +1,101 @@
 //! Reads the command line. Exit codes: 0 all held, 1 it could not be played, 2 usage, 3 a goal or a rule was missed.
 #![forbid(unsafe_code)]
+#![deny(missing_docs, unreachable_pub)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
-use anyhow::Result;
-use silvercross_testbed::{control, faults, lapse, load, program, show};
+use anyhow::{bail, Result};
+use silvercross_testbed::control::{ControlPlay, PlayExtent};
+use silvercross_testbed::faults::FaultPlay;
+use silvercross_testbed::lapse::{LapseOptions, LapsePlay};
+use silvercross_testbed::load::LoadOptions;
+use silvercross_testbed::{control, faults, lapse, load, program, walkthrough};
+use std::convert::Infallible;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 
 const HELP: &str = "silvercross-testbed show | load | faults | control | lapse
-  show      start a small mesh, have a request served, and tell what happened
+  show      start a small mesh, have a request served, and show what happened
   load      what a request costs through two sidecars, beside two bare forwarders
     --seconds S       each way is loaded for so long (6)
     --connections C   clients (32)
     --body BYTES      of a request (200)
     --rate R          requests a second over all clients (0: as many as go)
-    --members N       requests carry a member's key, and so many members stand (0: none was ever sent)
-  faults    break a small mesh in several ways and tell what was kept
+    --members N       requests carry a member's key, and so many members are in force (0: none was ever sent)
+  faults    break a small mesh in several ways and show what was kept
     --only NAME       one of them
-  control   cut off, replace and restart control machines under load and tell what was kept
+  control   cut off, replace and restart control machines under load and show what was kept
     --only NAME       one of cut, replace, replace-then-loss, restart
     --seconds S       a cut lasts so long at least (20)
     --changes N       changes during a cut, and before a restart (300)
-  lapse     a member's trial lapses on nine sides and three cores: replies by node and second, steps, what ran
+  lapse     a member's trial lapses on nine sides and three control machines: replies by node and second, steps, what ran
     --only NAME       one play; otherwise all
     --svg FOLDER      a plot for each play
     --sides N         machines with an upstream (9)";
 
 enum Command {
     Show,
-    Load(load::Load),
-    Faults(Option<String>),
-    Control(Option<String>, control::Extent),
-    Lapse(lapse::Lapse),
+    Load(LoadOptions),
+    Faults(Vec<FaultPlay>),
+    Control(Vec<ControlPlay>, PlayExtent),
+    Lapse(LapseOptions),
     Forward(std::net::SocketAddr),
 }
 
-fn command() -> Result<Option<Command>, pico_args::Error> {
+/// The play of this name, or all.
+fn plays<P: Copy>(all: &[P], only: Option<&str>, name: impl Fn(P) -> &'static str) -> Result<Vec<P>> {
+    let plays: Vec<P> =
+        all.iter().copied().filter(|play| only.is_none_or(|only| only == name(*play))).collect();
+    if plays.is_empty() {
+        let names: Vec<&str> = all.iter().map(|play| name(*play)).collect();
+        bail!("{}: no such play (one of {names:?})", only.unwrap_or_default());
+    }
+    Ok(plays)
+}
+
+fn load_options(args: &mut pico_args::Arguments) -> Result<LoadOptions> {
+    Ok(LoadOptions {
+        seconds: args.opt_value_from_str::<_, f64>("--seconds")?.unwrap_or(6.0).clamp(0.3, 3600.0),
+        connections: args.opt_value_from_str::<_, usize>("--connections")?.unwrap_or(32).clamp(1, 1024),
+        body_bytes: args.opt_value_from_str::<_, usize>("--body")?.unwrap_or(200).min(1 << 20),
+        rate: args.opt_value_from_str::<_, f64>("--rate")?.unwrap_or(0.0).clamp(0.0, 1e6),
+        members: args.opt_value_from_str::<_, usize>("--members")?,
+    })
+}
+
+fn control_command(args: &mut pico_args::Arguments) -> Result<Command> {
+    let seconds = args.opt_value_from_str::<_, f64>("--seconds")?.unwrap_or(20.0).clamp(0.0, 3600.0);
+    let changes = args.opt_value_from_str::<_, u64>("--changes")?.unwrap_or(300).clamp(1, 100_000);
+    let cut = Duration::from_secs_f64(seconds);
+    let extent = PlayExtent { changes, cut, changes_before_restart: changes, ..PlayExtent::FULL };
+    let only: Option<String> = args.opt_value_from_str("--only")?;
+    Ok(Command::Control(plays(&ControlPlay::ALL, only.as_deref(), ControlPlay::name)?, extent))
+}
+
+fn lapse_options(args: &mut pico_args::Arguments) -> Result<LapseOptions> {
+    let only: Option<String> = args.opt_value_from_str("--only")?;
+    Ok(LapseOptions {
+        plays: plays(&LapsePlay::ALL, only.as_deref(), LapsePlay::name)?,
+        plot_folder: args.opt_value_from_os_str("--svg", |path| Ok::<_, Infallible>(PathBuf::from(path)))?,
+        side_count: args.opt_value_from_str::<_, usize>("--sides")?.unwrap_or(9).clamp(2, 32),
+    })
+}
+
+fn command() -> Result<Option<Command>> {
     let mut args = pico_args::Arguments::from_env();
     if args.contains(["-h", "--help"]) {
         return Ok(None);
     }
     let command = match args.subcommand()?.as_deref() {
         Some("show") => Command::Show,
-        Some("load") => Command::Load(load::Load {
-            seconds: args.opt_value_from_str::<_, f64>("--seconds")?.unwrap_or(6.0).clamp(0.3, 3600.0),
-            connections: args.opt_value_from_str::<_, usize>("--connections")?.unwrap_or(32).clamp(1, 1024),
-            body: args.opt_value_from_str::<_, usize>("--body")?.unwrap_or(200).min(1 << 20),
-            rate: args.opt_value_from_str::<_, f64>("--rate")?.unwrap_or(0.0).clamp(0.0, 1e6),
-            members: args.opt_value_from_str::<_, usize>("--members")?,
-        }),
-        Some("faults") => Command::Faults(args.opt_value_from_str("--only")?),
-        Some("control") => {
-            let seconds = args.opt_value_from_str::<_, f64>("--seconds")?.unwrap_or(20.0).clamp(0.0, 3600.0);
-            let changes = args.opt_value_from_str::<_, u64>("--changes")?.unwrap_or(300).clamp(1, 100_000);
-            let cut = std::time::Duration::from_secs_f64(seconds);
-            let extent = control::Extent { changes, cut, before_restart: changes, ..control::Extent::FULL };
-            Command::Control(args.opt_value_from_str("--only")?, extent)
+        Some("load") => Command::Load(load_options(&mut args)?),
+        Some("faults") => {
+            let only: Option<String> = args.opt_value_from_str("--only")?;
+            Command::Faults(plays(&FaultPlay::ALL, only.as_deref(), FaultPlay::name)?)
         }
-        Some("lapse") => Command::Lapse(lapse::Lapse {
-            only: args.opt_value_from_str("--only")?,
-            svg: args.opt_value_from_os_str("--svg", |s| Ok::<_, String>(std::path::PathBuf::from(s)))?,
-            sides: args.opt_value_from_str::<_, usize>("--sides")?.unwrap_or(9).clamp(2, 32),
-        }),
+        Some("control") => control_command(&mut args)?,
+        Some("lapse") => Command::Lapse(lapse_options(&mut args)?),
         Some("forward") => Command::Forward(args.free_from_str()?),
         _ => return Ok(None),
     };
@@ -74,21 +109,32 @@
             eprintln!("{HELP}");
             return ExitCode::from(2);
         }
-        Err(e) => {
-            eprintln!("silvercross-testbed: {e}\n{HELP}");
+        Err(error) => {
+            eprintln!("silvercross-testbed: {error}\n{HELP}");
             return ExitCode::from(2);
         }
     };
     match run(command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(3),
-        Err(e) => {
-            eprintln!("silvercross-testbed: {e:#}");
+        Err(error) => {
+            eprintln!("silvercross-testbed: {error:#}");
             ExitCode::from(1)
         }
     }
 }
 
+async fn perform(command: &Command, program: &Path) -> Result<bool> {
+    match command {
+        Command::Show => walkthrough::run(program).await.map(|()| true),
+        Command::Load(options) => load::run(program, *options).await,
+        Command::Faults(plays) => Ok(faults::run(program, plays).await),
+        Command::Control(plays, extent) => Ok(control::run(program, plays, *extent).await),
+        Command::Lapse(options) => Ok(lapse::run(program, options).await),
+        Command::Forward(_) => Ok(true),
+    }
+}
+
 fn run(command: Command) -> Result<bool> {
     if let Command::Forward(to) = command {
         return silvercross_scenario_runner::load::forward(to).map(|()| true).map_err(anyhow::Error::msg);
@@ -96,22 +142,13 @@
     let program = program::find()?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
-        let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-        let work = async {
-            match &command {
-                Command::Show => show::show(&program).await.map(|()| true),
-                Command::Load(l) => load::load(&program, *l).await,
-                Command::Faults(only) => faults::faults(&program, only.as_deref()).await,
-                Command::Control(only, extent) => control::control(&program, only.as_deref(), *extent).await,
-                Command::Lapse(l) => lapse::lapse(&program, l).await,
-                Command::Forward(_) => Ok(true),
-            }
-        };
-        // Told to stop, what was started is ended all the same.
+        let (mut terminate, mut interrupt) =
+            (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+        // Stopped, it still ends what it started.
         tokio::select! {
-            done = work => done,
-            _ = term.recv() => anyhow::bail!("stopped"),
-            _ = int.recv() => anyhow::bail!("stopped"),
+            done = perform(&command, &program) => done,
+            _ = terminate.recv() => bail!("stopped"),
+            _ = interrupt.recv() => bail!("stopped"),
         }
     })
 }
--- a/crates/tools/testbed/src/operator.rs
+++ b/crates/tools/testbed/src/operator.rs
@@ -1,6 +1,6 @@
 //! A stand-in operator: sends its calls again until they are taken, and remembers what was acknowledged.
-use crate::client::{Kind, HOST};
-use crate::line::{call, Answer};
+use crate::client::{RequestKind, HOST};
+use crate::http_connection::{call, Response};
 use anyhow::{bail, Result};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -10,201 +10,245 @@
 use tokio::time::Instant;
 
 /// A call is answered within this; else the next sidecar is called.
-const SILENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// A call is sent again for so long.
-const LONGEST: Duration = Duration::from_secs(20);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
+/// The pause before the first further attempt; it doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// The longest pause between two attempts.
+const MAX_BACKOFF: Duration = Duration::from_millis(320);
+/// Redirections of a call that are followed.
+const MAX_REDIRECTS: usize = 2;
 
-/// A route, as far as it differs here.
+/// A route, as far as routes differ here.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Its lane.
-    pub lane: String,
+    /// Its path prefix.
+    pub path_prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Its service.
     pub service: String,
 }
 
 impl Route {
     /// The route of a service for requests of a kind.
-    pub fn of(service: &str, kind: Kind) -> Self {
+    pub fn of(service: &str, kind: RequestKind) -> Self {
         Route {
             name: format!("r-{service}-{}", kind.word()),
-            lane: kind.lane(service),
+            path_prefix: kind.path_prefix(service),
             kind,
             service: service.to_string(),
         }
     }
 
-    fn item(&self, edition: u64) -> Value {
-        json!({ "name": self.name, "lane": self.lane, "routeKind": self.kind.word(), "deadlineS": 3, "targetS": 0.6,
-            "priority": 1, "destination": self.service, "attempts": 2, "edition": edition })
+    fn item(&self, version: u64) -> Value {
+        json!({ "name": self.name, "lane": self.path_prefix, "routeKind": self.kind.word(), "deadlineS": 3, "targetS": 0.6,
+            "priority": 1, "destination": self.service, "attempts": 2, "edition": version })
     }
 }
 
-/// Routes set and dropped, as the body of a call.
-pub fn patch(routes: &[Route], dropped: &[&str], edition: u64) -> Value {
-    let lanes: Vec<Value> = routes.iter().map(|r| r.item(edition)).collect();
-    let gone: Vec<Value> = dropped.iter().map(|n| json!({ "name": n, "edition": edition })).collect();
-    let depots = if lanes.is_empty() { json!([]) } else { json!([{ "depot": HOST, "lanes": lanes }]) };
-    json!({ "deliver": { "depots": depots }, "withdraw": { "routes": gone } })
+/// Routes set and withdrawn, as the body of a call; the names in it are the wire's.
+pub fn patch(routes: &[Route], withdrawn: &[&str], version: u64) -> Value {
+    let items: Vec<Value> = routes.iter().map(|route| route.item(version)).collect();
+    let names: Vec<Value> =
+        withdrawn.iter().map(|name| json!({ "name": name, "edition": version })).collect();
+    let hosts = if items.is_empty() { json!([]) } else { json!([{ "depot": HOST, "lanes": items }]) };
+    json!({ "deliver": { "depots": hosts }, "withdraw": { "routes": names } })
 }
 
 /// Every item, as the body of the first call.
-pub fn first(services: &[String], edition: u64) -> Value {
-    let routes: Vec<Route> =
-        services.iter().flat_map(|s| Kind::ALL.iter().map(|k| Route::of(s, *k))).collect();
-    let mut whole = patch(&routes, &[], edition);
+pub fn first_configuration(services: &[String], version: u64) -> Value {
+    let routes: Vec<Route> = services
+        .iter()
+        .flat_map(|service| RequestKind::ALL.iter().map(|kind| Route::of(service, *kind)))
+        .collect();
+    let mut configuration = patch(&routes, &[], version);
     let destinations: Vec<Value> = services
         .iter()
-        .map(|s| {
-            json!({ "name": s, "healthPath": "/health", "lineCap": 130, "protocol": "h1", "sealed": false, "coldS": 1.0,
-                "coldRateS": 50.0, "edition": edition })
+        .map(|service| {
+            json!({ "name": service, "healthPath": "/health", "lineCap": 130, "protocol": "h1", "sealed": false, "coldS": 1.0,
+                "coldRateS": 50.0, "edition": version })
         })
         .collect();
-    whole["deliver"]["destinations"] = Value::Array(destinations);
-    whole["deliver"]["sizeLimits"] = json!({ "envelopeBytes": 16384, "contentBytes": 16 << 20, "envelopeS": 3, "idleS": 15, "edition": edition });
-    whole
+    configuration["deliver"]["destinations"] = Value::Array(destinations);
+    configuration["deliver"]["sizeLimits"] = json!({ "envelopeBytes": 16384, "contentBytes": 16 << 20, "envelopeS": 3, "idleS": 15, "edition": version });
+    configuration
+}
+
+/// A route's newest version that was acknowledged.
+#[derive(Clone, Debug, Default)]
+struct AcknowledgedRoute {
+    version: u64,
+    /// Its service; `None`: it was withdrawn.
+    service: Option<String>,
 }
 
-/// The highest edition of each route that was acknowledged, and its service; `None`: dropped.
-type Book = BTreeMap<String, (u64, Option<String>)>;
+/// A route as a configuration that was read has it.
+struct RouteInForce {
+    name: String,
+    version: u64,
+    service: String,
+}
 
 /// An operator. Clones share what was acknowledged.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    to: Vec<SocketAddr>,
-    start: usize,
-    book: Arc<Mutex<Book>>,
+    addresses: Vec<SocketAddr>,
+    first: usize,
+    acknowledged: Arc<Mutex<BTreeMap<String, AcknowledgedRoute>>>,
+}
+
+fn elements<'v>(value: &'v Value, key: &str) -> impl Iterator<Item = &'v Value> {
+    value[key].as_array().into_iter().flatten()
 }
 
-fn routes(whole: &Value) -> Vec<(String, u64, String)> {
-    let lanes = whole["depots"]
-        .as_array()
-        .into_iter()
-        .flatten()
-        .flat_map(|d| d["lanes"].as_array().into_iter().flatten());
-    lanes
-        .map(|r| {
-            let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
-            (text(&r["name"]), r["edition"].as_u64().unwrap_or(0), text(&r["destination"]))
+fn routes_of(configuration: &Value) -> Vec<RouteInForce> {
+    let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
+    elements(configuration, "depots")
+        .flat_map(|host| elements(host, "lanes"))
+        .map(|route| RouteInForce {
+            name: text(&route["name"]),
+            version: route["edition"].as_u64().unwrap_or(0),
+            service: text(&route["destination"]),
         })
         .collect()
 }
 
+/// The node and path that an answer redirects to, if it does.
+fn redirect_target(response: &Response) -> Option<(SocketAddr, String)> {
+    let location = response.location.as_deref().filter(|_| response.status == 307)?;
+    let (host, rest) = location.strip_prefix("http://")?.split_once('/')?;
+    Some((host.parse().ok()?, format!("/{rest}")))
+}
+
 impl Operator {
     /// One that knows these control addresses.
-    pub fn new(to: Vec<SocketAddr>) -> Self {
-        Operator { to, start: 0, book: Arc::default() }
+    pub fn new(addresses: Vec<SocketAddr>) -> Self {
+        Operator { addresses, first: 0, acknowledged: Arc::default() }
     }
 
     /// The same, but another address comes first.
-    pub fn beginning_at(&self, start: usize) -> Self {
-        Operator { start, ..self.clone() }
+    pub fn beginning_at(&self, first: usize) -> Self {
+        Operator { first, ..self.clone() }
     }
 
     /// One call to one address; redirections are followed twice.
-    pub async fn once(
+    ///
+    /// # Errors
+    /// When the node called last gives no complete answer.
+    pub async fn call_once(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> std::io::Result<Answer> {
-        let (mut at, mut path) = (at, path.to_string());
-        for _ in 0..2 {
-            let answer = call(at, method, &path, body, SILENCE).await?;
-            let Some(to) = answer.location.as_deref().filter(|_| answer.status == 307) else {
-                return Ok(answer);
-            };
-            let to = to.strip_prefix("http://").and_then(|t| t.split_once('/'));
-            let Some((host, rest)) = to.and_then(|(h, rest)| Some((h.parse().ok()?, rest))) else {
-                return Ok(answer);
-            };
-            (at, path) = (host, format!("/{rest}"));
+    ) -> std::io::Result<Response> {
+        let (mut address, mut path) = (address, path.to_string());
+        for _ in 0..MAX_REDIRECTS {
+            let response = call(address, method, &path, body, CALL_TIMEOUT).await?;
+            let Some(target) = redirect_target(&response) else { return Ok(response) };
+            (address, path) = target;
         }
-        call(at, method, &path, body, SILENCE).await
+        call(address, method, &path, body, CALL_TIMEOUT).await
     }
 
-    /// A call, sent again until it is taken or refused.
-    pub async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer> {
-        let end = Instant::now() + LONGEST;
-        let (mut n, mut pause, mut last) = (self.start, Duration::from_millis(20), "no answer".to_string());
+    /// A call, sent again until it is taken.
+    ///
+    /// # Errors
+    /// When it is rejected, or not taken in time.
+    pub async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Response> {
+        let end = Instant::now() + RETRY_TIMEOUT;
+        let (mut attempt, mut backoff) = (self.first, MIN_BACKOFF);
+        let mut last = "no answer".to_string();
         while Instant::now() < end {
-            match self.once(self.to[n % self.to.len()], method, path, body).await {
-                Ok(a) if (200..300).contains(&a.status) => return Ok(a),
-                Ok(a) if matches!(a.status, 400 | 409 | 412 | 413 | 422) => {
-                    bail!("{method} {path}: {} {}", a.status, String::from_utf8_lossy(&a.body));
+            let address = self.addresses[attempt % self.addresses.len()];
+            match self.call_once(address, method, path, body).await {
+                Ok(response) if (200..300).contains(&response.status) => return Ok(response),
+                Ok(response) if matches!(response.status, 400 | 409 | 412 | 413 | 422) => {
+                    let reason = String::from_utf8_lossy(&response.body);
+                    bail!("{method} {path}: {} {reason}", response.status);
                 }
-                Ok(a) => last = a.status.to_string(),
-                Err(e) => last = e.to_string(),
+                Ok(response) => last = response.status.to_string(),
+                Err(error) => last = error.to_string(),
             }
-            n += 1;
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(Duration::from_millis(320));
+            attempt += 1;
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
-        bail!("{method} {path}: not taken within {} s ({last})", LONGEST.as_secs())
+        bail!("{method} {path}: not taken within {} s ({last})", RETRY_TIMEOUT.as_secs())
     }
 
     /// Change the configuration; it is acknowledged when this returns.
+    ///
+    /// # Errors
+    /// As [`Operator::call`].
     pub async fn patch(&self, change: &Value) -> Result<()> {
         self.call("POST", "/-/Config.Patch", change.to_string().as_bytes()).await?;
-        self.note(change);
+        self.record_acknowledged(change);
         Ok(())
     }
 
     /// One that remembers what was acknowledged so far, and nothing later.
-    pub fn so_far(&self) -> Self {
-        let book = self.book.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        Operator { book: Arc::new(Mutex::new(book)), ..self.clone() }
+    pub fn snapshot(&self) -> Self {
+        let acknowledged = self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        Operator { acknowledged: Arc::new(Mutex::new(acknowledged)), ..self.clone() }
     }
 
     /// This change was acknowledged.
-    pub fn note(&self, change: &Value) {
-        let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut note = |name: String, edition: u64, service: Option<String>| {
-            let entry = book.entry(name).or_insert((0, None));
-            if edition > entry.0 {
-                *entry = (edition, service);
+    pub fn record_acknowledged(&self, change: &Value) {
+        let mut acknowledged = self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut record = |name: String, version: u64, service: Option<String>| {
+            let known = acknowledged.entry(name).or_default();
+            if version > known.version {
+                *known = AcknowledgedRoute { version, service };
             }
         };
-        for (name, edition, service) in routes(&change["deliver"]) {
-            note(name, edition, Some(service));
+        for route in routes_of(&change["deliver"]) {
+            record(route.name, route.version, Some(route.service));
         }
-        for gone in change["withdraw"]["routes"].as_array().into_iter().flatten() {
-            note(
-                gone["name"].as_str().unwrap_or_default().into(),
-                gone["edition"].as_u64().unwrap_or(0),
-                None,
-            );
+        for withdrawn in elements(&change["withdraw"], "routes") {
+            let name = withdrawn["name"].as_str().unwrap_or_default();
+            record(name.to_string(), withdrawn["edition"].as_u64().unwrap_or(0), None);
         }
     }
 
     /// The newest configuration.
-    pub async fn get(&self) -> Result<Value> {
+    ///
+    /// # Errors
+    /// As [`Operator::call`], and when the answer is no JSON.
+    pub async fn configuration(&self) -> Result<Value> {
         Ok(serde_json::from_slice(&self.call("GET", "/-/Config.Get", b"").await?.body)?)
     }
 
     /// Begin or end the evacuation of a zone.
-    pub async fn evacuate(&self, zone: &str, on: bool) -> Result<()> {
-        let path = format!("/-/Evacuate.{}/{zone}", if on { "Start" } else { "End" });
+    ///
+    /// # Errors
+    /// As [`Operator::call`].
+    pub async fn set_evacuated(&self, zone: &str, is_evacuated: bool) -> Result<()> {
+        let path = format!("/-/Evacuate.{}/{zone}", if is_evacuated { "Start" } else { "End" });
         self.call("POST", &path, b"").await.map(|_| ())
     }
 
     /// What was acknowledged and is not in a configuration that was read, in words.
-    pub fn missing(&self, whole: &Value) -> Vec<String> {
-        let found = routes(whole);
-        let book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
+    pub fn missing_from(&self, configuration: &Value) -> Vec<String> {
+        let in_force = routes_of(configuration);
+        let acknowledged = self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
         let mut faults = Vec::new();
-        for (name, (edition, service)) in book.iter() {
-            let at = found.iter().find(|(n, ..)| n == name);
-            match (at, service) {
-                (None, None) => {}
-                (Some((_, e, s)), Some(service)) if e > edition || e == edition && s == service => {}
-                (Some((_, e, _)), None) if e > edition => {}
-                (at, _) => faults.push(format!("{name}: acknowledged {edition} {service:?}, read {at:?}")),
+        for (name, known) in acknowledged.iter() {
+            let found = in_force.iter().find(|route| route.name == *name);
+            let is_kept = match (found, &known.service) {
+                (None, service) => service.is_none(),
+                (Some(found), _) if found.version > known.version => true,
+                (Some(found), Some(service)) => found.version == known.version && found.service == *service,
+                (Some(_), None) => false,
+            };
+            if !is_kept {
+                let read = found.map(|route| (route.version, &route.service));
+                let AcknowledgedRoute { version, service } = known;
+                faults.push(format!("{name}: acknowledged {version} {service:?}, read {read:?}"));
             }
         }
         faults
--- /dev/null
+++ b/crates/tools/testbed/src/upstream.rs
@@ -0,0 +1,108 @@
+//! A stand-in upstream: works on some requests at a time, queues a few, stamps its answers, sends heartbeats to the sidecar beside
+//! it, and writes down every request that it runs.
+mod server;
+mod stamp;
+mod state;
+
+pub use stamp::{response_body, stamp};
+pub use state::{UpstreamBehaviour, UpstreamPlace};
+
+use crate::execution_log::ExecutionLog;
+use crate::http_connection::{call, HttpConnection};
+use state::{State, HEARTBEAT_TIMEOUT};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::task::AbortHandle;
+
+/// `POST`, followed by the upstream's name: it ends. A name of the wire.
+const SIGN_OFF_PATH: &str = "/-/Stations.SignOff";
+/// How much longer than it has to an upstream serves on when it leaves.
+const LEAVE_SLACK: Duration = Duration::from_millis(200);
+
+/// A running upstream. Dropping it ends it and its connections at once.
+pub struct Upstream {
+    state: Arc<State>,
+    tasks: Vec<AbortHandle>,
+    connections: Arc<Mutex<Vec<AbortHandle>>>,
+}
+
+impl Drop for Upstream {
+    fn drop(&mut self) {
+        self.tasks.iter().for_each(AbortHandle::abort);
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner).iter().for_each(AbortHandle::abort);
+    }
+}
+
+impl Upstream {
+    /// Start one; it sends heartbeats from now on.
+    ///
+    /// # Errors
+    /// When its address is taken.
+    pub async fn start(
+        place: UpstreamPlace,
+        behaviour: UpstreamBehaviour,
+        executions: Arc<ExecutionLog>,
+    ) -> std::io::Result<Self> {
+        let listener = TcpListener::bind(place.address).await?;
+        let state = Arc::new(State::new(place, behaviour, executions));
+        let connections: Arc<Mutex<Vec<AbortHandle>>> = Arc::default();
+        let (serving, open) = (state.clone(), connections.clone());
+        let accepting = tokio::spawn(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                let task = tokio::spawn(server::serve(serving.clone(), HttpConnection::new(stream)));
+                let mut open = open.lock().unwrap_or_else(PoisonError::into_inner);
+                open.retain(|task| !task.is_finished());
+                open.push(task.abort_handle());
+            }
+        });
+        let sending = state.clone();
+        let heartbeats = tokio::spawn(async move {
+            loop {
+                sending.send_heartbeat().await;
+                tokio::time::sleep(sending.place.heartbeat_interval).await;
+            }
+        });
+        Ok(Upstream { state, tasks: vec![accepting.abort_handle(), heartbeats.abort_handle()], connections })
+    }
+
+    /// The name of this incarnation.
+    pub fn id(&self) -> &str {
+        &self.state.id
+    }
+
+    /// Its service.
+    pub fn service(&self) -> &str {
+        &self.state.place.service
+    }
+
+    /// Its zone.
+    pub fn zone(&self) -> &str {
+        &self.state.place.zone
+    }
+
+    /// Warm up for so long from now on.
+    pub fn begin_warm_up(&self, span: Duration) {
+        self.state.begin_warm_up(span);
+    }
+
+    /// Say that it drains; whether that was acknowledged. It serves on.
+    pub async fn drain(&self) -> bool {
+        self.state.begin_draining();
+        self.state.send_heartbeat().await
+    }
+
+    /// Sign off and end; whether that was acknowledged.
+    pub async fn sign_off(self) -> bool {
+        let path = format!("{SIGN_OFF_PATH}/{}", self.state.id);
+        let answer = call(self.state.place.control, "POST", &path, b"", HEARTBEAT_TIMEOUT).await;
+        answer.is_ok_and(|response| (200..300).contains(&response.status))
+    }
+
+    /// A planned end: drains, serves on for `drain` after the acknowledgement and a little longer, signs off, ends.
+    pub async fn leave(self, drain: Duration) {
+        self.drain().await;
+        tokio::time::sleep(drain + LEAVE_SLACK).await;
+        self.sign_off().await;
+    }
+}
--- /dev/null
+++ b/crates/tools/testbed/src/upstream/server.rs
@@ -0,0 +1,112 @@
+//! How an upstream answers requests, and in which order it rejects them.
+use super::stamp::{response_body, stamp};
+use super::state::State;
+use crate::http_connection::{HttpConnection, Request};
+use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The header that names the upstream. A name of the wire.
+const UPSTREAM_HEADER: &str = "Station";
+/// The header that holds an answer's stamp. A name of the wire.
+const STAMP_HEADER: &str = "Postmark";
+/// How long a request without a deadline waits, in milliseconds.
+const DEFAULT_DEADLINE_MS: u64 = 60_000;
+
+fn answer(status: u16, attempt_id: Option<&str>, header_lines: &str, body: &[u8]) -> Vec<u8> {
+    let id_line = attempt_id.map(|id| format!("Attempt-Id: {id}\r\n")).unwrap_or_default();
+    let length = body.len();
+    let head = format!("HTTP/1.1 {status} Status\r\n{header_lines}Content-Length: {length}\r\n{id_line}\r\n");
+    [head.as_bytes(), body].concat()
+}
+
+/// An answer that promises that the request did not run.
+fn not_delivered(status: u16, attempt_id: Option<&str>) -> Vec<u8> {
+    answer(status, attempt_id, "Not-Delivered: 1\r\n", b"")
+}
+
+/// Counts one for as long as it lives.
+struct CountGuard<'a>(&'a AtomicUsize);
+
+impl<'a> CountGuard<'a> {
+    fn new(count: &'a AtomicUsize) -> Self {
+        count.fetch_add(1, Relaxed);
+        CountGuard(count)
+    }
+}
+
+impl Drop for CountGuard<'_> {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Relaxed);
+    }
+}
+
+/// Serve a connection until it ends.
+pub(crate) async fn serve(state: Arc<State>, mut connection: HttpConnection) {
+    while let Ok(Some(request)) = connection.read_request().await {
+        let bytes = tokio::select! {
+            bytes = handle(&state, &request) => bytes,
+            // A request is dropped once its connection closes.
+            () = connection.closed() => return,
+        };
+        let Some(bytes) = bytes else { return };
+        if connection.write(&bytes).await.is_err() || !request.keep_alive {
+            return;
+        }
+    }
+}
+
+fn health(state: &State, attempt_id: Option<&str>) -> Vec<u8> {
+    let status = if state.is_draining() { 503 } else { 200 };
+    let header_lines =
+        format!("{UPSTREAM_HEADER}: {}\r\nCold-Ms: {}\r\n", state.id, state.warm_up_left().as_millis());
+    answer(status, attempt_id, &header_lines, b"")
+}
+
+/// Run a request that was admitted; `None`: its connection is cut.
+async fn execute(state: &State, request: &Request) -> Option<Vec<u8>> {
+    let attempt_id = request.attempt_id.as_deref();
+    let name = attempt_id.unwrap_or_default();
+    let _in_flight = CountGuard::new(state.executions.in_flight_counter());
+    if state.behaviour.is_recorded {
+        state.executions.record(name, &state.id);
+    } else {
+        state.executions.count_unrecorded();
+    }
+    if !state.behaviour.work.is_zero() {
+        tokio::time::sleep(state.behaviour.work).await;
+    }
+    let number = state.executed.fetch_add(1, Relaxed) + 1;
+    let cut_every = state.behaviour.cut_every;
+    if cut_every > 0 && number.is_multiple_of(cut_every) {
+        return None;
+    }
+    let body = response_body(&state.id, request);
+    let stamp = stamp(&state.id, name, body.as_bytes());
+    let header_lines = format!("{STAMP_HEADER}: {stamp}\r\nContent-Type: text/plain\r\n");
+    Some(answer(200, attempt_id, &header_lines, body.as_bytes()))
+}
+
+/// The answer to one request; `None`: its connection is cut.
+async fn handle(state: &State, request: &Request) -> Option<Vec<u8>> {
+    let attempt_id = request.attempt_id.as_deref();
+    let is_health_check = request.method == "GET" && request.target == "/health";
+    if request.expected_upstream.as_ref().is_some_and(|expected| *expected != state.id) {
+        return Some(not_delivered(421, attempt_id));
+    }
+    if attempt_id.is_none() && !is_health_check {
+        return Some(not_delivered(400, attempt_id));
+    }
+    if state.admitted.load(Relaxed) >= state.behaviour.slots + state.behaviour.queue {
+        return Some(not_delivered(503, attempt_id));
+    }
+    let _admitted = CountGuard::new(&state.admitted);
+    let limit = Duration::from_millis(request.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
+    let Ok(Ok(_slot)) = tokio::time::timeout(limit, state.slots.acquire()).await else {
+        return Some(not_delivered(503, attempt_id));
+    };
+    if is_health_check {
+        return Some(health(state, attempt_id));
+    }
+    execute(state, request).await
+}
--- a/crates/tools/testbed/tests/chain.rs
+++ b/crates/tools/testbed/tests/chain.rs
@@ -1,13 +1,14 @@
 //! The real program, many processes of it on loopback, with stand-ins around them.
-use silvercross_testbed::client::{self, Client, Kind};
-use silvercross_testbed::faults::{ask, Clients};
-use silvercross_testbed::line::call;
-use silvercross_testbed::mesh::Plan;
+use silvercross_testbed::checker::{check_attempts, Attempt};
+use silvercross_testbed::client::{Client, RequestKind};
+use silvercross_testbed::http_connection::call;
+use silvercross_testbed::identifiers::attempt_id;
+use silvercross_testbed::mesh::MeshPlan;
 use silvercross_testbed::operator::{patch, Route};
-use silvercross_testbed::station::Manner;
-use silvercross_testbed::village::{told, LIMIT};
-use silvercross_testbed::witness::{judge, Tried};
-use silvercross_testbed::{program, until, Village};
+use silvercross_testbed::testbed::{get_json, STATE_PATH};
+use silvercross_testbed::traffic::{attempt, Clients};
+use silvercross_testbed::upstream::UpstreamBehaviour;
+use silvercross_testbed::{program, wait_until, Testbed, WAIT_TIMEOUT};
 use std::path::PathBuf;
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -17,19 +18,19 @@
     PROGRAM.get_or_init(|| program::find().expect("the program is built")).clone()
 }
 
-async fn village(side: usize, manner: Manner) -> Village {
-    let plan = Plan { side, ..Plan::default() };
-    Village::open(&plan, manner, &the_program()).await.expect("it starts")
+async fn start_testbed(side: usize, behaviour: UpstreamBehaviour) -> Testbed {
+    let plan = MeshPlan { side_count: side, ..MeshPlan::default() };
+    Testbed::start(&plan, behaviour, &the_program()).await.expect("it starts")
 }
 
 /// Ask once in each kind from each side, for each service.
-async fn round(v: &Village) -> Vec<Tried> {
+async fn round(testbed: &Testbed) -> Vec<Attempt> {
     let mut all = Vec::new();
-    for m in v.mesh.sides() {
-        let mut client = Client::new(v.mesh.outbound(m));
-        for service in v.services() {
-            for kind in Kind::ALL {
-                all.push(ask(&mut client, kind, service, &v.mesh.machines[m].service).await);
+    for m in testbed.mesh.side_machines() {
+        let mut client = Client::new(testbed.mesh.outbound(m));
+        for service in testbed.services() {
+            for kind in RequestKind::ALL {
+                all.push(attempt(&mut client, kind, service, &testbed.mesh.machines[m].service).await);
             }
         }
     }
@@ -37,172 +38,191 @@
 }
 
 /// All were served, once where they may run once, with the right answer.
-fn served(v: &Village, all: &[Tried]) {
-    let judged = judge(all, &v.runs);
-    assert!(judged.faults.is_empty() && judged.served == all.len(), "{judged:?}");
+fn served(testbed: &Testbed, all: &[Attempt]) {
+    let verdict = check_attempts(all, &testbed.executions);
+    assert!(verdict.faults.is_empty() && verdict.served == all.len(), "{verdict:?}");
 }
 
 /// Acknowledged is what is read back.
-async fn kept(v: &Village) {
-    let whole = v.operator.get().await.expect("Config.Get");
-    assert_eq!(v.operator.missing(&whole), Vec::<String>::new());
+async fn kept(testbed: &Testbed) {
+    let whole = testbed.operator.configuration().await.expect("Config.Get");
+    assert_eq!(testbed.operator.missing_from(&whole), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_calm_mesh_serves_and_takes_changes() {
-    let v = village(4, Manner::default()).await;
-    served(&v, &round(&v).await);
+    let testbed = start_testbed(4, UpstreamBehaviour::default()).await;
+    served(&testbed, &round(&testbed).await);
 
     // A large body goes through whole, both sidecars between.
-    let (from, to) = (v.mesh.sides().start, v.mesh.sides().start + 1);
-    let (sender, service) = (&v.mesh.machines[from].service, &v.mesh.machines[to].service);
-    let mut client = Client::new(v.mesh.outbound(from));
-    let (id, target) = (client::id(), format!("{}large", Kind::Upload.lane(service)));
+    let (from, to) = (testbed.mesh.side_machines().start, testbed.mesh.side_machines().start + 1);
+    let (sender, service) = (&testbed.mesh.machines[from].service, &testbed.mesh.machines[to].service);
+    let mut client = Client::new(testbed.mesh.outbound(from));
+    let (id, target) = (attempt_id(), format!("{}large", RequestKind::Upload.path_prefix(service)));
     let body: Vec<u8> = (0..1 << 20).map(|n| (n * 7 % 251) as u8).collect();
-    let came = client.ask(&target, &id, &body).await;
-    served(&v, &[Tried { id, kind: Kind::Upload, target, sender: sender.clone(), body, came }]);
+    let outcome = client.send(&target, &id, &body).await;
+    served(
+        &testbed,
+        &[Attempt { id, kind: RequestKind::Upload, target, sender: sender.clone(), body, outcome }],
+    );
 
     // What was never routed is 404, whatever its host; a route dropped becomes so, a route moved is served elsewhere.
-    assert_eq!(client.ask("/never/there", &client::id(), b"").await.status(), Some(404));
-    let (one, other) = (&v.services()[0], &v.services()[1]);
-    let moved = Route { service: other.clone(), ..Route::of(one, Kind::Safe) };
+    assert_eq!(client.send("/never/there", &attempt_id(), b"").await.status(), Some(404));
+    let (one, other) = (&testbed.services()[0], &testbed.services()[1]);
+    let moved = Route { service: other.clone(), ..Route::of(one, RequestKind::Safe) };
     let dropped = format!("r-{one}-unsafe");
-    v.operator.patch(&patch(&[moved], &[&dropped], 3)).await.expect("taken");
+    testbed.operator.patch(&patch(&[moved], &[&dropped], 3)).await.expect("taken");
     // An older change that comes again changes nothing.
-    v.operator.patch(&patch(&[Route::of(one, Kind::Safe)], &[], 2)).await.expect("taken");
+    testbed.operator.patch(&patch(&[Route::of(one, RequestKind::Safe)], &[], 2)).await.expect("taken");
     let right: Vec<String> =
-        v.stations.values().filter(|s| s.service() == other).map(|s| s.id().to_string()).collect();
-    for m in v.mesh.sides() {
-        let at = v.mesh.outbound(m);
-        until("the change takes hold", LIMIT, || async {
-            let id = client::id();
-            let came = Client::new(at).ask(&format!("/{one}/safe/x"), &id, b"").await;
-            let gone = Client::new(at).ask(&format!("/{one}/unsafe/x"), &client::id(), b"x").await;
-            came.status() == Some(200)
+        testbed.upstreams.values().filter(|s| s.service() == other).map(|s| s.id().to_string()).collect();
+    for m in testbed.mesh.side_machines() {
+        let at = testbed.mesh.outbound(m);
+        wait_until("the change takes hold", WAIT_TIMEOUT, || async {
+            let id = attempt_id();
+            let outcome = Client::new(at).send(&format!("/{one}/safe/x"), &id, b"").await;
+            let gone = Client::new(at).send(&format!("/{one}/unsafe/x"), &attempt_id(), b"x").await;
+            outcome.status() == Some(200)
                 && gone.status() == Some(404)
-                && v.runs.of(&id).iter().all(|s| right.contains(s))
+                && testbed.executions.upstreams_of(&id).iter().all(|s| right.contains(s))
         })
         .await
         .expect("at every side");
     }
     // A call that is wrong in one place changes nothing.
-    let mut wrong = patch(&[Route::of(one, Kind::Unsafe)], &[], 9);
+    let mut wrong = patch(&[Route::of(one, RequestKind::Unsafe)], &[], 9);
     wrong["deliver"]["depots"][0]["lanes"][0]["destination"] = "nobody".into();
-    assert!(v.operator.patch(&wrong).await.is_err());
-    kept(&v).await;
+    assert!(testbed.operator.patch(&wrong).await.is_err());
+    kept(&testbed).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn nothing_more_goes_to_a_zone_that_is_evacuated_nor_to_an_upstream_that_drains() {
-    let mut v = village(6, Manner::default()).await;
-    let sides: Vec<usize> = v.mesh.sides().collect();
-    let zone = v.mesh.machines[sides[0]].zone.clone();
-    v.operator.evacuate(&zone, true).await.expect("taken");
-    v.until_told("evacuated", &sides, |s| s["evacuated"] == serde_json::json!([zone]))
+    let mut testbed = start_testbed(6, UpstreamBehaviour::default()).await;
+    let sides: Vec<usize> = testbed.mesh.side_machines().collect();
+    let zone = testbed.mesh.machines[sides[0]].zone.clone();
+    testbed.operator.set_evacuated(&zone, true).await.expect("taken");
+    testbed
+        .wait_for_state("evacuated", &sides, |s| s["evacuated"] == serde_json::json!([zone]))
         .await
         .expect("everywhere");
-    let ran = |v: &Village, ids: &[String]| ids.iter().map(|i| v.runs.at(i)).sum::<u64>();
-    let ids = v.of_zone(&zone);
-    let before = ran(&v, &ids);
-    served(&v, &round(&v).await);
-    assert_eq!(ran(&v, &ids), before);
-    v.operator.evacuate(&zone, false).await.expect("taken");
-    v.until_told("taken back", &sides, |s| s["evacuated"] == serde_json::json!([]))
+    let ran =
+        |testbed: &Testbed, ids: &[String]| ids.iter().map(|i| testbed.executions.count_at(i)).sum::<u64>();
+    let ids = testbed.upstreams_in_zone(&zone);
+    let before = ran(&testbed, &ids);
+    served(&testbed, &round(&testbed).await);
+    assert_eq!(ran(&testbed, &ids), before);
+    testbed.operator.set_evacuated(&zone, false).await.expect("taken");
+    testbed
+        .wait_for_state("taken back", &sides, |s| s["evacuated"] == serde_json::json!([]))
         .await
         .expect("everywhere");
 
-    let drains = v.stations[&sides[1]].id().to_string();
-    assert!(v.stations[&sides[1]].drain().await, "acknowledged");
-    until("sends have ended", LIMIT, || async {
-        let before = v.runs.at(&drains);
-        served(&v, &round(&v).await);
-        v.runs.at(&drains) == before
+    let drains = testbed.upstreams[&sides[1]].id().to_string();
+    assert!(testbed.upstreams[&sides[1]].drain().await, "acknowledged");
+    wait_until("sends have ended", WAIT_TIMEOUT, || async {
+        let before = testbed.executions.count_at(&drains);
+        served(&testbed, &round(&testbed).await);
+        testbed.executions.count_at(&drains) == before
     })
     .await
     .expect("in time");
-    let before = v.runs.at(&drains);
-    served(&v, &round(&v).await);
-    assert_eq!(v.runs.at(&drains), before);
-    let station = v.stations.remove(&sides[1]).expect("there");
-    assert!(station.sign_off().await, "acknowledged");
-    v.settled().await.expect("all know that it has gone");
-    served(&v, &round(&v).await);
+    let before = testbed.executions.count_at(&drains);
+    served(&testbed, &round(&testbed).await);
+    assert_eq!(testbed.executions.count_at(&drains), before);
+    let upstream = testbed.upstreams.remove(&sides[1]).expect("there");
+    assert!(upstream.sign_off().await, "acknowledged");
+    testbed.wait_until_settled().await.expect("all know that it has gone");
+    served(&testbed, &round(&testbed).await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_core_that_is_killed_and_wiped_does_no_harm() {
-    let mut v = village(2, Manner::default()).await;
+    let mut testbed = start_testbed(2, UpstreamBehaviour::default()).await;
     let extra = |n: u64| {
-        let route = Route::of(&v.services()[0], Kind::Safe);
-        patch(&[Route { name: "r-extra".into(), lane: format!("/extra/{n}/"), ..route }], &[], n)
+        let route = Route::of(&testbed.services()[0], RequestKind::Safe);
+        patch(&[Route { name: "r-extra".into(), path_prefix: format!("/extra/{n}/"), ..route }], &[], n)
     };
     let calls = [extra(2), extra(5)];
-    v.mesh.kill(0).expect("killed");
-    v.mesh.wipe(0).expect("wiped");
-    served(&v, &round(&v).await);
-    v.operator.patch(&calls[0]).await.expect("taken without it");
-    v.mesh.start(0, false).expect("started");
-    let at = v.mesh.control(0);
-    until("the wiped one knows what was acknowledged", LIMIT, || async {
-        let said = v.operator.once(at, "GET", "/-/Config.Get", b"").await;
+    testbed.mesh.kill(0).expect("killed");
+    testbed.mesh.wipe(0).expect("wiped");
+    served(&testbed, &round(&testbed).await);
+    testbed.operator.patch(&calls[0]).await.expect("taken without it");
+    testbed.mesh.start(0, false).expect("started");
+    let at = testbed.mesh.control(0);
+    wait_until("the wiped one knows what was acknowledged", WAIT_TIMEOUT, || async {
+        let said = testbed.operator.call_once(at, "GET", "/-/Config.Get", b"").await;
         said.is_ok_and(|a| {
             a.status == 200
-                && serde_json::from_slice(&a.body).is_ok_and(|w| v.operator.missing(&w).is_empty())
+                && serde_json::from_slice(&a.body).is_ok_and(|w| testbed.operator.missing_from(&w).is_empty())
         })
     })
     .await
     .expect("in time");
     // The call may have been answered by another: only once it votes may the next one go.
-    v.until_told("it is repaired", &[0], |s| s["ledger"]["voter"] == true).await.expect("in time");
-    v.mesh.kill(1).expect("killed");
-    v.operator.patch(&calls[1]).await.expect("taken with it");
-    served(&v, &round(&v).await);
-    kept(&v).await;
+    testbed.wait_for_state("it is repaired", &[0], |s| s["ledger"]["voter"] == true).await.expect("in time");
+    testbed.mesh.kill(1).expect("killed");
+    testbed.operator.patch(&calls[1]).await.expect("taken with it");
+    served(&testbed, &round(&testbed).await);
+    kept(&testbed).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_may_run_once_runs_once_though_upstreams_cut_and_sidecars_die() {
-    let mut v = village(4, Manner { cut_every: 5, ..Manner::default() }).await;
-    let sides: Vec<usize> = v.mesh.sides().collect();
-    let clients = Clients::start(&v);
-    clients.more(300).await.expect("served");
-    v.mesh.kill(sides[0]).expect("killed");
-    clients.more(200).await.expect("served");
-    v.mesh.start(sides[0], false).expect("started");
-    v.settled().await.expect("it is back");
-    v.mesh.freeze(sides[1]).expect("frozen");
-    clients.more(50).await.expect("served");
-    v.mesh.thaw(sides[1]).expect("thawed");
-    clients.more(100).await.expect("served");
-    let tried = clients.end().await;
-    v.idle().await.expect("all has ended");
-    let judged = judge(&tried, &v.runs);
-    assert!(judged.faults.is_empty(), "{judged:?}");
-    let cut = tried.iter().filter(|t| t.kind != Kind::Safe && t.came.status() == Some(502)).count();
-    assert!(cut > 0 && judged.served > judged.tried / 2, "{judged:?}");
+    let mut testbed =
+        start_testbed(4, UpstreamBehaviour { cut_every: 5, ..UpstreamBehaviour::default() }).await;
+    let sides: Vec<usize> = testbed.mesh.side_machines().collect();
+    let clients = Clients::start(&testbed);
+    clients.wait_for_more(300).await.expect("served");
+    testbed.mesh.kill(sides[0]).expect("killed");
+    clients.wait_for_more(200).await.expect("served");
+    testbed.mesh.start(sides[0], false).expect("started");
+    testbed.wait_until_settled().await.expect("it is back");
+    testbed.mesh.freeze(sides[1]).expect("frozen");
+    clients.wait_for_more(50).await.expect("served");
+    testbed.mesh.thaw(sides[1]).expect("thawed");
+    clients.wait_for_more(100).await.expect("served");
+    let attempts = clients.end().await;
+    testbed.wait_until_idle().await.expect("all has ended");
+    let verdict = check_attempts(&attempts, &testbed.executions);
+    assert!(verdict.faults.is_empty(), "{verdict:?}");
+    let cut =
+        attempts.iter().filter(|t| t.kind != RequestKind::Safe && t.outcome.status() == Some(502)).count();
+    assert!(cut > 0 && verdict.served > verdict.attempts / 2, "{verdict:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_sidecar_told_to_end_answers_what_it_read_and_ends() {
-    let mut v = village(2, Manner { work: Duration::from_millis(400), ..Manner::default() }).await;
-    let sides: Vec<usize> = v.mesh.sides().collect();
-    let (at, service) = (v.mesh.outbound(sides[0]), v.mesh.machines[sides[1]].service.clone());
-    let sender = v.mesh.machines[sides[0]].service.clone();
-    let open = tokio::spawn(async move { ask(&mut Client::new(at), Kind::Unsafe, &service, &sender).await });
-    until("it is at work", LIMIT, || std::future::ready(v.runs.working() > 0)).await.expect("sent");
-    v.mesh.terminate(sides[0]).expect("told");
-    let ready = v.mesh.ready(sides[0]);
-    until("the platform is told no", LIMIT, || async {
+    let mut testbed = start_testbed(
+        2,
+        UpstreamBehaviour { work: Duration::from_millis(400), ..UpstreamBehaviour::default() },
+    )
+    .await;
+    let sides: Vec<usize> = testbed.mesh.side_machines().collect();
+    let (at, service) = (testbed.mesh.outbound(sides[0]), testbed.mesh.machines[sides[1]].service.clone());
+    let sender = testbed.mesh.machines[sides[0]].service.clone();
+    let open =
+        tokio::spawn(
+            async move { attempt(&mut Client::new(at), RequestKind::Unsafe, &service, &sender).await },
+        );
+    wait_until("it is at work", WAIT_TIMEOUT, || std::future::ready(testbed.executions.in_flight() > 0))
+        .await
+        .expect("sent");
+    testbed.mesh.terminate(sides[0]).expect("told");
+    let ready = testbed.mesh.ready(sides[0]);
+    wait_until("the platform is told no", WAIT_TIMEOUT, || async {
         matches!(call(ready, "GET", "/-/ready", b"", Duration::from_secs(1)).await, Ok(a) if a.status == 503)
     })
     .await
     .expect("503");
-    served(&v, &[open.await.expect("it ends")]);
-    until("it ends", LIMIT, || std::future::ready(v.mesh.has_ended(sides[0]))).await.expect("ends");
-    let gone = v.mesh.machines[sides[0]].ip.to_string();
-    let core = v.mesh.control(0);
-    until("the others know", LIMIT, || async {
-        let state = told(core, "/-/Post.State").await;
+    served(&testbed, &[open.await.expect("it ends")]);
+    wait_until("it ends", WAIT_TIMEOUT, || std::future::ready(testbed.mesh.has_ended(sides[0])))
+        .await
+        .expect("ends");
+    let gone = testbed.mesh.machines[sides[0]].address.to_string();
+    let core = testbed.mesh.control(0);
+    wait_until("the others know", WAIT_TIMEOUT, || async {
+        let state = get_json(core, STATE_PATH).await;
         let mut nodes = state["nodes"].as_array().into_iter().flatten();
         nodes.all(|n| n["node"] != gone.as_str() || n["gone"] == true)
     })
