--- a/crates/control/admission/tests/recount.rs
+++ b/crates/control/admission/tests/recount.rs
@@ -1,307 +1,367 @@
-//! The gate against a slow plain checker that recounts everything that it let through.
-
-use std::collections::BTreeMap;
-
+//! The controller against a slow plain checker that recounts everything that it admitted.
+mod support;
 use bolero::generator::*;
 use silvercross_admission::*;
+use silvercross_time::{Duration, Instant};
+use std::collections::BTreeMap;
+use support::{at, ms, secs, SERVICE};
 
-const S: Micros = 1_000_000;
-const MS: Micros = 1_000;
+/// What a rejected request may be asked to stay away for.
+const RETRY_AFTER: std::ops::RangeInclusive<Duration> = ms(50)..=secs(1);
+/// The part of the rule for the warm-up rate that is used.
+const SAFE_PART: f64 = 0.8;
 
+/// A request as the checker remembers it.
 #[derive(Clone, Debug)]
 struct Asked {
-    id: String,
-    life: u32,
+    attempt_id: String,
+    incarnation: u32,
     priority: u32,
-    repeatable: bool,
-    latest: Micros,
-    begun: bool,
+    is_idempotent: bool,
+    /// It is admitted before this.
+    latest: Instant,
+    is_begun: bool,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Sent {
+    at: Instant,
+    incarnation: u32,
+}
+
+/// Until when the upstream warms up, by each source.
+#[derive(Clone, Copy, Debug)]
+struct WarmupEnds {
+    by_heartbeat: Instant,
+    by_health: Instant,
+    by_evacuation: Instant,
+}
+
+impl WarmupEnds {
+    const NONE: WarmupEnds =
+        WarmupEnds { by_heartbeat: Instant::ZERO, by_health: Instant::ZERO, by_evacuation: Instant::ZERO };
+
+    fn latest(&self) -> Instant {
+        self.by_heartbeat.max(self.by_health).max(self.by_evacuation)
+    }
+}
+
+/// One step, drawn: what happens, after how long, and two numbers that say to what.
+#[derive(Clone, Copy, Debug, TypeGenerator)]
+struct Step {
+    kind: u8,
+    pause: u8,
+    x: u8,
+    y: u8,
 }
 
 /// What the checker knows: plain facts, recounted at each step.
 struct Checker {
     admission: AdmissionController,
-    bounds: Bounds,
-    allowance: Allowance,
-    now: Micros,
-    life: u32,
+    settings: AdmissionSettings,
+    limits: UpstreamLimits,
+    now: Instant,
+    incarnation: u32,
     slots: u32,
-    there: bool,
-    signed_off: bool,
-    leaving: Option<Micros>,
-    evacuated: bool,
-    told: [Micros; 3],
-    waiting: Vec<(u64, Asked)>,
-    out: BTreeMap<u64, Asked>,
-    sends: Vec<(Micros, u32)>,
-    ran: BTreeMap<String, Micros>,
-    next: u64,
+    is_there: bool,
+    is_signed_off: bool,
+    draining_since: Option<Instant>,
+    is_evacuated: bool,
+    warmup_ends: WarmupEnds,
+    pending: Vec<(u64, Asked)>,
+    in_flight: BTreeMap<u64, Asked>,
+    sent: Vec<Sent>,
+    /// When each id that may not run again ended.
+    ran: BTreeMap<String, Instant>,
+    next_number: u64,
     answered: u64,
 }
 
 impl Checker {
     fn new(a: u8, b: u8) -> Self {
-        let bounds = Bounds {
-            drain: Micros::from(a % 5) * S,
-            cold_overrun: 1.0 + f64::from(a % 3) * 0.5,
-            cold_slack: f64::from(b % 4),
+        let settings = AdmissionSettings {
+            drain_timeout: secs(i64::from(a % 5)),
+            warmup_overrun: 1.0 + f64::from(a % 3) * 0.5,
+            warmup_slack: f64::from(b % 4),
         };
-        let allowance = Allowance {
-            line_cap: [0, 1, 4, 130][usize::from(a / 64)],
-            cold_rate: [0.0, 0.4, 3.0, 21.0, 90.0][usize::from(b % 5)],
-            cold_span: Micros::from(b % 4) * S,
+        let limits = UpstreamLimits {
+            max_connections: [0, 1, 4, 130][usize::from(a / 64)],
+            warmup_rate: [0.0, 0.4, 3.0, 21.0, 90.0][usize::from(b % 5)],
+            warmup_span: secs(i64::from(b % 4)),
         };
-        let mut admission = AdmissionController::new(bounds);
-        admission.allowance(0, allowance);
+        let mut admission = AdmissionController::new(settings);
+        admission.set_limits(at(0), limits);
         Checker {
             admission,
-            bounds,
-            allowance,
-            now: 0,
-            life: 0,
+            settings,
+            limits,
+            now: at(0),
+            incarnation: 0,
             slots: 1,
-            there: false,
-            signed_off: false,
-            leaving: None,
-            evacuated: false,
-            told: [0; 3],
-            waiting: Vec::new(),
-            out: BTreeMap::new(),
-            sends: Vec::new(),
+            is_there: false,
+            is_signed_off: false,
+            draining_since: None,
+            is_evacuated: false,
+            warmup_ends: WarmupEnds::NONE,
+            pending: Vec::new(),
+            in_flight: BTreeMap::new(),
+            sent: Vec::new(),
             ran: BTreeMap::new(),
-            next: 0,
+            next_number: 0,
             answered: 0,
         }
     }
 
-    fn id(&self) -> String {
-        format!("life-{}", self.life)
+    fn upstream_id(&self) -> String {
+        format!("incarnation-{}", self.incarnation)
     }
 
-    fn is_cold(&self) -> bool {
-        self.told.iter().any(|&until| self.now < until)
+    fn is_warming_up(&self) -> bool {
+        self.now < self.warmup_ends.latest()
     }
 
-    fn out_here(&self) -> usize {
-        self.out.values().filter(|o| o.life == self.life).count()
+    fn in_flight_here(&self) -> usize {
+        self.in_flight.values().filter(|asked| asked.incarnation == self.incarnation).count()
     }
 
-    fn limit(&self) -> usize {
-        let most = self.slots + STATION_QUEUE;
-        let most =
-            if self.allowance.line_cap > 0 { most.min(self.allowance.line_cap - 1).max(1) } else { most };
-        (if self.is_cold() { most.min((self.slots / 2).max(1)) } else { most }) as usize
+    fn concurrency_limit(&self) -> usize {
+        let limit = self.slots + UPSTREAM_QUEUE_SLOTS;
+        let limit = match self.limits.max_connections {
+            0 => limit,
+            max_connections => limit.min(max_connections - 1).max(1),
+        };
+        (if self.is_warming_up() { limit.min((self.slots / 2).max(1)) } else { limit }) as usize
     }
 
-    /// One is let through now: every rule is counted anew.
-    fn went(&mut self, number: u64, asked: Asked) {
-        assert!(self.there && !self.signed_off && !self.evacuated, "nothing passes a shut gate");
-        assert!(
-            self.leaving.is_none_or(|since| self.now < since + self.bounds.drain),
-            "nothing after the bound"
-        );
-        assert_eq!(asked.life, self.life, "what was meant for one life does not reach another");
-        assert!(self.out_here() < self.limit(), "more at a time than the limit");
-        if !asked.repeatable {
-            assert!(self.out.values().all(|o| o.id != asked.id), "out twice");
-            assert!(self.ran.get(&asked.id).is_none_or(|&t| t + IDS_SPAN <= self.now), "run twice");
-        }
-        self.sends.push((self.now, self.life));
-        if self.is_cold() && self.allowance.cold_rate > 0.0 {
-            let recent = |&&(t, life): &&(Micros, u32)| life == self.life && t >= self.now - S;
-            let sent = self.sends.iter().filter(recent).count() as f64;
-            let rule = self.allowance.cold_rate * self.bounds.cold_overrun + self.bounds.cold_slack;
-            assert!(sent <= (rule * 0.8).max(1.0) && sent <= rule, "{sent} in a second, {rule} allowed");
-            assert!(sent <= (self.allowance.cold_rate * 1.2).max(1.0));
+    /// A request is admitted now: every rule is counted anew.
+    fn check_admitted(&mut self, number: u64, asked: Asked) {
+        assert!(self.is_there && !self.is_signed_off && !self.is_evacuated, "nothing is admitted while shut");
+        let may_send = |since: Instant| self.now < since + self.settings.drain_timeout;
+        assert!(self.draining_since.is_none_or(may_send), "nothing after the drain time-out");
+        assert_eq!(asked.incarnation, self.incarnation, "what was meant for one does not reach another");
+        assert!(self.in_flight_here() < self.concurrency_limit(), "more at a time than the limit");
+        if !asked.is_idempotent {
+            let is_other = |other: &Asked| other.attempt_id != asked.attempt_id;
+            assert!(self.in_flight.values().all(is_other), "in flight twice");
+            let is_forgotten = |ended_at: &Instant| *ended_at + ID_RETENTION <= self.now;
+            assert!(self.ran.get(&asked.attempt_id).is_none_or(is_forgotten), "run twice");
         }
+        self.sent.push(Sent { at: self.now, incarnation: self.incarnation });
+        self.check_warmup_rate();
         self.answered += 1;
-        assert!(self.out.insert(number, asked).is_none(), "let through twice");
+        assert!(self.in_flight.insert(number, asked).is_none(), "admitted twice");
+    }
+
+    fn check_warmup_rate(&self) {
+        let rate = self.limits.warmup_rate;
+        if !self.is_warming_up() || rate <= 0.0 {
+            return;
+        }
+        let is_recent = |sent: &&Sent| sent.incarnation == self.incarnation && sent.at >= self.now - secs(1);
+        let sent = self.sent.iter().filter(is_recent).count() as f64;
+        let rule = rate * self.settings.warmup_overrun + self.settings.warmup_slack;
+        let is_kept = sent <= (rule * SAFE_PART).max(1.0) && sent <= rule;
+        assert!(is_kept, "{sent} in a second, {rule} allowed");
+        assert!(sent <= (rate * 1.2).max(1.0));
     }
 
     /// Takes the effects in order.
     fn settle(&mut self) {
-        for effect in self.admission.effects() {
-            let (Effect::Go(number) | Effect::Turn { number, .. }) = effect;
-            let at =
-                self.waiting.iter().position(|(n, _)| *n == number).expect("it waited, and was not answered");
-            let (_, asked) = self.waiting.remove(at);
+        for effect in self.admission.take_effects() {
+            let (Effect::Admitted(number) | Effect::Rejected { number, .. }) = effect;
+            let position = self.pending.iter().position(|(pending, _)| *pending == number);
+            let (_, asked) = self.pending.remove(position.expect("it was pending, and was not answered"));
             match effect {
-                Effect::Go(_) => {
-                    let ranks = self.waiting.iter().map(|(n, w)| (w.priority, *n));
-                    assert!(ranks.min().is_none_or(|best| (asked.priority, number) < best), "out of turn");
+                Effect::Admitted(_) => {
+                    let order = self.pending.iter().map(|(number, other)| (other.priority, *number));
+                    let is_first = order.min().is_none_or(|best| (asked.priority, number) < best);
+                    assert!(is_first, "out of turn");
                     assert!(self.now < asked.latest);
-                    self.went(number, asked);
+                    self.check_admitted(number, asked);
                 }
-                Effect::Turn { why, retry_after, .. } => {
-                    assert_ne!(why, Turned::Twice);
-                    assert!(retry_after.is_none_or(|t| (50 * MS..=S).contains(&t)));
+                Effect::Rejected { reason, retry_after, .. } => {
+                    assert_ne!(reason, Rejection::Duplicate);
+                    assert!(retry_after.is_none_or(|span| RETRY_AFTER.contains(&span)));
                     self.answered += 1;
                 }
             }
         }
-        assert!(self.waiting.len() <= 16.max(self.slots as usize * 4));
-        assert!(
-            self.waiting.iter().all(|(_, w)| w.latest > self.now && w.life == self.life),
-            "waits too long"
-        );
-        assert_eq!(self.admission.load(), (self.out_here(), self.waiting.len()));
-        assert_eq!(self.admission.wake().is_some(), !self.waiting.is_empty());
-        if let Some(wake) = self.admission.wake() {
-            assert!(wake > self.now, "asks to be woken at once, for ever");
-            assert!(
-                self.leaving.is_none_or(|since| wake <= since + self.bounds.drain),
-                "turned away too late"
-            );
-            assert!(
-                !self.is_cold() || wake <= self.told.into_iter().fold(0, Micros::max),
-                "cold for too long"
-            );
+        self.check_pending();
+    }
+
+    fn check_pending(&self) {
+        assert!(self.pending.len() <= 16.max(self.slots as usize * 4));
+        let may_wait = |asked: &Asked| asked.latest > self.now && asked.incarnation == self.incarnation;
+        assert!(self.pending.iter().all(|(_, asked)| may_wait(asked)), "pending too long");
+        let load = Load { in_flight: self.in_flight_here(), pending: self.pending.len() };
+        assert_eq!(self.admission.load(), load);
+        assert_eq!(self.admission.next_deadline().is_some(), !self.pending.is_empty());
+        if let Some(deadline) = self.admission.next_deadline() {
+            assert!(deadline > self.now, "asks to be ticked at once, for ever");
+            let is_in_time = |since: Instant| deadline <= since + self.settings.drain_timeout;
+            assert!(self.draining_since.is_none_or(is_in_time), "rejected too late");
+            let is_warm_in_time = !self.is_warming_up() || deadline <= self.warmup_ends.latest();
+            assert!(is_warm_in_time, "warming up for too long");
         }
     }
 
     fn arrive(&mut self, x: u8, y: u8) {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
+        let max_pending = [Duration::ZERO, ms(20), ms(300), secs(4)][usize::from(y >> 3 & 3)];
         let asked = Asked {
-            id: format!("try-{}", x % 23),
-            life: self.life,
+            attempt_id: format!("attempt-{}", x % 23),
+            incarnation: self.incarnation,
             priority: u32::from(y % 3),
-            repeatable: x & 64 != 0,
-            latest: self.now + [0, 20 * MS, 300 * MS, 4 * S][usize::from(y >> 3 & 3)],
-            begun: false,
+            is_idempotent: x & 64 != 0,
+            latest: self.now + max_pending,
+            is_begun: false,
         };
-        let patience = asked.latest - self.now;
-        let arrival = Arrival {
+        let is_late = y == 99;
+        let request = AdmissionRequest {
             number,
-            id: asked.id.clone(),
-            expects: [None, Some(self.id()), Some("other".into())][usize::from(y >> 5).min(2)].clone(),
-            service: if x == 77 { "other".into() } else { "huvo".into() },
+            attempt_id: asked.attempt_id.clone(),
+            expected_upstream: [None, Some(self.upstream_id()), Some("other".into())]
+                [usize::from(y >> 5).min(2)]
+            .clone(),
+            service: if x == 77 { "other" } else { SERVICE }.into(),
             priority: asked.priority,
-            repeatable: asked.repeatable,
-            further: x & 32 != 0,
-            aim: 600 * MS,
-            patience,
-            deadline: if y == 99 { 0 } else { patience + S },
+            is_idempotent: asked.is_idempotent,
+            is_retry: x & 32 != 0,
+            latency_target: ms(600),
+            max_pending,
+            timeout: if is_late { Duration::ZERO } else { max_pending + secs(1) },
         };
-        let mut here = self.out.values().chain(self.waiting.iter().map(|(_, w)| w));
-        let known = self.ran.get(&asked.id).is_some_and(|&t| t + IDS_SPAN > self.now)
-            || here.any(|o| o.id == asked.id && !(o.repeatable && asked.repeatable));
-        let meant = arrival.service == "huvo" && arrival.expects.as_deref() != Some("other");
-        let verdict = self.admission.arrive(self.now, arrival);
+        let mut present = self.in_flight.values().chain(self.pending.iter().map(|(_, asked)| asked));
+        let is_known =
+            self.ran.get(&asked.attempt_id).is_some_and(|ended_at| *ended_at + ID_RETENTION > self.now)
+                || present.any(|other| {
+                    other.attempt_id == asked.attempt_id && !(other.is_idempotent && asked.is_idempotent)
+                });
+        let is_meant = request.service == SERVICE && request.expected_upstream.as_deref() != Some("other");
+        let decision = self.admission.admit(self.now, &request);
         // No promise is given for one that may have run, whatever else is wrong.
-        assert_eq!(known, matches!(verdict, Verdict::Turn { why: Turned::Twice, .. }));
-        match verdict {
-            Verdict::Go => {
-                assert!(meant && y != 99 && self.waiting.is_empty());
-                self.went(number, asked);
+        let is_duplicate = matches!(decision, Decision::Rejected { reason: Rejection::Duplicate, .. });
+        assert_eq!(is_known, is_duplicate);
+        match decision {
+            Decision::Admitted => {
+                assert!(is_meant && !is_late && self.pending.is_empty());
+                self.check_admitted(number, asked);
             }
-            Verdict::Wait => {
-                assert!(meant && y != 99 && patience > 0);
-                // One of lower rank that had to leave for it is among the effects.
-                self.waiting.push((number, asked));
+            Decision::Pending => {
+                assert!(is_meant && !is_late && max_pending > Duration::ZERO);
+                // One of lower priority that had to leave for it is among the effects.
+                self.pending.push((number, asked));
             }
-            Verdict::Turn { retry_after, .. } => {
-                assert!(retry_after.is_none_or(|t| (50 * MS..=S).contains(&t)));
+            Decision::Rejected { retry_after, .. } => {
+                assert!(retry_after.is_none_or(|span| RETRY_AFTER.contains(&span)));
                 self.answered += 1;
             }
         }
     }
 
     fn end_evacuation(&mut self) {
-        self.evacuated = false;
-        self.told[0] = self.told[0].max(self.now + self.allowance.cold_span);
-        self.told[2] = self.told[2].max(self.now + S);
-        self.admission.evacuated(self.now, false);
+        self.is_evacuated = false;
+        let ends = &mut self.warmup_ends;
+        ends.by_heartbeat = ends.by_heartbeat.max(self.now + self.limits.warmup_span);
+        ends.by_evacuation = ends.by_evacuation.max(self.now + secs(1));
+        self.admission.set_evacuated(self.now, false);
     }
 
-    fn beat(&mut self, cold: u8) {
-        let left = Micros::from(cold % 4) * 500 * MS;
-        if self.life > 0 && !self.signed_off {
-            self.there = true;
-            self.leaving = None;
-            self.told[0] = self.now + left;
+    fn heartbeat(&mut self, warmup: u8) {
+        let left = ms(500) * i64::from(warmup % 4);
+        if self.incarnation > 0 && !self.is_signed_off {
+            self.is_there = true;
+            self.draining_since = None;
+            self.warmup_ends.by_heartbeat = self.now + left;
         }
-        let facts = Facts { id: self.id(), service: "huvo".into(), slots: self.slots };
-        if self.life > 0 {
-            self.admission.beat(self.now, facts, left);
+        if self.incarnation > 0 {
+            let report = support::report(&self.upstream_id(), self.slots);
+            self.admission.heartbeat(self.now, report, left);
         }
     }
 
-    fn step(&mut self, (kind, pause, x, y): (u8, u8, u8, u8)) {
-        self.now += [0, 0, MS, 7 * MS, 40 * MS, 250 * MS, S, S + 1][usize::from(pause % 8)];
+    fn begin_incarnation(&mut self, slots: u8, warmup: u8) {
+        self.incarnation += 1;
+        self.slots = 1 + u32::from(slots % 6);
+        (self.is_signed_off, self.draining_since) = (false, None);
+        self.warmup_ends = WarmupEnds::NONE;
+        self.heartbeat(warmup);
+    }
+
+    fn drain(&mut self) {
+        if self.incarnation > 0 && !self.is_signed_off {
+            // A heartbeat too, if one that says that it drains.
+            (self.is_there, self.draining_since) = (true, self.draining_since.or(Some(self.now)));
+        }
+        self.admission.begin_drain(self.now, &self.upstream_id());
+    }
+
+    fn evacuate(&mut self, is_short: bool) {
+        self.is_evacuated = true;
+        self.admission.set_evacuated(self.now, true);
+        self.settle();
+        if is_short {
+            self.end_evacuation();
+        }
+    }
+
+    /// A request in flight ends as the upstream answers it.
+    fn finish(&mut self, number: u64) {
+        let asked = self.in_flight.remove(&number).expect("chosen");
+        if asked.is_begun && !asked.is_idempotent {
+            self.ran.insert(asked.attempt_id, self.now);
+        }
+        self.admission.finish(self.now, number);
+    }
+
+    fn step(&mut self, Step { kind, pause, x, y }: Step) {
+        let pauses =
+            [ms(0), ms(0), ms(1), ms(7), ms(40), ms(250), secs(1), secs(1) + Duration::from_micros(1)];
+        self.now += pauses[usize::from(pause % 8)];
         self.admission.tick(self.now);
         self.settle();
         let now = self.now;
-        let chosen = self.out.keys().copied().nth(usize::from(x) % self.out.len().max(1));
-        match kind % 32 {
-            0 => {
-                // A new life.
-                self.life += 1;
-                self.slots = 1 + u32::from(x % 6);
-                (self.signed_off, self.leaving) = (false, None);
-                self.told = [0; 3];
-                self.beat(y);
-            }
-            1..=3 => {
-                if self.evacuated && x < 128 {
+        let chosen = self.in_flight.keys().copied().nth(usize::from(x) % self.in_flight.len().max(1));
+        match (kind % 32, chosen) {
+            (0, _) => self.begin_incarnation(x, y),
+            (1..=3, _) => {
+                if self.is_evacuated && x < 128 {
                     self.end_evacuation();
                 }
-                self.beat(x);
-            }
-            4 => {
-                if self.life > 0 && !self.signed_off {
-                    // A beat too, if one that says that it leaves.
-                    (self.there, self.leaving) = (true, self.leaving.or(Some(now)));
-                }
-                self.admission.draining(now, &self.id());
+                self.heartbeat(x);
             }
-            5 if x < 64 => {
-                self.signed_off |= self.life > 0;
-                self.admission.signed_off(now, &self.id());
+            (4, _) => self.drain(),
+            (5, _) if x < 64 => {
+                self.is_signed_off |= self.incarnation > 0;
+                self.admission.signed_off(now, &self.upstream_id());
             }
-            6 if x < 128 => {
-                self.there = false;
-                self.admission.silent(now);
-            }
-            7 => {
-                self.evacuated = true;
-                self.admission.evacuated(now, true);
-                self.settle();
-                if x < 192 {
-                    self.end_evacuation();
-                }
+            (6, _) if x < 128 => {
+                self.is_there = false;
+                self.admission.set_silent(now);
             }
-            8 => {
-                self.told[1] = now + Micros::from(x % 4) * S;
-                self.admission.cold(now, Micros::from(x % 4) * S);
+            (7, _) => self.evacuate(x < 192),
+            (8, _) => {
+                let left = secs(i64::from(x % 4));
+                self.warmup_ends.by_health = now + left;
+                self.admission.set_warmup_left(now, left);
             }
-            9 => {
-                if let Some((n, _)) = self.waiting.pop() {
+            (9, _) => {
+                if let Some((number, _)) = self.pending.pop() {
                     self.answered += 1;
-                    self.admission.gone(now, n);
+                    self.admission.abandon(now, number);
                 }
             }
-            10..=14 => {
-                if let Some(n) = chosen {
-                    self.out.get_mut(&n).expect("chosen").begun = true;
-                    self.admission.begun(now, n);
-                }
+            (10..=14, Some(number)) => {
+                self.in_flight.get_mut(&number).expect("chosen").is_begun = true;
+                self.admission.begin(now, number);
             }
-            15 | 16 => {
-                if let Some(n) = chosen {
-                    self.out.remove(&n);
-                    self.admission.turned_by_station(now, n);
-                }
-            }
-            17..=21 => {
-                if let Some(n) = chosen {
-                    let o = self.out.remove(&n).expect("chosen");
-                    if o.begun && !o.repeatable {
-                        self.ran.insert(o.id, now);
-                    }
-                    self.admission.done(now, n);
-                }
+            (15 | 16, Some(number)) => {
+                self.in_flight.remove(&number);
+                self.admission.finish_rejected_by_upstream(now, number);
             }
+            (17..=21, Some(number)) => self.finish(number),
+            (10..=21, None) => {}
             _ => self.arrive(x, y),
         }
         self.settle();
@@ -310,24 +370,24 @@
 
 #[test]
 fn every_rule_holds_by_recount() {
-    let steps = produce::<Vec<(u8, u8, u8, u8)>>().with().len(0usize..400);
+    let steps = produce::<Vec<Step>>().with().len(0usize..400);
     bolero::check!()
         .with_iterations(3000)
         .with_max_len(4096)
         .with_generator((produce::<u8>(), produce::<u8>(), steps))
         .for_each(|(a, b, steps)| {
             let mut checker = Checker::new(*a, *b);
-            checker.step((0, 0, *a, *b));
-            for &step in steps {
-                checker.step(step);
+            checker.step(Step { kind: 0, pause: 0, x: *a, y: *b });
+            for step in steps {
+                checker.step(*step);
             }
-            // Woken only when it asks, everything that waits is answered in the end.
+            // Ticked only when it asks, every pending request is answered in the end.
             for _ in 0..10_000 {
-                let Some(next) = checker.admission.wake() else { break };
+                let Some(next) = checker.admission.next_deadline() else { break };
                 checker.now = next;
                 checker.admission.tick(next);
                 checker.settle();
             }
-            assert_eq!(checker.answered, checker.next, "each is answered once");
+            assert_eq!(checker.answered, checker.next_number, "each is answered once");
         });
 }
--- a/crates/control/mesh-membership/src/membership.rs
+++ b/crates/control/mesh-membership/src/membership.rs
@@ -67,7 +67,7 @@
         let record = NodeRecord {
             node: config.local_node,
             incarnation: config.incarnation,
-            // Drawn, so that two starts with the same incarnation can be told apart.
+            // Drawn, so that two starts with the same incarnation can be distinguished.
             sequence: mix(config.random_seed) >> 44,
             zone: config.zone.clone(),
             is_control: config.is_control,
--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -7,7 +7,7 @@
 /// The counters and gauges, by name, in the order in which operators know them.
 pub(crate) fn metrics_report(node_state: &NodeState) -> Value {
     let counters = &node_state.counters;
-    let (in_flight, queued) = node_state.gate.with_admission(|admission| admission.load());
+    let load = node_state.gate.with_admission(|admission| admission.load());
     let replay_cache = node_state.response_replay_cache.load();
     let membership = node_state.peers.membership(|membership| membership.metrics());
     let mut report = json!({
@@ -19,7 +19,7 @@
         "delivered": counters.delivered_requests.get(), "turned": counters.rejected_by_gate.get(),
         "beats": counters.heartbeats.get(), "calls": counters.control_calls.get(),
         "letters": counters.frames_sent.get(), "datagrams": counters.datagrams_sent.get(),
-        "strangers": counters.foreign_messages.get(), "gateOut": in_flight, "gateWaiting": queued,
+        "strangers": counters.foreign_messages.get(), "gateOut": load.in_flight, "gateWaiting": load.pending,
         "idle": node_state.pool.idle_count(), "asked": counters.outcome_queries.get(),
         "recovered": counters.recovered_requests.get(), "orphans": counters.orphaned_requests.get(),
         "receipts": replay_cache.entries, "keptBytes": replay_cache.response_bytes,
--- a/crates/daemon/mesh/src/node_state/control_entries.rs
+++ b/crates/daemon/mesh/src/node_state/control_entries.rs
@@ -64,8 +64,8 @@
         self.in_force.borrow_mut().set_evacuated(zone, is_evacuated);
         info!(self.log, "evacuation"; "zone" => zone, "on" => is_evacuated);
         if zone == self.settings.zone {
-            let now = self.now().as_micros();
-            self.gate.with_admission(|admission| admission.evacuated(now, is_evacuated));
+            let now = self.now();
+            self.gate.with_admission(|admission| admission.set_evacuated(now, is_evacuated));
         }
         self.update_upstream_lists();
     }
--- a/crates/daemon/mesh/src/node_state/reloading.rs
+++ b/crates/daemon/mesh/src/node_state/reloading.rs
@@ -18,8 +18,9 @@
         }
         if old.limits != new.limits {
             changed_keys.push("bounds");
-            let now = self.now().as_micros();
-            self.gate.with_admission(|admission| admission.bounds(now, new.limits.admission_bounds()));
+            let now = self.now();
+            self.gate
+                .with_admission(|admission| admission.set_settings(now, new.limits.admission_settings()));
             self.reconfigure_balancers();
         }
         changed_keys
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -59,9 +59,9 @@
 
     /// Whether a request or a control call is open here, or a request at the upstream on this machine.
     pub(crate) fn is_busy(&self) -> bool {
-        let (in_flight, queued) = self.gate.with_admission(|admission| admission.load());
+        let load = self.gate.with_admission(|admission| admission.load());
         let open = self.open_requests.get() + self.counters.open_control_calls.get();
-        open > 0 || in_flight + queued > 0
+        open > 0 || load.in_flight + load.pending > 0
     }
 
     /// Connections between two requests end from now on.
--- a/crates/daemon/mesh/src/node_state/upstream_heartbeats.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_heartbeats.rs
@@ -2,7 +2,7 @@
 //! nodes.
 use super::local_upstream::{Heartbeat, LocalUpstream};
 use super::state::NodeState;
-use silvercross_admission::{Allowance, Facts};
+use silvercross_admission::{UpstreamLimits, UpstreamReport};
 use silvercross_time::{Duration, Instant};
 use slog::info;
 use std::rc::Rc;
@@ -48,13 +48,12 @@
     fn tell_admission(&self, now: Instant, is_draining: bool, warm_up_left: Duration) {
         let record = self.local_upstream.borrow().as_ref().map(|upstream| upstream.record.clone());
         let Some(record) = record else { return };
-        let facts = Facts { id: record.id.clone(), service: record.service, slots: record.slots };
-        let now = now.as_micros();
+        let report = UpstreamReport { id: record.id.clone(), service: record.service, slots: record.slots };
         self.gate.with_admission(|admission| {
             if is_draining {
-                admission.draining(now, &record.id);
+                admission.begin_drain(now, &record.id);
             } else {
-                admission.beat(now, facts, warm_up_left.as_micros());
+                admission.heartbeat(now, report, warm_up_left);
             }
         });
     }
@@ -69,7 +68,7 @@
         };
         if self.local_upstream.borrow().as_ref().is_some_and(is_late) {
             info!(self.log, "upstream silent");
-            self.gate.with_admission(|admission| admission.silent(now.as_micros()));
+            self.gate.with_admission(|admission| admission.set_silent(now));
             self.mark_upstream_silent();
         }
         let is_published = match &mut *self.local_upstream.borrow_mut() {
@@ -88,7 +87,7 @@
         if is_known {
             info!(self.log, "upstream signed off"; "id" => id);
             *self.local_upstream.borrow_mut() = None;
-            let now = self.now().as_micros();
+            let now = self.now();
             self.gate.with_admission(|admission| admission.signed_off(now, id));
             self.publish_own_record();
         }
@@ -110,13 +109,13 @@
         let service = service.unwrap_or_else(|| self.settings.upstream_service.clone());
         let Some(destination) = table.destination(&service) else { return };
         let rate = destination.slow_start_rate;
-        let allowance = Allowance {
-            line_cap: destination.max_connections,
-            cold_rate: if rate.is_finite() { rate } else { 0.0 },
-            cold_span: destination.slow_start.as_micros(),
+        let limits = UpstreamLimits {
+            max_connections: destination.max_connections,
+            warmup_rate: if rate.is_finite() { rate } else { 0.0 },
+            warmup_span: destination.slow_start,
         };
-        let now = self.now().as_micros();
-        self.gate.with_admission(|admission| admission.allowance(now, allowance));
+        let now = self.now();
+        self.gate.with_admission(|admission| admission.set_limits(now, limits));
     }
 
     /// Whether this incarnation of the upstream here has ended.
--- a/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
+++ b/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
@@ -113,7 +113,7 @@
     });
     let peers = Peers::new(ip, port, membership, store, udp);
     let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
-        settings.reloadable.limits.admission_bounds(),
+        settings.reloadable.limits.admission_settings(),
     ));
     let chance = rand_pcg::Pcg64Mcg::seed_from_u64(u64::from(last));
     let node_state = NodeState::new(settings, Logger::root(Discard, o!()), gate, peers, clock, chance);
--- a/crates/daemon/mesh/src/reload/tests.rs
+++ b/crates/daemon/mesh/src/reload/tests.rs
@@ -1,7 +1,7 @@
 //! In the package, for a program has no library to import.
 use super::{reload, ReloadOutcome};
 use crate::tests::support::{self, SidecarOptions};
-use silvercross_admission::State;
+use silvercross_admission::UpstreamState;
 use silvercross_time::Duration;
 
 fn reloaded(in_force: &[&'static str], need_restart: &[&'static str]) -> ReloadOutcome {
@@ -32,9 +32,10 @@
         sidecar.send_heartbeat();
         let draining = "{\"destination\":\"quotes\",\"state\":\"draining\",\"slots\":8,\"sequence\":2}";
         node_state.upstream_heartbeat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
-        let state = node_state.gate.with_admission(|w| w.station().map(|s| s.state));
+        let state =
+            node_state.gate.with_admission(|admission| admission.upstream().map(|upstream| upstream.state));
         assert!(
-            matches!(state, Some(State::Draining(until)) if until <= node_state.now().as_micros()),
+            matches!(state, Some(UpstreamState::Draining(until)) if until <= node_state.now()),
             "{state:?}"
         );
         write("zone: ''\n");
--- a/crates/daemon/mesh/src/settings/node_settings.rs
+++ b/crates/daemon/mesh/src/settings/node_settings.rs
@@ -95,11 +95,11 @@
 
 impl RuleLimits {
     /// Those that admission at the upstream keeps.
-    pub(crate) fn admission_bounds(&self) -> silvercross_admission::Bounds {
-        silvercross_admission::Bounds {
-            drain: self.drain_timeout.as_micros(),
-            cold_overrun: self.warm_up_overrun,
-            cold_slack: self.warm_up_allowance,
+    pub(crate) fn admission_settings(&self) -> silvercross_admission::AdmissionSettings {
+        silvercross_admission::AdmissionSettings {
+            drain_timeout: self.drain_timeout,
+            warmup_overrun: self.warm_up_overrun,
+            warmup_slack: self.warm_up_allowance,
         }
     }
 }
--- a/crates/daemon/mesh/src/startup.rs
+++ b/crates/daemon/mesh/src/startup.rs
@@ -64,7 +64,7 @@
         Some(opened) => (Some(opened.local), Some(opened.disk_events)),
         None => (None, None),
     };
-    let bounds = settings.reloadable.limits.admission_bounds();
+    let bounds = settings.reloadable.limits.admission_settings();
     let gate = UpstreamGate::new(AdmissionController::new(bounds));
     let peers = Peers::new(settings.ip, settings.internal_ports.first, membership, control_store, udp);
     let node_state = NodeState::new(settings, log, gate, peers, clock, Pcg64Mcg::seed_from_u64(seed));
--- a/crates/daemon/mesh/src/tests/response_replay.rs
+++ b/crates/daemon/mesh/src/tests/response_replay.rs
@@ -202,7 +202,7 @@
         mesh.upstream.wait_for_request().await;
         drop(origin);
         let gate = &mesh.gate.node_state;
-        while gate.gate.with_admission(|admission| admission.load()).0 > 0 {
+        while gate.gate.with_admission(|admission| admission.load()).in_flight > 0 {
             tokio::task::yield_now().await;
         }
         let mut querying = TestConnection::connect(mesh.gate.inbound).await;
--- a/crates/daemon/mesh/src/tests/support/sidecar.rs
+++ b/crates/daemon/mesh/src/tests/support/sidecar.rs
@@ -89,7 +89,7 @@
     let membership = isolated_membership(ip, inbound.port(), Instant::from_micros(clock.now()));
     let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
     let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
-        settings.reloadable.limits.admission_bounds(),
+        settings.reloadable.limits.admission_settings(),
     ));
     let peers = Peers::new(ip, 1, membership, None, udp);
     let rng = rand_pcg::Pcg64Mcg::seed_from_u64(u64::from(inbound.port()));
--- a/crates/daemon/mesh/src/upstream_gate/admission.rs
+++ b/crates/daemon/mesh/src/upstream_gate/admission.rs
@@ -5,7 +5,7 @@
 use super::responses::gate_status;
 use crate::forwarding_headers::GateStatus;
 use crate::node_state::NodeState;
-use silvercross_admission::{Arrival, Verdict};
+use silvercross_admission::{AdmissionRequest, Decision};
 use silvercross_time::Duration;
 use std::rc::Rc;
 
@@ -18,8 +18,8 @@
 
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        let (now, number) = (self.node_state.now().as_micros(), self.number);
-        self.node_state.gate.with_admission(|admission| admission.done(now, number));
+        let (now, number) = (self.node_state.now(), self.number);
+        self.node_state.gate.with_admission(|admission| admission.finish(now, number));
     }
 }
 
@@ -33,9 +33,9 @@
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         if self.is_pending {
-            let (now, number) = (self.node_state.now().as_micros(), self.number);
+            let (now, number) = (self.node_state.now(), self.number);
             self.node_state.gate.remove_pending(number);
-            self.node_state.gate.with_admission(|admission| admission.gone(now, number));
+            self.node_state.gate.with_admission(|admission| admission.abandon(now, number));
         }
     }
 }
@@ -56,30 +56,30 @@
 ) -> Result<AdmittedRequest, GateStatus> {
     let number = node_state.gate.take_number();
     let (forwarding, timeout) = (delivery.forwarding, delivery.timeout);
-    let patience =
+    let max_pending =
         max_pending_time(forwarding.latency_target).clamp(Duration::ZERO, timeout.max(Duration::ZERO));
-    let arrival = Arrival {
+    let request = AdmissionRequest {
         number,
-        id: attempt_id.to_string(),
-        expects: delivery.expected_upstream.map(str::to_string),
+        attempt_id: attempt_id.to_string(),
+        expected_upstream: delivery.expected_upstream.map(str::to_string),
         service: forwarding.service.clone(),
         priority: forwarding.priority,
-        repeatable: forwarding.is_idempotent,
-        further: forwarding.is_retry,
-        aim: forwarding.latency_target.as_micros(),
-        patience: patience.as_micros(),
-        deadline: timeout.as_micros(),
+        is_idempotent: forwarding.is_idempotent,
+        is_retry: forwarding.is_retry,
+        latency_target: forwarding.latency_target,
+        max_pending,
+        timeout,
     };
-    let now = node_state.now().as_micros();
+    let now = node_state.now();
     let mut reply = node_state.gate.add_pending(number);
-    match node_state.gate.with_admission(|admission| admission.arrive(now, arrival)) {
-        Verdict::Go => node_state.gate.remove_pending(number),
-        Verdict::Turn { why, retry_after } => {
+    match node_state.gate.with_admission(|admission| admission.admit(now, &request)) {
+        Decision::Admitted => node_state.gate.remove_pending(number),
+        Decision::Rejected { reason, retry_after } => {
             node_state.gate.remove_pending(number);
             count_rejection(node_state);
-            return Err(gate_status(why, retry_after.map(Duration::from_micros)));
+            return Err(gate_status(reason, retry_after));
         }
-        Verdict::Wait => {
+        Decision::Pending => {
             let mut pending = PendingRequest { node_state, number, is_pending: true };
             let decision = (&mut reply).await;
             pending.is_pending = false;
--- a/crates/daemon/mesh/src/upstream_gate/delivery.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery.rs
@@ -35,8 +35,8 @@
     let peer = PeerKind::External(MAX_HEAD_BYTES);
     let Ok(connection) = node_state.pool.acquire(None, upstream, CONNECT_TIMEOUT, peer).await else {
         // A refused connection is a sign that the upstream is gone; its next heartbeat says otherwise.
-        let now = node_state.now().as_micros();
-        node_state.gate.with_admission(|admission| admission.silent(now));
+        let now = node_state.now();
+        node_state.gate.with_admission(|admission| admission.set_silent(now));
         node_state.mark_upstream_silent();
         return status_response(GateStatus::Unavailable);
     };
@@ -45,7 +45,7 @@
         return status_response(GateStatus::Overloaded(Duration::ZERO));
     }
     // While it connected the upstream may have been drained, or replaced by another incarnation.
-    let now = node_state.now().as_micros();
+    let now = node_state.now();
     if !node_state.gate.with_admission(|admission| admission.may_begin(now, admitted.number)) {
         return status_response(GateStatus::Draining);
     }
@@ -86,8 +86,8 @@
 
 /// From here on the request counts as begun: its first byte is about to be written.
 fn mark_begun(node_state: &NodeState, delivery: &Delivery<'_>, admitted: &AdmittedRequest) {
-    let now = node_state.now().as_micros();
-    node_state.gate.with_admission(|admission| admission.begun(now, admitted.number));
+    let now = node_state.now();
+    node_state.gate.with_admission(|admission| admission.begin(now, admitted.number));
     if let Some(replay_entry) = delivery.replay_entry {
         replay_entry.set_begun();
     }
@@ -103,10 +103,10 @@
     admitted: AdmittedRequest,
     deadline: Instant,
 ) -> ReceivedResponse {
-    let (now, number) = (node_state.now().as_micros(), admitted.number);
+    let (now, number) = (node_state.now(), admitted.number);
     let response = &received.response;
     if let Some(left) = response.warm_up_left {
-        node_state.gate.with_admission(|admission| admission.cold(now, left.as_micros()));
+        node_state.gate.with_admission(|admission| admission.set_warmup_left(now, left));
     }
     if is_untrustworthy(response, is_idempotent) {
         return status_response(GateStatus::MayHaveRun);
@@ -115,11 +115,11 @@
     // is returned.
     match response.status {
         503 if response.is_not_delivered => {
-            node_state.gate.with_admission(|admission| admission.turned_by_station(now, number));
+            node_state.gate.with_admission(|admission| admission.finish_rejected_by_upstream(now, number));
         }
-        421 => node_state.gate.with_admission(|admission| admission.not_run(now, number)),
+        421 => node_state.gate.with_admission(|admission| admission.finish_not_run(now, number)),
         _ if response.is_not_delivered => {
-            node_state.gate.with_admission(|admission| admission.not_run(now, number));
+            node_state.gate.with_admission(|admission| admission.finish_not_run(now, number));
         }
         _ => {}
     }
--- a/crates/daemon/mesh/src/upstream_gate/responses.rs
+++ b/crates/daemon/mesh/src/upstream_gate/responses.rs
@@ -6,19 +6,19 @@
 use crate::wire::{
     encode_response, encode_response_start, EncodedResponse, RequestHead, Response, ResponseStart,
 };
-use silvercross_admission::Turned;
+use silvercross_admission::Rejection;
 use silvercross_time::Duration;
 use std::rc::Rc;
 
 /// The status for the origin of a request that was rejected.
-pub(super) fn gate_status(why: Turned, retry_after: Option<Duration>) -> GateStatus {
-    match why {
-        Turned::NoStation | Turned::Another => GateStatus::Unavailable,
-        Turned::Draining | Turned::Evacuated => GateStatus::Draining,
-        Turned::Cold | Turned::Full | Turned::Late => {
+pub(super) fn gate_status(reason: Rejection, retry_after: Option<Duration>) -> GateStatus {
+    match reason {
+        Rejection::NoUpstream | Rejection::WrongUpstream => GateStatus::Unavailable,
+        Rejection::Draining | Rejection::Evacuated => GateStatus::Draining,
+        Rejection::WarmingUp | Rejection::AtCapacity | Rejection::DeadlinePassed => {
             GateStatus::Overloaded(retry_after.unwrap_or(Duration::ZERO))
         }
-        Turned::Twice => GateStatus::MayHaveRun,
+        Rejection::Duplicate => GateStatus::MayHaveRun,
     }
 }
 
--- a/crates/daemon/mesh/src/upstream_gate/state.rs
+++ b/crates/daemon/mesh/src/upstream_gate/state.rs
@@ -5,7 +5,7 @@
 use super::responses::gate_status;
 use crate::forwarding_headers::GateStatus;
 use silvercross_admission::{AdmissionController, Effect};
-use silvercross_time::{Duration, Instant};
+use silvercross_time::Instant;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -47,13 +47,13 @@
     pub(crate) fn with_admission<R>(&self, act: impl FnOnce(&mut AdmissionController) -> R) -> R {
         let (result, effects) = {
             let mut admission = self.admission.borrow_mut();
-            (act(&mut admission), admission.effects())
+            (act(&mut admission), admission.take_effects())
         };
         for effect in effects {
             let (number, reply) = match effect {
-                Effect::Go(number) => (number, Ok(())),
-                Effect::Turn { number, why, retry_after } => {
-                    (number, Err(gate_status(why, retry_after.map(Duration::from_micros))))
+                Effect::Admitted(number) => (number, Ok(())),
+                Effect::Rejected { number, reason, retry_after } => {
+                    (number, Err(gate_status(reason, retry_after)))
                 }
             };
             if let Some(request) = self.pending.borrow_mut().remove(&number) {
@@ -66,7 +66,7 @@
 
     /// When the controller has to be called again.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
-        self.admission.borrow().wake().map(Instant::from_micros)
+        self.admission.borrow().next_deadline()
     }
 
     /// A number that no other request at this gate has.
--- a/crates/daemon/mesh/src/upstream_gate/timer.rs
+++ b/crates/daemon/mesh/src/upstream_gate/timer.rs
@@ -16,7 +16,7 @@
             .map_or(MAX_INTERVAL, |deadline| (deadline - now).clamp(Duration::ZERO, MAX_INTERVAL));
         tokio::select! {
             _ = tokio::time::sleep(interval.to_std()) => {
-                let now = node_state.now().as_micros();
+                let now = node_state.now();
                 node_state.gate.with_admission(|admission| admission.tick(now));
             }
             _ = node_state.gate.deadline_changed.notified() => {}
