--- a/crates/balancer/facade/src/lib.rs
+++ b/crates/balancer/facade/src/lib.rs
@@ -4,6 +4,7 @@
 //! The facade owns the module, the clock, the one heap of timers (the network's own included), the numbers under
 //! which the module knows upstreams, and what is open. It decides nothing; it holds the module to the protocol:
 //! one final answer for each request, none later than its deadline, and nothing sent after it.
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 use silvercross_core::interface::{
     Action, Decide, DedupGroup, Effect, Ended, Entry, Event, Lifecycle, ListKind, Micros, NewRequest,
     Outcome, RequestId, Settings, UpstreamId,
--- a/crates/balancer/gateway/src/lib.rs
+++ b/crates/balancer/gateway/src/lib.rs
@@ -3,6 +3,7 @@
 //! ([`hops`]). The words in which two gateways speak of it are in [`statement`]. Which server or far gateway a request goes to,
 //! and whether again, is the module's; `docs/design/gateway.md` says how the two fit.
 #![forbid(unsafe_code)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 pub mod hops;
 pub mod offer;
--- a/crates/balancer/management/src/lib.rs
+++ b/crates/balancer/management/src/lib.rs
@@ -1,5 +1,6 @@
 //! What operators ask of a process over its door, and the figures it reports there. No I/O and no clock.
 #![forbid(unsafe_code)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 mod call;
 mod figures;
--- a/crates/balancer/net/src/lib.rs
+++ b/crates/balancer/net/src/lib.rs
@@ -3,6 +3,7 @@
 //! ([`buffers`]) and HTTP/1.1 heads and framing ([`http`]). Knows no service, no request and no upstream; the sidecar and
 //! the emulator's sockets are built on it.
 #![deny(unsafe_code)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 pub mod buffers;
 pub mod http;
--- a/crates/balancer/time/src/lib.rs
+++ b/crates/balancer/time/src/lib.rs
@@ -6,6 +6,7 @@
 //! messages between nodes.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 mod duration;
 mod instant;
--- a/crates/control/quota/src/lib.rs
+++ b/crates/control/quota/src/lib.rs
@@ -2,6 +2,7 @@
 //! the one count of it under a key of the ledger ([`Count`]), what a node holds of it ([`Purse`]) and what the key's
 //! owner has to do ([`Clerk`]). The argument: `docs/design/quota.md`.
 #![forbid(unsafe_code)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 mod broken;
 mod clerk;
--- a/crates/control/raft/src/lib.rs
+++ b/crates/control/raft/src/lib.rs
@@ -4,6 +4,7 @@
 //! completed writes go in; messages, writes to make durable and entries to apply come out. No I/O, no clock, no chance but the
 //! seed's. It must not know what an entry means. Go on reading at [`replica`], then [`log`].
 #![forbid(unsafe_code)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 pub mod config;
 pub mod log;
--- a/crates/control/swim/src/lib.rs
+++ b/crates/control/swim/src/lib.rs
@@ -3,6 +3,7 @@
 //! out. No I/O, no clock, no chance but the seed's. It must not know of requests, sockets or discovery; what a sidecar does
 //! with a view is in [`view`], in one place. Go on reading at [`members`], then [`table`].
 #![forbid(unsafe_code)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 pub mod config;
 pub mod drains;
