--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -34,10 +34,11 @@
 }
 
 fn balancers(node_state: &NodeState) -> Vec<Value> {
-    let balancers = node_state.service_balancers();
-    let rows = balancers.iter().map(|(service, balancer)| {
-        let UpstreamCounts { listed, avoided } = balancer.upstream_counts();
-        json!({ "service": service, "listed": listed, "avoided": avoided, "open": balancer.open_requests() })
+    let services = node_state.balanced_services();
+    let rows = services.iter().map(|service| {
+        let UpstreamCounts { listed, avoided } = service.balancer.upstream_counts();
+        let open = service.balancer.open_requests();
+        json!({ "service": service.name, "listed": listed, "avoided": avoided, "open": open })
     });
     rows.collect()
 }
--- a/crates/daemon/mesh/src/node_state/balancers.rs
+++ b/crates/daemon/mesh/src/node_state/balancers.rs
@@ -14,6 +14,14 @@
 /// The incarnation that stands for this process: the upstream beside it is never renewed by it.
 const OWN_INCARNATION: u64 = 0;
 
+/// A service and its balancer.
+pub(crate) struct BalancedService {
+    /// The service's name.
+    pub(crate) name: String,
+    /// Its balancer.
+    pub(crate) balancer: Rc<ServiceBalancer>,
+}
+
 /// Upstreams by service.
 struct KnownUpstreams {
     hosts: BTreeMap<String, Vec<Host>>,
@@ -27,17 +35,17 @@
         self.service_balancers.borrow().get(service).cloned()
     }
 
-    /// All balancers, by service.
-    pub(crate) fn service_balancers(&self) -> Vec<(String, Rc<ServiceBalancer>)> {
-        let balancers = self.service_balancers.borrow();
-        balancers.iter().map(|(service, balancer)| (service.clone(), balancer.clone())).collect()
+    /// All services that have a balancer, by name.
+    pub(crate) fn balanced_services(&self) -> Vec<BalancedService> {
+        let balancers = self.service_balancers.borrow().clone();
+        balancers.into_iter().map(|(name, balancer)| BalancedService { name, balancer }).collect()
     }
 
     /// Set each balancer to the configuration, the limits and the number of sidecars in force.
     pub(super) fn reconfigure_balancers(self: &Rc<Self>) {
         let table = self.routing_table();
-        for (service, balancer) in self.service_balancers() {
-            balancer.reconfigure(&self.service_settings(&service, &table));
+        for service in self.balanced_services() {
+            service.balancer.reconfigure(&self.service_settings(&service.name, &table));
         }
         self.update_upstream_lists();
     }
@@ -66,8 +74,8 @@
         let KnownUpstreams { mut hosts, mut renewed } = self.known_upstreams();
         let table = self.routing_table();
         // A service whose last upstream has gone is told so.
-        for (service, _) in self.service_balancers() {
-            hosts.entry(service).or_default();
+        for service in self.balanced_services() {
+            hosts.entry(service.name).or_default();
         }
         for (service, hosts) in hosts {
             match self.service_balancer(&service) {
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -29,8 +29,8 @@
         info!(self.log, "stopping");
         let grace = self.reloadable.get().limits.grace.max(Duration::ZERO);
         let stop = GracefulStop::new(self.last_awake.get(), self.now(), grace);
-        for (_, balancer) in self.service_balancers() {
-            balancer.answer_by(stop.answer_by());
+        for service in self.balanced_services() {
+            service.balancer.answer_by(stop.answer_by());
         }
         *self.graceful_stop.borrow_mut() = Some(stop);
         self.member_throttle.release_waiting();
