--- a/crates/balancer/net/src/lib.rs
+++ b/crates/balancer/net/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod buffers;
 pub mod http;
+pub mod pending;
 pub mod registry;
 pub mod stream;
 pub mod table;
--- a/crates/daemon/sidecar/src/lib.rs
+++ b/crates/daemon/sidecar/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Outside in: [`lifecycle`] starts and stops the process, [`event_loop`] serves its sockets, [`wire`] holds what is
 //! spoken on them, [`memory`] what is kept between two readinesses. The facade that alone knows the decision module is the
-//! crate `silvercross_facade`; poller, tables, buffers and HTTP framing are `silvercross_net`. `docs/architecture.md` follows a request through all of them.
+//! crate `silvercross_facade`; poller, tables, buffers and HTTP framing are `silvercross_net`. `docs/design/sidecar.md` follows a request through all of them.
 #![forbid(unsafe_code)]
 
 pub mod event_loop;
--- a/crates/daemon/sidecar/src/wire/peer.rs
+++ b/crates/daemon/sidecar/src/wire/peer.rs
@@ -3,8 +3,9 @@
 use silvercross_core::interface::Micros;
 use silvercross_gateway::statement;
 use silvercross_net::http;
-use silvercross_net::registry::{Interest, Watched};
-use std::io::{self, Read, Write};
+use silvercross_net::pending::write_pending;
+use silvercross_net::registry::Watched;
+use std::io::{self, Read};
 use std::net::TcpStream;
 
 /// Where an offer is asked for.
@@ -38,17 +39,7 @@
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        while !self.output.is_empty() {
-            match self.socket.get().write(&self.output) {
-                Ok(n) => drop(self.output.drain(..n)),
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
-                    return self.socket.set(Interest::Both)
-                }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
-            }
-        }
-        self.socket.set(Interest::Read)
+        write_pending(&mut self.socket, &mut self.output)
     }
 
     /// Carry it on: the value of the offer's header once an answer is whole. An answer without one is an error: that is no
--- a/crates/testing/architecture-tests/src/lib.rs
+++ b/crates/testing/architecture-tests/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each check is a function from source text to the violations it finds, so that a test can hand it a deliberately bad
 //! snippet. The checks must not know what a package does; which package has to pass which check is said in [`packages`] alone.
-//! Go on reading at [`packages`], then [`source`], then the check that failed: [`imports`], [`circles`], [`errors`] or
+//! Go on reading at [`packages`], then [`source`], then the check that failed: [`imports`], [`circles`], [`errors`], [`layers`] or
 //! [`words`].
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
@@ -11,6 +11,7 @@
 pub mod circles;
 pub mod errors;
 pub mod imports;
+pub mod layers;
 pub mod packages;
 pub mod source;
 pub mod tokens;
--- a/crates/tools/scenario-runner/src/sockets/wire.rs
+++ b/crates/tools/scenario-runner/src/sockets/wire.rs
@@ -1,7 +1,8 @@
 //! A stream with what has come and what is to go: the stand-ins' side of HTTP/1.1, on the framing of `silvercross_net`.
 use silvercross_net::http::{self, Bad};
-use silvercross_net::registry::{Interest, Watched};
-use std::io::{self, Read, Write};
+use silvercross_net::pending::write_pending;
+use silvercross_net::registry::Watched;
+use std::io::{self, Read};
 use std::net::TcpStream;
 
 /// No message of the platform's protocol is longer; more is a fault of whoever sent it.
@@ -76,17 +77,7 @@
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        while !self.output.is_empty() {
-            match self.socket.get().write(&self.output) {
-                Ok(n) => drop(self.output.drain(..n)),
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
-                    return self.socket.set(Interest::Both)
-                }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
-            }
-        }
-        self.socket.set(Interest::Read)
+        write_pending(&mut self.socket, &mut self.output)
     }
 
     /// The next whole request.
