--- a/crates/control/mesh-config/src/history.rs
+++ b/crates/control/mesh-config/src/history.rs
@@ -23,6 +23,17 @@
     pub(crate) version: u64,
 }
 
+/// What is remembered of a version of an item that does not stand.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum TakenBefore {
+    /// Nothing.
+    Unknown,
+    /// It was taken with the same content.
+    SameContent,
+    /// It was taken with another content.
+    OtherContent,
+}
+
 /// What was taken and does not stand any more. At most twice [`MAX_SUPERSEDED`] versions and 1,024 floors, about 270 KB.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct History {
@@ -40,11 +51,15 @@
         self.recent.is_empty() && self.older.is_empty() && self.floors.is_empty()
     }
 
-    /// Whether this version was taken before: with this content, or with another. `None` if it is not remembered.
-    pub(crate) fn was_taken(&self, item: &ItemVersion<'_>) -> Option<bool> {
+    /// Whether this version was taken before.
+    pub(crate) fn taken_before(&self, item: &ItemVersion<'_>) -> TakenBefore {
         let version = item.version_hash();
-        let content = self.recent.get(&version).or_else(|| self.older.get(&version))?;
-        (!mutation::is_active(Mutation::SupersededForgotten)).then(|| *content == item.content_hash())
+        match self.recent.get(&version).or_else(|| self.older.get(&version)) {
+            None => TakenBefore::Unknown,
+            Some(_) if mutation::is_active(Mutation::SupersededForgotten) => TakenBefore::Unknown,
+            Some(content) if *content == item.content_hash() => TakenBefore::SameContent,
+            Some(_) => TakenBefore::OtherContent,
+        }
     }
 
     /// Remember superseded versions; whether one of them was not known.
--- a/crates/control/mesh-config/src/versioned.rs
+++ b/crates/control/mesh-config/src/versioned.rs
@@ -6,7 +6,7 @@
 
 use crate::change::{ConfigurationChange, ConfigurationUpdate};
 use crate::error::ConfigurationProblem;
-use crate::history::History;
+use crate::history::{History, TakenBefore};
 use crate::item_version::{ItemKind, ItemVersion, VersionDigest};
 use crate::mutation::{self, Mutation};
 use crate::rejection::{version_conflict, version_taken};
@@ -80,7 +80,7 @@
         if sent.version > current.version {
             review.superseded.push(current.digest());
         } else if sent.version < current.version {
-            let is_other = self.history.was_taken(&sent) == Some(false);
+            let is_other = self.history.taken_before(&sent) == TakenBefore::OtherContent;
             if is_other || mutation::is_active(Mutation::RepeatRejected) {
                 return Err(version_taken(sent.name, sent.version));
             }
@@ -95,12 +95,12 @@
         let Some(floor) = self.history.floor(&sent).filter(|floor| version <= *floor) else {
             return Ok(());
         };
-        match self.history.was_taken(&sent) {
-            Some(false) => return Err(version_taken(sent.name, version)),
+        match self.history.taken_before(&sent) {
+            TakenBefore::OtherContent => return Err(version_taken(sent.name, version)),
             // Whatever it was, it does not come back. A withdrawal finds nothing to withdraw.
-            Some(true) => {}
-            None if sent.is_withdrawal() => {}
-            None => {
+            TakenBefore::SameContent => {}
+            TakenBefore::Unknown if sent.is_withdrawal() => {}
+            TakenBefore::Unknown => {
                 let problem = ConfigurationProblem::VersionNotAboveFloor { version, floor };
                 return Err(version_conflict(sent.name, problem));
             }
--- a/crates/control/throttle/tests/rules.rs
+++ b/crates/control/throttle/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Items, who a request is of, the lapse, the time of day, the wait and the waiting room, each stepped by hand.
+//! Items, whose a request is, the lapse, the time of day, the delay and the queue, each stepped by hand.
 
 use serde_json::{json, Map, Value};
 use silvercross_control_store::{Epoch, Node, State};
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn bad_calls_name_item_and_key() {
+fn errors_name_item_and_key() {
     let good = json!({"deliver": {
         "members": [trial("a", "k1", 1), {"name": "b", "keys": ["k2", "k3"], "plan": "full", "edition": 2.0}],
         "membership": {"header": "Workshop-Key", "unknown": "refuse", "edition": 1}},
         "withdraw": {"members": [{"name": "old", "edition": 1}]}});
     assert_eq!(try_read(&good).map(|sent| sent.len()), Ok(4));
     let (a, b, m) = ("/deliver/members/0", "/deliver/members/1", "/deliver/membership");
-    // Where the good call is changed, to what (nothing: the key is taken out), and what the fault names.
+    // Where the good call is changed, to what (nothing: the key is taken out), and what the error names.
     let table = [
         (a, "name", json!(""), "members[0]", "name"),
         (a, "name", Value::Null, "members[0]", "name"),
@@ -103,44 +103,44 @@
         } else {
             map.insert(key.into(), value);
         }
-        let fault = try_read(&bad).expect_err(&bad.to_string());
-        assert_eq!((fault.item.as_str(), fault.key.as_str()), (item, named), "{fault}");
-        assert!(fault.problem.to_string().contains('('), "{fault}");
+        let error = try_read(&bad).expect_err(&bad.to_string());
+        assert_eq!((error.item.as_str(), error.key.as_str()), (item, named), "{error}");
+        assert!(error.problem.to_string().contains('('), "{error}");
     }
 }
 
 #[test]
-fn the_higher_edition_holds_and_nothing_of_a_refused_call() {
-    let mut roll = MemberList::default();
-    assert_eq!(roll.to_json(), "");
+fn the_higher_version_wins_and_nothing_of_a_rejected_call() {
+    let mut list = MemberList::default();
+    assert_eq!(list.to_json(), "");
     let mut odd = trial("a", "k1", 5);
     odd["allowance"] = json!({"reads": 100});
-    assert_eq!(roll.apply(&sent(members(&[odd.clone(), trial("b", "k2", 5)]))), Ok(true));
-    assert_eq!(roll.apply(&sent(members(&[odd.clone()]))), Ok(false));
-    assert_eq!(roll.apply(&sent(members(&[trial("a", "k9", 4)]))), Ok(false));
-    let before = roll.clone();
-    assert!(roll.apply(&sent(members(&[trial("a", "k9", 5)]))).unwrap_err().conflict);
+    assert_eq!(list.apply(&sent(members(&[odd.clone(), trial("b", "k2", 5)]))), Ok(true));
+    assert_eq!(list.apply(&sent(members(&[odd.clone()]))), Ok(false));
+    assert_eq!(list.apply(&sent(members(&[trial("a", "k9", 4)]))), Ok(false));
+    let before = list.clone();
+    assert!(list.apply(&sent(members(&[trial("a", "k9", 5)]))).unwrap_err().conflict);
     let taken = sent(members(&[trial("c", "k3", 1), trial("d", "k2", 1)]));
-    assert!(!roll.would_change(&taken).unwrap_err().conflict);
-    assert!(roll.apply(&taken).is_err());
-    assert_eq!((&roll, roll.len()), (&before, 2));
-    assert_eq!(roll.raw_json("a"), Some(odd.to_string().as_str()));
+    assert!(!list.would_change(&taken).unwrap_err().conflict);
+    assert!(list.apply(&taken).is_err());
+    assert_eq!((&list, list.len()), (&before, 2));
+    assert_eq!(list.raw_json("a"), Some(odd.to_string().as_str()));
     // A key may move within one call.
-    assert_eq!(roll.apply(&sent(members(&[trial("a", "k2", 6), trial("b", "k1", 6)]))), Ok(true));
+    assert_eq!(list.apply(&sent(members(&[trial("a", "k2", 6), trial("b", "k1", 6)]))), Ok(true));
     let drop = sent(json!({"withdraw": {"members": [{"name": "a", "edition": 7}]}}));
-    assert_eq!((roll.apply(&drop), roll.apply(&drop)), (Ok(true), Ok(false)));
-    assert_eq!(roll.apply(&sent(members(&[trial("a", "k2", 6)]))), Ok(false));
-    assert_eq!(roll.to_json(), format!("\"members\":[{}]", trial("b", "k1", 6)));
-    let bytes = bitcode::encode(&roll);
-    assert_eq!(bitcode::decode::<MemberList>(&bytes).ok(), Some(roll));
+    assert_eq!((list.apply(&drop), list.apply(&drop)), (Ok(true), Ok(false)));
+    assert_eq!(list.apply(&sent(members(&[trial("a", "k2", 6)]))), Ok(false));
+    assert_eq!(list.to_json(), format!("\"members\":[{}]", trial("b", "k1", 6)));
+    let bytes = bitcode::encode(&list);
+    assert_eq!(bitcode::decode::<MemberList>(&bytes).ok(), Some(list));
 }
 
 #[test]
 fn a_request_names_one_member_or_none() {
-    let mut roll = MemberList::default();
-    roll.apply(&sent(members(&[trial("a", "k1", 1)]))).unwrap();
+    let mut list = MemberList::default();
+    list.apply(&sent(members(&[trial("a", "k1", 1)]))).unwrap();
     assert_eq!(
-        MemberIndex::new(&roll).identify([&b"k1"[..]]),
+        MemberIndex::new(&list).identify([&b"k1"[..]]),
         RequestIdentity::Anonymous,
         "no header is set"
     );
@@ -148,12 +148,12 @@
         [("serve", 1, RequestIdentity::Anonymous), ("refuse", 2, RequestIdentity::Reject)]
     {
         let set = json!({"header": "Workshop-Key", "unknown": unknown, "edition": version});
-        roll.apply(&sent(json!({"deliver": {"membership": set}}))).unwrap();
-        let directory = MemberIndex::new(&roll);
-        assert_eq!(directory.header(), Some("workshop-key"));
-        assert_eq!(directory.identify([&b" k1 "[..]]), RequestIdentity::Member(roll.member("a").unwrap()));
+        list.apply(&sent(json!({"deliver": {"membership": set}}))).unwrap();
+        let index = MemberIndex::new(&list);
+        assert_eq!(index.header(), Some("workshop-key"));
+        assert_eq!(index.identify([&b" k1 "[..]]), RequestIdentity::Member(list.member("a").unwrap()));
         for values in [vec![], vec![&b"k2"[..]], vec![b"k1", b"k1"], vec![b"\xff"], vec![b"k1,k1"]] {
-            assert_eq!(directory.identify(values.clone()), other, "{values:?}");
+            assert_eq!(index.identify(values.clone()), other, "{values:?}");
         }
     }
 }
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_time_of_day_is_believed_only_in_company() {
+fn a_time_of_day_is_trusted_only_if_two_clocks_agree() {
     let hour = 3_600 * S;
     let mut clock = TrustedClock::new(ClockSettings::default(), false);
     assert!(!clock.observe_local(at(0), wall(DAY)));
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_single_holder_waits_for_a_steady_clock() {
+fn a_single_node_waits_for_a_steady_clock() {
     let mut clock = TrustedClock::new(ClockSettings::default(), true);
     let mut read = |s: i64, wrong: i64| {
         clock.observe_local(at(s * S), wall(DAY + s * S + wrong));
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn the_clerk_wakes_when_it_is_time_and_asks_once() {
+fn the_lapse_timer_proposes_each_change_once_when_it_is_due() {
     let (mut timer, mut clock, mut state) =
         (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false), LapseState::default());
     let member = member(LapseTime::In(span(20 * S)));
@@ -300,13 +300,13 @@
 }
 
 #[test]
-fn a_member_whose_lapse_is_far_off_costs_the_ledger_nothing() {
+fn a_member_whose_lapse_is_far_off_costs_the_control_store_nothing() {
     let (mut timer, mut clock) = (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false));
     clock.observe_local(at(0), wall(DAY));
     clock.observe_peer(reading(1, 0, DAY));
     let far = member(LapseTime::At(wall(DAY + 86_400 * S)));
-    let advice = timer.decide(at(0), "a", Epoch::default(), &LapseState::default(), Some(&far), &clock);
-    assert_eq!((advice.proposal, advice.waiting_for), (None, WaitingFor::LapseTime));
+    let decision = timer.decide(at(0), "a", Epoch::default(), &LapseState::default(), Some(&far), &clock);
+    assert_eq!((decision.proposal, decision.waiting_for), (None, WaitingFor::LapseTime));
 }
 
 #[test]
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn a_wait_is_gentle_bounded_and_evenly_drawn() {
+fn a_delay_is_bounded_and_evenly_drawn() {
     let a = member(LapseTime::In(span(S)));
     let asked = |left| ThrottleRequest {
         kind: RouteKind::Safe,
@@ -368,8 +368,8 @@
     );
     assert_eq!(decide_delay(&a, half, &asked(199_998)), DelayDecision::Reject { retry_after: span(200_000) });
     for kind in [RouteKind::Unsafe, RouteKind::Upload] {
-        let terms = RequestThrottle::at_head(&a, half, kind, b"x", span(S), span(1));
-        assert_eq!((terms.decision(), terms.throttle_step()), (DelayDecision::Forward, half));
+        let throttle = RequestThrottle::at_head(&a, half, kind, b"x", span(S), span(1));
+        assert_eq!((throttle.decision(), throttle.throttle_step()), (DelayDecision::Forward, half));
     }
     let huge =
         ThrottleRequest { latency_target: Duration::MAX, remaining_deadline: Duration::MAX, ..asked(0) };
