--- a/crates/control/quota/examples/cost.rs
+++ b/crates/control/quota/examples/cost.rs
@@ -2,79 +2,80 @@
 
 use silvercross_control_store::State;
 use silvercross_quota::*;
-use std::time::Instant;
+use silvercross_time::{Duration, Instant};
+use std::time::Instant as StdInstant;
 
-const S: Micros = 1_000_000;
+const SECOND: Duration = Duration::from_secs(1);
 
 fn allowance(name: &str, amount: u64) -> Allowance {
-    let share = Some(Share { amount, unit: Unit::Request, spent: Spent::Refuse, strict: false });
+    let quota =
+        Some(KindQuota { amount, unit: Unit::Request, when_exhausted: WhenExhausted::Reject, strict: false });
     Allowance {
         name: name.to_string(),
-        edition: 1,
-        window_us: 604_800 * S,
+        version: 1,
+        window_length: SECOND * 604_800,
         order_header: Some("x-order".to_string()),
-        away: Away::Serve,
-        shares: [share; 3],
+        when_unreachable: WhenUnreachable::ServeFromLeases,
+        quotas: [quota; 3],
     }
 }
 
 /// One member's reads at all nodes, so many a second in all: exchanges a second, and the share of requests that waited.
 fn exchanges(nodes: u32, rate: u64, amount: u64, seconds: u64) -> (f64, f64, u64, u64) {
-    let mut count = Count::default();
-    let _ = count.apply(&Change::Allow(allowance("m", amount)));
-    let mut purses: Vec<Purse> = (0..nodes).map(|n| Purse::new(0, n, 1, Terms::default())).collect();
-    purses.iter_mut().for_each(|p| {
-        p.set(&allowance("m", amount));
+    let mut state = QuotaState::default();
+    let _ = state.apply(&Change::SetAllowance(allowance("m", amount)));
+    let mut nodes: Vec<QuotaLeases> =
+        (0..nodes).map(|n| QuotaLeases::new(Instant::ZERO, n, 1, QuotaConfig::default())).collect();
+    nodes.iter_mut().for_each(|p| {
+        p.set_allowance(&allowance("m", amount));
     });
     let (mut calls, mut waited, mut accepted, mut refused) = (0u64, 0u64, 0u64, 0u64);
     let mut id = 0u64;
     for slot in 0..seconds * 10 {
-        let now = slot as i64 * S / 10;
+        let now = Instant::ZERO + SECOND * slot as i64 / 10;
         for at in 0..(rate / 10).max(1) {
             if rate < 10 && slot % (10 / rate) != 0 {
                 break;
             }
             id += 1;
             let _ = at;
-            let node = (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % purses.len();
-            let request = Request { id, member: "m", kind: Kind::Read, order: None, bytes: 0 };
-            let mut charges = vec![(id, purses[node].request(now, request))];
-            if charges[0].1 == Charge::AskOwner {
+            let node = (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % nodes.len();
+            let request = Request { id, member: "m", kind: RequestKind::Read, order: None, body_bytes: 0 };
+            let mut decisions = vec![nodes[node].decide(now, request)];
+            if decisions[0] == Decision::AwaitOwner {
                 waited += 1;
             }
             loop {
-                let out = purses[node].calls();
+                let out = nodes[node].take_calls();
                 if out.is_empty() {
                     break;
                 }
                 for call in out {
                     calls += 1;
-                    let outcome = count.apply(&call.change);
-                    charges.extend(purses[node].answer(
-                        now,
-                        call.number,
-                        &count.answer(&call.change, &outcome),
-                    ));
+                    let outcome = state.apply(&call.change);
+                    let answer = state.answer(&call.change, &outcome);
+                    let late = nodes[node].handle_answer(now, call.number, &answer);
+                    decisions.extend(late.into_iter().map(|late| late.decision));
                 }
             }
-            for (_, charge) in charges {
-                match charge {
-                    Charge::Accepted { claim, .. } => {
+            for decision in decisions {
+                match decision {
+                    Decision::Accepted { attempt, .. } => {
                         accepted += 1;
-                        purses[node].done(now, claim, Outcome::Ran);
+                        nodes[node].finish(now, attempt, RequestOutcome::Ran);
                     }
-                    Charge::Refused { .. } => refused += 1,
+                    Decision::Rejected { .. } => refused += 1,
                     _ => {}
                 }
             }
         }
         if slot % 2 == 0 {
-            for purse in &mut purses {
-                purse.tick(now);
-                for call in purse.calls() {
+            for leases in &mut nodes {
+                leases.tick(now);
+                for call in leases.take_calls() {
                     calls += 1;
-                    let outcome = count.apply(&call.change);
-                    purse.answer(now, call.number, &count.answer(&call.change, &outcome));
+                    let outcome = state.apply(&call.change);
+                    leases.handle_answer(now, call.number, &state.answer(&call.change, &outcome));
                 }
             }
         }
@@ -96,47 +97,56 @@
         }
     }
     for orders in [0u64, 100, 1_000, 16_000] {
-        let mut count = Count::default();
-        let _ = count.apply(&Change::Allow(allowance("workshop-7", 1_000_000)));
+        let mut state = QuotaState::default();
+        let _ = state.apply(&Change::SetAllowance(allowance("workshop-7", 1_000_000)));
         for n in 0..orders {
-            let order = Order::of(&n.to_le_bytes());
-            let claim = Mark { node: (n % 12) as u32, life: 1, number: n };
-            let _ = count.apply(&Change::Charge { order, claim, kind: Kind::Confirmation, units: 1 });
+            let order = OrderId::of(&n.to_le_bytes());
+            let attempt = OperationId { node: (n % 12) as u32, incarnation: 1, number: n };
+            let _ = state.apply(&Change::ChargeOrder {
+                order,
+                attempt,
+                kind: RequestKind::Confirmation,
+                units: 1,
+            });
         }
         for node in 0..12u64 {
-            let part = Mark { node: node as u32, life: 1, number: 20_000 };
-            let _ = count.apply(&Change::Grant { part, kind: Kind::Read, want: 64, least: 0 });
+            let lease = OperationId { node: node as u32, incarnation: 1, number: 20_000 };
+            let _ =
+                state.apply(&Change::GrantLease { lease, kind: RequestKind::Read, wanted: 64, minimum: 0 });
         }
-        let bytes = bitcode::encode(&count).len();
-        println!("a member with {orders} orders and 12 parts: {bytes} bytes on disk");
+        let bytes = bitcode::encode(&state).len();
+        println!("a member with {orders} orders and 12 leases: {bytes} bytes on disk");
     }
-    let (mut purse, mut count) = (Purse::new(0, 1, 1, Terms::default()), Count::default());
+    let (mut leases, mut state) =
+        (QuotaLeases::new(Instant::ZERO, 1, 1, QuotaConfig::default()), QuotaState::default());
     let many = 100_000;
     let before = resident();
     for n in 0..many {
-        purse.set(&allowance(&format!("member-{n}"), 1_000_000));
+        leases.set_allowance(&allowance(&format!("member-{n}"), 1_000_000));
     }
     println!("{many} members set at a node: {} bytes each in memory", (resident() - before) / many);
-    let begun = Instant::now();
+    let begun = StdInstant::now();
     for _ in 0..100 {
-        purse.tick(0);
+        leases.tick(Instant::ZERO);
     }
     println!("a tick with {many} idle members: {:?}", begun.elapsed() / 100);
-    let _ = count.apply(&Change::Allow(allowance("member-7", 1_000_000_000)));
+    let _ = state.apply(&Change::SetAllowance(allowance("member-7", 1_000_000_000)));
     let (mut taken, rounds) = (0u64, 1_000_000u64);
-    let begun = Instant::now();
+    let begun = StdInstant::now();
     for id in 0..rounds {
-        let now = id as i64 * 10;
-        let request = Request { id, member: "member-7", kind: Kind::Read, order: None, bytes: 0 };
-        let mut charges = vec![(id, purse.request(now, request))];
-        for call in purse.calls() {
-            let outcome = count.apply(&call.change);
-            charges.extend(purse.answer(now, call.number, &count.answer(&call.change, &outcome)));
+        let now = Instant::from_micros(id as i64 * 10);
+        let request = Request { id, member: "member-7", kind: RequestKind::Read, order: None, body_bytes: 0 };
+        let mut decisions = vec![leases.decide(now, request)];
+        for call in leases.take_calls() {
+            let outcome = state.apply(&call.change);
+            let answer = state.answer(&call.change, &outcome);
+            let late = leases.handle_answer(now, call.number, &answer);
+            decisions.extend(late.into_iter().map(|late| late.decision));
         }
-        for (_, charge) in charges {
-            if let Charge::Accepted { claim, .. } = charge {
+        for decision in decisions {
+            if let Decision::Accepted { attempt, .. } = decision {
                 taken += 1;
-                purse.done(now, claim, Outcome::Ran);
+                leases.finish(now, attempt, RequestOutcome::Ran);
             }
         }
     }
@@ -144,12 +154,12 @@
         "{rounds} requests far from the end, {taken} accepted: {:?} each, the owner's share in it",
         begun.elapsed() / rounds as u32
     );
-    let free = Purse::new(0, 1, 1, Terms::default());
+    let free = QuotaLeases::new(Instant::ZERO, 1, 1, QuotaConfig::default());
     let mut free = free;
-    let begun = Instant::now();
+    let begun = StdInstant::now();
     for id in 0..rounds {
-        let request = Request { id, member: "member-7", kind: Kind::Read, order: None, bytes: 0 };
-        std::hint::black_box(free.request(0, request));
+        let request = Request { id, member: "member-7", kind: RequestKind::Read, order: None, body_bytes: 0 };
+        std::hint::black_box(free.decide(Instant::ZERO, request));
     }
     println!("where no allowance is set: {:?} a request", begun.elapsed() / rounds as u32);
 }
--- a/crates/control/quota/src/lib.rs
+++ b/crates/control/quota/src/lib.rs
@@ -1,66 +1,48 @@
-//! The shared allowance, decided without I/O: what a member may use in a window ([`Allowance`], merged in a [`Book`]),
-//! the one count of it under a key of the ledger ([`Count`]), what a node holds of it ([`Purse`]) and what the key's
-//! owner has to do ([`Clerk`]). The argument: `docs/design/quota.md`.
+//! The shared quota, decided without I/O: what a member may use in a window, counted over all nodes.
+//!
+//! - [`Allowance`]: what an operator allows, parsed by [`parse`], merged in an [`AllowanceSet`].
+//! - [`QuotaState`]: the one count of a member, kept in the control store under [`QUOTA_KEY_PREFIX`] and the member's name.
+//! - [`QuotaLeases`]: the units that a node holds of it, and what it does with a request.
+//! - [`WindowTimer`]: what the key's owner proposes by its clock.
+//!
+//! The argument: `docs/design/quota.md`. Go on reading at `protocol`, which is what nodes and the owner say to each other. What
+//! is encoded here goes into stored data and over the wire: fields and variants keep their order.
 #![forbid(unsafe_code)]
+#![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
-mod broken;
-mod clerk;
-mod count;
-mod items;
-mod purse;
-mod read;
+mod allowance;
+mod allowance_set;
+mod config;
+mod error;
+mod leases;
+mod mutation;
+mod parse;
+mod protocol;
+mod state;
+mod window_timer;
 
-#[cfg(feature = "mutants")]
-pub use broken::set as break_on_purpose;
-pub use broken::Broken;
-pub use clerk::{Clerk, AGAIN, STEPS};
-pub use count::{
-    Answer, Change, Count, Mark, Order, Part, Slip, Why, CLAIMS, FEW, FLOOR, HOLDERS, MAX_PART, ORDERS,
-    PARTS, SHARE, SLOTS,
+pub use allowance::{
+    Allowance, KindQuota, RequestKind, Unit, WhenExhausted, WhenUnreachable, MAX_AMOUNT, MAX_NAME_BYTES,
+    MAX_WINDOW, MIN_WINDOW,
 };
-pub use items::{
-    Allowance, Away, Book, BookChange, Fault, Kind, Share, Spent, Unit, MAX_AMOUNT, MAX_ITEMS, MAX_NAME,
-    MAX_WINDOW_US, MIN_WINDOW_US,
+pub use allowance_set::{AllowanceChange, AllowanceSet, MAX_ALLOWANCES};
+pub use config::QuotaConfig;
+pub use error::AllowanceError;
+pub use leases::{
+    Decision, LateDecision, Metrics, OwnerCall, QuotaLeases, Request, RequestOutcome, MAX_HELD_LEASES,
+    MAX_MEMBERS, MAX_OPEN_REQUESTS, MAX_PENDING_CALLS,
 };
-pub use purse::{Call, Charge, Figures, Outcome, Purse, Request, CALLS, CLAIMS_OPEN, HELD, MEMBERS};
-pub use read::{read, MAX_BODY};
-
-pub use silvercross_control_store::Micros;
-
-/// Before a member's name: the key of its count.
-pub const ALLOWANCE: &str = "allowance/";
-
-/// The spans that nodes and owners must agree on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// How long a part may be used, by the node's clock from the moment it asked.
-    pub term: Micros,
-    /// How much longer than the term an owner waits before it holds a part for lost. Covers clocks of differing rate.
-    pub margin: Micros,
-    /// A node that was not stepped for longer does not use its parts any more; an owner counts no more than this of
-    /// the time between two steps.
-    pub gap: Micros,
-    /// A call without an answer is sent again after this.
-    pub again: Micros,
-    /// A request that waits for the owner is decided without it after this.
-    pub patience: Micros,
-    /// For this long after the owner's word that nothing is left, requests without an order number are refused unasked.
-    pub hush: Micros,
-    /// What a part is at least even near the end. 0 in service: near the end each request is asked for.
-    pub least: u64,
-}
+#[cfg(feature = "mutants")]
+pub use mutation::set_mutation;
+pub use mutation::Mutation;
+pub use parse::{parse, MAX_BODY_BYTES};
+pub use protocol::{Change, Lease, LeasedOrder, OperationId, OrderId, OwnerAnswer, RejectionReason};
+pub use state::{
+    LeaseNode, QuotaState, LEASE_FRACTION, MAX_ATTEMPTS_PER_ORDER, MAX_LEASES, MAX_LEASE_NODES,
+    MAX_LEASE_UNITS, MAX_ORDERS, MAX_ORDERS_PER_LEASE, MIN_LEASE_UNITS, MIN_NODES_COUNTED,
+};
+pub use window_timer::{Proposal, WindowTimer, ELAPSED_REPORTS_PER_WINDOW, PROPOSAL_RETRY_INTERVAL};
 
-impl Default for Terms {
-    fn default() -> Self {
-        Terms {
-            term: 5_000_000,
-            margin: 1_000_000,
-            gap: 1_000_000,
-            again: 300_000,
-            patience: 800_000,
-            hush: 250_000,
-            least: 0,
-        }
-    }
-}
+/// Before a member's name: the key of its count in the control store.
+pub const QUOTA_KEY_PREFIX: &str = "allowance/";
--- /dev/null
+++ b/crates/control/quota/src/state/order_entry.rs
@@ -0,0 +1,72 @@
+//! What is remembered of one order, and the sums of one window.
+
+use crate::allowance::RequestKind;
+use crate::protocol::OperationId;
+use bitcode::{Decode, Encode};
+
+/// Attempts remembered of one order at most. With a further one the order stays charged whatever is refunded.
+pub const MAX_ATTEMPTS_PER_ORDER: usize = 8;
+
+/// One attempt of an order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
+pub(super) struct Attempt {
+    /// Its name.
+    pub(super) id: OperationId,
+    /// Whether it may have run: it was not refunded.
+    pub(super) is_charged: bool,
+}
+
+/// One order.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
+pub(super) struct OrderEntry {
+    /// The window that it is counted in.
+    pub(super) window: u64,
+    /// Its kind.
+    pub(super) kind: RequestKind,
+    /// Its units.
+    pub(super) units: u64,
+    /// At most [`MAX_ATTEMPTS_PER_ORDER`].
+    pub(super) attempts: Vec<Attempt>,
+    /// There were more attempts than are remembered: it stays charged.
+    pub(super) is_pinned: bool,
+}
+
+impl OrderEntry {
+    /// An order with one attempt.
+    pub(super) fn with_attempt(window: u64, kind: RequestKind, units: u64, attempt: Attempt) -> OrderEntry {
+        OrderEntry { window, kind, units, attempts: vec![attempt], is_pinned: false }
+    }
+
+    /// Whether any attempt may have run.
+    pub(super) fn is_charged(&self) -> bool {
+        self.is_pinned || self.attempts.iter().any(|attempt| attempt.is_charged)
+    }
+
+    /// Whether an attempt is remembered.
+    pub(super) fn knows(&self, id: OperationId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.id == id)
+    }
+
+    /// The first attempt that is charged.
+    pub(super) fn first_charged(&self) -> Option<OperationId> {
+        self.attempts.iter().find(|attempt| attempt.is_charged).map(|attempt| attempt.id)
+    }
+
+    /// Charges one more attempt.
+    pub(super) fn charge(&mut self, id: OperationId) {
+        if self.attempts.len() < MAX_ATTEMPTS_PER_ORDER {
+            self.attempts.push(Attempt { id, is_charged: true });
+        } else {
+            self.is_pinned = true;
+        }
+    }
+}
+
+/// The sums of one window.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
+pub(super) struct WindowTotals {
+    /// Units charged, by kind.
+    pub(super) charged: [u64; 3],
+    /// Orders remembered.
+    pub(super) orders: u64,
+}
--- a/crates/control/quota/tests/common/plain.rs
+++ b/crates/control/quota/tests/common/plain.rs
@@ -1,57 +1,59 @@
 //! The slow plain counter: it sees every change in the owner's order and works everything out anew from lists.
 
 use silvercross_control_store::Rejection;
-use silvercross_quota::{Change, Count, Kind, Mark, Order, Why, CLAIMS};
+use silvercross_quota::{
+    Change, OperationId, OrderId, QuotaState, RejectionReason, RequestKind, MAX_ATTEMPTS_PER_ORDER,
+};
 
-struct Try {
-    order: Order,
-    claim: Mark,
-    holds: bool,
+#[derive(Clone, Debug)]
+pub struct Attempt {
+    order: OrderId,
+    attempt: OperationId,
+    is_charged: bool,
     /// Whether it began the order's charge.
-    first: bool,
+    is_first: bool,
     window: u64,
-    kind: Kind,
+    kind: RequestKind,
     units: u64,
 }
 
-struct Piece {
-    mark: Mark,
+struct PlainLease {
+    id: OperationId,
     window: u64,
-    kind: Kind,
+    kind: RequestKind,
     amount: u64,
-    lost: bool,
-    settled: bool,
+    is_lost: bool,
+    is_settled: bool,
 }
 
 /// One counter.
-pub struct Plain {
+pub struct PlainCounter {
     amounts: [u64; 3],
     window: u64,
-    tries: Vec<Try>,
-    plain: Vec<(u64, Kind, u64)>,
-    pieces: Vec<Piece>,
+    attempts: Vec<Attempt>,
+    plain: Vec<(u64, RequestKind, u64)>,
+    leases: Vec<PlainLease>,
 }
 
-impl Plain {
-    pub fn new(amounts: [u64; 3]) -> Plain {
-        Plain { amounts, window: 0, tries: Vec::new(), plain: Vec::new(), pieces: Vec::new() }
+impl PlainCounter {
+    pub fn new(amounts: [u64; 3]) -> PlainCounter {
+        PlainCounter { amounts, window: 0, attempts: Vec::new(), plain: Vec::new(), leases: Vec::new() }
     }
 
-    pub fn tries_of(&self, order: Option<&Order>) -> Vec<(Mark, bool, bool, u64)> {
-        let of = self.tries.iter().filter(|t| Some(&t.order) == order);
-        of.map(|t| (t.claim, t.holds, t.first, t.window)).collect()
+    pub fn attempts_of(&self, order: Option<&OrderId>) -> Vec<Attempt> {
+        self.attempts.iter().filter(|attempt| Some(&attempt.order) == order).cloned().collect()
     }
 
-    fn charged_by(&self, order: Order) -> Option<(u64, Kind, u64)> {
-        let of = |t: &&Try| t.order == order;
-        if !self.tries.iter().filter(of).any(|t| t.holds) {
+    fn charged_by(&self, order: OrderId) -> Option<(u64, RequestKind, u64)> {
+        let of = |t: &&Attempt| t.order == order;
+        if !self.attempts.iter().filter(of).any(|t| t.is_charged) {
             return None;
         }
-        self.tries.iter().filter(of).rfind(|t| t.first).map(|t| (t.window, t.kind, t.units))
+        self.attempts.iter().filter(of).rfind(|t| t.is_first).map(|t| (t.window, t.kind, t.units))
     }
 
-    pub fn charged(&self, window: u64, kind: Kind) -> u64 {
-        let mut orders: Vec<Order> = self.tries.iter().map(|t| t.order).collect();
+    pub fn charged(&self, window: u64, kind: RequestKind) -> u64 {
+        let mut orders: Vec<OrderId> = self.attempts.iter().map(|t| t.order).collect();
         orders.sort();
         orders.dedup();
         let by_order = orders.into_iter().filter_map(|order| self.charged_by(order));
@@ -59,144 +61,174 @@
         all.filter(|(w, k, _)| (*w, *k) == (window, kind)).map(|(_, _, units)| units).sum()
     }
 
-    fn aside(&self, window: u64, kind: Kind, lost: bool) -> u64 {
-        let of = |p: &&Piece| !p.settled && p.lost == lost && (p.window, p.kind) == (window, kind);
-        self.pieces.iter().filter(of).map(|p| p.amount).sum()
+    fn units_aside(&self, window: u64, kind: RequestKind, is_lost: bool) -> u64 {
+        let of =
+            |p: &&PlainLease| !p.is_settled && p.is_lost == is_lost && (p.window, p.kind) == (window, kind);
+        self.leases.iter().filter(of).map(|p| p.amount).sum()
     }
 
-    fn verdict(&self, kind: Kind, units: u64) -> Option<Why> {
-        let certain = self.charged(self.window, kind) + self.aside(self.window, kind, true) + units;
-        let open = self.aside(self.window, kind, false);
+    fn verdict(&self, kind: RequestKind, units: u64) -> Option<RejectionReason> {
+        let certain = self.charged(self.window, kind) + self.units_aside(self.window, kind, true) + units;
+        let open = self.units_aside(self.window, kind, false);
         match self.amounts[kind as usize] {
             amount if certain + open <= amount => None,
-            amount if certain <= amount => Some(Why::Busy),
-            _ => Some(Why::Spent),
+            amount if certain <= amount => Some(RejectionReason::LeasedElsewhere),
+            _ => Some(RejectionReason::Exhausted),
         }
     }
 
-    /// Sees a change that the owner decided on, with its outcome, and the count after it.
-    pub fn see(
+    /// Takes in a change that the owner decided on, with its outcome, and the count after it.
+    pub fn observe(
         &mut self,
         change: &Change,
         outcome: &Result<bool, Rejection>,
-        count: &Count,
+        state: &QuotaState,
     ) -> Result<(), String> {
         match change {
-            Change::Grant { part, kind, least, .. } => {
-                let given = count.parts().find(|(mark, _)| mark == part).map(|(_, p)| *p);
+            Change::GrantLease { lease: id, kind, minimum, .. } => {
+                let given = state.leases().find(|(known, _)| known == id).map(|(_, p)| *p);
                 match (outcome, given) {
                     (Ok(true), Some(given)) => {
-                        if given.amount < *least || self.verdict(*kind, given.amount).is_some() {
+                        if given.amount < *minimum || self.verdict(*kind, given.amount).is_some() {
                             return Err(format!("beyond the allowance: {change:?} gave {given:?}"));
                         }
-                        self.pieces.push(Piece {
-                            mark: *part,
+                        self.leases.push(PlainLease {
+                            id: *id,
                             window: self.window,
                             kind: *kind,
                             amount: given.amount,
-                            lost: false,
-                            settled: false,
+                            is_lost: false,
+                            is_settled: false,
                         });
                     }
-                    (Err(refusal), None) if Why::of(refusal) == Why::Spent => {
-                        if self.verdict(*kind, (*least).max(1)) != Some(Why::Spent) {
-                            return Err(format!("refused while something was left: {change:?}"));
+                    (Err(rejection), None)
+                        if RejectionReason::of(rejection) == RejectionReason::Exhausted =>
+                    {
+                        if self.verdict(*kind, (*minimum).max(1)) != Some(RejectionReason::Exhausted) {
+                            return Err(format!("rejected while something was left: {change:?}"));
                         }
                     }
                     (Ok(false), Some(_)) | (Err(_), None) => {}
                     other => return Err(format!("{change:?}: {other:?}")),
                 }
             }
-            Change::Charge { order, claim, kind, units } => {
-                let known = self.tries.iter().any(|t| t.claim == *claim);
+            Change::ChargeOrder { order, attempt, kind, units } => {
+                let known = self.attempts.iter().any(|t| t.attempt == *attempt);
                 let before = self.charged_by(*order);
                 let expected = if known || before.is_some() { None } else { self.verdict(*kind, *units) };
-                // Of an order with more tries than are remembered, one that was given back is not known again.
-                let all = self.tries.iter().filter(|t| t.order == *order);
-                if known && before.is_none() && all.count() > CLAIMS {
-                    let claim = *claim;
-                    let begun = Try {
+                // Of an order with more attempts than are remembered, one that was given back is not known again.
+                let all = self.attempts.iter().filter(|t| t.order == *order);
+                if known && before.is_none() && all.count() > MAX_ATTEMPTS_PER_ORDER {
+                    let attempt = *attempt;
+                    let begun = Attempt {
                         order: *order,
-                        claim,
-                        holds: true,
-                        first: true,
+                        attempt,
+                        is_charged: true,
+                        is_first: true,
                         window: self.window,
                         kind: *kind,
                         units: *units,
                     };
                     if outcome == &Ok(true) {
-                        self.tries.retain(|t| t.claim != claim);
-                        self.tries.push(begun);
+                        self.attempts.retain(|t| t.attempt != attempt);
+                        self.attempts.push(begun);
                     }
-                } else if outcome.as_ref().err().map(Why::of) != expected {
+                } else if outcome.as_ref().err().map(RejectionReason::of) != expected {
                     return Err(format!("{change:?}: {outcome:?}, the plain counter says {expected:?}"));
                 }
                 if expected.is_none() && !known && outcome.is_ok() {
-                    let (window, first) = (self.window, before.is_none());
-                    let (order, claim, kind, units) = (*order, *claim, *kind, *units);
-                    self.tries.push(Try { order, claim, holds: true, first, window, kind, units });
+                    let (window, is_first) = (self.window, before.is_none());
+                    let (order, attempt, kind, units) = (*order, *attempt, *kind, *units);
+                    self.attempts.push(Attempt {
+                        order,
+                        attempt,
+                        is_charged: true,
+                        is_first,
+                        window,
+                        kind,
+                        units,
+                    });
                 }
             }
-            Change::GiveBack { order, claim } => match self.tries.iter_mut().find(|t| t.claim == *claim) {
-                Some(t) => t.holds = false,
-                None => {
-                    let (order, claim, window) = (*order, *claim, self.window);
-                    let kind = Kind::Confirmation;
-                    self.tries.push(Try { order, claim, holds: false, first: false, window, kind, units: 0 });
+            Change::RefundOrder { order, attempt } => {
+                match self.attempts.iter_mut().find(|t| t.attempt == *attempt) {
+                    Some(t) => t.is_charged = false,
+                    None => {
+                        let (order, attempt, window) = (*order, *attempt, self.window);
+                        let kind = RequestKind::Confirmation;
+                        self.attempts.push(Attempt {
+                            order,
+                            attempt,
+                            is_charged: false,
+                            is_first: false,
+                            window,
+                            kind,
+                            units: 0,
+                        });
+                    }
                 }
-            },
-            Change::Settle { part, used, orders } => {
-                let live = |p: &&mut Piece| p.mark == *part && !p.settled && p.window + 1 >= self.window;
-                if let Some(piece) = self.pieces.iter_mut().find(live) {
-                    piece.settled = true;
-                    let (window, kind) = (piece.window, piece.kind);
+            }
+            Change::SettleLease { lease: id, used, orders } => {
+                let live = |p: &&mut PlainLease| p.id == *id && !p.is_settled && p.window + 1 >= self.window;
+                if let Some(lease) = self.leases.iter_mut().find(live) {
+                    lease.is_settled = true;
+                    let (window, kind) = (lease.window, lease.kind);
                     let mut rest = *used;
-                    for slip in orders {
-                        rest -= slip.units;
-                        if self.tries.iter().any(|t| t.claim == slip.claim) {
+                    for leased in orders {
+                        rest -= leased.units;
+                        if self.attempts.iter().any(|t| t.attempt == leased.attempt) {
                             continue;
                         }
-                        let first = self.charged_by(slip.order).is_none();
-                        let (order, claim, units) = (slip.order, slip.claim, slip.units);
-                        self.tries.push(Try { order, claim, holds: true, first, window, kind, units });
+                        let is_first = self.charged_by(leased.order).is_none();
+                        let (order, attempt, units) = (leased.order, leased.attempt, leased.units);
+                        self.attempts.push(Attempt {
+                            order,
+                            attempt,
+                            is_charged: true,
+                            is_first,
+                            window,
+                            kind,
+                            units,
+                        });
                     }
                     self.plain.push((window, kind, rest));
                 }
             }
-            Change::Reclaim { part } => {
-                if let Some(piece) = self.pieces.iter_mut().find(|p| p.mark == *part) {
-                    piece.lost = true;
+            Change::ExpireLease { lease: id } => {
+                if let Some(lease) = self.leases.iter_mut().find(|p| p.id == *id) {
+                    lease.is_lost = true;
                 }
             }
-            Change::Turn { window } if outcome == &Ok(true) => {
+            Change::EndWindow { window } if outcome == &Ok(true) => {
                 self.window = window + 1;
-                let mut orders: Vec<Order> = self.tries.iter().map(|t| t.order).collect();
+                let mut orders: Vec<OrderId> = self.attempts.iter().map(|t| t.order).collect();
                 orders.sort();
                 orders.dedup();
                 for order in orders {
-                    let of = |t: &&Try| t.order == order;
-                    let first = self.tries.iter().filter(of).rfind(|t| t.first);
-                    let begun = first.or(self.tries.iter().find(of)).map_or(0, |t| t.window);
+                    let of = |t: &&Attempt| t.order == order;
+                    let first = self.attempts.iter().filter(of).rfind(|t| t.is_first);
+                    let begun = first.or(self.attempts.iter().find(of)).map_or(0, |t| t.window);
                     if begun < *window {
-                        self.tries.retain(|t| t.order != order);
+                        self.attempts.retain(|t| t.order != order);
                     }
                 }
             }
             _ => {}
         }
-        if count.window() != self.window {
-            return Err(format!("window {} begun unasked", count.window()));
+        if state.window() != self.window {
+            return Err(format!("window {} begun unasked", state.window()));
         }
-        for kind in Kind::ALL {
+        for kind in RequestKind::ALL {
             for window in [self.window, self.window.saturating_sub(1)] {
-                let (real, plain) = (count.charged(window, kind), self.charged(window, kind));
+                let (real, plain) = (state.charged_units(window, kind), self.charged(window, kind));
                 if real != plain {
                     return Err(format!(
                         "charged {real} {} in window {window}, the plain counter says {plain}, after {change:?}",
                         kind.word()
                     ));
                 }
-                let all = plain + self.aside(window, kind, false) + self.aside(window, kind, true);
+                let all =
+                    plain + self.units_aside(window, kind, false) + self.units_aside(window, kind, true);
                 if all > self.amounts[kind as usize] {
                     return Err(format!("beyond the allowance: {all} {}", kind.word()));
                 }
--- a/crates/control/quota/tests/exhaustive.rs
+++ b/crates/control/quota/tests/exhaustive.rs
@@ -1,11 +1,12 @@
 //! Every order of events at a tiny size: two nodes, one member, an allowance of two, one change of the owner, one span in
-//! which a part's time runs out.
+//! which a lease's time runs out.
 
 mod common;
 
 use common::{allowance, MEMBER};
 use silvercross_control_store::State as _;
 use silvercross_quota::*;
+use silvercross_time::Instant;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
@@ -17,69 +18,69 @@
 #[derive(Clone, Hash)]
 struct State {
     requests: Requests,
-    now: Micros,
-    purses: [Purse; 2],
-    count: Count,
-    /// Letters to the owner and from it, by node and number.
-    asked: BTreeMap<(usize, u64), Change>,
-    told: BTreeMap<(usize, u64), Answer>,
-    /// Requests not made yet, waiting, and accepted: order, node, claim, whether it ended, whether it may have run.
-    left: BTreeSet<usize>,
+    now: Instant,
+    nodes: [QuotaLeases; 2],
+    quota: QuotaState,
+    /// Messages to the owner and from it, by node and number.
+    calls: BTreeMap<(usize, u64), Change>,
+    answers: BTreeMap<(usize, u64), OwnerAnswer>,
+    /// Requests not made yet, waiting, and accepted: order, node, attempt, whether it ended, whether it may have run.
+    unsent: BTreeSet<usize>,
     waiting: BTreeSet<usize>,
-    taken: Vec<(u128, usize, u64, bool, bool)>,
+    accepted: Vec<(u128, usize, u64, bool, bool)>,
     changed: bool,
     passed: bool,
     ticked: [bool; 2],
-    reclaimed: BTreeSet<Mark>,
+    expired: BTreeSet<OperationId>,
 }
 
 impl State {
     fn new(requests: Requests, changes: bool, passes: bool) -> State {
-        let mut count = Count::default();
-        count
-            .apply(&Change::Allow(allowance([0, AMOUNT, 0], false, Away::Serve)))
+        let mut quota = QuotaState::default();
+        quota
+            .apply(&Change::SetAllowance(allowance([0, AMOUNT, 0], false, WhenUnreachable::ServeFromLeases)))
             .expect("a first allowance");
-        // Parts near the end too: there are no others at this size.
-        let terms = Terms { least: 1, ..Terms::default() };
-        let purse = |node| {
-            let mut purse = Purse::new(0, node, 1, terms);
-            purse.set(&allowance([0, AMOUNT, 0], false, Away::Serve));
-            purse
+        // Leases near the end too: there are no others at this size.
+        let config = QuotaConfig { min_lease: 1, ..QuotaConfig::default() };
+        let leases = |node| {
+            let mut leases = QuotaLeases::new(Instant::ZERO, node, 1, config);
+            leases.set_allowance(&allowance([0, AMOUNT, 0], false, WhenUnreachable::ServeFromLeases));
+            leases
         };
         State {
             requests,
-            now: 0,
-            purses: [purse(0), purse(1)],
-            count,
-            asked: BTreeMap::new(),
-            told: BTreeMap::new(),
-            left: (0..requests.len()).collect(),
+            now: Instant::ZERO,
+            nodes: [leases(0), leases(1)],
+            quota,
+            calls: BTreeMap::new(),
+            answers: BTreeMap::new(),
+            unsent: (0..requests.len()).collect(),
             waiting: BTreeSet::new(),
-            taken: Vec::new(),
+            accepted: Vec::new(),
             changed: !changes,
             passed: !passes,
             ticked: [!passes; 2],
-            reclaimed: BTreeSet::new(),
+            expired: BTreeSet::new(),
         }
     }
 
     fn send(&mut self, node: usize) {
-        for call in self.purses[node].calls() {
-            self.asked.insert((node, call.number), call.change);
+        for call in self.nodes[node].take_calls() {
+            self.calls.insert((node, call.number), call.change);
         }
     }
 
-    fn verdicts(&mut self, node: usize, verdicts: Vec<(u64, Charge)>) {
-        for (id, charge) in verdicts {
-            let request = id as usize;
+    fn decided(&mut self, node: usize, decisions: Vec<LateDecision>) {
+        for LateDecision { request, decision } in decisions {
+            let request = request as usize;
             self.waiting.remove(&request);
-            match charge {
-                Charge::AskOwner => {
+            match decision {
+                Decision::AwaitOwner => {
                     self.waiting.insert(request);
                 }
-                Charge::Accepted { claim, .. } => {
-                    self.taken.push((self.requests[request].1, node, claim, false, true));
-                    self.taken.sort();
+                Decision::Accepted { attempt, .. } => {
+                    self.accepted.push((self.requests[request].1, node, attempt, false, true));
+                    self.accepted.sort();
                 }
                 _ => {}
             }
@@ -94,78 +95,78 @@
             act(&mut state);
             all.push(state);
         };
-        for request in &self.left {
+        for request in &self.unsent {
             add(&|s| {
-                s.left.remove(request);
+                s.unsent.remove(request);
                 let (node, order) = s.requests[*request];
-                let (id, kind, order) = (*request as u64, Kind::Confirmation, Some(Order(order)));
-                let asked = Request { id, member: MEMBER, kind, order, bytes: 0 };
-                let charge = s.purses[node].request(s.now, asked);
-                s.verdicts(node, vec![(id, charge)]);
+                let (id, kind, order) = (*request as u64, RequestKind::Confirmation, Some(OrderId(order)));
+                let asked = Request { id, member: MEMBER, kind, order, body_bytes: 0 };
+                let decision = s.nodes[node].decide(s.now, asked);
+                s.decided(node, vec![LateDecision { request: id, decision }]);
                 s.send(node);
             });
         }
-        for key in first_of_each(&self.asked) {
+        for key in first_of_each(&self.calls) {
             add(&|s| {
-                if let Some(change) = s.asked.remove(&key) {
-                    let outcome = s.count.apply(&change);
-                    s.told.insert(key, s.count.answer(&change, &outcome));
+                if let Some(change) = s.calls.remove(&key) {
+                    let outcome = s.quota.apply(&change);
+                    s.answers.insert(key, s.quota.answer(&change, &outcome));
                 }
             });
         }
-        for key in first_of_each(&self.told) {
+        for key in first_of_each(&self.answers) {
             add(&|s| {
-                if let Some(answer) = s.told.remove(&key) {
-                    let verdicts = s.purses[key.0].answer(s.now, key.1, &answer);
-                    s.verdicts(key.0, verdicts);
+                if let Some(answer) = s.answers.remove(&key) {
+                    let decisions = s.nodes[key.0].handle_answer(s.now, key.1, &answer);
+                    s.decided(key.0, decisions);
                     s.send(key.0);
                 }
             });
         }
-        for (at, (order, node, claim, ended, _)) in self.taken.iter().enumerate() {
-            // The first order's tries certainly did not run; of the others nothing is ever known.
+        for (at, (order, node, attempt, ended, _)) in self.accepted.iter().enumerate() {
+            // The first order's attempts certainly did not run; of the others nothing is ever known.
             if *order == 1 && !ended {
                 add(&|s| {
-                    (s.taken[at].3, s.taken[at].4) = (true, false);
-                    s.purses[*node].done(s.now, *claim, Outcome::NotRun);
+                    (s.accepted[at].3, s.accepted[at].4) = (true, false);
+                    s.nodes[*node].finish(s.now, *attempt, RequestOutcome::NotRun);
                     s.send(*node);
                 });
             }
         }
         if !self.changed {
-            // The old owner's letters are gone, those committed stay; the nodes send again.
+            // The old owner's messages are gone, those committed stay; the nodes send again.
             add(&|s| {
                 s.changed = true;
-                s.asked.clear();
-                s.told.clear();
-                s.now += Terms::default().again;
+                s.calls.clear();
+                s.answers.clear();
+                s.now += QuotaConfig::default().retry_interval;
                 for node in 0..2 {
-                    let verdicts = s.purses[node].tick(s.now);
-                    s.verdicts(node, verdicts);
+                    let decisions = s.nodes[node].tick(s.now);
+                    s.decided(node, decisions);
                     s.send(node);
                 }
             });
         }
         if !self.passed {
-            // Both nodes stood still for longer than a part lasts; the owner did not.
+            // Both nodes were frozen for longer than a lease lasts; the owner did not.
             add(&|s| {
                 s.passed = true;
-                s.now += Terms::default().term + Terms::default().margin;
-                s.reclaimed = s.count.parts().map(|(mark, _)| mark).collect();
+                s.now += QuotaConfig::default().lease_duration + QuotaConfig::default().expiry_margin;
+                s.expired = s.quota.leases().map(|(operation, _)| operation).collect();
             });
         }
-        for mark in &self.reclaimed {
+        for operation in &self.expired {
             add(&|s| {
-                s.reclaimed.remove(mark);
-                let _ = s.count.apply(&Change::Reclaim { part: *mark });
+                s.expired.remove(operation);
+                let _ = s.quota.apply(&Change::ExpireLease { lease: *operation });
             });
         }
         for node in 0..2 {
             if self.passed && !self.ticked[node] {
                 add(&|s| {
                     s.ticked[node] = true;
-                    let verdicts = s.purses[node].tick(s.now);
-                    s.verdicts(node, verdicts);
+                    let decisions = s.nodes[node].tick(s.now);
+                    s.decided(node, decisions);
                     s.send(node);
                 });
             }
@@ -174,16 +175,17 @@
     }
 
     fn check(&self) {
-        let may_run: BTreeSet<u128> = self.taken.iter().filter(|t| t.4).map(|t| t.0).collect();
+        let may_run: BTreeSet<u128> = self.accepted.iter().filter(|t| t.4).map(|t| t.0).collect();
         assert!(may_run.len() as u64 <= AMOUNT, "beyond the allowance: {may_run:?}");
-        let kind = Kind::Confirmation;
-        let charged = self.count.charged(0, kind);
-        let aside = self.count.open(0, kind) + self.count.lost(0, kind);
+        let kind = RequestKind::Confirmation;
+        let charged = self.quota.charged_units(0, kind);
+        let aside = self.quota.leased_units(0, kind) + self.quota.lost_units(0, kind);
         assert!(charged + aside <= AMOUNT);
         // Nothing under way: what is charged is what may have run, each order once.
-        let settled = self.count.parts().next().is_none() && self.asked.is_empty() && self.told.is_empty();
-        let held: u64 = self.purses.iter().map(|p| p.held(MEMBER, kind)).sum();
-        if settled && held == 0 && self.left.is_empty() && self.waiting.is_empty() {
+        let settled =
+            self.quota.leases().next().is_none() && self.calls.is_empty() && self.answers.is_empty();
+        let held: u64 = self.nodes.iter().map(|p| p.held_units(MEMBER, kind)).sum();
+        if settled && held == 0 && self.unsent.is_empty() && self.waiting.is_empty() {
             assert_eq!(charged, may_run.len() as u64, "each order once");
         }
     }
@@ -200,8 +202,8 @@
 }
 
 /// Each link keeps its order; drawn schedules break it.
-fn first_of_each<T>(letters: &BTreeMap<(usize, u64), T>) -> Vec<(usize, u64)> {
-    (0..2).filter_map(|node| letters.range((node, 0)..(node + 1, 0)).next().map(|(key, _)| *key)).collect()
+fn first_of_each<T>(messages: &BTreeMap<(usize, u64), T>) -> Vec<(usize, u64)> {
+    (0..2).filter_map(|node| messages.range((node, 0)..(node + 1, 0)).next().map(|(key, _)| *key)).collect()
 }
 
 fn search(requests: Requests, changes: bool, passes: bool) {
@@ -235,8 +237,8 @@
     search(&[(0, 1), (0, 2), (1, 3)], true, false);
 }
 
-/// The owner changes, and nodes stand still past their parts' time.
+/// The owner changes, and nodes are frozen past their leases' time.
 #[test]
-fn every_order_of_a_lost_part_and_an_owners_change() {
+fn every_order_of_a_lost_lease_and_an_owners_change() {
     search(&[(0, 1), (1, 2)], true, true);
 }
--- a/crates/control/quota/tests/wire_bytes.rs
+++ b/crates/control/quota/tests/wire_bytes.rs
@@ -2,7 +2,11 @@
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::State;
-use silvercross_quota::{read, Answer, Book, Change, Count, Kind, Mark, Order, Part, Slip, Why};
+use silvercross_quota::{
+    parse, AllowanceSet, Change, Lease, LeasedOrder, OperationId, OrderId, OwnerAnswer, QuotaState,
+    RejectionReason, RequestKind,
+};
+use silvercross_time::Duration;
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its encoding in hexadecimal.
@@ -26,65 +30,80 @@
     "withdraw": {"allowances": [{"name": "old", "edition": 4}]}
 }"#;
 
-fn order() -> Order {
-    Order(0x0011_2233_4455_6677_8899_aabb_ccdd_eeff)
+fn order() -> OrderId {
+    OrderId(0x0011_2233_4455_6677_8899_aabb_ccdd_eeff)
 }
 
-fn mark(number: u64) -> Mark {
-    Mark { node: 0x7f00_0001, life: 1_700_000_000_000, number }
+fn operation(number: u64) -> OperationId {
+    OperationId { node: 0x7f00_0001, incarnation: 1_700_000_000_000, number }
 }
 
-fn part() -> Part {
-    Part { kind: Kind::Read, window: 2, amount: 100, slots: 8, fence: 4, lost: true }
+fn lease() -> Lease {
+    Lease { kind: RequestKind::Read, window: 2, amount: 100, max_orders: 8, fence: 4, is_lost: true }
 }
 
 #[test]
 fn allowances_and_counts_are_encoded_as_they_always_were() {
-    let change = read(CALL).expect("valid");
-    let mut book = Book::default();
-    assert_eq!(book.apply(&change), Ok(true));
-    let allowance = book.get("w").expect("it stands").clone();
-    let slip = Slip { order: order(), claim: mark(2), units: 3 };
+    let change = parse(CALL).expect("valid");
+    let mut set = AllowanceSet::default();
+    assert_eq!(set.apply(&change), Ok(true));
+    let allowance = set.get("w").expect("it stands").clone();
+    let leased = LeasedOrder { order: order(), attempt: operation(2), units: 3 };
     let changes = [
-        ("allow", Change::Allow(allowance)),
-        ("grant", Change::Grant { part: mark(1), kind: Kind::Read, want: 100, least: 1 }),
-        ("settle", Change::Settle { part: mark(1), used: 5, orders: vec![slip] }),
-        ("charge", Change::Charge { order: Order(7), claim: mark(3), kind: Kind::Upload, units: 2 }),
-        ("give-back", Change::GiveBack { order: Order(7), claim: mark(3) }),
-        ("elapsed", Change::Elapsed { window: 0, us: 60_000_000 }),
-        ("turn", Change::Turn { window: 0 }),
-        ("reclaim", Change::Reclaim { part: mark(1) }),
-        ("withdraw", Change::Withdraw { edition: 9 }),
+        ("allow", Change::SetAllowance(allowance)),
+        (
+            "grant",
+            Change::GrantLease { lease: operation(1), kind: RequestKind::Read, wanted: 100, minimum: 1 },
+        ),
+        ("settle", Change::SettleLease { lease: operation(1), used: 5, orders: vec![leased] }),
+        (
+            "charge",
+            Change::ChargeOrder {
+                order: OrderId(7),
+                attempt: operation(3),
+                kind: RequestKind::Upload,
+                units: 2,
+            },
+        ),
+        ("give-back", Change::RefundOrder { order: OrderId(7), attempt: operation(3) }),
+        ("elapsed", Change::RecordElapsed { window: 0, elapsed: Duration::from_secs(60) }),
+        ("turn", Change::EndWindow { window: 0 }),
+        ("reclaim", Change::ExpireLease { lease: operation(1) }),
+        ("withdraw", Change::RemoveAllowance { version: 9 }),
     ];
     let mut lines = String::new();
     add(&mut lines, "book-change", change);
-    add(&mut lines, "book", book);
-    let mut count = Count::default();
+    add(&mut lines, "book", set);
+    let mut state = QuotaState::default();
     for (name, change) in changes {
-        // Whether it is taken says the encoding of the count that follows.
-        let _ = count.apply(&change);
+        // Whether it is taken says the encoding of the state that follows.
+        let _ = state.apply(&change);
         add(&mut lines, &format!("change/{name}"), change);
-        add(&mut lines, &format!("count/after-{name}"), count.clone());
+        add(&mut lines, &format!("count/after-{name}"), state.clone());
     }
-    add(&mut lines, "answer/granted", Answer::Granted { part: part(), left: 12 });
-    add(&mut lines, "answer/charged", Answer::Charged { repeat: true, window: 2, left: 300 });
-    add(&mut lines, "answer/done", Answer::Done);
-    for (i, why) in [
-        Why::Spent,
-        Why::Busy,
-        Why::Near,
-        Why::Full,
-        Why::Unset,
-        Why::Stale,
-        Why::Invalid,
-        Why::Away,
-        Why::Crowded,
+    add(&mut lines, "answer/granted", OwnerAnswer::Granted { lease: lease(), free: 12 });
+    add(&mut lines, "answer/charged", OwnerAnswer::Charged { is_repeat: true, window: 2, free: 300 });
+    add(&mut lines, "answer/done", OwnerAnswer::Done);
+    for (i, reason) in [
+        RejectionReason::Exhausted,
+        RejectionReason::LeasedElsewhere,
+        RejectionReason::NearlyExhausted,
+        RejectionReason::LimitReached,
+        RejectionReason::NotAllowed,
+        RejectionReason::Superseded,
+        RejectionReason::Invalid,
+        RejectionReason::OwnerUnreachable,
+        RejectionReason::Overloaded,
     ]
     .into_iter()
     .enumerate()
     {
-        let name = format!("answer/no-{}", why.word());
-        add(&mut lines, &name, Answer::No { why, window: 2, ends_in: 1_000_000, left: i as u64 });
+        let name = format!("answer/no-{}", reason.word());
+        add(
+            &mut lines,
+            &name,
+            OwnerAnswer::Rejected { reason, window: 2, ends_in: Duration::from_secs(1), free: i as u64 },
+        );
     }
     assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
 }
--- a/crates/testing/architecture-tests/src/packages.rs
+++ b/crates/testing/architecture-tests/src/packages.rs
@@ -88,6 +88,7 @@
     "control/config-item",
     "control/mesh-config",
     "control/mesh-membership",
+    "control/quota",
     "control/throttle",
     "testing/control-sim",
     "testing/history-checker",
