--- a/crates/control/control-store/src/batch.rs
+++ b/crates/control/control-store/src/batch.rs
@@ -1,110 +1,122 @@
-//! One round of an owner's queue: which calls go into the next copy, wait for the next question, or stay in the queue.
+//! One pass over an owner's queue: which calls go into the next append, wait for the next confirmation of the epoch, or stay
+//! in the queue.
+//!
+//! It sends nothing; `protocol::replicate` does what comes of it.
 
-use crate::calls::{Job, Who};
-use crate::limits::BATCH;
+use crate::call::{Applied, Caller, QueuedCall, UncommittedCall, UnconfirmedCall};
+use crate::key_slot::CommittedValue;
+use crate::limits::MAX_BATCH_CHANGES;
 use crate::message::{CallOutcome, Request};
-use crate::mutation::{active, Mutation};
-use crate::state::{Asked, Outcome};
-use crate::{Revision, State};
+use crate::mutation::{is_active, Mutation};
+use crate::value::State;
 use std::collections::VecDeque;
 
+/// An answer that needs nobody else.
+pub(crate) struct ImmediateAnswer<V> {
+    pub(crate) caller: Caller,
+    pub(crate) outcome: CallOutcome<V>,
+}
+
 /// What becomes of the calls that wait at a key.
-pub(crate) struct Batch<P: State> {
-    /// Where the committed value is.
-    revision: Revision,
-    /// Bytes of changes at most in the copy, but for the last change.
-    piece: usize,
-    /// Whether a copy is under way: changes wait for it.
-    busy: bool,
-    broken: Option<Mutation>,
+pub(crate) struct Batch<V: State> {
+    /// Bytes of changes at most in the append, but for the last change.
+    max_bytes: usize,
+    /// Whether an append is in flight: changes wait for it.
+    is_busy: bool,
+    mutation: Option<Mutation>,
     /// What the changes make of the committed value; `None` as long as nothing changes it.
-    pub value: Option<P>,
-    /// The changes that do. At most `BATCH`.
-    pub changes: Vec<P::Change>,
+    pub(crate) value: Option<V>,
+    /// The changes that do. At most `MAX_BATCH_CHANGES`.
+    pub(crate) changes: Vec<V::Change>,
     bytes: usize,
-    /// Calls to be answered with the copy.
-    pub jobs: Vec<(Job<P::Change>, Outcome)>,
-    /// Calls to be answered with the next question.
-    pub asked: Vec<Asked<P::Change>>,
+    /// Calls to be answered with the append.
+    pub(crate) uncommitted: Vec<UncommittedCall<V::Change>>,
+    /// Calls to be answered with the next confirmation.
+    pub(crate) unconfirmed: Vec<UnconfirmedCall<V::Change>>,
     /// Calls that stay in the queue.
-    pub waiting: VecDeque<Job<P::Change>>,
-    /// Answers given at once: only by a control store that is broken on purpose.
-    pub answers: Vec<(Who, CallOutcome<P>)>,
+    pub(crate) queue: VecDeque<QueuedCall<V::Change>>,
+    /// Answers given at once: only where a mutation is in force.
+    pub(crate) answers: Vec<ImmediateAnswer<V>>,
 }
 
-impl<P: State> Batch<P> {
-    /// An empty one, over a value committed at `revision`.
-    pub(crate) fn new(revision: Revision, piece: usize, busy: bool, broken: Option<Mutation>) -> Self {
+impl<V: State> Batch<V> {
+    /// An empty one.
+    pub(crate) fn new(max_bytes: usize, is_busy: bool, mutation: Option<Mutation>) -> Self {
         Batch {
-            revision,
-            piece,
-            busy,
-            broken,
+            max_bytes,
+            is_busy,
+            mutation,
             value: None,
             changes: Vec::new(),
             bytes: 0,
-            jobs: Vec::new(),
-            asked: Vec::new(),
-            waiting: VecDeque::new(),
+            uncommitted: Vec::new(),
+            unconfirmed: Vec::new(),
+            queue: VecDeque::new(),
             answers: Vec::new(),
         }
     }
 
-    /// Whether it is broken so.
-    fn is(&self, broken: Mutation) -> bool {
-        active(self.broken, broken)
+    fn has_mutation(&self, mutation: Mutation) -> bool {
+        is_active(self.mutation, mutation)
     }
 
     /// Takes the next open call of the queue.
-    pub(crate) fn add(&mut self, job: Job<P::Change>, committed: &P) {
-        if !matches!(job.ask, Request::Change(_)) {
-            if self.is(Mutation::ReadsWithoutConfirmation) {
-                let verdict = CallOutcome::Value { revision: self.revision, value: committed.clone() };
-                self.answers.push((job.who, verdict));
+    pub(crate) fn add(&mut self, call: QueuedCall<V::Change>, committed: &CommittedValue<V>) {
+        if !matches!(call.request, Request::Change(_)) {
+            if self.has_mutation(Mutation::ReadsWithoutConfirmation) {
+                let (revision, value) = (committed.revision, committed.value.clone());
+                self.answer(&call, CallOutcome::Value { revision, value });
             } else {
-                self.asked.push((job, None));
+                self.unconfirmed.push(UnconfirmedCall { call, rejection: None });
             }
-        } else if self.busy || self.changes.len() >= BATCH || self.bytes >= self.piece {
-            self.waiting.push_back(job);
+        } else if self.is_busy || self.changes.len() >= MAX_BATCH_CHANGES || self.bytes >= self.max_bytes {
+            self.queue.push_back(call);
         } else {
-            self.apply(job, committed);
+            self.apply(call, committed);
         }
     }
 
     /// Tries a change on what those before it make of the value.
-    fn apply(&mut self, job: Job<P::Change>, committed: &P) {
-        let Request::Change(change) = &job.ask else { return };
-        // A value is tried on a copy: what is refused may leave nothing behind.
-        let mut tried = self.value.as_ref().unwrap_or(committed).clone();
+    fn apply(&mut self, call: QueuedCall<V::Change>, committed: &CommittedValue<V>) {
+        let Request::Change(change) = &call.request else { return };
+        // A change is tried on a clone: one that is rejected may leave nothing behind.
+        let mut tried = self.value.as_ref().unwrap_or(&committed.value).clone();
         match (tried.apply(change), self.value.is_some()) {
-            (Ok(true), _) => self.change(tried, job, Ok(true)),
-            (Ok(false), false) => self.asked.push((job, None)),
-            (Err(refusal), _) if self.is(Mutation::KeepsPartialChange) && tried != *committed => {
-                self.change(tried, job, Err(refusal));
+            (Ok(true), _) => self.change(tried, call, Ok(true)),
+            (Ok(false), false) => self.unconfirmed.push(UnconfirmedCall { call, rejection: None }),
+            (Err(rejection), _)
+                if self.has_mutation(Mutation::KeepsPartialChange) && tried != committed.value =>
+            {
+                self.change(tried, call, Err(rejection));
+            }
+            (Err(rejection), false) if self.has_mutation(Mutation::RejectsWithoutConfirmation) => {
+                self.answer(&call, CallOutcome::Rejected(rejection));
             }
-            (Err(refusal), false) if self.is(Mutation::RejectsWithoutConfirmation) => {
-                self.answers.push((job.who, CallOutcome::Rejected(refusal)));
+            (Err(rejection), false) => {
+                self.unconfirmed.push(UnconfirmedCall { call, rejection: Some(rejection) });
             }
-            (Err(refusal), false) => self.asked.push((job, Some(refusal))),
-            (Err(refusal), true) if self.is(Mutation::AnswersFromUncommitted) => {
-                self.answers.push((job.who, CallOutcome::Rejected(refusal)));
+            (Err(rejection), true) if self.has_mutation(Mutation::AnswersFromUncommitted) => {
+                self.answer(&call, CallOutcome::Rejected(rejection));
             }
-            (Ok(false), true) if self.is(Mutation::AnswersFromUncommitted) => {
-                self.answers
-                    .push((job.who, CallOutcome::Committed { revision: self.revision, changed: false }));
+            (Ok(false), true) if self.has_mutation(Mutation::AnswersFromUncommitted) => {
+                self.answer(&call, CallOutcome::Committed { revision: committed.revision, changed: false });
             }
-            // Rests on a change that is not yet committed: told when that is.
-            (outcome, true) => self.jobs.push((job, outcome)),
+            // It depends on a change that is not committed yet: answered when that is.
+            (applied, true) => self.uncommitted.push(UncommittedCall { call, applied }),
         }
     }
 
-    /// The change goes into the copy, which makes `value` of it.
-    fn change(&mut self, value: P, job: Job<P::Change>, outcome: Outcome) {
-        if let Request::Change(change) = &job.ask {
+    /// The change goes into the append, which makes `value` of it.
+    fn change(&mut self, value: V, call: QueuedCall<V::Change>, applied: Applied) {
+        if let Request::Change(change) = &call.request {
             self.bytes += bitcode::encode(change).len();
             self.changes.push(change.clone());
         }
         self.value = Some(value);
-        self.jobs.push((job, outcome));
+        self.uncommitted.push(UncommittedCall { call, applied });
+    }
+
+    fn answer(&mut self, call: &QueuedCall<V::Change>, outcome: CallOutcome<V>) {
+        self.answers.push(ImmediateAnswer { caller: call.caller, outcome });
     }
 }
--- a/crates/control/control-store/src/lib.rs
+++ b/crates/control/control-store/src/lib.rs
@@ -1,78 +1,49 @@
-//! The mesh's control state, decided without I/O: each key has one owner at a time, which copies a change to others
-//! before it answers and hands the key over under a rising epoch. No common log, no leader for all.
-//! The argument why nothing acknowledged is lost: `docs/design/control-store.md`.
+//! The mesh's control state, decided without I/O: each key has one owner at a time, which replicates a change to the other
+//! replicas before it answers, and which another replaces under a higher epoch. There is no common log and no leader of all keys.
+//!
+//! Each key is a register as in Paxos with a stable proposer: an owner collects promises for its epoch from a quorum
+//! (prepare), takes over the latest accepted value, and from then on only sends accepts. The replica set itself is decided
+//! the same way, through a joint replica set (Raft, section 6). Why nothing acknowledged is lost:
+//! `docs/design/control-store.md`.
+//!
+//! The caller owns sockets, disk and clock. It hands in what happened ([`ControlStore::receive`],
+//! [`ControlStore::write_completed`], [`ControlStore::set_reachable`], [`ControlStore::tick`]) and after each of these calls
+//! does what [`ControlStore::take_effects`] returns.
+//!
+//! Where to go on reading: `store` for the state, [`Message`] for what replicas say to each other, `protocol` for the rules,
+//! one file for each role.
 #![forbid(unsafe_code)]
+#![deny(missing_docs, unreachable_pub)]
+#![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 mod batch;
-mod calls;
-mod claim;
-mod due;
-mod durable;
+mod call;
+mod change_log;
+mod effect;
+mod key_slot;
 mod limits;
-mod links;
 mod message;
 mod metrics;
 mod mutation;
-mod owner;
-mod pieces;
-mod recent;
-mod replica;
+mod proposal;
+mod protocol;
+mod repair;
 mod replica_set;
-mod state;
+mod snapshot;
 mod store;
-
-pub use message::{
-    CallOutcome, Effect, ForwardReply, Incarnation, Incarnations, KeySummary, Message, Metadata, Request,
-    StoredKey, StoredState,
-};
-pub use metrics::{KeyState, Metrics, Role};
+mod stored;
+mod types;
+mod value;
+mod write_queue;
+
+pub use effect::Effect;
+pub use limits::SNAPSHOT_CHUNK_BYTES;
+pub use message::{CallOutcome, ForwardReply, KeySummary, Message, Request};
+pub use metrics::{KeyState, Metrics, OwnedKey, Role};
 pub use mutation::Mutation;
-pub use pieces::{Digest, SNAPSHOT_CHUNK_BYTES};
-pub use replica_set::{ReplicaSet, Vote};
-pub use store::{ControlStore, Start};
-
-use bitcode::{Decode, DecodeOwned, Encode};
-
-/// Microseconds on the caller's monotonic clock.
-pub type Micros = i64;
-
-/// A machine that holds the state: its IPv4 address as a number, which it keeps across restarts.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Node(pub u32);
-
-/// One term of ownership of a key. Ordered by round, then by owner; no two owners share one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Epoch {
-    /// Rises with every taking.
-    pub round: u64,
-    /// Who owns the key in it.
-    pub owner: u32,
-}
-
-/// Where a key's content stands: all committed contents of a key are ordered by it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Revision {
-    /// Under which ownership it was written.
-    pub epoch: Epoch,
-    /// Which change within that ownership.
-    pub sequence: u64,
-}
-
-/// Why a change is not taken. Nothing of it is in force.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Rejection {
-    /// It would be valid but another of the same version came first (409); else it is invalid (400).
-    pub conflict: bool,
-    /// Item, key and reason, for the operator.
-    pub reason: String,
-}
-
-/// The content of a key and how it changes. It is sent as it is encoded.
-pub trait State: Clone + Default + PartialEq + std::fmt::Debug + Encode + DecodeOwned {
-    /// One call's change.
-    type Change: Clone + PartialEq + std::fmt::Debug + Encode;
-
-    /// Apply a change whole or not at all: `Ok(true)` if something changed, `Ok(false)` if all of it stood already (it is
-    /// acknowledged again), `Err` with `self` as it was.
-    fn apply(&mut self, change: &Self::Change) -> Result<bool, Rejection>;
-}
+pub use replica_set::{AcceptedReplicaSet, Member, ReplicaSet, Vote};
+pub use snapshot::SnapshotDigest;
+pub use store::{ControlStore, StartConfig};
+pub use stored::{Metadata, StoredKey, StoredState};
+pub use types::{Epoch, Incarnation, Incarnations, KeyPosition, Micros, Node, NodeIncarnation, Revision};
+pub use value::{Rejection, State};
--- /dev/null
+++ b/crates/control/control-store/src/protocol/calls.rs
@@ -0,0 +1,206 @@
+//! Calls of this node's callers: where each is served, and that it is answered in time.
+
+use crate::call::{Call, CallPlace, Caller, ForwardTarget, QueuedCall};
+use crate::effect::Effect;
+use crate::key_slot::Ownership;
+use crate::limits::{CALL_TIMEOUT, FORWARD_TIMEOUT, MAX_FORWARDS_PER_CALL, MAX_OPEN_CALLS, MAX_QUEUED_CALLS};
+use crate::message::{CallOutcome, ForwardReply, Message, Request};
+use crate::store::ControlStore;
+use crate::types::{Node, Revision};
+use crate::value::{Rejection, State};
+use silvercross_time::Instant;
+
+impl<V: State> ControlStore<V> {
+    /// A change. Its outcome comes as an [`Effect::Answer`] with this token, within 800 ms.
+    pub fn call(&mut self, now: Instant, token: u64, key: &str, change: V::Change) {
+        self.begin(now, token, key, Request::Change(change));
+    }
+
+    /// A read of all that was acknowledged before it. Its outcome comes as that of a change does.
+    pub fn read(&mut self, now: Instant, token: u64, key: &str) {
+        self.begin(now, token, key, Request::Read);
+    }
+
+    fn begin(&mut self, now: Instant, token: u64, key: &str, request: Request<V::Change>) {
+        if self.slot(now, key).is_none() {
+            let reason = format!("no room for a further key ({} bytes)", key.len());
+            let outcome = CallOutcome::Rejected(Rejection { conflict: false, reason });
+            self.push_effect(Effect::Answer { token, outcome });
+            return;
+        }
+        if self.open_calls.len() >= MAX_OPEN_CALLS {
+            self.metrics.unknown_outcomes += 1;
+            self.push_effect(Effect::Answer { token, outcome: CallOutcome::Unknown });
+            return;
+        }
+        let call = Call {
+            token,
+            key: key.to_owned(),
+            request,
+            deadline: now + CALL_TIMEOUT,
+            tried: Vec::new(),
+            place: CallPlace::Local,
+        };
+        self.open_call(now, call);
+    }
+
+    /// Gives a call the next number and a place.
+    fn open_call(&mut self, now: Instant, call: Call<V::Change>) {
+        self.last_call = self.last_call.wrapping_add(1);
+        self.open_calls.insert(self.last_call, call);
+        self.route(now, self.last_call);
+    }
+
+    /// Finds a place for an open call: here, at the owner, or at who should be.
+    pub(crate) fn route(&mut self, now: Instant, id: u64) {
+        let Some(call) = self.open_calls.get(&id) else { return };
+        let Some(slot) = self.keys.get(&call.key) else { return };
+        if slot.is_replica() {
+            if let Some(target) = self.forward_target(now, call) {
+                return self.forward(now, id, target);
+            }
+        }
+        let can_claim = self.can_claim();
+        let Some(call) = self.open_calls.get_mut(&id) else { return };
+        if !can_claim {
+            call.tried.clear();
+            call.place = CallPlace::Parked(now + FORWARD_TIMEOUT);
+            return;
+        }
+        call.place = CallPlace::Local;
+        let (request, deadline) = (call.request.clone(), call.deadline);
+        let key = call.key.clone();
+        self.enqueue(now, &key, QueuedCall { caller: Caller::Local(id), request, deadline });
+    }
+
+    /// To whom a call is to be forwarded: the owner, or who should be. A node that can't claim the key itself turns to any
+    /// other.
+    fn forward_target(&self, now: Instant, call: &Call<V::Change>) -> Option<ForwardTarget> {
+        let epoch = self.keys.get(&call.key)?.highest_epoch;
+        let order = self.claim_order(&call.key);
+        let is_untried = |t: &ForwardTarget| t.node != self.node && !call.tried.contains(t);
+        let first = order.first().map(|node| ForwardTarget { node: *node, epoch });
+        let mut target = self.known_owner(now, &call.key).or(first);
+        if !self.can_claim() {
+            let others = order.iter().map(|node| ForwardTarget { node: *node, epoch });
+            target = target.into_iter().chain(others).find(is_untried);
+        }
+        target.filter(|target| is_untried(target) && call.tried.len() < MAX_FORWARDS_PER_CALL)
+    }
+
+    fn forward(&mut self, now: Instant, id: u64, target: ForwardTarget) {
+        let is_voter = self.is_voter();
+        let Some(call) = self.open_calls.get_mut(&id) else { return };
+        let request = match &call.request {
+            // No value is replicated to here.
+            Request::Read if !is_voter => Request::ReadValue,
+            request => request.clone(),
+        };
+        let message = Message::Forward { id, key: call.key.clone(), epoch: target.epoch, request };
+        call.tried.push(target);
+        call.place = CallPlace::Forwarded { target, since: now };
+        self.metrics.forwarded += 1;
+        self.send(target.node, message);
+    }
+
+    /// Puts a call where the key is owned or claimed, and claims it if need be.
+    pub(crate) fn enqueue(&mut self, now: Instant, key: &str, call: QueuedCall<V::Change>) {
+        let Some(slot) = self.keys.get_mut(key) else { return };
+        let unconfirmed = slot.owner().map_or(0, |owner| owner.unconfirmed.len());
+        if slot.queue.len() + unconfirmed >= MAX_QUEUED_CALLS {
+            self.answer(call.caller, CallOutcome::Unknown);
+            return;
+        }
+        slot.queue.push_back(call);
+        match slot.ownership {
+            Ownership::Replica => self.claim(now, key),
+            Ownership::Claiming(_) => {}
+            Ownership::Owner(_) => self.process_queue(now, key),
+        }
+    }
+
+    /// What is read stands at this revision: answered with the value here, once that is there; if it has gone on already, to
+    /// what nobody may know to be committed, the owner is asked for the value.
+    pub(crate) fn read_here(&mut self, now: Instant, id: u64, revision: Revision) {
+        let Some(call) = self.open_calls.get_mut(&id) else { return };
+        let Some(slot) = self.keys.get(&call.key) else { return };
+        if slot.accepted == revision {
+            let value = slot.value.clone();
+            self.answer(Caller::Local(id), CallOutcome::Value { revision, value });
+        } else if slot.accepted < revision {
+            call.place = CallPlace::AwaitingRevision(revision);
+            let key = call.key.clone();
+            self.request_missing(&key, revision.epoch);
+        } else if let Some(mut call) = self.open_calls.remove(&id) {
+            call.request = Request::ReadValue;
+            call.tried.clear();
+            // Under another number: this one was served.
+            self.open_call(now, call);
+        }
+    }
+
+    /// The value here has gone on: answers what waited for it.
+    pub(crate) fn resume_reads(&mut self, now: Instant, key: &str) {
+        let waiting = |(id, call): (&u64, &Call<V::Change>)| match call.place {
+            CallPlace::AwaitingRevision(revision) if call.key == key => Some((*id, revision)),
+            _ => None,
+        };
+        let waiting: Vec<(u64, Revision)> = self.open_calls.iter().filter_map(waiting).collect();
+        for (id, revision) in waiting {
+            self.read_here(now, id, revision);
+        }
+    }
+
+    /// Answers a call's caller, or who forwarded it.
+    pub(crate) fn answer(&mut self, caller: Caller, outcome: CallOutcome<V>) {
+        match caller {
+            Caller::Remote { node, id, epoch } => {
+                let reply = ForwardReply::Answered(outcome);
+                self.send(node, Message::ForwardReply { id, epoch, reply });
+            }
+            Caller::Local(id) => {
+                if let Some(call) = self.open_calls.remove(&id) {
+                    self.metrics.unknown_outcomes += u64::from(outcome == CallOutcome::Unknown);
+                    self.push_effect(Effect::Answer { token: call.token, outcome });
+                }
+            }
+        }
+    }
+
+    /// Calls forwarded to a node that can't be reached any more get another place.
+    pub(crate) fn reroute_calls_forwarded_to(&mut self, now: Instant, node: Node) {
+        let is_there = |call: &Call<V::Change>| call.forwarded_to().is_some_and(|to| to.node == node);
+        let calls = self.open_calls.iter().filter(|(_, call)| is_there(call));
+        let ids: Vec<u64> = calls.map(|(id, _)| *id).collect();
+        for id in ids {
+            self.route(now, id);
+        }
+    }
+
+    /// All calls that are not served here get another place: the replicas are others now, or this node is one.
+    pub(crate) fn reroute_calls(&mut self, now: Instant) {
+        let mut ids = Vec::new();
+        for (id, call) in &mut self.open_calls {
+            if !matches!(call.place, CallPlace::Local) {
+                call.tried.clear();
+                ids.push(*id);
+            }
+        }
+        for id in ids {
+            self.route(now, id);
+        }
+    }
+
+    /// Answers calls whose time is over, and gives those another place that got no answer where they are.
+    pub(crate) fn tick_calls(&mut self, now: Instant) {
+        let due = self.open_calls.iter().filter(|(_, call)| call.next_deadline() <= now);
+        let due: Vec<u64> = due.map(|(id, _)| *id).collect();
+        for id in due {
+            match self.open_calls.get(&id) {
+                Some(call) if call.deadline <= now => self.answer(Caller::Local(id), CallOutcome::Unknown),
+                Some(call) if call.next_deadline() <= now => self.route(now, id),
+                _ => {}
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/control-store/src/protocol/durable.rs
@@ -0,0 +1,161 @@
+//! Writes to disk: what is to be written, what waits for it, and what is left out while the disk has no space.
+//!
+//! The invariant: nothing is said to another node, or counted as said by this one, before what it rests on is durable.
+
+use crate::effect::Effect;
+use crate::limits::MAX_WRITES_IN_FLIGHT;
+use crate::message::Message;
+use crate::mutation::Mutation;
+use crate::store::{ControlStore, Phase};
+use crate::stored::{Metadata, StoredKey};
+use crate::types::Node;
+use crate::value::State;
+use crate::write_queue::{AfterWrite, WriteInFlight};
+use silvercross_time::Instant;
+
+impl<V: State> ControlStore<V> {
+    /// Takes what is to be done. To be called after every other call; [`ControlStore::write_completed`] may make room for
+    /// the next write.
+    pub fn take_effects(&mut self) -> Vec<Effect<V>> {
+        if self.has_unwritten() && self.writes_in_flight.len() < MAX_WRITES_IN_FLIGHT {
+            self.last_write += 1;
+            let write = self.last_write;
+            let metadata = std::mem::take(&mut self.has_unwritten_metadata).then(|| self.metadata());
+            let unwritten = std::mem::take(&mut self.unwritten_keys);
+            let keys = unwritten.into_iter().filter_map(|key| self.stored_key(key)).collect();
+            self.effects.push(Effect::Store { write, metadata, keys });
+            let then = std::mem::take(&mut self.after_next_write);
+            self.writes_in_flight.push_back(WriteInFlight { write, then });
+        }
+        std::mem::take(&mut self.effects)
+    }
+
+    /// This write and all before it are durable.
+    pub fn write_completed(&mut self, now: Instant, write: u64) {
+        while self.writes_in_flight.front().is_some_and(|in_flight| in_flight.write <= write) {
+            if let Some(done) = self.writes_in_flight.pop_front() {
+                for step in done.then {
+                    self.run_after_write(now, step);
+                }
+            }
+        }
+    }
+
+    /// Whether the disk takes writes; until told otherwise it does. Without space nothing is said that rests on a write,
+    /// nothing is claimed, and what this node owns goes to others; what rests on no write goes on. Writes in flight
+    /// stay so.
+    pub fn set_disk_has_space(&mut self, now: Instant, has_space: bool) {
+        if self.disk_has_space == has_space {
+            return;
+        }
+        self.disk_has_space = has_space;
+        if has_space {
+            self.reroute_calls(now);
+            self.tick(now);
+            return;
+        }
+        self.metrics.disk_full += 1;
+        if !self.has_mutation(Mutation::ConfirmsFailedWrites) {
+            self.withhold_replies();
+        }
+        self.release_all_keys(now);
+    }
+
+    /// Drops the messages that wait for writes: who asked asks again.
+    fn withhold_replies(&mut self) {
+        let in_flight = self.writes_in_flight.iter_mut().map(|in_flight| &mut in_flight.then);
+        for steps in in_flight.chain([&mut self.after_next_write]) {
+            let before = steps.len();
+            steps.retain(|step| !matches!(step, AfterWrite::Send { .. }));
+            self.metrics.replies_withheld += (before - steps.len()) as u64;
+        }
+    }
+
+    /// Whether the disk takes writes, as far as is known.
+    pub fn disk_has_space(&self) -> bool {
+        self.disk_has_space
+    }
+
+    /// Whether it may claim: it is a voter and its disk takes writes.
+    pub(crate) fn can_claim(&self) -> bool {
+        self.is_voter() && self.disk_has_space
+    }
+
+    /// The key goes into the next write.
+    pub(crate) fn persist_key(&mut self, key: &str) {
+        self.unwritten_keys.insert(key.to_owned());
+    }
+
+    /// The metadata goes into the next write.
+    pub(crate) fn persist_metadata(&mut self) {
+        self.has_unwritten_metadata = true;
+    }
+
+    fn has_unwritten(&self) -> bool {
+        self.has_unwritten_metadata || !self.unwritten_keys.is_empty()
+    }
+
+    /// Nothing that is not yet in flight is written any more.
+    pub(crate) fn forget_unwritten(&mut self) {
+        self.unwritten_keys.clear();
+        self.has_unwritten_metadata = false;
+    }
+
+    /// Sends it once all that was to be written until now is durable, if the replica set is still the same.
+    pub(crate) fn send_after_write(&mut self, now: Instant, to: Node, message: Message<V, V::Change>) {
+        let version = self.replica_set.version;
+        self.after_write(now, AfterWrite::Send { version, to, message });
+    }
+
+    /// Does it once all that was to be written until now is durable. While the disk has no space a message that would
+    /// wait for that is withheld: who asked asks again.
+    pub(crate) fn after_write(&mut self, now: Instant, step: AfterWrite<V>) {
+        let waits = self.has_unwritten() || !self.writes_in_flight.is_empty();
+        if waits && !self.disk_has_space && matches!(step, AfterWrite::Send { .. }) {
+            if self.has_mutation(Mutation::ConfirmsFailedWrites) {
+                return self.run_after_write(now, step);
+            }
+            self.metrics.replies_withheld += 1;
+        } else if self.has_unwritten() {
+            self.after_next_write.push(step);
+        } else if let Some(last) = self.writes_in_flight.back_mut() {
+            last.then.push(step);
+        } else {
+            self.run_after_write(now, step);
+        }
+    }
+
+    /// Does what waited for a write.
+    fn run_after_write(&mut self, now: Instant, step: AfterWrite<V>) {
+        match step {
+            AfterWrite::Send { version, .. } if version != self.replica_set.version => {}
+            AfterWrite::Send { to, message, .. } if to == self.node => self.handle(now, to, message),
+            AfterWrite::Send { to, message, .. } => self.send(to, message),
+            AfterWrite::OwnPromise { key, epoch } => self.on_own_promise(now, key, epoch),
+            AfterWrite::OwnAppend { key, epoch, sequence } => {
+                self.on_appended(now, self.node, self.incarnation, key, epoch, sequence);
+            }
+            AfterWrite::Vote { version } if version != self.replica_set.version => {}
+            AfterWrite::Vote { .. } => {
+                self.phase = Phase::Voter;
+                self.reroute_calls(now);
+                self.tick(now);
+            }
+        }
+    }
+
+    fn metadata(&self) -> Metadata {
+        Metadata {
+            replica_set: self.replica_set.clone(),
+            vote: self.vote.clone(),
+            incarnation: self.incarnation,
+            incarnations: self.incarnations().others,
+        }
+    }
+
+    fn stored_key(&self, key: String) -> Option<StoredKey<V>> {
+        let slot = self.keys.get(&key)?;
+        let (promised, accepted, value) = (slot.promised, slot.accepted, slot.value.clone());
+        Some(StoredKey { key, promised, accepted, value })
+    }
+}
--- /dev/null
+++ b/crates/control/control-store/src/protocol/forward.rs
@@ -0,0 +1,91 @@
+//! Calls that other nodes forward here, and what owners reply to those that this node forwarded.
+
+use crate::call::{Caller, ForwardTarget, QueuedCall};
+use crate::key_slot::Ownership;
+use crate::limits::CALL_TIMEOUT;
+use crate::message::{CallOutcome, ForwardReply, Message, Request};
+use crate::store::ControlStore;
+use crate::types::{Epoch, Node};
+use crate::value::State;
+use silvercross_time::Instant;
+
+impl<V: State> ControlStore<V> {
+    /// A call of another's caller. It is never forwarded further, and served only under the epoch it names: who claims the
+    /// key for it says under which, and it comes again.
+    pub(crate) fn on_forward(
+        &mut self,
+        now: Instant,
+        from: Node,
+        id: u64,
+        key: String,
+        epoch: Epoch,
+        request: Request<V::Change>,
+    ) {
+        self.observe_epoch(now, &key, epoch);
+        // Who is believed to own it and does not, or is first in claim order: all others would turn to it.
+        let is_believed = self.keys.get(&key).is_some_and(|slot| slot.highest_epoch.owner == self.node.0);
+        let is_first = is_believed || self.claim_order(&key).first() == Some(&self.node);
+        if self.can_claim() && is_first && self.known_owner(now, &key).is_none() {
+            self.claim(now, &key);
+        }
+        let Some(slot) = self.keys.get_mut(&key) else {
+            let reply = ForwardReply::NotOwner(epoch);
+            return self.send(from, Message::ForwardReply { id, epoch, reply });
+        };
+        let forwards = match &mut slot.ownership {
+            Ownership::Claiming(claim) if claim.epoch == epoch => &mut claim.forwards,
+            Ownership::Owner(owner) if owner.epoch == epoch => &mut owner.forwards,
+            _ => {
+                let reply = ForwardReply::NotOwner(slot.highest_epoch);
+                return self.send_not_owner(now, from, Message::ForwardReply { id, epoch, reply });
+            }
+        };
+        if forwards.insert(from, id) {
+            let caller = Caller::Remote { node: from, id, epoch };
+            self.enqueue(now, &key, QueuedCall { caller, request, deadline: now + CALL_TIMEOUT });
+        }
+    }
+
+    /// The epoch that it names may be that of a claim here which is not durable yet.
+    fn send_not_owner(&mut self, now: Instant, to: Node, message: Message<V, V::Change>) {
+        if self.disk_has_space {
+            self.send_after_write(now, to, message);
+        } else {
+            // Without space there is no claim of its own that is not durable yet.
+            self.send(to, message);
+        }
+    }
+
+    /// What an owner says. That a change is committed, and a read's value, hold whenever they come. A rejection counts only
+    /// while the call is with who rejects: in the hands of a later owner it may come into force.
+    pub(crate) fn on_forward_reply(
+        &mut self,
+        now: Instant,
+        from: Node,
+        id: u64,
+        epoch: Epoch,
+        reply: ForwardReply<V>,
+    ) {
+        let Some(call) = self.open_calls.get(&id) else { return };
+        let is_with_sender = call.forwarded_to() == Some(ForwardTarget { node: from, epoch });
+        match reply {
+            ForwardReply::Answered(outcome @ (CallOutcome::Committed { .. } | CallOutcome::Value { .. })) => {
+                self.answer(Caller::Local(id), outcome)
+            }
+            ForwardReply::Answered(outcome) if is_with_sender => self.answer(Caller::Local(id), outcome),
+            ForwardReply::Answered(_) => {}
+            ForwardReply::ReadAt(revision) => {
+                if call.request == Request::Read {
+                    self.read_here(now, id, revision);
+                }
+            }
+            ForwardReply::NotOwner(highest_epoch) => {
+                let key = call.key.clone();
+                self.observe_epoch(now, &key, highest_epoch);
+                if is_with_sender {
+                    self.route(now, id);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/control-store/src/protocol/quorum.rs
@@ -0,0 +1,90 @@
+//! What counts as a quorum, and whose earlier answers still count.
+
+use crate::message::Message;
+use crate::mutation::Mutation;
+use crate::store::{ControlStore, Phase};
+use crate::types::{node_incarnations, Incarnation, Incarnations, Node, NodeIncarnation};
+use crate::value::State;
+
+impl<V: State> ControlStore<V> {
+    /// Whether a quorum has answered, with disks that its replicas still have: a majority, and while one replica is being
+    /// replaced a majority of the replica set before and of the one after.
+    pub(crate) fn have_quorum(&self, answers: impl Iterator<Item = NodeIncarnation>) -> bool {
+        self.is_quorum(&self.with_current_disks(answers))
+    }
+
+    /// Whether a majority of the replica set, without one that joins, has answered. This does for a repair and for the
+    /// next replica set, of which only one another must know: every quorum has a majority of these.
+    pub(crate) fn have_base_majority(&self, answers: impl Iterator<Item = NodeIncarnation>) -> bool {
+        let nodes = self.with_current_disks(answers);
+        self.replica_set.is_majority(&nodes, self.replica_set.joining)
+    }
+
+    fn with_current_disks(&self, answers: impl Iterator<Item = NodeIncarnation>) -> Vec<Node> {
+        answers
+            .filter(|answer| self.is_current(answer.node, answer.incarnation))
+            .map(|answer| answer.node)
+            .collect()
+    }
+
+    /// Whether these are a quorum.
+    pub(crate) fn is_quorum(&self, nodes: &[Node]) -> bool {
+        let replica_set = &self.replica_set;
+        if self.has_mutation(Mutation::RemovedReplicaVotes) {
+            let joining = usize::from(replica_set.joining.is_some());
+            return nodes.len() * 2 > replica_set.members.len() - joining;
+        }
+        replica_set.is_majority(nodes, replica_set.joining)
+            && (self.has_mutation(Mutation::OldQuorumOnly)
+                || replica_set.is_majority(nodes, replica_set.leaving))
+    }
+
+    /// Whether no later incarnation of the replica's disk is known than this one.
+    pub(crate) fn is_current(&self, node: Node, incarnation: Incarnation) -> bool {
+        node == self.node
+            || self.has_mutation(Mutation::CountsEarlierIncarnations)
+            || incarnation >= self.known_incarnation(node)
+    }
+
+    /// The highest incarnation of a replica's disk that is known here.
+    pub(crate) fn known_incarnation(&self, node: Node) -> Incarnation {
+        self.incarnations.get(&node).copied().unwrap_or_default()
+    }
+
+    /// Whether it was said with a disk that the replica still has; else the replica hears so.
+    pub(crate) fn check_incarnation(&mut self, from: Node, incarnation: Incarnation) -> bool {
+        let is_current = self.is_current(from, incarnation);
+        if !is_current {
+            self.metrics.stale_incarnations += 1;
+            let known = self.known_incarnation(from);
+            self.send(from, Message::StaleIncarnation { incarnation: known });
+        }
+        is_current
+    }
+
+    /// The incarnations of all disks, as far as they are known here.
+    pub(crate) fn incarnations(&self) -> Incarnations {
+        Incarnations { own: self.incarnation, others: node_incarnations(&self.incarnations).collect() }
+    }
+
+    /// Takes in what another says of incarnations. A replica of which a higher one is known takes it for its own: what it said
+    /// under the lower one counts no more, which is always safe.
+    pub(crate) fn merge_incarnations(&mut self, incarnations: &Incarnations) {
+        for other in &incarnations.others {
+            if other.node == self.node {
+                self.raise_own_incarnation(other.incarnation);
+            } else if self.replica_set.contains(other.node) {
+                let known = self.incarnations.entry(other.node).or_default();
+                *known = (*known).max(other.incarnation);
+            }
+        }
+    }
+
+    /// Takes a higher incarnation for its own.
+    pub(crate) fn raise_own_incarnation(&mut self, incarnation: Incarnation) {
+        if incarnation > self.incarnation && self.phase == Phase::Voter {
+            self.incarnation = incarnation;
+            self.persist_metadata();
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/control-store/src/protocol/replica_set_adopt.rs
@@ -0,0 +1,159 @@
+//! How a decided replica set comes into force here, and how a node that doesn't know it asks.
+//!
+//! The invariant: a node says nothing under an older replica set once it has adopted a later one, and a replica that joins, or
+//! comes back, votes only once it is repaired.
+
+use crate::limits::{MAX_REPLICAS, RESEND_INTERVAL};
+use crate::message::Message;
+use crate::mutation::Mutation;
+use crate::replica_set::{ReplicaSet, Vote};
+use crate::store::{ControlStore, Phase};
+use crate::types::{Epoch, Node, Revision};
+use crate::value::State;
+use crate::write_queue::AfterWrite;
+use silvercross_time::Instant;
+use std::collections::BTreeSet;
+
+impl<V: State> ControlStore<V> {
+    /// Adopts a later replica set, which was decided: from here on this node does nothing under the one before.
+    pub(crate) fn adopt_replica_set(&mut self, now: Instant, replica_set: ReplicaSet) {
+        if replica_set.version <= self.replica_set.version || replica_set.members.len() > MAX_REPLICAS {
+            return;
+        }
+        let was_replica = self.replica_set.contains(self.node) || self.votes_without_this.is_some();
+        let is_removed = !replica_set.contains(self.node) && was_replica;
+        self.votes_without_this = is_removed.then(BTreeSet::new);
+        if is_removed {
+            self.repair.last_sent = now;
+        }
+        let previous = self.phase;
+        self.phase = self.phase_under(&replica_set);
+        self.metrics.replica_sets_adopted += 1;
+        self.replace_replica_set(now, replica_set);
+        if self.phase == Phase::PersistingMetadata {
+            self.persist_metadata();
+            self.after_next_write.push(AfterWrite::Vote { version: self.replica_set.version });
+        } else {
+            // On disk it stays what it was under the replica set before: it has said nothing under this one.
+            self.forget_unwritten();
+        }
+        if self.phase == Phase::Repairing && previous != Phase::Repairing {
+            self.incarnation = self.next_incarnation(self.incarnation);
+            for slot in self.keys.values_mut() {
+                slot.replace(Epoch::default(), Revision::default(), V::default());
+            }
+        }
+        self.give_up_all_keys(now);
+        self.claim_first_without_backoff(now);
+        if self.phase == Phase::Repairing {
+            self.ask_repair(now);
+        }
+    }
+
+    /// What this node is to a later replica set.
+    fn phase_under(&self, replica_set: &ReplicaSet) -> Phase {
+        let Some(joined_in) = replica_set.joined_in(self.node) else {
+            let goes_on = self.has_mutation(Mutation::RemovedReplicaVotes) && self.phase == Phase::Voter;
+            return if goes_on { Phase::PersistingMetadata } else { Phase::Outside };
+        };
+        let skips_repair = self.has_mutation(Mutation::VotesWithEmptyDisk)
+            || (self.has_mutation(Mutation::JoiningReplicaVotesUnrepaired)
+                && replica_set.joining == Some(self.node));
+        let is_new = joined_in > self.replica_set.version;
+        let lacks_state = is_new || matches!(self.phase, Phase::Repairing | Phase::Outside);
+        if lacks_state && !skips_repair {
+            Phase::Repairing
+        } else {
+            Phase::PersistingMetadata
+        }
+    }
+
+    /// Puts a replica set in the place of the one before, and forgets what was said under that.
+    fn replace_replica_set(&mut self, now: Instant, replica_set: ReplicaSet) {
+        self.abandoned = self.replica_set.joining.filter(|node| !replica_set.contains(*node));
+        self.replica_set = replica_set;
+        self.vote = Vote::default();
+        self.proposal = None;
+        // What waits for a write was said under the replica set before.
+        self.after_next_write.clear();
+        self.repair.forget_replies();
+        self.incarnations.retain(|node, _| self.replica_set.contains(*node));
+        self.unreachable_since.retain(|node, _| self.replica_set.contains(*node));
+        for node in self.replica_set.nodes() {
+            if node != self.node && !self.reachable.contains(&node) {
+                self.unreachable_since.entry(node).or_insert(now);
+            }
+        }
+        self.next_proposal = now + RESEND_INTERVAL + self.proposal_delay();
+    }
+
+    /// Gives up what this node owns or claims, and routes all calls anew.
+    fn give_up_all_keys(&mut self, now: Instant) {
+        for key in self.keys_where(|slot| !slot.is_replica() || !slot.queue.is_empty()) {
+            self.step_down(now, &key);
+        }
+        self.reroute_calls(now);
+    }
+
+    /// No claim was lost to another: who is first in claim order needn't wait.
+    fn claim_first_without_backoff(&mut self, now: Instant) {
+        let first = |key: &&String| self.claim_order(key).first() == Some(&self.node);
+        let keys: Vec<String> = self.keys.keys().filter(first).cloned().collect();
+        for key in keys {
+            if let Some(slot) = self.keys.get_mut(&key) {
+                slot.claim_not_before = now;
+            }
+        }
+    }
+
+    /// What is on disk is no good: from here on, and after a start too, this node is one that was wiped, but keeps its
+    /// incarnation.
+    pub(crate) fn reset_to_outside(&mut self, now: Instant) {
+        self.replica_set.version = 0;
+        self.vote = Vote::default();
+        self.proposal = None;
+        self.after_next_write.clear();
+        self.forget_unwritten();
+        self.phase = Phase::Outside;
+        self.persist_metadata();
+        self.give_up_all_keys(now);
+        self.ask_replica_set(now);
+    }
+
+    /// Sends the replica set as this node knows it.
+    pub(crate) fn send_replica_set(&mut self, to: Node) {
+        self.send(to, Message::ReplicaSet { replica_set: self.replica_set.clone() });
+    }
+
+    /// Another votes under the replica set without this node.
+    pub(crate) fn on_replica_set_in_force(&mut self, from: Node) {
+        if let Some(voters) = &mut self.votes_without_this {
+            voters.insert(from);
+        }
+    }
+
+    /// Whether it has to ask who the replicas are: it doesn't know, or none that it knows can be reached.
+    fn has_lost_replicas(&self) -> bool {
+        let is_known = self.replica_set.version > 0
+            && self.replica_set.nodes().any(|node| self.reachable.contains(&node));
+        self.phase == Phase::Outside && !is_known
+    }
+
+    /// Whether it has to ask the replicas who they are, or whether their set is in force without this one.
+    pub(crate) fn must_ask_replica_set(&self) -> bool {
+        let is_leaving = self.stopping.contains_key(&self.node) && self.votes_without_this.is_some();
+        self.has_lost_replicas() || (is_leaving && self.is_still_needed())
+    }
+
+    /// Asks all that are linked who the replicas are; where this one has left in plan, the replicas whether their set is in
+    /// force.
+    pub(crate) fn ask_replica_set(&mut self, now: Instant) {
+        self.repair.last_sent = now;
+        if self.replica_set.version > 0 && !self.has_lost_replicas() {
+            return self.broadcast(&Message::ReplicaSetRequest);
+        }
+        for to in self.reachable.clone() {
+            self.send(to, Message::ReplicaSetRequest);
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/control-store/tests/catchup/main.rs
@@ -0,0 +1,216 @@
+//! How a replica that was away catches up, over links as slow as 7 Mbit/s: in what time, with how many bytes, in what chunks.
+
+mod items;
+mod network;
+
+use items::{Items, ITEM_COUNT};
+use network::{Network, LINK_BITS_PER_SECOND};
+use silvercross_control_store::{Node, SNAPSHOT_CHUNK_BYTES};
+use silvercross_time::{Duration, Instant};
+
+/// Bytes of a message besides its chunk or changes, at most.
+const MAX_OVERHEAD_BYTES: usize = 512;
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Absence {
+    /// Stopped, and started on its disk.
+    Restart,
+    /// The owner, so; another owns meanwhile.
+    RestartOfTheOwner,
+    /// Its disk lost.
+    Wipe,
+    /// All its links cut.
+    Cut,
+    /// A spare node joins for a replica that is lost.
+    Join,
+}
+
+struct Measurement {
+    took: Duration,
+    bytes: usize,
+    largest_message: usize,
+    unknown: u64,
+}
+
+/// A replica is away during so many changes; `load`: one more every 50 ms while it catches up.
+fn catch_up_after(absence: Absence, changes: u64, load: bool) -> Measurement {
+    let mut network = Network::new(Items::filled(ITEM_COUNT), 1, SNAPSHOT_CHUNK_BYTES);
+    let owner = network.owner().expect("an owner");
+    let replica = match absence {
+        Absence::RestartOfTheOwner => owner,
+        _ => (owner + 1) % 3,
+    };
+    leave(&mut network, absence, replica);
+    network.change(changes);
+    let (before, begun, unknown) = (network.traffic(replica), network.now, network.unknown);
+    network.largest_message = 0;
+    let replica = come_back(&mut network, absence, replica);
+    let before = if absence == Absence::Join { 0 } else { before };
+    let mut next_change = Instant::ZERO;
+    while !has_caught_up(&network, replica) {
+        assert!(network.now < begun + Duration::from_secs(60), "{absence:?} after {changes} changes");
+        assert_ne!(network.owner(), Some(replica), "it owns the key with what it has");
+        if load && network.now >= next_change {
+            next_change = network.now + Duration::from_millis(50);
+            let item = (network.tokens % u64::from(ITEM_COUNT)) as u32;
+            let node = network.owner().unwrap_or((replica + 1) % 3);
+            network.call(node, (item, 1 + network.tokens));
+        }
+        network.advance(Duration::from_millis(1));
+    }
+    let took = network.now - begun;
+    let bytes = network.traffic(replica);
+    read_without_value(&mut network, replica);
+    let measurement = Measurement {
+        took,
+        bytes: bytes - before,
+        largest_message: network.largest_message,
+        unknown: network.unknown - unknown,
+    };
+    println!(
+        "{changes:>7} changes, {absence:?}{}: caught up in {} ms, {} KB, largest message {} bytes, {} calls unknown",
+        if load { ", with 20 changes a second" } else { "" },
+        took.as_micros() / 1_000,
+        measurement.bytes / 1_000,
+        measurement.largest_message,
+        measurement.unknown,
+    );
+    measurement
+}
+
+fn leave(network: &mut Network, absence: Absence, replica: usize) {
+    match absence {
+        Absence::Restart | Absence::RestartOfTheOwner => network.stop(replica, false),
+        Absence::Wipe => network.stop(replica, true),
+        Absence::Cut => {
+            for other in (0..4).filter(|other| *other != replica) {
+                network.unlink(replica, other);
+            }
+        }
+        Absence::Join => {}
+    }
+}
+
+/// Who is to catch up then.
+fn come_back(network: &mut Network, absence: Absence, replica: usize) -> usize {
+    match absence {
+        Absence::Join => {
+            network.stop(replica, true);
+            for node in 0..3 {
+                if let Some(store) = &mut network.stores[node] {
+                    store.set_candidate(network.now, Node(3), true);
+                }
+            }
+            return 3;
+        }
+        Absence::Cut => (0..4).for_each(|other| network.link(replica, other)),
+        _ => network.start(replica),
+    }
+    replica
+}
+
+/// Whether a replica has what the owner has.
+fn has_caught_up(network: &Network, replica: usize) -> bool {
+    let owner = network.owner().filter(|owner| *owner != replica);
+    let owned = owner.and_then(|owner| network.accepted(owner));
+    owned.is_some_and(|owned| network.accepted(replica).is_some_and(|accepted| accepted >= owned))
+}
+
+/// What a replica has it reads out without anything from the others but its revision.
+fn read_without_value(network: &mut Network, replica: usize) {
+    let (values, bytes) = (network.values, network.traffic(replica));
+    network.read(replica);
+    network.advance(Duration::from_millis(800));
+    assert!(network.values == values + 1 && network.traffic(replica) < bytes + 4_096, "a read");
+}
+
+fn snapshot_bytes() -> usize {
+    bitcode::encode(&Items::filled(ITEM_COUNT)).len()
+}
+
+fn check_all_absences(changes: &[u64]) {
+    let snapshot = snapshot_bytes();
+    let link_time = snapshot as i64 * 8_000 / LINK_BITS_PER_SECOND;
+    println!("the value: {snapshot} bytes, {link_time} ms of a link");
+    for changes in changes {
+        for (absence, load) in [
+            (Absence::Restart, false),
+            (Absence::Restart, true),
+            (Absence::RestartOfTheOwner, false),
+            (Absence::Wipe, false),
+            (Absence::Wipe, true),
+            (Absence::Cut, false),
+            (Absence::Join, false),
+        ] {
+            let measured = catch_up_after(absence, *changes, load);
+            let lacks_few = *changes <= 3_000 && !matches!(absence, Absence::Wipe | Absence::Join);
+            // What it lacks, and a tenth for what goes besides; a change is well under 64 bytes.
+            let lacks = if lacks_few { *changes as usize * 64 } else { snapshot };
+            let bytes = lacks + lacks / 10 + 64 * 1024;
+            let replacement = if absence == Absence::Join { 5_500_000 } else { 0 };
+            let micros = bytes as i64 * 8_000_000 / LINK_BITS_PER_SECOND + 1_000_000 + replacement;
+            let took = Duration::from_micros(micros);
+            let name = format!("{absence:?} after {changes}");
+            assert!(measured.bytes <= bytes, "{name}: {} bytes, not {bytes}", measured.bytes);
+            assert!(measured.took <= took, "{name}: {}, not {took}", measured.took);
+            let largest = measured.largest_message;
+            assert!(largest <= SNAPSHOT_CHUNK_BYTES + MAX_OVERHEAD_BYTES, "{name}: {largest} bytes at once");
+            assert_eq!(measured.unknown, 0, "{name}: calls meanwhile");
+        }
+    }
+}
+
+#[test]
+fn who_was_away_catches_up_with_what_it_lacks_in_chunks() {
+    check_all_absences(&[300]);
+}
+
+/// `cargo test --release -p silvercross-control-store --test catchup -- --ignored --nocapture`
+#[test]
+#[ignore = "in release: minutes otherwise"]
+fn who_was_away_for_long_catches_up_too() {
+    check_all_absences(&[300, 3_000, 100_000]);
+}
+
+/// A wiped replica is sent a value of many chunks, and its link to the sender breaks at each, or it starts anew at one; with a
+/// change at each chunk too.
+#[test]
+fn a_break_at_every_chunk_sends_nothing_twice() {
+    for (breaks, changes, restarts) in
+        [(true, false, false), (true, true, false), (false, true, false), (true, true, true)]
+    {
+        let mut network = Network::new(Items::filled(600), 0, 1024);
+        let owner = network.owner().expect("an owner");
+        let replica = (owner + 1) % 3;
+        network.stop(replica, true);
+        network.start(replica);
+        let begun = network.now;
+        let mut break_count = 0;
+        while network.accepted(replica).is_none() {
+            assert!(network.now < begun + Duration::from_secs(20), "it ends");
+            network.play_to_next_chunk(network.now + Duration::from_millis(100));
+            if restarts && network.chunks_arrived == 10 {
+                network.stop(replica, false);
+                network.start(replica);
+                // What was in memory alone is gone.
+                network.arrived.clear();
+            } else if breaks {
+                let sender = network.last_sender;
+                network.unlink(replica, sender);
+                network.advance(Duration::from_millis(5));
+                network.link(replica, sender);
+                break_count += 1;
+            }
+            if changes {
+                network.call(owner, (break_count % 600, 2 + network.tokens));
+            }
+        }
+        network.advance(Duration::from_millis(1_100));
+        let now = network.owner().and_then(|owner| network.accepted(owner));
+        assert_eq!(network.accepted(replica), now, "and has what came meanwhile");
+        assert!(!breaks || break_count >= 20, "{break_count} breaks");
+        assert_eq!(network.sent_again, 0, "chunks sent again that had arrived");
+        let largest = network.largest_message;
+        assert!(largest <= 1024 + MAX_OVERHEAD_BYTES, "{largest} bytes at once");
+    }
+}
--- /dev/null
+++ b/crates/control/control-store/tests/common/notes.rs
@@ -0,0 +1,63 @@
+//! A value to be kept: numbered items, each with a version and content, of which the highest version wins.
+
+use silvercross_control_store::{Rejection, State};
+use std::cell::Cell;
+use std::cmp::Ordering;
+use std::collections::BTreeMap;
+
+thread_local! {
+    /// Whether a rejected change leaves a part of itself behind. Only with a mutation that keeps it.
+    pub static KEEPS_PARTS: Cell<bool> = const { Cell::new(false) };
+}
+
+/// Item to version and content.
+#[derive(Clone, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
+pub struct Notes(pub BTreeMap<u8, (u64, u64)>);
+
+/// Item, version, content.
+pub type Change = Vec<(u8, u64, u64)>;
+
+/// A content that refers to another item: it is valid only where that one stands.
+pub fn refers_to(item: u8) -> u64 {
+    (1 << 32) | u64::from(item)
+}
+
+impl Notes {
+    fn apply_item(&mut self, item: u8, version: u64, content: u64) -> Result<bool, Rejection> {
+        let rejection = |conflict| Rejection { conflict, reason: format!("item {item}, version {version}") };
+        let known = self.0.get(&item).copied().unwrap_or_default();
+        let dangles = content >> 32 == 1 && !self.0.contains_key(&(content as u8));
+        match version.cmp(&known.0) {
+            _ if content == 0 => Err(rejection(false)),
+            Ordering::Greater if dangles => Err(rejection(false)),
+            Ordering::Equal if known.1 != content => Err(rejection(true)),
+            Ordering::Greater => {
+                self.0.insert(item, (version, content));
+                Ok(true)
+            }
+            _ => Ok(false),
+        }
+    }
+}
+
+impl State for Notes {
+    type Change = Change;
+
+    fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
+        let mut next = self.clone();
+        let mut changed = false;
+        for (item, version, content) in change {
+            match next.apply_item(*item, *version, *content) {
+                Ok(item_changed) => changed |= item_changed,
+                Err(rejection) => {
+                    if KEEPS_PARTS.get() {
+                        *self = next;
+                    }
+                    return Err(rejection);
+                }
+            }
+        }
+        *self = next;
+        Ok(changed)
+    }
+}
--- /dev/null
+++ b/crates/control/control-store/tests/common/simulation/mod.rs
@@ -0,0 +1,205 @@
+//! A simulation: control stores on links that lose, duplicate and reorder, on disks that forget what was not synced, with
+//! callers and faults drawn from a seed, all in simulated time.
+//!
+//! Here are its state and its events; `machine` has what one machine does, `calls` the callers, `faults` what goes wrong,
+//! `outcome` the end of a run and what has to hold then.
+
+mod calls;
+mod faults;
+mod machine;
+mod outcome;
+
+// Not every target needs both.
+#[allow(unused_imports)]
+pub use outcome::{machine_count, Report};
+
+use super::history::History;
+use super::notes::{Change, Notes};
+use super::rng::Rng;
+use faults::Undo;
+use machine::{Input, Machine};
+use silvercross_control_store::*;
+use silvercross_time::{Duration, Instant};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+
+pub(super) type NotesMessage = Message<Notes, Change>;
+
+enum Event {
+    Arrive { from: usize, to: usize, version: u64, message: Box<NotesMessage> },
+    Synced { node: usize, run: u64, write: u64 },
+    Deadline { node: usize, run: u64 },
+    LinkChanged { node: usize, run: u64, peer: usize, is_up: bool },
+    Caller { number: usize },
+    Fault,
+    Undo(Undo),
+}
+
+/// An event at its time; those of one time in the order in which they came up.
+struct Scheduled {
+    at: Instant,
+    number: u64,
+    event: Event,
+}
+
+impl PartialEq for Scheduled {
+    fn eq(&self, other: &Self) -> bool {
+        (self.at, self.number) == (other.at, other.number)
+    }
+}
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
+    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+        Some(self.cmp(other))
+    }
+}
+impl Ord for Scheduled {
+    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
+        (self.at, self.number).cmp(&(other.at, other.number))
+    }
+}
+
+pub struct Simulation {
+    now: Instant,
+    rng: Rng,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    scheduled: u64,
+    machines: Vec<Machine>,
+    /// How many of them are replicas from the start.
+    replicas: usize,
+    /// Whether messages from one to another are lost.
+    cut: Vec<Vec<bool>>,
+    /// Of a thousand messages, how many are lost.
+    loss: u64,
+    /// Of a thousand messages, how many come twice.
+    duplication: u64,
+    /// One of so many messages and writes is slow.
+    slow_one_in: u64,
+    keys: Vec<String>,
+    history: History,
+    /// By token, at which machine.
+    open_calls: BTreeMap<u64, usize>,
+    next_token: u64,
+    contents: u64,
+    versions: BTreeMap<(String, u8), u64>,
+    recent: Vec<(String, Change)>,
+    faults_until: Instant,
+    is_healing: bool,
+    mutation: Option<Mutation>,
+    /// Whether disks run full among the other faults.
+    pub full_disks: bool,
+    report: Report,
+    failure: Option<String>,
+}
+
+impl Simulation {
+    pub fn new(seed: u64, machines: usize, mutation: Option<Mutation>) -> Simulation {
+        Simulation::with_spares(seed, machines, 0, mutation)
+    }
+
+    /// With machines that are no replicas yet; replicas may be lost for good, and away for long.
+    pub fn with_spares(seed: u64, replicas: usize, spares: usize, mutation: Option<Mutation>) -> Simulation {
+        let machines = replicas + spares;
+        let mut rng = Rng(seed);
+        let keys = (0..1 + rng.below(3)).map(|k| format!("key-{k}")).collect();
+        let (loss, duplication, slow_one_in) = (rng.below(100), rng.below(100), 1 + rng.below(200));
+        let (shortest, varies) = if spares == 0 { (2, 5_000_000) } else { (6, 24_000_000) };
+        let faults_until = Instant::ZERO + Duration::from_secs(shortest) + rng.micros_below(varies);
+        let mut simulation = Simulation {
+            now: Instant::ZERO,
+            queue: BinaryHeap::new(),
+            scheduled: 0,
+            machines: Vec::new(),
+            replicas,
+            cut: vec![vec![false; machines]; machines],
+            loss,
+            duplication,
+            slow_one_in,
+            keys,
+            history: History::default(),
+            open_calls: BTreeMap::new(),
+            next_token: 0,
+            contents: 0,
+            versions: BTreeMap::new(),
+            recent: Vec::new(),
+            faults_until,
+            is_healing: false,
+            mutation,
+            full_disks: false,
+            report: Report::default(),
+            failure: None,
+            rng,
+        };
+        simulation.begin();
+        simulation
+    }
+
+    /// Starts all machines, callers and faults.
+    fn begin(&mut self) {
+        for _ in 0..self.cut.len() {
+            let clock_offset = self.rng.micros_below(1_000_000_000);
+            self.machines.push(Machine::new(clock_offset));
+        }
+        for node in 0..self.machines.len() {
+            self.start(node);
+        }
+        for number in 0..1 + self.rng.index(4) {
+            self.schedule(self.now + Duration::from_micros(1), Event::Caller { number });
+        }
+        let first = Duration::from_millis(200) + self.rng.micros_below(1_500_000);
+        self.schedule(self.now + first, Event::Fault);
+    }
+
+    fn schedule(&mut self, at: Instant, event: Event) {
+        self.scheduled += 1;
+        self.queue.push(Reverse(Scheduled { at: at.max(self.now), number: self.scheduled, event }));
+    }
+
+    fn fail(&mut self, why: String) {
+        self.failure.get_or_insert(why);
+    }
+
+    /// Runs until then, or until something fails.
+    fn play(&mut self, until: Instant) {
+        while self.failure.is_none() && self.queue.peek().is_some_and(|Reverse(next)| next.at <= until) {
+            let Some(Reverse(next)) = self.queue.pop() else { break };
+            self.now = next.at;
+            self.happen(next.event);
+        }
+        self.now = self.now.max(until);
+    }
+
+    fn happen(&mut self, event: Event) {
+        match event {
+            Event::Arrive { from, to, version, message } => {
+                if !self.cut[from][to] {
+                    self.input(to, Input::Message { from, version, message });
+                }
+            }
+            Event::Synced { node, run, write } => self.synced(node, run, write),
+            Event::Deadline { node, run } => {
+                let machine = &self.machines[node];
+                if machine.run == run && machine.next_tick <= self.now {
+                    self.tick(node);
+                }
+            }
+            Event::LinkChanged { node, run, peer, is_up } => {
+                let is_peer_down = self.machines[peer].store.is_none();
+                let is_over = if is_up { is_peer_down } else { self.is_healing && !is_peer_down };
+                if self.machines[node].run == run && !is_over {
+                    self.input(node, Input::LinkChanged { peer, is_up });
+                }
+            }
+            Event::Caller { number } => self.call_at_random(number),
+            Event::Fault => {
+                if self.now < self.faults_until {
+                    self.inject_fault();
+                    let at_most = if self.rng.one_in(3) { 20_000 } else { 900_000 };
+                    let next = self.now + self.rng.micros_below(at_most);
+                    self.schedule(next, Event::Fault);
+                }
+            }
+            Event::Undo(undo) => self.undo(undo),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/control-store/tests/common/simulation/outcome.rs
@@ -0,0 +1,165 @@
+//! The end of a run of the simulation: all is healed, and what has to hold then.
+
+use super::faults::Undo;
+use super::machine::Machine;
+use super::Simulation;
+use crate::common::history::{self, Answer};
+use silvercross_control_store::*;
+use silvercross_time::Duration;
+use std::collections::BTreeMap;
+
+#[derive(Clone, Debug, Default)]
+pub struct Report {
+    pub calls: u64,
+    pub committed: u64,
+    pub rejected: u64,
+    pub unknown: u64,
+    pub reads: u64,
+    /// Faults that struck while a call was open.
+    pub faults_with_open_calls: u64,
+    pub faults: BTreeMap<&'static str, u64>,
+    /// From the last heal until every key was settled.
+    pub settled_in: Duration,
+    pub messages: u64,
+    pub ownerships_taken: u64,
+    pub stale_incarnations: u64,
+    /// Versions of the replica set beyond the first.
+    pub replica_sets: u64,
+}
+
+/// After everything is healed every key is owned and replicated everywhere within this: a silent owner is given up, the
+/// last in claim order claims, and one second for what was in flight on slow links and disks.
+fn max_settling_time(machines: usize) -> Duration {
+    Duration::from_millis(2_500) + Duration::from_millis(400) * machines as i64 + Duration::from_secs(1)
+}
+
+/// And where one was lost for good, until it is replaced: it has to be unreachable for four seconds, two steps are proposed,
+/// each tried again, and the joining replica is repaired.
+const MAX_REPLACEMENT_TIME: Duration = Duration::from_secs(4 + 6);
+
+/// How many machines a seed's schedule has.
+pub fn machine_count(seed: u64) -> usize {
+    match seed % 10 {
+        0 => 1,
+        1 | 2 => 5,
+        _ => 3,
+    }
+}
+
+impl Simulation {
+    /// One whole schedule: faults, then all healed, then the checker.
+    pub fn run(mut self) -> Result<Report, String> {
+        self.play(self.faults_until);
+        self.heal();
+        self.settle();
+        self.check_calls_after_heal();
+        self.play(self.now + Duration::from_secs(1));
+        if let Some(token) = self.open_calls.keys().next() {
+            self.fail(format!("call {token} was never answered"));
+        }
+        for machine in &self.machines {
+            if let Some(metrics) = machine.store.as_ref().map(|store| store.metrics()) {
+                self.report.ownerships_taken += metrics.ownerships_taken;
+                self.report.stale_incarnations += metrics.stale_incarnations;
+                if metrics.disk_rollbacks > 0 {
+                    self.failure.get_or_insert("a disk that is good was found to have gone back".into());
+                }
+            }
+        }
+        if let Some(why) = self.failure {
+            return Err(why);
+        }
+        history::check(&self.history)?;
+        Ok(self.report)
+    }
+
+    /// All links, disks and machines are good from here on, but for those lost for good.
+    fn heal(&mut self) {
+        self.is_healing = true;
+        self.loss = 0;
+        self.duplication = 0;
+        self.slow_one_in = u64::MAX;
+        let n = self.machines.len();
+        for node in 0..n {
+            self.undo(Undo::FreeDisk(node));
+            if self.machines[node].is_stopping {
+                self.crash(node, false);
+            }
+            self.start(node);
+            self.undo(Undo::Resume(node));
+            self.cut[node].fill(false);
+        }
+        for node in 0..n {
+            for peer in (0..n).filter(|peer| *peer != node) {
+                self.change_link(node, peer, true);
+            }
+        }
+    }
+
+    fn settle(&mut self) {
+        let healed = self.now;
+        let n = self.machines.len();
+        let replacement = if n > self.replicas { MAX_REPLACEMENT_TIME } else { Duration::ZERO };
+        while !self.is_settled() && self.failure.is_none() {
+            if self.now > healed + max_settling_time(n) + replacement {
+                let stores = self.machines.iter().filter_map(|machine| machine.store.as_ref());
+                let states: Vec<_> =
+                    stores.map(|store| (store.is_voter(), store.replica_set(), store.key_states())).collect();
+                self.fail(format!("not settled after the heal: {states:?}"));
+            }
+            self.play(self.now + Duration::from_millis(10));
+        }
+        self.report.replica_sets = self.replica_set().map_or(0, |set| set.version - 1);
+        self.report.settled_in = self.now - healed;
+    }
+
+    /// Whether every key is owned by exactly one, and all replicas have its value.
+    fn is_settled(&self) -> bool {
+        let Some(set) = self.replica_set() else { return false };
+        let replicas: Vec<&Machine> =
+            set.members.iter().map(|member| &self.machines[member.node.0 as usize]).collect();
+        let agrees = |machine: &&Machine| {
+            machine.store.as_ref().is_some_and(|store| store.is_voter() && *store.replica_set() == set)
+        };
+        !set.is_joint()
+            && replicas.iter().all(agrees)
+            && self.keys.iter().all(|key| self.is_key_settled(key, &replicas))
+    }
+
+    fn is_key_settled(&self, key: &str, replicas: &[&Machine]) -> bool {
+        let stores = self.machines.iter().filter_map(|machine| machine.store.as_ref());
+        let owned = stores.flat_map(|store| store.owned_keys()).filter(|owned| owned.key == key);
+        let owners: Vec<Revision> = owned.map(|owned| owned.revision).collect();
+        let has_it = |store: &ControlStore<_>| {
+            store.key_states().iter().any(|state| state.key == key && state.accepted == owners[0])
+        };
+        owners.len() == 1 && replicas.iter().all(|machine| machine.store.as_ref().is_some_and(has_it))
+    }
+
+    /// Through every machine a change and a read of every key, one after the other, each of which has to succeed.
+    fn check_calls_after_heal(&mut self) {
+        for key in self.keys.clone() {
+            for node in 0..self.machines.len() {
+                self.contents += 1;
+                let change = vec![(9, node as u64 + 1, self.contents)];
+                self.check_call_after_heal(node, &key, Some(change));
+                self.check_call_after_heal(node, &key, None);
+            }
+        }
+    }
+
+    fn check_call_after_heal(&mut self, node: usize, key: &str, change: Option<super::Change>) {
+        let Some(token) = self.begin_call(node, key, change) else { return };
+        let begun = self.now;
+        let is_pending = |s: &Simulation| s.history.calls[token as usize].answered.is_none();
+        while is_pending(self) && self.now < begun + Duration::from_millis(900) {
+            self.play(self.now + Duration::from_millis(1));
+        }
+        let call = self.history.calls[token as usize].clone();
+        if !matches!(call.answer, Answer::Committed(_) | Answer::Value(_)) {
+            let stores = self.machines.iter().filter_map(|machine| machine.store.as_ref());
+            let states: Vec<_> = stores.map(|store| store.key_states()).collect();
+            self.fail(format!("a call after the heal failed: {call:?} at {node}: {states:#?}"));
+        }
+    }
+}
--- a/crates/control/control-store/tests/explore/world.rs
+++ b/crates/control/control-store/tests/explore/world.rs
@@ -1,14 +1,16 @@
 //! Four machines, what is under way between them, and what may still happen.
 
-use crate::common::{Change, Notes};
+use crate::common::cluster::{start_config, NotesMessage, PendingWrite, KEY};
+use crate::common::notes::Notes;
 use silvercross_control_store::*;
+use silvercross_time::{Duration, Instant};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-type M = Message<Notes, Change>;
-const KEY: &str = "configuration";
+/// How far time goes on at a time.
+const STEP: Duration = Duration::from_millis(100);
 const REPLICAS: usize = 3;
 const MACHINES: usize = 4;
 
@@ -16,39 +18,40 @@
 const CONTENTS: [u64; 2] = [7, 8];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lane {
+pub enum Channel {
     Link(usize, usize),
-    StoredState(usize),
+    Disk(usize),
 }
 
-impl Lane {
+impl Channel {
     fn touches(self, node: usize) -> bool {
         match self {
-            Lane::Link(from, to) => from == node || to == node,
-            Lane::StoredState(of) => of == node,
+            Channel::Link(from, to) => from == node || to == node,
+            Channel::Disk(of) => of == node,
         }
     }
 }
 
 #[derive(Debug)]
 enum Work {
-    Message(u64, M),
-    Write(u64, Option<Metadata>, Vec<StoredKey<Notes>>),
+    Message { version: u64, message: NotesMessage },
+    Write(PendingWrite),
 }
 
 #[derive(Clone)]
 struct Task {
-    lane: Lane,
-    print: u64,
+    channel: Channel,
+    fingerprint: u64,
     work: Rc<Work>,
 }
 
 /// What may still happen.
 #[derive(Clone, Copy, Debug, Hash)]
-pub struct Left {
+pub struct Budget {
     pub surprises: u32,
     pub calls: [bool; 2],
-    pub gone: bool,
+    /// Whether a replica may be lost for good.
+    pub loss: bool,
     pub wipe: bool,
     pub short: u32,
     pub long: u32,
@@ -56,72 +59,72 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    Run(Lane),
-    Hold(Lane),
-    Release(Lane),
+    Run(Channel),
+    Hold(Channel),
+    Release(Channel),
     Call(usize, usize),
-    Gone(usize),
+    Lose(usize),
     Wipe(usize),
     Short,
     Long,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Hash)]
-pub enum Heard {
-    Done,
-    Refused,
-    Unclear,
+pub enum Answer {
+    Committed,
+    Rejected,
+    Unknown,
 }
 
 #[derive(Clone)]
 pub struct World {
-    now: Micros,
+    now: Instant,
     pub machines: Vec<Rc<ControlStore<Notes>>>,
-    prints: [u64; MACHINES],
+    fingerprints: [u64; MACHINES],
     disks: Vec<Rc<StoredState<Notes>>>,
     tasks: VecDeque<Task>,
-    held: Vec<Lane>,
+    held: Vec<Channel>,
     lost: Option<usize>,
     /// Who could become a replica, as all were told last.
     outside: Vec<(usize, bool)>,
     starts: u64,
-    pub left: Left,
-    /// The highest revision that was ever on its disk; after a wipe until it is a voter again.
-    had: [Revision; MACHINES],
+    pub budget: Budget,
+    /// The highest revision that was ever on its disk; after a wipe that of before, until it is a voter again.
+    on_disk: [Revision; MACHINES],
     committed: Rc<BTreeMap<Revision, Notes>>,
-    pub heard: [Option<Heard>; 2],
-    broken: Option<Mutation>,
-    pub wrong: Option<String>,
+    pub answers: [Option<Answer>; 2],
+    mutation: Option<Mutation>,
+    pub violation: Option<String>,
 }
 
-fn print_of(what: &impl std::fmt::Debug) -> u64 {
+fn fingerprint_of(what: &impl std::fmt::Debug) -> u64 {
     let mut hasher = DefaultHasher::new();
     format!("{what:?}").hash(&mut hasher);
     hasher.finish()
 }
 
 impl World {
-    pub fn new(left: Left, broken: Option<Mutation>) -> World {
+    pub fn new(budget: Budget, mutation: Option<Mutation>) -> World {
         let one = |i: usize| {
-            let start = World::start(i, i < REPLICAS, i as u64);
-            Rc::new(ControlStore::new(0, start, StoredState::default()))
+            let start = start_config(i, REPLICAS, i < REPLICAS, i as u64);
+            Rc::new(ControlStore::new(Instant::ZERO, start, StoredState::default()))
         };
         let mut world = World {
-            now: 0,
+            now: Instant::ZERO,
             machines: (0..MACHINES).map(one).collect(),
-            prints: [0; MACHINES],
+            fingerprints: [0; MACHINES],
             disks: (0..MACHINES).map(|_| Rc::new(StoredState::default())).collect(),
             tasks: VecDeque::new(),
             held: Vec::new(),
             lost: None,
             outside: Vec::new(),
             starts: 100,
-            left,
-            had: [Revision::default(); MACHINES],
+            budget,
+            on_disk: [Revision::default(); MACHINES],
             committed: Rc::default(),
-            heard: [None; 2],
-            broken,
-            wrong: None,
+            answers: [None; 2],
+            mutation,
+            violation: None,
         };
         for node in 0..MACHINES {
             world.link(node);
@@ -134,18 +137,13 @@
         world
     }
 
-    fn start(node: usize, fresh: bool, seed: u64) -> Start {
-        let replica_set = (0..REPLICAS as u32).map(Node).collect();
-        Start { me: Node(node as u32), replica_set, keys: vec![KEY.into()], fresh, seed }
-    }
-
-    /// Leaves a rule out at one of them.
+    /// Changes a rule on purpose at one of them.
     fn set_mutation(&mut self, node: usize) {
         #[cfg(feature = "mutants")]
-        if let Some(broken) = self.broken {
-            Rc::make_mut(&mut self.machines[node]).set_mutation(broken);
+        if let Some(mutation) = self.mutation {
+            Rc::make_mut(&mut self.machines[node]).set_mutation(mutation);
         }
-        assert!(node < MACHINES && (self.broken.is_none() || cfg!(feature = "mutants")));
+        assert!(node < MACHINES && (self.mutation.is_none() || cfg!(feature = "mutants")));
     }
 
     fn living(&self) -> impl Iterator<Item = usize> + '_ {
@@ -157,29 +155,29 @@
         let store = Rc::make_mut(&mut self.machines[node]);
         act(store);
         let effects = store.take_effects();
-        self.prints[node] = 0;
+        self.fingerprints[node] = 0;
         for effect in effects {
-            self.heed(node, effect);
+            self.handle_effect(node, effect);
         }
     }
 
-    fn heed(&mut self, node: usize, effect: Effect<Notes>) {
-        let (lane, work) = match effect {
+    fn handle_effect(&mut self, node: usize, effect: Effect<Notes>) {
+        let (channel, work) = match effect {
             Effect::Send { to, version, message } => {
                 let to = to.0 as usize;
                 if to >= MACHINES || Some(to) == self.lost {
                     return;
                 }
-                (Lane::Link(node, to), Work::Message(version, message))
+                (Channel::Link(node, to), Work::Message { version, message })
             }
             Effect::Store { write, metadata, keys, .. } => {
-                (Lane::StoredState(node), Work::Write(write, metadata, keys))
+                (Channel::Disk(node), Work::Write(PendingWrite { write, metadata, keys }))
             }
-            Effect::Committed { revision, value, .. } => return self.judge_commit(node, revision, value),
-            Effect::Answer { token, verdict } => return self.judge_answer(token as usize, verdict),
+            Effect::Committed { revision, value, .. } => return self.check_commit(node, revision, value),
+            Effect::Answer { token, outcome } => return self.check_answer(token as usize, outcome),
         };
-        let print = print_of(&work);
-        self.tasks.push_back(Task { lane, print, work: Rc::new(work) });
+        let fingerprint = fingerprint_of(&work);
+        self.tasks.push_back(Task { channel, fingerprint, work: Rc::new(work) });
     }
 
     fn link(&mut self, node: usize) {
@@ -192,37 +190,33 @@
 
     fn unlink(&mut self, node: usize) {
         let now = self.now;
-        self.tasks.retain(|task| !task.lane.touches(node));
-        self.held.retain(|lane| !lane.touches(node));
+        self.tasks.retain(|task| !task.channel.touches(node));
+        self.held.retain(|channel| !channel.touches(node));
         for other in self.living().filter(|o| *o != node).collect::<Vec<_>>() {
             self.at(other, |s| s.set_reachable(now, Node(node as u32), false));
         }
-        self.tasks.retain(|task| !task.lane.touches(node));
+        self.tasks.retain(|task| !task.channel.touches(node));
     }
 
     fn front(&self) -> Option<usize> {
-        self.tasks.iter().position(|task| !self.held.contains(&task.lane))
+        self.tasks.iter().position(|task| !self.held.contains(&task.channel))
     }
 
     fn run(&mut self, at: usize) {
         let Some(task) = self.tasks.remove(at) else { return };
         let now = self.now;
-        match (&*task.work, task.lane) {
-            (Work::Message(version, message), Lane::Link(from, to)) => {
+        match (&*task.work, task.channel) {
+            (Work::Message { version, message }, Channel::Link(from, to)) => {
                 self.at(to, |s| s.receive(now, Node(from as u32), *version, message.clone()));
             }
-            (Work::Write(write, metadata, keys), Lane::StoredState(node)) => {
+            (Work::Write(pending), Channel::Disk(node)) => {
                 let disk = Rc::make_mut(&mut self.disks[node]);
-                disk.metadata = metadata.clone().or(disk.metadata.take());
-                for stored in keys {
-                    disk.keys.retain(|k| k.key != stored.key);
-                    disk.keys.push(stored.clone());
-                }
-                // A wiped one counts with what it had until its disk is a replica's again.
+                pending.clone().persist(disk);
+                // A wiped one counts with what it on_disk until its disk is a replica's again.
                 if let Some(stored) = disk.keys.first().filter(|_| disk.metadata.is_some()) {
-                    self.had[node] = stored.accepted;
+                    self.on_disk[node] = stored.accepted;
                 }
-                self.at(node, |s| s.write_completed(now, *write));
+                self.at(node, |s| s.write_completed(now, pending.write));
             }
             _ => unreachable!("a message on a disk"),
         }
@@ -235,12 +229,12 @@
     }
 
     fn tick(&mut self) {
-        self.now += 100_000;
+        self.now += STEP;
         let now = self.now;
         let outside: Vec<(usize, bool)> = self.living().map(|n| (n, self.machines[n].is_outside())).collect();
-        let news = outside != self.outside;
+        let changed = outside != self.outside;
         for node in self.living().collect::<Vec<_>>() {
-            for (other, outside) in outside.iter().filter(|_| news) {
+            for (other, outside) in outside.iter().filter(|_| changed) {
                 self.at(node, |s| s.set_candidate(now, Node(*other as u32), *outside));
             }
             if self.machines[node].next_deadline().is_some_and(|at| at <= now) {
@@ -255,81 +249,81 @@
         let busy = u32::from(self.front().is_some());
         let now = self.now;
         match step {
-            Step::Run(lane) => {
-                if let Some(at) = self.tasks.iter().position(|task| task.lane == lane) {
+            Step::Run(channel) => {
+                if let Some(at) = self.tasks.iter().position(|task| task.channel == channel) {
                     self.run(at);
                 }
                 return;
             }
-            Step::Hold(lane) => {
-                self.left.surprises -= 1;
-                self.held.push(lane);
+            Step::Hold(channel) => {
+                self.budget.surprises -= 1;
+                self.held.push(channel);
                 return;
             }
-            Step::Release(lane) => {
-                self.held.retain(|held| *held != lane);
+            Step::Release(channel) => {
+                self.held.retain(|held| *held != channel);
                 return;
             }
             Step::Call(which, node) => {
-                self.left.calls[which] = false;
+                self.budget.calls[which] = false;
                 let change = vec![(1, 1, CONTENTS[which])];
                 self.at(node, |s| s.call(now, which as u64, KEY, change));
             }
-            Step::Gone(node) => {
-                self.left.gone = false;
+            Step::Lose(node) => {
+                self.budget.loss = false;
                 self.unlink(node);
                 self.lost = Some(node);
             }
             Step::Wipe(node) => {
-                self.left.wipe = false;
+                self.budget.wipe = false;
                 self.unlink(node);
                 self.starts += 1;
                 self.disks[node] = Rc::new(StoredState::default());
-                let start = World::start(node, false, self.starts);
+                let start = start_config(node, REPLICAS, false, self.starts);
                 self.machines[node] = Rc::new(ControlStore::new(now, start, StoredState::default()));
                 self.set_mutation(node);
                 self.outside.clear();
                 self.link(node);
             }
             Step::Short => {
-                self.left.short -= 1;
+                self.budget.short -= 1;
                 (0..4).for_each(|_| self.tick());
             }
             Step::Long => {
-                self.left.long -= 1;
+                self.budget.long -= 1;
                 (0..46).for_each(|_| self.tick());
             }
         }
-        self.left.surprises -= busy;
+        self.budget.surprises -= busy;
     }
 
     /// All that may happen next.
     pub fn next(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        let front = self.front().map(|at| self.tasks[at].lane);
-        if let Some(lane) = front {
-            steps.push(Step::Run(lane));
-            if self.left.surprises == 0 {
+        let front = self.front().map(|at| self.tasks[at].channel);
+        if let Some(channel) = front {
+            steps.push(Step::Run(channel));
+            if self.budget.surprises == 0 {
                 return steps;
             }
-            steps.push(Step::Hold(lane));
+            steps.push(Step::Hold(channel));
         }
         // The two changes differ in nothing but their content: the first of them is called for first.
-        if let Some(which) = self.left.calls.iter().position(|left| *left) {
+        if let Some(which) = self.budget.calls.iter().position(|left| *left) {
             steps.extend(self.living().map(|node| Step::Call(which, node)));
         }
-        if self.left.gone {
-            steps.extend((0..REPLICAS).map(Step::Gone));
+        if self.budget.loss {
+            steps.extend((0..REPLICAS).map(Step::Lose));
         }
-        if self.left.wipe {
+        if self.budget.wipe {
             steps.extend(self.living().map(Step::Wipe));
         }
         if front.is_none() {
-            steps.extend(self.held.iter().map(|lane| Step::Release(*lane)));
-            if self.left.short > 0 {
+            steps.extend(self.held.iter().map(|channel| Step::Release(*channel)));
+            if self.budget.short > 0 {
                 steps.push(Step::Short);
             }
-            if self.left.long > 0 {
+            if self.budget.long > 0 {
                 steps.push(Step::Long);
             }
         }
@@ -337,15 +331,16 @@
     }
 
     pub fn digest(&mut self) -> u64 {
-        for (node, print) in self.prints.iter_mut().enumerate() {
-            if *print == 0 {
-                *print = self.machines[node].fingerprint() | 1;
+        for (node, fingerprint) in self.fingerprints.iter_mut().enumerate() {
+            if *fingerprint == 0 {
+                *fingerprint = self.machines[node].fingerprint() | 1;
             }
         }
         let mut hasher = DefaultHasher::new();
-        (self.now, self.prints, &self.held, self.lost, self.left, self.had, self.heard).hash(&mut hasher);
+        (self.now, self.fingerprints, &self.held, self.lost, self.budget, self.on_disk, self.answers)
+            .hash(&mut hasher);
         for task in &self.tasks {
-            (task.lane, task.print).hash(&mut hasher);
+            (task.channel, task.fingerprint).hash(&mut hasher);
         }
         for (revision, value) in self.committed.iter() {
             (revision, &value.0).hash(&mut hasher);
@@ -353,60 +348,60 @@
         hasher.finish()
     }
 
-    fn fault(&mut self, why: String) {
-        self.wrong.get_or_insert(why);
+    fn report(&mut self, why: String) {
+        self.violation.get_or_insert(why);
     }
 
-    /// A commit is at more than half, by their disks; it has all that an earlier one has, and nothing that was refused.
-    fn judge_commit(&mut self, node: usize, revision: Revision, value: Notes) {
+    /// A commit is at a majority, by their disks; it has all that an earlier one has, and nothing that was rejected.
+    fn check_commit(&mut self, node: usize, revision: Revision, value: Notes) {
         let replicas = self.machines[node].replica_set().clone();
-        let half = |without: Option<Node>| {
+        let at_majority = |without: Option<Node>| {
             let members: Vec<Node> =
-                replicas.members.iter().map(|m| m.0).filter(|n| Some(*n) != without).collect();
-            let have = members.iter().filter(|n| self.had[n.0 as usize] >= revision).count();
+                replicas.members.iter().map(|member| member.node).filter(|n| Some(*n) != without).collect();
+            let have = members.iter().filter(|n| self.on_disk[n.0 as usize] >= revision).count();
             have * 2 > members.len()
         };
-        if !half(replicas.joining) || !half(replicas.leaving) {
-            self.fault(format!("{revision:?} is said to be committed and is not at more than half"));
+        if !at_majority(replicas.joining) || !at_majority(replicas.leaving) {
+            self.report(format!("{revision:?} is said to be committed and is not at a majority"));
         }
-        for (which, heard) in self.heard.into_iter().enumerate() {
-            if heard == Some(Heard::Refused) && value.0.values().any(|v| v.1 == CONTENTS[which]) {
-                self.fault(format!("change {which} was refused and is in force"));
+        for (which, answer) in self.answers.into_iter().enumerate() {
+            if answer == Some(Answer::Rejected) && value.0.values().any(|v| v.1 == CONTENTS[which]) {
+                self.report(format!("change {which} was rejected and is in force"));
             }
         }
         let covers =
             |later: &Notes, earlier: &Notes| earlier.0.iter().all(|(k, v)| later.0.get(k) == Some(v));
-        let wrong = self.committed.iter().find(|(at, known)| match (*at).cmp(&revision) {
+        let violation = self.committed.iter().find(|(at, known)| match (*at).cmp(&revision) {
             std::cmp::Ordering::Less => !covers(&value, known),
             std::cmp::Ordering::Equal => value != **known,
             std::cmp::Ordering::Greater => !covers(known, &value),
         });
-        if let Some((at, known)) = wrong {
+        if let Some((at, known)) = violation {
             let why = format!("lost between {at:?} {known:?} and {revision:?} {value:?}");
-            return self.fault(why);
+            return self.report(why);
         }
         Rc::make_mut(&mut self.committed).insert(revision, value);
     }
 
-    fn judge_answer(&mut self, which: usize, verdict: CallOutcome<Notes>) {
-        self.heard[which] = Some(match verdict {
+    fn check_answer(&mut self, which: usize, outcome: CallOutcome<Notes>) {
+        self.answers[which] = Some(match outcome {
             CallOutcome::Committed { revision, .. } => {
                 let held = self.committed.get(&revision).and_then(|value| value.0.get(&1));
                 if held != Some(&(1, CONTENTS[which])) {
-                    self.fault(format!("change {which} is done and not committed at {revision:?}"));
+                    self.report(format!("change {which} is acknowledged and not committed at {revision:?}"));
                 }
-                Heard::Done
+                Answer::Committed
             }
             CallOutcome::Rejected(_) => {
                 if self.committed.values().any(|value| value.0.values().any(|v| v.1 == CONTENTS[which])) {
-                    self.fault(format!("change {which} is committed and refused"));
+                    self.report(format!("change {which} is committed and rejected"));
                 }
-                Heard::Refused
+                Answer::Rejected
             }
-            _ => Heard::Unclear,
+            _ => Answer::Unknown,
         });
-        if self.heard == [Some(Heard::Done); 2] {
-            self.fault("both are done under one version".into());
+        if self.answers == [Some(Answer::Committed); 2] {
+            self.report("both are committed under one version".into());
         }
     }
 }
--- a/crates/control/control-store/tests/mutants.rs
+++ b/crates/control/control-store/tests/mutants.rs
@@ -4,28 +4,29 @@
 
 mod common;
 
-use common::{World, PART_OF_CALL};
+use common::notes::KEEPS_PARTS;
+use common::simulation::Simulation;
 use silvercross_control_store::Mutation;
 
 /// The judge's words on the first of some schedules in which it shows.
-fn caught(broken: Option<Mutation>, schedules: u64) -> String {
-    caught_with(broken, schedules, false)
+fn caught(mutation: Option<Mutation>, schedules: u64) -> String {
+    caught_with(mutation, schedules, false)
 }
 
-fn caught_with(broken: Option<Mutation>, schedules: u64, full_disks: bool) -> String {
+fn caught_with(mutation: Option<Mutation>, schedules: u64, full_disks: bool) -> String {
     let mut seeds = (0..schedules).filter_map(|seed| {
         let machines = if seed % 4 == 0 { 5 } else { 3 };
-        let mut world = World::new(seed, machines, broken);
-        world.full_disks = full_disks;
-        let why = world.run().err()?;
+        let mut simulation = Simulation::new(seed, machines, mutation);
+        simulation.full_disks = full_disks;
+        let why = simulation.run().err()?;
         // That nothing moves any more would not be enough.
         if why.starts_with("not settled") || why.starts_with("a call after") {
             return None;
         }
         Some(format!("seed {seed}: {}", why.lines().next().unwrap_or_default()))
     });
-    let why = seeds.next().unwrap_or_else(|| panic!("{broken:?} was not found in {schedules} schedules"));
-    println!("{broken:?}: {why}");
+    let why = seeds.next().unwrap_or_else(|| panic!("{mutation:?} was not found in {schedules} schedules"));
+    println!("{mutation:?}: {why}");
     why
 }
 
@@ -56,10 +57,10 @@
 
 #[test]
 fn part_of_a_call_in_force_is_caught() {
-    PART_OF_CALL.set(true);
+    KEEPS_PARTS.set(true);
     let why = caught(Some(Mutation::KeepsPartialChange), 50);
-    PART_OF_CALL.set(false);
-    assert!(why.contains("refused and in force") || why.contains("part of a call"), "{why}");
+    KEEPS_PARTS.set(false);
+    assert!(why.contains("rejected and in force") || why.contains("part of a call"), "{why}");
 }
 
 #[test]
--- a/crates/control/control-store/tests/repaired.rs
+++ b/crates/control/control-store/tests/repaired.rs
@@ -3,8 +3,9 @@
 
 mod common;
 
-use common::case::{Blow, Case};
+use common::replacement::{Fault, Replacement};
 use silvercross_control_store::*;
+use silvercross_time::Duration;
 use std::collections::BTreeMap;
 
 /// What is under way when it does.
@@ -16,96 +17,103 @@
     Replacement,
 }
 
-/// So far as the fuse goes.
-fn begin(under: Under, fuse: usize) -> Case {
-    let mut case = Case::new(false, None);
+/// So far as the steps_left goes.
+fn begin(under: Under, steps_left: usize) -> Replacement {
+    let mut replacement = Replacement::new(false, None);
     match under {
         Under::Repair => {
-            case.b.part(3);
-            case.b.fuse = Some(fuse);
-            case.b.wipe(case.leaver);
+            replacement.cluster.isolate(3);
+            replacement.cluster.steps_left = Some(steps_left);
+            replacement.cluster.wipe(replacement.leaving);
         }
         Under::Replacement => {
-            case.b.part(case.leaver);
-            case.b.gossip();
-            case.b.go(3_900_000);
-            case.b.fuse = Some(fuse);
+            replacement.cluster.isolate(replacement.leaving);
+            replacement.cluster.announce_membership();
+            replacement.cluster.advance_by_deadlines(Duration::from_millis(3_900));
+            replacement.cluster.steps_left = Some(steps_left);
         }
     }
-    let other = (0..3).find(|n| *n != case.leaver).expect("another");
-    case.call(other, 3);
-    case.b.go(2_000_000);
-    case
+    let other = (0..3).find(|n| *n != replacement.leaving).expect("another");
+    replacement.call(other, 3);
+    replacement.cluster.advance_by_deadlines(Duration::from_secs(2));
+    replacement
 }
 
 /// Whether one more loss for good is to be borne: the repaired one votes, or more than half of the new replica set have it on
 /// disk.
-fn stands(case: &Case, under: Under) -> bool {
+fn stands(replacement: &Replacement, under: Under) -> bool {
     match under {
         Under::Repair => {
-            case.b.ledgers[case.leaver].is_voter() && case.b.disks[case.leaver].metadata.is_some()
+            replacement.cluster.stores[replacement.leaving].is_voter()
+                && replacement.cluster.disks[replacement.leaving].metadata.is_some()
         }
         Under::Replacement => {
-            let set = case.b.ledgers[3].replica_set();
-            let at = |n: &Node| case.b.disks[n.0 as usize].metadata.as_ref().map(|m| m.replica_set.version);
-            let have = set.members.iter().filter(|m| at(&m.0) == Some(set.version)).count();
+            let set = replacement.cluster.stores[3].replica_set();
+            let at = |n: &Node| {
+                replacement.cluster.disks[n.0 as usize].metadata.as_ref().map(|m| m.replica_set.version)
+            };
+            let have = set.members.iter().filter(|m| at(&m.node) == Some(set.version)).count();
             set.version == 3 && have * 2 > set.members.len()
         }
     }
 }
 
 /// After how long the others answer, where it is to be borne.
-fn struck(under: Under, step: usize, blow: Blow, victim: usize) -> Option<Micros> {
-    let mut case = begin(under, step);
-    let absent = if under == Under::Repair { 3 } else { case.leaver };
-    let under_way = if under == Under::Repair { case.leaver } else { 3 };
-    let borne = match blow {
-        Blow::Lost | Blow::LostAndPower => stands(&case, under),
-        Blow::Wiped => victim == under_way || stands(&case, under),
+fn time_to_answer_after(under: Under, step: usize, fault: Fault, target: usize) -> Option<Duration> {
+    let mut replacement = begin(under, step);
+    let absent = if under == Under::Repair { 3 } else { replacement.leaving };
+    let under_way = if under == Under::Repair { replacement.leaving } else { 3 };
+    let borne = match fault {
+        Fault::Lost | Fault::LostAndPower => stands(&replacement, under),
+        Fault::Wiped => target == under_way || stands(&replacement, under),
         _ => true,
     };
-    if victim == absent || !borne {
+    if target == absent || !borne {
         return None;
     }
-    case.b.fuse = None;
-    case.strike(blow, victim);
-    let gone = matches!(blow, Blow::Lost | Blow::LostAndPower | Blow::Frozen);
-    let there: Vec<usize> = (0..4).filter(|n| *n != absent && !(gone && *n == victim)).collect();
-    let from = case.b.now;
-    if blow == Blow::Frozen {
+    replacement.cluster.steps_left = None;
+    replacement.inject(fault, target);
+    let gone = matches!(fault, Fault::Lost | Fault::LostAndPower | Fault::Paused);
+    let there: Vec<usize> = (0..4).filter(|n| *n != absent && !(gone && *n == target)).collect();
+    let from = replacement.cluster.now;
+    if fault == Fault::Paused {
         // Until then it may be needed: one is gone already.
-        case.b.go(1_000_000);
-        case.b.frozen.clear();
+        replacement.cluster.advance_by_deadlines(Duration::from_secs(1));
+        replacement.cluster.paused.clear();
     }
-    case.answers_after(&there).expect("no majority answers");
-    let after = case.b.now - from;
-    case.whole(&there);
+    replacement.time_to_answer(&there).expect("no majority answers");
+    let after = replacement.cluster.now - from;
+    replacement.assert_nothing_lost(&there);
     Some(after)
 }
 
 #[test]
-fn at_each_step_of_a_repair_or_a_replacement_the_next_may_strike() {
+fn at_each_step_of_a_repair_or_a_replacement_another_fault_is_borne() {
     const MANY: usize = 1_000_000;
-    let blows = [Blow::Nothing, Blow::Lost, Blow::Wiped, Blow::Frozen, Blow::Power, Blow::LostAndPower];
+    let faults =
+        [Fault::Nothing, Fault::Lost, Fault::Wiped, Fault::Paused, Fault::Power, Fault::LostAndPower];
     for under in [Under::Repair, Under::Replacement] {
-        let steps = MANY - begin(under, MANY).b.fuse.expect("it is set");
-        let mut longest: BTreeMap<Blow, (usize, Micros)> = BTreeMap::new();
-        for (step, victim) in (0..=steps).flat_map(|s| (0..4).map(move |v| (s, v))) {
-            for blow in blows {
-                let run = || struck(under, step, blow, victim);
+        let steps = MANY - begin(under, MANY).cluster.steps_left.expect("it is set");
+        let mut longest: BTreeMap<Fault, (usize, Duration)> = BTreeMap::new();
+        for (step, target) in (0..=steps).flat_map(|s| (0..4).map(move |v| (s, v))) {
+            for fault in faults {
+                let run = || time_to_answer_after(under, step, fault, target);
                 let after = std::panic::catch_unwind(run)
-                    .unwrap_or_else(|_| panic!("{under:?}, {blow:?} of {victim} at step {step} of {steps}"));
+                    .unwrap_or_else(|_| panic!("{under:?}, {fault:?} of {target} at step {step} of {steps}"));
                 let Some(after) = after else { continue };
-                let known = longest.entry(blow).or_default();
+                let known = longest.entry(fault).or_default();
                 *known = (known.0 + 1, known.1.max(after));
             }
         }
         println!(
-            "{under:?}, {steps} steps; strikes, and after how long the others answer at most: {longest:?}"
+            "{under:?}, {steps} steps; faults, and after how long the others answer at most: {longest:?}"
         );
-        for blow in blows {
-            let (strikes, after) = longest[&blow];
-            assert!(strikes >= 10 && after <= 2_500_000, "{under:?}, {blow:?}: {strikes}, {after} us");
+        for fault in faults {
+            let (injected, after) = longest[&fault];
+            assert!(
+                injected >= 10 && after <= Duration::from_millis(2_500),
+                "{under:?}, {fault:?}: {injected}, {after}"
+            );
         }
     }
 }
--- a/crates/control/control-store/tests/repeats.rs
+++ b/crates/control/control-store/tests/repeats.rs
@@ -3,9 +3,10 @@
 
 mod common;
 
-use common::bench::{others, Bench, KEY};
-use common::names;
+use common::cluster::{others, Cluster, KEY};
+use common::notes::{refers_to, Notes};
 use silvercross_control_store::*;
+use silvercross_time::Duration;
 use std::collections::BTreeSet;
 
 const X: &[(u8, u64, u64)] = &[(1, 5, 7), (2, 5, 7)];
@@ -36,7 +37,7 @@
 ];
 
 struct Case {
-    bench: Bench,
+    cluster: Cluster,
     token: u64,
     version: u64,
     /// Gone for good.
@@ -44,12 +45,12 @@
 }
 
 impl Case {
-    fn new(broken: Option<Mutation>) -> Case {
-        let mut bench = Bench::with_spares(3, 1);
-        bench.broken(broken);
-        bench.tell_candidates();
-        bench.pass(1_000_000);
-        Case { bench, token: 0, version: 9, lost: BTreeSet::new() }
+    fn new(mutation: Option<Mutation>) -> Case {
+        let mut cluster = Cluster::with_spares(3, 1);
+        cluster.set_mutation(mutation);
+        cluster.announce_candidates();
+        cluster.advance(Duration::from_secs(1));
+        Case { cluster, token: 0, version: 9, lost: BTreeSet::new() }
     }
 
     fn entries(&self) -> Vec<usize> {
@@ -58,22 +59,22 @@
 
     fn owner(&self) -> usize {
         // Who was cut off and doesn't know yet may believe it too: the highest epoch counts.
-        let owned = |i: &usize| self.bench.ledgers[*i].owned_keys().first().map(|one| one.1);
+        let owned = |i: &usize| self.cluster.stores[*i].owned_keys().first().map(|owned| owned.epoch);
         self.entries().into_iter().max_by_key(owned).expect("an owner")
     }
 
     fn begin(&mut self, node: usize, change: &[(u8, u64, u64)]) -> u64 {
         self.token += 1;
-        self.bench.ledgers[node].call(self.bench.now, self.token, KEY, change.to_vec());
+        self.cluster.stores[node].call(self.cluster.now, self.token, KEY, change.to_vec());
         self.token
     }
 
     /// What is said in the end. What gets no clear answer is sent again, a few times.
-    fn settle(&mut self, node: usize, change: &[(u8, u64, u64)]) -> CallOutcome<common::Notes> {
+    fn settle(&mut self, node: usize, change: &[(u8, u64, u64)]) -> CallOutcome<Notes> {
         for _ in 0..6 {
             let token = self.begin(node, change);
-            self.bench.pass(900_000);
-            match self.bench.answers.get(&token) {
+            self.cluster.advance(Duration::from_millis(900));
+            match self.cluster.answers.get(&token) {
                 Some(CallOutcome::Unknown) => {}
                 Some(verdict) => return verdict.clone(),
                 None => panic!("no answer in time"),
@@ -88,7 +89,7 @@
 
     fn happens(&mut self, event: Event) {
         let owner = self.owner();
-        let other = self.bench.ledgers[owner].replica_nodes().into_iter().map(|n| n.0 as usize);
+        let other = self.cluster.stores[owner].replica_nodes().into_iter().map(|n| n.0 as usize);
         let other = other.filter(|n| *n != owner && !self.lost.contains(n)).min().expect("another");
         self.version += 1;
         let version = self.version;
@@ -96,31 +97,34 @@
             Event::LaterOfOthers => assert!(self.done(other, &[(3, version, 1), (4, version, 1)])),
             Event::LaterOfTheSame => assert!(self.done(other, &[(1, version, 9)])),
             Event::OwnerCut => {
-                self.bench.part(owner);
-                self.bench.pass(1_500_000);
-                self.bench.join(owner);
+                self.cluster.isolate(owner);
+                self.cluster.advance(Duration::from_millis(1_500));
+                self.cluster.rejoin(owner);
             }
-            Event::OwnerRestarts => self.bench.restart(owner),
-            Event::OwnerWiped => self.bench.wipe(owner),
-            Event::OtherWiped => self.bench.wipe(other),
+            Event::OwnerRestarts => self.cluster.restart(owner),
+            Event::OwnerWiped => self.cluster.wipe(owner),
+            Event::OtherWiped => self.cluster.wipe(other),
             Event::PowerLost => {
                 for node in self.entries() {
-                    self.bench.restart(node);
+                    self.cluster.restart(node);
                 }
             }
             Event::OwnerReplaced if !self.lost.is_empty() => {}
             Event::OwnerReplaced => {
-                self.bench.part(owner);
+                self.cluster.isolate(owner);
                 self.lost.insert(owner);
-                self.bench.pass(8_000_000);
-                assert!(!self.bench.ledgers[other].replica_nodes().contains(&Node(owner as u32)), "replaced");
+                self.cluster.advance(Duration::from_secs(8));
+                assert!(
+                    !self.cluster.stores[other].replica_nodes().contains(&Node(owner as u32)),
+                    "replaced"
+                );
             }
         }
         if let Some(lost) = self.lost.first().copied() {
-            self.bench.part(lost);
+            self.cluster.isolate(lost);
         }
-        self.bench.tell_candidates();
-        self.bench.pass(3_000_000);
+        self.cluster.announce_candidates();
+        self.cluster.advance(Duration::from_secs(3));
     }
 }
 
@@ -143,28 +147,28 @@
 
 /// One call may be taken, its answer lost, in every way that copies and words can be lost between the owner and the others:
 /// the same version is then called for by another operator through every entry, the owner changes, and both repeat.
-fn races(broken: Option<Mutation>) -> Result<u64, String> {
+fn races(mutation: Option<Mutation>) -> Result<u64, String> {
     let mut refused = 0;
     for lost in 0..16_u8 {
         for (second, event) in (0..3).flat_map(|n| [None, Some(Event::OwnerCut)].map(|e| (n, e))) {
-            let (mut b, owner) = Bench::settled();
-            b.broken(broken);
+            let (mut cluster, owner) = Cluster::settled();
+            cluster.set_mutation(mutation);
             let (x, y) = others(owner);
             let ways = [(owner, x), (owner, y), (x, owner), (y, owner)];
-            b.cut.extend((0..4).filter(|i| lost & (1 << i) != 0).map(|i| ways[i]));
-            let mut case = Case { bench: b, token: 0, version: 9, lost: BTreeSet::new() };
+            cluster.cut_links.extend((0..4).filter(|i| lost & (1 << i) != 0).map(|i| ways[i]));
+            let mut case = Case { cluster, token: 0, version: 9, lost: BTreeSet::new() };
             let first = case.begin(owner, X);
-            case.bench.run();
+            case.cluster.run();
             if event.is_some() {
-                case.bench.part(owner);
-                case.bench.pass(1_500_000);
+                case.cluster.isolate(owner);
+                case.cluster.advance(Duration::from_millis(1_500));
             }
             let other = case.begin((owner + second) % 3, Y);
-            case.bench.pass(200_000);
-            case.bench.cut.clear();
-            case.bench.link();
-            case.bench.pass(4_000_000);
-            let said = |token| match case.bench.answers.get(&token) {
+            case.cluster.advance(Duration::from_millis(200));
+            case.cluster.cut_links.clear();
+            case.cluster.link_all();
+            case.cluster.advance(Duration::from_secs(4));
+            let said = |token| match case.cluster.answers.get(&token) {
                 Some(CallOutcome::Committed { .. }) => Some(true),
                 Some(CallOutcome::Rejected(_)) => Some(false),
                 _ => None,
@@ -188,7 +192,7 @@
             if clear == [Some(false), Some(false)] {
                 return Err(format!("lost {lost:04b}, second at {second}, {event:?}: none done"));
             }
-            let held = case.bench.read(x, 9_999).0[&1];
+            let held = case.cluster.read(x, 9_999).0[&1];
             if held != (5, if clear[0] == Some(true) { 7 } else { 8 }) {
                 return Err(format!("lost {lost:04b}: {held:?} is in force"));
             }
@@ -206,41 +210,41 @@
 
 /// Eight calls at once through all entries, the first of which brings what the others name, while the owner changes or not:
 /// nothing that rests on a change is said before that change is in force for good.
-fn eight_at_once(broken: Option<Mutation>) -> Result<(), String> {
+fn eight_at_once(mutation: Option<Mutation>) -> Result<(), String> {
     for cut in [false, true] {
         for lost in 0..4_u8 {
-            let (mut b, owner) = Bench::settled();
-            b.broken(broken);
+            let (mut cluster, owner) = Cluster::settled();
+            cluster.set_mutation(mutation);
             let (x, y) = others(owner);
             // One change is under way, so that the eight go in one copy.
-            b.slow_disk.extend([x, y]);
-            b.call(owner, 1, &[(9, 1, 1)]);
-            b.ledgers[owner].call(b.now, 10, KEY, vec![(1, 1, 7)]);
+            cluster.stalled_disks.extend([x, y]);
+            cluster.call(owner, 1, &[(9, 1, 1)]);
+            cluster.stores[owner].call(cluster.now, 10, KEY, vec![(1, 1, 7)]);
             for token in 11..18 {
                 let node = [owner, x, y][token as usize % 3];
-                b.run();
-                b.ledgers[node].call(b.now, token, KEY, vec![(token as u8, 1, names(1))]);
+                cluster.run();
+                cluster.stores[node].call(cluster.now, token, KEY, vec![(token as u8, 1, refers_to(1))]);
             }
             // One more that rests on what is not in force yet: another content under the same version.
-            b.ledgers[owner].call(b.now, 18, KEY, vec![(1, 1, 8)]);
-            b.run();
-            b.cut.extend([(owner, x), (owner, y)].iter().take(lost as usize % 3));
+            cluster.stores[owner].call(cluster.now, 18, KEY, vec![(1, 1, 8)]);
+            cluster.run();
+            cluster.cut_links.extend([(owner, x), (owner, y)].iter().take(lost as usize % 3));
             let words = lost == 3;
             if words {
-                b.cut.extend([(x, owner), (y, owner)]);
+                cluster.cut_links.extend([(x, owner), (y, owner)]);
             }
-            b.slow_disk.clear();
-            b.run();
+            cluster.stalled_disks.clear();
+            cluster.run();
             if cut {
-                b.part(owner);
+                cluster.isolate(owner);
             }
-            let early: Vec<u64> = (10..=18).filter(|token| b.answers.contains_key(token)).collect();
-            b.pass(1_500_000);
-            b.cut.clear();
-            b.link();
-            b.pass(4_000_000);
-            let told = b.answers.clone();
-            let held = b.read(x, 99);
+            let early: Vec<u64> = (10..=18).filter(|token| cluster.answers.contains_key(token)).collect();
+            cluster.advance(Duration::from_millis(1_500));
+            cluster.cut_links.clear();
+            cluster.link_all();
+            cluster.advance(Duration::from_secs(4));
+            let told = cluster.answers.clone();
+            let held = cluster.read(x, 99);
             let name = format!("cut {cut}, lost {lost}, {early:?} said early");
             for (token, verdict) in told.range(10..18) {
                 match verdict {
@@ -257,7 +261,7 @@
             if matches!(told.get(&18), Some(CallOutcome::Rejected(_))) && held.0.get(&1) != Some(&(1, 7)) {
                 return Err(format!("{name}: refused for a change that is not in force"));
             }
-            if !cut && lost == 0 && !(10..18).all(|token| b.done(token)) {
+            if !cut && lost == 0 && !(10..18).all(|token| cluster.is_committed(token)) {
                 return Err(format!("{name}: not all done: {told:?}"));
             }
         }
@@ -271,20 +275,20 @@
 }
 
 /// An owner that was cut off and overtaken gets a call that has become valid since, and one that was taken since.
-fn at_an_overtaken_owner(broken: Option<Mutation>) -> Vec<(u64, bool)> {
-    let (mut b, owner) = Bench::settled();
-    b.broken(broken);
+fn at_an_overtaken_owner(mutation: Option<Mutation>) -> Vec<(u64, bool)> {
+    let (mut cluster, owner) = Cluster::settled();
+    cluster.set_mutation(mutation);
     let (x, y) = others(owner);
-    b.cut.extend([(x, owner), (y, owner), (owner, x), (owner, y)]);
-    b.call(x, 1, &[(1, 1, 7)]);
-    b.pass(900_000);
-    assert!(b.done(1));
+    cluster.cut_links.extend([(x, owner), (y, owner), (owner, x), (owner, y)]);
+    cluster.call(x, 1, &[(1, 1, 7)]);
+    cluster.advance(Duration::from_millis(900));
+    assert!(cluster.is_committed(1));
     // It still believes; nobody told it.
-    b.call(owner, 2, &[(2, 1, names(1))]);
-    b.pass(100_000);
-    b.cut.clear();
-    b.pass(600_000);
-    [2].iter().map(|token| (*token, b.done(*token))).collect()
+    cluster.call(owner, 2, &[(2, 1, refers_to(1))]);
+    cluster.advance(Duration::from_millis(100));
+    cluster.cut_links.clear();
+    cluster.advance(Duration::from_millis(600));
+    [2].iter().map(|token| (*token, cluster.is_committed(*token))).collect()
 }
 
 #[test]
@@ -309,9 +313,9 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn same_version_of_two_operators_both_done_is_caught() {
-    for broken in [Mutation::AnswersBeforeQuorum, Mutation::ClaimsWithoutQuorum] {
-        let why = races(Some(broken)).expect_err("not found");
-        println!("{broken:?}: {why}");
+    for mutation in [Mutation::AnswersBeforeQuorum, Mutation::ClaimsWithoutQuorum] {
+        let why = races(Some(mutation)).expect_err("not found");
+        println!("{mutation:?}: {why}");
         assert!(why.contains("both done") || why.contains("and again false"), "{why}");
     }
 }
--- a/crates/control/control-store/tests/world.rs
+++ b/crates/control/control-store/tests/simulation.rs
@@ -1,12 +1,12 @@
-//! Drawn schedules in simulated time, held against a plain model.
+//! Schedules drawn from seeds in simulated time, held against a plain model.
 
 mod common;
 
-use common::{machines, Report, World};
+use common::simulation::{machine_count, Report, Simulation};
 use std::collections::BTreeMap;
 
 fn run(seed: u64) -> Report {
-    match World::new(seed, machines(seed), None).run() {
+    match Simulation::new(seed, machine_count(seed), None).run() {
         Ok(report) => report,
         Err(why) => panic!("seed {seed}: {why}"),
     }
@@ -21,9 +21,9 @@
 
 fn run_replacing(seed: u64) -> Report {
     let replicas = if seed.is_multiple_of(5) { 5 } else { 3 };
-    let mut world = World::with_spares(seed, replicas, 1 + (seed % 3) as usize, None);
-    world.full_disks = std::env::var_os("FULL_DISKS").is_some();
-    match world.run() {
+    let mut simulation = Simulation::with_spares(seed, replicas, 1 + (seed % 3) as usize, None);
+    simulation.full_disks = std::env::var_os("FULL_DISKS").is_some();
+    match simulation.run() {
         Ok(report) => report,
         Err(why) => panic!("seed {seed}: {why}"),
     }
@@ -35,11 +35,11 @@
     for seed in 0..60 {
         changes += run_replacing(seed).replica_sets;
     }
-    assert!(changes >= 40, "{changes} changes of the replica_set");
+    assert!(changes >= 40, "{changes} changes of the replica set");
 }
 
 /// With replicas lost for good and replaced where REPLACEMENTS is set, with disks that fill up where FULL_DISKS is.
-/// `SCHEDULES=20000 FROM=0 cargo test --release -p silvercross-control store --test world -- --ignored --nocapture`
+/// `SCHEDULES=20000 FROM=0 cargo test --release -p silvercross-control-store --test simulation -- --ignored --nocapture`
 #[test]
 #[ignore = "as many schedules as SCHEDULES says"]
 fn many_schedules_lose_nothing() {
@@ -60,8 +60,8 @@
         reports
     };
     let reports: Vec<Report> = std::thread::scope(|scope| {
-        let hands: Vec<_> = (0..threads).map(|t| scope.spawn(move || work(t))).collect();
-        hands.into_iter().flat_map(|h| h.join().expect("a schedule broke the claim")).collect()
+        let workers: Vec<_> = (0..threads).map(|t| scope.spawn(move || work(t))).collect();
+        workers.into_iter().flat_map(|w| w.join().expect("a schedule broke the claim")).collect()
     });
     let sum = |get: fn(&Report) -> u64| reports.iter().map(get).sum::<u64>();
     let mut faults: BTreeMap<&str, u64> = BTreeMap::new();
@@ -71,41 +71,41 @@
         }
     }
     println!(
-        "{} schedules: {} calls, {} done, {} refused, {} unsettled, {} reads, {} taken, {} said with lost disks, {} replica_sets, \
-         faults {:?}, {} of them with a call open; settled at most {} us after the heal",
+        "{} schedules: {} calls, {} committed, {} rejected, {} unknown, {} reads, {} ownerships taken, {} messages with lost disks, {} replica sets, \
+         faults {:?}, {} of them with a call open; settled at most {} after the heal",
         reports.len(),
         sum(|r| r.calls),
-        sum(|r| r.done),
-        sum(|r| r.refused),
-        sum(|r| r.unsettled),
+        sum(|r| r.committed),
+        sum(|r| r.rejected),
+        sum(|r| r.unknown),
         sum(|r| r.reads),
-        sum(|r| r.taken),
-        sum(|r| r.outlived),
+        sum(|r| r.ownerships_taken),
+        sum(|r| r.stale_incarnations),
         sum(|r| r.replica_sets),
         faults,
-        sum(|r| r.met),
-        reports.iter().map(|r| r.settled_in).max().unwrap_or(0),
+        sum(|r| r.faults_with_open_calls),
+        reports.iter().map(|r| r.settled_in).max().unwrap_or_default(),
     );
 }
 
 fn run_filling(seed: u64) -> Report {
-    let mut world = World::new(seed, machines(seed), None);
-    world.full_disks = true;
-    world.run().unwrap_or_else(|why| panic!("seed {seed}: {why}"))
+    let mut simulation = Simulation::new(seed, machine_count(seed), None);
+    simulation.full_disks = true;
+    simulation.run().unwrap_or_else(|why| panic!("seed {seed}: {why}"))
 }
 
 #[test]
 fn drawn_schedules_with_full_disks_lose_nothing() {
-    let (mut full, mut done) = (0, 0);
+    let (mut full, mut committed) = (0, 0);
     for seed in 0..250 {
         let report = run_filling(seed);
         full += report.faults.get("full").copied().unwrap_or(0);
-        done += report.done;
+        committed += report.committed;
     }
-    assert!(full >= 400 && done >= 4_000, "{full} disks full, {done} changes done");
+    assert!(full >= 400 && committed >= 4_000, "{full} disks full, {committed} changes committed");
 }
 
-/// A whole value that nobody wanted was offered over and over; a portion of changes that came twice was not gone on from.
+/// A snapshot that nobody wanted was offered over and over; a run of changes that came twice was not gone on from.
 #[test]
 fn schedules_that_once_failed_lose_nothing() {
     run(5_001_061);
--- a/crates/control/control-store/tests/wire_bytes.rs
+++ b/crates/control/control-store/tests/wire_bytes.rs
@@ -3,15 +3,16 @@
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::{
-    CallOutcome, Epoch, ForwardReply, Incarnation, Incarnations, KeySummary, Message, Metadata, Node,
-    Rejection, ReplicaSet, Request, Revision, StoredKey, Vote,
+    AcceptedReplicaSet, CallOutcome, Epoch, ForwardReply, Incarnation, Incarnations, KeyPosition, KeySummary,
+    Member, Message, Metadata, Node, NodeIncarnation, Rejection, ReplicaSet, Request, Revision,
+    SnapshotDigest, StoredKey, Vote,
 };
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its encoding in hexadecimal.
 const TABLE: &str = include_str!("data/wire.hex");
 
-type Said = Message<String, u64>;
+type StringMessage = Message<String, u64>;
 
 /// Adds the line of a value to `lines`, after reading the value back from its encoding.
 fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
@@ -33,30 +34,45 @@
     Revision { epoch: epoch(), sequence: 70_000 }
 }
 
+fn position(key: String, sequence: u64) -> KeyPosition {
+    KeyPosition { key, epoch: epoch(), sequence }
+}
+
 fn incarnation() -> Incarnation {
     Incarnation { count: 2, nonce: 0x1122_3344_5566_7788 }
 }
 
 fn incarnations() -> Incarnations {
-    Incarnations { mine: incarnation(), others: vec![(Node(2), Incarnation { count: 1, nonce: 9 })] }
+    Incarnations {
+        own: incarnation(),
+        others: vec![NodeIncarnation { node: Node(2), incarnation: Incarnation { count: 1, nonce: 9 } }],
+    }
 }
 
 fn replica_set() -> ReplicaSet {
     ReplicaSet {
         version: 4,
-        members: vec![(Node(1), 1), (Node(2), 1), (Node(3), 1), (Node(4), 4)],
+        members: [(1, 1), (2, 1), (3, 1), (4, 4)]
+            .map(|(node, joined_in)| Member { node: Node(node), joined_in })
+            .to_vec(),
         leaving: Some(Node(3)),
         joining: Some(Node(4)),
     }
 }
 
 fn vote() -> Vote {
-    Vote { promised: epoch(), accepted: Some((Epoch { round: 299, owner: 2 }, replica_set())) }
+    Vote {
+        promised: epoch(),
+        accepted: Some(AcceptedReplicaSet {
+            epoch: Epoch { round: 299, owner: 2 },
+            replica_set: replica_set(),
+        }),
+    }
 }
 
 fn messages(lines: &mut String) {
     let (at, key) = (revision(), key);
-    let all: Vec<(&str, Said)> = vec![
+    let all: Vec<(&str, StringMessage)> = vec![
         ("claim", Message::Claim { key: key(), epoch: epoch() }),
         (
             "promise",
@@ -68,7 +84,7 @@
             Message::Append {
                 key: key(),
                 epoch: epoch(),
-                to: Revision { sequence: 70_002, ..at },
+                revision: Revision { sequence: 70_002, ..at },
                 base: at,
                 changes: vec![7, 1 << 40],
                 more: true,
@@ -78,16 +94,16 @@
             "kept",
             Message::Appended { key: key(), epoch: epoch(), sequence: 70_000, incarnations: incarnations() },
         ),
-        ("behind", Message::Behind { key: key(), epoch: epoch(), accepted: at, whole: true }),
-        ("fetch", Message::SnapshotRequest { key: key(), at, offset: 65_536 }),
+        ("behind", Message::Lagging { key: key(), epoch: epoch(), accepted: at, needs_snapshot: true }),
+        ("fetch", Message::SnapshotRequest { key: key(), revision: at, offset: 65_536 }),
         (
             "piece",
             Message::SnapshotChunk {
                 key: key(),
-                at,
+                revision: at,
                 offset: 65_536,
-                total: 65_539,
-                digest: (1 << 40, 9),
+                total_bytes: 65_539,
+                digest: SnapshotDigest { first: 1 << 40, second: 9 },
                 bytes: vec![1, 2, 255],
             },
         ),
@@ -95,24 +111,30 @@
         ("confirm", Message::ConfirmEpoch { key: key(), epoch: epoch(), round: 12 }),
         ("confirmed", Message::EpochConfirmed { key: key(), epoch: epoch(), round: 12 }),
         ("resigned", Message::OwnershipReleased { key: key(), epoch: epoch() }),
-        ("heartbeat", Message::Heartbeat { keys: vec![(key(), epoch(), 70_000), ("b".into(), epoch(), 1)] }),
-        ("forward-change", Message::Forward { id: 5, key: key(), under: epoch(), ask: Request::Change(900) }),
-        ("forward-read", Message::Forward { id: 6, key: key(), under: epoch(), ask: Request::Read }),
-        ("forward-whole", Message::Forward { id: 7, key: key(), under: epoch(), ask: Request::ReadValue }),
+        ("heartbeat", Message::Heartbeat { keys: vec![position(key(), 70_000), position("b".into(), 1)] }),
+        (
+            "forward-change",
+            Message::Forward { id: 5, key: key(), epoch: epoch(), request: Request::Change(900) },
+        ),
+        ("forward-read", Message::Forward { id: 6, key: key(), epoch: epoch(), request: Request::Read }),
+        (
+            "forward-whole",
+            Message::Forward { id: 7, key: key(), epoch: epoch(), request: Request::ReadValue },
+        ),
         (
             "verdict-done",
             Message::ForwardReply {
                 id: 5,
-                under: epoch(),
-                forwarded: ForwardReply::Answered(CallOutcome::Committed { revision: at, changed: true }),
+                epoch: epoch(),
+                reply: ForwardReply::Answered(CallOutcome::Committed { revision: at, changed: true }),
             },
         ),
         (
             "verdict-refused",
             Message::ForwardReply {
                 id: 5,
-                under: epoch(),
-                forwarded: ForwardReply::Answered(CallOutcome::Rejected(Rejection {
+                epoch: epoch(),
+                reply: ForwardReply::Answered(CallOutcome::Rejected(Rejection {
                     conflict: true,
                     reason: "why".into(),
                 })),
@@ -122,25 +144,22 @@
             "verdict-value",
             Message::ForwardReply {
                 id: 7,
-                under: epoch(),
-                forwarded: ForwardReply::Answered(CallOutcome::Value {
-                    revision: at,
-                    value: "content".into(),
-                }),
+                epoch: epoch(),
+                reply: ForwardReply::Answered(CallOutcome::Value { revision: at, value: "content".into() }),
             },
         ),
         (
             "verdict-unsettled",
             Message::ForwardReply {
                 id: 5,
-                under: epoch(),
-                forwarded: ForwardReply::Answered(CallOutcome::Unknown),
+                epoch: epoch(),
+                reply: ForwardReply::Answered(CallOutcome::Unknown),
             },
         ),
-        ("verdict-at", Message::ForwardReply { id: 6, under: epoch(), forwarded: ForwardReply::ReadAt(at) }),
+        ("verdict-at", Message::ForwardReply { id: 6, epoch: epoch(), reply: ForwardReply::ReadAt(at) }),
         (
             "verdict-not-owner",
-            Message::ForwardReply { id: 6, under: epoch(), forwarded: ForwardReply::NotOwner(epoch()) },
+            Message::ForwardReply { id: 6, epoch: epoch(), reply: ForwardReply::NotOwner(epoch()) },
         ),
         ("recover", Message::RepairRequest { incarnation: incarnation() }),
         (
@@ -158,17 +177,14 @@
         ("in-force", Message::ReplicaSetInForce),
         (
             "had-kept",
-            Message::AcknowledgedPositions {
-                incarnation: incarnation(),
-                keys: vec![(key(), epoch(), 70_000)],
-            },
+            Message::ConfirmedPositions { incarnation: incarnation(), keys: vec![position(key(), 70_000)] },
         ),
-        ("propose", Message::PrepareReplicaSet { epoch: epoch(), gone: Some(Node(3)) }),
+        ("propose", Message::PrepareReplicaSet { epoch: epoch(), replaced: Some(Node(3)) }),
         (
             "proposed",
             Message::ReplicaSetPromise {
                 epoch: epoch(),
-                accepted: Some((epoch(), replica_set())),
+                accepted: Some(AcceptedReplicaSet { epoch: epoch(), replica_set: replica_set() }),
                 incarnations: incarnations(),
             },
         ),
@@ -192,7 +208,7 @@
         replica_set: replica_set(),
         vote: vote(),
         incarnation: incarnation(),
-        incarnations: vec![(Node(2), incarnation())],
+        incarnations: vec![NodeIncarnation { node: Node(2), incarnation: incarnation() }],
     };
     add(&mut lines, "disk/metadata", metadata);
     add(&mut lines, "disk/metadata-first", Metadata::default());
--- a/crates/daemon/mesh/src/disk/tests/old_store.rs
+++ b/crates/daemon/mesh/src/disk/tests/old_store.rs
@@ -45,7 +45,7 @@
     let mut disk = opened.disk;
     assert!(lines(&disk) == RECORDS, "the records have changed; they are now:\n{}", lines(&disk));
     let metadata = disk.metadata.as_ref().expect("formatted");
-    let nodes: Vec<Node> = metadata.replica_set.members.iter().map(|member| member.0).collect();
+    let nodes: Vec<Node> = metadata.replica_set.members.iter().map(|member| member.node).collect();
     assert_eq!(nodes, [1, 2, 3].map(|last| Node(0x7f4d_0900 | last)));
     let ControlValue::Configuration(configuration) = value(&disk, "configuration") else {
         panic!("another form of the configuration")
--- a/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
+++ b/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
@@ -3,7 +3,7 @@
 use super::wall_clock::wall_micros;
 use crate::control_value::{ControlChange, CONFIGURATION_KEY};
 use crate::node_state::NodeState;
-use silvercross_control_store::{CallOutcome, Epoch};
+use silvercross_control_store::{CallOutcome, Epoch, OwnedKey};
 use silvercross_throttle::{lapse_key, member_of_lapse_key, LapseState, UnixTime};
 use silvercross_time::{Duration, Instant};
 use slog::{debug, info};
@@ -67,7 +67,7 @@
     let observed = members.observed.borrow();
     let owned_keys = node_state.peers.control_store(|store| store.owned_keys()).unwrap_or_default();
     let mut owned = BTreeMap::new();
-    for (key, epoch, _) in owned_keys {
+    for OwnedKey { key, epoch, .. } in owned_keys {
         if key == CONFIGURATION_KEY {
             let unwritten = index
                 .members()
--- a/crates/daemon/mesh/src/peers/calls.rs
+++ b/crates/daemon/mesh/src/peers/calls.rs
@@ -64,7 +64,7 @@
         let number = self.take_number();
         let (to, outcome) = oneshot::channel();
         self.pending_calls.borrow_mut().insert(number, to);
-        let now = node_state.now().as_micros();
+        let now = node_state.now();
         match change {
             Some(change) => store.borrow_mut().call(now, number, key, change),
             None => store.borrow_mut().read(now, number, key),
--- a/crates/daemon/mesh/src/peers/deciders.rs
+++ b/crates/daemon/mesh/src/peers/deciders.rs
@@ -44,7 +44,7 @@
     fn next_deadline(&self) -> Instant {
         let of_membership = self.membership.borrow().next_deadline();
         let of_store = self.control_store.as_ref().and_then(|store| store.borrow().next_deadline());
-        of_store.map_or(of_membership, |at| Instant::from_micros(at).min(of_membership))
+        of_store.map_or(of_membership, |at| at.min(of_membership))
     }
 }
 
@@ -58,7 +58,7 @@
                 let now = node_state.now();
                 peers.membership.borrow_mut().tick(now);
                 if let Some(store) = &peers.control_store {
-                    store.borrow_mut().tick(now.as_micros());
+                    store.borrow_mut().tick(now);
                 }
                 peers.carry_out_effects(&node_state);
             }
@@ -75,7 +75,7 @@
     let peers = &node_state.peers;
     while let Some(event) = events.recv().await {
         let Some(store) = &peers.control_store else { continue };
-        let now = node_state.now().as_micros();
+        let now = node_state.now();
         match event {
             DiskEvent::Synced(write) => store.borrow_mut().write_completed(now, write),
             DiskEvent::OutOfSpace(error) => {
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -69,7 +69,7 @@
         // It has a disk, knows the replica set, and is not in it.
         let is_spare = !body.replica_set.is_empty() && !body.replica_set.contains(&record.node.0);
         let is_candidate = record.is_control && !record.gone && !body.stopping && is_spare;
-        let (node, now) = (store_node(record.node), node_state.now().as_micros());
+        let (node, now) = (store_node(record.node), node_state.now());
         store.borrow_mut().set_candidate(now, node, is_candidate);
         if record.is_control {
             store.borrow_mut().set_stopping(now, node, body.stopping);
@@ -93,10 +93,10 @@
                     let _ = writes.send(DiskWrite { number: write, metadata, keys });
                 }
             }
-            StoreEffect::Answer { token, verdict } => {
+            StoreEffect::Answer { token, outcome } => {
                 if let Some(to) = self.pending_calls.borrow_mut().remove(&token) {
                     // Who called may have given up.
-                    let _ = to.send(published(verdict));
+                    let _ = to.send(published(outcome));
                 }
             }
             StoreEffect::Committed { key, revision, value } => {
--- a/crates/daemon/mesh/src/peers/links.rs
+++ b/crates/daemon/mesh/src/peers/links.rs
@@ -49,7 +49,7 @@
         let now = node_state.now();
         self.membership.borrow_mut().link_down(now, node);
         if let Some(store) = &self.control_store {
-            store.borrow_mut().set_reachable(now.as_micros(), store_node(node), false);
+            store.borrow_mut().set_reachable(now, store_node(node), false);
         }
         self.deadline_changed.notify_one();
     }
@@ -86,7 +86,7 @@
         let now = node_state.now();
         self.membership.borrow_mut().link_up(now, node);
         if let Some(store) = &self.control_store {
-            store.borrow_mut().set_reachable(now.as_micros(), store_node(node), true);
+            store.borrow_mut().set_reachable(now, store_node(node), true);
         }
         self.carry_out_effects(node_state);
         (number, queues)
@@ -103,7 +103,7 @@
             Frame::ControlStore { replica_set_version, message } => {
                 if let Some(store) = &self.control_store {
                     let mut store = store.borrow_mut();
-                    store.receive(now.as_micros(), store_node(from), replica_set_version, message);
+                    store.receive(now, store_node(from), replica_set_version, message);
                 }
             }
             Frame::WallClockRequest { asked } => {
--- a/crates/daemon/mesh/src/peers/own_node.rs
+++ b/crates/daemon/mesh/src/peers/own_node.rs
@@ -28,14 +28,14 @@
     /// This process is told to stop: its replica is to be replaced while it is still there.
     pub(crate) fn leave_replica_set(&self, node_state: &Rc<NodeState>) {
         if let Some(store) = &self.control_store {
-            store.borrow_mut().begin_graceful_stop(node_state.now().as_micros());
+            store.borrow_mut().begin_graceful_stop(node_state.now());
         }
         self.carry_out_effects(node_state);
     }
 
     /// Whether this process, which stops, is still needed as a replica.
     pub(crate) fn is_replica_needed(&self) -> bool {
-        self.control_store(|store| store.still_needed()).unwrap_or(false)
+        self.control_store(|store| store.is_still_needed()).unwrap_or(false)
     }
 
     /// Ask the other replicas for their time of day.
--- a/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
+++ b/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
@@ -7,7 +7,7 @@
 use rand_core::SeedableRng;
 use silvercross_admission::AdmissionController;
 use silvercross_control_store::{
-    ControlStore, Epoch, Metadata, ReplicaSet, Start, State, StoredKey, StoredState,
+    ControlStore, Epoch, Metadata, ReplicaSet, StartConfig, State, StoredKey, StoredState,
 };
 use silvercross_facade::Clock;
 use silvercross_mesh_membership::{Freshness, Membership, Node, Revision, READINESS_TIMEOUT};
@@ -42,8 +42,13 @@
 
 /// A disk with the configuration after so many changes, each taken over anew.
 fn disk_of(last: u8, changes: u64) -> StoredState<ControlValue> {
-    let members =
-        CONTROL.iter().map(|c| (silvercross_control_store::Node(address(*c).to_bits()), 1)).collect();
+    let members = CONTROL
+        .iter()
+        .map(|c| silvercross_control_store::Member {
+            node: silvercross_control_store::Node(address(*c).to_bits()),
+            joined_in: 1,
+        })
+        .collect();
     let replica_set = ReplicaSet { version: 1, members, leaving: None, joining: None };
     let epoch = Epoch { round: changes, owner: address(last).to_bits() };
     let accepted = silvercross_control_store::Revision { epoch, sequence: 1 };
@@ -108,8 +113,12 @@
     let store = disk.map(|disk| {
         let me: StoreNode = silvercross_control_store::Node(ip.to_bits());
         let keys = vec![CONFIGURATION_KEY.to_string()];
-        let start = Start { me, replica_set: vec![], keys, fresh: false, seed: u64::from(last) };
-        LocalControlStore { store: ControlStore::new(clock.now(), start, disk), disk_writes: writes }
+        let start =
+            StartConfig { node: me, replica_set: vec![], keys, is_first_start: false, seed: u64::from(last) };
+        LocalControlStore {
+            store: ControlStore::new(silvercross_time::Instant::from_micros(clock.now()), start, disk),
+            disk_writes: writes,
+        }
     });
     let peers = Peers::new(ip, port, membership, store, udp);
     let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
@@ -165,7 +174,7 @@
         let serves = process(12, port, quick, None).await;
         // Both have the old configuration, and have been told again and again that no majority is reached.
         until(|| change(&waits) == 1 && change(&serves) == 1).await;
-        let unsettled = || alone.peers.control_store(|l| l.metrics().unsettled).unwrap_or(0);
+        let unsettled = || alone.peers.control_store(|l| l.metrics().unknown_outcomes).unwrap_or(0);
         until(|| unsettled() >= 2).await;
         for sidecar in [&waits, &serves] {
             assert_eq!(
--- a/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
+++ b/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
@@ -111,13 +111,13 @@
     let copy = Message::Append {
         key: "configuration".to_string(),
         epoch: epoch(),
-        to: revision(),
+        revision: revision(),
         base: revision(),
         changes: changes().into_iter().map(|(_, change)| change).collect(),
         more: false,
     };
     let key = || "evacuation/a".to_string();
-    let ask = Request::Change(ControlChange::Evacuate(false));
+    let request = Request::Change(ControlChange::Evacuate(false));
     let asked = Instant::from_micros(-5);
     let store = |message| Frame::ControlStore { replica_set_version: 4, message };
     vec![
@@ -126,7 +126,7 @@
         ("membership-sums", Frame::Membership(MembershipMessage::BucketDigests { digests: vec![1, 2] })),
         ("store-claim", store(Message::Claim { key: key(), epoch: epoch() })),
         ("store-copy", store(copy)),
-        ("store-forward", store(Message::Forward { id: 5, key: key(), under: epoch(), ask })),
+        ("store-forward", store(Message::Forward { id: 5, key: key(), epoch: epoch(), request })),
         ("time", Frame::WallClockRequest { asked }),
         ("told", Frame::WallClockReply { asked, wall_micros: 1_700_000_000_000_000, stepped: true }),
     ]
--- a/crates/daemon/mesh/src/periodic.rs
+++ b/crates/daemon/mesh/src/periodic.rs
@@ -46,7 +46,7 @@
 
 /// Say so when the disk was found to hold an older state than it had confirmed; `known` are those that were logged.
 fn log_rollbacks(node_state: &NodeState, known: &mut u64) {
-    let rollbacks = node_state.peers.control_store(|store| store.metrics().went_back).unwrap_or(0);
+    let rollbacks = node_state.peers.control_store(|store| store.metrics().disk_rollbacks).unwrap_or(0);
     if rollbacks > *known {
         *known = rollbacks;
         warn!(node_state.log, "disk went back to an older state, the other replicas repair it"; "times" => rollbacks);
--- a/crates/daemon/mesh/src/startup.rs
+++ b/crates/daemon/mesh/src/startup.rs
@@ -115,15 +115,15 @@
     let mut keys = vec![CONFIGURATION_KEY.to_string()];
     keys.extend(settings.zones.iter().map(|zone| evacuation_key(zone)));
     let store_node = |node: Node| silvercross_control_store::Node(node.0);
-    let start = silvercross_control_store::Start {
-        me: store_node(Node(settings.ip.to_bits())),
+    let start = silvercross_control_store::StartConfig {
+        node: store_node(Node(settings.ip.to_bits())),
         replica_set: settings.seed_nodes().into_iter().map(store_node).collect(),
         keys,
         // A disk that lost its content is no new one, whatever the settings say.
-        fresh: settings.is_first_start && !opened.content_lost,
+        is_first_start: settings.is_first_start && !opened.content_lost,
         seed,
     };
-    let store = ControlStore::new(now.as_micros(), start, opened.disk);
+    let store = ControlStore::new(now, start, opened.disk);
     let local = LocalControlStore { store, disk_writes: opened.writes };
     Ok(Some(OpenedControlStore { local, disk_events: opened.events }))
 }
--- a/crates/daemon/mesh/src/state_report.rs
+++ b/crates/daemon/mesh/src/state_report.rs
@@ -53,12 +53,12 @@
 
 fn store_metrics(store: &ControlStore<ControlValue>) -> Value {
     let metrics = store.metrics();
-    json!({ "claims": metrics.claims, "taken": metrics.taken, "steppedDown": metrics.stepped_down,
-        "copiesSent": metrics.copies_sent, "wholesSent": metrics.wholes_sent, "behind": metrics.behind,
-        "refusedLowerEpoch": metrics.rejected_lower_epoch, "strangers": metrics.strangers,
-        "unsettled": metrics.unsettled, "passed": metrics.forwarded, "repairs": metrics.repairs,
-        "outlived": metrics.outlived, "replicaSets": metrics.replica_sets, "wentBack": metrics.went_back,
-        "diskFull": metrics.no_room, "unsaid": metrics.unsaid })
+    json!({ "claims": metrics.claims, "taken": metrics.ownerships_taken, "steppedDown": metrics.stepped_down,
+        "copiesSent": metrics.appends_sent, "wholesSent": metrics.snapshots_sent, "behind": metrics.lagging_replicas,
+        "refusedLowerEpoch": metrics.rejected_lower_epoch, "strangers": metrics.unknown_senders,
+        "unsettled": metrics.unknown_outcomes, "passed": metrics.forwarded, "repairs": metrics.repairs_answered,
+        "outlived": metrics.stale_incarnations, "replicaSets": metrics.replica_sets_adopted, "wentBack": metrics.disk_rollbacks,
+        "diskFull": metrics.disk_full, "unsaid": metrics.replies_withheld })
 }
 
 /// The disk under the control store: whether it takes writes, and if not what an operator has to do.
@@ -74,7 +74,7 @@
 fn owned_keys(store: &ControlStore<ControlValue>) -> Vec<Value> {
     let owned = store.owned_keys();
     let row = owned.iter().map(
-        |(key, epoch, revision)| json!({ "key": key, "round": epoch.round, "change": revision.sequence }),
+        |owned| json!({ "key": owned.key, "round": owned.epoch.round, "change": owned.revision.sequence }),
     );
     row.collect()
 }
--- a/crates/testing/control-sim/src/effects.rs
+++ b/crates/testing/control-sim/src/effects.rs
@@ -30,7 +30,7 @@
 impl World {
     /// A node announces its status to the others.
     pub(crate) fn announce_status(&mut self, node: usize) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         let machine = &mut self.nodes[node];
         let known_replicas = |store: &ControlStore<Items>| {
             let is_known = store.is_voter() || (store.is_outside() && store.replica_set().version > 0);
@@ -46,7 +46,7 @@
             is_stopping: machine.is_stopping,
         };
         if let Some(membership) = &mut machine.membership {
-            membership.update_body(Instant::from_micros(now), status);
+            membership.update_body(now, status);
         }
     }
 
@@ -72,8 +72,7 @@
         let machine = &mut self.nodes[node];
         let Some(membership) = &machine.membership else { return };
         let store_deadline = machine.store.as_ref().and_then(ControlStore::next_deadline);
-        let deadline =
-            membership.next_deadline().min(store_deadline.map_or(Instant::MAX, Instant::from_micros));
+        let deadline = membership.next_deadline().min(store_deadline.unwrap_or(Instant::MAX));
         let most = if machine.is_control { STATUS_INTERVAL } else { MAX_SIDECAR_SLEEP };
         let sleep = deadline.saturating_since(local_now).clamp(Duration::from_micros(1), most);
         let wakeup = now + sleep;
@@ -124,7 +123,7 @@
 
     /// The control store hears which other control nodes could be replicas, and which stop.
     fn report_candidate(&mut self, node: usize, record: membership::NodeRecord<NodeStatus>) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         let Some(store) = &mut self.nodes[node].store else { return };
         let status = &record.body;
         let is_spare = !status.replica_ids.is_empty() && !status.replica_ids.contains(&record.node.0);
@@ -146,15 +145,15 @@
             Effect::Store { write, metadata, keys } => {
                 self.begin_write(node, PendingWrite { number: write, metadata, keys });
             }
-            Effect::Answer { token, verdict } if is_majority_read(token) => {
-                self.finish_majority_read(node, token, verdict);
+            Effect::Answer { token, outcome } if is_majority_read(token) => {
+                self.finish_majority_read(node, token, outcome);
             }
-            Effect::Answer { token, verdict } => self.answer_call(node, CallToken(token), verdict),
+            Effect::Answer { token, outcome } => self.answer_call(node, CallToken(token), outcome),
             Effect::Committed { key, revision, value } => {
                 let revision = observed(revision);
-                let (now, bytes) = (self.local_now(node).as_micros(), bitcode::encode(&value));
+                let (now, bytes) = (self.local_now(node), bitcode::encode(&value));
                 if let Some(membership) = &mut self.nodes[node].membership {
-                    membership.publish(Instant::from_micros(now), &key, update(revision), bytes);
+                    membership.publish(now, &key, update(revision), bytes);
                 }
                 self.apply_value(node, &key, revision, value);
             }
--- a/crates/testing/control-sim/src/fault_end.rs
+++ b/crates/testing/control-sim/src/fault_end.rs
@@ -41,18 +41,18 @@
 
     /// A process that stops gracefully leaves membership, unless it is still needed and there is time.
     fn sign_off(&mut self, node: usize, generation: u64, deadline: Instant) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         let machine = &mut self.nodes[node];
         if machine.generation != generation {
             return;
         }
-        let is_needed = machine.store.as_ref().is_some_and(|store| store.still_needed());
+        let is_needed = machine.store.as_ref().is_some_and(|store| store.is_still_needed());
         if (machine.is_frozen || is_needed) && self.now < deadline {
             let again = FaultEnd::SignOff { node, generation, deadline };
             return self.end_fault_after(SIGN_OFF_INTERVAL, again);
         }
         if let Some(membership) = machine.membership.as_mut().filter(|_| !machine.is_frozen) {
-            membership.leave(Instant::from_micros(now));
+            membership.leave(now);
             self.run_effects(node);
         }
     }
--- a/crates/testing/control-sim/src/fault_tolerance.rs
+++ b/crates/testing/control-sim/src/fault_tolerance.rs
@@ -3,7 +3,7 @@
 
 use crate::node::SimulatedNode;
 use crate::world::World;
-use silvercross_control_store::{Node, ReplicaSet};
+use silvercross_control_store::{Member, Node, ReplicaSet};
 
 impl World {
     /// The newest replica set that anybody knows of.
@@ -47,7 +47,7 @@
     pub(crate) fn is_loss_bearable(&self, node: usize) -> bool {
         let mut known = self.known_replica_sets();
         let is_in_force = |set: &&ReplicaSet| {
-            let stored = set.members.iter().filter(|member| self.has_stored_set(member.0 .0, set.version));
+            let stored = set.members.iter().filter(|member| self.has_stored_set(member.node.0, set.version));
             stored.count() * 2 > set.members.len()
         };
         let in_force = known.iter().filter(is_in_force).map(|set| set.version).max().unwrap_or(0);
@@ -57,11 +57,11 @@
             first_replicas.iter().all(|replica| replica.storage.is_formatted || replica.is_destroyed);
         let id = self.nodes[node].id;
         let bears = |set: &ReplicaSet| {
-            let is_lost = |member: &&(Node, u64)| !self.has_stored_set(member.0 .0, member.1);
+            let is_lost = |member: &&Member| !self.has_stored_set(member.node.0, member.joined_in);
             let lost = set.members.iter().filter(is_lost).count();
-            let target = set.members.iter().find(|(member, _)| member.0 == id);
+            let target = set.members.iter().find(|member| member.node.0 == id);
             lost < (self.plan.replicas - 1) / 2
-                && target.is_none_or(|(_, version)| self.has_stored_set(id, *version))
+                && target.is_none_or(|member| self.has_stored_set(id, member.joined_in))
         };
         all_began && !known.is_empty() && known.iter().all(bears)
     }
--- a/crates/testing/control-sim/src/faults.rs
+++ b/crates/testing/control-sim/src/faults.rs
@@ -50,7 +50,7 @@
             self.note(|| format!("that was: {kind}"));
             *self.report.faults.entry(kind).or_default() += 1;
             self.report.faults_during_calls += u64::from(has_open_calls);
-            let is_joint = self.newest_replica_set().is_some_and(|set| set.joint());
+            let is_joint = self.newest_replica_set().is_some_and(|set| set.is_joint());
             self.report.faults_in_joint_sets += u64::from(is_joint);
         }
         let most = if self.rng.one_in(3) { MAX_SHORT_FAULT_PAUSE } else { MAX_FAULT_PAUSE };
--- a/crates/testing/control-sim/src/lifecycle.rs
+++ b/crates/testing/control-sim/src/lifecycle.rs
@@ -75,17 +75,17 @@
         let replicas = self.nodes[..self.plan.replicas].iter().map(|replica| control::Node(replica.id));
         let is_replica = node < self.plan.replicas;
         let machine = &self.nodes[node];
-        let start = control::Start {
-            me: control::Node(machine.id),
+        let start = control::StartConfig {
+            node: control::Node(machine.id),
             replica_set: replicas.collect(),
             keys: (0..self.plan.keys).map(key_name).collect(),
-            fresh: is_replica && !machine.storage.is_formatted,
+            is_first_start: is_replica && !machine.storage.is_formatted,
             seed,
         };
-        let mut store = ControlStore::new(now.as_micros(), start, machine.storage.stored.clone());
+        let mut store = ControlStore::new(now, start, machine.storage.stored.clone());
         store.set_snapshot_chunk_bytes(self.plan.snapshot_chunk_bytes);
         if machine.storage.is_full {
-            store.set_disk_has_space(now.as_micros(), false);
+            store.set_disk_has_space(now, false);
         }
         self.nodes[node].store = Some(mutated_store(store, self.plan.store_mutation));
     }
@@ -141,7 +141,7 @@
 
     /// A control node's disk has space again: what was pending is synced.
     pub fn free_disk(&mut self, node: usize) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         let machine = &mut self.nodes[node];
         if !std::mem::take(&mut machine.storage.is_full) {
             return;
@@ -158,7 +158,7 @@
 
     /// A node's configuration names other control nodes to ask.
     pub fn set_seeds(&mut self, node: usize, seeds: Vec<usize>) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         let ids: Vec<membership::Node> =
             seeds.iter().map(|seed_node| membership::Node(self.nodes[*seed_node].id)).collect();
         self.nodes[node].seeds = seeds;
@@ -166,7 +166,7 @@
             return;
         }
         if let Some(membership) = &mut self.nodes[node].membership {
-            membership.set_seeds(Instant::from_micros(now), &ids);
+            membership.set_seeds(now, &ids);
             self.run_effects(node);
         }
     }
@@ -180,7 +180,7 @@
         self.note(|| format!("{node} is told to stop"));
         self.nodes[node].is_stopping = true;
         self.announce_status(node);
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         if let Some(store) = &mut self.nodes[node].store {
             store.begin_graceful_stop(now);
         }
--- a/crates/testing/control-sim/src/majority_reads.rs
+++ b/crates/testing/control-sim/src/majority_reads.rs
@@ -7,7 +7,6 @@
 use crate::world::World;
 use silvercross_control_store::CallOutcome;
 use silvercross_mesh_membership::EntryRevision;
-use silvercross_time::Instant;
 
 /// Tokens of these reads; operators' are below.
 const FIRST_MAJORITY_READ_TOKEN: u64 = 1 << 40;
@@ -20,7 +19,7 @@
 impl World {
     /// Begins to read all keys; a node that is no replica reads at those that are.
     pub(crate) fn begin_majority_read(&mut self, node: usize, request_id: u64) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         if self.nodes[node].store.is_none() {
             return;
         }
@@ -37,7 +36,7 @@
 
     /// One key was read, or not: membership hears when all are read, or one is not.
     pub(crate) fn finish_majority_read(&mut self, node: usize, token: u64, outcome: CallOutcome<Items>) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         let machine = &mut self.nodes[node];
         let mut reads = machine.majority_reads.iter_mut();
         let Some((request_id, read)) = reads.find(|(_, read)| read.open.contains_key(&token)) else { return };
@@ -61,7 +60,7 @@
                 .confirmed
                 .into_iter()
                 .map(|confirmed| EntryRevision { key: confirmed.key, revision: update(confirmed.revision) });
-            let now = Instant::from_micros(now);
+            let now = now;
             membership.revisions_confirmed(now, request_id, is_read.then(|| confirmed.collect()));
         }
     }
--- a/crates/testing/control-sim/src/network.rs
+++ b/crates/testing/control-sim/src/network.rs
@@ -10,7 +10,7 @@
 use silvercross_control_store as control;
 use silvercross_mesh_membership as membership;
 use silvercross_mesh_membership::Datagram;
-use silvercross_time::{Duration, Instant};
+use silvercross_time::Duration;
 
 /// A connection that nobody accepts fails after this.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -171,10 +171,10 @@
 
     /// Both deciders hear that a link is down, or did not come about.
     pub(crate) fn report_link_down(&mut self, node: usize, peer: usize) {
-        let (now, peer_id) = (self.local_now(node).as_micros(), self.nodes[peer].id);
+        let (now, peer_id) = (self.local_now(node), self.nodes[peer].id);
         let machine = &mut self.nodes[node];
         if let Some(membership) = &mut machine.membership {
-            membership.link_down(Instant::from_micros(now), membership::Node(peer_id));
+            membership.link_down(now, membership::Node(peer_id));
         }
         if let Some(store) = &mut machine.store {
             store.set_reachable(now, control::Node(peer_id), false);
@@ -183,11 +183,11 @@
 
     /// Both deciders hear that a link is up.
     pub(crate) fn report_link_up(&mut self, node: usize, peer: usize, connection: ConnectionId) {
-        let (now, peer_id) = (self.local_now(node).as_micros(), self.nodes[peer].id);
+        let (now, peer_id) = (self.local_now(node), self.nodes[peer].id);
         let machine = &mut self.nodes[node];
         machine.connections.entry(peer).or_default().push(connection);
         if let Some(membership) = &mut machine.membership {
-            membership.link_up(Instant::from_micros(now), membership::Node(peer_id));
+            membership.link_up(now, membership::Node(peer_id));
         }
         if let Some(store) = &mut machine.store {
             store.set_reachable(now, control::Node(peer_id), true);
--- a/crates/testing/control-sim/src/node_events.rs
+++ b/crates/testing/control-sim/src/node_events.rs
@@ -34,17 +34,17 @@
                 self.handle_frame(from, to, connection, *frame);
             }
             Event::DatagramArrived { from, to, datagram } => {
-                let (now, from) = (self.local_now(to).as_micros(), Node(self.nodes[from].id));
+                let (now, from) = (self.local_now(to), Node(self.nodes[from].id));
                 if let Some(membership) = &mut self.nodes[to].membership {
-                    membership.receive_datagram(Instant::from_micros(now), from, datagram);
+                    membership.receive_datagram(now, from, datagram);
                     self.run_effects(to);
                 }
             }
             Event::ProbeEnded { node, generation, about, is_reachable } => {
-                let (now, about) = (self.local_now(node).as_micros(), Node(self.nodes[about].id));
+                let (now, about) = (self.local_now(node), Node(self.nodes[about].id));
                 let is_current = self.nodes[node].generation == generation;
                 if let Some(membership) = self.nodes[node].membership.as_mut().filter(|_| is_current) {
-                    membership.probe_finished(Instant::from_micros(now), about, is_reachable);
+                    membership.probe_finished(now, about, is_reachable);
                     self.run_effects(node);
                 }
             }
@@ -72,7 +72,7 @@
             membership.tick(now);
         }
         if let Some(store) = &mut machine.store {
-            store.tick(now.as_micros());
+            store.tick(now);
         }
         if now - machine.announced_at >= STATUS_INTERVAL {
             machine.announced_at = now;
@@ -89,12 +89,12 @@
             }
             return;
         }
-        let (now, from_id) = (self.local_now(to).as_micros(), self.nodes[from].id);
+        let (now, from_id) = (self.local_now(to), self.nodes[from].id);
         let machine = &mut self.nodes[to];
         match frame {
             Frame::Membership(message) => {
                 if let Some(membership) = &mut machine.membership {
-                    membership.receive(Instant::from_micros(now), Node(from_id), message);
+                    membership.receive(now, Node(from_id), message);
                 }
             }
             Frame::Store { version, message } => {
@@ -108,7 +108,7 @@
     }
 
     fn handle_synced(&mut self, node: usize, write: u64) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         let machine = &mut self.nodes[node];
         let Some(store) = &mut machine.store else { return };
         if machine.storage.is_full {
@@ -122,7 +122,7 @@
 
     /// A call has reached the node it was sent to.
     fn handle_call(&mut self, node: usize, token: CallToken) {
-        let now = self.local_now(node).as_micros();
+        let now = self.local_now(node);
         let Some(open) = self.operators.open.get(&token) else { return };
         let (key, change) = (key_name(open.call.key), open.call.change.clone());
         let Some(store) = self.nodes[node].store.as_mut().filter(|store| !store.is_outside()) else {
--- a/crates/testing/control-sim/src/rest.rs
+++ b/crates/testing/control-sim/src/rest.rs
@@ -6,15 +6,15 @@
 use crate::node::SimulatedNode;
 use crate::plan::key_name;
 use crate::world::World;
-use silvercross_control_store::{ControlStore, ReplicaSet, Revision};
+use silvercross_control_store::{ControlStore, Member, ReplicaSet, Revision};
 
 impl World {
     /// What is not at rest, if anything.
     pub fn unrest(&self) -> Option<Unrest> {
-        let Some(set) = self.newest_replica_set().filter(|set| !set.joint()) else {
+        let Some(set) = self.newest_replica_set().filter(|set| !set.is_joint()) else {
             return Some(Unrest::ReplicaSetChanges);
         };
-        for node in set.members.iter().map(|member| member.0 .0 as usize - 1) {
+        for node in set.members.iter().map(|member| member.node.0 as usize - 1) {
             let is_member = |store: &ControlStore<Items>| store.is_voter() && *store.replica_set() == set;
             if !self.nodes[node].store.as_ref().is_some_and(is_member) {
                 return Some(Unrest::ReplicaOutsideSet { node, replica_set: set });
@@ -30,14 +30,14 @@
             .iter()
             .filter_map(|node| node.store.as_ref())
             .flat_map(|store| store.owned_keys())
-            .filter(|owned| owned.0 == name)
-            .map(|owned| owned.2)
+            .filter(|owned| owned.key == name)
+            .map(|owned| owned.revision)
             .collect();
         let [newest] = owned[..] else { return Some(Unrest::OwnerCount { key: name, owners: owned.len() }) };
         let has_newest = |store: &ControlStore<Items>| {
             store.key_states().iter().any(|state| state.key == name && state.accepted == newest)
         };
-        for (member, _) in &set.members {
+        for Member { node: member, .. } in &set.members {
             let store = self.nodes[member.0 as usize - 1].store.as_ref();
             if !store.is_some_and(has_newest) {
                 return Some(Unrest::ReplicaBehind { node_id: member.0, key: name });
--- a/crates/testing/control-sim/src/trace.rs
+++ b/crates/testing/control-sim/src/trace.rs
@@ -13,7 +13,7 @@
         let set = store.replica_set();
         let ids = |nodes: Vec<Node>| nodes.iter().map(|n| n.0.to_string()).collect::<Vec<_>>().join(" ");
         let owned: Vec<String> =
-            store.owned_keys().iter().map(|owned| format!("{} {}", owned.0, owned.1.round)).collect();
+            store.owned_keys().iter().map(|owned| format!("{} {}", owned.key, owned.epoch.round)).collect();
         let accepted: Vec<String> = store
             .key_states()
             .iter()
--- a/crates/testing/control-sim/tests/common/replacements.rs
+++ b/crates/testing/control-sim/tests/common/replacements.rs
@@ -34,7 +34,7 @@
         lose_disk(&mut world, rest[1], true);
     }
     world.run(case.after);
-    let is_joint = world.newest_replica_set().is_some_and(|set| set.joint());
+    let is_joint = world.newest_replica_set().is_some_and(|set| set.is_joint());
     let loses_power = |node: &usize| Some(*node) != case.spared;
     (0..world.control_node_count()).filter(loses_power).for_each(|node| world.crash(node, true));
     world.run(SECOND);
@@ -54,7 +54,7 @@
     world.stop_gracefully(removed, SECOND * 20, false);
     let knows = |world: &World, node: usize| {
         let store = world.nodes[node].store.as_ref();
-        store.is_some_and(|store| !store.replica_set().contains(id) && !store.replica_set().joint())
+        store.is_some_and(|store| !store.replica_set().contains(id) && !store.replica_set().is_joint())
     };
     let began = world.now;
     while !(knows(&world, removed) && knows(&world, beside)) {
@@ -128,7 +128,7 @@
     put(&mut world, leaver, 1, 2)?;
     world.stop_gracefully(leaver, SECOND * 6, false);
     world.run(after);
-    let is_joining = world.newest_replica_set().is_some_and(|set| set.joint());
+    let is_joining = world.newest_replica_set().is_some_and(|set| set.is_joint());
     for _ in 0..2 {
         lose_disk(&mut world, newcomer, false);
         world.run(millis(100));
--- a/crates/testing/control-sim/tests/common/retries.rs
+++ b/crates/testing/control-sim/tests/common/retries.rs
@@ -102,7 +102,7 @@
             lose_disk(world, owner, true);
             world.run(SECOND * 8);
             let set = world.newest_replica_set().unwrap_or_default();
-            reached(set.version >= 3 && !set.joint(), "a replacement")?;
+            reached(set.version >= 3 && !set.is_joint(), "a replacement")?;
         }
         Between::ItemDropped => {
             let mut call = world.new_call(KEY, 1, 3);
