--- a/crates/control/throttle/tests/common/mod.rs
+++ b/crates/control/throttle/tests/common/mod.rs
@@ -5,6 +5,7 @@
 mod checks;
 
 use silvercross_control_store::{Epoch, Node, State};
+use silvercross_test_rng::Rng;
 use silvercross_throttle::{
     decide_delay, throttle_step, ClockSettings, DelayDecision, LapseChange, LapseState, LapseTime,
     LapseTimer, LapseView, Member, Mutation, PeerClockReading, Plan, RequestStage, RouteKind,
@@ -72,7 +73,7 @@
 
 pub struct World {
     t: i64,
-    seed: u64,
+    rng: Rng,
     mutation: Option<Mutation>,
     nodes: Vec<NodeModel>,
     owner: usize,
@@ -107,7 +108,7 @@
             member(1, Some(LapseTime::At(UnixTime::from_micros((DAY + 40 + (seed % 100) as i64) * S))));
         let mut world = World {
             t: 0,
-            seed,
+            rng: Rng::new(seed),
             mutation,
             nodes: Vec::new(),
             owner: 0,
@@ -160,11 +161,7 @@
     }
 
     fn draw(&mut self, below: u64) -> u64 {
-        self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.seed;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (z ^ (z >> 31)) % below
+        self.rng.below(below)
     }
 
     fn weigh(
