--- a/crates/control/control-store/src/lib.rs
+++ b/crates/control/control-store/src/lib.rs
@@ -45,5 +45,5 @@
 pub use snapshot::SnapshotDigest;
 pub use store::{ControlStore, StartConfig};
 pub use stored::{Metadata, StoredKey, StoredState};
-pub use types::{Epoch, Incarnation, Incarnations, KeyPosition, Micros, Node, NodeIncarnation, Revision};
+pub use types::{Epoch, Incarnation, Incarnations, KeyPosition, Node, NodeIncarnation, Revision};
 pub use value::{Rejection, State};
--- a/crates/control/control-store/src/types.rs
+++ b/crates/control/control-store/src/types.rs
@@ -80,6 +80,3 @@
         Revision { epoch: self.epoch, sequence: self.sequence }
     }
 }
-
-/// Microseconds on the caller's monotonic clock. Kept for packages that have not gone over to [`silvercross_time`] yet.
-pub type Micros = i64;
