--- a/crates/tools/testbed/src/lib.rs
+++ b/crates/tools/testbed/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod program;
 pub mod testbed;
 pub mod traffic;
+pub mod upgrade;
 pub mod upstream;
 pub mod wait;
 pub mod walkthrough;
--- a/crates/tools/testbed/src/main.rs
+++ b/crates/tools/testbed/src/main.rs
@@ -8,14 +8,15 @@
 use silvercross_testbed::faults::FaultPlay;
 use silvercross_testbed::lapse::{LapseOptions, LapsePlay};
 use silvercross_testbed::load::LoadOptions;
-use silvercross_testbed::{control, faults, lapse, load, program, walkthrough};
+use silvercross_testbed::mesh::OtherProgram;
+use silvercross_testbed::{control, faults, lapse, load, program, upgrade, walkthrough};
 use std::convert::Infallible;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 
-const HELP: &str = "silvercross-testbed show | load | faults | control | lapse
+const HELP: &str = "silvercross-testbed show | load | faults | control | lapse | upgrade
   show      start a small mesh, have a request served, and show what happened
   load      what a request costs through two sidecars, beside two bare forwarders
     --seconds S       each way is loaded for so long (6)
@@ -32,7 +33,11 @@
   lapse     a member's trial lapses on nine sides and three control machines: replies by node and second, steps, what ran
     --only NAME       one play; otherwise all
     --svg FOLDER      a plot for each play
-    --sides N         machines with an upstream (9)";
+    --sides N         machines with an upstream (9)
+  upgrade   three control machines of two builds: changes before and after one is killed, read by the others
+    --old PATH        the program of the build that is upgraded from
+    --old-word WORD   its word on the command line for a control machine (control)
+    --runs N          both mixes are played so many times (1)";
 
 enum Command {
     Show,
@@ -40,6 +45,7 @@
     Faults(Vec<FaultPlay>),
     Control(Vec<ControlPlay>, PlayExtent),
     Lapse(LapseOptions),
+    Upgrade(OtherProgram, usize),
     Forward(std::net::SocketAddr),
 }
 
@@ -82,6 +88,12 @@
     })
 }
 
+fn upgrade_command(args: &mut pico_args::Arguments) -> Result<Command> {
+    let path = args.value_from_os_str("--old", |path| Ok::<_, Infallible>(PathBuf::from(path)))?;
+    let old = OtherProgram { path, word: args.opt_value_from_str("--old-word")? };
+    Ok(Command::Upgrade(old, args.opt_value_from_str("--runs")?.unwrap_or(1).clamp(1, 1000)))
+}
+
 fn command() -> Result<Option<Command>> {
     let mut args = pico_args::Arguments::from_env();
     if args.contains(["-h", "--help"]) {
@@ -96,6 +108,7 @@
         }
         Some("control") => control_command(&mut args)?,
         Some("lapse") => Command::Lapse(lapse_options(&mut args)?),
+        Some("upgrade") => upgrade_command(&mut args)?,
         Some("forward") => Command::Forward(args.free_from_str()?),
         _ => return Ok(None),
     };
@@ -131,6 +144,7 @@
         Command::Faults(plays) => Ok(faults::run(program, plays).await),
         Command::Control(plays, extent) => Ok(control::run(program, plays, *extent).await),
         Command::Lapse(options) => Ok(lapse::run(program, options).await),
+        Command::Upgrade(old, runs) => upgrade::run(program, old, *runs).await,
         Command::Forward(_) => Ok(true),
     }
 }
--- a/crates/tools/testbed/src/mesh.rs
+++ b/crates/tools/testbed/src/mesh.rs
@@ -5,5 +5,5 @@
 mod plan;
 mod settings_file;
 
-pub use machines::{Machine, Mesh};
+pub use machines::{Machine, Mesh, OtherProgram};
 pub use plan::{Bound, MeshPlan, DRAIN_S};
--- a/crates/tools/testbed/src/mesh/machines.rs
+++ b/crates/tools/testbed/src/mesh/machines.rs
@@ -16,6 +16,15 @@
 /// Control machines that a process is told of at its start.
 const SEEDS: usize = 3;
 
+/// A program of another build than the mesh's.
+#[derive(Clone, Debug)]
+pub struct OtherProgram {
+    /// Where it is.
+    pub path: PathBuf,
+    /// Its word on the command line for this kind of machine; `None`: as the mesh's.
+    pub word: Option<String>,
+}
+
 /// One machine.
 #[derive(Debug)]
 pub struct Machine {
@@ -31,6 +40,7 @@
     pub service: String,
     dir: PathBuf,
     child: Option<Child>,
+    other_program: Option<OtherProgram>,
 }
 
 /// All machines, and the folder of their files. Dropping it ends the processes and removes the folder.
@@ -77,6 +87,7 @@
         is_control,
         service: service.to_string(),
         child: None,
+        other_program: None,
     }
 }
 
@@ -194,6 +205,11 @@
         self.start_with_settings(machine, &settings)
     }
 
+    /// The next start of a machine is of this program; `None`: of the mesh's.
+    pub fn use_program(&mut self, machine: usize, program: Option<OtherProgram>) {
+        self.machines[machine].other_program = program;
+    }
+
     fn start_with_settings(&mut self, machine: usize, settings: &str) -> Result<()> {
         let machine = &mut self.machines[machine];
         if machine.child.is_some() {
@@ -202,9 +218,12 @@
         let file = machine.dir.join("boot.yaml");
         fs::write(&file, settings).with_context(|| format!("{}", file.display()))?;
         let log = File::options().create(true).append(true).open(machine.dir.join("log"))?;
+        let other = machine.other_program.as_ref();
+        let program = other.map_or(&self.program, |other| &other.path);
+        let word = if machine.is_control { "control" } else { "sidecar" };
         let lock = lock_starts();
-        let child = Command::new(&self.program)
-            .arg(if machine.is_control { "control" } else { "sidecar" })
+        let child = Command::new(program)
+            .arg(other.and_then(|other| other.word.as_deref()).unwrap_or(word))
             .args(&self.plan.arguments)
             .env_clear()
             .env("SILVERCROSS_NODE_FILE", &file)
@@ -212,7 +231,7 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .with_context(|| format!("{}", self.program.display()))?;
+            .with_context(|| format!("{}", program.display()))?;
         drop(lock);
         machine.child = Some(child);
         Ok(())
