--- a/crates/tools/ctl/src/backup.rs
+++ b/crates/tools/ctl/src/backup.rs
@@ -5,7 +5,7 @@
 use crate::error::Error;
 use crate::exit_code::ExitCode;
 use crate::items::{items_of, Item, ItemKind};
-use crate::mesh_client::MeshClient;
+use crate::mesh_client::{AddressedState, MeshClient};
 use crate::output::print_result;
 use crate::wire::list;
 use serde_json::{json, Value};
@@ -31,7 +31,7 @@
 /// When no control node answers or the file can't be written.
 pub(crate) fn backup(client: &MeshClient, path: &Path, as_json: bool) -> Result<ExitCode, Error> {
     let configuration = current_configuration(client)?;
-    let (node, state) = client.first_state()?;
+    let AddressedState { node, state } = client.first_state()?;
     let evacuated = &state.json()["evacuated"];
     let count = items_of(&configuration).len();
     let value = json!({ "form": BACKUP_FORM, "from": node, "items": configuration, "evacuated": evacuated });
--- a/crates/tools/ctl/src/diagnosis/membership.rs
+++ b/crates/tools/ctl/src/diagnosis/membership.rs
@@ -38,7 +38,7 @@
 
 /// Nodes that are silent, gone, taken for gone or unknown.
 pub(crate) fn check(subject: &Subject<'_>) -> Vec<Finding> {
-    let silent = subject.silent_nodes().map(|(address, answer)| silent(subject, &address, answer));
+    let silent = subject.silent_nodes().map(|node| silent(subject, &node.address, node.answer));
     let mut found: Vec<Finding> = silent.collect();
     found.extend(subject.states.keys().flat_map(|address| disputed(subject, address)));
     found
--- a/crates/tools/ctl/src/diagnosis/routes.rs
+++ b/crates/tools/ctl/src/diagnosis/routes.rs
@@ -1,7 +1,7 @@
 //! The routes in force: whether there is an upstream of each service that they name.
 use super::finding::Finding;
 use super::subject::Subject;
-use crate::wire::{list, text, NodeRecord};
+use crate::wire::{list, text};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 
 /// Services that routes name and of which there is no upstream.
 pub(crate) fn check(subject: &Subject<'_>, configuration: &Value) -> Vec<Finding> {
-    let upstreams = subject.present_records().map(|(_, record)| record).filter_map(NodeRecord::upstream);
+    let upstreams = subject.present_nodes().filter_map(|node| node.record.upstream());
     let known: BTreeSet<&str> = upstreams.map(|upstream| upstream.service()).collect();
     let mut routes_by_service: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for route in list(configuration, "depots").flat_map(|host| list(host, "lanes")) {
--- a/crates/tools/ctl/src/diagnosis/services.rs
+++ b/crates/tools/ctl/src/diagnosis/services.rs
@@ -1,6 +1,6 @@
 //! The services: whether each has an upstream that can be sent to.
 use super::finding::Finding;
-use super::subject::Subject;
+use super::subject::{PresentNode, Subject};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Default)]
@@ -12,7 +12,7 @@
 /// Services none of whose upstreams can be sent to.
 pub(crate) fn check(subject: &Subject<'_>) -> Vec<Finding> {
     let mut services: BTreeMap<&str, UpstreamCount> = BTreeMap::new();
-    for (_, record) in subject.present_records() {
+    for PresentNode { record, .. } in subject.present_nodes() {
         let Some(upstream) = record.upstream() else { continue };
         let is_usable = !upstream.is_silent() && !upstream.is_draining() && !record.is_leaving();
         let count = services.entry(upstream.service()).or_default();
--- a/crates/tools/ctl/src/diagnosis/subject.rs
+++ b/crates/tools/ctl/src/diagnosis/subject.rs
@@ -3,6 +3,23 @@
 use crate::wire::{NodeMetrics, NodeRecord, NodeState};
 use std::collections::BTreeMap;
 
+/// A node that did not answer.
+pub(crate) struct SilentNode<'v> {
+    /// Its address.
+    pub(crate) address: String,
+    /// What its call brought.
+    pub(crate) answer: &'v NodeAnswer,
+}
+
+/// A node that is not gone, by its newest record.
+#[derive(Clone, Copy)]
+pub(crate) struct PresentNode<'s, 'v> {
+    /// Its address.
+    pub(crate) address: &'s str,
+    /// Its newest record.
+    pub(crate) record: NodeRecord<'v>,
+}
+
 /// The mesh as its nodes see it.
 pub(crate) struct Subject<'v> {
     view: &'v MeshView,
@@ -21,15 +38,16 @@
         Subject { view, states, records: newest_records(view) }
     }
 
-    /// Nodes that did not answer, by their addresses.
-    pub(crate) fn silent_nodes(&self) -> impl Iterator<Item = (String, &'v NodeAnswer)> {
+    /// Nodes that did not answer.
+    pub(crate) fn silent_nodes(&self) -> impl Iterator<Item = SilentNode<'v>> {
         let silent = self.view.iter().filter(|(_, answer)| answer.state.is_none());
-        silent.map(|(address, answer)| (address.to_string(), answer))
+        silent.map(|(address, answer)| SilentNode { address: address.to_string(), answer })
     }
 
-    /// Records of nodes that are not gone, by their addresses.
-    pub(crate) fn present_records(&self) -> impl Iterator<Item = (&String, NodeRecord<'v>)> {
-        self.records.iter().map(|(address, record)| (address, *record)).filter(|(_, r)| !r.is_gone())
+    /// Nodes that are not gone.
+    pub(crate) fn present_nodes(&self) -> impl Iterator<Item = PresentNode<'_, 'v>> {
+        let present = self.records.iter().filter(|(_, record)| !record.is_gone());
+        present.map(|(address, record)| PresentNode { address, record: *record })
     }
 
     /// A node's metrics, if it answered.
--- a/crates/tools/ctl/src/diagnosis/upstreams.rs
+++ b/crates/tools/ctl/src/diagnosis/upstreams.rs
@@ -1,6 +1,6 @@
 //! The upstreams: what they do, and whether all nodes see them alike.
 use super::finding::Finding;
-use super::subject::Subject;
+use super::subject::{PresentNode, Subject};
 use crate::wire::{NodeRecord, NodeState};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
 /// Upstreams of one identity beside several nodes.
 fn check_identities(subject: &Subject<'_>) -> Vec<Finding> {
     let mut nodes_by_id: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    for (address, record) in subject.present_records() {
+    for PresentNode { address, record } in subject.present_nodes() {
         if let Some(upstream) = record.upstream() {
             nodes_by_id.entry(upstream.id()).or_default().push(address);
         }
@@ -72,9 +72,9 @@
 
 /// Upstreams that are missing, silent, draining or there twice; nodes that avoid them all or see them differently.
 pub(crate) fn check(subject: &Subject<'_>) -> Vec<Finding> {
-    let records = subject.present_records();
+    let present = subject.present_nodes();
     let mut found: Vec<Finding> =
-        records.filter_map(|(address, record)| check_upstream(subject, address, record)).collect();
+        present.filter_map(|node| check_upstream(subject, node.address, node.record)).collect();
     found.extend(check_identities(subject));
     let newest = summaries(subject.records.values().copied());
     for (address, state) in &subject.states {
--- a/crates/tools/ctl/src/mesh_client.rs
+++ b/crates/tools/ctl/src/mesh_client.rs
@@ -52,6 +52,15 @@
     pub(crate) reason: String,
 }
 
+/// The state of one node, and where it was asked.
+#[derive(Clone, Debug)]
+pub(crate) struct AddressedState {
+    /// Its control address.
+    pub(crate) node: SocketAddr,
+    /// Its state.
+    pub(crate) state: NodeState,
+}
+
 /// What all nodes answered, by their addresses.
 pub(crate) type MeshView = BTreeMap<IpAddr, NodeAnswer>;
 
@@ -128,15 +137,15 @@
 }
 
 impl MeshClient {
-    /// The state of the first node that answers, and its address.
+    /// The state of the first node that answers.
     ///
     /// # Errors
     /// [`Error::NoAnswer`] when none of the addresses given answers.
-    pub(crate) fn first_state(&self) -> Result<(SocketAddr, NodeState), Error> {
+    pub(crate) fn first_state(&self) -> Result<AddressedState, Error> {
         let mut last = None;
         for node in &self.addresses {
             match get_state(*node) {
-                Ok(state) => return Ok((*node, state)),
+                Ok(state) => return Ok(AddressedState { node: *node, state }),
                 Err(error) => last = Some(Box::new(error)),
             }
         }
@@ -179,7 +188,7 @@
     /// Addresses to which an operator's call may go: those given first, then the control nodes'.
     fn call_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses = self.addresses.clone();
-        if let Ok((_, state)) = self.first_state() {
+        if let Ok(AddressedState { state, .. }) = self.first_state() {
             let control = state.records().filter(|record| record.is_control() && !record.is_gone());
             addresses.extend(control.filter_map(|r| r.control_address().parse::<SocketAddr>().ok()));
         }
--- a/crates/tools/testbed/src/mesh/address_block.rs
+++ b/crates/tools/testbed/src/mesh/address_block.rs
@@ -20,8 +20,15 @@
 }
 
 const PORTS: [Port; 5] = [Port::Control, Port::Inbound, Port::Ready, Port::Upstream, Port::Outbound];
-/// Ports between sidecars: the first and the last, from a machine's first port.
-pub(crate) const INTERNAL_PORTS: (u16, u16) = (20, 35);
+/// Ports from the first to the last.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PortRange {
+    pub(crate) first: u16,
+    pub(crate) last: u16,
+}
+
+/// Ports between sidecars, counted from a machine's first port.
+pub(crate) const INTERNAL_PORTS: PortRange = PortRange { first: 20, last: 35 };
 /// Blocks that are tried before none is found.
 const MAX_BLOCK_ATTEMPTS: usize = 64;
 /// The lowest first port. The highest is below the ports that the system hands out by itself.
@@ -72,7 +79,7 @@
 
     fn is_free(&self, machine: usize) -> bool {
         let address = self.address(machine);
-        let internal = INTERNAL_PORTS.0..=INTERNAL_PORTS.1;
+        let internal = INTERNAL_PORTS.first..=INTERNAL_PORTS.last;
         let is_free = |port: u16| TcpListener::bind((address, self.first_port + port)).is_ok();
         PORTS.iter().all(|port| is_free(*port as u16))
             && internal.clone().all(is_free)
@@ -91,12 +98,12 @@
 
     /// A machine's address with one of the ports between sidecars, from the first on.
     pub(crate) fn internal(&self, machine: usize, number: u16) -> SocketAddr {
-        self.at_offset(machine, INTERNAL_PORTS.0 + number)
+        self.at_offset(machine, INTERNAL_PORTS.first + number)
     }
 
     /// The last of the ports between sidecars.
     pub(crate) fn last_internal_port(&self) -> u16 {
-        self.first_port + INTERNAL_PORTS.1
+        self.first_port + INTERNAL_PORTS.last
     }
 
     fn at_offset(&self, machine: usize, offset: u16) -> SocketAddr {
--- a/crates/tools/testbed/src/mesh/machines.rs
+++ b/crates/tools/testbed/src/mesh/machines.rs
@@ -1,5 +1,5 @@
 //! The machines and their processes.
-use super::address_block::{lock_starts, AddressBlock, Port, INTERNAL_PORTS};
+use super::address_block::{lock_starts, AddressBlock, Port, PortRange, INTERNAL_PORTS};
 use super::plan::{zone_name, MeshPlan};
 use super::settings_file::{MachineSettings, SideSettings};
 use crate::identifiers::unique_number;
@@ -61,7 +61,7 @@
     if !is_complete || count > MAX_MACHINES {
         bail!("a mesh has control machines, sides, zones and services, and {MAX_MACHINES} machines at most");
     }
-    let linked = INTERNAL_PORTS.1 - INTERNAL_PORTS.0;
+    let linked = INTERNAL_PORTS.last - INTERNAL_PORTS.first;
     if plan.has_links && count > usize::from(linked) {
         bail!("with links in between, a mesh has {linked} machines at most");
     }
@@ -179,7 +179,10 @@
             control: self.control(number),
             side,
             data_dir: machine.is_control.then_some(data_dir.as_path()),
-            internal_ports: (self.internal(number).port(), self.block.last_internal_port()),
+            internal_ports: PortRange {
+                first: self.internal(number).port(),
+                last: self.block.last_internal_port(),
+            },
             seeds: seeds.iter().map(|seed| self.control(*seed)).collect(),
             is_first_start,
         };
--- a/crates/tools/testbed/src/mesh/settings_file.rs
+++ b/crates/tools/testbed/src/mesh/settings_file.rs
@@ -1,4 +1,5 @@
 //! A machine's settings file, as the platform would write it; the names in it are the settings' own.
+use super::address_block::PortRange;
 use super::plan::{zone_name, MeshPlan};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -28,8 +29,8 @@
     pub(crate) side: Option<SideSettings<'m>>,
     /// `None` on a machine without a disk.
     pub(crate) data_dir: Option<&'m Path>,
-    /// The first and the last of the ports between sidecars.
-    pub(crate) internal_ports: (u16, u16),
+    /// The ports between sidecars.
+    pub(crate) internal_ports: PortRange,
     /// Control addresses of other machines.
     pub(crate) seeds: Vec<SocketAddr>,
     /// Whether the mesh starts for the first time.
@@ -58,8 +59,8 @@
                  {UPSTREAM_KEY}: \"{upstream}\"\ndestination: \"{service}\""
             );
         }
-        let (first_port, last_port) = self.internal_ports;
-        let _ = writeln!(text, "internalPorts:\n  - {first_port}\n  - {last_port}\nseeds:");
+        let PortRange { first, last } = self.internal_ports;
+        let _ = writeln!(text, "internalPorts:\n  - {first}\n  - {last}\nseeds:");
         for seed in &self.seeds {
             let _ = writeln!(text, "  - \"{seed}\"");
         }
