--- a/crates/control/control-store/tests/common/mod.rs
+++ b/crates/control/control-store/tests/common/mod.rs
@@ -8,5 +8,4 @@
 pub mod history;
 pub mod notes;
 pub mod replacement;
-pub mod rng;
 pub mod simulation;
--- a/crates/control/control-store/tests/common/simulation/machine.rs
+++ b/crates/control/control-store/tests/common/simulation/machine.rs
@@ -85,7 +85,7 @@
 
 impl Simulation {
     pub(super) fn start(&mut self, node: usize) {
-        let seed = self.rng.next();
+        let seed = self.rng.next_u64();
         let machine = &mut self.machines[node];
         if machine.store.is_some() || machine.is_destroyed {
             return;
--- a/crates/control/control-store/tests/common/simulation/mod.rs
+++ b/crates/control/control-store/tests/common/simulation/mod.rs
@@ -15,10 +15,10 @@
 
 use super::history::History;
 use super::notes::{Change, Notes};
-use super::rng::Rng;
 use faults::Undo;
 use machine::{Input, Machine};
 use silvercross_control_store::*;
+use silvercross_test_rng::Rng;
 use silvercross_time::{Duration, Instant};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -100,7 +100,7 @@
     /// With machines that are no replicas yet; replicas may be lost for good, and away for long.
     pub fn with_spares(seed: u64, replicas: usize, spares: usize, mutation: Option<Mutation>) -> Simulation {
         let machines = replicas + spares;
-        let mut rng = Rng(seed);
+        let mut rng = Rng::new(seed);
         let keys = (0..1 + rng.below(3)).map(|k| format!("key-{k}")).collect();
         let (loss, duplication, slow_one_in) = (rng.below(100), rng.below(100), 1 + rng.below(200));
         let (shortest, varies) = if spares == 0 { (2, 5_000_000) } else { (6, 24_000_000) };
--- a/crates/testing/test-rng/src/lib.rs
+++ b/crates/testing/test-rng/src/lib.rs
@@ -49,6 +49,11 @@
         low + Duration::from_micros(self.below(width_micros) as i64)
     }
 
+    /// A duration below so many whole microseconds; none for 0. Takes one draw.
+    pub fn micros_below(&mut self, bound: u64) -> Duration {
+        Duration::from_micros(self.below(bound) as i64)
+    }
+
     /// True once in so many times on average; always for 0 and 1. Takes one draw.
     pub fn one_in(&mut self, times: u64) -> bool {
         self.below(times) == 0
--- a/crates/testing/test-rng/tests/sequence.rs
+++ b/crates/testing/test-rng/tests/sequence.rs
@@ -122,10 +122,11 @@
     assert_eq!(rng.below(0), 0);
     assert_eq!(rng.index(0), 0);
     assert_eq!(rng.duration(micros(5), micros(2)), micros(5));
+    assert_eq!(rng.micros_below(0), Duration::ZERO);
     assert!(rng.one_in(0));
     let mut plain = Rng::new(7);
-    for _ in 0..4 {
+    for _ in 0..5 {
         plain.next_u64();
     }
-    assert_eq!(rng.next_u64(), plain.next_u64(), "four draws were taken");
+    assert_eq!(rng.next_u64(), plain.next_u64(), "five draws were taken");
 }
