--- a/crates/testing/control-sim/src/majority_reads.rs
+++ b/crates/testing/control-sim/src/majority_reads.rs
@@ -60,7 +60,6 @@
                 .confirmed
                 .into_iter()
                 .map(|confirmed| EntryRevision { key: confirmed.key, revision: update(confirmed.revision) });
-            let now = now;
             membership.revisions_confirmed(now, request_id, is_read.then(|| confirmed.collect()));
         }
     }
