--- a/crates/control/control-store/src/limits.rs
+++ b/crates/control/control-store/src/limits.rs
@@ -25,7 +25,8 @@
 pub(crate) const MAX_KEY_BYTES: usize = 256;
 /// Open calls of this node at most; a further one is `Unknown` at once.
 pub(crate) const MAX_OPEN_CALLS: usize = 4096;
-/// Calls that wait at one key at most, those forwarded by others included; a further one is `Unknown` at once.
+/// Calls that wait at one key for the next append or confirmation at most, those forwarded by others included; a further one is
+/// `Unknown` at once. Calls of the append or confirmation in flight are not counted: they were within the bound before.
 pub(crate) const MAX_QUEUED_CALLS: usize = 1024;
 /// A call is forwarded this often at most; then this node claims the key.
 pub(crate) const MAX_FORWARDS_PER_CALL: usize = 6;
--- a/crates/control/control-store/src/message.rs
+++ b/crates/control/control-store/src/message.rs
@@ -61,7 +61,7 @@
         /// The value.
         value: V,
     },
-    /// No answer in time: it may be in force or not. The caller may repeat it.
+    /// No answer in time, or no space in a table: it may be in force or not. The caller may repeat it.
     Unknown,
 }
 
--- a/crates/daemon/mesh/src/disk/writer.rs
+++ b/crates/daemon/mesh/src/disk/writer.rs
@@ -47,7 +47,7 @@
         let probe_space = self.out_of_space.is_some();
         open.write(&self.pending, probe_space)
             .map_err(|error| DiskError::from_redb(&open.path, error, &open.faults))?;
-        // A write that only makes space in memory may fail and be made up for; a sync may not.
+        // A failed write to the file may be made up for by a later one; after a failed sync nobody knows what the disk holds.
         match open.faults.take() {
             Some(IoFault::Sync) => {
                 Err(DiskError::SyncFailed { path: open.path.clone(), cause: "a sync failed".to_string() })
--- a/crates/daemon/mesh/src/forwarding_headers.rs
+++ b/crates/daemon/mesh/src/forwarding_headers.rs
@@ -1,5 +1,5 @@
-//! What an origin tells a gate of a request, and the status that a gate answers for itself: one header line each way
-//! between two sidecars, encoded by `bitcode` and written in hexadecimal.
+//! What an origin tells a gate of a request, and the status that a gate answers for itself: a header line each way between
+//! two sidecars, encoded by `bitcode` and written in hexadecimal. A response may carry a third line, the gate's incarnation.
 //!
 //! Both structures are read by sidecars of other versions: the order and the types of their fields and variants stay, and
 //! a change of them needs another [`ENCODING_VERSION`]. The names of the headers are in `wire/header_names.rs`.
--- a/crates/daemon/mesh/src/graceful_stop.rs
+++ b/crates/daemon/mesh/src/graceful_stop.rs
@@ -1,4 +1,5 @@
-//! What a process that was told to end does when. Decides, with time as an argument; `runtime.rs` asks and acts.
+//! What a process that was told to end does when. Decides, with time as an argument; `runtime.rs` asks and acts, and
+//! `client_listener/route.rs` rejects the requests that come too late.
 use silvercross_time::{Duration, Instant};
 
 /// The platform gives no new work once it was told "not ready" so many times in a row.
@@ -7,19 +8,19 @@
 const MIN_QUESTION_INTERVAL: Duration = Duration::from_millis(500);
 /// Whether it asks or not, by then it knows.
 const PLATFORM_KNOWS_AFTER: Duration = Duration::from_millis(2_200);
-/// Who was sent here before the platform knew has come after this.
+/// Requests that the platform sent here before it knew have arrived after this.
 const LATE_ARRIVALS_WAIT: Duration = Duration::from_millis(200);
 /// Nothing is open for so long: the end.
 const QUIET_BEFORE_END: Duration = Duration::from_millis(250);
 /// For so long after the signal every request is accepted. A later one has to be certain of its answer: it is accepted only if
 /// its timeout ends before all that is open is answered.
 const UNCONDITIONAL_ACCEPT_SPAN: Duration = Duration::from_millis(2_800);
-/// The process is gone so long before its grace ends,
+/// The process is gone so long before its grace ends.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// and has answered all that is open so long before that.
+/// All that is open is answered so long before the process is gone.
 const ANSWER_MARGIN: Duration = Duration::from_millis(500);
-/// A process is awake more often than this. One that was not stood still, and may have been told to end right after it was
-/// last awake.
+/// A running process is awake at least this often. One that was not had been frozen, and may have been told to end right after
+/// it was last awake.
 const MAX_AWAKE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What is to be done now.
--- a/crates/daemon/mesh/src/node_state/upstream_heartbeats.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_heartbeats.rs
@@ -7,7 +7,7 @@
 use slog::info;
 use std::rc::Rc;
 
-/// An upstream whose heartbeats are so many intervals late is silent.
+/// An upstream whose last heartbeat is so many intervals old is silent.
 const SILENT_AFTER_INTERVALS: f64 = 2.6;
 /// Incarnations that have ended are remembered, so that a late heartbeat brings none back.
 const MAX_ENDED_UPSTREAMS: usize = 64;
--- a/crates/daemon/mesh/src/wire/header_names.rs
+++ b/crates/daemon/mesh/src/wire/header_names.rs
@@ -1,5 +1,6 @@
-//! Names of headers on the wire, as the pages give them. The old words stay here, and only here, because clients, upstreams
-//! and sidecars of other versions send them. Names are read without regard to case.
+//! Names of headers on the wire, as the pages give them; `Member-Step` alone is in `member_throttle/step_header.rs`. The old
+//! words stay here because clients, upstreams and sidecars of other versions send them. Names are read without regard to
+//! case.
 
 /// On a request: its correlation id, returned with its response.
 pub(crate) const ATTEMPT_ID: &str = "Attempt-Id";
