--- a/crates/daemon/mesh/src/event_stream/query.rs
+++ b/crates/daemon/mesh/src/event_stream/query.rs
@@ -1,6 +1,6 @@
 //! What a reader of events asks for: the query of its call, and cursors in the body, one a line.
 use crate::wire::RequestHead;
-use silvercross_event_feed::{Cursor, Filter};
+use silvercross_event_feed::{Cursor, CursorError, Filter};
 use std::fmt;
 
 /// The path of the event stream. A name of the wire.
@@ -28,7 +28,7 @@
     /// `limit` is out of range.
     BadLimit { value: String },
     /// A cursor, and what is wrong with it.
-    BadCursor { cause: String },
+    BadCursor(CursorError),
     /// The body is no text.
     BodyNotText,
 }
@@ -42,7 +42,7 @@
             QueryError::BadLimit { value } => {
                 write!(f, "limit {value:?}: not between 1 and {MAX_LINES_PER_RESPONSE}")
             }
-            QueryError::BadCursor { cause } => f.write_str(cause),
+            QueryError::BadCursor(error) => error.fmt(f),
             QueryError::BodyNotText => write!(f, "the body is no text (send cursors, one a line)"),
         }
     }
@@ -57,7 +57,7 @@
 }
 
 fn read_cursor(text: &str) -> Result<Cursor, QueryError> {
-    Cursor::read(text).map_err(|error| QueryError::BadCursor { cause: error.to_string() })
+    Cursor::parse(text).map_err(QueryError::BadCursor)
 }
 
 impl EventQuery {
--- a/crates/daemon/mesh/src/event_stream/serve.rs
+++ b/crates/daemon/mesh/src/event_stream/serve.rs
@@ -4,7 +4,7 @@
 use crate::node_state::NodeState;
 use crate::wire::{self, Connection, RequestHead};
 use serde_json::{json, Value};
-use silvercross_event_feed::{kind, Cursor, Line, Place, Reader};
+use silvercross_event_feed::{key_kind, Cursor, FeedEntry, Position, Reader};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -77,9 +77,9 @@
 
 fn current_events(node_state: &NodeState, stream: &EventStream, query: EventQuery) -> Vec<u8> {
     let mut reader = stream.feed.borrow().open(query.cursor, query.filter);
-    let lines = stream.feed.borrow().read(&mut reader, query.limit);
+    let entries = stream.feed.borrow().read(&mut reader, query.limit);
     let mut output = Vec::new();
-    lines.iter().for_each(|line| append_line(node_state, line, &mut output));
+    entries.iter().for_each(|entry| append_entry(node_state, entry, &mut output));
     append_cursor(stream, &reader, &mut output);
     wire::encode_response(200, b"Content-Type: application/x-ndjson\r\n", &output, true, false)
 }
@@ -115,10 +115,10 @@
         b"HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\n\r\n".to_vec();
     let mut cursors = CursorSchedule { lines_since: 0, last: Instant::now(), is_first: true };
     loop {
-        let lines = stream.feed.borrow().read(&mut reader, LINES_PER_WRITE);
-        lines.iter().for_each(|line| append_line(node_state, line, &mut output));
-        let is_all = lines.len() < LINES_PER_WRITE;
-        if cursors.is_due(lines.len(), is_all) {
+        let entries = stream.feed.borrow().read(&mut reader, LINES_PER_WRITE);
+        entries.iter().for_each(|entry| append_entry(node_state, entry, &mut output));
+        let is_all = entries.len() < LINES_PER_WRITE;
+        if cursors.is_due(entries.len(), is_all) {
             append_cursor(stream, &reader, &mut output);
         }
         if !output.is_empty() {
@@ -145,24 +145,30 @@
     }
 }
 
-fn place_text(place: &Place) -> String {
-    format!("{}.{}.{}{}", place.epoch, place.owner, place.version, if place.mark { "!" } else { "" })
+fn position_text(position: &Position) -> String {
+    format!(
+        "{}.{}.{}{}",
+        position.epoch,
+        position.owner,
+        position.version,
+        if position.is_amended { "!" } else { "" }
+    )
 }
 
-fn append_line(node_state: &NodeState, line: &Line, output: &mut Vec<u8>) {
-    let value = match line {
-        Line::Gap { kind, count, more, why } => {
+fn append_entry(node_state: &NodeState, entry: &FeedEntry, output: &mut Vec<u8>) {
+    let value = match entry {
+        FeedEntry::Gap { kind, count, has_more, reason } => {
             let address = node_state.settings.control_address;
             let snapshot = address.map(|address| format!("http://{address}/-/Post.State"));
-            json!({ "gap": kind, "count": count, "more": more, "why": why.word(), "snapshot": snapshot })
+            json!({ "gap": kind, "count": count, "more": has_more, "why": reason.as_str(), "snapshot": snapshot })
         }
-        Line::Event { event, after, missed, mark } => {
-            let told = &event.told;
-            let state: Value = serde_json::from_str(&told.state).unwrap_or(Value::Null);
-            let at = Cursor::of(&told.key, *mark).write();
-            json!({ "kind": kind(&told.key), "key": told.key, "place": place_text(&told.place),
-                "after": after.as_ref().map(place_text), "missed": missed, "zone": told.zone,
-                "service": told.service, "state": state, "at": at })
+        FeedEntry::Event { event, after, missed, watermark } => {
+            let content = &event.content;
+            let state: Value = serde_json::from_str(&content.state).unwrap_or(Value::Null);
+            let at = Cursor::for_key(&content.key, *watermark).to_text();
+            json!({ "kind": key_kind(&content.key), "key": content.key, "place": position_text(&content.position),
+                "after": after.as_ref().map(position_text), "missed": missed, "zone": content.zone,
+                "service": content.service, "state": state, "at": at })
         }
     };
     output.extend_from_slice(value.to_string().as_bytes());
@@ -170,7 +176,7 @@
 }
 
 fn append_cursor(stream: &EventStream, reader: &Reader, output: &mut Vec<u8>) {
-    let cursor = stream.feed.borrow().cursor(reader).write();
+    let cursor = stream.feed.borrow().cursor(reader).to_text();
     output.extend_from_slice(json!({ "cursor": cursor }).to_string().as_bytes());
     output.push(b'\n');
 }
--- a/crates/daemon/mesh/src/event_stream/state.rs
+++ b/crates/daemon/mesh/src/event_stream/state.rs
@@ -3,7 +3,7 @@
 use crate::control_value::{evacuated_zone, ControlValue, CONFIGURATION_KEY};
 use crate::peers::{RecordBody, UpstreamRecord};
 use serde_json::{json, Value};
-use silvercross_event_feed::{Bounds, EventFeed, Place, Told};
+use silvercross_event_feed::{EventContent, EventFeed, Limits, Position};
 use silvercross_mesh_config::{Configuration, NamedTombstone, Route};
 use silvercross_mesh_membership::{NodeRecord, Revision};
 use std::cell::{Cell, RefCell};
@@ -18,7 +18,7 @@
 /// The events of this process.
 pub(crate) struct EventStream {
     pub(super) feed: RefCell<EventFeed>,
-    /// Told when there are events that were not there before.
+    /// Notified when there are events that were not there before.
     pub(super) appended: Notify,
     /// Readers that follow.
     pub(super) followers: Cell<usize>,
@@ -51,7 +51,7 @@
     /// Nothing has happened yet.
     pub(crate) fn new() -> Self {
         EventStream {
-            feed: RefCell::new(EventFeed::new(Bounds::default())),
+            feed: RefCell::new(EventFeed::new(Limits::default())),
             appended: Notify::new(),
             followers: Cell::new(0),
             rejected_calls: Cell::new(0),
@@ -60,21 +60,25 @@
 
     /// Counters, under the names of the metrics page.
     pub(crate) fn metrics(&self) -> Value {
-        let feed = self.feed.borrow().figures();
+        let feed = self.feed.borrow().metrics();
         json!({ "followers": self.followers.get(), "keys": feed.keys, "events": feed.events,
             "dropped": feed.dropped, "forgotten": feed.forgotten })
     }
 
-    fn append(&self, event: Told) {
-        if self.feed.borrow_mut().tell(event) {
+    fn append(&self, event: EventContent) {
+        if self.feed.borrow_mut().publish(event) {
             self.appended.notify_waiters();
         }
     }
 
     /// What is known of a node and of its upstream, as its record says.
     pub(crate) fn record(&self, record: &NodeRecord<RecordBody>) {
-        let place =
-            Place { epoch: record.incarnation, owner: 0, version: record.sequence, mark: record.gone };
+        let position = Position {
+            epoch: record.incarnation,
+            owner: 0,
+            version: record.sequence,
+            is_amended: record.gone,
+        };
         let (name, zone) = (ip(record.node.0), record.zone.clone());
         let is = match record {
             record if record.gone => "gone",
@@ -84,7 +88,14 @@
         let key = format!("node/{name}");
         let state = json!({ "is": is, "core": record.is_control, "control": record.body.control_port });
         let (state, ended) = (state.to_string(), record.gone);
-        self.append(Told { key, place, zone: zone.clone(), state, ended, ..Told::default() });
+        self.append(EventContent {
+            key,
+            position,
+            zone: zone.clone(),
+            state,
+            ended,
+            ..EventContent::default()
+        });
         if record.is_control {
             return;
         }
@@ -92,26 +103,42 @@
         let upstream = record.body.upstream.as_ref().filter(|_| !record.gone);
         let event = match upstream {
             Some(upstream) => upstream_event(upstream, record.incarnation),
-            None => Told { state: json!({ "is": "none" }).to_string(), ended: true, ..Told::default() },
+            None => EventContent {
+                state: json!({ "is": "none" }).to_string(),
+                ended: true,
+                ..EventContent::default()
+            },
         };
-        self.append(Told { key, place, zone, ..event });
+        self.append(EventContent { key, position, zone, ..event });
     }
 
     /// A control entry is in force here.
     pub(crate) fn control_entry(&self, key: &str, revision: Revision, value: &ControlValue) {
         let (round, owner, change) = revision.into();
-        let place = Place { epoch: round, owner, ..Place::default() };
+        let position = Position { epoch: round, owner, ..Position::default() };
         let state = json!({ "owner": ip(owner as u32), "round": round }).to_string();
-        self.append(Told { key: format!("owner/{key}"), place, state, rises: true, ..Told::default() });
+        self.append(EventContent {
+            key: format!("owner/{key}"),
+            position,
+            state,
+            is_monotonic: true,
+            ..EventContent::default()
+        });
         match value {
             ControlValue::Configuration(configuration) if key == CONFIGURATION_KEY => {
                 self.configuration(configuration);
             }
             ControlValue::Evacuation(is_evacuated) => {
                 let zone = evacuated_zone(key).unwrap_or(key).to_string();
-                let place = Place { version: change.saturating_add(1), ..place };
+                let position = Position { version: change.saturating_add(1), ..position };
                 let state = json!({ "on": is_evacuated }).to_string();
-                self.append(Told { key: key.to_string(), place, zone, state, ..Told::default() });
+                self.append(EventContent {
+                    key: key.to_string(),
+                    position,
+                    zone,
+                    state,
+                    ..EventContent::default()
+                });
             }
             _ => {}
         }
@@ -120,9 +147,9 @@
     /// An item stands, or with no content was dropped. `content` is asked for only where that is new.
     fn item(&self, item: &Item, content: impl FnOnce() -> Option<ItemContent>) {
         let key = format!("item/{}/{}", item.collection, item.name);
-        let place = Place { version: item.version.saturating_add(1), ..Place::default() };
+        let position = Position { version: item.version.saturating_add(1), ..Position::default() };
         // Most stand as they stood: nothing is made of them.
-        if self.feed.borrow().seen(&key).is_some_and(|seen| seen >= place) {
+        if self.feed.borrow().last_position(&key).is_some_and(|seen| seen >= position) {
             return;
         }
         let content = content();
@@ -132,7 +159,15 @@
         state["set"] = json!(!ended);
         state["edition"] = json!(item.version);
         let state = state.to_string();
-        self.append(Told { key, place, service, state, ended, rises: true, ..Told::default() });
+        self.append(EventContent {
+            key,
+            position,
+            service,
+            state,
+            ended,
+            is_monotonic: true,
+            ..EventContent::default()
+        });
     }
 
     fn configuration(&self, configuration: &Configuration) {
@@ -164,13 +199,18 @@
     pub(crate) fn call_rejected(&self, own_ip: Ipv4Addr, incarnation: u64, key: &str, reason: &str) {
         let number = self.rejected_calls.get() + 1;
         self.rejected_calls.set(number);
-        let place = Place { epoch: incarnation, owner: 0, version: number, mark: false };
+        let position = Position { epoch: incarnation, owner: 0, version: number, is_amended: false };
         let state = json!({ "number": number, "key": key, "why": cut(reason) }).to_string();
-        self.append(Told { key: format!("refused/{own_ip}"), place, state, ..Told::default() });
+        self.append(EventContent {
+            key: format!("refused/{own_ip}"),
+            position,
+            state,
+            ..EventContent::default()
+        });
     }
 }
 
-fn upstream_event(upstream: &UpstreamRecord, sidecar_incarnation: u64) -> Told {
+fn upstream_event(upstream: &UpstreamRecord, sidecar_incarnation: u64) -> EventContent {
     let is = match upstream {
         upstream if upstream.silent => "silent",
         upstream if upstream.draining => "draining",
@@ -178,7 +218,7 @@
     };
     let state = json!({ "is": is, "id": cut(&upstream.id), "slots": upstream.slots,
         "colds": upstream.warm_ups, "life": sidecar_incarnation });
-    Told { service: upstream.service.clone(), state: state.to_string(), ..Told::default() }
+    EventContent { service: upstream.service.clone(), state: state.to_string(), ..EventContent::default() }
 }
 
 fn route_content(route: &Route) -> ItemContent {
--- a/crates/testing/architecture-tests/src/packages.rs
+++ b/crates/testing/architecture-tests/src/packages.rs
@@ -88,6 +88,7 @@
     "control/admission",
     "control/config-item",
     "control/control-store",
+    "control/event-feed",
     "control/mesh-config",
     "control/mesh-membership",
     "control/quota",
--- a/crates/tools/ctl/src/error.rs
+++ b/crates/tools/ctl/src/error.rs
@@ -5,7 +5,7 @@
 use crate::http_client::CallError;
 use crate::items::ItemFault;
 use crate::usage::UsageError;
-use silvercross_event_feed::Unreadable;
+use silvercross_event_feed::CursorError;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
@@ -53,9 +53,9 @@
         syntax: Option<serde_json::Error>,
     },
     /// The cursor kept from the last run can't be read.
-    KeptCursor(Unreadable),
+    KeptCursor(CursorError),
     /// A cursor that a node sent can't be read.
-    SentCursor(Unreadable),
+    SentCursor(CursorError),
     /// The feed rejected the query itself.
     QueryRejected {
         /// The answer's status.
--- a/crates/tools/ctl/src/event_reader.rs
+++ b/crates/tools/ctl/src/event_reader.rs
@@ -48,14 +48,14 @@
     let Some(path) = file else { return Ok(()) };
     // Renamed when it is complete: a run that is killed leaves the cursor before.
     let beside = path.with_extension("part");
-    std::fs::write(&beside, cursor.write() + "\n")
+    std::fs::write(&beside, cursor.to_text() + "\n")
         .and_then(|()| std::fs::rename(&beside, path))
         .map_err(Error::write_file(path))
 }
 
 fn kept_cursor(file: Option<&Path>) -> Result<Cursor, Error> {
     match file.and_then(|path| std::fs::read_to_string(path).ok()) {
-        Some(text) => Cursor::read(text.trim()).map_err(Error::KeptCursor),
+        Some(text) => Cursor::parse(text.trim()).map_err(Error::KeptCursor),
         None => Ok(Cursor::default()),
     }
 }
@@ -82,7 +82,7 @@
     }
 
     fn merge(&mut self, cursor: &str) -> Result<(), Error> {
-        self.cursor.merge(Cursor::read(cursor).map_err(Error::SentCursor)?);
+        self.cursor.merge(Cursor::parse(cursor).map_err(Error::SentCursor)?);
         Ok(())
     }
 
@@ -108,7 +108,7 @@
 
     /// A batch, from the first address that serves it.
     fn batch(&self, client: &MeshClient) -> Result<String, Error> {
-        let (path, body) = (path(self.query), self.cursor.write());
+        let (path, body) = (path(self.query), self.cursor.to_text());
         let request = Request { method: "POST", path: &path, body: body.as_bytes() };
         let mut last = Error::NoAnswer { last: None };
         for node in &client.addresses {
@@ -140,7 +140,7 @@
     /// Follow the feed at one node for as long as it is served and time is left.
     fn follow_at(&mut self, node: SocketAddr, clock: &mut FollowClock) -> Result<(), Error> {
         let failed = |fault| CallError { node, fault };
-        let (path, body) = (path(self.query), self.cursor.write());
+        let (path, body) = (path(self.query), self.cursor.to_text());
         let request = Request { method: "POST", path: &path, body: body.as_bytes() };
         let mut stream = open(node, request, FEED_SILENCE_TIMEOUT).map_err(failed)?;
         if stream.status != 200 {
