--- /dev/null
+++ b/crates/control/swim/src/members/receive.rs
@@ -0,0 +1,197 @@
+//! Datagrams and the own endpoint list come in: replay check, rate limit, ping, ack, ping-req, nack, and the refutation of what is
+//! reported of this member (SWIM, 4.2). What a report changes in the table is in `reports.rs`.
+use super::event::Event;
+use super::state::{Members, RelayedProbe};
+use crate::config::Mutant;
+use crate::drains::Drain;
+use crate::identity::{Identity, Incarnation};
+use crate::limits::{DIGEST_MISMATCHES, MAX_LOCAL_HEALTH_MULTIPLIER, MAX_RELAYED_PROBES};
+use crate::table::State;
+use crate::time::Micros;
+use crate::updates::MembershipUpdate;
+use crate::wire::{DecodeError, Message, Sender};
+use rand_core::RngCore;
+use std::net::SocketAddr;
+
+impl Members {
+    /// The own list has come to this version, and says this of its upstreams: each name, last start, and whether it drains.
+    /// Returned are other members' reports that it supersedes.
+    pub fn list_is<'a>(
+        &mut self,
+        seq: u64,
+        whole: bool,
+        entries: impl Iterator<Item = (&'a str, u64, bool)>,
+    ) -> Vec<Drain> {
+        let over = self.drains.list_is(seq, whole);
+        for (host, born_ms, draining) in entries {
+            if !draining {
+                self.drains.own_over(host);
+                continue;
+            }
+            let drain = Drain { host: host.to_string(), born_ms, seq };
+            if self.drains.own(&drain) && !self.stood_down {
+                self.updates.add(MembershipUpdate::Drain(drain));
+            }
+        }
+        over
+    }
+
+    /// A datagram has come.
+    pub fn datagram(&mut self, now: Micros, bytes: &[u8]) {
+        self.metrics.came_bytes += bytes.len() as u64;
+        let packet = match self.config.fleet.read_packet(bytes) {
+            Ok(packet) => packet,
+            Err(DecodeError::Foreign) => return self.metrics.strange += 1,
+            Err(DecodeError::Corrupt) => return self.metrics.spoilt += 1,
+            Err(DecodeError::Version(_)) => return self.metrics.version += 1,
+        };
+        if self.stood_down {
+            return;
+        }
+        if !self.admit(now, &packet.from) {
+            self.metrics.replayed += 1;
+            return;
+        }
+        // What passed the check and is new counts, by its sender: one that talks without end is heard only so far.
+        let (period, talks) = (self.config.period, self.table.get_mut(packet.from.id));
+        if talks.is_some_and(|s| s.exceeds_message_limit(now, period)) {
+            self.metrics.flood += 1;
+            return;
+        }
+        self.metrics.taken += 1;
+        for update in packet.updates {
+            self.handle_update(now, update, packet.from.id, false);
+        }
+        self.handle_message(now, packet.from, packet.message);
+        self.notify_view_change();
+    }
+
+    /// Whether a sender's message counts: of the present process of a member, and not seen before. One that is not known
+    /// is let through: it is asked for its record by an exchange.
+    pub(super) fn admit(&mut self, now: Micros, from: &Sender) -> bool {
+        if from.id == self.me.id {
+            // The echo of an own message, or a duplicate's: its record tells which, and comes as an update.
+            return from.nonce != self.me.nonce;
+        }
+        let Some(member) = self.table.get_mut(from.id) else { return true };
+        if member.record.nonce != from.nonce {
+            // A process that was replaced speaks no more; one with a newer incarnation, be it from a restored folder that counts the
+            // same start, brings its record along.
+            return from.incarnation > member.record.incarnation;
+        }
+        if !member.window.pass(from.number) {
+            return false;
+        }
+        member.heard = Some(now);
+        self.last_heard = Some(from.id);
+        true
+    }
+
+    pub(super) fn handle_message(&mut self, now: Micros, from: Sender, message: Message) {
+        match message {
+            Message::Ping { probe, to, at, held, digest } if to == self.me.id => {
+                self.refute_if_needed(held);
+                self.compare_digests(from.id, at, digest);
+                let ack = Message::Ack { probe, digest: self.digest() };
+                let me = held.is_some().then_some(self.me.id);
+                self.send(at, ack, me);
+            }
+            Message::Ping { at, .. } => {
+                // Whoever was here before is gone. The one who looks for it may know a fleet that this one does not.
+                if self.table.get(from.id).is_none_or(|s| !s.state.is_live()) {
+                    self.queue_exchange(at);
+                }
+            }
+            Message::Ack { probe, digest } => self.handle_ack(from.id, probe, digest),
+            Message::PingReq { probe, target, target_at, at, held } => {
+                if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
+                    return;
+                }
+                let mine = self.next_probe_number();
+                self.relayed_probes.push(RelayedProbe {
+                    own_number: mine,
+                    origin_number: probe,
+                    at,
+                    nack_at: now + self.config.direct(),
+                    until: now + self.config.period * Micros::from(1 + MAX_LOCAL_HEALTH_MULTIPLIER),
+                    nacked: false,
+                });
+                let held = held.or_else(|| self.held_state(target));
+                let ping = self.ping(mine, target, held);
+                self.send(target_at, ping, Some(target));
+            }
+            Message::Nack { probe } => {
+                if let Some(p) = self.probe.as_mut().filter(|p| p.number == probe) {
+                    p.nacks += 1;
+                }
+            }
+            Message::Gossip => {}
+        }
+    }
+
+    /// An acknowledgement of the own probe, or of one made for another member, which gets it.
+    fn handle_ack(&mut self, sender: Identity, probe: u64, digest: u64) {
+        if let Some(i) = self.relayed_probes.iter().position(|r| r.own_number == probe) {
+            let r = self.relayed_probes.swap_remove(i);
+            return self.send(r.at, Message::Ack { probe: r.origin_number, digest }, Some(sender));
+        }
+        let Some(p) = self.probe.as_mut().filter(|p| p.number == probe) else { return };
+        if !p.answered {
+            p.answered = true;
+            self.local_health_multiplier = self.local_health_multiplier.saturating_sub(1);
+        }
+        let at = self.table.get(sender).map(|s| s.record.at);
+        at.into_iter().for_each(|at| self.compare_digests(sender, at, digest));
+    }
+
+    /// What another one holds this member to be: refuted at once if it is worse than alive.
+    pub(super) fn refute_if_needed(&mut self, held: Option<(State, Incarnation)>) {
+        match held {
+            Some((state, i)) if state != State::Alive && i >= self.me.incarnation => self.refute(state, i),
+            _ => {}
+        }
+    }
+
+    pub(super) fn refute(&mut self, state: State, seen: Incarnation) {
+        if self.leaving || self.stood_down || self.config.is_broken(Mutant::NoRefutation) {
+            return;
+        }
+        if seen.start_number() > self.me.incarnation.start_number() {
+            // A later start of this identity: this process comes from an older folder, or from a copy of it.
+            let other = self.me.at;
+            return self.stand_down(true, other);
+        }
+        self.me.incarnation = self.me.incarnation.above(seen);
+        self.metrics.refutations += 1;
+        if state == State::Suspect {
+            self.local_health_multiplier =
+                (self.local_health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
+        }
+        self.updates.add(MembershipUpdate::Alive(self.me.clone()));
+        self.events.push_back(Event::Refuted(state));
+    }
+
+    /// Another one's living differ from this one's for longer than gossip needs: an exchange settles it.
+    pub(super) fn compare_digests(&mut self, id: Identity, at: SocketAddr, digest: u64) {
+        let unknown = self.table.get(id).is_none_or(|s| !s.state.is_live());
+        if digest == self.digest() && !unknown {
+            self.digest_mismatches = 0;
+            return;
+        }
+        self.digest_mismatches += 1;
+        let patience = DIGEST_MISMATCHES + (self.rng.next_u32() % DIGEST_MISMATCHES);
+        if unknown
+            || (self.digest_mismatches > patience && self.updates.is_empty())
+            || self.digest_mismatches > 4 * patience
+        {
+            self.digest_mismatches = 0;
+            self.queue_exchange(at);
+        }
+    }
+
+    pub(super) fn queue_exchange(&mut self, at: SocketAddr) {
+        if self.exchanges.len() < 4 && !self.exchanges.contains(&at) && at != self.me.at {
+            self.exchanges.push_back(at);
+        }
+    }
+}
--- a/crates/control/swim/src/figures.rs
+++ b/crates/control/swim/src/metrics.rs
@@ -1,7 +1,8 @@
-//! What a member counts, for the door and for experiments.
+//! Counters of one member, shown by the sidecar and summed by the scenario runner. Go on reading at [`crate::members`].
+
 /// Counts from the start of the process on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// Datagrams sent.
     pub sent: u64,
     /// Their bytes.
@@ -22,7 +23,7 @@
     pub flood: u64,
     /// Not sent, since too many waited.
     pub unsent: u64,
-    /// Members not taken in, since the table was full or the card bad.
+    /// Members not taken in, since the table was full or the record invalid.
     pub turned_away: u64,
     /// Probes made.
     pub probes: u64,
@@ -30,7 +31,7 @@
     pub late: u64,
     /// Suspicions begun here by an own probe.
     pub suspected: u64,
-    /// Suspicions of others that ended by a newer word of theirs.
+    /// Suspicions of others that ended by a newer incarnation of theirs.
     pub refuted: u64,
     /// Suspicions of others that ended as failures here.
     pub failed: u64,
--- a/crates/control/swim/src/table.rs
+++ b/crates/control/swim/src/table.rs
@@ -1,16 +1,16 @@
 //! The table of members: what is known of each, and which of two reports about one holds.
-use crate::config::TALK_MOST;
 use crate::identity::{Identity, Incarnation};
+use crate::limits::MAX_MESSAGES_PER_PERIOD;
+use crate::replay_window::ReplayWindow;
 use crate::suspicion::Suspicion;
-use crate::wire::Window;
-use crate::Micros;
+use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 /// What a member says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct MemberRecord {
     /// Who it is.
     pub id: Identity,
     /// How new this is.
@@ -21,9 +21,9 @@
     pub born_ms: u64,
     /// It is not where its folder last was.
     pub moved: bool,
-    /// What it is called, [`crate::config::NAME_MOST`] bytes at most.
+    /// What it is called, [`crate::limits::MAX_NAME_BYTES`] bytes at most.
     pub name: String,
-    /// Its zone, [`crate::config::NAME_MOST`] bytes at most.
+    /// Its zone, [`crate::limits::MAX_NAME_BYTES`] bytes at most.
     pub zone: String,
     /// Where it takes datagrams and exchanges.
     pub at: SocketAddr,
@@ -61,51 +61,51 @@
 
 /// A member as it is known here.
 #[derive(Clone, Debug)]
-pub struct Slot {
-    /// Its word of itself.
-    pub card: Card,
+pub struct Member {
+    /// Its record.
+    pub record: MemberRecord,
     /// How it is.
     pub state: State,
     /// Since when.
     pub since: Micros,
     /// When it was last heard of by a message of its own.
     pub heard: Option<Micros>,
-    /// Who told of its state.
-    pub told_by: Identity,
+    /// Who reported its state.
+    pub reported_by: Identity,
     /// While it is suspected.
     pub suspicion: Option<Suspicion>,
     /// The messages of its present process that have come.
-    pub window: Window,
+    pub window: ReplayWindow,
     /// Since when its messages are counted, and how many have come.
-    pub talk: (Micros, u32),
+    pub message_count: (Micros, u32),
 }
 
-impl Slot {
-    /// One more message of it has come: whether that is past [`TALK_MOST`] in a period.
-    pub fn talks_too_much(&mut self, now: Micros, period: Micros) -> bool {
-        if now >= self.talk.0 + period {
-            self.talk = (now, 0);
+impl Member {
+    /// One more message of it has come: whether that is past [`MAX_MESSAGES_PER_PERIOD`] in a period.
+    pub fn exceeds_message_limit(&mut self, now: Micros, period: Micros) -> bool {
+        if now >= self.message_count.0 + period {
+            self.message_count = (now, 0);
         }
-        self.talk.1 += 1;
-        self.talk.1 > TALK_MOST
+        self.message_count.1 += 1;
+        self.message_count.1 > MAX_MESSAGES_PER_PERIOD
     }
 }
 
 /// All members but this one.
 #[derive(Debug, Default)]
 pub struct Table {
-    slots: Vec<Slot>,
+    members: Vec<Member>,
     index: HashMap<Identity, usize>,
     digest: u64,
     live: usize,
     failed: usize,
     /// Positions of those that are suspect or failed: few, and looked through at each turn.
-    troubled: Vec<Identity>,
+    not_alive: Vec<Identity>,
 }
 
 /// One member's part in the digest of the living.
-pub fn mark(card: &Card) -> u64 {
-    let mut x = card.id.0 ^ card.incarnation.0.rotate_left(17) ^ 0x9e37_79b9_7f4a_7c15;
+pub fn digest_of(record: &MemberRecord) -> u64 {
+    let mut x = record.id.0 ^ record.incarnation.0.rotate_left(17) ^ 0x9e37_79b9_7f4a_7c15;
     // The finaliser of splitmix64 (Steele, Lea, Flood 2014).
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -114,33 +114,33 @@
 
 impl Table {
     /// Everyone known.
-    pub fn all(&self) -> impl Iterator<Item = &Slot> {
-        self.slots.iter()
+    pub fn all(&self) -> impl Iterator<Item = &Member> {
+        self.members.iter()
     }
 
     /// One by its place.
-    pub fn at(&self, place: usize) -> Option<&Slot> {
-        self.slots.get(place)
+    pub fn at(&self, place: usize) -> Option<&Member> {
+        self.members.get(place)
     }
 
     /// One by its identity.
-    pub fn get(&self, id: Identity) -> Option<&Slot> {
-        self.index.get(&id).and_then(|i| self.slots.get(*i))
+    pub fn get(&self, id: Identity) -> Option<&Member> {
+        self.index.get(&id).and_then(|i| self.members.get(*i))
     }
 
     /// One by its identity; its state is changed by [`Table::set`] alone.
-    pub fn get_mut(&mut self, id: Identity) -> Option<&mut Slot> {
-        self.index.get(&id).and_then(|i| self.slots.get_mut(*i))
+    pub fn get_mut(&mut self, id: Identity) -> Option<&mut Member> {
+        self.index.get(&id).and_then(|i| self.members.get_mut(*i))
     }
 
     /// How many are known.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.members.len()
     }
 
     /// Whether nobody else is known.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.members.is_empty()
     }
 
     /// How many count as there.
@@ -159,64 +159,64 @@
     }
 
     /// Who is suspect, failed or left.
-    pub fn troubled(&self) -> &[Identity] {
-        &self.troubled
+    pub fn not_alive(&self) -> &[Identity] {
+        &self.not_alive
     }
 
     /// Take one in.
-    pub fn add(&mut self, slot: Slot) {
-        let id = slot.card.id;
-        self.count(&slot, true);
-        self.index.insert(id, self.slots.len());
-        self.slots.push(slot);
+    pub fn add(&mut self, member: Member) {
+        let id = member.record.id;
+        self.count(&member, true);
+        self.index.insert(id, self.members.len());
+        self.members.push(member);
     }
 
-    /// Another report holds from now on. The card's identity has to be known.
-    pub fn set(&mut self, card: Card, state: State, now: Micros, told_by: Identity) {
-        let Some(i) = self.index.get(&card.id).copied() else { return };
-        let old = self.slots[i].clone();
+    /// Another report holds from now on. The record's identity has to be known.
+    pub fn set(&mut self, record: MemberRecord, state: State, now: Micros, reported_by: Identity) {
+        let Some(i) = self.index.get(&record.id).copied() else { return };
+        let old = self.members[i].clone();
         self.count(&old, false);
-        let slot = &mut self.slots[i];
-        if (slot.state, slot.card.incarnation) != (state, card.incarnation) {
-            slot.told_by = told_by;
+        let member = &mut self.members[i];
+        if (member.state, member.record.incarnation) != (state, record.incarnation) {
+            member.reported_by = reported_by;
         }
-        if slot.state != state {
-            slot.since = now;
+        if member.state != state {
+            member.since = now;
         }
         if state != State::Suspect {
-            slot.suspicion = None;
+            member.suspicion = None;
         }
-        if slot.card.nonce != card.nonce {
+        if member.record.nonce != record.nonce {
             // Another process: its messages count from the start.
-            slot.window = Window::default();
+            member.window = ReplayWindow::default();
         }
-        (slot.card, slot.state) = (card, state);
-        let new = slot.clone();
+        (member.record, member.state) = (record, state);
+        let new = member.clone();
         self.count(&new, true);
     }
 
     /// Forget one.
     pub fn remove(&mut self, id: Identity) {
         let Some(i) = self.index.remove(&id) else { return };
-        let gone = self.slots.swap_remove(i);
+        let gone = self.members.swap_remove(i);
         self.count(&gone, false);
-        if let Some(moved) = self.slots.get(i) {
-            self.index.insert(moved.card.id, i);
+        if let Some(moved) = self.members.get(i) {
+            self.index.insert(moved.record.id, i);
         }
     }
 
-    fn count(&mut self, slot: &Slot, there: bool) {
-        let id = slot.card.id;
-        self.troubled.retain(|t| *t != id);
-        if there && slot.state != State::Alive {
-            self.troubled.push(id);
+    fn count(&mut self, member: &Member, there: bool) {
+        let id = member.record.id;
+        self.not_alive.retain(|t| *t != id);
+        if there && member.state != State::Alive {
+            self.not_alive.push(id);
         }
         let step = |n: usize| if there { n + 1 } else { n - 1 };
-        if slot.state.is_live() {
-            self.digest ^= mark(&slot.card);
+        if member.state.is_live() {
+            self.digest ^= digest_of(&member.record);
             self.live = step(self.live);
         }
-        if slot.state == State::Failed {
+        if member.state == State::Failed {
             self.failed = step(self.failed);
         }
     }
--- a/crates/daemon/sidecar/src/event_loop/fleet_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/fleet_side.rs
@@ -185,7 +185,7 @@
         }
         if let Some(folder) = fleet.folder.as_mut().filter(|_| now >= fleet.keep_at) {
             fleet.keep_at = now + KEEP * fleet.period;
-            folder.keep(fleet.members.others().map(|s| s.card.at).collect());
+            folder.keep(fleet.members.others().map(|s| s.record.at).collect());
         }
         events.into_iter().for_each(|e| self.fleet_says(now, e));
         self.mind_senders(now);
@@ -197,7 +197,7 @@
         let Some(fleet) = &mut self.fleet else { return };
         let smaller = fleet.smaller.map_or(Micros::MAX, |s| s.1);
         // Never at once: a timer that is always due would hold the loop.
-        let wake = fleet.members.wake().min(smaller).max(now + 1_000);
+        let wake = fleet.members.next_deadline().min(smaller).max(now + 1_000);
         if wake < fleet.due || fleet.due <= now {
             fleet.due = wake;
             self.balancer.wake_at(wake, Wake::Fleet);
@@ -309,13 +309,13 @@
             .others()
             .map(|s| {
                 serde_json::json!({
-                    "id": s.card.id.to_string(), "name": s.card.name, "zone": s.card.zone, "at": s.card.at.to_string(),
-                    "state": s.state.name(), "incarnation": s.card.incarnation.0, "since_s": (now - s.since) as f64 / 1e6,
-                    "heard_s": s.heard.map(|h| (now - h) as f64 / 1e6), "by": s.told_by.to_string(),
+                    "id": s.record.id.to_string(), "name": s.record.name, "zone": s.record.zone, "at": s.record.at.to_string(),
+                    "state": s.state.name(), "incarnation": s.record.incarnation.0, "since_s": (now - s.since) as f64 / 1e6,
+                    "heard_s": s.heard.map(|h| (now - h) as f64 / 1e6), "by": s.reported_by.to_string(),
                 })
             })
             .collect();
-        let f = &m.figures;
+        let f = &m.metrics;
         let figures = serde_json::json!({
             "sent": f.sent, "sent_bytes": f.sent_bytes, "taken": f.taken, "came_bytes": f.came_bytes, "strange": f.strange,
             "spoilt": f.spoilt, "version": f.version, "replayed": f.replayed, "flood": f.flood, "unsent": f.unsent,
@@ -328,7 +328,7 @@
             "id": me.id.to_string(), "name": me.name, "at": me.at.to_string(), "incarnation": me.incarnation.0,
             "view": m.view().name(), "live": live, "failed": failed, "senders": m.senders(),
             "senders_in_force": self.balancer.senders(), "senders_configured": fleet.configured,
-            "digest": format!("{:016x}", m.digest()), "doubt": m.doubt(),
+            "digest": format!("{:016x}", m.digest()), "doubt": m.local_health_multiplier(),
             "drains": m.drained().collect::<Vec<_>>(), "others": others, "figures": figures,
         });
         Some(told.to_string() + "\n")
@@ -337,7 +337,7 @@
     /// The fleet's lines among the figures.
     pub(super) fn fleet_figures(&self) -> String {
         let Some(fleet) = &self.fleet else { return String::new() };
-        let (m, f) = (&fleet.members, &fleet.members.figures);
+        let (m, f) = (&fleet.members, &fleet.members.metrics);
         let mut out = String::new();
         for state in [State::Alive, State::Suspect, State::Failed, State::Left] {
             let n = m.others().filter(|s| s.state == state).count() + usize::from(state == State::Alive);
@@ -358,7 +358,7 @@
             ("suspicions_total", f.suspected),
             ("refuted_total", f.refuted),
             ("sent_bytes_total", f.sent_bytes + f.exchanged_bytes),
-            ("doubt", u64::from(m.doubt())),
+            ("doubt", u64::from(m.local_health_multiplier())),
             ("drains_heard", m.drains_heard() as u64),
         ] {
             out += &format!("svc_members_{what} {n}\n");
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -167,9 +167,9 @@
         let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return };
         if now >= h.places_at {
             h.places_at = now + PLACES;
-            let place = |s: &silvercross_swim::table::Slot| Place {
-                node: Node(s.card.id.0),
-                zone: s.card.zone.clone(),
+            let place = |s: &silvercross_swim::table::Member| Place {
+                node: Node(s.record.id.0),
+                zone: s.record.zone.clone(),
                 alive: matches!(s.state, State::Alive | State::Suspect),
             };
             let own = Place {
@@ -234,7 +234,7 @@
         let Some(link) = &mut h.links[seat] else { return };
         link.tick(now);
         if link.wants(now) {
-            let at = fleet.members.others().find(|s| s.card.id == link.to).map(|s| s.card.at);
+            let at = fleet.members.others().find(|s| s.record.id == link.to).map(|s| s.record.at);
             match at {
                 Some(at) => {
                     let made = fleet.reach(at).and_then(|s| registry.watch(s, LINK_0 + seat, Interest::Both));
--- a/crates/daemon/sidecar/src/wire/fleet.rs
+++ b/crates/daemon/sidecar/src/wire/fleet.rs
@@ -3,7 +3,7 @@
 use silvercross_core::interface::Micros;
 use silvercross_net::http;
 use silvercross_net::registry::{Interest, Watched};
-use silvercross_swim::wire::EXCHANGE_MOST;
+use silvercross_swim::wire::MAX_EXCHANGE_BYTES;
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
@@ -123,7 +123,7 @@
                         continue;
                     }
                     self.input.extend_from_slice(&piece[..n]);
-                    if self.input.len() > EXCHANGE_MOST + 4096 {
+                    if self.input.len() > MAX_EXCHANGE_BYTES + 4096 {
                         return Ok(Got::Ended);
                     }
                 }
@@ -165,8 +165,8 @@
             }
         };
         let http::Framing::Length(n) = framing else { return Ok(Got::Ended) };
-        if n > EXCHANGE_MOST || self.input.len() < len + n {
-            return Ok(if n > EXCHANGE_MOST { Got::Ended } else { Got::Nothing });
+        if n > MAX_EXCHANGE_BYTES || self.input.len() < len + n {
+            return Ok(if n > MAX_EXCHANGE_BYTES { Got::Ended } else { Got::Nothing });
         }
         let body = self.input[len..len + n].to_vec();
         if self.stays {
--- a/crates/tools/scenario-runner/src/fleet/sim.rs
+++ b/crates/tools/scenario-runner/src/fleet/sim.rs
@@ -6,8 +6,8 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use silvercross_history_checker::{EventKind, History, ListedMember, MemberList, MemberState};
-use silvercross_swim::rumours::Rumour;
-use silvercross_swim::wire::{Fleet, From, Message, Packet};
+use silvercross_swim::updates::MembershipUpdate;
+use silvercross_swim::wire::{Fleet, Message, Packet, Sender};
 use silvercross_swim::{Config, Event, Identity, Incarnation, Members, Mutant, Start, State};
 use silvercross_time::Instant;
 use std::cmp::Reverse;
@@ -102,9 +102,9 @@
 
 /// A datagram that is to change nothing: another fleet's, another version's, or bytes of chance.
 pub fn stranger(kind: Kind, ours: &Fleet, n: u64, rng: &mut impl RngCore) -> Vec<u8> {
-    let from = From { id: Identity(n + 1), incarnation: Incarnation(1 << 32), nonce: n, number: n + 1 };
-    let left = Rumour::Left { id: Identity(n + 2), incarnation: Incarnation(9 << 32) };
-    let packet = Packet { from, message: Message::Gossip, rumours: vec![left] };
+    let from = Sender { id: Identity(n + 1), incarnation: Incarnation(1 << 32), nonce: n, number: n + 1 };
+    let left = MembershipUpdate::Left { id: Identity(n + 2), incarnation: Incarnation(9 << 32) };
+    let packet = Packet { from, message: Message::Gossip, updates: vec![left] };
     match kind {
         Kind::Foreign => Fleet::new("another", 7).packet(&packet),
         Kind::Versions => {
@@ -203,7 +203,7 @@
         let number = self.procs.len();
         let start = Start {
             id: folder.id,
-            life: folder.life,
+            start_number: folder.life,
             born_ms: folder.born_ms,
             moved,
             name: format!("n{machine}"),
@@ -268,7 +268,7 @@
                 }
             }
         }
-        let wake = self.procs[number].members.wake().max(self.now);
+        let wake = self.procs[number].members.next_deadline().max(self.now);
         let p = &mut self.procs[number];
         if p.running && !p.paused && p.planned.is_none_or(|at| at > wake) {
             p.planned = Some(wake);
@@ -399,7 +399,7 @@
         }
         p.running = false;
         let (machine, id, at, own) = (p.machine, p.members.me().id, p.at, p.own_folder);
-        let list: Vec<SocketAddr> = p.members.others().map(|s| s.card.at).collect();
+        let list: Vec<SocketAddr> = p.members.others().map(|s| s.record.at).collect();
         if let Some(folder) = self.folders[machine].as_mut().filter(|_| own && !list.is_empty()) {
             // Those that it knew, and those that it was told of at its first start.
             let firsts: Vec<_> = folder.list.iter().take(self.script.fleet.seeds).copied().collect();
@@ -496,7 +496,7 @@
 
     /// Whom a machine's process knows: what its folder lists by now.
     fn known_on(&self, machine: usize) -> Vec<SocketAddr> {
-        let known = |n: usize| self.procs[n].members.others().map(|s| s.card.at);
+        let known = |n: usize| self.procs[n].members.others().map(|s| s.record.at);
         self.running_on(machine).into_iter().flat_map(known).collect()
     }
 
@@ -539,10 +539,10 @@
                 State::Failed => MemberState::Failed,
                 State::Left => MemberState::Left,
             };
-            let seen = |s: &silvercross_swim::table::Slot| ListedMember {
-                identity: s.card.id.to_string(),
+            let seen = |s: &silvercross_swim::table::Member| ListedMember {
+                identity: s.record.id.to_string(),
                 state: state(s.state),
-                incarnation: s.card.incarnation.0,
+                incarnation: s.record.incarnation.0,
             };
             let look = MemberList {
                 process: n,
@@ -564,8 +564,8 @@
         let length = (self.now + (self.script.fleet.gather * self.period as f64) as Micros) as f64;
         let (periods, seconds) = (length / self.period as f64, length / 1e6);
         let per = self.script.fleet.members as f64;
-        let sum = |f: fn(&silvercross_swim::Figures) -> u64| -> f64 {
-            self.procs.iter().map(|p| f(&p.members.figures)).sum::<u64>() as f64
+        let sum = |f: fn(&silvercross_swim::Metrics) -> u64| -> f64 {
+            self.procs.iter().map(|p| f(&p.members.metrics)).sum::<u64>() as f64
         };
         let mut all = BTreeMap::new();
         let mut put = |name: &str, v: f64| {
