--- a/crates/control/idempotency-store/src/holder.rs
+++ b/crates/control/idempotency-store/src/holder.rs
@@ -3,7 +3,8 @@
 use crate::machine::{Logged, Machine};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use silvercross_raft::{Apply, Ended, Entry, Index, Payload, Refused, Replica, Term};
+use silvercross_raft::{Apply, Ended, Entry, Index, Payload, RaftError, Replica, Term};
+use silvercross_time::Instant;
 use std::collections::BTreeMap;
 
 /// Entries behind the last snapshot before the next one is made.
@@ -74,19 +75,19 @@
         waiter: Waiter,
         below: u64,
         command: crate::Command,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), RaftError> {
         if let crate::Command::Get { name } = command {
             // Nothing of it is written: most voters say that this one still leads, and then what it has applied is the answer (D 6.4).
-            let read = self.replica.read(now)?;
+            let read = self.replica.read()?;
             self.reads.insert(read, (waiter, name));
             return Ok(());
         }
-        let office_ms = self.replica.office_began_ms().unwrap_or(0);
+        let office_ms = self.replica.term_began_ms().unwrap_or(0);
         let Waiter { by, session, number } = waiter;
         let line =
             Line { office_ms: office_ms.max(1), logged: Logged { by, session, number, below, command } };
         let bytes = postcard::to_allocvec(&line).unwrap_or_default();
-        let (index, term) = self.replica.propose(now, bytes)?;
+        let (index, term) = self.replica.propose(Instant::from_micros(now), bytes)?;
         self.waiting.insert(index, (term, waiter));
         Ok(())
     }
--- a/crates/control/idempotency-store/src/records.rs
+++ b/crates/control/idempotency-store/src/records.rs
@@ -10,8 +10,9 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use silvercross_raft::{
-    Durable, Ended, Envelope, Index, Message, Node, Payload, Refused, Replica, Snapshot, Write,
+    Ended, Envelope, Index, Message, Node, Payload, PersistentState, RaftError, Replica, Snapshot, Write,
 };
+use silvercross_time::Instant;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The group that holds operators' drains.
@@ -102,7 +103,7 @@
 
 impl Records {
     /// At a process's start, with what its folder kept of each group.
-    pub fn new(config: Config, me: u64, kept: Vec<(u32, Epoch, Durable)>, now: Micros) -> Self {
+    pub fn new(config: Config, me: u64, kept: Vec<(u32, Epoch, PersistentState)>, now: Micros) -> Self {
         let client = Client::new(me, config.groups, config.patience);
         let mut new = Records {
             rng: Pcg32::seed_from_u64(config.seed ^ me),
@@ -121,7 +122,13 @@
         for (group, epoch, durable) in kept {
             if group < new.config.groups {
                 let seed = new.config.seed ^ u64::from(group);
-                let replica = Replica::new(new.config.replica.clone(), Node(me), durable, seed, now);
+                let replica = Replica::new(
+                    new.config.replica.clone(),
+                    Node(me),
+                    durable,
+                    seed,
+                    Instant::from_micros(now),
+                );
                 new.hold(group, epoch, replica);
             }
         }
@@ -200,7 +207,12 @@
 
     /// When [`Records::tick`] is due.
     pub fn wake(&self) -> Micros {
-        let copies = self.copies.values().map(|c| c.holder.replica.wake()).min().unwrap_or(Micros::MAX);
+        let copies = self
+            .copies
+            .values()
+            .map(|c| c.holder.replica.next_deadline().as_micros())
+            .min()
+            .unwrap_or(Micros::MAX);
         copies.min(self.client.wake()).min(self.who_at)
     }
 
@@ -215,7 +227,8 @@
         let epoch = Epoch(0).next(self.rng.next_u64());
         for group in 0..self.config.groups {
             let seed = self.config.seed ^ u64::from(group);
-            let replica = Replica::found(self.config.replica.clone(), Node(self.me), seed, now);
+            let replica =
+                Replica::found(self.config.replica.clone(), Node(self.me), seed, Instant::from_micros(now));
             self.hold(group, epoch, replica);
         }
         self.go_on(now);
@@ -245,7 +258,13 @@
         let snapshot = Snapshot { index, term, at_ms, group: Default::default(), data: machine.snapshot() };
         let next = epoch.next(self.rng.next_u64());
         let seed = self.config.seed ^ u64::from(group) ^ next.0;
-        let new = Replica::begin_with(self.config.replica.clone(), Node(self.me), snapshot, seed, now);
+        let new = Replica::recover_from(
+            self.config.replica.clone(),
+            Node(self.me),
+            snapshot,
+            seed,
+            Instant::from_micros(now),
+        );
         self.hold(group, next, new);
         self.go_on(now);
         Ok((next, index, term))
@@ -259,7 +278,7 @@
             let best = progress
                 .and_then(|p| p.iter().filter(|(n, _)| group.is_voter(**n)).max_by_key(|(_, p)| p.matched));
             if let Some(to) = best.map(|(n, _)| *n) {
-                copy.holder.replica.transfer(now, to);
+                copy.holder.replica.transfer(Instant::from_micros(now), to);
             }
         }
         self.go_on(now);
@@ -270,7 +289,7 @@
     /// Let time pass.
     pub fn tick(&mut self, now: Micros) {
         for copy in self.copies.values_mut() {
-            copy.holder.replica.tick(now);
+            copy.holder.replica.tick(Instant::from_micros(now));
         }
         self.client.tick(now);
         if now >= self.who_at {
@@ -321,8 +340,8 @@
                         let outcome = Outcome::Done(0);
                         self.say(from, Said::Told { group, epoch, session, number, outcome });
                     }
-                    Some(Ok(())) | Some(Err(Refused::Full)) => {}
-                    Some(Err(Refused::NotLeader(l))) => {
+                    Some(Ok(())) | Some(Err(RaftError::Full)) => {}
+                    Some(Err(RaftError::NotLeader(l))) => {
                         self.say(from, Said::NotHere { group, number, leader: l.map(|n| n.0) })
                     }
                     Some(Err(_)) => self.say(from, Said::NotHere { group, number, leader: None }),
@@ -368,7 +387,7 @@
         let known = self.card(e.group).map(|c| c.epoch);
         let held = self.copies.get(&e.group).map(|c| c.epoch);
         if held != Some(epoch) {
-            let leads = matches!(e.message, Message::Append { .. } | Message::Piece { .. });
+            let leads = matches!(e.message, Message::AppendEntries { .. } | Message::InstallSnapshot { .. });
             let newer = held.is_none_or(|h| epoch.count() > h.count());
             // An epoch that was left behind, or that is not the one founded here, has no part in this one.
             if !leads || !newer || known.is_some_and(|k| k != epoch && k.count() >= epoch.count()) {
@@ -376,8 +395,13 @@
                 return self.say(from, known);
             }
             let seed = self.config.seed ^ u64::from(e.group) ^ e.epoch;
-            let replica =
-                Replica::new(self.config.replica.clone(), Node(self.me), Durable::default(), seed, now);
+            let replica = Replica::new(
+                self.config.replica.clone(),
+                Node(self.me),
+                PersistentState::default(),
+                seed,
+                Instant::from_micros(now),
+            );
             self.hold(e.group, epoch, replica);
         }
         if let Some(copy) = self.copies.get_mut(&e.group) {
@@ -385,14 +409,14 @@
                 let over = Said::Over { group: e.group, epoch };
                 return self.say(from, over);
             }
-            copy.holder.replica.message(now, e.from, e.writes, e.message);
+            copy.holder.replica.message(Instant::from_micros(now), e.from, e.writes, e.message);
         }
     }
 
     /// A write and all before it are durable.
     pub fn written(&mut self, now: Micros, group: u32, epoch: Epoch, number: u64) {
         if let Some(copy) = self.copies.get_mut(&group).filter(|c| c.epoch == epoch) {
-            copy.holder.replica.written(now, number);
+            copy.holder.replica.written(Instant::from_micros(now), number);
         }
         self.go_on(now);
     }
@@ -472,7 +496,7 @@
         let dark =
             |g: u32| self.card(g).is_none_or(|c| c.leader.is_none()) || self.client.silent(g).is_some();
         let often = (0..self.config.groups).any(dark);
-        let beat = self.config.replica.heartbeat;
+        let beat = self.config.replica.heartbeat_interval.as_micros();
         self.who_at = now + if often { beat } else { 20 * beat };
         if let Some(to) = self.somebody() {
             self.say(to, Said::Who);
@@ -497,16 +521,17 @@
                 replica.group().voters.iter().filter(|v| gone.contains(v)).copied().collect();
             replica.gone_are(theirs.clone());
             let Some(progress) = replica.progress() else { continue };
-            if replica.is_changing() || !replica.is_settled() {
+            if replica.is_changing() || !replica.has_committed_in_term() {
                 continue;
             }
             let mut counts: BTreeMap<Node, usize> = BTreeMap::new();
             let group = replica.group();
             let voters = progress.iter().filter(|(n, _)| group.is_voter(**n));
             // Those who still answer; one that the leader itself hears is not gone.
-            let said = voters.filter(|(_, p)| now < p.heard + after).flat_map(|(_, p)| p.gone.iter());
+            let said =
+                voters.filter(|(_, p)| now < p.heard_at.as_micros() + after).flat_map(|(_, p)| p.gone.iter());
             for node in said.chain(theirs.iter()) {
-                let hears = progress.get(node).is_some_and(|p| now < p.heard + after);
+                let hears = progress.get(node).is_some_and(|p| now < p.heard_at.as_micros() + after);
                 if !hears {
                     *counts.entry(*node).or_default() += 1;
                 }
@@ -528,7 +553,7 @@
             };
             if let Some(next) = placement::next(group, &facts) {
                 // Refused: it is tried again.
-                let _ = replica.change(now, next);
+                let _ = replica.change(Instant::from_micros(now), next);
             }
         }
     }
@@ -540,7 +565,7 @@
         // that end, since each ask is proposed once.
         for (number, copy) in &mut self.copies {
             let group = *number;
-            copy.holder.replica.flush(now);
+            copy.holder.replica.flush(Instant::from_micros(now));
             for (waiter, outcome) in copy.holder.apply() {
                 let Waiter { by, session, number } = waiter;
                 let told = Said::Told { group, epoch: copy.epoch, session, number, outcome };
--- a/crates/control/idempotency-store/tests/wire_bytes.rs
+++ b/crates/control/idempotency-store/tests/wire_bytes.rs
@@ -5,7 +5,7 @@
 use silvercross_idempotency_store::holder::Line;
 use silvercross_idempotency_store::machine::{Logged, Machine};
 use silvercross_idempotency_store::{Answer, Card, Command, Epoch, Outcome, Said, Take};
-use silvercross_raft::{Entry, Envelope, Group, Hard, Message, Node, Payload, Snapshot};
+use silvercross_raft::{Entry, Envelope, Group, HardState, Message, Node, Payload, Snapshot};
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its bytes in hexadecimal.
@@ -72,14 +72,20 @@
     vec![
         ("hello", Message::Hello),
         ("hello-back", Message::HelloBack { seen: 5 }),
-        ("ask-vote", Message::AskVote { term, last, last_term, trial: true, transfer: false }),
-        ("vote", Message::Vote { term, granted: true, trial: false }),
-        ("append", Message::Append { term, prev: 397, prev_term: 2, entries: entries(), commit: 390, round }),
-        ("appended", Message::Appended { term, matched: Some(400), last, round, gone: vec![Node(2)] }),
-        ("appended-none", Message::Appended { term, matched: None, last, round, gone: vec![] }),
+        ("ask-vote", Message::RequestVote { term, last, last_term, pre_vote: true, transfer: false }),
+        ("vote", Message::RequestVoteResponse { term, granted: true, pre_vote: false }),
+        (
+            "append",
+            Message::AppendEntries { term, prev: 397, prev_term: 2, entries: entries(), commit: 390, round },
+        ),
+        (
+            "appended",
+            Message::AppendEntriesResponse { term, matched: Some(400), last, round, gone: vec![Node(2)] },
+        ),
+        ("appended-none", Message::AppendEntriesResponse { term, matched: None, last, round, gone: vec![] }),
         (
             "piece",
-            Message::Piece {
+            Message::InstallSnapshot {
                 term,
                 index: 400,
                 index_term: 2,
@@ -91,8 +97,8 @@
                 round,
             },
         ),
-        ("piece-taken", Message::PieceTaken { term, index: 400, next: 65_539, round }),
-        ("stand-now", Message::StandNow { term }),
+        ("piece-taken", Message::InstallSnapshotResponse { term, index: 400, next: 65_539, round }),
+        ("stand-now", Message::TimeoutNow { term }),
         ("older", Message::Older { seen: 6 }),
     ]
 }
@@ -132,7 +138,7 @@
     for (i, entry) in entries().into_iter().enumerate() {
         add(&mut lines, &format!("disk/entry-{i}"), entry);
     }
-    add(&mut lines, "disk/hard", Hard { term: 3, vote: Some(Node(300)) });
+    add(&mut lines, "disk/hard", HardState { term: 3, vote: Some(Node(300)) });
     let snapshot = Snapshot { index: 400, term: 2, at_ms: 70_000, group: group(), data: vec![1, 2, 3] };
     add(&mut lines, "disk/snapshot", snapshot);
 
--- a/crates/control/raft/src/follow.rs
+++ b/crates/control/raft/src/follower.rs
@@ -1,24 +1,26 @@
 //! What a follower does with a leader's entries (RP 5.3) and snapshots (RP 7, D 5.1).
 use crate::log::{Entry, Index, Snapshot, Term};
 use crate::message::Message;
-use crate::replica::{Replica, Role};
-use crate::{Micros, Node};
+use crate::replica::Replica;
+use crate::role::Role;
+use crate::Node;
+use silvercross_time::Instant;
 
 /// Bytes of a snapshot that is taken, at most.
-pub const SNAPSHOT_MOST: usize = 256 * 1024 * 1024;
+pub(crate) const MAX_SNAPSHOT_BYTES: usize = 256 * 1024 * 1024;
 
 impl Replica {
     /// Whoever leads in this term is followed; `false`: it does not lead any more.
-    fn heed(&mut self, now: Micros, from: Node, term: Term) -> bool {
+    fn accept_leader(&mut self, now: Instant, from: Node, term: Term) -> bool {
         if term < self.hard.term {
-            let answer = Message::Appended {
+            let answer = Message::AppendEntriesResponse {
                 term: self.hard.term,
                 matched: None,
                 last: self.log.last(),
                 round: 0,
                 gone: Vec::new(),
             };
-            self.say(from, answer, true);
+            self.send_message(from, answer, true);
             return false;
         }
         let own = term == self.hard.term && self.is_leader();
@@ -30,19 +32,19 @@
             return false;
         }
         if term > self.hard.term || !matches!(self.role, Role::Follower) {
-            self.enter(now, term);
+            self.enter_term(now, term);
         }
         self.leader = Some(from);
-        self.heard = Some(now);
-        self.vain = 0;
-        self.put_off(now);
+        self.heard_at = Some(now);
+        self.failed_elections = 0;
+        self.reset_election_timer(now);
         true
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(crate) fn append(
+    pub(crate) fn handle_append_entries(
         &mut self,
-        now: Micros,
+        now: Instant,
         from: Node,
         term: Term,
         prev: (Index, Term),
@@ -50,7 +52,7 @@
         commit: Index,
         round: u64,
     ) {
-        if !self.heed(now, from, term) {
+        if !self.accept_leader(now, from, term) {
             return;
         }
         let (prev, prev_term) = prev;
@@ -82,7 +84,7 @@
                     }
                 }
                 Some(_) => {
-                    if !self.cut(at) {
+                    if !self.truncate_from(at) {
                         return;
                     }
                     self.add(entry);
@@ -99,14 +101,14 @@
 
     fn acknowledge(&mut self, to: Node, matched: Option<Index>, last: Index, round: u64) {
         let gone = self.gone.clone();
-        let answer = Message::Appended { term: self.hard.term, matched, last, round, gone };
-        self.say(to, answer, true);
+        let answer = Message::AppendEntriesResponse { term: self.hard.term, matched, last, round, gone };
+        self.send_message(to, answer, true);
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(crate) fn piece(
+    pub(crate) fn handle_snapshot_chunk(
         &mut self,
-        now: Micros,
+        now: Instant,
         from: Node,
         term: Term,
         mut part: Snapshot,
@@ -114,32 +116,32 @@
         done: bool,
         round: u64,
     ) {
-        if !self.heed(now, from, term) {
+        if !self.accept_leader(now, from, term) {
             return;
         }
         if part.index <= self.commit {
             // It has all that already.
-            self.coming = None;
+            self.incoming_snapshot = None;
             let index = part.index;
             return self.acknowledge(from, Some(index), index, round);
         }
         let data = std::mem::take(&mut part.data);
         let same = |c: &(Snapshot, Term)| (c.0.index, c.0.term, c.1) == (part.index, part.term, term);
-        if !self.coming.as_ref().is_some_and(same) {
-            self.coming = Some((part, term));
+        if !self.incoming_snapshot.as_ref().is_some_and(same) {
+            self.incoming_snapshot = Some((part, term));
         }
-        let Some((whole, _)) = &mut self.coming else { return };
+        let Some((whole, _)) = &mut self.incoming_snapshot else { return };
         let (index, held) = (whole.index, whole.data.len() as u64);
-        let fits = offset == held && whole.data.len() + data.len() <= SNAPSHOT_MOST;
+        let fits = offset == held && whole.data.len() + data.len() <= MAX_SNAPSHOT_BYTES;
         if fits {
             whole.data.extend_from_slice(&data);
         }
         if !(fits && done) {
             let next = whole.data.len() as u64;
-            let taken = Message::PieceTaken { term: self.hard.term, index, next, round };
-            return self.say(from, taken, false);
+            let taken = Message::InstallSnapshotResponse { term: self.hard.term, index, next, round };
+            return self.send_message(from, taken, false);
         }
-        if let Some((snapshot, _)) = self.coming.take() {
+        if let Some((snapshot, _)) = self.incoming_snapshot.take() {
             self.replace(snapshot);
             self.commit = self.commit.max(index);
             self.acknowledge(from, Some(index), index, round);
--- /dev/null
+++ b/crates/control/raft/src/leader.rs
@@ -0,0 +1,118 @@
+//! A leader's term: how it begins, its heartbeats, leadership transfer (D 3.10) and stepping down when followers are silent
+//! (D 6.2). What clients ask of it is in [`crate::proposal`], what it sends in [`crate::replication`].
+use crate::log::Entry;
+use crate::message::Message;
+use crate::replica::Replica;
+use crate::role::{Leadership, Progress, Role};
+use crate::Node;
+use silvercross_time::{Duration, Instant};
+use std::collections::{BTreeMap, VecDeque};
+
+impl Replica {
+    pub(crate) fn become_leader(&mut self, now: Instant) {
+        let nobody = self.leader.is_none();
+        if !self.rule(nobody, "Election Safety, RP 5.2: one leader in a term, as the elected sees it") {
+            return;
+        }
+        self.metrics.terms_led += 1;
+        self.failed_elections = 0;
+        self.leader = Some(self.me);
+        let at_ms = self.log.last_at_ms();
+        self.role = Role::Leader(Leadership {
+            peers: BTreeMap::new(),
+            first: self.log.last() + 1,
+            round: 0,
+            heartbeat_at: now,
+            reads: VecDeque::new(),
+            next_read: self.hard.term << 32,
+            clock: (at_ms, now),
+            transfer: None,
+        });
+        self.add(Entry::nothing(self.hard.term, at_ms));
+        self.update_peers(now);
+        self.send_heartbeats();
+        self.advance(now);
+    }
+
+    /// Answer the pending reads of a leader that steps down: it can no longer confirm them.
+    pub(crate) fn abandon_reads(&mut self) {
+        if let Role::Leader(lead) = &mut self.role {
+            let reads = std::mem::take(&mut lead.reads);
+            self.answered.extend(reads.into_iter().map(|r| (r.0, None)));
+        }
+    }
+
+    /// Transfer leadership to a voter (D 3.10), given up after one election timeout; until then proposals are rejected.
+    pub fn transfer(&mut self, now: Instant, to: Node) {
+        let until = now + self.config.election_timeout.max(Duration::from_micros(1));
+        if !self.group().is_voter(to) || to == self.me {
+            return;
+        }
+        if let Role::Leader(lead) = &mut self.role {
+            lead.transfer = Some((to, until));
+            self.advance_transfer(now);
+        }
+    }
+
+    pub(crate) fn advance_transfer(&mut self, now: Instant) {
+        let (last, term) = (self.log.last(), self.hard.term);
+        let Role::Leader(lead) = &mut self.role else { return };
+        let Some((to, until)) = lead.transfer else { return };
+        if now >= until {
+            lead.transfer = None;
+        } else if lead.peers.get(&to).is_some_and(|p| p.matched == last) {
+            self.send_message(to, Message::TimeoutNow { term }, false);
+        }
+    }
+
+    pub(crate) fn tick_leader(&mut self, now: Instant) {
+        let (me, group, election_timeout) = (self.me, self.group().clone(), self.config.election_timeout);
+        let Role::Leader(lead) = &mut self.role else { return };
+        if now < lead.heartbeat_at {
+            return;
+        }
+        lead.heartbeat_at = now + self.config.heartbeat_interval;
+        // D 6.2: a leader that does not hear most of the voters leads nobody.
+        let hears = |v: &&Node| {
+            **v == me || lead.peers.get(v).is_some_and(|p| now < p.heard_at + election_timeout * 2)
+        };
+        if group.voters.iter().filter(hears).count() < group.majority() {
+            self.metrics.step_downs += 1;
+            self.abandon_reads();
+            self.role = Role::Follower;
+            self.leader = None;
+            return self.reset_election_timer(now);
+        }
+        for p in lead.peers.values_mut() {
+            if !std::mem::take(&mut p.fresh) {
+                // Silent since the last one: what was under way may be lost.
+                (p.next, p.in_flight, p.probing) = (p.matched + 1, 0, true);
+                if let Some(s) = &mut p.snapshot {
+                    s.2 = false;
+                }
+            }
+        }
+        self.send_heartbeats();
+        self.advance_transfer(now);
+    }
+
+    /// Those in the group are followed, no others.
+    pub(crate) fn update_peers(&mut self, now: Instant) {
+        let (me, last, all) = (self.me, self.log.last(), self.group().all().collect::<Vec<_>>());
+        let Role::Leader(lead) = &mut self.role else { return };
+        lead.peers.retain(|n, _| all.contains(n));
+        for node in all.into_iter().filter(|n| *n != me) {
+            lead.peers.entry(node).or_insert(Progress {
+                matched: 0,
+                heard_at: now,
+                gone: Vec::new(),
+                next: last,
+                in_flight: 0,
+                probing: true,
+                round: 0,
+                snapshot: None,
+                fresh: true,
+            });
+        }
+    }
+}
--- a/crates/control/raft/src/lib.rs
+++ b/crates/control/raft/src/lib.rs
@@ -1,9 +1,10 @@
 //! One replicated log, by Raft: "In Search of an Understandable Consensus Algorithm" (Ongaro and Ousterhout, 2014; sections are
 //! written RP) and Ongaro's dissertation "Consensus: Bridging Theory and Practice" (2014; written D) for pre-vote, leadership
-//! transfer, changes of voters one at a time with learners, linearizable reads and snapshots in pieces. Messages, time and
+//! transfer, changes of voters one at a time with learners, linearizable reads and snapshots in chunks. Messages, time and
 //! completed writes go in; messages, writes to make durable and entries to apply come out. No I/O, no clock, no chance but the
 //! seed's. It must not know what an entry means. Go on reading at [`replica`], then [`log`].
 #![forbid(unsafe_code)]
+#![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
 pub mod config;
@@ -11,21 +12,30 @@
 pub mod message;
 pub mod replica;
 
-mod follow;
-mod lead;
-mod vote;
+mod election;
+mod follower;
+mod leader;
+mod metrics;
+mod outcome;
+mod output;
+mod persistent_state;
+mod proposal;
+mod replication;
+mod role;
+mod state;
+mod step;
 
-pub use config::{Config, Mutant};
-pub use lead::Progress;
-pub use log::{Entry, Group, Hard, Index, Payload, Snapshot, Term};
+pub use config::{Config, Mutation};
+pub use log::{Entry, Group, HardState, Index, Payload, Snapshot, Term};
 pub use message::{Envelope, Message};
-pub use replica::{Apply, Durable, Ended, Figures, Refused, Replica, Write};
+pub use metrics::Metrics;
+pub use outcome::{Apply, Ended, RaftError};
+pub use persistent_state::{PersistentState, Write};
+pub use replica::Replica;
+pub use role::Progress;
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds, as a point on the caller's monotonic clock or as a span.
-pub type Micros = i64;
-
 /// A voter or learner, by the identity that membership draws: a process whose folder was lost is another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Node(pub u64);
--- a/crates/control/raft/src/log.rs
+++ b/crates/control/raft/src/log.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A leader's time of office, counted up; 0: none yet.
+/// A term (RP 5.1): at most one leader is elected in each; 0: none yet.
 pub type Term = u64;
 /// An entry's place, from 1; 0: before the first.
 pub type Index = u64;
@@ -84,7 +84,7 @@
 
 /// What is kept besides the log (RP 5.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// The latest term heard of.
     pub term: Term,
     /// Whom it voted for in it.
@@ -207,3 +207,10 @@
         self.entries.is_empty()
     }
 }
+
+impl Entry {
+    /// Without content, of a term.
+    pub(crate) fn nothing(term: Term, at_ms: u64) -> Self {
+        Entry { term, at_ms, payload: Payload::Nothing }
+    }
+}
--- a/crates/control/raft/src/message.rs
+++ b/crates/control/raft/src/message.rs
@@ -30,30 +30,30 @@
         /// The greatest number heard; 0: none.
         seen: u64,
     },
-    /// RequestVote (RP 5.2), and its trial without effect (D 9.6).
-    AskVote {
-        /// The candidate's term; in a trial the one it would have.
+    /// RequestVote (RP 5.2), and the pre-vote without effect (D 9.6).
+    RequestVote {
+        /// The candidate's term; in a pre-vote the one it would have.
         term: Term,
         /// Its last entry.
         last: Index,
         /// The term of that.
         last_term: Term,
-        /// Only a trial.
-        trial: bool,
-        /// At a leader's own wish: voters that hear a leader answer all the same (D 3.10, 4.2.3).
+        /// Whether this is a pre-vote.
+        pre_vote: bool,
+        /// Asked for by the leader itself: voters that hear a leader answer all the same (D 3.10, 4.2.3).
         transfer: bool,
     },
-    /// The answer.
-    Vote {
-        /// The voter's term; granted in a trial: the term asked about.
+    /// The response.
+    RequestVoteResponse {
+        /// The voter's term; granted in a pre-vote: the term asked about.
         term: Term,
         /// Yes.
         granted: bool,
-        /// Only a trial.
-        trial: bool,
+        /// Whether this is a pre-vote.
+        pre_vote: bool,
     },
     /// AppendEntries (RP 5.3), heartbeats too.
-    Append {
+    AppendEntries {
         /// The leader's term.
         term: Term,
         /// The entry before these.
@@ -67,8 +67,8 @@
         /// The leader's round of asking who follows (D 6.4).
         round: u64,
     },
-    /// The answer.
-    Appended {
+    /// The response.
+    AppendEntriesResponse {
         /// The follower's term.
         term: Term,
         /// It has the same as the leader up to here, durably; or `None`, and `last` says where to look.
@@ -80,8 +80,8 @@
         /// Voters that it holds to be gone for good, by what it sees itself.
         gone: Vec<Node>,
     },
-    /// InstallSnapshot (RP 7), in pieces (D 5.1).
-    Piece {
+    /// InstallSnapshot (RP 7), in chunks (D 5.1).
+    InstallSnapshot {
         /// The leader's term.
         term: Term,
         /// The snapshot's last entry.
@@ -92,17 +92,17 @@
         at_ms: u64,
         /// The group at it.
         group: Group,
-        /// Where this piece belongs.
+        /// The offset of this chunk, in bytes.
         offset: u64,
-        /// The piece.
+        /// The bytes of the chunk.
         data: Vec<u8>,
         /// The last one.
         done: bool,
-        /// As in `Append`.
+        /// As in `AppendEntries`.
         round: u64,
     },
-    /// The answer to a piece that was not the last.
-    PieceTaken {
+    /// The response to a chunk that was not the last.
+    InstallSnapshotResponse {
         /// The follower's term.
         term: Term,
         /// The snapshot's last entry.
@@ -112,8 +112,8 @@
         /// The round it answers.
         round: u64,
     },
-    /// A leader that gives up its office asks this voter to stand at once (D 3.10).
-    StandNow {
+    /// A leader that transfers its leadership asks this voter to start an election at once (D 3.10).
+    TimeoutNow {
         /// The leader's term.
         term: Term,
     },
@@ -128,8 +128,8 @@
     /// Its length, about.
     pub fn bytes(&self) -> usize {
         64 + match self {
-            Message::Append { entries, .. } => entries.iter().map(Entry::bytes).sum(),
-            Message::Piece { data, .. } => data.len(),
+            Message::AppendEntries { entries, .. } => entries.iter().map(Entry::bytes).sum(),
+            Message::InstallSnapshot { data, .. } => data.len(),
             _ => 0,
         }
     }
--- a/crates/control/raft/tests/explore.rs
+++ b/crates/control/raft/tests/explore.rs
@@ -3,7 +3,7 @@
 //! leader in a term, one entry at a place, no rule broken inside. `SILVERCROSS_STATES` is how many states at most, `SILVERCROSS_OFTEN`
 //! how many stands, proposals, crashes and doubled messages there may be (by hand).
 mod table;
-use silvercross_raft::Mutant;
+use silvercross_raft::Mutation;
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
 use table::Table;
@@ -56,7 +56,7 @@
         if may && !s.table.seats[i].replica.is_leader() {
             step(&|n| {
                 n.stands -= 1;
-                n.table.stand(i);
+                n.table.campaign(i);
             });
         }
         if s.proposals > 0 && s.table.seats[i].replica.is_leader() {
@@ -80,8 +80,8 @@
 }
 
 /// How often each thing may happen: stands, proposals, crashes, doubled messages.
-fn explore(mutant: Option<Mutant>, most: usize, often: [u32; 4]) -> (usize, bool, Option<String>) {
-    let mut table = Table::new(3, 0, mutant);
+fn explore(mutation: Option<Mutation>, most: usize, often: [u32; 4]) -> (usize, bool, Option<String>) {
+    let mut table = Table::new(3, 0, mutation);
     let [stands, proposals, crashes, doubles] = often;
     table.sync = crashes == 0;
     let first = State { table, stands, proposals, crashes, doubles };
@@ -114,11 +114,11 @@
 
 /// Orders by chance, from the same beginning.
 #[cfg(feature = "mutants")]
-fn wander(mutant: Mutant, walks: u64) -> Option<(u64, String)> {
+fn wander(mutation: Mutation, walks: u64) -> Option<(u64, String)> {
     use rand_core::{RngCore, SeedableRng};
     for walk in 0..walks {
         let mut rng = rand_pcg::Pcg32::seed_from_u64(walk);
-        let mut table = Table::new(3, 0, Some(mutant));
+        let mut table = Table::new(3, 0, Some(mutation));
         table.sync = false;
         let mut s = State { table, stands: 3, proposals: 2, crashes: 1, doubles: 1 };
         for _ in 0..60 {
@@ -138,9 +138,9 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn broken_replicas_are_found() {
-    for mutant in [Mutant::AnswerBeforeSync, Mutant::VoteNotKept] {
-        let found = wander(mutant, 20_000);
-        println!("{mutant:?}: {found:?}");
-        assert!(found.is_some(), "{mutant:?} was not found");
+    for mutation in [Mutation::AnswerBeforeSync, Mutation::VoteNotKept] {
+        let found = wander(mutation, 20_000);
+        println!("{mutation:?}: {found:?}");
+        assert!(found.is_some(), "{mutation:?} was not found");
     }
 }
--- a/crates/control/raft/tests/rules.rs
+++ b/crates/control/raft/tests/rules.rs
@@ -1,21 +1,22 @@
 //! Each rule of the log stepped by hand, on whole replicas and (with the feature `mutants`) on ones that break it.
 mod table;
-use silvercross_raft::{Ended, Group, Message, Mutant, Node, Refused};
+use silvercross_raft::{Ended, Group, Message, Mutation, Node, RaftError};
+use silvercross_time::{Duration, Instant};
 use table::Table;
 
 /// Run a schedule on whole replicas, which keep to the rule, and on broken ones, which don't.
-fn both(mutant: Mutant, voters: u64, learners: u64, schedule: impl Fn(&mut Table) -> bool) {
+fn both(mutation: Mutation, voters: u64, learners: u64, schedule: impl Fn(&mut Table) -> bool) {
     let mut whole = Table::new(voters, learners, None);
     assert!(!schedule(&mut whole), "whole replicas break the rule: {:?}", whole.broken);
     if cfg!(feature = "mutants") {
-        let mut broken = Table::new(voters, learners, Some(mutant));
-        assert!(schedule(&mut broken), "{mutant:?} was not caught");
+        let mut broken = Table::new(voters, learners, Some(mutation));
+        assert!(schedule(&mut broken), "{mutation:?} was not caught");
     }
 }
 
 #[test]
 fn a_vote_is_kept_over_a_crash() {
-    both(Mutant::VoteNotKept, 3, 0, |t| {
+    both(Mutation::VoteNotKept, 3, 0, |t| {
         t.elect(0, &[3]);
         t.lying.clear();
         t.restart(2, None);
@@ -27,22 +28,22 @@
 
 #[test]
 fn nothing_is_said_before_what_it_rests_on_is_durable() {
-    both(Mutant::AnswerBeforeSync, 3, 0, |t| {
+    both(Mutation::AnswerBeforeSync, 3, 0, |t| {
         t.sync = false;
-        t.stand(0);
+        t.campaign(0);
         t.written(0);
         // The third one votes, and stops before its disk has it.
         t.among(&[1, 3]);
-        let led = t.at(0).is_leader();
+        let terms_led = t.at(0).is_leader();
         t.restart(2, None);
-        led
+        terms_led
     });
 }
 
 #[test]
 fn an_entry_of_an_earlier_term_is_not_committed_by_copies_alone() {
     // RP, figure 8, with three.
-    both(Mutant::OldTermCommits, 3, 0, |t| {
+    both(Mutation::OldTermCommits, 3, 0, |t| {
         t.elect(0, &[3]);
         t.propose(0, 7);
         // Nobody else gets it.
@@ -55,7 +56,7 @@
         // The old entries get onto two, and nothing of the new term does.
         let term = t.at(0).term();
         for _ in 0..40 {
-            let new = |m: &Message| matches!(m, Message::Append { entries, .. } if !entries.is_empty() && entries.iter().all(|e| e.term == term));
+            let new = |m: &Message| matches!(m, Message::AppendEntries { entries, .. } if !entries.is_empty() && entries.iter().all(|e| e.term == term));
             let probe = t.at(2).log().last() < 2;
             t.lying.retain(|m| m.0 .0 != 2 && m.1 .0 != 2 && (probe || !new(&m.3)));
             if t.lying.is_empty() {
@@ -77,9 +78,9 @@
 
 #[test]
 fn a_folder_older_than_what_was_promised_does_not_vote() {
-    both(Mutant::OldFolderVotes, 3, 0, |t| {
+    both(Mutation::OldFolderVotes, 3, 0, |t| {
         let yesterday = t.seats[2].disk.clone();
-        t.stand(0);
+        t.campaign(0);
         t.among(&[1, 3]);
         // Put back in place; the one that heard its vote is there.
         let mut old = yesterday;
@@ -88,7 +89,7 @@
         t.among(&[1, 3]);
         let ended = matches!(t.at(2).ended(), Some(Ended::Older { .. }));
         t.broken = None;
-        t.stand(1);
+        t.campaign(1);
         t.among(&[2, 3]);
         !ended && t.broken.as_ref().is_some_and(|b| b.contains("two lead"))
     });
@@ -96,15 +97,15 @@
 
 #[test]
 fn a_leader_that_was_overtaken_answers_no_read() {
-    both(Mutant::StaleRead, 3, 0, |t| {
-        t.stand(0);
+    both(Mutation::StaleRead, 3, 0, |t| {
+        t.campaign(0);
         t.among(&[1, 2, 3]);
-        t.stand(1);
+        t.campaign(1);
         t.among(&[2, 3]);
         t.propose(1, 9);
         t.among(&[2, 3]);
         // The first one has not heard of it.
-        let read = t.at(0).read(0);
+        let read = t.at(0).read();
         t.pump(0);
         t.among(&[1]);
         read.is_ok() && matches!(t.at(0).poll_read(), Some((_, Some(i))) if i < 4)
@@ -113,15 +114,15 @@
 
 #[test]
 fn one_change_of_voters_at_a_time() {
-    both(Mutant::TwoChanges, 3, 0, |t| {
-        t.stand(0);
+    both(Mutation::TwoChanges, 3, 0, |t| {
+        t.campaign(0);
         t.among(&[1, 2, 3]);
         let group = |v: &[u64]| Group::of(v.iter().copied().map(Node).collect());
-        let first = t.at(0).change(0, group(&[1, 2, 3, 4]));
-        let second = t.at(0).change(0, group(&[1, 2, 3, 4, 5]));
+        let first = t.at(0).change(Instant::ZERO, group(&[1, 2, 3, 4]));
+        let second = t.at(0).change(Instant::ZERO, group(&[1, 2, 3, 4, 5]));
         assert!(first.is_ok());
         if !cfg!(feature = "mutants") || second.is_err() {
-            assert_eq!(second, Err(Refused::Changing));
+            assert_eq!(second, Err(RaftError::Changing));
         }
         second.is_ok()
     });
@@ -129,14 +130,14 @@
 
 #[test]
 fn a_clock_that_is_hours_ahead_ends_no_window() {
-    both(Mutant::LocalClock, 3, 0, |t| {
+    both(Mutation::LocalClock, 3, 0, |t| {
         t.elect(0, &[2]);
         t.among(&[1, 2, 3]);
         t.propose(0, 1);
         t.among(&[1, 2, 3]);
         let before = t.at(0).log().last_at_ms();
         // The second one's clock is three hours ahead, and no time passes.
-        t.clock[1] = 3 * 3_600_000_000;
+        t.clock[1] = Instant::ZERO + Duration::from_secs(3 * 3600);
         t.elect(1, &[3]);
         t.among(&[1, 2, 3]);
         assert!(t.propose(1, 2), "it leads");
@@ -146,8 +147,8 @@
 
 #[test]
 fn a_learner_does_not_count() {
-    both(Mutant::LearnerCounts, 3, 2, |t| {
-        t.stand(0);
+    both(Mutation::LearnerCounts, 3, 2, |t| {
+        t.campaign(0);
         t.among(&[1, 2, 3, 4, 5]);
         // Only learners get it.
         t.propose(0, 5);
@@ -159,12 +160,12 @@
 #[test]
 fn a_leader_hands_its_office_on_and_takes_nothing_meanwhile() {
     let mut t = Table::new(3, 0, None);
-    t.stand(0);
+    t.campaign(0);
     t.among(&[1, 2, 3]);
     t.propose(0, 1);
     t.among(&[1, 2, 3]);
-    t.seats[0].replica.transfer(0, Node(2));
-    assert_eq!(t.at(0).propose(0, vec![2]), Err(Refused::NotYet));
+    t.seats[0].replica.transfer(Instant::ZERO, Node(2));
+    assert_eq!(t.at(0).propose(Instant::ZERO, vec![2]), Err(RaftError::NotYet));
     t.pump(0);
     t.among(&[1, 2, 3]);
     assert!(t.at(1).is_leader() && !t.at(0).is_leader());
@@ -173,8 +174,12 @@
 
 #[test]
 fn one_that_is_far_behind_gets_the_snapshot_in_pieces() {
-    let mut t = Table::with(3, 0, silvercross_raft::Config { election: 1_000_000, ..table::config(None) });
-    t.stand(0);
+    let mut t = Table::with(
+        3,
+        0,
+        silvercross_raft::Config { election_timeout: Duration::from_secs(1), ..table::config(None) },
+    );
+    t.campaign(0);
     t.among(&[1, 2]);
     for n in 0..20 {
         t.propose(0, n);
@@ -185,14 +190,14 @@
     t.propose(0, 99);
     // Heartbeats find out how far it is.
     for now in 1..40 {
-        t.at(0).tick(now);
+        t.at(0).tick(Instant::from_micros(now));
         t.pump(0);
         t.among(&[1, 2, 3]);
         if t.at(2).log().last() == t.at(0).log().last() || !t.at(0).is_leader() {
             break;
         }
     }
-    assert_eq!(t.at(2).figures.restored, 1);
+    assert_eq!(t.at(2).metrics.snapshots_installed, 1);
     assert_eq!(t.at(2).log().last(), t.at(0).log().last());
     assert_eq!(t.broken, None);
 }
@@ -200,23 +205,33 @@
 #[test]
 fn a_group_can_not_lose_its_last_voter_or_change_by_two() {
     let mut t = Table::new(3, 0, None);
-    t.stand(0);
+    t.campaign(0);
     t.among(&[1, 2, 3]);
     for voters in [vec![], vec![Node(1)], vec![Node(1), Node(4), Node(5)]] {
-        assert_eq!(t.at(0).change(0, Group { voters, learners: vec![] }), Err(Refused::TooFar));
+        assert_eq!(t.at(0).change(Instant::ZERO, Group { voters, learners: vec![] }), Err(RaftError::TooFar));
     }
-    assert_eq!(t.at(1).change(0, Group::of(vec![Node(1)])), Err(Refused::NotLeader(Some(Node(1)))));
+    assert_eq!(
+        t.at(1).change(Instant::ZERO, Group::of(vec![Node(1)])),
+        Err(RaftError::NotLeader(Some(Node(1))))
+    );
 }
 
 #[test]
 fn what_was_said_to_an_older_term_changes_nothing() {
     let mut t = Table::new(3, 0, None);
-    t.stand(0);
+    t.campaign(0);
     t.among(&[1, 2, 3]);
-    t.stand(1);
+    t.campaign(1);
     t.among(&[1, 2, 3]);
     let (term, commit) = (t.at(1).term(), t.at(1).commit());
-    let old = Message::Append { term: term - 1, prev: 1, prev_term: 0, entries: vec![], commit: 9, round: 0 };
-    t.at(2).message(0, Node(1), 9, old);
+    let old = Message::AppendEntries {
+        term: term - 1,
+        prev: 1,
+        prev_term: 0,
+        entries: vec![],
+        commit: 9,
+        round: 0,
+    };
+    t.at(2).message(Instant::ZERO, Node(1), 9, old);
     assert_eq!((t.at(2).term(), t.at(2).commit(), t.at(2).leader()), (term, commit, Some(Node(2))));
 }
--- a/crates/control/raft/tests/table/mod.rs
+++ b/crates/control/raft/tests/table/mod.rs
@@ -1,8 +1,10 @@
 //! Replicas on a table: messages lie there until a test delivers, doubles or drops them; disks are played by hand.
 #![allow(dead_code)]
 use silvercross_raft::{
-    Apply, Config, Durable, Entry, Group, Hard, Message, Mutant, Node, Payload, Replica, Snapshot,
+    Apply, Config, Entry, Group, HardState, Message, Mutation, Node, Payload, PersistentState, Replica,
+    Snapshot,
 };
+use silvercross_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A message that lies on the table.
@@ -12,7 +14,7 @@
 #[derive(Clone)]
 pub struct Seat {
     pub replica: Replica,
-    pub disk: Durable,
+    pub disk: PersistentState,
     /// Writes that are under way.
     pub writing: Vec<silvercross_raft::Write>,
     pub up: bool,
@@ -26,24 +28,32 @@
     /// What was applied anywhere, by place.
     pub applied: BTreeMap<u64, Entry>,
     /// Who led which term.
-    pub led: BTreeMap<u64, BTreeSet<Node>>,
+    pub terms_led: BTreeMap<u64, BTreeSet<Node>>,
     /// Syncs are done at once.
     pub sync: bool,
     pub config: Config,
     /// What each one's clock says.
-    pub clock: Vec<i64>,
+    pub clock: Vec<Instant>,
     pub broken: Option<String>,
 }
 
-pub fn config(mutant: Option<Mutant>) -> Config {
+pub fn config(mutation: Option<Mutation>) -> Config {
     // No time passes on the table: whoever is told to stand stands, and nobody hears a leader.
-    Config { election: 0, heartbeat: 1, append_bytes: 1, in_flight: 8, piece_bytes: 64, open: 8, mutant }
+    Config {
+        election_timeout: Duration::ZERO,
+        heartbeat_interval: Duration::from_micros(1),
+        max_append_bytes: 1,
+        max_in_flight: 8,
+        snapshot_chunk_bytes: 64,
+        max_uncommitted: 8,
+        mutation,
+    }
 }
 
 impl Table {
     /// So many replicas of one group, of which the last `learners` only learn.
-    pub fn new(voters: u64, learners: u64, mutant: Option<Mutant>) -> Self {
-        Table::with(voters, learners, config(mutant))
+    pub fn new(voters: u64, learners: u64, mutation: Option<Mutation>) -> Self {
+        Table::with(voters, learners, config(mutation))
     }
 
     /// With times of their own.
@@ -52,12 +62,12 @@
             voters: (1..=voters).map(Node).collect(),
             learners: (voters + 1..=voters + learners).map(Node).collect(),
         };
-        let kept = Durable {
+        let kept = PersistentState {
             snapshot: Snapshot { index: 1, term: 0, at_ms: 0, group, data: Vec::new() },
-            ..Durable::default()
+            ..PersistentState::default()
         };
         let seats = (1..=voters + learners).map(|n| Seat {
-            replica: Replica::new(config.clone(), Node(n), kept.clone(), 1, 0),
+            replica: Replica::new(config.clone(), Node(n), kept.clone(), 1, Instant::ZERO),
             disk: kept.clone(),
             writing: Vec::new(),
             up: true,
@@ -66,10 +76,10 @@
             seats: seats.collect(),
             lying: Vec::new(),
             applied: BTreeMap::new(),
-            led: BTreeMap::new(),
+            terms_led: BTreeMap::new(),
             sync: true,
             config,
-            clock: vec![0; (voters + learners) as usize],
+            clock: vec![Instant::ZERO; (voters + learners) as usize],
             broken: None,
         };
         (0..new.seats.len()).for_each(|i| new.pump(i));
@@ -99,9 +109,9 @@
             }
         }
         if seat.replica.is_leader() {
-            let led = self.led.entry(seat.replica.term()).or_default();
-            led.insert(me);
-            if led.len() > 1 {
+            let terms_led = self.terms_led.entry(seat.replica.term()).or_default();
+            terms_led.insert(me);
+            if terms_led.len() > 1 {
                 self.broken = Some(format!("two lead in term {}", seat.replica.term()));
             }
         }
@@ -155,23 +165,23 @@
     }
 
     /// It stands for election.
-    pub fn stand(&mut self, i: usize) {
+    pub fn campaign(&mut self, i: usize) {
         let now = self.clock[i];
-        self.at(i).stand_at_once(now);
+        self.at(i).campaign_at_once(now);
         self.pump(i);
     }
 
     /// It stands until the votes of these make it lead; whatever else was said is lost.
     pub fn elect(&mut self, i: usize, by: &[u64]) {
         for _ in 0..4 {
-            self.stand(i);
+            self.campaign(i);
             for _ in 0..100 {
                 let me = self.seats[i].replica.me();
                 let fits = |m: &Lying| {
                     let votes = matches!(
                         m.3,
-                        Message::AskVote { .. }
-                            | Message::Vote { .. }
+                        Message::RequestVote { .. }
+                            | Message::RequestVoteResponse { .. }
                             | Message::HelloBack { .. }
                             | Message::Hello
                     );
@@ -199,7 +209,7 @@
     }
 
     /// It stops and comes back with what its disk, or an older copy of it, holds.
-    pub fn restart(&mut self, i: usize, from: Option<Durable>) {
+    pub fn restart(&mut self, i: usize, from: Option<PersistentState>) {
         let disk = from.unwrap_or_else(|| self.seats[i].disk.clone());
         let me = self.seats[i].replica.me();
         self.seats[i] = Seat {
@@ -223,6 +233,6 @@
     }
 }
 
-pub fn hard(term: u64, vote: u64) -> Hard {
-    Hard { term, vote: Some(Node(vote)) }
+pub fn hard(term: u64, vote: u64) -> HardState {
+    HardState { term, vote: Some(Node(vote)) }
 }
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -654,7 +654,7 @@
                     let (records, documents, sessions, bytes) = copy.machine.size();
                     let far = r.progress().map(|p| {
                         let line = |(n, p): (&Node, &silvercross_raft::Progress)| {
-                            (hex(&n.0), serde_json::json!({"matched": p.matched, "heard_s": (now - p.heard) as f64 / 1e6}))
+                            (hex(&n.0), serde_json::json!({"matched": p.matched, "heard_s": (now - p.heard_at.as_micros()) as f64 / 1e6}))
                         };
                         p.iter().map(line).collect::<BTreeMap<_, _>>()
                     });
@@ -663,7 +663,7 @@
                         "last_term": r.log().last_term(), "commit": r.commit(), "applied": r.applied(), "durable": r.durable(),
                         "writes": r.writes(), "entries": r.log().len(), "records": records, "documents": documents,
                         "sessions": sessions, "bytes": bytes, "changing": r.is_changing(), "followers": far,
-                        "ended": copy.ended().map(|e| format!("{e:?}")), "stood": r.figures.stood, "led": r.figures.led,
+                        "ended": copy.ended().map(|e| format!("{e:?}")), "stood": r.metrics.campaigns, "led": r.metrics.terms_led,
                     })
                 });
                 serde_json::json!({"group": g, "known": card, "copy": copy,
--- a/crates/daemon/sidecar/src/lifecycle/fleet.rs
+++ b/crates/daemon/sidecar/src/lifecycle/fleet.rs
@@ -374,9 +374,11 @@
     let mut config = silvercross_idempotency_store::Config::new(file.groups, file.holders, draw()?);
     config.replace_after = (file.replace_after_s * 1e6) as Micros;
     config.snapshot_every = file.snapshot_every;
-    config.replica.election = (file.election_ms * 1e3) as Micros;
-    config.replica.heartbeat = (config.replica.election / 5).max(10_000);
-    config.patience = (config.replica.election / 4).max(20_000);
+    let election_timeout = (file.election_ms * 1e3) as Micros;
+    config.replica.election_timeout = silvercross_time::Duration::from_micros(election_timeout);
+    config.replica.heartbeat_interval =
+        silvercross_time::Duration::from_micros((election_timeout / 5).max(10_000));
+    config.patience = (election_timeout / 4).max(20_000);
     let class = |c: &ClassFile| HeldClass {
         name: c.name.clone(),
         window_ms: (c.window_s * 1e3) as u64,
--- a/crates/daemon/sidecar/src/lifecycle/store.rs
+++ b/crates/daemon/sidecar/src/lifecycle/store.rs
@@ -5,7 +5,7 @@
 use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use serde::{Deserialize, Serialize};
 use silvercross_idempotency_store::Epoch;
-use silvercross_raft::{Durable, Entry, Hard, Snapshot, Write};
+use silvercross_raft::{Entry, HardState, PersistentState, Snapshot, Write};
 use std::io::{self, Write as _};
 use std::os::unix::fs::MetadataExt;
 use std::os::unix::net::UnixStream;
@@ -31,12 +31,12 @@
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 struct Meta {
     epoch: u64,
-    hard: Hard,
+    hard: HardState,
     writes: u64,
 }
 
 /// What each group's copy was, as it was kept.
-pub type Kept = Vec<(u32, Epoch, Durable)>;
+pub type Kept = Vec<(u32, Epoch, PersistentState)>;
 
 /// What came of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -201,7 +201,7 @@
             }
             entries.push(read::<Entry>(bytes.value())?);
         }
-        let durable = Durable { hard: m.hard, snapshot, entries, writes: m.writes };
+        let durable = PersistentState { hard: m.hard, snapshot, entries, writes: m.writes };
         kept.push((group, Epoch(m.epoch), durable));
     }
     Ok(Some(kept))
@@ -223,7 +223,7 @@
                 log.retain_in((group, 0)..(group + 1, 0), |_, _| false)?;
             }
             (m.hard, m.writes) = (write.hard.unwrap_or(m.hard), write.number);
-            if let Some(cut) = write.cut {
+            if let Some(cut) = write.truncate_from {
                 log.retain_in((group, cut)..(group + 1, 0), |_, _| false)?;
             }
             if let Some(snapshot) = &write.snapshot {
@@ -268,15 +268,15 @@
         let writes = [
             Write {
                 number: 1,
-                hard: Some(Hard { term: 1, vote: Some(Node(7)) }),
+                hard: Some(HardState { term: 1, vote: Some(Node(7)) }),
                 snapshot: Some(snapshot(1)),
                 ..Write::default()
             },
             Write { number: 2, entries: (2..8).map(|i| (i, entry(i as u8))).collect(), ..Write::default() },
-            Write { number: 3, cut: Some(6), entries: [(6, entry(66))].into(), ..Write::default() },
+            Write { number: 3, truncate_from: Some(6), entries: [(6, entry(66))].into(), ..Write::default() },
             Write { number: 4, snapshot: Some(snapshot(4)), ..Write::default() },
         ];
-        let mut like = Durable::default();
+        let mut like = PersistentState::default();
         {
             let (store, kept) = Store::open(&path, 9, None).expect("opened");
             assert!(kept.is_empty());
--- a/crates/daemon/sidecar/tests/old_store.rs
+++ b/crates/daemon/sidecar/tests/old_store.rs
@@ -3,7 +3,7 @@
 use silvercross_idempotency_store::holder::Line;
 use silvercross_idempotency_store::machine::Machine;
 use silvercross_idempotency_store::Epoch;
-use silvercross_raft::{Durable, Entry, Payload, Write};
+use silvercross_raft::{Entry, Payload, PersistentState, Write};
 use silvercross_sidecar::lifecycle::store::{Kept, Store, FILE};
 use std::fmt::Write as _;
 use std::path::Path;
@@ -40,7 +40,7 @@
     lines
 }
 
-fn applied(durable: &Durable) -> Machine {
+fn applied(durable: &PersistentState) -> Machine {
     let mut machine = Machine::restore(&durable.snapshot.data).expect("a snapshot of this version");
     for (i, entry) in durable.entries.iter().enumerate() {
         if let Payload::Command(bytes) = &entry.payload {
@@ -78,7 +78,7 @@
     let (store, kept) = open(&path);
     assert!(lines(&kept) == RECORDS, "the records have changed; they are now:\n{}", lines(&kept));
     // What operators and upstreams were told stands in it: an answer, and a document that was written.
-    let (group, epoch, before): &(u32, Epoch, Durable) = kept.first().expect("one group");
+    let (group, epoch, before): &(u32, Epoch, PersistentState) = kept.first().expect("one group");
     let last = before.snapshot.index + before.entries.len() as u64;
     let added = Entry { payload: Payload::Nothing, ..before.entries.last().expect("entries").clone() };
     let write =
--- a/crates/tools/scenario-runner/src/records/sim.rs
+++ b/crates/tools/scenario-runner/src/records/sim.rs
@@ -9,8 +9,8 @@
 use silvercross_history_checker::{Answer as Says, EventKind, History, Invocation};
 use silvercross_idempotency_store::placement::Place;
 use silvercross_idempotency_store::{Answer, Command, Config, Epoch, Outcome, Records, Said, Take, Want};
-use silvercross_raft::{Durable, Mutant, Node, Write};
-use silvercross_time::Instant;
+use silvercross_raft::{Mutation, Node, PersistentState, Write};
+use silvercross_time::{Duration, Instant};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
     /// A rule of the replica.
-    Replica(Mutant),
+    Replica(Mutation),
     /// Snapshots forget the sessions.
     Sessions,
     /// Answers before the commit.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Default)]
 struct Folder {
     id: u64,
-    groups: BTreeMap<u32, (Epoch, Durable)>,
+    groups: BTreeMap<u32, (Epoch, PersistentState)>,
 }
 
 struct Proc {
@@ -122,14 +122,14 @@
     let mut put = |n: &str, v: f64| {
         figures.insert(n.to_string(), v);
     };
-    let sum = |f: fn(&silvercross_raft::Figures) -> u64| -> f64 {
+    let sum = |f: fn(&silvercross_raft::Metrics) -> u64| -> f64 {
         let copies = sim.procs.iter().flat_map(|p| (0..holding.groups).filter_map(|g| p.records.copy(g)));
-        copies.map(|(_, h)| f(&h.replica.figures)).sum::<u64>() as f64
+        copies.map(|(_, h)| f(&h.replica.metrics)).sum::<u64>() as f64
     };
-    put("elections", sum(|f| f.stood));
-    put("led", sum(|f| f.led));
+    put("elections", sum(|f| f.campaigns));
+    put("led", sum(|f| f.terms_led));
     put("dropped", sum(|f| f.dropped));
-    put("restored", sum(|f| f.restored));
+    put("restored", sum(|f| f.snapshots_installed));
     put("copies_ended", sim.ended as f64);
     put("faults_met", sim.faults_met as f64);
     let history = std::mem::take(&mut sim.history).sorted();
@@ -205,11 +205,12 @@
         c.replace_after = (self.holding.replace_after * self.period as f64) as Micros;
         c.patience = self.period;
         c.snapshot_every = self.holding.snapshot_every;
-        c.replica.election = (self.holding.election * self.period as f64) as Micros;
-        c.replica.heartbeat = self.period;
-        c.replica.piece_bytes = 512;
+        c.replica.election_timeout =
+            Duration::from_micros((self.holding.election * self.period as f64) as Micros);
+        c.replica.heartbeat_interval = Duration::from_micros(self.period);
+        c.replica.snapshot_chunk_bytes = 512;
         match self.broken {
-            Some(Broken::Replica(m)) => c.replica.mutant = Some(m),
+            Some(Broken::Replica(m)) => c.replica.mutation = Some(m),
             Some(Broken::Sessions) => c.forget_sessions = true,
             Some(Broken::EarlyMark) => c.mark_early = true,
             None => {}
@@ -518,7 +519,7 @@
                 (Kind::StartOld, None) => {
                     // A copy is not the file that the store wrote: that is seen at the start, and the process is somebody new.
                     let id = self.rng.next_u64() | 1;
-                    let seen = !matches!(self.broken, Some(Broken::Replica(Mutant::OldFolderVotes)));
+                    let seen = !matches!(self.broken, Some(Broken::Replica(Mutation::OldFolderVotes)));
                     if let Some(copy) = self.copies[m].clone() {
                         self.folders[m] = if seen { Folder { id, ..Folder::default() } } else { copy };
                     }
@@ -723,9 +724,9 @@
 }
 
 fn store(folder: &mut Folder, group: u32, epoch: Epoch, write: Write) {
-    let held = folder.groups.entry(group).or_insert((epoch, Durable::default()));
+    let held = folder.groups.entry(group).or_insert((epoch, PersistentState::default()));
     if held.0 != epoch {
-        *held = (epoch, Durable::default());
+        *held = (epoch, PersistentState::default());
     }
     held.1.apply(write);
 }
--- a/crates/tools/scenario-runner/tests/records_mutants.rs
+++ b/crates/tools/scenario-runner/tests/records_mutants.rs
@@ -1,6 +1,6 @@
 //! The judge of records is judged: processes broken on purpose, each caught by schedules drawn by seed, and the whole ones not.
 //! Only with the feature `mutants`.
-use silvercross_raft::Mutant;
+use silvercross_raft::Mutation;
 use silvercross_scenario_runner::fleet::FleetScript;
 use silvercross_scenario_runner::records::draw::draw;
 use silvercross_scenario_runner::records::sim::{play, Broken};
@@ -53,7 +53,7 @@
 fn what_speaks_too_early_is_caught() {
     let all = [
         ("a mark before the commit", Broken::EarlyMark),
-        ("a read at a leader that was overtaken", Broken::Replica(Mutant::StaleRead)),
+        ("a read at a leader that was overtaken", Broken::Replica(Mutation::StaleRead)),
     ];
     all_are_caught(&all, 400);
 }
@@ -64,8 +64,8 @@
 #[ignore = "minutes; by hand, in release"]
 fn what_breaks_a_rule_of_the_log_is_caught_by_chance_too() {
     let all = [
-        ("answer before sync", Broken::Replica(Mutant::AnswerBeforeSync)),
-        ("an old folder votes", Broken::Replica(Mutant::OldFolderVotes)),
+        ("answer before sync", Broken::Replica(Mutation::AnswerBeforeSync)),
+        ("an old folder votes", Broken::Replica(Mutation::OldFolderVotes)),
         ("a snapshot without its sessions", Broken::Sessions),
     ];
     all_are_caught(&all, 20_000);
