--- a/crates/control/quota/src/allowance.rs
+++ b/crates/control/quota/src/allowance.rs
@@ -28,7 +28,7 @@
     pub const ALL: [RequestKind; 3] = [RequestKind::Read, RequestKind::Confirmation, RequestKind::Upload];
 
     /// The operator's word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             RequestKind::Read => "read",
             RequestKind::Confirmation => "confirmation",
@@ -37,8 +37,8 @@
     }
 
     /// The kind an operator's word stands for.
-    pub fn from_word(word: &str) -> Option<RequestKind> {
-        RequestKind::ALL.into_iter().find(|kind| kind.word() == word)
+    pub fn parse(name: &str) -> Option<RequestKind> {
+        RequestKind::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 
     /// Its place in arrays by kind.
--- a/crates/control/quota/src/error.rs
+++ b/crates/control/quota/src/error.rs
@@ -12,18 +12,18 @@
     /// What is wrong.
     pub reason: String,
     /// What mends it.
-    pub mend: String,
+    pub remedy: String,
 }
 
 impl AllowanceError {
-    pub(crate) fn new(item: &str, key: &str, reason: impl Into<String>, mend: impl Into<String>) -> Self {
-        AllowanceError { item: item.into(), key: key.into(), reason: reason.into(), mend: mend.into() }
+    pub(crate) fn new(item: &str, key: &str, reason: impl Into<String>, remedy: impl Into<String>) -> Self {
+        AllowanceError { item: item.into(), key: key.into(), reason: reason.into(), remedy: remedy.into() }
     }
 }
 
 impl fmt::Display for AllowanceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "item {}, key {}: {} ({})", self.item, self.key, self.reason, self.mend)
+        write!(f, "item {}, key {}: {} ({})", self.item, self.key, self.reason, self.remedy)
     }
 }
 
--- a/crates/control/quota/src/parse.rs
+++ b/crates/control/quota/src/parse.rs
@@ -97,7 +97,7 @@
             return Err(AllowanceError::new(
                 name,
                 "kinds",
-                format!("names {} twice", kind.word()),
+                format!("names {} twice", kind.as_str()),
                 "keep one",
             ));
         }
@@ -121,7 +121,7 @@
 
 fn kind_quota(name: &str, map: &Map<String, Value>) -> Result<(RequestKind, KindQuota), AllowanceError> {
     known(name, map, &KIND_KEYS)?;
-    let Some(kind) = text(name, map, "kind")?.and_then(RequestKind::from_word) else {
+    let Some(kind) = text(name, map, "kind")?.and_then(RequestKind::parse) else {
         return Err(AllowanceError::new(
             name,
             "kind",
--- a/crates/control/quota/src/protocol.rs
+++ b/crates/control/quota/src/protocol.rs
@@ -43,7 +43,7 @@
     /// How many orders it may take.
     pub max_orders: u64,
     /// Which change of the count gave it: an owner counts its time anew, but the lease is the same.
-    pub fence: u64,
+    pub change_number: u64,
     /// Whether its time is over and it was not settled. Its units count as used until the node settles.
     pub is_lost: bool,
 }
@@ -164,7 +164,7 @@
 
 impl RejectionReason {
     /// The word for it on the wire, which is also the reason in a control store's rejection.
-    pub fn word(self) -> &'static str {
+    pub fn wire_name(self) -> &'static str {
         WIRE_WORDS.iter().find(|(reason, _)| *reason == self).map_or("invalid", |(_, word)| word)
     }
 
@@ -177,7 +177,7 @@
     /// The control store's rejection for it.
     pub(crate) fn into_rejection(self) -> Rejection {
         let conflict = matches!(self, RejectionReason::LeasedElsewhere | RejectionReason::Superseded);
-        Rejection { conflict, reason: self.word().to_string() }
+        Rejection { conflict, reason: self.wire_name().to_string() }
     }
 }
 
--- a/crates/control/quota/src/state/leases.rs
+++ b/crates/control/quota/src/state/leases.rs
@@ -50,8 +50,8 @@
         let counts_orders = self.allowance.as_ref().is_some_and(|allowance| allowance.counts_orders(kind));
         let max_orders =
             if counts_orders { amount.min(MAX_ORDERS_PER_LEASE).min(self.free_orders()) } else { 0 };
-        let (window, fence) = (self.window, self.changes + 1);
-        self.leases.insert(id, Lease { kind, window, amount, max_orders, fence, is_lost: false });
+        let (window, change_number) = (self.window, self.changes + 1);
+        self.leases.insert(id, Lease { kind, window, amount, max_orders, change_number, is_lost: false });
         self.remember_node(id);
         Ok(true)
     }
--- a/crates/control/quota/tests/common/check.rs
+++ b/crates/control/quota/tests/common/check.rs
@@ -35,7 +35,7 @@
         for ((window, kind), accepted) in &units {
             let amount = self.allowance.quota(*kind).map_or(0, |quota| quota.amount);
             if *accepted > amount {
-                let word = kind.word();
+                let word = kind.as_str();
                 return Err(format!("beyond the allowance: {accepted} {word} of {amount} in {window}"));
             }
         }
--- a/crates/control/quota/tests/common/plain.rs
+++ b/crates/control/quota/tests/common/plain.rs
@@ -224,13 +224,13 @@
                 if real != plain {
                     return Err(format!(
                         "charged {real} {} in window {window}, the plain counter says {plain}, after {change:?}",
-                        kind.word()
+                        kind.as_str()
                     ));
                 }
                 let all =
                     plain + self.units_aside(window, kind, false) + self.units_aside(window, kind, true);
                 if all > self.amounts[kind as usize] {
-                    return Err(format!("beyond the allowance: {all} {}", kind.word()));
+                    return Err(format!("beyond the allowance: {all} {}", kind.as_str()));
                 }
             }
         }
--- a/crates/control/quota/tests/rules.rs
+++ b/crates/control/quota/tests/rules.rs
@@ -254,7 +254,7 @@
         assert!(GOOD.contains(from), "{from}");
         let error = deliver(&GOOD.replacen(from, to, 1)).expect_err(to);
         assert_eq!((error.item.as_str(), error.key.as_str()), (item, key), "{error}");
-        assert!(!error.reason.is_empty() && !error.mend.is_empty());
+        assert!(!error.reason.is_empty() && !error.remedy.is_empty());
     }
     assert!(parse(b"[]").is_err() && parse(b"{").is_err() && parse(br#"{"deliver":{"x":1}}"#).is_err());
 }
--- a/crates/control/quota/tests/wire_bytes.rs
+++ b/crates/control/quota/tests/wire_bytes.rs
@@ -39,7 +39,7 @@
 }
 
 fn lease() -> Lease {
-    Lease { kind: RequestKind::Read, window: 2, amount: 100, max_orders: 8, fence: 4, is_lost: true }
+    Lease { kind: RequestKind::Read, window: 2, amount: 100, max_orders: 8, change_number: 4, is_lost: true }
 }
 
 #[test]
@@ -98,7 +98,7 @@
     .into_iter()
     .enumerate()
     {
-        let name = format!("answer/no-{}", reason.word());
+        let name = format!("answer/no-{}", reason.wire_name());
         add(
             &mut lines,
             &name,
