--- a/crates/control/quota/src/allowance.rs
+++ b/crates/control/quota/src/allowance.rs
@@ -1,25 +1,25 @@
-//! What an operator allows one member.
+//! The allowance that an operator sets for one member.
 
 use bitcode::{Decode, Encode};
 use silvercross_time::Duration;
 
-/// A longer name is rejected.
+/// Longest name of an allowance, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
-/// No kind has more units in a window.
+/// Largest quota of a request kind, in units per window.
 pub const MAX_AMOUNT: u64 = 1_000_000_000_000;
-/// A shorter window is rejected: it must outlast a lease and the wait for a lost one.
+/// Shortest window. It must outlast a lease and the margin after which the lease counts as lost.
 pub const MIN_WINDOW: Duration = Duration::from_secs(60);
-/// A longer window is rejected (a year).
+/// Longest window: 366 days.
 pub const MAX_WINDOW: Duration = Duration::from_secs(366 * 86_400);
 
-/// What is counted apart.
+/// Kinds of requests, each counted against a quota of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum RequestKind {
     /// Status and notice-board reads.
     Read,
     /// Confirmations and postings.
     Confirmation,
-    /// Large bodies.
+    /// Requests with large bodies.
     Upload,
 }
 
@@ -27,7 +27,7 @@
     /// All kinds.
     pub const ALL: [RequestKind; 3] = [RequestKind::Read, RequestKind::Confirmation, RequestKind::Upload];
 
-    /// The operator's word for it.
+    /// The kind's name in the operator's JSON.
     pub fn as_str(self) -> &'static str {
         match self {
             RequestKind::Read => "read",
@@ -36,86 +36,87 @@
         }
     }
 
-    /// The kind an operator's word stands for.
+    /// The kind with this name in the operator's JSON.
     pub fn parse(name: &str) -> Option<RequestKind> {
         RequestKind::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 
-    /// Its place in arrays by kind.
+    /// The index in arrays by kind.
     pub(crate) fn index(self) -> usize {
         self as usize
     }
 }
 
-/// What one unit is.
+/// What one unit of a quota measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Unit {
     /// A request.
     Request,
-    /// So many bytes of a request's body, begun; a request without a body is one unit. Above 0.
+    /// This many bytes of a request's body, rounded up; a request without a body is one unit. Above 0.
     Bytes(u64),
 }
 
 impl Unit {
-    /// The units of a request with a body of that many bytes; at least 1.
+    /// Units of a request whose body has `body_bytes` bytes; at least 1.
     pub fn units(self, body_bytes: u64) -> u64 {
         match self {
             Unit::Request => 1,
-            Unit::Bytes(each) => body_bytes.div_ceil(each.max(1)).max(1),
+            Unit::Bytes(unit_bytes) => body_bytes.div_ceil(unit_bytes.max(1)).max(1),
         }
     }
 }
 
-/// What becomes of a request when its kind's units are used up.
+/// What happens to a request when its kind's quota is exhausted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum WhenExhausted {
     /// It is rejected.
     Reject,
-    /// It is not counted and goes on, slowed as for a lapsed trial. Reads only.
+    /// It is served uncounted, slowed like the reads of a member whose trial has lapsed. Reads only.
     Slow,
 }
 
-/// What a node does that can't reach the owner.
+/// What a node does while it cannot reach the owner of the member's quota state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum WhenUnreachable {
-    /// Serve within the leases that it holds, then reject.
+    /// Serves from the leases it holds, then rejects.
     ServeFromLeases,
-    /// Reject at once.
+    /// Rejects immediately.
     Reject,
 }
 
-/// What a member may use of one kind in a window.
+/// The quota of one request kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct KindQuota {
-    /// Units in a window.
+    /// Units per window.
     pub amount: u64,
-    /// What a unit is.
+    /// What a unit measures.
     pub unit: Unit,
-    /// What becomes of the excess.
+    /// What happens to requests beyond the quota.
     pub when_exhausted: WhenExhausted,
-    /// Whether each request with an order number is asked of the owner, so that a repeat is known at once everywhere.
+    /// Whether every request with an order number is sent to the owner, so that a repeat is detected immediately on
+    /// all nodes.
     pub strict: bool,
 }
 
 /// One member's allowance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Allowance {
-    /// The member.
+    /// The member's name.
     pub name: String,
     /// The item's version; `edition` in the operator's JSON.
     pub version: u64,
-    /// How long a window is.
+    /// Length of a window.
     pub window_length: Duration,
-    /// The header in which an order's number comes, in lower case; requests without it are counted one by one.
+    /// Header that carries the order number, in lower case; requests without it are counted individually.
     pub order_header: Option<String>,
-    /// What a node does that can't reach the owner.
+    /// What a node does while it cannot reach the owner of the member's quota state.
     pub when_unreachable: WhenUnreachable,
-    /// By kind; a kind without a quota is not counted.
+    /// Quotas indexed by kind; a kind without a quota is not counted.
     pub quotas: [Option<KindQuota>; 3],
 }
 
 impl Allowance {
-    /// The quota of a kind, if it is counted.
+    /// The quota of a kind, if the kind is counted.
     pub fn quota(&self, kind: RequestKind) -> Option<&KindQuota> {
         self.quotas[kind.index()].as_ref()
     }
--- a/crates/control/quota/src/allowance_set.rs
+++ b/crates/control/quota/src/allowance_set.rs
@@ -1,4 +1,4 @@
-//! All allowances, and which version of each is in force.
+//! All allowances, with the version of each that is in force.
 
 use crate::allowance::Allowance;
 use crate::error::AllowanceError;
@@ -6,45 +6,45 @@
 use silvercross_control_store::{Rejection, State};
 use std::collections::BTreeMap;
 
-/// No more items stand or are remembered as dropped; a call that would go beyond is rejected as a whole.
+/// Maximum number of allowances and tombstones; a call that would exceed it is rejected as a whole.
 pub const MAX_ALLOWANCES: usize = 131_072;
 
-/// What is in force for a name.
+/// What is stored under a name.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Entry {
     Set(Allowance),
-    /// The version that dropped it, kept so that an older setting does not come back.
-    Dropped(u64),
+    /// Version of the withdrawal, kept so that an older version does not come back.
+    Tombstone(u64),
 }
 
 impl Entry {
     fn version(&self) -> u64 {
         match self {
             Entry::Set(item) => item.version,
-            Entry::Dropped(version) => *version,
+            Entry::Tombstone(version) => *version,
         }
     }
 }
 
-/// One call of the operator, checked. Holds at most what a body of [`crate::MAX_BODY_BYTES`] says.
+/// One validated call of the operator. Its size is bounded by [`crate::MAX_BODY_BYTES`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct AllowanceChange {
     pub(crate) entries: BTreeMap<String, Entry>,
 }
 
 impl AllowanceChange {
-    /// How many items the call sets or drops.
+    /// Number of items that the call sets or withdraws.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the call names no item.
+    /// Whether the call contains no items.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// All allowances. At most [`MAX_ALLOWANCES`], dropped ones included.
+/// All allowances; at most [`MAX_ALLOWANCES`], tombstones included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct AllowanceSet {
     entries: BTreeMap<String, Entry>,
@@ -59,15 +59,15 @@
         }
     }
 
-    /// All that are in force, by name.
+    /// All allowances in force, by name.
     pub fn iter(&self) -> impl Iterator<Item = &Allowance> {
         self.entries.values().filter_map(|entry| match entry {
             Entry::Set(item) => Some(item),
-            Entry::Dropped(_) => None,
+            Entry::Tombstone(_) => None,
         })
     }
 
-    /// Whether no allowance is in force: then nothing is asked and nothing costs.
+    /// Whether no allowance is in force; then no request is counted.
     pub fn is_empty(&self) -> bool {
         self.iter().next().is_none()
     }
@@ -76,16 +76,17 @@
 impl State for AllowanceSet {
     type Change = AllowanceChange;
 
-    /// The higher version of each name holds, a lower one changes nothing, the same with other content is a conflict.
+    /// The highest version of each name wins and lower versions are ignored; the same version with different content
+    /// is a conflict.
     fn apply(&mut self, change: &AllowanceChange) -> Result<bool, Rejection> {
         let mut newer = Vec::new();
         for (name, new) in &change.entries {
             match self.entries.get(name) {
                 Some(old) if new.version() < old.version() || old == new => {}
                 Some(old) if new.version() == old.version() => {
-                    let reason = format!("{} stands already with other content", new.version());
-                    let mend = "read the item, raise the edition";
-                    let error = AllowanceError::new(name, "edition", reason, mend);
+                    let reason = format!("{} already exists with different content", new.version());
+                    let remedy = "read the item and raise the edition";
+                    let error = AllowanceError::new(name, "edition", reason, remedy);
                     return Err(Rejection { conflict: true, reason: error.to_string() });
                 }
                 _ => newer.push((name, new)),
@@ -93,7 +94,7 @@
         }
         let added = newer.iter().filter(|(name, _)| !self.entries.contains_key(*name)).count();
         if self.entries.len() + added > MAX_ALLOWANCES {
-            let reason = format!("would be above {MAX_ALLOWANCES}");
+            let reason = format!("would exceed {MAX_ALLOWANCES}");
             let error = AllowanceError::new("body", "allowances", reason, "send fewer members");
             return Err(Rejection { conflict: false, reason: error.to_string() });
         }
--- a/crates/control/quota/src/config.rs
+++ b/crates/control/quota/src/config.rs
@@ -1,24 +1,26 @@
-//! The spans that nodes and owners must agree on.
+//! Durations that nodes and owners must agree on.
 
 use silvercross_time::Duration;
 
-/// The spans that nodes and owners must agree on.
+/// Durations that nodes and owners must agree on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaConfig {
-    /// How long a lease may be used, by the node's clock from the moment it asked.
+    /// How long a node may use a lease, by its own clock, from the moment it sent the request.
     pub lease_duration: Duration,
-    /// How much longer than that an owner waits before it holds a lease for lost. Covers clocks of differing rate.
+    /// How much longer than that the owner waits before it marks a lease as lost. Covers differences in clock rate.
     pub expiry_margin: Duration,
-    /// A node that was not stepped for longer does not use its leases any more; an owner counts no more than this of the
-    /// time between two steps.
+    /// A node that was not stepped for longer stops using its leases; an owner counts at most this much time between
+    /// two steps.
     pub max_step: Duration,
-    /// A call without an answer is sent again after this.
+    /// Time after which an unanswered call is sent again.
     pub retry_interval: Duration,
-    /// A request that waits for the owner is decided without it after this.
+    /// Time after which a request that waits for the owner is decided without it.
     pub decision_timeout: Duration,
-    /// For this long after the owner's answer that nothing is left, requests without an order number are rejected unasked.
+    /// For this long after the owner reports exhaustion, requests without an order number are rejected without asking
+    /// it.
     pub exhausted_backoff: Duration,
-    /// What a lease is at least even near the end, in units. 0 in service: near the end each request is asked for.
+    /// Minimum size of a lease requested ahead of use, in units. With 0, as in production, each request is sent to
+    /// the owner once the quota is nearly exhausted.
     pub min_lease: u64,
 }
 
--- a/crates/control/quota/src/error.rs
+++ b/crates/control/quota/src/error.rs
@@ -1,17 +1,17 @@
-//! What is wrong with an operator's call.
+//! Errors of an operator's call.
 
 use std::fmt;
 
-/// What is wrong with a call: where, why, and what mends it.
+/// Why a call is invalid: where, why, and how to fix it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AllowanceError {
-    /// The item's name, its position where it has none, or `body`.
+    /// The item's name, its position if it has no name, or `body`.
     pub item: String,
     /// The key in the item.
     pub key: String,
     /// What is wrong.
     pub reason: String,
-    /// What mends it.
+    /// How to fix it.
     pub remedy: String,
 }
 
--- a/crates/control/quota/src/lib.rs
+++ b/crates/control/quota/src/lib.rs
@@ -1,12 +1,12 @@
-//! The shared quota, decided without I/O: what a member may use in a window, counted over all nodes.
+//! A quota shared by all nodes, decided without I/O: the units that a member may use in a window, counted across nodes.
 //!
-//! - [`Allowance`]: what an operator allows, parsed by [`parse`], merged in an [`AllowanceSet`].
-//! - [`QuotaState`]: the one count of a member, kept in the control store under [`QUOTA_KEY_PREFIX`] and the member's name.
-//! - [`QuotaLeases`]: the units that a node holds of it, and what it does with a request.
-//! - [`WindowTimer`]: what the key's owner proposes by its clock.
+//! - [`Allowance`]: what an operator allows, parsed by [`parse`] and merged in an [`AllowanceSet`].
+//! - [`QuotaState`]: a member's usage, kept in the control store under [`QUOTA_KEY_PREFIX`] and the member's name.
+//! - [`QuotaLeases`]: the units leased to a node, and the node's decisions on requests.
+//! - [`WindowTimer`]: the changes that the key's owner proposes as time passes.
 //!
-//! The argument: `docs/design/quota.md`. Go on reading at `protocol`, which is what nodes and the owner say to each other. What
-//! is encoded here goes into stored data and over the wire: fields and variants keep their order.
+//! The design and why it is correct: `docs/design/quota.md`. Start reading at `protocol`, the calls between nodes and
+//! owners. The types encoded here are stored and sent over the wire: fields and variants keep their order.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
@@ -44,5 +44,5 @@
 };
 pub use window_timer::{Proposal, WindowTimer, ELAPSED_REPORTS_PER_WINDOW, PROPOSAL_RETRY_INTERVAL};
 
-/// Before a member's name: the key of its count in the control store.
+/// Prefix of the control store key of a member's [`QuotaState`]; the member's name follows.
 pub const QUOTA_KEY_PREFIX: &str = "allowance/";
--- a/crates/control/quota/src/mutation.rs
+++ b/crates/control/quota/src/mutation.rs
@@ -1,18 +1,18 @@
-//! Rules changed on purpose, so that tests of the checkers can see them caught. Without the feature `mutants` nothing heeds
-//! them.
+//! Rules broken on purpose, so that tests can show that the checkers detect each. Without the feature `mutants` they
+//! have no effect.
 
-/// One rule that is not kept.
+/// A rule to break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// What a lost lease may still be used for is given to others.
+    /// The units of a lost lease are granted to others although its node has not settled it.
     ReusesLostLeases,
-    /// Each attempt of an order is charged.
+    /// Every attempt of an order is charged.
     ChargesEachAttempt,
-    /// What may have run is refunded.
+    /// Requests that may have run are refunded.
     RefundsUnknown,
-    /// A node begins a window by its own clock.
+    /// A node starts a window by its own clock.
     EndsWindowByOwnClock,
-    /// A lease that was settled is counted again when it is settled again.
+    /// Settling a settled lease again counts its units again.
     CountsSettledTwice,
 }
 
@@ -21,7 +21,7 @@
     static MUTATION: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
-/// Changes one rule on this thread, or none.
+/// Breaks one rule on this thread, or none.
 #[cfg(feature = "mutants")]
 pub fn set_mutation(mutation: Option<Mutation>) {
     MUTATION.set(mutation);
--- a/crates/control/quota/src/parse.rs
+++ b/crates/control/quota/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parses allowances as an operator sends them in JSON, whose words (`edition`, `spent`, `away`) stay.
+//! Parses allowances from the operator's JSON. Its keys and values (`edition`, `spent`, `away`) are external names.
 
 use std::collections::BTreeMap;
 
@@ -13,59 +13,59 @@
 use crate::state::MAX_ORDERS;
 use silvercross_time::Duration;
 
-/// A longer body is rejected.
+/// Longest body of a call, in bytes.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
 
 const ITEM_KEYS: [&str; 6] = ["name", "edition", "windowS", "orderHeader", "away", "kinds"];
 const KIND_KEYS: [&str; 5] = ["kind", "amount", "unitBytes", "spent", "strict"];
 
-/// Parses one call and checks all of it: an object whose `deliver` and `withdraw` each hold a list `allowances`; an item to
-/// withdraw has its `name` and its `edition`. Whatever the bytes, the outcome is a value; an error means that nothing of the call
-/// may come into force.
+/// Parses and validates one call: an object whose `deliver` and `withdraw` each hold a list `allowances`; an item to
+/// withdraw has only its `name` and `edition`. Any input gives a result rather than a panic; on an error nothing of
+/// the call may be applied.
 pub fn parse(body: &[u8]) -> Result<AllowanceChange, AllowanceError> {
     if body.len() > MAX_BODY_BYTES {
         return Err(AllowanceError::new(
             "body",
             "length",
-            format!("is above {MAX_BODY_BYTES} bytes"),
-            "send fewer items in a call",
+            format!("exceeds {MAX_BODY_BYTES} bytes"),
+            "send fewer items per call",
         ));
     }
     let value: Value = serde_json::from_slice(body).map_err(|e| {
-        AllowanceError::new("body", "json", format!("can't be read whole: {e}"), "send one JSON object")
+        AllowanceError::new("body", "json", format!("cannot be parsed: {e}"), "send one JSON object")
     })?;
-    let body = object("body", "json", &value)?;
-    known("body", body, &["deliver", "withdraw"])?;
+    let body = as_object("body", "json", &value)?;
+    check_keys("body", body, &["deliver", "withdraw"])?;
     let mut entries = BTreeMap::new();
-    for side in ["deliver", "withdraw"] {
-        let Some(value) = body.get(side).filter(|v| !v.is_null()) else { continue };
-        let map = object("body", side, value)?;
-        known(side, map, &["allowances"])?;
-        for (i, value) in list(side, map, "allowances")?.iter().enumerate() {
-            let place = format!("{side}.allowances[{i}]");
-            let map = object(&place, "item", value)?;
-            let name = name(&place, map)?;
-            let entry = if side == "deliver" {
-                Entry::Set(item(&name, map)?)
+    for section in ["deliver", "withdraw"] {
+        let Some(value) = body.get(section).filter(|v| !v.is_null()) else { continue };
+        let map = as_object("body", section, value)?;
+        check_keys(section, map, &["allowances"])?;
+        for (i, value) in optional_list(section, map, "allowances")?.iter().enumerate() {
+            let label = format!("{section}.allowances[{i}]");
+            let map = as_object(&label, "item", value)?;
+            let name = required_name(&label, map)?;
+            let entry = if section == "deliver" {
+                Entry::Set(parse_item(&name, map)?)
             } else {
-                known(&name, map, &["name", "edition"])?;
-                Entry::Dropped(whole(&name, map, "edition", u64::MAX)?)
+                check_keys(&name, map, &["name", "edition"])?;
+                Entry::Tombstone(required_integer(&name, map, "edition", u64::MAX)?)
             };
             if entries.insert(name.clone(), entry).is_some() {
-                return Err(AllowanceError::new(&name, "name", "stands twice", "keep one"));
+                return Err(AllowanceError::new(&name, "name", "appears twice", "keep one"));
             }
         }
     }
     Ok(AllowanceChange { entries })
 }
 
-fn item(name: &str, map: &Map<String, Value>) -> Result<Allowance, AllowanceError> {
-    known(name, map, &ITEM_KEYS)?;
-    let version = whole(name, map, "edition", u64::MAX)?;
+fn parse_item(name: &str, map: &Map<String, Value>) -> Result<Allowance, AllowanceError> {
+    check_keys(name, map, &ITEM_KEYS)?;
+    let version = required_integer(name, map, "edition", u64::MAX)?;
     let seconds = map.get("windowS").and_then(Value::as_f64).unwrap_or(f64::NAN);
-    let (least, most) = (MIN_WINDOW.as_secs_f64(), MAX_WINDOW.as_secs_f64());
-    if !(least..=most).contains(&seconds) {
-        let reason = format!("is not from {least} to {most}");
+    let (min, max) = (MIN_WINDOW.as_secs_f64(), MAX_WINDOW.as_secs_f64());
+    if !(min..=max).contains(&seconds) {
+        let reason = format!("is not between {min} and {max}");
         return Err(AllowanceError::new(
             name,
             "windowS",
@@ -75,43 +75,44 @@
     }
     let order_header = match map.get("orderHeader") {
         None | Some(Value::Null) => None,
-        Some(Value::String(h)) if token(h) => Some(h.to_ascii_lowercase()),
+        Some(Value::String(h)) if is_header_name(h) => Some(h.to_ascii_lowercase()),
         Some(_) => {
             return Err(AllowanceError::new(
                 name,
                 "orderHeader",
-                "is no header's name",
-                "give one like x-order",
+                "is not a valid header name",
+                "use a name such as x-order",
             ))
         }
     };
-    let when_unreachable = match text(name, map, "away")? {
+    let when_unreachable = match optional_text(name, map, "away")? {
         None | Some("serve") => WhenUnreachable::ServeFromLeases,
         Some("refuse") => WhenUnreachable::Reject,
-        Some(_) => return Err(AllowanceError::new(name, "away", "is not known", "give serve or refuse")),
+        Some(_) => return Err(AllowanceError::new(name, "away", "is unknown", "use serve or refuse")),
     };
     let mut quotas = [None; 3];
-    for value in list(name, map, "kinds")? {
-        let (kind, quota) = kind_quota(name, object(name, "kinds", value)?)?;
+    for value in optional_list(name, map, "kinds")? {
+        let (kind, quota) = parse_kind_quota(name, as_object(name, "kinds", value)?)?;
         if quotas[kind.index()].replace(quota).is_some() {
             return Err(AllowanceError::new(
                 name,
                 "kinds",
-                format!("names {} twice", kind.as_str()),
+                format!("lists {} twice", kind.as_str()),
                 "keep one",
             ));
         }
     }
     if quotas.iter().all(Option::is_none) {
-        return Err(AllowanceError::new(name, "kinds", "names no kind", "give one, or withdraw the item"));
+        return Err(AllowanceError::new(name, "kinds", "lists no kind", "add one or withdraw the item"));
     }
-    // Each order is at least a unit, so that what a window allows bounds what must be remembered of it.
-    let counted = |kind: RequestKind| {
+    // An order takes at least one unit, so the amounts bound the number of orders to be remembered in a window.
+    let requests_per_window = |kind: RequestKind| {
         quotas[kind.index()].filter(|quota| quota.unit == Unit::Request).map_or(0, |quota| quota.amount)
     };
-    let orders = counted(RequestKind::Confirmation).saturating_add(counted(RequestKind::Upload));
+    let orders = requests_per_window(RequestKind::Confirmation)
+        .saturating_add(requests_per_window(RequestKind::Upload));
     if order_header.is_some() && orders > MAX_ORDERS as u64 {
-        let reason = format!("comes to {orders} orders in a window, of which {MAX_ORDERS} can be remembered");
+        let reason = format!("allows {orders} orders in a window, of which {MAX_ORDERS} can be remembered");
         return Err(AllowanceError::new(name, "amount", reason, "shorten the window and lower the amounts"));
     }
     let window_length = Duration::from_micros((seconds * 1e6) as i64);
@@ -119,79 +120,86 @@
     Ok(Allowance { name, version, window_length, order_header, when_unreachable, quotas })
 }
 
-fn kind_quota(name: &str, map: &Map<String, Value>) -> Result<(RequestKind, KindQuota), AllowanceError> {
-    known(name, map, &KIND_KEYS)?;
-    let Some(kind) = text(name, map, "kind")?.and_then(RequestKind::parse) else {
+fn parse_kind_quota(
+    name: &str,
+    map: &Map<String, Value>,
+) -> Result<(RequestKind, KindQuota), AllowanceError> {
+    check_keys(name, map, &KIND_KEYS)?;
+    let Some(kind) = optional_text(name, map, "kind")?.and_then(RequestKind::parse) else {
         return Err(AllowanceError::new(
             name,
             "kind",
-            "is missing or not known",
-            "give read, confirmation or upload",
+            "is missing or unknown",
+            "use read, confirmation or upload",
         ));
     };
-    let amount = whole(name, map, "amount", MAX_AMOUNT)?;
+    let amount = required_integer(name, map, "amount", MAX_AMOUNT)?;
     let unit = match map.get("unitBytes") {
         None | Some(Value::Null) => Unit::Request,
-        Some(_) => match whole(name, map, "unitBytes", MAX_AMOUNT)? {
+        Some(_) => match required_integer(name, map, "unitBytes", MAX_AMOUNT)? {
             0 => {
                 return Err(AllowanceError::new(
                     name,
                     "unitBytes",
                     "is 0",
-                    "give the bytes of a unit or leave it out",
+                    "give the bytes per unit or omit the key",
                 ))
             }
             bytes => Unit::Bytes(bytes),
         },
     };
-    let when_exhausted = match text(name, map, "spent")? {
+    let when_exhausted = match optional_text(name, map, "spent")? {
         None | Some("refuse") => WhenExhausted::Reject,
         Some("slow") if kind == RequestKind::Read => WhenExhausted::Slow,
         Some("slow") => {
-            return Err(AllowanceError::new(name, "spent", "slows what is no read", "give refuse"))
+            return Err(AllowanceError::new(name, "spent", "supports slow for reads only", "use refuse"))
         }
-        Some(_) => return Err(AllowanceError::new(name, "spent", "is not known", "give refuse or slow")),
+        Some(_) => return Err(AllowanceError::new(name, "spent", "is unknown", "use refuse or slow")),
     };
     let strict = match map.get("strict") {
         None | Some(Value::Null) => false,
         Some(Value::Bool(strict)) => *strict,
         Some(_) => {
-            return Err(AllowanceError::new(name, "strict", "is not true or false", "give one of them"))
+            return Err(AllowanceError::new(name, "strict", "is neither true nor false", "use true or false"))
         }
     };
     Ok((kind, KindQuota { amount, unit, when_exhausted, strict }))
 }
 
-fn token(header: &str) -> bool {
-    let good = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    !header.is_empty() && header.len() <= 64 && header.bytes().all(good)
+fn is_header_name(header: &str) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    !header.is_empty() && header.len() <= 64 && header.bytes().all(is_allowed)
 }
 
-fn name(place: &str, map: &Map<String, Value>) -> Result<String, AllowanceError> {
+fn required_name(label: &str, map: &Map<String, Value>) -> Result<String, AllowanceError> {
     match map.get("name") {
         Some(Value::String(name)) if (1..=MAX_NAME_BYTES).contains(&name.len()) => Ok(name.clone()),
         Some(Value::String(_)) => {
-            let reason = format!("is empty or above {MAX_NAME_BYTES} bytes");
-            Err(AllowanceError::new(place, "name", reason, "give the member's name"))
+            let reason = format!("is empty or longer than {MAX_NAME_BYTES} bytes");
+            Err(AllowanceError::new(label, "name", reason, "give the member's name"))
         }
-        _ => Err(AllowanceError::new(place, "name", "is missing or not a string", "give the member's name")),
+        _ => Err(AllowanceError::new(label, "name", "is missing or not a string", "give the member's name")),
     }
 }
 
-fn known(item: &str, map: &Map<String, Value>, keys: &[&str]) -> Result<(), AllowanceError> {
+fn check_keys(item: &str, map: &Map<String, Value>, keys: &[&str]) -> Result<(), AllowanceError> {
     match map.keys().find(|key| !keys.contains(&key.as_str())) {
         Some(key) => {
-            Err(AllowanceError::new(item, key, "is not known here", format!("send {}", keys.join(", "))))
+            Err(AllowanceError::new(item, key, "is unknown here", format!("use {}", keys.join(", "))))
         }
         None => Ok(()),
     }
 }
 
-fn object<'a>(item: &str, key: &str, value: &'a Value) -> Result<&'a Map<String, Value>, AllowanceError> {
+fn as_object<'a>(item: &str, key: &str, value: &'a Value) -> Result<&'a Map<String, Value>, AllowanceError> {
     value.as_object().ok_or_else(|| AllowanceError::new(item, key, "is not an object", "send an object"))
 }
 
-fn list<'a>(item: &str, map: &'a Map<String, Value>, key: &str) -> Result<&'a [Value], AllowanceError> {
+fn optional_list<'a>(
+    item: &str,
+    map: &'a Map<String, Value>,
+    key: &str,
+) -> Result<&'a [Value], AllowanceError> {
     match map.get(key) {
         None | Some(Value::Null) => Ok(&[]),
         Some(Value::Array(list)) => Ok(list),
@@ -199,7 +207,11 @@
     }
 }
 
-fn text<'a>(item: &str, map: &'a Map<String, Value>, key: &str) -> Result<Option<&'a str>, AllowanceError> {
+fn optional_text<'a>(
+    item: &str,
+    map: &'a Map<String, Value>,
+    key: &str,
+) -> Result<Option<&'a str>, AllowanceError> {
     match map.get(key) {
         None | Some(Value::Null) => Ok(None),
         Some(Value::String(text)) => Ok(Some(text)),
@@ -207,16 +219,21 @@
     }
 }
 
-fn whole(item: &str, map: &Map<String, Value>, key: &str, most: u64) -> Result<u64, AllowanceError> {
+fn required_integer(
+    item: &str,
+    map: &Map<String, Value>,
+    key: &str,
+    max: u64,
+) -> Result<u64, AllowanceError> {
     match map.get(key) {
-        Some(value) => value.as_u64().filter(|n| *n <= most).ok_or_else(|| {
+        Some(value) => value.as_u64().filter(|n| *n <= max).ok_or_else(|| {
             AllowanceError::new(
                 item,
                 key,
-                format!("is no whole number from 0 to {most}"),
-                "give such a number",
+                format!("is not an integer between 0 and {max}"),
+                "give an integer in this range",
             )
         }),
-        None => Err(AllowanceError::new(item, key, "is missing", "give it")),
+        None => Err(AllowanceError::new(item, key, "is missing", "add it")),
     }
 }
--- a/crates/control/quota/src/protocol.rs
+++ b/crates/control/quota/src/protocol.rs
@@ -1,4 +1,5 @@
-//! What nodes ask of the owner of a count, and what it answers. Encoded on the wire and in stored data.
+//! Calls from nodes to the owner of a member's quota state, and the owner's answers. Encoded on the wire and in
+//! stored data.
 
 use crate::allowance::{Allowance, RequestKind};
 use bitcode::{Decode, Encode};
@@ -6,49 +7,50 @@
 use silvercross_control_store::Rejection;
 use silvercross_time::Duration;
 
-/// An order's number, as 128 bits of SHA-256 over its text.
+/// An order number, as the first 128 bits of the SHA-256 of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct OrderId(pub u128);
 
 impl OrderId {
-    /// The order of a number as a client sent it.
+    /// The id of an order number as a client sent it.
     pub fn of(text: &[u8]) -> OrderId {
         let hash: [u8; 32] = Sha256::digest(text).into();
-        OrderId(hash.iter().take(16).fold(0, |all, byte| all << 8 | u128::from(*byte)))
+        OrderId(hash.iter().take(16).fold(0, |id, byte| id << 8 | u128::from(*byte)))
     }
 }
 
-/// A node's own name for a lease or an attempt. Never used twice: incarnations of a node rise with its starts, numbers within
-/// an incarnation.
+/// Identifies a lease or an attempt; chosen by the node and never reused: a node's incarnation rises with each start,
+/// and numbers rise within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct OperationId {
     /// The node.
     pub node: u32,
-    /// Its incarnation.
+    /// The node's incarnation.
     pub incarnation: u64,
-    /// Its number in the incarnation.
+    /// The number within the incarnation.
     pub number: u64,
 }
 
-/// Units set aside for one node. Nobody else gets them before the node has settled, or the window has ended: that, and no
-/// clock, keeps the bound.
+/// Units reserved for one node. They are not granted to others until the node has settled the lease or the window has
+/// ended. This, and not a clock, keeps usage within the allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Lease {
-    /// What it is for.
+    /// The kind of requests that the lease is for.
     pub kind: RequestKind,
-    /// In which window.
+    /// The window in which its units count.
     pub window: u64,
-    /// How many units.
+    /// Number of units.
     pub amount: u64,
-    /// How many orders it may take.
+    /// Maximum number of orders that may be charged to it.
     pub max_orders: u64,
-    /// Which change of the count gave it: an owner counts its time anew, but the lease is the same.
+    /// Number of the change that granted it, counted per quota state. It stays the same when a new owner restarts the
+    /// time until the lease expires.
     pub change_number: u64,
-    /// Whether its time is over and it was not settled. Its units count as used until the node settles.
+    /// Whether it expired without being settled. Its units count as used until the node settles it.
     pub is_lost: bool,
 }
 
-/// One order that was charged to a lease.
+/// An order charged to a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct LeasedOrder {
     /// The order.
@@ -59,98 +61,99 @@
     pub units: u64,
 }
 
-/// A change of a count.
+/// A change of a [`crate::QuotaState`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Change {
-    /// The allowance that holds.
+    /// Puts an allowance in force.
     SetAllowance(Allowance),
-    /// The allowance holds no more: nothing is counted.
+    /// Withdraws the allowance: nothing is counted any more.
     RemoveAllowance {
-        /// The item's version.
+        /// Version of the withdrawal.
         version: u64,
     },
-    /// A node asks for a lease. The same lease asked for twice is one.
+    /// Grants a lease to a node. Asking for the same lease again has no effect.
     GrantLease {
-        /// Its name.
+        /// The lease's id, chosen by the node.
         lease: OperationId,
-        /// What it is for.
+        /// The kind of requests that the lease is for.
         kind: RequestKind,
-        /// How many units at most.
+        /// Maximum number of units.
         wanted: u64,
-        /// How many it must be, if near the end no more are given; 0 if such a lease is not wanted.
+        /// Minimum number of units: what is granted when the quota is nearly exhausted. With 0, the call is rejected
+        /// then.
         minimum: u64,
     },
-    /// A node is done with a lease.
+    /// Ends a lease with the usage that its node reports.
     SettleLease {
-        /// Which.
+        /// The lease.
         lease: OperationId,
-        /// Units used, those of the orders included.
+        /// Units used, including those of the orders.
         used: u64,
-        /// The orders among them.
+        /// The orders charged to the lease.
         orders: Vec<LeasedOrder>,
     },
-    /// One attempt of an order, counted directly.
+    /// Charges an attempt of an order without a lease.
     ChargeOrder {
         /// The order.
         order: OrderId,
         /// The attempt.
         attempt: OperationId,
-        /// Its kind.
+        /// The kind of the request.
         kind: RequestKind,
         /// Its units.
         units: u64,
     },
-    /// An attempt of an order certainly did not run.
+    /// Refunds an attempt of an order that certainly did not run.
     RefundOrder {
         /// The order.
         order: OrderId,
         /// The attempt.
         attempt: OperationId,
     },
-    /// So much of the window has gone by.
+    /// Records how much of the window has elapsed.
     RecordElapsed {
-        /// Of which window.
+        /// The window that the time was measured in.
         window: u64,
-        /// How much.
+        /// Time elapsed in the window.
         elapsed: Duration,
     },
-    /// The window ends and the next begins.
+    /// Ends the window and starts the next.
     EndWindow {
-        /// The one that ends.
+        /// The window to end.
         window: u64,
     },
-    /// A lease's time is over.
+    /// Marks a lease as lost because it was not settled in time.
     ExpireLease {
-        /// Which.
+        /// The lease.
         lease: OperationId,
     },
 }
 
-/// Why units are not given.
+/// Why a call of a node is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum RejectionReason {
-    /// The window's units are used up. A plain counter would reject as well.
+    /// The window's units are used up; a single central counter would reject the request as well.
     Exhausted,
-    /// What is left is in leases of other nodes: they are to be recalled.
+    /// The remaining units are leased to other nodes; these leases are to be recalled.
     LeasedElsewhere,
-    /// Too little is left for a lease: each request is to be asked for.
+    /// Too few units are left for a lease; each request must be sent to the owner.
     NearlyExhausted,
-    /// A bound is reached.
+    /// A limit on tracked leases, nodes or orders is reached.
     LimitReached,
-    /// Nothing is allowed for this kind, or no allowance stands.
+    /// The kind has no quota, or the member has no allowance.
     NotAllowed,
-    /// The node has asked for something later, or has a later incarnation.
+    /// The node has made a later call or has a later incarnation, or another allowance has the same version.
     Superseded,
-    /// It can't be read as a change of this count.
+    /// The change is not valid for this quota state.
     Invalid,
     /// The owner could not be reached.
     OwnerUnreachable,
-    /// This node waits for too many answers, or holds too much.
+    /// This node has too many pending calls, open requests or leases.
     Overloaded,
 }
 
-/// The words on the wire, which stay.
-const WIRE_WORDS: [(RejectionReason, &str); 9] = [
+/// Names on the wire; they must not change.
+const WIRE_NAMES: [(RejectionReason, &str); 9] = [
     (RejectionReason::Exhausted, "spent"),
     (RejectionReason::LeasedElsewhere, "busy"),
     (RejectionReason::NearlyExhausted, "near"),
@@ -163,52 +166,52 @@
 ];
 
 impl RejectionReason {
-    /// The word for it on the wire, which is also the reason in a control store's rejection.
+    /// Its name on the wire, which is also the reason of the control store's [`Rejection`].
     pub fn wire_name(self) -> &'static str {
-        WIRE_WORDS.iter().find(|(reason, _)| *reason == self).map_or("invalid", |(_, word)| word)
+        WIRE_NAMES.iter().find(|(reason, _)| *reason == self).map_or("invalid", |(_, name)| name)
     }
 
-    /// Why a change of a count was rejected.
+    /// The reason for the control store's rejection of a change.
     pub fn of(rejection: &Rejection) -> RejectionReason {
-        let known = WIRE_WORDS.iter().find(|(_, word)| *word == rejection.reason);
-        known.map_or(RejectionReason::Invalid, |(reason, _)| *reason)
+        let entry = WIRE_NAMES.iter().find(|(_, name)| *name == rejection.reason);
+        entry.map_or(RejectionReason::Invalid, |(reason, _)| *reason)
     }
 
-    /// The control store's rejection for it.
+    /// The control store's rejection for this reason.
     pub(crate) fn into_rejection(self) -> Rejection {
         let conflict = matches!(self, RejectionReason::LeasedElsewhere | RejectionReason::Superseded);
         Rejection { conflict, reason: self.wire_name().to_string() }
     }
 }
 
-/// What the owner answers the node that asked.
+/// The owner's answer to a node's call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum OwnerAnswer {
-    /// The lease is the node's.
+    /// The lease is granted.
     Granted {
-        /// It.
+        /// The lease.
         lease: Lease,
-        /// Units free beside it.
+        /// Units that remain free.
         free: u64,
     },
     /// The order is charged.
     Charged {
-        /// Another attempt of it was charged before.
+        /// Whether another attempt of the order was charged before.
         is_repeat: bool,
-        /// In which window it was charged.
+        /// The window in which the order is charged.
         window: u64,
         /// Units free.
         free: u64,
     },
-    /// It is done, or stood already.
+    /// The change is applied, or had been before.
     Done,
-    /// It is rejected.
+    /// The call is rejected.
     Rejected {
-        /// Why.
+        /// The reason.
         reason: RejectionReason,
-        /// The window.
+        /// The current window.
         window: u64,
-        /// How long it goes on at most, by what was recorded of it.
+        /// Upper bound on the rest of the window, from the elapsed time last recorded.
         ends_in: Duration,
         /// Units free.
         free: u64,
