--- a/crates/control/quota/src/state/apply.rs
+++ b/crates/control/quota/src/state/apply.rs
@@ -1,4 +1,4 @@
-//! Which change does what to a count, and what the node that asked is answered.
+//! Applies changes to a quota state and builds the owner's answers.
 
 use super::quota_state::QuotaState;
 use crate::allowance::Allowance;
@@ -26,14 +26,14 @@
             Change::ExpireLease { lease } => Ok(self.expire(*lease)),
         }
         .map_err(RejectionReason::into_rejection)?;
-        self.changes += u64::from(changed);
+        self.change_count += u64::from(changed);
         Ok(changed)
     }
 }
 
 impl QuotaState {
-    /// What to answer the node that asked for a change, by this count, which is committed and has the change in it if it was
-    /// accepted.
+    /// The answer to the node that asked for a change. `self` is the committed state, with the change applied if it
+    /// was accepted.
     pub fn answer(&self, change: &Change, outcome: &Result<bool, Rejection>) -> OwnerAnswer {
         let kind = match change {
             Change::GrantLease { kind, .. } | Change::ChargeOrder { kind, .. } => Some(*kind),
@@ -92,7 +92,7 @@
         is_later
     }
 
-    /// Ends a window. What is older than the one that ended is forgotten: its leases, its orders, its nodes.
+    /// Ends a window. Leases, orders and nodes of windows before the one that ended are removed.
     fn end_window(&mut self, window: u64) -> Result<bool, RejectionReason> {
         if window < self.window {
             return Ok(false);
@@ -105,7 +105,7 @@
         self.previous = std::mem::take(&mut self.current);
         self.leases.retain(|_, lease| lease.window >= window);
         self.orders.retain(|_, entry| entry.window >= window);
-        self.nodes.retain(|_, known| known.window >= window);
+        self.nodes.retain(|_, node| node.window >= window);
         Ok(true)
     }
 }
--- a/crates/control/quota/src/state/mod.rs
+++ b/crates/control/quota/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! The one count of a member, as it stands under its key of the control store.
+//! The quota state of a member, as it is stored under its key of the control store.
 //!
-//! [`QuotaState`] is in `quota_state`, with what can be asked of it; `leases` and `orders` are how changes of either act on it,
-//! `apply` is which change does what and what its node is answered.
+//! `quota_state` holds [`QuotaState`] and its queries, `leases` and `orders` apply changes to leases and orders, and
+//! `apply` dispatches a change and builds the answer to the node that asked.
 
 mod apply;
 mod leases;
--- a/crates/control/quota/src/state/order_entry.rs
+++ b/crates/control/quota/src/state/order_entry.rs
@@ -1,25 +1,25 @@
-//! What is remembered of one order, and the sums of one window.
+//! The record of an order, and the totals of a window.
 
 use crate::allowance::RequestKind;
 use crate::protocol::OperationId;
 use bitcode::{Decode, Encode};
 
-/// Attempts remembered of one order at most. With a further one the order stays charged whatever is refunded.
+/// Maximum number of attempts remembered per order. With more, the order stays charged whatever is refunded.
 pub const MAX_ATTEMPTS_PER_ORDER: usize = 8;
 
-/// One attempt of an order.
+/// An attempt of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub(super) struct Attempt {
-    /// Its name.
+    /// The attempt's id.
     pub(super) id: OperationId,
-    /// Whether it may have run: it was not refunded.
+    /// Whether it may have run, that is, it was not refunded.
     pub(super) is_charged: bool,
 }
 
-/// One order.
+/// An order and its attempts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub(super) struct OrderEntry {
-    /// The window that it is counted in.
+    /// The window in which it is counted.
     pub(super) window: u64,
     /// Its kind.
     pub(super) kind: RequestKind,
@@ -27,7 +27,7 @@
     pub(super) units: u64,
     /// At most [`MAX_ATTEMPTS_PER_ORDER`].
     pub(super) attempts: Vec<Attempt>,
-    /// There were more attempts than are remembered: it stays charged.
+    /// More attempts were made than are remembered: the order stays charged.
     pub(super) is_pinned: bool,
 }
 
@@ -43,7 +43,7 @@
     }
 
     /// Whether an attempt is remembered.
-    pub(super) fn knows(&self, id: OperationId) -> bool {
+    pub(super) fn has_attempt(&self, id: OperationId) -> bool {
         self.attempts.iter().any(|attempt| attempt.id == id)
     }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// The sums of one window.
+/// The totals of a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub(super) struct WindowTotals {
     /// Units charged, by kind.
--- a/crates/control/quota/src/state/orders.rs
+++ b/crates/control/quota/src/state/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of a count: charged once among all their attempts, refunded when none ran.
+//! Charges and refunds orders: an order is charged once for all its attempts, and refunded when none ran.
 
 use super::order_entry::{Attempt, OrderEntry, MAX_ATTEMPTS_PER_ORDER};
 use super::quota_state::QuotaState;
@@ -6,7 +6,7 @@
 use crate::mutation::{is_active, Mutation};
 use crate::protocol::{OperationId, OrderId, RejectionReason};
 
-/// The order that an attempt is charged to.
+/// The order to which an attempt is charged.
 pub(super) fn charged_order(order: OrderId, attempt: OperationId) -> OrderId {
     if !is_active(Mutation::ChargesEachAttempt) {
         return order;
@@ -16,7 +16,7 @@
 }
 
 impl QuotaState {
-    /// Charges one attempt of an order.
+    /// Charges an attempt of an order; further attempts of a charged order cost nothing.
     pub(super) fn charge(
         &mut self,
         order: OrderId,
@@ -26,7 +26,7 @@
     ) -> Result<bool, RejectionReason> {
         let order = charged_order(order, attempt);
         if let Some(entry) = self.orders.get_mut(&order) {
-            if entry.knows(attempt) {
+            if entry.has_attempt(attempt) {
                 return Ok(false);
             }
             if entry.is_charged() {
@@ -51,8 +51,8 @@
             }
             self.current.orders += 1;
         }
-        let blank = OrderEntry { window, kind, units, attempts: Vec::new(), is_pinned: false };
-        let entry = self.orders.entry(order).or_insert(blank);
+        let new_entry = OrderEntry { window, kind, units, attempts: Vec::new(), is_pinned: false };
+        let entry = self.orders.entry(order).or_insert(new_entry);
         (entry.window, entry.kind, entry.units) = (window, kind, units);
         entry.charge(attempt);
         if !entry.is_charged() {
@@ -62,7 +62,8 @@
         Ok(true)
     }
 
-    /// An attempt certainly did not run. One that was not charged yet is remembered: its charge must find that it was refunded.
+    /// Refunds an attempt that certainly did not run. One that was not charged yet is remembered, so that its charge,
+    /// when it arrives late, has no effect.
     pub(super) fn refund(&mut self, order: OrderId, attempt: OperationId) -> bool {
         let order = charged_order(order, attempt);
         let Some(entry) = self.orders.get_mut(&order) else {
@@ -76,10 +77,10 @@
             return has_room;
         };
         let was_charged = entry.is_charged();
-        let known = entry.attempts.len();
+        let attempt_count = entry.attempts.len();
         match entry.attempts.iter_mut().find(|known| known.id == attempt) {
             Some(known) if known.is_charged => known.is_charged = false,
-            None if known < MAX_ATTEMPTS_PER_ORDER => {
+            None if attempt_count < MAX_ATTEMPTS_PER_ORDER => {
                 entry.attempts.push(Attempt { id: attempt, is_charged: false });
             }
             _ => return false,
--- a/crates/control/quota/src/state/quota_state.rs
+++ b/crates/control/quota/src/state/quota_state.rs
@@ -1,4 +1,4 @@
-//! One member's count, and what can be asked of it.
+//! A member's quota state and its queries.
 
 use super::order_entry::{OrderEntry, WindowTotals};
 use crate::allowance::{Allowance, RequestKind};
@@ -7,8 +7,9 @@
 use silvercross_time::Duration;
 use std::collections::BTreeMap;
 
-/// Orders remembered of one window at most, those that open leases may still bring included; those of the window before are
-/// kept as well. A further order is rejected as [`RejectionReason::LimitReached`], never charged unremembered.
+/// Maximum number of orders remembered per window, including those that unsettled leases may still report; orders of
+/// the previous window are kept in addition. A further order is rejected as [`RejectionReason::LimitReached`], never
+/// charged unremembered.
 pub const MAX_ORDERS: usize = 16_384;
 
 /// A node that has asked for leases.
@@ -16,13 +17,13 @@
 pub(super) struct KnownNode {
     /// Its incarnation.
     pub(super) incarnation: u64,
-    /// Its last lease's number.
+    /// The number of its last lease.
     pub(super) last_lease: u64,
-    /// In which window it asked last; it is forgotten two windows later.
+    /// The window in which it last asked for a lease; the entry is removed two windows later.
     pub(super) window: u64,
 }
 
-/// A process of a node that holds a lease.
+/// One incarnation of a node that has a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseNode {
     /// The node.
@@ -31,16 +32,16 @@
     pub incarnation: u64,
 }
 
-/// One member's count: this window and the one before it. Bounds: [`MAX_ORDERS`] a window, [`crate::MAX_LEASES`],
+/// A member's usage in the current and the previous window. Bounds: [`MAX_ORDERS`] per window, [`crate::MAX_LEASES`],
 /// [`crate::MAX_LEASE_NODES`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct QuotaState {
     pub(super) allowance: Option<Allowance>,
-    /// The highest version that set or removed it.
+    /// The highest version that set or removed the allowance.
     pub(super) version: u64,
     pub(super) window: u64,
     pub(super) elapsed: Duration,
-    pub(super) changes: u64,
+    pub(super) change_count: u64,
     pub(super) current: WindowTotals,
     pub(super) previous: WindowTotals,
     pub(super) leases: BTreeMap<OperationId, Lease>,
@@ -49,37 +50,37 @@
 }
 
 impl QuotaState {
-    /// The allowance that holds.
+    /// The allowance in force.
     pub fn allowance(&self) -> Option<&Allowance> {
         self.allowance.as_ref()
     }
 
-    /// The window that runs.
+    /// The current window.
     pub fn window(&self) -> u64 {
         self.window
     }
 
-    /// How much of it has gone by, as last recorded.
+    /// Time elapsed in the current window, as last recorded.
     pub fn elapsed(&self) -> Duration {
         self.elapsed
     }
 
-    /// Units charged in a window: this one or the one before. An order is charged once among all its attempts.
+    /// Units charged in the current or the previous window. An order is charged once for all its attempts.
     pub fn charged_units(&self, window: u64, kind: RequestKind) -> u64 {
         self.totals(window).map_or(0, |totals| totals.charged[kind.index()])
     }
 
     /// Units in leases that nodes may still use.
     pub fn leased_units(&self, window: u64, kind: RequestKind) -> u64 {
-        self.units_aside(window, kind, false)
+        self.units_in_leases(window, kind, false)
     }
 
-    /// Units in leases whose nodes did not settle in time. They count as used until settled.
+    /// Units in lost leases, which count as used until their nodes settle them.
     pub fn lost_units(&self, window: u64, kind: RequestKind) -> u64 {
-        self.units_aside(window, kind, true)
+        self.units_in_leases(window, kind, true)
     }
 
-    /// Units that can still be given in this window.
+    /// Units that can still be granted in the current window.
     pub fn free_units(&self, kind: RequestKind) -> u64 {
         let quota = self.allowance.as_ref().and_then(|allowance| allowance.quota(kind));
         let amount = quota.map_or(0, |quota| quota.amount);
@@ -89,12 +90,13 @@
         amount.saturating_sub(used)
     }
 
-    /// Leases that are open or lost, with their names.
+    /// Open and lost leases, with their ids.
     pub fn leases(&self) -> impl Iterator<Item = (OperationId, &Lease)> {
         self.leases.iter().map(|(id, lease)| (*id, lease))
     }
 
-    /// Who has open leases of a kind: whom to recall when a change was rejected as [`RejectionReason::LeasedElsewhere`].
+    /// Nodes with open leases of a kind, to recall them when a change was rejected as
+    /// [`RejectionReason::LeasedElsewhere`].
     pub fn lease_nodes(&self, kind: RequestKind) -> Vec<LeaseNode> {
         let open = self.leases.iter().filter(|(_, lease)| lease.kind == kind && !lease.is_lost);
         let mut nodes: Vec<LeaseNode> =
@@ -103,12 +105,12 @@
         nodes
     }
 
-    /// In which window the order is charged, if it is.
+    /// The window in which the order is charged, if it is.
     pub fn order_window(&self, order: OrderId) -> Option<u64> {
         self.orders.get(&order).filter(|entry| entry.is_charged()).map(|entry| entry.window)
     }
 
-    /// Whether anything stands in this window: a window that nobody uses need not end.
+    /// Whether the current window has any usage; an unused window need not end.
     pub fn is_used(&self) -> bool {
         self.elapsed > Duration::ZERO
             || self.current != WindowTotals::default()
@@ -125,7 +127,7 @@
         }
     }
 
-    /// The sums of this window or the one before.
+    /// The totals of the current or the previous window.
     pub(super) fn totals_mut(&mut self, window: u64) -> Option<&mut WindowTotals> {
         if window == self.window {
             Some(&mut self.current)
@@ -136,20 +138,20 @@
         }
     }
 
-    fn units_aside(&self, window: u64, kind: RequestKind, is_lost: bool) -> u64 {
-        let is_meant =
+    fn units_in_leases(&self, window: u64, kind: RequestKind, is_lost: bool) -> u64 {
+        let is_selected =
             |lease: &&Lease| lease.window == window && lease.kind == kind && lease.is_lost == is_lost;
-        self.leases.values().filter(is_meant).map(|lease| lease.amount).sum()
+        self.leases.values().filter(is_selected).map(|lease| lease.amount).sum()
     }
 
-    /// Orders that this window can still take, beside those that open leases may bring.
+    /// Orders that the current window can still take, besides those that unsettled leases may report.
     pub(super) fn free_orders(&self) -> u64 {
         let current = self.leases.values().filter(|lease| lease.window == self.window);
         let reserved: u64 = current.map(|lease| lease.max_orders).sum();
         (MAX_ORDERS as u64).saturating_sub(self.current.orders + reserved)
     }
 
-    /// Why `units` more can't be given.
+    /// The reason why `units` more cannot be granted, if they cannot.
     pub(super) fn shortage(&self, kind: RequestKind, units: u64) -> Option<RejectionReason> {
         if self.allowance.as_ref().and_then(|allowance| allowance.quota(kind)).is_none() {
             return Some(RejectionReason::NotAllowed);
--- a/crates/control/quota/src/window_timer.rs
+++ b/crates/control/quota/src/window_timer.rs
@@ -1,4 +1,4 @@
-//! What the owner of counts has to propose by its clock.
+//! Changes that the owner of quota states proposes as time passes.
 
 use crate::config::QuotaConfig;
 use crate::protocol::{Change, OperationId};
@@ -6,38 +6,38 @@
 use silvercross_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often in a window the owner records how much of it has gone by. An owner's end makes the window longer by one such step
-/// at most, and by the time without an owner; never shorter.
+/// How often per window the owner records the elapsed time. A change of owner lengthens the window by at most one
+/// such interval plus the time without an owner, and never shortens it.
 pub const ELAPSED_REPORTS_PER_WINDOW: i64 = 32;
-/// What was proposed and did not show in the count is proposed again after this.
+/// Time after which a proposal that did not take effect is repeated.
 pub const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A change that the owner is to propose.
+/// A change for the owner to propose.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    /// Of whose count.
+    /// The member whose quota state changes.
     pub member: String,
-    /// What to change.
+    /// The change.
     pub change: Change,
 }
 
-/// One member's window.
+/// The current window of a member.
 #[derive(Debug)]
-struct Watch {
+struct TrackedWindow {
     window: u64,
-    /// When the window had `base` behind it, by the guarded clock; `None` while nobody uses it.
+    /// The timer's clock when `initial_elapsed` of the window had passed; `None` while the window is unused.
     since: Option<Duration>,
-    base: Duration,
+    initial_elapsed: Duration,
     recorded: Duration,
     length: Duration,
-    /// When each open lease was first seen, by the guarded clock. At most [`crate::MAX_LEASES`].
+    /// The timer's clock when each open lease was first seen. At most [`crate::MAX_LEASES`].
     leases: BTreeMap<OperationId, Duration>,
     due: Duration,
 }
 
-impl Watch {
+impl TrackedWindow {
     fn elapsed(&self, clock: Duration) -> Duration {
-        self.since.map_or(self.base, |since| self.base.saturating_add(clock - since))
+        self.since.map_or(self.initial_elapsed, |since| self.initial_elapsed.saturating_add(clock - since))
     }
 
     fn report_interval(&self) -> Duration {
@@ -45,23 +45,24 @@
     }
 }
 
-/// Ends the windows and expires the leases of the counts that this node owns. What it proposes is a change like any other: one
-/// that no longer owns the key is rejected by the control store. At most as many members as that has keys.
+/// Ends windows and expires leases of the quota states that this node owns. Its proposals are ordinary changes, so
+/// the control store rejects those of a node that no longer owns the key. Tracks at most as many members as the
+/// control store has keys.
 ///
-/// Its time is the sum of what passes between two steps, each counted up to the configuration's `max_step`: a clock that leaps,
-/// or a process that was frozen, ends no window early and expires no lease early.
+/// The timer's clock is the sum of the times between steps, each counted up to the configuration's `max_step`: a jump
+/// of the system clock, or a process that was frozen, neither ends a window nor expires a lease early.
 #[derive(Debug)]
 pub struct WindowTimer {
     config: QuotaConfig,
     last_step: Instant,
-    /// The guarded clock: what has passed since the beginning.
+    /// Time passed since the timer was created, at most `max_step` for each step.
     clock: Duration,
-    members: BTreeMap<String, Watch>,
+    members: BTreeMap<String, TrackedWindow>,
     due: BTreeSet<(Duration, String)>,
 }
 
 impl WindowTimer {
-    /// Owns nothing yet.
+    /// A timer without members.
     pub fn new(now: Instant, config: QuotaConfig) -> WindowTimer {
         WindowTimer {
             config,
@@ -72,54 +73,54 @@
         }
     }
 
-    /// A count that this node owns, as it is committed: at the taking over and after every change. Each lease's time is counted
-    /// from when it is first seen here, which is never before it was asked for.
+    /// Observes a committed quota state that this node owns; to be called on taking ownership and after every change.
+    /// A lease's time counts from when it is first seen here, which is never before its node asked for it.
     pub fn observe(&mut self, now: Instant, member: &str, state: &QuotaState) {
         self.step(now);
         let clock = self.clock;
         let length = state.allowance().map_or(Duration::MAX, |allowance| allowance.window_length);
-        let new_watch = |leases| Watch {
+        let new_window = |leases| TrackedWindow {
             window: state.window(),
             since: None,
-            base: state.elapsed(),
+            initial_elapsed: state.elapsed(),
             recorded: state.elapsed(),
             length,
             leases,
             due: Duration::MAX,
         };
-        let watch = self.members.entry(member.to_string()).or_insert_with(|| new_watch(BTreeMap::new()));
-        if watch.window != state.window() {
-            let leases = std::mem::take(&mut watch.leases);
-            self.due.remove(&(watch.due, member.to_string()));
-            *watch = new_watch(leases);
+        let tracked = self.members.entry(member.to_string()).or_insert_with(|| new_window(BTreeMap::new()));
+        if tracked.window != state.window() {
+            let leases = std::mem::take(&mut tracked.leases);
+            self.due.remove(&(tracked.due, member.to_string()));
+            *tracked = new_window(leases);
         }
-        (watch.length, watch.recorded) = (length, watch.recorded.max(state.elapsed()));
-        if watch.since.is_none() && state.is_used() {
-            watch.since = Some(clock);
+        (tracked.length, tracked.recorded) = (length, tracked.recorded.max(state.elapsed()));
+        if tracked.since.is_none() && state.is_used() {
+            tracked.since = Some(clock);
         }
         let open: BTreeSet<OperationId> =
             state.leases().filter(|(_, lease)| !lease.is_lost).map(|(id, _)| id).collect();
-        watch.leases.retain(|id, _| open.contains(id));
+        tracked.leases.retain(|id, _| open.contains(id));
         for id in open {
-            watch.leases.entry(id).or_insert(clock);
+            tracked.leases.entry(id).or_insert(clock);
         }
         self.schedule(member, clock);
     }
 
-    /// A count that this node owns no more.
+    /// Stops tracking a member whose quota state this node no longer owns.
     pub fn forget(&mut self, member: &str) {
-        if let Some(watch) = self.members.remove(member) {
-            self.due.remove(&(watch.due, member.to_string()));
+        if let Some(tracked) = self.members.remove(member) {
+            self.due.remove(&(tracked.due, member.to_string()));
         }
     }
 
-    /// How long the member's window still runs.
+    /// Time left in the member's window.
     pub fn ends_in(&self, member: &str) -> Option<Duration> {
-        let watch = self.members.get(member)?;
-        Some((watch.length - watch.elapsed(self.clock)).max(Duration::ZERO))
+        let tracked = self.members.get(member)?;
+        Some((tracked.length - tracked.elapsed(self.clock)).max(Duration::ZERO))
     }
 
-    /// What is to be proposed now.
+    /// The changes to propose now.
     pub fn tick(&mut self, now: Instant) -> Vec<Proposal> {
         self.step(now);
         let clock = self.clock;
@@ -129,17 +130,17 @@
                 break;
             }
             self.due.pop_first();
-            let Some(watch) = self.members.get(&member) else { continue };
+            let Some(tracked) = self.members.get(&member) else { continue };
             let mut propose = |change| proposals.push(Proposal { member: member.clone(), change });
-            for (lease, seen_at) in &watch.leases {
+            for (lease, seen_at) in &tracked.leases {
                 if clock - *seen_at >= self.expiry() {
                     propose(Change::ExpireLease { lease: *lease });
                 }
             }
-            let (elapsed, window) = (watch.elapsed(clock), watch.window);
-            if elapsed >= watch.length {
+            let (elapsed, window) = (tracked.elapsed(clock), tracked.window);
+            if elapsed >= tracked.length {
                 propose(Change::EndWindow { window });
-            } else if elapsed - watch.recorded >= watch.report_interval() {
+            } else if elapsed - tracked.recorded >= tracked.report_interval() {
                 propose(Change::RecordElapsed { window, elapsed });
             }
             self.schedule(&member, clock + PROPOSAL_RETRY_INTERVAL);
@@ -152,25 +153,25 @@
         self.last_step = now;
     }
 
-    /// A lease is held for lost so long after it was first seen.
+    /// Time after which an unsettled lease is marked as lost.
     fn expiry(&self) -> Duration {
         self.config.lease_duration + self.config.expiry_margin
     }
 
-    /// The next moment, not before `from`, at which something is to be proposed.
+    /// Schedules the member's next proposal, not before `from`.
     fn schedule(&mut self, member: &str, from: Duration) {
         let expiry = self.expiry();
-        let Some(watch) = self.members.get_mut(member) else { return };
-        self.due.remove(&(watch.due, member.to_string()));
-        let lease_due = watch.leases.values().min().map(|seen_at| *seen_at + expiry);
-        let window_due = watch.since.map(|since| {
-            let at = watch.length.min(watch.recorded.saturating_add(watch.report_interval()));
-            since.saturating_add(at.saturating_add(-watch.base))
+        let Some(tracked) = self.members.get_mut(member) else { return };
+        self.due.remove(&(tracked.due, member.to_string()));
+        let lease_due = tracked.leases.values().min().map(|seen_at| *seen_at + expiry);
+        let window_due = tracked.since.map(|since| {
+            let at = tracked.length.min(tracked.recorded.saturating_add(tracked.report_interval()));
+            since.saturating_add(at.saturating_add(-tracked.initial_elapsed))
         });
         let next = lease_due.into_iter().chain(window_due).min();
-        watch.due = next.map_or(Duration::MAX, |due| due.max(from));
-        if watch.due < Duration::MAX {
-            self.due.insert((watch.due, member.to_string()));
+        tracked.due = next.map_or(Duration::MAX, |due| due.max(from));
+        if tracked.due < Duration::MAX {
+            self.due.insert((tracked.due, member.to_string()));
         }
     }
 }
