--- a/crates/control/quota/src/leases/answers.rs
+++ b/crates/control/quota/src/leases/answers.rs
@@ -1,4 +1,4 @@
-//! An owner answers a call.
+//! Handles owners' answers to calls.
 
 use super::held::{Exhaustion, HeldLease, OpenRequest, PendingCall, WaitingRequest};
 use super::quota_leases::QuotaLeases;
@@ -8,18 +8,18 @@
 use crate::protocol::{Change, Lease, OwnerAnswer, RejectionReason};
 use silvercross_time::{Duration, Instant};
 
-/// A lease that the owner gave.
+/// A lease granted by the owner.
 struct GrantedLease {
     kind: RequestKind,
     number: u64,
     lease: Lease,
     free: u64,
-    asked_at: Instant,
+    requested_at: Instant,
 }
 
 impl QuotaLeases {
-    /// The owner's answer to a call, and the decisions on requests that waited for it. An answer to a call that was given up,
-    /// or answered before, changes nothing.
+    /// Handles the owner's answer to a call and returns decisions on the requests that waited for it. An answer to a
+    /// call that was already answered or given up has no effect.
     pub fn handle_answer(&mut self, now: Instant, number: u64, answer: &OwnerAnswer) -> Vec<LateDecision> {
         self.step(now);
         let Some(call) = self.pending.remove(&number) else { return Vec::new() };
@@ -39,12 +39,12 @@
         match (change, answer, rejection) {
             (Change::GrantLease { kind, lease: id, .. }, OwnerAnswer::Granted { lease, free }, _) => {
                 let (lease, free) = (*lease, *free);
-                let granted = GrantedLease { kind, number: id.number, lease, free, asked_at: since };
-                self.hold(now, &member, granted, waiting)
+                let granted = GrantedLease { kind, number: id.number, lease, free, requested_at: since };
+                self.accept_grant(now, &member, granted, waiting)
             }
             (Change::GrantLease { kind, lease, minimum, .. }, _, Some(rejection)) => {
-                self.stop_asking(&member, kind, lease.number);
-                self.learn_rejection(now, &member, kind, rejection);
+                self.clear_pending_lease(&member, kind, lease.number);
+                self.update_from_rejection(now, &member, kind, rejection);
                 self.retry_or_reject(now, &member, rejection, minimum, waiting)
             }
             (
@@ -54,7 +54,7 @@
             ) => {
                 let (is_repeat, window, free) = (*is_repeat, *window, *free);
                 if let Some(leases) = self.kind_leases(&member, kind) {
-                    leases.learn(leases.window.max(window), free);
+                    leases.update_from_owner(leases.window.max(window), free);
                 }
                 let Some(request) = waiting.first() else { return Vec::new() };
                 let (order, lease, may_have_run) = (Some(order), None, false);
@@ -65,10 +65,10 @@
                 vec![LateDecision { request: request.id, decision }]
             }
             (Change::ChargeOrder { kind, .. }, _, Some(rejection)) => {
-                self.learn_rejection(now, &member, kind, rejection);
+                self.update_from_rejection(now, &member, kind, rejection);
                 self.reject_waiting(&member, rejection, waiting)
             }
-            // It does not fit the question.
+            // The answer does not match the call.
             (Change::GrantLease { .. } | Change::ChargeOrder { .. }, _, None) => {
                 let (reason, ends_in) = (RejectionReason::Invalid, Duration::ZERO);
                 let rejection = OwnerRejection { reason, window: 0, ends_in, free: 0 };
@@ -78,16 +78,16 @@
         }
     }
 
-    fn stop_asking(&mut self, member: &str, kind: RequestKind, number: u64) {
+    fn clear_pending_lease(&mut self, member: &str, kind: RequestKind, number: u64) {
         if let Some(leases) = self.kind_leases(member, kind) {
-            if leases.asking == Some(number) {
-                leases.asking = None;
+            if leases.pending_lease == Some(number) {
+                leases.pending_lease = None;
             }
         }
     }
 
-    /// Requests whose lease was rejected: those that need fewer units than it had to have, or all near the end, are asked for
-    /// one by one.
+    /// Handles waiting requests whose lease was rejected. Those smaller than the rejected minimum are retried one by
+    /// one, and all are if the quota is nearly exhausted or the call was superseded.
     fn retry_or_reject(
         &mut self,
         now: Instant,
@@ -101,45 +101,51 @@
         let (rejected, retried): (Vec<_>, Vec<_>) =
             waiting.into_iter().partition(|request| !is_retried && request.units >= minimum);
         let mut decisions = self.reject_waiting(member, rejection, rejected);
-        decisions.extend(self.ask_each(now, member, retried));
+        decisions.extend(self.serve_or_request_each(now, member, retried));
         decisions
     }
 
-    /// Holds a lease and serves who waits from it. One that came when its time was over, or that nobody needs, is settled at
-    /// once.
-    fn hold(
+    /// Holds a granted lease and serves waiting requests from it. A lease that arrives too late, is lost, has another
+    /// kind or belongs to a member that is no longer counted is settled immediately.
+    fn accept_grant(
         &mut self,
         now: Instant,
         member: &str,
         granted: GrantedLease,
         waiting: Vec<WaitingRequest>,
     ) -> Vec<LateDecision> {
-        let GrantedLease { kind, number, lease, free, asked_at } = granted;
-        self.stop_asking(member, kind, number);
-        let is_late = now - asked_at >= self.config.lease_duration;
-        let is_valid = !is_late && !lease.is_lost && lease.kind == kind;
+        let GrantedLease { kind, number, lease, free, requested_at } = granted;
+        self.clear_pending_lease(member, kind, number);
+        let has_expired = now - requested_at >= self.config.lease_duration;
+        let is_valid = !has_expired && !lease.is_lost && lease.kind == kind;
         if let Some(leases) = self.kind_leases(member, kind) {
-            leases.learn(lease.window, free);
+            leases.update_from_owner(lease.window, free);
         }
         let Some(leases) = self.kind_leases(member, kind).filter(|_| is_valid) else {
             let lease = self.operation_id(number);
             let change = Change::SettleLease { lease, used: 0, orders: Vec::new() };
             self.send_call(now, member, change, Vec::new());
-            return self.ask_each(now, member, waiting);
+            return self.serve_or_request_each(now, member, waiting);
         };
-        leases.held.insert(number, HeldLease::new(lease, asked_at));
-        self.busy.insert(member.to_string());
-        let decisions = self.ask_each(now, member, waiting);
+        leases.held.insert(number, HeldLease::new(lease, requested_at));
+        self.active.insert(member.to_string());
+        let decisions = self.serve_or_request_each(now, member, waiting);
         self.settle_if_due(now, member, kind, number);
         decisions
     }
 
-    /// What a rejection shows of the count.
-    fn learn_rejection(&mut self, now: Instant, member: &str, kind: RequestKind, rejection: OwnerRejection) {
+    /// Updates what is known of the quota from a rejection.
+    fn update_from_rejection(
+        &mut self,
+        now: Instant,
+        member: &str,
+        kind: RequestKind,
+        rejection: OwnerRejection,
+    ) {
         let OwnerRejection { reason, window, ends_in, free } = rejection;
         let until = now + self.config.exhausted_backoff;
         let Some(leases) = self.kind_leases(member, kind) else { return };
-        leases.learn(window, free);
+        leases.update_from_owner(window, free);
         match reason {
             RejectionReason::NearlyExhausted | RejectionReason::LimitReached => {
                 leases.nearly_exhausted_below = free.saturating_add(free / 4 + 1);
--- a/crates/control/quota/src/leases/decide.rs
+++ b/crates/control/quota/src/leases/decide.rs
@@ -1,4 +1,4 @@
-//! A request comes, or an accepted one ends.
+//! Decides on arriving requests and records the outcomes of accepted ones.
 
 use super::held::{Exhaustion, WaitingRequest, MAX_HELD_LEASES};
 use super::owner_calls::{LeaseRequest, FIRST_LEASE_UNITS};
@@ -9,11 +9,11 @@
 use crate::protocol::{Change, OrderId, RejectionReason};
 use silvercross_time::Instant;
 
-/// Requests that wait for one lease at most; further ones ask for their own.
+/// Maximum number of requests that wait for one lease; further ones request their own.
 const MAX_WAITING_PER_LEASE: usize = 64;
 
 impl QuotaLeases {
-    /// Decides on a request at its head, before its body is taken.
+    /// Decides on a request when its head has arrived, before its body is read.
     pub fn decide(&mut self, now: Instant, request: Request) -> Decision {
         self.step(now);
         let (member, kind) = (request.member, request.kind);
@@ -43,13 +43,13 @@
         }
         let waiting = WaitingRequest { id: request.id, kind, units, since: now };
         match order {
-            Some(order) => self.ask_for_order(now, member, order, waiting, quota.strict),
-            None => self.ask_for_units(now, member, waiting),
+            Some(order) => self.request_order_charge(now, member, order, waiting, quota.strict),
+            None => self.request_units(now, member, waiting),
         }
     }
 
-    /// Asks the owner to charge an order.
-    fn ask_for_order(
+    /// Sends an order to the owner to be charged.
+    fn request_order_charge(
         &mut self,
         now: Instant,
         member: &str,
@@ -66,10 +66,11 @@
         Decision::AwaitOwner
     }
 
-    /// Asks the owner for a lease, or waits for the one that is asked for; unless it said a moment ago that nothing is left.
-    fn ask_for_units(&mut self, now: Instant, member: &str, waiting: WaitingRequest) -> Decision {
+    /// Requests a lease or waits for the pending one, unless the owner has recently reported that the quota is
+    /// exhausted.
+    fn request_units(&mut self, now: Instant, member: &str, waiting: WaitingRequest) -> Decision {
         let (kind, units) = (waiting.kind, waiting.units);
-        let (config, slows) = (self.config, self.slows(member, kind));
+        let (config, slows) = (self.config, self.slows_when_exhausted(member, kind));
         let Some(leases) = self.kind_leases(member, kind) else { return Decision::Uncounted };
         if let Some(Exhaustion { until, window_ends }) = leases.exhaustion {
             if now < until && leases.free.is_some_and(|free| free < units) {
@@ -83,31 +84,31 @@
             }
         }
         let is_nearly_exhausted = leases.is_nearly_exhausted(config.min_lease);
-        let (asking, wanted) = (leases.asking, leases.wanted.max(FIRST_LEASE_UNITS).max(units));
+        let (pending_lease, wanted) = (leases.pending_lease, leases.wanted.max(FIRST_LEASE_UNITS).max(units));
         if leases.held.len() >= MAX_HELD_LEASES {
             return self.reject(member, kind, RejectionReason::Overloaded, config.retry_interval);
         }
         if is_nearly_exhausted {
-            self.ask_each(now, member, vec![waiting]);
+            self.serve_or_request_each(now, member, vec![waiting]);
             return Decision::AwaitOwner;
         }
-        let call = asking.and_then(|number| self.pending.get_mut(&number)).filter(|call| {
+        let call = pending_lease.and_then(|number| self.pending.get_mut(&number)).filter(|call| {
             call.waiting.len() < MAX_WAITING_PER_LEASE && now - call.since < config.retry_interval
         });
         match call {
             Some(call) => call.waiting.push(waiting),
-            None if asking.is_none() => {
+            None if pending_lease.is_none() => {
                 let request = LeaseRequest { member, kind, wanted, minimum: units };
-                self.ask_for_lease(now, request, vec![waiting]);
+                self.request_lease(now, request, vec![waiting]);
             }
             None => {
-                self.ask_each(now, member, vec![waiting]);
+                self.serve_or_request_each(now, member, vec![waiting]);
             }
         }
         Decision::AwaitOwner
     }
 
-    /// How an accepted request ended. To be called once for each [`Decision::Accepted`].
+    /// Records the outcome of an accepted request; to be called once for each [`Decision::Accepted`].
     pub fn finish(&mut self, now: Instant, attempt: u64, outcome: RequestOutcome) {
         let refunds_unknown = is_active(Mutation::RefundsUnknown);
         let is_refunded =
--- a/crates/control/quota/src/leases/local.rs
+++ b/crates/control/quota/src/leases/local.rs
@@ -1,4 +1,4 @@
-//! Units taken from leases that are held, and leases that are settled.
+//! Takes units from held leases and settles leases.
 
 use super::held::{HeldLease, HeldOrder, OpenRequest};
 use super::quota_leases::QuotaLeases;
@@ -8,7 +8,7 @@
 use silvercross_time::Instant;
 
 impl QuotaLeases {
-    /// Takes the units from a lease, if one is valid and has them.
+    /// Takes units for a request from a usable lease that has enough.
     pub(super) fn take_units(
         &mut self,
         now: Instant,
@@ -24,8 +24,8 @@
         let attempt = self.last_number + 1;
         let leases = self.kind_leases(member, kind)?;
         let free = leases.free.unwrap_or(0);
-        let has_room = |held: &HeldLease| held.is_usable(now, lease_duration) && held.fits(order, units);
-        let (number, held) = leases.held.iter_mut().find(|(_, held)| has_room(held))?;
+        let can_serve = |held: &HeldLease| held.is_usable(now, lease_duration) && held.fits(order, units);
+        let (number, held) = leases.held.iter_mut().find(|(_, held)| can_serve(held))?;
         let (number, window) = (*number, held.lease.window);
         held.used += units;
         held.open += 1;
@@ -41,7 +41,7 @@
         Some(Decision::Accepted { attempt, is_repeat: false, window, free })
     }
 
-    /// Another attempt of an order that a usable lease has taken: nothing more is counted.
+    /// Accepts another attempt of an order that is charged to a usable lease; nothing more is counted.
     fn repeat_order(
         &mut self,
         now: Instant,
@@ -53,8 +53,8 @@
         let leases = self.members.get_mut(member).map(|leases| &mut leases.kinds[kind.index()])?;
         let free = leases.free.unwrap_or(0);
         let mut usable = leases.held.iter_mut().filter(|(_, held)| held.is_usable(now, lease_duration));
-        let known = usable.find_map(|(number, held)| Some((*number, *held.orders.get(&order)?, held)));
-        let (number, HeldOrder { attempt, units, may_have_run }, held) = known?;
+        let repeated = usable.find_map(|(number, held)| Some((*number, *held.orders.get(&order)?, held)));
+        let (number, HeldOrder { attempt, units, may_have_run }, held) = repeated?;
         let window = held.lease.window;
         let open = self.open_requests.entry(attempt).or_insert_with(|| {
             held.open += 1;
@@ -65,30 +65,32 @@
         Some(Decision::Accepted { attempt, is_repeat: true, window, free })
     }
 
-    /// Settles a lease whose time comes, which is full, or from which nothing more is taken.
+    /// Settles a lease that is near its end, that is full or closed and whose requests have ended, or that is held
+    /// while the quota is nearly exhausted.
     pub(super) fn settle_if_due(&mut self, now: Instant, member: &str, kind: RequestKind, number: u64) {
         let (lease_duration, min_lease) = (self.config.lease_duration, self.config.min_lease);
         let Some(leases) = self.kind_leases(member, kind) else { return };
         let is_nearly_exhausted = leases.is_nearly_exhausted(min_lease);
         let Some(held) = leases.held.get_mut(&number) else { return };
-        let is_old = now - held.asked_at >= lease_duration / 4 * 3;
+        let is_near_expiry = now - held.requested_at >= lease_duration / 4 * 3;
         let is_full = held.used >= held.lease.amount;
         let is_done = (is_full || held.is_closed) && held.open == 0;
-        if is_old || is_nearly_exhausted || is_done {
+        if is_near_expiry || is_nearly_exhausted || is_done {
             self.settle(now, member, kind, number);
         }
     }
 
-    /// Tells the owner what was used of a lease and is done with it. Requests on it are from now on refunded to the owner.
+    /// Reports a lease's usage to the owner and gives the lease up. Refunds of its orders are sent to the owner from
+    /// then on.
     pub(super) fn settle(&mut self, now: Instant, member: &str, kind: RequestKind, number: u64) {
         let held = self.kind_leases(member, kind).and_then(|leases| leases.held.remove(&number));
         let Some(held) = held else { return };
-        let leased = |(order, held): (&OrderId, &HeldOrder)| LeasedOrder {
+        let to_leased_order = |(order, held): (&OrderId, &HeldOrder)| LeasedOrder {
             order: *order,
             attempt: self.operation_id(held.attempt),
             units: held.units,
         };
-        let orders = held.orders.iter().map(leased).collect();
+        let orders = held.orders.iter().map(to_leased_order).collect();
         let change = Change::SettleLease { lease: self.operation_id(number), used: held.used, orders };
         self.send_call(now, member, change, Vec::new());
     }
--- a/crates/control/quota/src/leases/mod.rs
+++ b/crates/control/quota/src/leases/mod.rs
@@ -1,9 +1,9 @@
-//! What a node holds of allowances, and what it does with a request at its head.
+//! The leases of a node, and its decisions on requests when their heads arrive.
 //!
-//! `request` is what the caller sees, `held` what is held of a member, [`QuotaLeases`] in `quota_leases` all of it. The other
-//! files are what happens to it, each using those before it: `owner_calls` (calls to owners), `local` (units of leases that are
-//! held), `recall` (leases given back), `waiting` (requests that wait for an owner), `step` (the clock), `decide` (a request comes, or ends),
-//! `answers` (an owner answers), `tick` (time passes).
+//! `request` holds the types of the interface, `held` the state kept for a member, `quota_leases` the state of the
+//! node, [`QuotaLeases`]. The other files implement it, each using those before it: `owner_calls` (calls to owners),
+//! `local` (units taken from held leases), `recall` (leases given back), `waiting` (requests that wait for an owner),
+//! `step` (the clock), `decide` (a request arrives or ends), `answers` (an owner answers), `tick` (time passes).
 
 mod answers;
 mod decide;
--- a/crates/control/quota/src/leases/owner_calls.rs
+++ b/crates/control/quota/src/leases/owner_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to owners: for leases ahead of their use, and to undo what may have been done.
+//! Calls to owners: requests for leases ahead of use, and cancellations of calls.
 
 use super::held::{PendingCall, WaitingRequest, MAX_HELD_LEASES};
 use super::quota_leases::{QuotaLeases, MAX_PENDING_CALLS};
@@ -7,21 +7,21 @@
 use crate::state::MAX_LEASE_UNITS;
 use silvercross_time::Instant;
 
-/// Units of a first lease that is asked for.
+/// Units requested with a first lease.
 pub(super) const FIRST_LEASE_UNITS: u64 = 16;
 
-/// A lease to be asked for.
+/// A lease to request.
 pub(super) struct LeaseRequest<'a> {
     pub(super) member: &'a str,
     pub(super) kind: RequestKind,
-    /// Units at most.
+    /// Maximum number of units.
     pub(super) wanted: u64,
-    /// Units at least, or 0.
+    /// Minimum number of units, or 0.
     pub(super) minimum: u64,
 }
 
 impl QuotaLeases {
-    /// Puts a call under way and gives its number, which is also that of the lease or attempt it is about.
+    /// Queues a call and returns its number, which is also the number of the lease or attempt that it is about.
     pub(super) fn send_call(
         &mut self,
         now: Instant,
@@ -37,8 +37,8 @@
         self.last_number
     }
 
-    /// Asks for the next lease of a kind.
-    pub(super) fn ask_for_lease(
+    /// Requests the next lease of a kind.
+    pub(super) fn request_lease(
         &mut self,
         now: Instant,
         request: LeaseRequest<'_>,
@@ -49,44 +49,47 @@
         let number =
             self.send_call(now, member, Change::GrantLease { lease, kind, wanted, minimum }, waiting);
         if let Some(leases) = self.kind_leases(member, kind) {
-            leases.asking = Some(number);
+            leases.pending_lease = Some(number);
         }
-        self.busy.insert(member.to_string());
+        self.active.insert(member.to_string());
     }
 
-    /// Asks for the next lease before the last one is used up or its time is over.
+    /// Requests the next lease before the current one is used up or expires.
     pub(super) fn refill(&mut self, now: Instant, member: &str, kind: RequestKind) {
         let (lease_duration, minimum) = (self.config.lease_duration, self.config.min_lease);
         let Some(leases) = self.kind_leases(member, kind) else { return };
-        let is_enough = leases.held.len() >= MAX_HELD_LEASES / 2;
-        if leases.asking.is_some() || leases.is_nearly_exhausted(minimum) || is_enough {
+        let has_enough_leases = leases.held.len() >= MAX_HELD_LEASES / 2;
+        if leases.pending_lease.is_some() || leases.is_nearly_exhausted(minimum) || has_enough_leases {
             return;
         }
-        let young = leases.held.values().filter(|held| held.is_usable(now, lease_duration / 2));
+        let recent = leases.held.values().filter(|held| held.is_usable(now, lease_duration / 2));
         let (free, largest) =
-            young.fold((0, 0), |(free, largest), held| (free + held.free(), held.lease.amount.max(largest)));
+            recent.fold((0, 0), |(free, largest), held| (free + held.free(), held.lease.amount.max(largest)));
         if free * 2 >= largest.max(1) {
             return;
         }
-        // Used up before half its time: more is wanted; its time half over: as much as was used.
+        // More than half used within half its lifetime: request twice as much. No lease that recent: request as much
+        // as was used.
         leases.wanted = match largest {
             0 => leases.held.values().map(|held| held.used).max().unwrap_or(0).max(FIRST_LEASE_UNITS),
             _ => leases.wanted.max(largest).saturating_mul(2).min(MAX_LEASE_UNITS),
         };
         let wanted = leases.wanted;
-        self.ask_for_lease(now, LeaseRequest { member, kind, wanted, minimum }, Vec::new());
+        self.request_lease(now, LeaseRequest { member, kind, wanted, minimum }, Vec::new());
     }
 
-    /// While the owner is out of reach and requests are rejected for it: one question under way, so that its return is seen.
+    /// Keeps one lease request pending while requests are rejected because the owner is unreachable, to detect when
+    /// it is reachable again.
     pub(super) fn probe_owner(&mut self, now: Instant, member: &str, kind: RequestKind) {
-        let is_asking = self.kind_leases(member, kind).is_some_and(|leases| leases.asking.is_some());
-        if !is_asking && self.pending.len() < MAX_PENDING_CALLS {
+        let is_requesting =
+            self.kind_leases(member, kind).is_some_and(|leases| leases.pending_lease.is_some());
+        if !is_requesting && self.pending.len() < MAX_PENDING_CALLS {
             let request = LeaseRequest { member, kind, wanted: FIRST_LEASE_UNITS, minimum: 0 };
-            self.ask_for_lease(now, request, Vec::new());
+            self.request_lease(now, request, Vec::new());
         }
     }
 
-    /// Tells the owner that nothing comes of a call, wherever its messages are.
+    /// Cancels a call at the owner, whether or not the call has arrived there.
     pub(super) fn cancel_call(&mut self, now: Instant, member: &str, change: &Change) {
         let undo = match change {
             Change::ChargeOrder { order, attempt, .. } => {
--- a/crates/control/quota/src/leases/quota_leases.rs
+++ b/crates/control/quota/src/leases/quota_leases.rs
@@ -1,4 +1,4 @@
-//! A node's leases of all allowances: the state, and what the operator's configuration and the owner change of it.
+//! A node's leases of all members, its configuration and its calls to send.
 
 use super::held::{KindLeases, MemberLeases, OpenRequest, PendingCall};
 use super::request::{Metrics, OwnerCall};
@@ -8,16 +8,17 @@
 use silvercross_time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members with an allowance at most; further ones are not counted here, which [`QuotaLeases::set_allowance`] says.
+/// Maximum number of members with an allowance. [`QuotaLeases::set_allowance`] returns `false` for a further one,
+/// which is not counted on this node.
 pub const MAX_MEMBERS: usize = 131_072;
-/// Calls to owners under way at most. At the bound what would need one is rejected as [`crate::RejectionReason::Overloaded`];
-/// settling and refunding go on.
+/// Maximum number of pending calls to owners. At the limit, what needs another call is rejected as
+/// [`crate::RejectionReason::Overloaded`]; calls that settle or refund are still sent.
 pub const MAX_PENDING_CALLS: usize = 8_192;
-/// Accepted requests whose end was not reported at most; beyond it they are rejected as
+/// Maximum number of accepted requests whose outcome was not reported; further ones are rejected as
 /// [`crate::RejectionReason::Overloaded`].
 pub const MAX_OPEN_REQUESTS: usize = 65_536;
 
-/// A node's leases of all allowances. Bounds: [`MAX_MEMBERS`], [`MAX_PENDING_CALLS`], [`MAX_OPEN_REQUESTS`],
+/// A node's leases of all members. Bounds: [`MAX_MEMBERS`], [`MAX_PENDING_CALLS`], [`MAX_OPEN_REQUESTS`],
 /// [`crate::MAX_HELD_LEASES`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLeases {
@@ -27,17 +28,17 @@
     pub(super) last_number: u64,
     pub(super) last_step: Instant,
     pub(super) members: BTreeMap<String, MemberLeases>,
-    /// Members that hold or ask for something.
-    pub(super) busy: BTreeSet<String>,
+    /// Members for which a lease is held or requested.
+    pub(super) active: BTreeSet<String>,
     pub(super) open_requests: BTreeMap<u64, OpenRequest>,
     pub(super) pending: BTreeMap<u64, PendingCall>,
-    /// Numbers of calls to be sent.
+    /// Numbers of the calls to send.
     pub(super) to_send: Vec<u64>,
     pub(super) metrics: Metrics,
 }
 
 impl QuotaLeases {
-    /// Empty. `incarnation` is to be above that of every earlier start of this node.
+    /// A node without leases. `incarnation` must be above that of every earlier start of this node.
     pub fn new(now: Instant, node: u32, incarnation: u64, config: QuotaConfig) -> QuotaLeases {
         QuotaLeases {
             node,
@@ -46,7 +47,7 @@
             last_number: 0,
             last_step: now,
             members: BTreeMap::new(),
-            busy: BTreeSet::new(),
+            active: BTreeSet::new(),
             open_requests: BTreeMap::new(),
             pending: BTreeMap::new(),
             to_send: Vec::new(),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// A member's allowance as this node knows it; an older version changes nothing. Returns whether it is counted here.
+    /// Sets a member's allowance if its version is newer. Returns whether the member is counted on this node.
     pub fn set_allowance(&mut self, allowance: &Allowance) -> bool {
         if let Some(member) = self.members.get_mut(&allowance.name) {
             if allowance.version > member.allowance.version {
@@ -71,18 +72,18 @@
         true
     }
 
-    /// Counters.
+    /// The counters.
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
 
-    /// Units that this node could still accept of a member's kind without asking.
+    /// Units of a member's kind left in the leases that this node holds.
     pub fn held_units(&self, member: &str, kind: RequestKind) -> u64 {
         let held = self.members.get(member).map(|leases| &leases.kinds[kind.index()].held);
         held.map_or(0, |held| held.values().map(|lease| lease.free()).sum())
     }
 
-    /// Takes the calls to be sent, first ones and those to be sent again.
+    /// Takes the calls to send, including those to send again.
     pub fn take_calls(&mut self) -> Vec<OwnerCall> {
         let numbers = std::mem::take(&mut self.to_send);
         let call = |number| {
@@ -94,12 +95,12 @@
         calls
     }
 
-    /// This node's name for the lease or attempt of a number.
+    /// The id of the lease or attempt with this number.
     pub(super) fn operation_id(&self, number: u64) -> OperationId {
         OperationId { node: self.node, incarnation: self.incarnation, number }
     }
 
-    /// What is open of a member's kind.
+    /// The leases of a kind of a member.
     pub(super) fn kind_leases(&mut self, member: &str, kind: RequestKind) -> Option<&mut KindLeases> {
         self.members.get_mut(member).map(|leases| &mut leases.kinds[kind.index()])
     }
--- a/crates/control/quota/src/leases/recall.rs
+++ b/crates/control/quota/src/leases/recall.rs
@@ -1,25 +1,26 @@
-//! Leases that are to be given back: the owner recalls them, the window has ended, the member is no more counted, the node
-//! stops.
+//! Gives leases back because the owner recalls them, the window has ended, the member is no longer counted, or the
+//! node stops.
 
 use super::quota_leases::QuotaLeases;
 use crate::allowance::RequestKind;
 use silvercross_time::Instant;
 
 impl QuotaLeases {
-    /// A member is no more counted. What is held of it is settled.
+    /// Stops counting a member and settles its leases.
     pub fn remove_allowance(&mut self, now: Instant, member: &str) {
         self.recall(now, member);
         self.members.remove(member);
-        self.busy.remove(member);
+        self.active.remove(member);
     }
 
-    /// It is heard, by whatever way, that a member's window runs.
+    /// Notes that a member's window has started, however the node learned of it, and settles the leases of older
+    /// windows.
     pub fn begin_window(&mut self, now: Instant, member: &str, window: u64) {
         let Some(leases) = self.members.get_mut(member) else { return };
         let mut holds_older = false;
         for kind in &mut leases.kinds {
             if window > kind.window {
-                kind.learn(window, 0);
+                kind.update_from_owner(window, 0);
                 kind.free = None;
                 holds_older |= !kind.held.is_empty();
             }
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The owner recalls a member's leases: all are settled.
+    /// Settles all leases of a member because the owner recalls them.
     pub fn recall(&mut self, now: Instant, member: &str) {
         for kind in RequestKind::ALL {
             let Some(leases) = self.kind_leases(member, kind) else { return };
@@ -40,9 +41,9 @@
         }
     }
 
-    /// This node stops gracefully: all leases are settled.
+    /// Settles all leases because this node is stopping.
     pub fn stop_gracefully(&mut self, now: Instant) {
-        for member in self.busy.clone() {
+        for member in self.active.clone() {
             self.recall(now, &member);
         }
     }
--- a/crates/control/quota/src/leases/request.rs
+++ b/crates/control/quota/src/leases/request.rs
@@ -1,66 +1,68 @@
-//! What the caller of a node's leases hands in and gets back.
+//! Inputs and results of [`crate::QuotaLeases`].
 
 use crate::allowance::RequestKind;
 use crate::protocol::{Change, OrderId, RejectionReason};
 use silvercross_time::Duration;
 
-/// A request at its head.
+/// A request whose head has arrived and whose body has not been read.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The caller's name for it, handed back with a later decision.
+    /// The caller's id for the request, returned with a deferred decision.
     pub id: u64,
     /// The member.
     pub member: &'a str,
-    /// Its kind.
+    /// The kind of request.
     pub kind: RequestKind,
-    /// Its order's number, if it came with one.
+    /// The id of its order number, if it has one.
     pub order: Option<OrderId>,
-    /// The length of its body, as the head gives it.
+    /// The length of its body according to the head.
     pub body_bytes: u64,
 }
 
-/// What is to be done with a request.
+/// What to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing is counted: it goes on.
+    /// Serve it; it is not counted.
     Uncounted,
-    /// It goes on, and its end is to be handed to [`crate::QuotaLeases::finish`].
+    /// Serve it, and report its outcome to [`crate::QuotaLeases::finish`].
     Accepted {
-        /// What its end is reported by.
+        /// The number to report its outcome with.
         attempt: u64,
-        /// Another attempt of its order was accepted before, as far as is known here.
+        /// Whether another attempt of its order is known to have been accepted before.
         is_repeat: bool,
-        /// In which window it is counted.
+        /// The window in which it is counted.
         window: u64,
-        /// Units free, by the owner's last answer.
+        /// Units free, according to the owner's last answer.
         free: u64,
     },
-    /// Nothing is left, and by the operator's choice it goes on uncounted, slowed as for a lapsed trial.
+    /// The quota is exhausted, and by the operator's configuration the request is served uncounted, slowed like the
+    /// reads of a member whose trial has lapsed.
     Slowed {
-        /// The window.
+        /// The current window.
         window: u64,
     },
-    /// It waits, its body untouched, until [`crate::QuotaLeases::handle_answer`] or [`crate::QuotaLeases::tick`] decides.
+    /// Let it wait, without reading its body, until [`crate::QuotaLeases::handle_answer`] or
+    /// [`crate::QuotaLeases::tick`] decides.
     AwaitOwner,
-    /// It is answered 429 (503 where the owner is out of reach), before its body is taken.
+    /// Answer 429 (503 if the owner is unreachable) without reading its body.
     Rejected {
-        /// Why.
+        /// The reason.
         reason: RejectionReason,
-        /// When to come back at most.
+        /// How long to wait before a retry, at most.
         retry_after: Duration,
-        /// Units free, by the owner's last answer.
+        /// Units free, according to the owner's last answer.
         free: u64,
-        /// The window, by the owner's last answer.
+        /// The window, according to the owner's last answer.
         window: u64,
     },
 }
 
-/// The decision on a request that waited.
+/// The decision on a request that waited for the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LateDecision {
-    /// The caller's name for the request.
+    /// The caller's id for the request.
     pub request: u64,
-    /// What is to be done with it.
+    /// What to do with it.
     pub decision: Decision,
 }
 
@@ -75,39 +77,40 @@
     NotRun,
 }
 
-/// A change for the owner of a member's count. Its outcome goes to [`crate::QuotaLeases::handle_answer`] by its number.
+/// A change to send to the owner of a member's quota state. The answer goes to [`crate::QuotaLeases::handle_answer`]
+/// with the number of the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerCall {
-    /// Its number.
+    /// The number of the call.
     pub number: u64,
-    /// Whose count.
+    /// The member whose quota state changes.
     pub member: String,
-    /// What to change.
+    /// The change.
     pub change: Change,
 }
 
-/// Plain counters.
+/// Counters since the start of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Requests accepted from a lease, without an exchange.
+    /// Requests accepted from a held lease, without waiting for the owner.
     pub accepted_locally: u64,
-    /// Requests accepted after an exchange.
+    /// Requests accepted after they waited for the owner.
     pub accepted_by_owner: u64,
     /// Requests rejected.
     pub rejected: u64,
-    /// Requests that went on uncounted because nothing was left.
+    /// Requests served uncounted because the quota was exhausted.
     pub slowed: u64,
-    /// Calls sent, those sent again included.
+    /// Calls sent, including those sent again.
     pub calls: u64,
-    /// Calls given up without an answer.
+    /// Calls whose waiting requests were rejected because no answer came in time.
     pub given_up: u64,
-    /// Units that were not used and could no more be given back.
+    /// Units that were not used but could not be given back because their lease was settled.
     pub forfeited: u64,
-    /// Times that this node was not stepped for too long and put its leases away.
+    /// Times this node was not stepped for too long and stopped using its leases.
     pub missed_steps: u64,
 }
 
 impl std::hash::Hash for Metrics {
-    /// States that differ in counters only are searched once.
+    /// Ignores the counters, so that a search treats states that differ only in them as one.
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
--- a/crates/control/quota/src/leases/step.rs
+++ b/crates/control/quota/src/leases/step.rs
@@ -1,11 +1,11 @@
-//! The node's clock: a node that was not stepped for too long does not know what became of its leases.
+//! The node's clock. A node that was not stepped for too long cannot know the state of its leases.
 
 use super::quota_leases::QuotaLeases;
 use crate::mutation::{is_active, Mutation};
 use silvercross_time::Instant;
 
 impl QuotaLeases {
-    /// Notes that time has passed. After too long a time nothing more is taken from the leases that are held.
+    /// Advances the clock. After a gap longer than `max_step`, nothing more is taken from the held leases.
     pub(super) fn step(&mut self, now: Instant) {
         let passed = now - self.last_step;
         if is_active(Mutation::EndsWindowByOwnClock) {
@@ -16,7 +16,7 @@
             return;
         }
         self.metrics.missed_steps += 1;
-        for member in &self.busy {
+        for member in &self.active {
             let Some(leases) = self.members.get_mut(member) else { continue };
             for held in leases.kinds.iter_mut().flat_map(|kind| kind.held.values_mut()) {
                 held.is_closed = true;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The mutation: a node's own clock begins a window.
+    /// Implements [`Mutation::EndsWindowByOwnClock`]: starts a new window by the node's own clock.
     fn end_windows_by_own_clock(&mut self, now: Instant) {
         let last_step = self.last_step;
         for leases in self.members.values_mut() {
@@ -33,7 +33,7 @@
                 continue;
             }
             for held in leases.kinds.iter_mut().flat_map(|kind| kind.held.values_mut()) {
-                (held.used, held.asked_at) = (0, now);
+                (held.used, held.requested_at) = (0, now);
                 held.orders.clear();
             }
         }
--- a/crates/control/quota/src/leases/waiting.rs
+++ b/crates/control/quota/src/leases/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an owner: served by what is held meanwhile, asked for one by one, or rejected.
+//! Requests that wait for an owner: served from held leases, sent to the owner one by one, or rejected.
 
 use super::held::WaitingRequest;
 use super::quota_leases::{QuotaLeases, MAX_PENDING_CALLS};
@@ -7,7 +7,7 @@
 use crate::protocol::{Change, RejectionReason};
 use silvercross_time::{Duration, Instant};
 
-/// An owner's rejection.
+/// An owner's rejection of a call.
 #[derive(Clone, Copy)]
 pub(super) struct OwnerRejection {
     pub(super) reason: RejectionReason,
@@ -17,7 +17,7 @@
 }
 
 impl QuotaLeases {
-    /// Rejects a request without asking the owner.
+    /// Rejects a request by this node's own decision.
     pub(super) fn reject(
         &mut self,
         member: &str,
@@ -31,14 +31,15 @@
         Decision::Rejected { reason, retry_after, free, window }
     }
 
-    /// Whether a kind's requests go on, slowed, when nothing is left.
-    pub(super) fn slows(&self, member: &str, kind: RequestKind) -> bool {
+    /// Whether requests of a kind are served slowed when the quota is exhausted.
+    pub(super) fn slows_when_exhausted(&self, member: &str, kind: RequestKind) -> bool {
         let quota = self.members.get(member).and_then(|leases| leases.allowance.quota(kind));
         quota.is_some_and(|quota| quota.when_exhausted == WhenExhausted::Slow)
     }
 
-    /// A lease of its own for each, if no lease held by now has room; those that waited too long are rejected.
-    pub(super) fn ask_each(
+    /// Serves each request from a held lease or requests a lease of its own for it; those that have waited too long
+    /// are rejected.
+    pub(super) fn serve_or_request_each(
         &mut self,
         now: Instant,
         member: &str,
@@ -52,8 +53,8 @@
                 decisions.push(LateDecision { request: id, decision });
                 continue;
             }
-            let is_late = now - since >= self.config.decision_timeout;
-            if is_late || self.pending.len() >= MAX_PENDING_CALLS {
+            let has_timed_out = now - since >= self.config.decision_timeout;
+            if has_timed_out || self.pending.len() >= MAX_PENDING_CALLS {
                 let retry_after = self.config.retry_interval;
                 let decision = self.reject(member, kind, RejectionReason::Overloaded, retry_after);
                 decisions.push(LateDecision { request: id, decision });
@@ -62,12 +63,12 @@
             let lease = self.operation_id(self.last_number + 1);
             let change = Change::GrantLease { lease, kind, wanted: units, minimum: units };
             self.send_call(now, member, change, vec![request]);
-            self.busy.insert(member.to_string());
+            self.active.insert(member.to_string());
         }
         decisions
     }
 
-    /// Requests that the owner rejected.
+    /// Decisions on requests whose call the owner rejected.
     pub(super) fn reject_waiting(
         &mut self,
         member: &str,
@@ -82,15 +83,16 @@
         };
         let mut decisions = Vec::new();
         for request in waiting {
-            let decision = if reason == RejectionReason::Exhausted && self.slows(member, request.kind) {
-                self.metrics.slowed += 1;
-                Decision::Slowed { window }
-            } else if reason == RejectionReason::NotAllowed {
-                Decision::Uncounted
-            } else {
-                self.metrics.rejected += 1;
-                Decision::Rejected { reason, retry_after, free, window }
-            };
+            let decision =
+                if reason == RejectionReason::Exhausted && self.slows_when_exhausted(member, request.kind) {
+                    self.metrics.slowed += 1;
+                    Decision::Slowed { window }
+                } else if reason == RejectionReason::NotAllowed {
+                    Decision::Uncounted
+                } else {
+                    self.metrics.rejected += 1;
+                    Decision::Rejected { reason, retry_after, free, window }
+                };
             decisions.push(LateDecision { request: request.id, decision });
         }
         decisions
