--- a/crates/control/quota/examples/cost.rs
+++ b/crates/control/quota/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Prints what the shared allowance costs: messages, exchanges, bytes, time. `cargo run --release --example cost`.
+//! Prints the cost of the shared quota: messages, exchanges, bytes, time. `cargo run --release --example cost`.
 
 use silvercross_control_store::State;
 use silvercross_quota::*;
@@ -20,16 +20,17 @@
     }
 }
 
-/// One member's reads at all nodes, so many a second in all: exchanges a second, and the share of requests that waited.
+/// Simulates one member's reads spread over `nodes`, `rate` a second in total. Returns exchanges a second, the share
+/// of requests that waited, and the numbers of accepted and rejected requests.
 fn exchanges(nodes: u32, rate: u64, amount: u64, seconds: u64) -> (f64, f64, u64, u64) {
     let mut state = QuotaState::default();
     let _ = state.apply(&Change::SetAllowance(allowance("m", amount)));
     let mut nodes: Vec<QuotaLeases> =
         (0..nodes).map(|n| QuotaLeases::new(Instant::ZERO, n, 1, QuotaConfig::default())).collect();
-    nodes.iter_mut().for_each(|p| {
-        p.set_allowance(&allowance("m", amount));
+    nodes.iter_mut().for_each(|node_leases| {
+        node_leases.set_allowance(&allowance("m", amount));
     });
-    let (mut calls, mut waited, mut accepted, mut refused) = (0u64, 0u64, 0u64, 0u64);
+    let (mut calls, mut waited, mut accepted, mut rejected) = (0u64, 0u64, 0u64, 0u64);
     let mut id = 0u64;
     for slot in 0..seconds * 10 {
         let now = Instant::ZERO + SECOND * slot as i64 / 10;
@@ -46,11 +47,11 @@
                 waited += 1;
             }
             loop {
-                let out = nodes[node].take_calls();
-                if out.is_empty() {
+                let pending = nodes[node].take_calls();
+                if pending.is_empty() {
                     break;
                 }
-                for call in out {
+                for call in pending {
                     calls += 1;
                     let outcome = state.apply(&call.change);
                     let answer = state.answer(&call.change, &outcome);
@@ -64,7 +65,7 @@
                         accepted += 1;
                         nodes[node].finish(now, attempt, RequestOutcome::Ran);
                     }
-                    Decision::Rejected { .. } => refused += 1,
+                    Decision::Rejected { .. } => rejected += 1,
                     _ => {}
                 }
             }
@@ -80,7 +81,7 @@
             }
         }
     }
-    (calls as f64 / seconds as f64, waited as f64 / id as f64, accepted, refused)
+    (calls as f64 / seconds as f64, waited as f64 / id as f64, accepted, rejected)
 }
 
 fn main() {
@@ -89,9 +90,9 @@
     );
     for nodes in [12, 100, 1_000] {
         for (rate, amount) in [(1, 1_000_000), (100, 1_000_000), (1_000, 1_000_000), (100, 5_000)] {
-            let (calls, waited, accepted, refused) = exchanges(nodes, rate, amount, 60);
+            let (calls, waited, accepted, rejected) = exchanges(nodes, rate, amount, 60);
             println!(
-                "{nodes:5} nodes, {rate:5}/s of {amount:8}: {calls:8.1} exchanges/s, {:5.1}% waited, {accepted} accepted, {refused} refused",
+                "{nodes:5} nodes, {rate:5}/s of {amount:8}: {calls:8.1} exchanges/s, {:5.1}% waited, {accepted} accepted, {rejected} rejected",
                 waited * 100.0
             );
         }
@@ -119,20 +120,23 @@
     }
     let (mut leases, mut state) =
         (QuotaLeases::new(Instant::ZERO, 1, 1, QuotaConfig::default()), QuotaState::default());
-    let many = 100_000;
-    let before = resident();
-    for n in 0..many {
+    let member_count = 100_000;
+    let before = resident_bytes();
+    for n in 0..member_count {
         leases.set_allowance(&allowance(&format!("member-{n}"), 1_000_000));
     }
-    println!("{many} members set at a node: {} bytes each in memory", (resident() - before) / many);
-    let begun = StdInstant::now();
+    println!(
+        "{member_count} members set at a node: {} bytes each in memory",
+        (resident_bytes() - before) / member_count
+    );
+    let started = StdInstant::now();
     for _ in 0..100 {
         leases.tick(Instant::ZERO);
     }
-    println!("a tick with {many} idle members: {:?}", begun.elapsed() / 100);
+    println!("a tick with {member_count} idle members: {:?}", started.elapsed() / 100);
     let _ = state.apply(&Change::SetAllowance(allowance("member-7", 1_000_000_000)));
-    let (mut taken, rounds) = (0u64, 1_000_000u64);
-    let begun = StdInstant::now();
+    let (mut accepted_total, rounds) = (0u64, 1_000_000u64);
+    let started = StdInstant::now();
     for id in 0..rounds {
         let now = Instant::from_micros(id as i64 * 10);
         let request = Request { id, member: "member-7", kind: RequestKind::Read, order: None, body_bytes: 0 };
@@ -145,27 +149,27 @@
         }
         for decision in decisions {
             if let Decision::Accepted { attempt, .. } = decision {
-                taken += 1;
+                accepted_total += 1;
                 leases.finish(now, attempt, RequestOutcome::Ran);
             }
         }
     }
     println!(
-        "{rounds} requests far from the end, {taken} accepted: {:?} each, the owner's share in it",
-        begun.elapsed() / rounds as u32
+        "{rounds} requests far from exhaustion, {accepted_total} accepted: {:?} each, including the owner's work",
+        started.elapsed() / rounds as u32
     );
-    let free = QuotaLeases::new(Instant::ZERO, 1, 1, QuotaConfig::default());
-    let mut free = free;
-    let begun = StdInstant::now();
+    let without_allowance = QuotaLeases::new(Instant::ZERO, 1, 1, QuotaConfig::default());
+    let mut without_allowance = without_allowance;
+    let started = StdInstant::now();
     for id in 0..rounds {
         let request = Request { id, member: "member-7", kind: RequestKind::Read, order: None, body_bytes: 0 };
-        std::hint::black_box(free.decide(Instant::ZERO, request));
+        std::hint::black_box(without_allowance.decide(Instant::ZERO, request));
     }
-    println!("where no allowance is set: {:?} a request", begun.elapsed() / rounds as u32);
+    println!("where no allowance is set: {:?} a request", started.elapsed() / rounds as u32);
 }
 
-/// Bytes of this process in memory; 0 where the system does not tell.
-fn resident() -> u64 {
+/// Resident memory of this process in bytes; 0 where the system does not report it.
+fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * 4096
 }
--- a/crates/control/quota/tests/common/mod.rs
+++ b/crates/control/quota/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of this folder share: an allowance, and the world of drawn schedules.
+//! Shared by the tests of this folder: an allowance, and the simulation of random schedules.
 #![allow(dead_code, unused_imports, reason = "each test target uses a part of it")]
 
 mod check;
-pub mod plain;
+pub mod model;
 mod world;
 
 use silvercross_quota::{Allowance, KindQuota, Unit, WhenExhausted, WhenUnreachable};
@@ -13,7 +13,7 @@
 pub const MEMBER: &str = "workshop-7";
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// The moment so many microseconds after the clock's beginning.
+/// The instant `micros` microseconds after the clock's start.
 pub fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
 }
--- a/crates/control/quota/tests/common/plain.rs
+++ b/crates/control/quota/tests/common/model.rs
@@ -1,4 +1,5 @@
-//! The slow plain counter: it sees every change in the owner's order and works everything out anew from lists.
+//! A slow reference model of the quota state: it sees every change in the owner's order and recomputes all sums from
+//! lists.
 
 use silvercross_control_store::Rejection;
 use silvercross_quota::{
@@ -10,14 +11,14 @@
     order: OrderId,
     attempt: OperationId,
     is_charged: bool,
-    /// Whether it began the order's charge.
+    /// Whether the order was uncharged before this attempt.
     is_first: bool,
     window: u64,
     kind: RequestKind,
     units: u64,
 }
 
-struct PlainLease {
+struct ModelLease {
     id: OperationId,
     window: u64,
     kind: RequestKind,
@@ -26,58 +27,65 @@
     is_settled: bool,
 }
 
-/// One counter.
-pub struct PlainCounter {
+/// The reference model of one member's quota state.
+pub struct QuotaModel {
     amounts: [u64; 3],
     window: u64,
     attempts: Vec<Attempt>,
-    plain: Vec<(u64, RequestKind, u64)>,
-    leases: Vec<PlainLease>,
+    orderless_charges: Vec<(u64, RequestKind, u64)>,
+    leases: Vec<ModelLease>,
 }
 
-impl PlainCounter {
-    pub fn new(amounts: [u64; 3]) -> PlainCounter {
-        PlainCounter { amounts, window: 0, attempts: Vec::new(), plain: Vec::new(), leases: Vec::new() }
+impl QuotaModel {
+    pub fn new(amounts: [u64; 3]) -> QuotaModel {
+        QuotaModel {
+            amounts,
+            window: 0,
+            attempts: Vec::new(),
+            orderless_charges: Vec::new(),
+            leases: Vec::new(),
+        }
     }
 
     pub fn attempts_of(&self, order: Option<&OrderId>) -> Vec<Attempt> {
         self.attempts.iter().filter(|attempt| Some(&attempt.order) == order).cloned().collect()
     }
 
-    fn charged_by(&self, order: OrderId) -> Option<(u64, RequestKind, u64)> {
-        let of = |t: &&Attempt| t.order == order;
-        if !self.attempts.iter().filter(of).any(|t| t.is_charged) {
+    fn order_charge(&self, order: OrderId) -> Option<(u64, RequestKind, u64)> {
+        let is_selected = |a: &&Attempt| a.order == order;
+        if !self.attempts.iter().filter(is_selected).any(|a| a.is_charged) {
             return None;
         }
-        self.attempts.iter().filter(of).rfind(|t| t.is_first).map(|t| (t.window, t.kind, t.units))
+        self.attempts.iter().filter(is_selected).rfind(|a| a.is_first).map(|a| (a.window, a.kind, a.units))
     }
 
     pub fn charged(&self, window: u64, kind: RequestKind) -> u64 {
-        let mut orders: Vec<OrderId> = self.attempts.iter().map(|t| t.order).collect();
+        let mut orders: Vec<OrderId> = self.attempts.iter().map(|a| a.order).collect();
         orders.sort();
         orders.dedup();
-        let by_order = orders.into_iter().filter_map(|order| self.charged_by(order));
-        let all = by_order.chain(self.plain.iter().copied());
+        let by_order = orders.into_iter().filter_map(|order| self.order_charge(order));
+        let all = by_order.chain(self.orderless_charges.iter().copied());
         all.filter(|(w, k, _)| (*w, *k) == (window, kind)).map(|(_, _, units)| units).sum()
     }
 
-    fn units_aside(&self, window: u64, kind: RequestKind, is_lost: bool) -> u64 {
-        let of =
-            |p: &&PlainLease| !p.is_settled && p.is_lost == is_lost && (p.window, p.kind) == (window, kind);
-        self.leases.iter().filter(of).map(|p| p.amount).sum()
+    fn units_in_leases(&self, window: u64, kind: RequestKind, is_lost: bool) -> u64 {
+        let is_selected =
+            |l: &&ModelLease| !l.is_settled && l.is_lost == is_lost && (l.window, l.kind) == (window, kind);
+        self.leases.iter().filter(is_selected).map(|l| l.amount).sum()
     }
 
-    fn verdict(&self, kind: RequestKind, units: u64) -> Option<RejectionReason> {
-        let certain = self.charged(self.window, kind) + self.units_aside(self.window, kind, true) + units;
-        let open = self.units_aside(self.window, kind, false);
+    fn expected_rejection(&self, kind: RequestKind, units: u64) -> Option<RejectionReason> {
+        let used_units =
+            self.charged(self.window, kind) + self.units_in_leases(self.window, kind, true) + units;
+        let open = self.units_in_leases(self.window, kind, false);
         match self.amounts[kind as usize] {
-            amount if certain + open <= amount => None,
-            amount if certain <= amount => Some(RejectionReason::LeasedElsewhere),
+            amount if used_units + open <= amount => None,
+            amount if used_units <= amount => Some(RejectionReason::LeasedElsewhere),
             _ => Some(RejectionReason::Exhausted),
         }
     }
 
-    /// Takes in a change that the owner decided on, with its outcome, and the count after it.
+    /// Applies a change that the owner has decided on, and compares the outcome and the resulting state with the model.
     pub fn observe(
         &mut self,
         change: &Change,
@@ -86,17 +94,19 @@
     ) -> Result<(), String> {
         match change {
             Change::GrantLease { lease: id, kind, minimum, .. } => {
-                let given = state.leases().find(|(known, _)| known == id).map(|(_, p)| *p);
-                match (outcome, given) {
-                    (Ok(true), Some(given)) => {
-                        if given.amount < *minimum || self.verdict(*kind, given.amount).is_some() {
-                            return Err(format!("beyond the allowance: {change:?} gave {given:?}"));
+                let granted = state.leases().find(|(known, _)| known == id).map(|(_, l)| *l);
+                match (outcome, granted) {
+                    (Ok(true), Some(granted)) => {
+                        if granted.amount < *minimum
+                            || self.expected_rejection(*kind, granted.amount).is_some()
+                        {
+                            return Err(format!("exceeds the allowance: {change:?} granted {granted:?}"));
                         }
-                        self.leases.push(PlainLease {
+                        self.leases.push(ModelLease {
                             id: *id,
                             window: self.window,
                             kind: *kind,
-                            amount: given.amount,
+                            amount: granted.amount,
                             is_lost: false,
                             is_settled: false,
                         });
@@ -104,8 +114,10 @@
                     (Err(rejection), None)
                         if RejectionReason::of(rejection) == RejectionReason::Exhausted =>
                     {
-                        if self.verdict(*kind, (*minimum).max(1)) != Some(RejectionReason::Exhausted) {
-                            return Err(format!("rejected while something was left: {change:?}"));
+                        if self.expected_rejection(*kind, (*minimum).max(1))
+                            != Some(RejectionReason::Exhausted)
+                        {
+                            return Err(format!("rejected as exhausted while units were left: {change:?}"));
                         }
                     }
                     (Ok(false), Some(_)) | (Err(_), None) => {}
@@ -113,14 +125,16 @@
                 }
             }
             Change::ChargeOrder { order, attempt, kind, units } => {
-                let known = self.attempts.iter().any(|t| t.attempt == *attempt);
-                let before = self.charged_by(*order);
-                let expected = if known || before.is_some() { None } else { self.verdict(*kind, *units) };
-                // Of an order with more attempts than are remembered, one that was given back is not known again.
-                let all = self.attempts.iter().filter(|t| t.order == *order);
-                if known && before.is_none() && all.count() > MAX_ATTEMPTS_PER_ORDER {
+                let known = self.attempts.iter().any(|a| a.attempt == *attempt);
+                let before = self.order_charge(*order);
+                let expected =
+                    if known || before.is_some() { None } else { self.expected_rejection(*kind, *units) };
+                // When an order has more attempts than are remembered, a refunded attempt may be unknown and charged
+                // anew.
+                let attempts_of_order = self.attempts.iter().filter(|a| a.order == *order);
+                if known && before.is_none() && attempts_of_order.count() > MAX_ATTEMPTS_PER_ORDER {
                     let attempt = *attempt;
-                    let begun = Attempt {
+                    let restarted = Attempt {
                         order: *order,
                         attempt,
                         is_charged: true,
@@ -130,11 +144,11 @@
                         units: *units,
                     };
                     if outcome == &Ok(true) {
-                        self.attempts.retain(|t| t.attempt != attempt);
-                        self.attempts.push(begun);
+                        self.attempts.retain(|a| a.attempt != attempt);
+                        self.attempts.push(restarted);
                     }
                 } else if outcome.as_ref().err().map(RejectionReason::of) != expected {
-                    return Err(format!("{change:?}: {outcome:?}, the plain counter says {expected:?}"));
+                    return Err(format!("{change:?}: {outcome:?}, the model expects {expected:?}"));
                 }
                 if expected.is_none() && !known && outcome.is_ok() {
                     let (window, is_first) = (self.window, before.is_none());
@@ -151,8 +165,8 @@
                 }
             }
             Change::RefundOrder { order, attempt } => {
-                match self.attempts.iter_mut().find(|t| t.attempt == *attempt) {
-                    Some(t) => t.is_charged = false,
+                match self.attempts.iter_mut().find(|a| a.attempt == *attempt) {
+                    Some(a) => a.is_charged = false,
                     None => {
                         let (order, attempt, window) = (*order, *attempt, self.window);
                         let kind = RequestKind::Confirmation;
@@ -169,17 +183,17 @@
                 }
             }
             Change::SettleLease { lease: id, used, orders } => {
-                let live = |p: &&mut PlainLease| p.id == *id && !p.is_settled && p.window + 1 >= self.window;
+                let live = |l: &&mut ModelLease| l.id == *id && !l.is_settled && l.window + 1 >= self.window;
                 if let Some(lease) = self.leases.iter_mut().find(live) {
                     lease.is_settled = true;
                     let (window, kind) = (lease.window, lease.kind);
-                    let mut rest = *used;
+                    let mut remaining = *used;
                     for leased in orders {
-                        rest -= leased.units;
-                        if self.attempts.iter().any(|t| t.attempt == leased.attempt) {
+                        remaining -= leased.units;
+                        if self.attempts.iter().any(|a| a.attempt == leased.attempt) {
                             continue;
                         }
-                        let is_first = self.charged_by(leased.order).is_none();
+                        let is_first = self.order_charge(leased.order).is_none();
                         let (order, attempt, units) = (leased.order, leased.attempt, leased.units);
                         self.attempts.push(Attempt {
                             order,
@@ -191,46 +205,48 @@
                             units,
                         });
                     }
-                    self.plain.push((window, kind, rest));
+                    self.orderless_charges.push((window, kind, remaining));
                 }
             }
             Change::ExpireLease { lease: id } => {
-                if let Some(lease) = self.leases.iter_mut().find(|p| p.id == *id) {
+                if let Some(lease) = self.leases.iter_mut().find(|l| l.id == *id) {
                     lease.is_lost = true;
                 }
             }
             Change::EndWindow { window } if outcome == &Ok(true) => {
                 self.window = window + 1;
-                let mut orders: Vec<OrderId> = self.attempts.iter().map(|t| t.order).collect();
+                let mut orders: Vec<OrderId> = self.attempts.iter().map(|a| a.order).collect();
                 orders.sort();
                 orders.dedup();
                 for order in orders {
-                    let of = |t: &&Attempt| t.order == order;
-                    let first = self.attempts.iter().filter(of).rfind(|t| t.is_first);
-                    let begun = first.or(self.attempts.iter().find(of)).map_or(0, |t| t.window);
-                    if begun < *window {
-                        self.attempts.retain(|t| t.order != order);
+                    let is_selected = |a: &&Attempt| a.order == order;
+                    let first = self.attempts.iter().filter(is_selected).rfind(|a| a.is_first);
+                    let first_window =
+                        first.or(self.attempts.iter().find(is_selected)).map_or(0, |a| a.window);
+                    if first_window < *window {
+                        self.attempts.retain(|a| a.order != order);
                     }
                 }
             }
             _ => {}
         }
         if state.window() != self.window {
-            return Err(format!("window {} begun unasked", state.window()));
+            return Err(format!("window {} started without an EndWindow change", state.window()));
         }
         for kind in RequestKind::ALL {
             for window in [self.window, self.window.saturating_sub(1)] {
-                let (real, plain) = (state.charged_units(window, kind), self.charged(window, kind));
-                if real != plain {
+                let (real, modelled) = (state.charged_units(window, kind), self.charged(window, kind));
+                if real != modelled {
                     return Err(format!(
-                        "charged {real} {} in window {window}, the plain counter says {plain}, after {change:?}",
+                        "charged {real} {} in window {window}, the model expects {modelled}, after {change:?}",
                         kind.as_str()
                     ));
                 }
-                let all =
-                    plain + self.units_aside(window, kind, false) + self.units_aside(window, kind, true);
+                let all = modelled
+                    + self.units_in_leases(window, kind, false)
+                    + self.units_in_leases(window, kind, true);
                 if all > self.amounts[kind as usize] {
-                    return Err(format!("beyond the allowance: {all} {}", kind.as_str()));
+                    return Err(format!("exceeds the allowance: {all} {}", kind.as_str()));
                 }
             }
         }
--- a/crates/control/quota/tests/common/world.rs
+++ b/crates/control/quota/tests/common/world.rs
@@ -1,6 +1,7 @@
-//! Nodes, an owner that changes, and everything between them that can go wrong, in simulated time from a seed.
+//! Simulates nodes, a changing owner and faults of the processes and messages between them, in simulated time from a
+//! seed.
 
-use super::plain::PlainCounter;
+use super::model::QuotaModel;
 use super::{allowance, at, MEMBER, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,30 +11,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// After the end nothing is lost any more, and for so long all comes to rest.
-const QUIET_SPAN: Duration = Duration::from_secs(45);
+/// Time without faults after the end of a schedule, in which open leases are settled or expire.
+const SETTLE_TIME: Duration = Duration::from_secs(45);
 
-/// A process of a node.
+/// One incarnation of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Process {
     node: usize,
     incarnation: u64,
 }
 
-/// A request that a node accepted, as the client's side knows it.
+/// A request that a node accepted, as its client sees it.
 pub(super) struct Accepted {
-    by: Process,
+    process: Process,
     attempt: u64,
     pub(super) order: Option<OrderId>,
     pub(super) kind: RequestKind,
     pub(super) window: u64,
-    /// `None` until it ended, or for good if its node died.
+    /// `None` until it ends; it never ends if its node was killed.
     pub(super) outcome: Option<RequestOutcome>,
 }
 
 enum Event {
     RequestArrives { node: usize, kind: RequestKind, order: Option<OrderId> },
-    CallArrives { from: Process, copy: u64, call: OwnerCall },
+    CallArrives { from: Process, sending: u64, call: OwnerCall },
     AnswerArrives { to: Process, number: u64, answer: OwnerAnswer },
     RequestEnds { accepted: usize, outcome: RequestOutcome },
     Recall { node: usize },
@@ -47,22 +48,22 @@
     pub(super) leases: QuotaLeases,
     incarnation: u64,
     clock_offset: Duration,
-    /// Of 1,000: how fast its clock goes.
+    /// Rate of its clock, in thousandths.
     clock_rate: i64,
     frozen_until: Instant,
-    cut_until: Instant,
+    partitioned_until: Instant,
 }
 
-/// What a schedule came to.
+/// Counts of what happened in a schedule.
 #[derive(Default, Clone, Copy, Debug)]
 pub struct Totals {
     pub accepted: u64,
     pub rejected: u64,
     pub repeats: u64,
-    pub owners: u64,
+    pub owner_changes: u64,
     pub faults: u64,
     pub lost_leases: u64,
-    pub exact: u64,
+    pub checked_exactly: u64,
 }
 
 pub struct World {
@@ -73,26 +74,26 @@
     queue: BTreeMap<(Instant, u64), Event>,
     pub(super) nodes: Vec<Node>,
     pub(super) state: QuotaState,
-    pub(super) plain: PlainCounter,
+    pub(super) model: QuotaModel,
     timer: WindowTimer,
     config: QuotaConfig,
     pub(super) allowance: Allowance,
     epoch: u64,
-    /// Nobody owns the key before this.
+    /// The key has no owner before this time.
     owned_from: Instant,
     pub(super) owner_frozen_until: Instant,
-    pub(super) is_any_killed: bool,
+    pub(super) any_node_killed: bool,
     pub(super) waiting: BTreeMap<(Process, u64), (RequestKind, Option<OrderId>)>,
     last_request: u64,
     pub(super) accepted: Vec<Accepted>,
-    /// How often each order arrived.
+    /// Number of attempts of each order.
     pub(super) attempts: BTreeMap<OrderId, usize>,
-    /// Copies of calls that an owner has served.
+    /// Calls that an owner has served, by the id of their sending.
     served: BTreeSet<u64>,
     pub(super) totals: Totals,
 }
 
-/// Draws an amount: some, a few dozen, or some hundred units.
+/// Draws an amount: a few, dozens or hundreds of units.
 fn draw_amount(rng: &mut Pcg64Mcg) -> u64 {
     match rng.next_u32() % 3 {
         0 => 1 + u64::from(rng.next_u32() % 6),
@@ -106,14 +107,14 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let amounts = [draw_amount(&mut rng), draw_amount(&mut rng), draw_amount(&mut rng)];
         let strict = rng.next_u32() % 4 == 0;
-        let is_rejected = rng.next_u32() % 4 == 0;
+        let rejects_when_unreachable = rng.next_u32() % 4 == 0;
         let when_unreachable =
-            if is_rejected { WhenUnreachable::Reject } else { WhenUnreachable::ServeFromLeases };
+            if rejects_when_unreachable { WhenUnreachable::Reject } else { WhenUnreachable::ServeFromLeases };
         let allowance = allowance(amounts, strict, when_unreachable);
         let min_lease = u64::from(rng.next_u32() % 4 == 0) * 2;
         let config = QuotaConfig { min_lease, ..QuotaConfig::default() };
         let mut state = QuotaState::default();
-        state.apply(&Change::SetAllowance(allowance.clone())).expect("a first allowance");
+        state.apply(&Change::SetAllowance(allowance.clone())).expect("the first allowance is accepted");
         let mut world = World {
             rng,
             now: Instant::ZERO,
@@ -122,14 +123,14 @@
             queue: BTreeMap::new(),
             nodes: Vec::new(),
             state,
-            plain: PlainCounter::new(amounts),
+            model: QuotaModel::new(amounts),
             timer: WindowTimer::new(Instant::ZERO, config),
             config,
             allowance,
             epoch: 1,
             owned_from: Instant::ZERO,
             owner_frozen_until: Instant::ZERO,
-            is_any_killed: false,
+            any_node_killed: false,
             waiting: BTreeMap::new(),
             last_request: 0,
             accepted: Vec::new(),
@@ -139,13 +140,13 @@
         };
         world.timer.observe(Instant::ZERO, MEMBER, &world.state);
         world.draw_nodes();
-        world.at(Instant::ZERO + TICK_INTERVAL, Event::OwnerTick { epoch: 1 });
+        world.schedule_at(Instant::ZERO + TICK_INTERVAL, Event::OwnerTick { epoch: 1 });
         let seconds = [20, 50, 90, 140][world.draw(4) as usize];
         world.end = Instant::ZERO + SECOND * seconds;
         world.draw_requests();
         for _ in 0..world.draw(6) {
             let when = world.draw_moment();
-            world.at(when, Event::Fault);
+            world.schedule_at(when, Event::Fault);
         }
         world
     }
@@ -155,30 +156,31 @@
             let clock_offset = self.draw_span(1_000_000_000);
             let clock_rate = 990 + self.draw(21) as i64;
             let leases = QuotaLeases::new(Instant::ZERO, node as u32, 1, self.config);
-            let (frozen_until, cut_until) = (Instant::ZERO, Instant::ZERO);
-            let new = Node { leases, incarnation: 1, clock_offset, clock_rate, frozen_until, cut_until };
+            let (frozen_until, partitioned_until) = (Instant::ZERO, Instant::ZERO);
+            let new =
+                Node { leases, incarnation: 1, clock_offset, clock_rate, frozen_until, partitioned_until };
             self.nodes.push(new);
             self.start(Process { node, incarnation: 1 });
         }
     }
 
     fn draw_requests(&mut self) {
-        let most = if self.draw(4) == 0 { 500 } else { 80 };
-        let requests = 10 + self.draw(most);
-        let pool = 1 + self.draw(requests);
+        let max_requests = if self.draw(4) == 0 { 500 } else { 80 };
+        let requests = 10 + self.draw(max_requests);
+        let order_pool = 1 + self.draw(requests);
         for _ in 0..requests {
             let mut when = self.draw_moment();
-            // Half of them come together with others.
+            // Half of the requests arrive in bursts.
             if self.draw(2) != 0 {
                 let micros = when.as_micros() / 5_000_000 * 5_000_000;
                 when = at(micros) + self.draw_span(200_000);
             }
             let node = self.draw(self.nodes.len() as u64) as usize;
             let kind = RequestKind::ALL[self.draw(3) as usize];
-            let number = self.draw(pool) * 2 + kind as u64 % 2;
+            let number = self.draw(order_pool) * 2 + kind as u64 % 2;
             let has_order = kind != RequestKind::Read && self.draw(5) > 0;
             let order = has_order.then_some(OrderId(number.into()));
-            self.at(when, Event::RequestArrives { node, kind, order });
+            self.schedule_at(when, Event::RequestArrives { node, kind, order });
         }
     }
 
@@ -194,13 +196,13 @@
         at(self.draw(self.end.as_micros() as u64) as i64)
     }
 
-    fn at(&mut self, when: Instant, event: Event) {
+    fn schedule_at(&mut self, when: Instant, event: Event) {
         self.last_number += 1;
         self.queue.insert((when, self.last_number), event);
     }
 
-    fn after(&mut self, wait: Duration, event: Event) {
-        self.at(self.now + wait, event);
+    fn schedule_after(&mut self, wait: Duration, event: Event) {
+        self.schedule_at(self.now + wait, event);
     }
 
     fn clock(&self, node: usize) -> Instant {
@@ -214,31 +216,31 @@
         leases.set_allowance(&self.allowance);
         self.nodes[node].leases = leases;
         self.nodes[node].incarnation = incarnation;
-        self.after(TICK_INTERVAL, Event::NodeTick { process });
+        self.schedule_after(TICK_INTERVAL, Event::NodeTick { process });
     }
 
     fn is_running(&self, process: Process) -> bool {
         self.nodes[process.node].incarnation == process.incarnation
     }
 
-    /// Plays the schedule to its end, or to the first thing that is wrong.
+    /// Runs the schedule to its end or to the first violation.
     pub fn run(mut self) -> Result<Totals, String> {
-        let quiet_until = self.end + QUIET_SPAN;
+        let run_until = self.end + SETTLE_TIME;
         while let Some(((when, _), event)) = self.queue.pop_first() {
-            if when > quiet_until {
+            if when > run_until {
                 break;
             }
             self.now = when;
-            self.step(event).map_err(|why| format!("at {}: {why}", self.now.as_micros()))?;
+            self.step(event).map_err(|error| format!("at {}: {error}", self.now.as_micros()))?;
         }
         self.check()
     }
 
-    fn is_healed(&self) -> bool {
+    fn faults_ended(&self) -> bool {
         self.now > self.end
     }
 
-    /// The node whose process has to be running, not frozen, for an event.
+    /// Until when the node that handles an event is frozen, if it is.
     fn frozen_until(&self, event: &Event) -> Option<Instant> {
         let node = match event {
             Event::RequestArrives { node, .. } | Event::Recall { node } => *node,
@@ -250,7 +252,7 @@
 
     fn step(&mut self, event: Event) -> Result<(), String> {
         if let Some(until) = self.frozen_until(&event) {
-            self.at(until, event);
+            self.schedule_at(until, event);
             return Ok(());
         }
         match event {
@@ -263,10 +265,10 @@
             }
             Event::AnswerArrives { to, number, answer } => self.answer_arrives(to, number, &answer),
             Event::RequestEnds { accepted, outcome } => self.request_ends(accepted, outcome),
-            // The control store serves a call once, however often it comes; one that is sent again is another.
-            Event::CallArrives { from, copy, call } => {
+            // The control store serves each sending of a call once; a call that is sent again is served again.
+            Event::CallArrives { from, sending, call } => {
                 let is_owned = self.now >= self.owned_from && self.now >= self.owner_frozen_until;
-                if is_owned && self.served.insert(copy) {
+                if is_owned && self.served.insert(sending) {
                     return self.serve(from, call);
                 }
             }
@@ -291,7 +293,7 @@
         let decision = self.nodes[node].leases.decide(now, request);
         let process = Process { node, incarnation: self.nodes[node].incarnation };
         self.waiting.insert((process, id), (kind, order));
-        self.decided(node, vec![LateDecision { request: id, decision }]);
+        self.record_decisions(node, vec![LateDecision { request: id, decision }]);
         self.send(node);
     }
 
@@ -301,47 +303,47 @@
         }
         let now = self.clock(process.node);
         let decisions = self.nodes[process.node].leases.tick(now);
-        self.decided(process.node, decisions);
+        self.record_decisions(process.node, decisions);
         self.send(process.node);
-        self.after(TICK_INTERVAL, Event::NodeTick { process });
+        self.schedule_after(TICK_INTERVAL, Event::NodeTick { process });
     }
 
     fn answer_arrives(&mut self, to: Process, number: u64, answer: &OwnerAnswer) {
-        let is_reached = self.nodes[to.node].cut_until <= self.now || self.is_healed();
-        if self.is_running(to) && is_reached {
+        let is_reachable = self.nodes[to.node].partitioned_until <= self.now || self.faults_ended();
+        if self.is_running(to) && is_reachable {
             let now = self.clock(to.node);
             let decisions = self.nodes[to.node].leases.handle_answer(now, number, answer);
-            self.decided(to.node, decisions);
+            self.record_decisions(to.node, decisions);
             self.send(to.node);
         }
     }
 
     fn request_ends(&mut self, accepted: usize, outcome: RequestOutcome) {
-        let Accepted { by, attempt, .. } = self.accepted[accepted];
-        if self.is_running(by) {
+        let Accepted { process, attempt, .. } = self.accepted[accepted];
+        if self.is_running(process) {
             self.accepted[accepted].outcome = Some(outcome);
-            let now = self.clock(by.node);
-            self.nodes[by.node].leases.finish(now, attempt, outcome);
-            self.send(by.node);
+            let now = self.clock(process.node);
+            self.nodes[process.node].leases.finish(now, attempt, outcome);
+            self.send(process.node);
         }
     }
 
     fn owner_tick(&mut self, epoch: u64) {
         if self.owner_frozen_until > self.now {
             let until = self.owner_frozen_until;
-            return self.at(until, Event::OwnerTick { epoch });
+            return self.schedule_at(until, Event::OwnerTick { epoch });
         }
         if epoch != self.epoch {
             return;
         }
         for Proposal { change, .. } in self.timer.tick(self.now) {
             let wait = self.draw_span(50_000);
-            self.after(wait, Event::ProposalArrives { epoch, change });
+            self.schedule_after(wait, Event::ProposalArrives { epoch, change });
         }
-        self.after(TICK_INTERVAL, Event::OwnerTick { epoch });
+        self.schedule_after(TICK_INTERVAL, Event::OwnerTick { epoch });
     }
 
-    /// What the owner does with a call that came to it. What it commits stays, whatever becomes of it and the answer.
+    /// The owner applies a call. What it commits stays, even if the owner changes or the answer is lost.
     fn serve(&mut self, from: Process, call: OwnerCall) -> Result<(), String> {
         let outcome = self.commit(&call.change)?;
         let answer = self.state.answer(&call.change, &outcome);
@@ -351,39 +353,39 @@
             for kind in RequestKind::ALL {
                 for LeaseNode { node, .. } in self.state.lease_nodes(kind) {
                     let wait = self.draw_span(20_000);
-                    self.after(wait, Event::Recall { node: node as usize });
+                    self.schedule_after(wait, Event::Recall { node: node as usize });
                 }
             }
         }
-        if self.draw(12) == 0 && !self.is_healed() {
+        if self.draw(12) == 0 && !self.faults_ended() {
             return Ok(());
         }
         let wait = self.draw_span(40_000);
-        self.after(wait, Event::AnswerArrives { to: from, number: call.number, answer });
+        self.schedule_after(wait, Event::AnswerArrives { to: from, number: call.number, answer });
         Ok(())
     }
 
     fn commit(&mut self, change: &Change) -> Result<Result<bool, Rejection>, String> {
         if let Change::RefundOrder { attempt, .. } = change {
             let may_have_run = |accepted: &&Accepted| {
-                let Process { node, incarnation } = accepted.by;
+                let Process { node, incarnation } = accepted.process;
                 (node as u32, incarnation, accepted.attempt)
                     == (attempt.node, attempt.incarnation, attempt.number)
                     && matches!(accepted.outcome, Some(RequestOutcome::Ran | RequestOutcome::MayHaveRun))
             };
             if let Some(accepted) = self.accepted.iter().find(may_have_run) {
-                return Err(format!("given back what may have run: {:?} {attempt:?}", accepted.order));
+                return Err(format!("refunded what may have run: {:?} {attempt:?}", accepted.order));
             }
         }
         let before = self.state.clone();
         let outcome = self.state.apply(change);
         if outcome.is_err() && self.state != before {
-            return Err(format!("rejected and in force: {change:?}"));
+            return Err(format!("rejected change was applied: {change:?}"));
         }
         if outcome == Ok(false) && self.state != before {
-            return Err(format!("nothing changed and yet it did: {change:?}"));
+            return Err(format!("state changed by a change reported as having no effect: {change:?}"));
         }
-        self.plain.observe(change, &outcome, &self.state)?;
+        self.model.observe(change, &outcome, &self.state)?;
         if matches!((change, &outcome), (Change::ExpireLease { .. }, Ok(true))) {
             self.totals.lost_leases += 1;
         }
@@ -394,47 +396,47 @@
     fn send(&mut self, node: usize) {
         let from = Process { node, incarnation: self.nodes[node].incarnation };
         for call in self.nodes[node].leases.take_calls() {
-            let is_lossy = !self.is_healed();
+            let is_lossy = !self.faults_ended();
             self.last_number += 1;
-            let copy = self.last_number;
+            let sending = self.last_number;
             if is_lossy && self.draw(15) == 0 {
-                let late = self.draw_span(20_000_000);
-                self.after(late, Event::CallArrives { from, copy, call: call.clone() });
+                let delay = self.draw_span(20_000_000);
+                self.schedule_after(delay, Event::CallArrives { from, sending, call: call.clone() });
             }
-            if is_lossy && (self.nodes[node].cut_until > self.now || self.draw(12) == 0) {
+            if is_lossy && (self.nodes[node].partitioned_until > self.now || self.draw(12) == 0) {
                 continue;
             }
             let wait = self.draw_span(40_000);
-            self.after(wait, Event::CallArrives { from, copy, call });
+            self.schedule_after(wait, Event::CallArrives { from, sending, call });
         }
     }
 
-    fn decided(&mut self, node: usize, decisions: Vec<LateDecision>) {
-        let by = Process { node, incarnation: self.nodes[node].incarnation };
+    fn record_decisions(&mut self, node: usize, decisions: Vec<LateDecision>) {
+        let process = Process { node, incarnation: self.nodes[node].incarnation };
         for LateDecision { request, decision } in decisions {
             if decision == Decision::AwaitOwner {
                 continue;
             }
-            let Some((kind, order)) = self.waiting.remove(&(by, request)) else {
-                panic!("a decision on nothing: {decision:?}");
+            let Some((kind, order)) = self.waiting.remove(&(process, request)) else {
+                panic!("decision on an unknown request: {decision:?}");
             };
             match decision {
                 Decision::Accepted { attempt, is_repeat, window, .. } => {
                     self.totals.accepted += 1;
                     self.totals.repeats += u64::from(is_repeat);
-                    self.accepted.push(Accepted { by, attempt, order, kind, window, outcome: None });
+                    self.accepted.push(Accepted { process, attempt, order, kind, window, outcome: None });
                     let outcome = match self.draw(6) {
                         0 => RequestOutcome::NotRun,
                         1 => RequestOutcome::MayHaveRun,
                         _ => RequestOutcome::Ran,
                     };
-                    let spread = if self.draw(4) == 0 { 8_000_000 } else { 50_000 };
-                    let wait = self.draw_span(spread);
+                    let max_delay = if self.draw(4) == 0 { 8_000_000 } else { 50_000 };
+                    let wait = self.draw_span(max_delay);
                     let accepted = self.accepted.len() - 1;
-                    self.after(wait, Event::RequestEnds { accepted, outcome });
+                    self.schedule_after(wait, Event::RequestEnds { accepted, outcome });
                 }
                 Decision::Rejected { .. } => self.totals.rejected += 1,
-                other => panic!("not expected here: {other:?}"),
+                other => panic!("unexpected decision: {other:?}"),
             }
         }
     }
@@ -444,25 +446,25 @@
         let node = self.draw(self.nodes.len() as u64) as usize;
         let span = Duration::from_millis(200) + self.draw_span(15_000_000);
         match self.draw(5) {
-            0 => self.nodes[node].cut_until = self.now + span,
+            0 => self.nodes[node].partitioned_until = self.now + span,
             1 => self.nodes[node].frozen_until = self.now + span,
             2 => {
-                self.is_any_killed = true;
+                self.any_node_killed = true;
                 let killed = Process { node, incarnation: self.nodes[node].incarnation };
                 self.waiting.retain(|(process, _), _| *process != killed);
                 self.start(Process { node, incarnation: killed.incarnation + 1 });
             }
             3 => self.owner_frozen_until = self.now + span,
-            // What was on its way to the old owner and not committed is lost with it.
+            // Calls and proposals that the old owner had not committed are lost.
             _ => {
-                self.totals.owners += 1;
+                self.totals.owner_changes += 1;
                 self.epoch += 1;
                 self.owner_frozen_until = Instant::ZERO;
                 self.owned_from = self.now + Duration::from_millis(400) + self.draw_span(3_000_000);
                 self.timer = WindowTimer::new(self.owned_from, self.config);
                 self.timer.observe(self.owned_from, MEMBER, &self.state);
                 let epoch = self.epoch;
-                self.at(self.owned_from + TICK_INTERVAL, Event::OwnerTick { epoch });
+                self.schedule_at(self.owned_from + TICK_INTERVAL, Event::OwnerTick { epoch });
             }
         }
     }
--- a/crates/control/quota/tests/wire_bytes.rs
+++ b/crates/control/quota/tests/wire_bytes.rs
@@ -1,4 +1,4 @@
-//! The encoding of allowances, counts, their changes and answers, held to fixed bytes.
+//! The encodings of allowances, quota states, changes and answers must match fixed bytes.
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::State;
@@ -10,14 +10,14 @@
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its encoding in hexadecimal.
-const TABLE: &str = include_str!("data/wire.hex");
+const EXPECTED: &str = include_str!("data/wire.hex");
 
-/// Adds the line of a value to `lines`, after reading the value back from its encoding.
-fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
+/// Appends the line of a value, after checking that its encoding decodes to the same value.
+fn add_line<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
     let bytes = bitcode::encode(&value);
     assert_eq!(bitcode::decode::<T>(&bytes).as_ref().ok(), Some(&value), "{name}");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    writeln!(lines, "{name} {hex}").expect("a string grows");
+    writeln!(lines, "{name} {hex}").expect("writing to a string succeeds");
 }
 
 const CALL: &[u8] = br#"{
@@ -34,7 +34,7 @@
     OrderId(0x0011_2233_4455_6677_8899_aabb_ccdd_eeff)
 }
 
-fn operation(number: u64) -> OperationId {
+fn operation_id(number: u64) -> OperationId {
     OperationId { node: 0x7f00_0001, incarnation: 1_700_000_000_000, number }
 }
 
@@ -43,47 +43,47 @@
 }
 
 #[test]
-fn allowances_and_counts_are_encoded_as_they_always_were() {
+fn encodings_match_fixed_bytes() {
     let change = parse(CALL).expect("valid");
     let mut set = AllowanceSet::default();
     assert_eq!(set.apply(&change), Ok(true));
-    let allowance = set.get("w").expect("it stands").clone();
-    let leased = LeasedOrder { order: order(), attempt: operation(2), units: 3 };
+    let allowance = set.get("w").expect("in force").clone();
+    let leased = LeasedOrder { order: order(), attempt: operation_id(2), units: 3 };
     let changes = [
         ("allow", Change::SetAllowance(allowance)),
         (
             "grant",
-            Change::GrantLease { lease: operation(1), kind: RequestKind::Read, wanted: 100, minimum: 1 },
+            Change::GrantLease { lease: operation_id(1), kind: RequestKind::Read, wanted: 100, minimum: 1 },
         ),
-        ("settle", Change::SettleLease { lease: operation(1), used: 5, orders: vec![leased] }),
+        ("settle", Change::SettleLease { lease: operation_id(1), used: 5, orders: vec![leased] }),
         (
             "charge",
             Change::ChargeOrder {
                 order: OrderId(7),
-                attempt: operation(3),
+                attempt: operation_id(3),
                 kind: RequestKind::Upload,
                 units: 2,
             },
         ),
-        ("give-back", Change::RefundOrder { order: OrderId(7), attempt: operation(3) }),
+        ("give-back", Change::RefundOrder { order: OrderId(7), attempt: operation_id(3) }),
         ("elapsed", Change::RecordElapsed { window: 0, elapsed: Duration::from_secs(60) }),
         ("turn", Change::EndWindow { window: 0 }),
-        ("reclaim", Change::ExpireLease { lease: operation(1) }),
+        ("reclaim", Change::ExpireLease { lease: operation_id(1) }),
         ("withdraw", Change::RemoveAllowance { version: 9 }),
     ];
     let mut lines = String::new();
-    add(&mut lines, "book-change", change);
-    add(&mut lines, "book", set);
+    add_line(&mut lines, "book-change", change);
+    add_line(&mut lines, "book", set);
     let mut state = QuotaState::default();
     for (name, change) in changes {
-        // Whether it is taken says the encoding of the state that follows.
+        // Whether the change was accepted shows in the encoding of the state.
         let _ = state.apply(&change);
-        add(&mut lines, &format!("change/{name}"), change);
-        add(&mut lines, &format!("count/after-{name}"), state.clone());
+        add_line(&mut lines, &format!("change/{name}"), change);
+        add_line(&mut lines, &format!("count/after-{name}"), state.clone());
     }
-    add(&mut lines, "answer/granted", OwnerAnswer::Granted { lease: lease(), free: 12 });
-    add(&mut lines, "answer/charged", OwnerAnswer::Charged { is_repeat: true, window: 2, free: 300 });
-    add(&mut lines, "answer/done", OwnerAnswer::Done);
+    add_line(&mut lines, "answer/granted", OwnerAnswer::Granted { lease: lease(), free: 12 });
+    add_line(&mut lines, "answer/charged", OwnerAnswer::Charged { is_repeat: true, window: 2, free: 300 });
+    add_line(&mut lines, "answer/done", OwnerAnswer::Done);
     for (i, reason) in [
         RejectionReason::Exhausted,
         RejectionReason::LeasedElsewhere,
@@ -99,11 +99,11 @@
     .enumerate()
     {
         let name = format!("answer/no-{}", reason.wire_name());
-        add(
+        add_line(
             &mut lines,
             &name,
             OwnerAnswer::Rejected { reason, window: 2, ends_in: Duration::from_secs(1), free: i as u64 },
         );
     }
-    assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
+    assert!(lines == EXPECTED, "the encoding has changed; it is now:\n{lines}");
 }
