--- a/crates/control/quota/src/lib.rs
+++ b/crates/control/quota/src/lib.rs
@@ -1,6 +1,6 @@
 //! A quota shared by all nodes, decided without I/O: the units that a member may use in a window, counted across nodes.
 //!
-//! - [`Allowance`]: what an operator allows, parsed by [`parse`] and merged in an [`AllowanceSet`].
+//! - [`Allowance`]: what an operator allows, parsed by [`parse()`] and merged in an [`AllowanceSet`].
 //! - [`QuotaState`]: a member's usage, kept in the control store under [`QUOTA_KEY_PREFIX`] and the member's name.
 //! - [`QuotaLeases`]: the units leased to a node, and the node's decisions on requests.
 //! - [`WindowTimer`]: the changes that the key's owner proposes as time passes.
