--- a/crates/control/idempotency-store/src/records.rs
+++ b/crates/control/idempotency-store/src/records.rs
@@ -227,8 +227,12 @@
         let epoch = Epoch(0).next(self.rng.next_u64());
         for group in 0..self.config.groups {
             let seed = self.config.seed ^ u64::from(group);
-            let replica =
-                Replica::found(self.config.replica.clone(), Node(self.me), seed, Instant::from_micros(now));
+            let replica = Replica::bootstrap(
+                self.config.replica.clone(),
+                Node(self.me),
+                seed,
+                Instant::from_micros(now),
+            );
             self.hold(group, epoch, replica);
         }
         self.go_on(now);
@@ -245,7 +249,7 @@
         let (epoch, replica) = (copy.epoch, &copy.holder.replica);
         let mut machine = copy.holder.machine.clone();
         // What was not known to be committed here may have been: it counts.
-        for index in replica.applied() + 1..=replica.log().last() {
+        for index in replica.applied_index() + 1..=replica.log().last_index() {
             let Some(entry) = replica.log().get(index) else { break };
             if let Payload::Command(bytes) = &entry.payload {
                 if let Ok(line) = postcard::from_bytes::<crate::holder::Line>(bytes) {
@@ -254,7 +258,7 @@
             }
         }
         let log = replica.log();
-        let (index, term, at_ms) = (log.last(), log.last_term().max(replica.term()), log.last_at_ms());
+        let (index, term, at_ms) = (log.last_index(), log.last_term().max(replica.term()), log.last_at_ms());
         let snapshot = Snapshot { index, term, at_ms, group: Default::default(), data: machine.snapshot() };
         let next = epoch.next(self.rng.next_u64());
         let seed = self.config.seed ^ u64::from(group) ^ next.0;
@@ -409,7 +413,7 @@
                 let over = Said::Over { group: e.group, epoch };
                 return self.say(from, over);
             }
-            copy.holder.replica.message(Instant::from_micros(now), e.from, e.writes, e.message);
+            copy.holder.replica.handle_message(Instant::from_micros(now), e.from, e.writes, e.message);
         }
     }
 
@@ -519,7 +523,7 @@
             let replica = &mut copy.holder.replica;
             let theirs: Vec<Node> =
                 replica.group().voters.iter().filter(|v| gone.contains(v)).copied().collect();
-            replica.gone_are(theirs.clone());
+            replica.set_gone_voters(theirs.clone());
             let Some(progress) = replica.progress() else { continue };
             if replica.is_changing() || !replica.has_committed_in_term() {
                 continue;
@@ -553,7 +557,7 @@
             };
             if let Some(next) = placement::next(group, &facts) {
                 // Refused: it is tried again.
-                let _ = replica.change(Instant::from_micros(now), next);
+                let _ = replica.change_group(Instant::from_micros(now), next);
             }
         }
     }
@@ -623,7 +627,7 @@
     Card {
         group,
         epoch: copy.epoch,
-        changed: replica.log().changed_at_least(),
+        changed: replica.log().group_index(),
         voters: replica.group().voters.iter().map(|n| n.0).collect(),
         learners: replica.group().learners.iter().map(|n| n.0).collect(),
         term: replica.term(),
--- a/crates/control/idempotency-store/tests/machine.rs
+++ b/crates/control/idempotency-store/tests/machine.rs
@@ -205,7 +205,7 @@
     // From one to three voters, each as a learner first, in a zone of its own.
     let mut seen = Vec::new();
     while let Some(to) = step(&group, &[], &seen, &places) {
-        assert!(group.is_step(&to), "{group:?} to {to:?}");
+        assert!(group.is_single_server_change(&to), "{group:?} to {to:?}");
         seen.extend(to.learners.iter().map(|n| n.0));
         group = to;
     }
--- a/crates/control/raft/src/config.rs
+++ b/crates/control/raft/src/config.rs
@@ -47,15 +47,15 @@
     /// Messages do not wait for the writes they rest on.
     AnswerBeforeSync,
     /// A vote is not made durable.
-    VoteNotKept,
+    VoteNotPersisted,
     /// A folder that is older than what was promised from it votes.
-    OldFolderVotes,
+    VotesWithOldStorage,
     /// Entries of an earlier term count as committed by copies alone.
     OldTermCommits,
     /// A leader answers reads without asking whether it still leads.
     StaleRead,
     /// A second change of voters begins before the first is committed.
-    TwoChanges,
+    ConcurrentChanges,
     /// Learners count in majorities.
     LearnerCounts,
     /// The log's time is the leader's own clock.
--- a/crates/control/raft/src/election.rs
+++ b/crates/control/raft/src/election.rs
@@ -29,7 +29,7 @@
         self.role = Role::Candidate { votes: BTreeSet::from([self.me]), pre_vote };
         let ask = Message::RequestVote {
             term,
-            last: self.log.last(),
+            last: self.log.last_index(),
             last_term: self.log.last_term(),
             pre_vote,
             transfer,
@@ -57,7 +57,7 @@
             self.enter_term(now, term);
         }
         // RP 5.4.1: the candidate's log is at least as up to date: later last term, or equal and at least as long.
-        let fresh = last >= (self.log.last_term(), self.log.last());
+        let fresh = last >= (self.log.last_term(), self.log.last_index());
         let granted = if pre_vote {
             fresh && term > self.hard.term
         } else {
@@ -68,14 +68,14 @@
         if granted && !pre_vote {
             if self.hard.vote.is_none() {
                 self.hard.vote = Some(from);
-                if !self.config.is_broken(Mutation::VoteNotKept) {
+                if !self.config.is_broken(Mutation::VoteNotPersisted) {
                     self.stage_hard();
                 }
             }
             self.reset_election_timer(now);
         }
         let term = if pre_vote && granted { term } else { self.hard.term };
-        let kept = !self.config.is_broken(Mutation::VoteNotKept);
+        let kept = !self.config.is_broken(Mutation::VoteNotPersisted);
         self.send_message(from, Message::RequestVoteResponse { term, granted, pre_vote }, !pre_vote && kept);
     }
 
--- a/crates/control/raft/src/follower.rs
+++ b/crates/control/raft/src/follower.rs
@@ -16,7 +16,7 @@
             let answer = Message::AppendEntriesResponse {
                 term: self.hard.term,
                 matched: None,
-                last: self.log.last(),
+                last: self.log.last_index(),
                 round: 0,
                 gone: Vec::new(),
             };
@@ -61,8 +61,8 @@
         let matches = prev < base || self.log.term(prev) == Some(prev_term);
         if !matches {
             // The leader goes on before the last entry that could be its own (RP 5.3, at its end).
-            let mut last = self.log.last().min(prev - 1);
-            if prev <= self.log.last() {
+            let mut last = self.log.last_index().min(prev - 1);
+            if prev <= self.log.last_index() {
                 let wrong = self.log.term(prev);
                 while last > self.commit && self.log.term(last) == wrong {
                     last -= 1;
--- a/crates/control/raft/src/leader.rs
+++ b/crates/control/raft/src/leader.rs
@@ -20,7 +20,7 @@
         let at_ms = self.log.last_at_ms();
         self.role = Role::Leader(Leadership {
             peers: BTreeMap::new(),
-            first: self.log.last() + 1,
+            first: self.log.last_index() + 1,
             round: 0,
             heartbeat_at: now,
             reads: VecDeque::new(),
@@ -55,7 +55,7 @@
     }
 
     pub(crate) fn advance_transfer(&mut self, now: Instant) {
-        let (last, term) = (self.log.last(), self.hard.term);
+        let (last, term) = (self.log.last_index(), self.hard.term);
         let Role::Leader(lead) = &mut self.role else { return };
         let Some((to, until)) = lead.transfer else { return };
         if now >= until {
@@ -98,7 +98,7 @@
 
     /// Those in the group are followed, no others.
     pub(crate) fn update_peers(&mut self, now: Instant) {
-        let (me, last, all) = (self.me, self.log.last(), self.group().all().collect::<Vec<_>>());
+        let (me, last, all) = (self.me, self.log.last_index(), self.group().all().collect::<Vec<_>>());
         let Role::Leader(lead) = &mut self.role else { return };
         lead.peers.retain(|n, _| all.contains(n));
         for node in all.into_iter().filter(|n| *n != me) {
--- a/crates/control/raft/src/log.rs
+++ b/crates/control/raft/src/log.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether a group differs from this one by one voter at most: any majorities of the two then share a voter (D 4.1).
-    pub fn is_step(&self, to: &Group) -> bool {
+    pub fn is_single_server_change(&self, to: &Group) -> bool {
         let gone = self.voters.iter().filter(|v| !to.is_voter(**v)).count();
         let new = to.voters.iter().filter(|v| !self.is_voter(**v)).count();
         gone + new <= 1 && !to.voters.is_empty()
@@ -124,7 +124,7 @@
     }
 
     /// The last entry's place.
-    pub fn last(&self) -> Index {
+    pub fn last_index(&self) -> Index {
         self.snapshot.index + self.entries.len() as Index
     }
 
@@ -167,14 +167,14 @@
     }
 
     /// The place of the latest change that is known, or of the snapshot that names the group.
-    pub fn changed_at_least(&self) -> Index {
+    pub fn group_index(&self) -> Index {
         self.groups.last().map_or(self.snapshot.index, |g| g.0)
     }
 
     /// Add one.
     pub(crate) fn push(&mut self, entry: Entry) {
         if let Payload::Change(group) = &entry.payload {
-            self.groups.push((self.last() + 1, group.clone()));
+            self.groups.push((self.last_index() + 1, group.clone()));
         }
         self.entries.push_back(entry);
     }
--- a/crates/control/raft/src/metrics.rs
+++ b/crates/control/raft/src/metrics.rs
@@ -10,7 +10,7 @@
     /// Times it stepped down because a majority of voters did not answer.
     pub step_downs: u64,
     /// Entries that were truncated in favour of a leader's.
-    pub dropped: u64,
+    pub entries_truncated: u64,
     /// Snapshots installed from a leader.
     pub snapshots_installed: u64,
     /// Messages dropped because the outgoing queue was full.
--- a/crates/control/raft/src/outcome.rs
+++ b/crates/control/raft/src/outcome.rs
@@ -33,13 +33,13 @@
     /// Another leads, as far as is known.
     NotLeader(Option<Node>),
     /// It leads, and can't yet: its first entry is not committed.
-    NotYet,
+    NotReady,
     /// Too much is open.
     Full,
     /// A change of the group is not committed yet.
-    Changing,
+    ChangeInProgress,
     /// The change is more than one step.
-    TooFar,
+    NotSingleServerChange,
     /// It does nothing any more.
     Ended,
 }
--- a/crates/control/raft/src/output.rs
+++ b/crates/control/raft/src/output.rs
@@ -30,7 +30,7 @@
         }
         let number = self.staged.number;
         let next = Write { number: number + 1, ..Write::default() };
-        self.writing.push_back((number, self.log.last()));
+        self.writing.push_back((number, self.log.last_index()));
         Some(std::mem::replace(&mut self.staged, next))
     }
 
--- a/crates/control/raft/src/persistent_state.rs
+++ b/crates/control/raft/src/persistent_state.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
     /// Term and vote.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The snapshot.
     pub snapshot: Snapshot,
     /// The entries behind it.
@@ -19,9 +19,9 @@
 impl PersistentState {
     /// As it is once a write is done.
     pub fn apply(&mut self, write: Write) {
-        let Write { number, hard, snapshot, truncate_from, entries } = write;
+        let Write { number, hard_state, snapshot, truncate_from, entries } = write;
         self.writes = number;
-        self.hard = hard.unwrap_or(self.hard);
+        self.hard_state = hard_state.unwrap_or(self.hard_state);
         if let Some(truncate_from) = truncate_from {
             self.entries.truncate(truncate_from.saturating_sub(self.snapshot.index + 1) as usize);
         }
@@ -44,7 +44,7 @@
     /// Counts a folder's writes, over all starts.
     pub number: u64,
     /// Term and vote.
-    pub hard: Option<HardState>,
+    pub hard_state: Option<HardState>,
     /// A snapshot in place of what was before it, and of all entries up to it.
     pub snapshot: Option<Snapshot>,
     /// Entries from here on are dropped before the new ones are added.
@@ -55,7 +55,7 @@
 
 impl Write {
     pub(crate) fn is_empty(&self) -> bool {
-        self.hard.is_none()
+        self.hard_state.is_none()
             && self.snapshot.is_none()
             && self.truncate_from.is_none()
             && self.entries.is_empty()
--- a/crates/control/raft/src/proposal.rs
+++ b/crates/control/raft/src/proposal.rs
@@ -49,7 +49,7 @@
     /// Put a command into the log; the place and term at which it is committed, or never.
     pub fn propose(&mut self, now: Instant, command: Vec<u8>) -> Result<(Index, Term), RaftError> {
         self.check_leader()?;
-        if self.log.last() - self.commit >= self.config.max_uncommitted as Index {
+        if self.log.last_index() - self.commit >= self.config.max_uncommitted as Index {
             return Err(RaftError::Full);
         }
         let entry = self.entry(now, Payload::Command(command));
@@ -72,7 +72,7 @@
     pub(crate) fn check_leader(&self) -> Result<(), RaftError> {
         match &self.role {
             _ if self.ended().is_some() => Err(RaftError::Ended),
-            Role::Leader(lead) if lead.transfer.is_some() => Err(RaftError::NotYet),
+            Role::Leader(lead) if lead.transfer.is_some() => Err(RaftError::NotReady),
             Role::Leader(_) => Ok(()),
             _ => Err(RaftError::NotLeader(self.leader)),
         }
@@ -83,7 +83,7 @@
         self.check_leader()?;
         let stale = self.config.is_broken(Mutation::StaleRead);
         if !self.has_committed_in_term() && !stale {
-            return Err(RaftError::NotYet);
+            return Err(RaftError::NotReady);
         }
         let commit = self.commit;
         let Role::Leader(lead) = &mut self.role else { return Err(RaftError::Ended) };
@@ -117,19 +117,19 @@
     }
 
     /// Change who holds copies, by one voter or by learners.
-    pub fn change(&mut self, now: Instant, to: Group) -> Result<Index, RaftError> {
+    pub fn change_group(&mut self, now: Instant, to: Group) -> Result<Index, RaftError> {
         self.check_leader()?;
-        if !self.config.is_broken(Mutation::TwoChanges) {
+        if !self.config.is_broken(Mutation::ConcurrentChanges) {
             // D 4.1, and the correction of 2015: not before an entry of this leader's own term is committed.
             if !self.has_committed_in_term() {
-                return Err(RaftError::NotYet);
+                return Err(RaftError::NotReady);
             }
             if self.is_changing() {
-                return Err(RaftError::Changing);
+                return Err(RaftError::ChangeInProgress);
             }
         }
-        if !self.group().is_step(&to) {
-            return Err(RaftError::TooFar);
+        if !self.group().is_single_server_change(&to) {
+            return Err(RaftError::NotSingleServerChange);
         }
         let entry = self.entry(now, Payload::Change(to));
         let at = self.add(entry);
@@ -140,7 +140,7 @@
     /// Whether a learner has caught up: as near as its messages show, and durably.
     pub fn has_caught_up(&self, node: Node) -> bool {
         let near = |p: &Progress| {
-            p.matched + MAX_LEARNER_LAG >= self.log.last() && p.matched >= self.commit.min(p.next)
+            p.matched + MAX_LEARNER_LAG >= self.log.last_index() && p.matched >= self.commit.min(p.next)
         };
         self.progress().and_then(|p| p.get(&node)).is_some_and(near)
     }
--- a/crates/control/raft/src/replica.rs
+++ b/crates/control/raft/src/replica.rs
@@ -55,11 +55,11 @@
     /// From what a folder kept, at a start. One that never voted nor held anything is `PersistentState::default()`.
     pub fn new(config: Config, me: Node, kept: PersistentState, seed: u64, now: Instant) -> Self {
         let used = kept.writes > 0;
-        let mutant_old = config.is_broken(Mutation::OldFolderVotes);
+        let mutant_old = config.is_broken(Mutation::VotesWithOldStorage);
         let mut new = Replica {
             me,
             rng: Pcg32::seed_from_u64(seed ^ me.0),
-            hard: kept.hard,
+            hard: kept.hard_state,
             commit: kept.snapshot.index,
             applied: kept.snapshot.index,
             restore: kept.snapshot.index > 0,
@@ -90,7 +90,7 @@
 
     /// The first copy of a new log: a group of this node alone, which others are added to. An operator's act: two foundings
     /// are two logs.
-    pub fn found(config: Config, me: Node, seed: u64, now: Instant) -> Self {
+    pub fn bootstrap(config: Config, me: Node, seed: u64, now: Instant) -> Self {
         Replica::recover_from(config, me, Snapshot::default(), seed, now)
     }
 
@@ -104,7 +104,7 @@
         new.log = Log::new(snapshot.clone(), Vec::new());
         (new.commit, new.applied, new.restore) = (snapshot.index, snapshot.index, !snapshot.data.is_empty());
         new.hard = HardState { term, vote: None };
-        new.staged.hard = Some(new.hard);
+        new.staged.hard_state = Some(new.hard);
         new.staged.snapshot = Some(snapshot);
         new.durable = 0;
         new.election_at = now;
@@ -132,7 +132,7 @@
     }
 
     /// Term and vote.
-    pub fn hard(&self) -> HardState {
+    pub fn hard_state(&self) -> HardState {
         self.hard
     }
 
@@ -147,12 +147,12 @@
     }
 
     /// Committed up to here, as far as it knows.
-    pub fn commit(&self) -> Index {
+    pub fn commit_index(&self) -> Index {
         self.commit
     }
 
     /// Handed to the state machine up to here.
-    pub fn applied(&self) -> Index {
+    pub fn applied_index(&self) -> Index {
         self.applied
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Durable up to here.
-    pub fn durable(&self) -> Index {
+    pub fn durable_index(&self) -> Index {
         self.durable
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Which voters this process itself holds to be gone for good; told to the leader.
-    pub fn gone_are(&mut self, gone: Vec<Node>) {
+    pub fn set_gone_voters(&mut self, gone: Vec<Node>) {
         self.gone = gone;
     }
 }
--- a/crates/control/raft/src/replication.rs
+++ b/crates/control/raft/src/replication.rs
@@ -74,7 +74,7 @@
 
     /// The next entries for a follower, none of them if too many messages are in flight; `None`: there is nothing to send.
     fn next_entries(&mut self, to: Node, always: bool) -> Option<Message> {
-        let (term, commit, last) = (self.hard.term, self.commit, self.log.last());
+        let (term, commit, last) = (self.hard.term, self.commit, self.log.last_index());
         let (max_bytes, max_in_flight) = (self.config.max_append_bytes, self.config.max_in_flight);
         let Role::Leader(lead) = &mut self.role else { return None };
         let (round, progress) = (lead.round, lead.peers.get_mut(&to)?);
@@ -109,7 +109,7 @@
         if term > self.hard.term {
             return self.enter_term(now, term);
         }
-        let end = self.log.last();
+        let end = self.log.last_index();
         if term < self.hard.term || !self.is_leader() {
             return;
         }
@@ -174,7 +174,8 @@
         let learners = self.config.is_broken(Mutation::LearnerCounts);
         let Role::Leader(lead) = &mut self.role else { return };
         let counted = group.voters.iter().chain(group.learners.iter().filter(|_| learners));
-        let own = if self.config.is_broken(Mutation::AnswerBeforeSync) { self.log.last() } else { durable };
+        let own =
+            if self.config.is_broken(Mutation::AnswerBeforeSync) { self.log.last_index() } else { durable };
         let mut places: Vec<Index> = counted
             .map(|v| if *v == me { own } else { lead.peers.get(v).map_or(0, |p| p.matched) })
             .collect();
--- a/crates/control/raft/src/state.rs
+++ b/crates/control/raft/src/state.rs
@@ -21,12 +21,12 @@
     }
 
     pub(crate) fn stage_hard(&mut self) {
-        self.staged.hard = Some(self.hard);
+        self.staged.hard_state = Some(self.hard);
     }
 
     /// Add an entry behind the last.
     pub(crate) fn add(&mut self, entry: Entry) -> Index {
-        let at = self.log.last() + 1;
+        let at = self.log.last_index() + 1;
         self.staged.entries.insert(at, entry.clone());
         self.log.push(entry);
         at
@@ -39,7 +39,7 @@
         {
             return false;
         }
-        self.metrics.dropped += self.log.last() + 1 - from;
+        self.metrics.entries_truncated += self.log.last_index() + 1 - from;
         self.log.truncate(from);
         let _ = self.staged.entries.split_off(&from);
         self.staged.truncate_from = Some(self.staged.truncate_from.map_or(from, |c| c.min(from)));
@@ -58,7 +58,7 @@
                 Some(self.staged.truncate_from.map_or(snapshot.index + 1, |c| c.min(snapshot.index + 1)));
         }
         self.log.compact(snapshot.clone());
-        let last = self.log.last();
+        let last = self.log.last_index();
         self.durable = self.durable.min(last);
         self.writing.iter_mut().for_each(|w| w.1 = w.1.min(last));
         self.stage_snapshot(snapshot);
@@ -130,7 +130,7 @@
     }
 
     pub(crate) fn commit_to(&mut self, index: Index) {
-        let most = index.min(self.log.last());
+        let most = index.min(self.log.last_index());
         if most > self.commit {
             self.commit = most;
         }
--- a/crates/control/raft/src/step.rs
+++ b/crates/control/raft/src/step.rs
@@ -39,7 +39,7 @@
     }
 
     /// Take a message in. `writes`: how many writes its sender had made durable when it said it.
-    pub fn message(&mut self, now: Instant, from: Node, writes: u64, message: Message) {
+    pub fn handle_message(&mut self, now: Instant, from: Node, writes: u64, message: Message) {
         if self.ended.is_some() || from == self.me {
             return;
         }
@@ -49,7 +49,7 @@
         match message {
             Message::Hello => self.send_message(from, Message::HelloBack { seen: writes }, false),
             Message::HelloBack { seen } | Message::Older { seen } if seen > self.done => {
-                if !self.config.is_broken(Mutation::OldFolderVotes) {
+                if !self.config.is_broken(Mutation::VotesWithOldStorage) {
                     self.end(Ended::Older { seen, held: self.done });
                 }
             }
@@ -93,7 +93,7 @@
             self.seen.retain(|n, _| group.all().any(|m| m == *n));
         }
         let seen = self.seen.entry(from).or_default();
-        if writes < *seen && !self.config.is_broken(Mutation::OldFolderVotes) {
+        if writes < *seen && !self.config.is_broken(Mutation::VotesWithOldStorage) {
             // Late, or from an older folder: its sender knows which.
             let seen = *seen;
             match *message {
--- a/crates/control/raft/tests/explore.rs
+++ b/crates/control/raft/tests/explore.rs
@@ -21,7 +21,7 @@
     let mut h = std::collections::hash_map::DefaultHasher::new();
     for seat in &s.table.seats {
         seat.replica.fingerprint().hash(&mut h);
-        format!("{:?}{:?}", seat.disk.hard, seat.writing).hash(&mut h);
+        format!("{:?}{:?}", seat.disk.hard_state, seat.writing).hash(&mut h);
     }
     // The order in which messages lie has no meaning.
     let mut lying: Vec<String> = s.table.lying.iter().map(|m| format!("{m:?}")).collect();
@@ -138,7 +138,7 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn broken_replicas_are_found() {
-    for mutation in [Mutation::AnswerBeforeSync, Mutation::VoteNotKept] {
+    for mutation in [Mutation::AnswerBeforeSync, Mutation::VoteNotPersisted] {
         let found = wander(mutation, 20_000);
         println!("{mutation:?}: {found:?}");
         assert!(found.is_some(), "{mutation:?} was not found");
--- a/crates/control/raft/tests/rules.rs
+++ b/crates/control/raft/tests/rules.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_vote_is_kept_over_a_crash() {
-    both(Mutation::VoteNotKept, 3, 0, |t| {
+    both(Mutation::VoteNotPersisted, 3, 0, |t| {
         t.elect(0, &[3]);
         t.lying.clear();
         t.restart(2, None);
@@ -57,14 +57,14 @@
         let term = t.at(0).term();
         for _ in 0..40 {
             let new = |m: &Message| matches!(m, Message::AppendEntries { entries, .. } if !entries.is_empty() && entries.iter().all(|e| e.term == term));
-            let probe = t.at(2).log().last() < 2;
+            let probe = t.at(2).log().last_index() < 2;
             t.lying.retain(|m| m.0 .0 != 2 && m.1 .0 != 2 && (probe || !new(&m.3)));
             if t.lying.is_empty() {
                 break;
             }
             t.deliver(0, false);
         }
-        assert_eq!(t.at(2).log().last(), 3, "the old entries are on two");
+        assert_eq!(t.at(2).log().last_index(), 3, "the old entries are on two");
         t.lying.clear();
         t.restart(1, None);
         t.among(&[2, 3]);
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_folder_older_than_what_was_promised_does_not_vote() {
-    both(Mutation::OldFolderVotes, 3, 0, |t| {
+    both(Mutation::VotesWithOldStorage, 3, 0, |t| {
         let yesterday = t.seats[2].disk.clone();
         t.campaign(0);
         t.among(&[1, 3]);
@@ -114,15 +114,15 @@
 
 #[test]
 fn one_change_of_voters_at_a_time() {
-    both(Mutation::TwoChanges, 3, 0, |t| {
+    both(Mutation::ConcurrentChanges, 3, 0, |t| {
         t.campaign(0);
         t.among(&[1, 2, 3]);
         let group = |v: &[u64]| Group::of(v.iter().copied().map(Node).collect());
-        let first = t.at(0).change(Instant::ZERO, group(&[1, 2, 3, 4]));
-        let second = t.at(0).change(Instant::ZERO, group(&[1, 2, 3, 4, 5]));
+        let first = t.at(0).change_group(Instant::ZERO, group(&[1, 2, 3, 4]));
+        let second = t.at(0).change_group(Instant::ZERO, group(&[1, 2, 3, 4, 5]));
         assert!(first.is_ok());
         if !cfg!(feature = "mutants") || second.is_err() {
-            assert_eq!(second, Err(RaftError::Changing));
+            assert_eq!(second, Err(RaftError::ChangeInProgress));
         }
         second.is_ok()
     });
@@ -165,7 +165,7 @@
     t.propose(0, 1);
     t.among(&[1, 2, 3]);
     t.seats[0].replica.transfer(Instant::ZERO, Node(2));
-    assert_eq!(t.at(0).propose(Instant::ZERO, vec![2]), Err(RaftError::NotYet));
+    assert_eq!(t.at(0).propose(Instant::ZERO, vec![2]), Err(RaftError::NotReady));
     t.pump(0);
     t.among(&[1, 2, 3]);
     assert!(t.at(1).is_leader() && !t.at(0).is_leader());
@@ -193,12 +193,12 @@
         t.at(0).tick(Instant::from_micros(now));
         t.pump(0);
         t.among(&[1, 2, 3]);
-        if t.at(2).log().last() == t.at(0).log().last() || !t.at(0).is_leader() {
+        if t.at(2).log().last_index() == t.at(0).log().last_index() || !t.at(0).is_leader() {
             break;
         }
     }
     assert_eq!(t.at(2).metrics.snapshots_installed, 1);
-    assert_eq!(t.at(2).log().last(), t.at(0).log().last());
+    assert_eq!(t.at(2).log().last_index(), t.at(0).log().last_index());
     assert_eq!(t.broken, None);
 }
 
@@ -208,10 +208,13 @@
     t.campaign(0);
     t.among(&[1, 2, 3]);
     for voters in [vec![], vec![Node(1)], vec![Node(1), Node(4), Node(5)]] {
-        assert_eq!(t.at(0).change(Instant::ZERO, Group { voters, learners: vec![] }), Err(RaftError::TooFar));
+        assert_eq!(
+            t.at(0).change_group(Instant::ZERO, Group { voters, learners: vec![] }),
+            Err(RaftError::NotSingleServerChange)
+        );
     }
     assert_eq!(
-        t.at(1).change(Instant::ZERO, Group::of(vec![Node(1)])),
+        t.at(1).change_group(Instant::ZERO, Group::of(vec![Node(1)])),
         Err(RaftError::NotLeader(Some(Node(1))))
     );
 }
@@ -223,7 +226,7 @@
     t.among(&[1, 2, 3]);
     t.campaign(1);
     t.among(&[1, 2, 3]);
-    let (term, commit) = (t.at(1).term(), t.at(1).commit());
+    let (term, commit) = (t.at(1).term(), t.at(1).commit_index());
     let old = Message::AppendEntries {
         term: term - 1,
         prev: 1,
@@ -232,6 +235,6 @@
         commit: 9,
         round: 0,
     };
-    t.at(2).message(Instant::ZERO, Node(1), 9, old);
-    assert_eq!((t.at(2).term(), t.at(2).commit(), t.at(2).leader()), (term, commit, Some(Node(2))));
+    t.at(2).handle_message(Instant::ZERO, Node(1), 9, old);
+    assert_eq!((t.at(2).term(), t.at(2).commit_index(), t.at(2).leader()), (term, commit, Some(Node(2))));
 }
--- a/crates/control/raft/tests/table/mod.rs
+++ b/crates/control/raft/tests/table/mod.rs
@@ -147,7 +147,7 @@
         let i = to.0 as usize - 1;
         if self.seats[i].up {
             let now = self.clock[i];
-            self.seats[i].replica.message(now, from, writes, message);
+            self.seats[i].replica.handle_message(now, from, writes, message);
             self.pump(i);
         }
     }
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -659,10 +659,10 @@
                         p.iter().map(line).collect::<BTreeMap<_, _>>()
                     });
                     serde_json::json!({
-                        "epoch": epoch.0, "leads": r.is_leader(), "term": r.term(), "last": r.log().last(),
-                        "last_term": r.log().last_term(), "commit": r.commit(), "applied": r.applied(), "durable": r.durable(),
-                        "writes": r.writes(), "entries": r.log().len(), "records": records, "documents": documents,
-                        "sessions": sessions, "bytes": bytes, "changing": r.is_changing(), "followers": far,
+                        "epoch": epoch.0, "leads": r.is_leader(), "term": r.term(), "last": r.log().last_index(),
+                        "last_term": r.log().last_term(), "commit": r.commit_index(), "applied": r.applied_index(),
+                        "durable": r.durable_index(), "writes": r.writes(), "entries": r.log().len(), "records": records,
+                        "documents": documents, "sessions": sessions, "bytes": bytes, "changing": r.is_changing(), "followers": far,
                         "ended": copy.ended().map(|e| format!("{e:?}")), "stood": r.metrics.campaigns, "led": r.metrics.terms_led,
                     })
                 });
--- a/crates/daemon/sidecar/src/lifecycle/store.rs
+++ b/crates/daemon/sidecar/src/lifecycle/store.rs
@@ -201,7 +201,7 @@
             }
             entries.push(read::<Entry>(bytes.value())?);
         }
-        let durable = PersistentState { hard: m.hard, snapshot, entries, writes: m.writes };
+        let durable = PersistentState { hard_state: m.hard, snapshot, entries, writes: m.writes };
         kept.push((group, Epoch(m.epoch), durable));
     }
     Ok(Some(kept))
@@ -222,7 +222,7 @@
                 snapshots.remove(group)?;
                 log.retain_in((group, 0)..(group + 1, 0), |_, _| false)?;
             }
-            (m.hard, m.writes) = (write.hard.unwrap_or(m.hard), write.number);
+            (m.hard, m.writes) = (write.hard_state.unwrap_or(m.hard), write.number);
             if let Some(cut) = write.truncate_from {
                 log.retain_in((group, cut)..(group + 1, 0), |_, _| false)?;
             }
@@ -268,7 +268,7 @@
         let writes = [
             Write {
                 number: 1,
-                hard: Some(HardState { term: 1, vote: Some(Node(7)) }),
+                hard_state: Some(HardState { term: 1, vote: Some(Node(7)) }),
                 snapshot: Some(snapshot(1)),
                 ..Write::default()
             },
@@ -288,7 +288,7 @@
         }
         let (store, kept) = reopened(&path, 9);
         let (g, e, d) = kept.first().expect("kept");
-        assert_eq!((*g, *e, d.hard, d.writes), (3, epoch, like.hard, 4));
+        assert_eq!((*g, *e, d.hard_state, d.writes), (3, epoch, like.hard_state, 4));
         assert_eq!((&d.snapshot, &d.entries), (&like.snapshot, &like.entries));
         // Another epoch has nothing of this one.
         assert!(store.write(3, Epoch(2 << 40), Write { number: 1, ..Write::default() }));
--- a/crates/daemon/sidecar/tests/old_store.rs
+++ b/crates/daemon/sidecar/tests/old_store.rs
@@ -27,7 +27,7 @@
     for (group, epoch, durable) in kept {
         line(&mut lines, &format!("group-{group}/epoch"), epoch);
         line(&mut lines, &format!("group-{group}/writes"), &durable.writes);
-        line(&mut lines, &format!("group-{group}/term-and-vote"), &durable.hard);
+        line(&mut lines, &format!("group-{group}/term-and-vote"), &durable.hard_state);
         line(&mut lines, &format!("group-{group}/snapshot"), &durable.snapshot);
         for (i, entry) in durable.entries.iter().enumerate() {
             let index = durable.snapshot.index + 1 + i as u64;
@@ -89,7 +89,7 @@
 
     let (store, again) = open(&path);
     let after = &again.first().expect("one group").2;
-    assert_eq!((after.writes, after.hard), (before.writes + 1, before.hard));
+    assert_eq!((after.writes, after.hard_state), (before.writes + 1, before.hard_state));
     assert_eq!(after.snapshot, before.snapshot);
     assert_eq!(after.entries, [before.entries.clone(), vec![added]].concat());
     drop(store);
--- a/crates/tools/scenario-runner/src/records/sim.rs
+++ b/crates/tools/scenario-runner/src/records/sim.rs
@@ -128,7 +128,7 @@
     };
     put("elections", sum(|f| f.campaigns));
     put("led", sum(|f| f.terms_led));
-    put("dropped", sum(|f| f.dropped));
+    put("dropped", sum(|f| f.entries_truncated));
     put("restored", sum(|f| f.snapshots_installed));
     put("copies_ended", sim.ended as f64);
     put("faults_met", sim.faults_met as f64);
@@ -519,7 +519,7 @@
                 (Kind::StartOld, None) => {
                     // A copy is not the file that the store wrote: that is seen at the start, and the process is somebody new.
                     let id = self.rng.next_u64() | 1;
-                    let seen = !matches!(self.broken, Some(Broken::Replica(Mutation::OldFolderVotes)));
+                    let seen = !matches!(self.broken, Some(Broken::Replica(Mutation::VotesWithOldStorage)));
                     if let Some(copy) = self.copies[m].clone() {
                         self.folders[m] = if seen { Folder { id, ..Folder::default() } } else { copy };
                     }
--- a/crates/tools/scenario-runner/tests/records_mutants.rs
+++ b/crates/tools/scenario-runner/tests/records_mutants.rs
@@ -65,7 +65,7 @@
 fn what_breaks_a_rule_of_the_log_is_caught_by_chance_too() {
     let all = [
         ("answer before sync", Broken::Replica(Mutation::AnswerBeforeSync)),
-        ("an old folder votes", Broken::Replica(Mutation::OldFolderVotes)),
+        ("an old folder votes", Broken::Replica(Mutation::VotesWithOldStorage)),
         ("a snapshot without its sessions", Broken::Sessions),
     ];
     all_are_caught(&all, 20_000);
