--- a/crates/control/raft/src/config.rs
+++ b/crates/control/raft/src/config.rs
@@ -1,22 +1,23 @@
-//! Times and bounds of a replica, and the rules that tests can leave out of it.
+//! Timeouts and limits of a replica, and the mutations that tests can switch on.
 use silvercross_time::Duration;
 
-/// What a replica keeps to.
+/// Timeouts and limits of a replica.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The shortest election timeout; each is drawn between it and twice it (RP 5.2).
+    /// The minimum election timeout; each timeout is drawn between this and twice this (RP 5.2). Failed elections in a row
+    /// double it.
     pub election_timeout: Duration,
-    /// The interval between a leader's heartbeats; well below `election_timeout`.
+    /// The interval between a leader's heartbeats; has to be well below `election_timeout`.
     pub heartbeat_interval: Duration,
-    /// Bytes of entries in one message, at most; one entry always goes.
+    /// No more entries are added to a message once it has this many bytes of them.
     pub max_append_bytes: usize,
-    /// Messages with entries in flight to one follower, at most.
+    /// The maximum number of messages with entries in flight to one follower.
     pub max_in_flight: usize,
-    /// Bytes of one snapshot chunk (D 5.1).
+    /// The size of a snapshot chunk, in bytes (D 5.1).
     pub snapshot_chunk_bytes: usize,
-    /// Entries that are proposed and not yet committed, at most; beyond it proposals are rejected.
+    /// The maximum number of uncommitted entries; further proposals are rejected.
     pub max_uncommitted: usize,
-    /// The rule to leave out; has effect only with the feature `mutants`.
+    /// The mutation to apply; has an effect only with the feature `mutants`.
     pub mutation: Option<Mutation>,
 }
 
@@ -35,29 +36,29 @@
 }
 
 impl Config {
-    /// Whether this rule is left out.
-    pub(crate) fn is_broken(&self, mutation: Mutation) -> bool {
+    /// Whether this mutation is switched on.
+    pub(crate) fn has_mutation(&self, mutation: Mutation) -> bool {
         cfg!(feature = "mutants") && self.mutation == Some(mutation)
     }
 }
 
-/// Rules left out on purpose, so that tests of the checkers can see them caught.
+/// Deliberate faults, each of which leaves out one rule, to test that the checkers detect them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Messages do not wait for the writes they rest on.
+    /// Messages are sent before the writes that they depend on are durable.
     AnswerBeforeSync,
-    /// A vote is not made durable.
+    /// A granted vote is not persisted.
     VoteNotPersisted,
-    /// A folder that is older than what was promised from it votes.
+    /// A replica votes after its storage was replaced by an older copy.
     VotesWithOldStorage,
-    /// Entries of an earlier term count as committed by copies alone.
+    /// Entries of earlier terms are committed by counting replicas (against RP 5.4.2).
     OldTermCommits,
-    /// A leader answers reads without asking whether it still leads.
+    /// A leader answers reads without confirming its leadership.
     StaleRead,
-    /// A second change of voters begins before the first is committed.
+    /// A second change of voters starts before the first is committed.
     ConcurrentChanges,
-    /// Learners count in majorities.
+    /// Learners count towards majorities.
     LearnerCounts,
-    /// The log's time is the leader's own clock.
+    /// Log time is the leader's local clock.
     LocalClock,
 }
--- a/crates/control/raft/src/election.rs
+++ b/crates/control/raft/src/election.rs
@@ -9,25 +9,26 @@
 use std::collections::BTreeSet;
 
 impl Replica {
-    /// Start an election; `pre_vote`: only ask whether it would be elected. A pre-vote changes no durable state, here or elsewhere.
+    /// Starts an election, or with `pre_vote` only asks whether it would be elected. A pre-vote changes no persistent state on any
+    /// replica.
     pub(crate) fn campaign(&mut self, now: Instant, pre_vote: bool, transfer: bool) {
         self.reset_election_timer(now);
-        // Only voters stand (D 4.2.2), and only once they know that they may promise.
-        if !self.may_promise() || !self.group().is_voter(self.me) {
+        // Only voters become candidates (D 4.2.2), and only after recovery.
+        if !self.may_participate() || !self.group().is_voter(self.me) {
             return;
         }
-        let term = self.hard.term + 1;
+        let term = self.hard_state.term + 1;
         if !pre_vote {
             self.metrics.campaigns += 1;
             self.failed_elections = (self.failed_elections + 1).min(16);
             self.reset_election_timer(now);
-            self.hard.term = term;
-            self.hard.vote = Some(self.me);
-            self.stage_hard();
+            self.hard_state.term = term;
+            self.hard_state.vote = Some(self.me);
+            self.stage_hard_state();
         }
         self.leader = None;
         self.role = Role::Candidate { votes: BTreeSet::from([self.me]), pre_vote };
-        let ask = Message::RequestVote {
+        let request = Message::RequestVote {
             term,
             last: self.log.last_index(),
             last_term: self.log.last_term(),
@@ -35,7 +36,7 @@
             transfer,
         };
         let others: Vec<Node> = self.group().voters.iter().filter(|v| **v != self.me).copied().collect();
-        others.into_iter().for_each(|v| self.send_message(v, ask.clone(), !pre_vote));
+        others.into_iter().for_each(|v| self.send_message(v, request.clone(), !pre_vote));
         self.count_votes(now);
     }
 
@@ -48,35 +49,43 @@
         pre_vote: bool,
         transfer: bool,
     ) {
-        // A voter that hears its leader is not moved by others that do not (D 4.2.3); a leader hears itself.
-        let hears = self.is_leader() || self.heard_at.is_some_and(|h| now < h + self.config.election_timeout);
-        if hears && !transfer && term > self.hard.term {
+        // A voter that hears from a leader ignores candidates that don't (D 4.2.3); a leader counts as hearing from itself.
+        let has_leader = self.is_leader()
+            || self.heard_at.is_some_and(|heard_at| now < heard_at + self.config.election_timeout);
+        if has_leader && !transfer && term > self.hard_state.term {
             return;
         }
-        if !pre_vote && term > self.hard.term {
+        if !pre_vote && term > self.hard_state.term {
             self.enter_term(now, term);
         }
-        // RP 5.4.1: the candidate's log is at least as up to date: later last term, or equal and at least as long.
-        let fresh = last >= (self.log.last_term(), self.log.last_index());
+        // RP 5.4.1: the candidate's log is at least as up to date: its last term is later, or equal and the log at least as long.
+        let up_to_date = last >= (self.log.last_term(), self.log.last_index());
         let granted = if pre_vote {
-            fresh && term > self.hard.term
+            up_to_date && term > self.hard_state.term
         } else {
-            // RP 5.2: one vote in a term.
-            let free = self.hard.vote.is_none_or(|v| v == from);
-            fresh && free && term == self.hard.term && matches!(self.role, Role::Follower)
+            // RP 5.2: one vote per term.
+            let vote_available = self.hard_state.vote.is_none_or(|v| v == from);
+            up_to_date
+                && vote_available
+                && term == self.hard_state.term
+                && matches!(self.role, Role::Follower)
         };
         if granted && !pre_vote {
-            if self.hard.vote.is_none() {
-                self.hard.vote = Some(from);
-                if !self.config.is_broken(Mutation::VoteNotPersisted) {
-                    self.stage_hard();
+            if self.hard_state.vote.is_none() {
+                self.hard_state.vote = Some(from);
+                if !self.config.has_mutation(Mutation::VoteNotPersisted) {
+                    self.stage_hard_state();
                 }
             }
             self.reset_election_timer(now);
         }
-        let term = if pre_vote && granted { term } else { self.hard.term };
-        let kept = !self.config.is_broken(Mutation::VoteNotPersisted);
-        self.send_message(from, Message::RequestVoteResponse { term, granted, pre_vote }, !pre_vote && kept);
+        let term = if pre_vote && granted { term } else { self.hard_state.term };
+        let persisted = !self.config.has_mutation(Mutation::VoteNotPersisted);
+        self.send_message(
+            from,
+            Message::RequestVoteResponse { term, granted, pre_vote },
+            !pre_vote && persisted,
+        );
     }
 
     pub(crate) fn handle_vote_response(
@@ -88,14 +97,14 @@
         pre_vote: bool,
     ) {
         if !granted {
-            if term > self.hard.term {
+            if term > self.hard_state.term {
                 self.enter_term(now, term);
             }
             return;
         }
-        let wanted = self.hard.term + u64::from(pre_vote);
-        if let Role::Candidate { votes, pre_vote: t } = &mut self.role {
-            if *t == pre_vote && term == wanted {
+        let expected_term = self.hard_state.term + u64::from(pre_vote);
+        if let Role::Candidate { votes, pre_vote: is_pre_vote } = &mut self.role {
+            if *is_pre_vote == pre_vote && term == expected_term {
                 votes.insert(from);
                 self.count_votes(now);
             }
@@ -104,9 +113,9 @@
 
     fn count_votes(&mut self, now: Instant) {
         let Role::Candidate { votes, pre_vote } = &self.role else { return };
-        let (learners, group) = (self.config.is_broken(Mutation::LearnerCounts), self.group());
-        let counts = |v: &&Node| group.is_voter(**v) || learners && group.learners.contains(v);
-        if votes.iter().filter(counts).count() < group.majority() {
+        let (count_learners, group) = (self.config.has_mutation(Mutation::LearnerCounts), self.group());
+        let is_counted = |v: &&Node| group.is_voter(**v) || count_learners && group.learners.contains(v);
+        if votes.iter().filter(is_counted).count() < group.majority() {
             return;
         }
         match *pre_vote {
--- a/crates/control/raft/src/follower.rs
+++ b/crates/control/raft/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with a leader's entries (RP 5.3) and snapshots (RP 7, D 5.1).
+//! How a follower handles a leader's entries (RP 5.3) and snapshots (RP 7, D 5.1).
 use crate::log::{Entry, Index, Snapshot, Term};
 use crate::message::Message;
 use crate::replica::Replica;
@@ -6,32 +6,36 @@
 use crate::Node;
 use silvercross_time::Instant;
 
-/// Bytes of a snapshot that is taken, at most.
+/// The maximum size of a snapshot from a leader, in bytes.
 pub(crate) const MAX_SNAPSHOT_BYTES: usize = 256 * 1024 * 1024;
 
 impl Replica {
-    /// Whoever leads in this term is followed; `false`: it does not lead any more.
+    /// Follows the leader of this term. `false`: the term is stale, and the sender is told the current one, or an invariant would
+    /// be violated.
     fn accept_leader(&mut self, now: Instant, from: Node, term: Term) -> bool {
-        if term < self.hard.term {
-            let answer = Message::AppendEntriesResponse {
-                term: self.hard.term,
+        if term < self.hard_state.term {
+            let response = Message::AppendEntriesResponse {
+                term: self.hard_state.term,
                 matched: None,
                 last: self.log.last_index(),
                 round: 0,
                 gone: Vec::new(),
             };
-            self.send_message(from, answer, true);
+            self.send_message(from, response, true);
             return false;
         }
-        let own = term == self.hard.term && self.is_leader();
-        if !self.rule(!own, "Election Safety, RP 5.2: one leader in a term") {
+        let is_leader_itself = term == self.hard_state.term && self.is_leader();
+        if !self.check_invariant(!is_leader_itself, "Election Safety, RP 5.2: one leader per term") {
             return false;
         }
-        let other = term == self.hard.term && self.leader.is_some_and(|l| l != from);
-        if !self.rule(!other, "Election Safety, RP 5.2: one leader in a term, as a follower sees it") {
+        let has_other_leader = term == self.hard_state.term && self.leader.is_some_and(|l| l != from);
+        if !self.check_invariant(
+            !has_other_leader,
+            "Election Safety, RP 5.2: one leader per term, as a follower sees it",
+        ) {
             return false;
         }
-        if term > self.hard.term || !matches!(self.role, Role::Follower) {
+        if term > self.hard_state.term || !matches!(self.role, Role::Follower) {
             self.enter_term(now, term);
         }
         self.leader = Some(from);
@@ -56,53 +60,54 @@
             return;
         }
         let (prev, prev_term) = prev;
-        let base = self.log.snapshot.index;
-        // What is in the snapshot is committed, and so the same as the leader's.
-        let matches = prev < base || self.log.term(prev) == Some(prev_term);
+        let snapshot_index = self.log.snapshot.index;
+        // Entries in the snapshot are committed, so they match the leader's.
+        let matches = prev < snapshot_index || self.log.term(prev) == Some(prev_term);
         if !matches {
-            // The leader goes on before the last entry that could be its own (RP 5.3, at its end).
+            // The hint for the leader skips all uncommitted entries of the conflicting term at once (end of RP 5.3).
             let mut last = self.log.last_index().min(prev - 1);
             if prev <= self.log.last_index() {
-                let wrong = self.log.term(prev);
-                while last > self.commit && self.log.term(last) == wrong {
+                let conflicting_term = self.log.term(prev);
+                while last > self.commit_index && self.log.term(last) == conflicting_term {
                     last -= 1;
                 }
             }
-            return self.acknowledge(from, None, last.max(base), round);
+            return self.send_append_response(from, None, last.max(snapshot_index), round);
         }
-        let mut at = prev;
+        let mut index = prev;
         for entry in entries {
-            at += 1;
-            if at <= base {
+            index += 1;
+            if index <= snapshot_index {
                 continue;
             }
-            match self.log.term(at) {
-                Some(held) if held == entry.term => {
-                    let same = self.log.get(at) == Some(&entry);
-                    if !self.rule(same, "Log Matching, RP 5.3: one place and term, one entry") {
+            match self.log.term(index) {
+                Some(existing_term) if existing_term == entry.term => {
+                    let is_equal = self.log.get(index) == Some(&entry);
+                    if !self.check_invariant(is_equal, "Log Matching, RP 5.3: one entry per index and term") {
                         return;
                     }
                 }
                 Some(_) => {
-                    if !self.truncate_from(at) {
+                    if !self.truncate_from(index) {
                         return;
                     }
-                    self.add(entry);
+                    self.append(entry);
                 }
                 None => {
-                    self.add(entry);
+                    self.append(entry);
                 }
             }
         }
-        // Only up to what this message showed to be the same.
-        self.commit_to(commit.min(at));
-        self.acknowledge(from, Some(at.max(prev)), at, round);
+        // Only entries that this message showed to match are known to be committed.
+        self.commit_to(commit.min(index));
+        self.send_append_response(from, Some(index.max(prev)), index, round);
     }
 
-    fn acknowledge(&mut self, to: Node, matched: Option<Index>, last: Index, round: u64) {
-        let gone = self.gone.clone();
-        let answer = Message::AppendEntriesResponse { term: self.hard.term, matched, last, round, gone };
-        self.send_message(to, answer, true);
+    fn send_append_response(&mut self, to: Node, matched: Option<Index>, last: Index, round: u64) {
+        let gone = self.gone_voters.clone();
+        let response =
+            Message::AppendEntriesResponse { term: self.hard_state.term, matched, last, round, gone };
+        self.send_message(to, response, true);
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -111,7 +116,7 @@
         now: Instant,
         from: Node,
         term: Term,
-        mut part: Snapshot,
+        mut chunk: Snapshot,
         offset: u64,
         done: bool,
         round: u64,
@@ -119,32 +124,34 @@
         if !self.accept_leader(now, from, term) {
             return;
         }
-        if part.index <= self.commit {
-            // It has all that already.
+        if chunk.index <= self.commit_index {
+            // It has all these entries already.
             self.incoming_snapshot = None;
-            let index = part.index;
-            return self.acknowledge(from, Some(index), index, round);
+            let index = chunk.index;
+            return self.send_append_response(from, Some(index), index, round);
         }
-        let data = std::mem::take(&mut part.data);
-        let same = |c: &(Snapshot, Term)| (c.0.index, c.0.term, c.1) == (part.index, part.term, term);
-        if !self.incoming_snapshot.as_ref().is_some_and(same) {
-            self.incoming_snapshot = Some((part, term));
+        let data = std::mem::take(&mut chunk.data);
+        let is_same_transfer =
+            |c: &(Snapshot, Term)| (c.0.index, c.0.term, c.1) == (chunk.index, chunk.term, term);
+        if !self.incoming_snapshot.as_ref().is_some_and(is_same_transfer) {
+            self.incoming_snapshot = Some((chunk, term));
         }
-        let Some((whole, _)) = &mut self.incoming_snapshot else { return };
-        let (index, held) = (whole.index, whole.data.len() as u64);
-        let fits = offset == held && whole.data.len() + data.len() <= MAX_SNAPSHOT_BYTES;
-        if fits {
-            whole.data.extend_from_slice(&data);
+        let Some((assembled, _)) = &mut self.incoming_snapshot else { return };
+        let (index, received) = (assembled.index, assembled.data.len() as u64);
+        let accepted = offset == received && assembled.data.len() + data.len() <= MAX_SNAPSHOT_BYTES;
+        if accepted {
+            assembled.data.extend_from_slice(&data);
         }
-        if !(fits && done) {
-            let next = whole.data.len() as u64;
-            let taken = Message::InstallSnapshotResponse { term: self.hard.term, index, next, round };
-            return self.send_message(from, taken, false);
+        if !(accepted && done) {
+            let next = assembled.data.len() as u64;
+            let response =
+                Message::InstallSnapshotResponse { term: self.hard_state.term, index, next, round };
+            return self.send_message(from, response, false);
         }
         if let Some((snapshot, _)) = self.incoming_snapshot.take() {
-            self.replace(snapshot);
-            self.commit = self.commit.max(index);
-            self.acknowledge(from, Some(index), index, round);
+            self.install_snapshot(snapshot);
+            self.commit_index = self.commit_index.max(index);
+            self.send_append_response(from, Some(index), index, round);
         }
     }
 }
--- a/crates/control/raft/src/leader.rs
+++ b/crates/control/raft/src/leader.rs
@@ -1,64 +1,68 @@
-//! A leader's term: how it begins, its heartbeats, leadership transfer (D 3.10) and stepping down when followers are silent
-//! (D 6.2). What clients ask of it is in [`crate::proposal`], what it sends in [`crate::replication`].
+//! A leader's term: its start, heartbeats, leadership transfer (D 3.10), and stepping down when a majority doesn't respond
+//! (D 6.2). Requests of clients are in [`crate::proposal`], replication in [`crate::replication`].
 use crate::log::Entry;
 use crate::message::Message;
 use crate::replica::Replica;
-use crate::role::{Leadership, Progress, Role};
+use crate::role::{LeaderState, Progress, Role};
 use crate::Node;
 use silvercross_time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
 
 impl Replica {
     pub(crate) fn become_leader(&mut self, now: Instant) {
-        let nobody = self.leader.is_none();
-        if !self.rule(nobody, "Election Safety, RP 5.2: one leader in a term, as the elected sees it") {
+        let no_leader_known = self.leader.is_none();
+        if !self.check_invariant(
+            no_leader_known,
+            "Election Safety, RP 5.2: one leader per term, as the elected leader sees it",
+        ) {
             return;
         }
         self.metrics.terms_led += 1;
         self.failed_elections = 0;
         self.leader = Some(self.me);
         let at_ms = self.log.last_at_ms();
-        self.role = Role::Leader(Leadership {
+        self.role = Role::Leader(LeaderState {
             peers: BTreeMap::new(),
-            first: self.log.last_index() + 1,
+            first_index: self.log.last_index() + 1,
             round: 0,
             heartbeat_at: now,
             reads: VecDeque::new(),
-            next_read: self.hard.term << 32,
-            clock: (at_ms, now),
+            last_read_number: self.hard_state.term << 32,
+            clock_base: (at_ms, now),
             transfer: None,
         });
-        self.add(Entry::nothing(self.hard.term, at_ms));
+        self.append(Entry::no_op(self.hard_state.term, at_ms));
         self.update_peers(now);
         self.send_heartbeats();
-        self.advance(now);
+        self.advance_commit_index(now);
     }
 
-    /// Answer the pending reads of a leader that steps down: it can no longer confirm them.
+    /// Fails the pending reads of a leader that steps down, since it can no longer confirm them.
     pub(crate) fn abandon_reads(&mut self) {
         if let Role::Leader(lead) = &mut self.role {
             let reads = std::mem::take(&mut lead.reads);
-            self.answered.extend(reads.into_iter().map(|r| (r.0, None)));
+            self.completed_reads.extend(reads.into_iter().map(|r| (r.0, None)));
         }
     }
 
-    /// Transfer leadership to a voter (D 3.10), given up after one election timeout; until then proposals are rejected.
+    /// Transfers leadership to a voter (D 3.10). The transfer is aborted after one election timeout; until then proposals, reads
+    /// and group changes are rejected.
     pub fn transfer(&mut self, now: Instant, to: Node) {
-        let until = now + self.config.election_timeout.max(Duration::from_micros(1));
+        let give_up_at = now + self.config.election_timeout.max(Duration::from_micros(1));
         if !self.group().is_voter(to) || to == self.me {
             return;
         }
         if let Role::Leader(lead) = &mut self.role {
-            lead.transfer = Some((to, until));
+            lead.transfer = Some((to, give_up_at));
             self.advance_transfer(now);
         }
     }
 
     pub(crate) fn advance_transfer(&mut self, now: Instant) {
-        let (last, term) = (self.log.last_index(), self.hard.term);
+        let (last, term) = (self.log.last_index(), self.hard_state.term);
         let Role::Leader(lead) = &mut self.role else { return };
-        let Some((to, until)) = lead.transfer else { return };
-        if now >= until {
+        let Some((to, give_up_at)) = lead.transfer else { return };
+        if now >= give_up_at {
             lead.transfer = None;
         } else if lead.peers.get(&to).is_some_and(|p| p.matched == last) {
             self.send_message(to, Message::TimeoutNow { term }, false);
@@ -72,11 +76,11 @@
             return;
         }
         lead.heartbeat_at = now + self.config.heartbeat_interval;
-        // D 6.2: a leader that does not hear most of the voters leads nobody.
-        let hears = |v: &&Node| {
+        // D 6.2: a leader steps down unless it hears from a majority of the voters.
+        let is_responsive = |v: &&Node| {
             **v == me || lead.peers.get(v).is_some_and(|p| now < p.heard_at + election_timeout * 2)
         };
-        if group.voters.iter().filter(hears).count() < group.majority() {
+        if group.voters.iter().filter(is_responsive).count() < group.majority() {
             self.metrics.step_downs += 1;
             self.abandon_reads();
             self.role = Role::Follower;
@@ -84,8 +88,8 @@
             return self.reset_election_timer(now);
         }
         for p in lead.peers.values_mut() {
-            if !std::mem::take(&mut p.fresh) {
-                // Silent since the last one: what was under way may be lost.
+            if !std::mem::take(&mut p.responded) {
+                // No response since the last heartbeat: messages in flight may be lost.
                 (p.next, p.in_flight, p.probing) = (p.matched + 1, 0, true);
                 if let Some(s) = &mut p.snapshot {
                     s.2 = false;
@@ -96,7 +100,7 @@
         self.advance_transfer(now);
     }
 
-    /// Those in the group are followed, no others.
+    /// Tracks the progress of exactly the other members of the group in force.
     pub(crate) fn update_peers(&mut self, now: Instant) {
         let (me, last, all) = (self.me, self.log.last_index(), self.group().all().collect::<Vec<_>>());
         let Role::Leader(lead) = &mut self.role else { return };
@@ -111,7 +115,7 @@
                 probing: true,
                 round: 0,
                 snapshot: None,
-                fresh: true,
+                responded: true,
             });
         }
     }
--- a/crates/control/raft/src/lib.rs
+++ b/crates/control/raft/src/lib.rs
@@ -1,8 +1,9 @@
-//! One replicated log, by Raft: "In Search of an Understandable Consensus Algorithm" (Ongaro and Ousterhout, 2014; sections are
-//! written RP) and Ongaro's dissertation "Consensus: Bridging Theory and Practice" (2014; written D) for pre-vote, leadership
-//! transfer, changes of voters one at a time with learners, linearizable reads and snapshots in chunks. Messages, time and
-//! completed writes go in; messages, writes to make durable and entries to apply come out. No I/O, no clock, no chance but the
-//! seed's. It must not know what an entry means. Go on reading at [`replica`], then [`log`].
+//! One replicated log by Raft. Sections marked RP are those of "In Search of an Understandable Consensus Algorithm" (Ongaro and
+//! Ousterhout, 2014); sections marked D are those of Ongaro's dissertation "Consensus: Bridging Theory and Practice" (2014),
+//! which is followed for pre-vote, leadership transfer, single-server changes with learners, linearizable reads and snapshots in
+//! chunks. Messages, time and completed writes go in; messages, writes to make durable and entries to apply come out. The crate
+//! does no I/O, reads no clock and draws random numbers from its seed alone. It doesn't interpret commands.
+//! Start reading at [`replica`], then [`log`].
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
@@ -36,6 +37,6 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A voter or learner, by the identity that membership draws: a process whose folder was lost is another one.
+/// A voter or learner, by its identity in the membership. A process that lost its storage comes back as a different node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Node(pub u64);
--- a/crates/control/raft/src/log.rs
+++ b/crates/control/raft/src/log.rs
@@ -1,78 +1,79 @@
-//! The log as it is held in memory: a snapshot's place, the entries behind it, and the group that each part of it names.
+//! The log in memory: the latest snapshot, the entries after it, and the group in force at each index.
 use crate::Node;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A term (RP 5.1): at most one leader is elected in each; 0: none yet.
+/// A term (RP 5.1): at most one leader is elected in each. 0 before the first term.
 pub type Term = u64;
-/// An entry's place, from 1; 0: before the first.
+/// A log index. The first entry has index 1; 0 is before it.
 pub type Index = u64;
 
-/// Who holds copies.
+/// The configuration of a Raft group: the servers that replicate its log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
-    /// Whose word counts, in order.
+    /// The voters, sorted.
     pub voters: Vec<Node>,
-    /// Who gets copies and does not count (D 4.2.1), in order.
+    /// The learners, sorted: they receive entries but have no vote (D 4.2.1).
     pub learners: Vec<Node>,
 }
 
 impl Group {
-    /// With these voters alone.
+    /// A group of these voters, without learners.
     pub fn of(mut voters: Vec<Node>) -> Self {
         voters.sort();
         voters.dedup();
         Group { voters, learners: Vec::new() }
     }
 
-    /// Whether a node's word counts.
+    /// Whether a node is a voter.
     pub fn is_voter(&self, node: Node) -> bool {
         self.voters.contains(&node)
     }
 
-    /// Everybody who gets copies.
+    /// All voters and learners.
     pub fn all(&self) -> impl Iterator<Item = Node> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// How many voters are most of them.
+    /// The number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether a group differs from this one by one voter at most: any majorities of the two then share a voter (D 4.1).
+    /// Whether a change from this group to `to` adds or removes at most one voter and leaves at least one: any majorities of the
+    /// two groups then have a voter in common (D 4.1).
     pub fn is_single_server_change(&self, to: &Group) -> bool {
-        let gone = self.voters.iter().filter(|v| !to.is_voter(**v)).count();
-        let new = to.voters.iter().filter(|v| !self.is_voter(**v)).count();
-        gone + new <= 1 && !to.voters.is_empty()
+        let removed = self.voters.iter().filter(|v| !to.is_voter(**v)).count();
+        let added = to.voters.iter().filter(|v| !self.is_voter(**v)).count();
+        removed + added <= 1 && !to.voters.is_empty()
     }
 }
 
-/// What an entry says.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a leader's first entry (D 6.4).
+    /// No operation: the first entry of a leader's term (D 6.4).
     Nothing,
-    /// Who holds copies from here on (D 4.1).
+    /// A new configuration, in force from this entry on (D 4.1).
     Change(Group),
-    /// For the state machine.
+    /// A command for the state machine.
     Command(Vec<u8>),
 }
 
-/// An entry.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader who made it.
+    /// The term of the leader that created it.
     pub term: Term,
-    /// The log's time, in milliseconds: it goes on by a leader's monotonic clock while one leads, and stands still between two;
-    /// it never goes back, and is not later than the time that has truly passed but for the drift of clocks.
+    /// The log time in milliseconds. It advances by the leader's monotonic clock and stands still while there is no leader. It
+    /// never decreases and, apart from clock drift, never exceeds the time that has really passed.
     pub at_ms: u64,
-    /// What it says.
+    /// The content.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Its length in a message, about.
+    /// Its approximate encoded size, in bytes.
     pub fn bytes(&self) -> usize {
         32 + match &self.payload {
             Payload::Nothing => 0,
@@ -82,48 +83,48 @@
     }
 }
 
-/// What is kept besides the log (RP 5.1).
+/// The persistent state besides the log (RP 5.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term heard of.
+    /// The latest term seen.
     pub term: Term,
-    /// Whom it voted for in it.
+    /// The candidate that received this replica's vote in that term.
     pub vote: Option<Node>,
 }
 
-/// All entries up to a place, as the state that they made (RP 7).
+/// The state of the state machine after all entries up to an index (RP 7).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry in it.
+    /// The index of the last entry that it covers.
     pub index: Index,
-    /// Its term.
+    /// The term of that entry.
     pub term: Term,
-    /// Its time.
+    /// The log time of that entry, in milliseconds.
     pub at_ms: u64,
-    /// The group at it.
+    /// The group in force at that entry.
     pub group: Group,
-    /// The state machine's own coding.
+    /// The state, as encoded by the state machine.
     pub data: Vec<u8>,
 }
 
-/// The entries behind a snapshot.
+/// A snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     pub(crate) snapshot: Snapshot,
     entries: VecDeque<Entry>,
-    /// Where the group changes, behind the snapshot.
+    /// The group changes after the snapshot.
     groups: Vec<(Index, Group)>,
 }
 
 impl Log {
-    /// As it was kept.
+    /// A log from its persisted parts.
     pub(crate) fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let mut log = Log { snapshot, ..Log::default() };
         entries.into_iter().for_each(|e| log.push(e));
         log
     }
 
-    /// The last entry's place.
+    /// The index of the last entry.
     pub fn last_index(&self) -> Index {
         self.snapshot.index + self.entries.len() as Index
     }
@@ -133,17 +134,17 @@
         self.entries.back().map_or(self.snapshot.term, |e| e.term)
     }
 
-    /// The time of the last entry.
+    /// The log time of the last entry, in milliseconds.
     pub fn last_at_ms(&self) -> u64 {
         self.entries.back().map_or(self.snapshot.at_ms, |e| e.at_ms)
     }
 
-    /// The entry at a place behind the snapshot.
+    /// The entry at an index after the snapshot.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         self.entries.get(index.checked_sub(self.snapshot.index + 1)? as usize)
     }
 
-    /// The term at a place; `None`: it is not known here any more, or not yet.
+    /// The term of the entry at an index; `None` if the entry was compacted or doesn't exist yet.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -151,27 +152,27 @@
         self.get(index).map(|e| e.term)
     }
 
-    /// The group in force: that of the latest change in the log, committed or not (D 4.1).
+    /// The group in force: that of the latest change in the log, whether committed or not (D 4.1).
     pub fn group(&self) -> &Group {
         self.groups.last().map_or(&self.snapshot.group, |g| &g.1)
     }
 
-    /// The group at a place.
+    /// The group in force at an index.
     pub(crate) fn group_at(&self, index: Index) -> &Group {
         self.groups.iter().rev().find(|g| g.0 <= index).map_or(&self.snapshot.group, |g| &g.1)
     }
 
-    /// The place of the latest change; 0: in the snapshot.
-    pub(crate) fn changed_at(&self) -> Index {
+    /// The index of the latest group change after the snapshot; 0 if there is none.
+    pub(crate) fn last_change_index(&self) -> Index {
         self.groups.last().map_or(0, |g| g.0)
     }
 
-    /// The place of the latest change that is known, or of the snapshot that names the group.
+    /// The index of the entry, or else of the snapshot, that defines the group in force.
     pub fn group_index(&self) -> Index {
         self.groups.last().map_or(self.snapshot.index, |g| g.0)
     }
 
-    /// Add one.
+    /// Appends an entry.
     pub(crate) fn push(&mut self, entry: Entry) {
         if let Payload::Change(group) = &entry.payload {
             self.groups.push((self.last_index() + 1, group.clone()));
@@ -179,13 +180,13 @@
         self.entries.push_back(entry);
     }
 
-    /// Drop all from a place on.
+    /// Removes all entries from an index on.
     pub(crate) fn truncate(&mut self, from: Index) {
         self.entries.truncate(from.saturating_sub(self.snapshot.index + 1) as usize);
         self.groups.retain(|g| g.0 < from);
     }
 
-    /// Everything up to the snapshot is now in it; what is behind stays if it follows on from it (RP 7).
+    /// Replaces all entries up to the snapshot by it. Later entries stay if the log matches the snapshot at its index (RP 7).
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.entries.drain(..(snapshot.index - self.snapshot.index) as usize);
@@ -197,20 +198,20 @@
         self.snapshot = snapshot;
     }
 
-    /// How many entries are behind the snapshot.
+    /// The number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is.
+    /// Whether there are no entries after the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
 impl Entry {
-    /// Without content, of a term.
-    pub(crate) fn nothing(term: Term, at_ms: u64) -> Self {
+    /// An entry without content.
+    pub(crate) fn no_op(term: Term, at_ms: u64) -> Self {
         Entry { term, at_ms, payload: Payload::Nothing }
     }
 }
--- a/crates/control/raft/src/message.rs
+++ b/crates/control/raft/src/message.rs
@@ -1,131 +1,133 @@
-//! What replicas say to each other. Each message is one way and may be lost, doubled, late or out of order.
+//! The messages between replicas. Each is one-way and may be lost, duplicated, delayed or reordered.
 use crate::log::{Entry, Group, Index, Term};
 use crate::Node;
 use serde::{Deserialize, Serialize};
 
-/// A message with what it belongs to.
+/// A message with its group, epoch, sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Which group's log.
+    /// The number of the Raft group.
     pub group: u32,
-    /// Which founding or recovery of it; others are not listened to.
+    /// The epoch: which bootstrap or recovery of the group this belongs to. A replica only handles messages of its own epoch.
     pub epoch: u64,
-    /// Who says it.
+    /// The sender.
     pub from: Node,
-    /// To whom: a process that took over an address does not heed what was said to another.
+    /// The receiver: a process that took over the address of another node ignores messages to that node.
     pub to: Node,
-    /// How many writes its folder had made durable when it was said: less than once heard is an older folder.
+    /// How many writes the sender's storage had made durable when the message was sent. Fewer than in an earlier message means
+    /// that this one is late or that the storage is an older copy.
     pub writes: u64,
-    /// What it says.
+    /// The message.
     pub message: Message,
 }
 
-/// What is said.
+/// A message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Started with a folder that was used before: what was the greatest number of writes that you heard from me?
+    /// Asks, after a start with used storage, for the greatest number of writes that the receiver has seen from the sender.
     Hello,
-    /// So many.
+    /// The response to `Hello`.
     HelloBack {
-        /// The greatest number heard; 0: none.
+        /// The greatest number seen; 0 if there was no message.
         seen: u64,
     },
-    /// RequestVote (RP 5.2), and the pre-vote without effect (D 9.6).
+    /// RequestVote (RP 5.2), also for the pre-vote, which changes no state (D 9.6).
     RequestVote {
-        /// The candidate's term; in a pre-vote the one it would have.
+        /// The candidate's term; in a pre-vote the term it would have.
         term: Term,
-        /// Its last entry.
+        /// The index of its last entry.
         last: Index,
-        /// The term of that.
+        /// The term of that entry.
         last_term: Term,
         /// Whether this is a pre-vote.
         pre_vote: bool,
-        /// Asked for by the leader itself: voters that hear a leader answer all the same (D 3.10, 4.2.3).
+        /// Whether a leadership transfer caused it: voters then respond even while they hear from a leader (D 3.10, 4.2.3).
         transfer: bool,
     },
-    /// The response.
+    /// The response to `RequestVote`.
     RequestVoteResponse {
-        /// The voter's term; granted in a pre-vote: the term asked about.
+        /// The voter's term; in a granted pre-vote the requested term.
         term: Term,
-        /// Yes.
+        /// Whether the vote was granted.
         granted: bool,
         /// Whether this is a pre-vote.
         pre_vote: bool,
     },
-    /// AppendEntries (RP 5.3), heartbeats too.
+    /// AppendEntries (RP 5.3), also used as heartbeat.
     AppendEntries {
         /// The leader's term.
         term: Term,
-        /// The entry before these.
+        /// The index of the entry before these.
         prev: Index,
-        /// The term of that.
+        /// The term of that entry.
         prev_term: Term,
-        /// What comes behind it.
+        /// The entries after it.
         entries: Vec<Entry>,
-        /// Committed up to here.
+        /// The leader's commit index.
         commit: Index,
-        /// The leader's round of asking who follows (D 6.4).
+        /// The leader's round of heartbeats, by which it confirms its leadership for reads (D 6.4).
         round: u64,
     },
-    /// The response.
+    /// The response to `AppendEntries`, and to `InstallSnapshot` once the follower has the whole snapshot or if the
+    /// term is stale.
     AppendEntriesResponse {
         /// The follower's term.
         term: Term,
-        /// It has the same as the leader up to here, durably; or `None`, and `last` says where to look.
+        /// The follower's log durably matches the leader's up to this index; `None` if the request was rejected.
         matched: Option<Index>,
-        /// The last place that could match.
+        /// After a rejection, the last index that could match.
         last: Index,
-        /// The round it answers.
+        /// The round that it responds to.
         round: u64,
-        /// Voters that it holds to be gone for good, by what it sees itself.
+        /// Voters that the follower itself considers permanently lost.
         gone: Vec<Node>,
     },
     /// InstallSnapshot (RP 7), in chunks (D 5.1).
     InstallSnapshot {
         /// The leader's term.
         term: Term,
-        /// The snapshot's last entry.
+        /// The index of the last entry that the snapshot covers.
         index: Index,
-        /// The term of that.
+        /// The term of that entry.
         index_term: Term,
-        /// Its time.
+        /// The log time of that entry, in milliseconds.
         at_ms: u64,
-        /// The group at it.
+        /// The group in force at that entry.
         group: Group,
         /// The offset of this chunk, in bytes.
         offset: u64,
-        /// The bytes of the chunk.
+        /// The chunk.
         data: Vec<u8>,
-        /// The last one.
+        /// Whether this is the last chunk.
         done: bool,
         /// As in `AppendEntries`.
         round: u64,
     },
-    /// The response to a chunk that was not the last.
+    /// The response to a chunk that doesn't complete the snapshot.
     InstallSnapshotResponse {
         /// The follower's term.
         term: Term,
-        /// The snapshot's last entry.
+        /// The index of the last entry that the snapshot covers.
         index: Index,
-        /// Where the next one begins.
+        /// The offset of the next chunk that the follower expects, in bytes.
         next: u64,
-        /// The round it answers.
+        /// The round that it responds to.
         round: u64,
     },
-    /// A leader that transfers its leadership asks this voter to start an election at once (D 3.10).
+    /// TimeoutNow: a leader that transfers its leadership asks the receiver to start an election at once (D 3.10).
     TimeoutNow {
         /// The leader's term.
         term: Term,
     },
-    /// Your folder is older than what you have promised: more writes were heard of.
+    /// The receiver's message was late, or its storage is an older copy: the sender has seen more writes from it.
     Older {
-        /// So many.
+        /// The greatest number of writes seen.
         seen: u64,
     },
 }
 
 impl Message {
-    /// Its length, about.
+    /// Its approximate encoded size, in bytes.
     pub fn bytes(&self) -> usize {
         64 + match self {
             Message::AppendEntries { entries, .. } => entries.iter().map(Entry::bytes).sum(),
--- a/crates/control/raft/src/metrics.rs
+++ b/crates/control/raft/src/metrics.rs
@@ -1,15 +1,15 @@
-//! Counters of a replica. Nothing is decided by them.
+//! Counters of a replica. They don't affect its behaviour.
 
-/// Counters since the start of the process.
+/// Counters since the replica was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Elections it started.
+    /// Elections started, pre-votes not counted.
     pub campaigns: u64,
-    /// Terms it led.
+    /// Elections won.
     pub terms_led: u64,
-    /// Times it stepped down because a majority of voters did not answer.
+    /// Times that it stepped down because a majority of voters didn't respond.
     pub step_downs: u64,
-    /// Entries that were truncated in favour of a leader's.
+    /// Entries truncated because they conflicted with a leader's log.
     pub entries_truncated: u64,
     /// Snapshots installed from a leader.
     pub snapshots_installed: u64,
--- a/crates/control/raft/src/outcome.rs
+++ b/crates/control/raft/src/outcome.rs
@@ -1,45 +1,45 @@
-//! What a replica reports to its caller: entries to apply, why it stopped, why a request was rejected. It holds no state.
+//! What a replica reports to its caller: entries to apply, why it stopped, and why a request was rejected.
 use crate::log::{Entry, Index, Snapshot};
 use crate::Node;
 
-/// Something for the state machine, in this order.
+/// A step for the state machine; steps are to be applied in the order in which they are polled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Apply {
-    /// A committed entry.
+    /// Apply a committed entry.
     Entry(Index, Entry),
-    /// The state is this one from now on.
+    /// Replace the state by that of a snapshot.
     Restore(Snapshot),
 }
 
-/// Why a replica does nothing any more. Its process may go on as another node, with an empty folder.
+/// Why a replica stopped for good. Its process may continue as a different node with empty storage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// A write failed: what the disk holds is not known.
+    /// A write failed, so the content of the storage is unknown.
     WriteFailed,
-    /// Others heard of more writes than the folder holds.
+    /// Another node has seen more writes than the storage holds: the storage is an older copy.
     Older {
-        /// So many.
+        /// The number of writes that the other node has seen.
         seen: u64,
-        /// And held.
+        /// The number of writes that the storage holds.
         held: u64,
     },
-    /// A rule was about to be broken.
+    /// This invariant of Raft would have been violated.
     Rule(&'static str),
 }
 
-/// Why something asked for is not done here.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RaftError {
-    /// Another leads, as far as is known.
+    /// This replica isn't the leader; the leader, if known.
     NotLeader(Option<Node>),
-    /// It leads, and can't yet: its first entry is not committed.
+    /// It leads, but has not committed an entry in its term yet, or is transferring its leadership.
     NotReady,
-    /// Too much is open.
+    /// Too many entries are uncommitted or too many reads pending.
     Full,
-    /// A change of the group is not committed yet.
+    /// An earlier change of the group is not committed yet.
     ChangeInProgress,
-    /// The change is more than one step.
+    /// The change adds or removes more than one voter, or leaves none.
     NotSingleServerChange,
-    /// It does nothing any more.
+    /// The replica has stopped.
     Ended,
 }
--- a/crates/control/raft/src/persistent_state.rs
+++ b/crates/control/raft/src/persistent_state.rs
@@ -1,23 +1,23 @@
-//! What a replica's disk holds and the writes that change it (RP 5.1, figure 2: "persistent state"). It does not know who
-//! writes or when. Go on reading at [`crate::log`].
+//! The persistent state of a replica (RP 5.1, figure 2) and the writes that change it. The caller performs the writes.
+//! See [`crate::log`] for the entries.
 use crate::log::{Entry, HardState, Index, Snapshot};
 use std::collections::BTreeMap;
 
-/// What a folder kept.
+/// The content of a replica's storage.
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The snapshot.
+    /// The latest snapshot.
     pub snapshot: Snapshot,
-    /// The entries behind it.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
     /// The number of the last write.
     pub writes: u64,
 }
 
 impl PersistentState {
-    /// As it is once a write is done.
+    /// Applies a write.
     pub fn apply(&mut self, write: Write) {
         let Write { number, hard_state, snapshot, truncate_from, entries } = write;
         self.writes = number;
@@ -26,30 +26,30 @@
             self.entries.truncate(truncate_from.saturating_sub(self.snapshot.index + 1) as usize);
         }
         if let Some(new) = snapshot {
-            let gone = (new.index - self.snapshot.index.min(new.index)) as usize;
-            self.entries.drain(..gone.min(self.entries.len()));
+            let compacted = (new.index - self.snapshot.index.min(new.index)) as usize;
+            self.entries.drain(..compacted.min(self.entries.len()));
             self.snapshot = new;
         }
         for (index, entry) in entries {
-            let at = index.saturating_sub(self.snapshot.index + 1) as usize;
-            self.entries.truncate(at);
+            let position = index.saturating_sub(self.snapshot.index + 1) as usize;
+            self.entries.truncate(position);
             self.entries.push(entry);
         }
     }
 }
 
-/// Something to make durable, all or nothing and in the order of numbers.
+/// A change of the persistent state, to be made durable atomically and in the order of numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Write {
-    /// Counts a folder's writes, over all starts.
+    /// The number of the write, counted over the lifetime of the storage, across restarts.
     pub number: u64,
     /// Term and vote.
     pub hard_state: Option<HardState>,
-    /// A snapshot in place of what was before it, and of all entries up to it.
+    /// A snapshot that replaces the one before it and all entries up to its index.
     pub snapshot: Option<Snapshot>,
-    /// Entries from here on are dropped before the new ones are added.
+    /// Entries from this index on are removed before the new ones are added.
     pub truncate_from: Option<Index>,
-    /// New entries by place; each place once, the later word holds.
+    /// New entries by index; a later entry at the same index replaces the earlier one.
     pub entries: BTreeMap<Index, Entry>,
 }
 
--- a/crates/control/raft/src/replication.rs
+++ b/crates/control/raft/src/replication.rs
@@ -1,5 +1,5 @@
-//! How a leader copies its log: entries (RP 5.3), snapshot chunks (RP 7, D 5.1), the responses to both, and what is committed
-//! by them (RP 5.4.2).
+//! How a leader replicates its log: entries (RP 5.3), snapshot chunks (RP 7, D 5.1), the responses to both, and how they advance
+//! the commit index (RP 5.4.2).
 use crate::config::Mutation;
 use crate::log::{Index, Term};
 use crate::message::Message;
@@ -9,27 +9,28 @@
 use silvercross_time::Instant;
 
 impl Replica {
-    /// Send a heartbeat to every peer.
+    /// Sends a heartbeat, or what is due anyway, to every peer.
     pub(crate) fn send_heartbeats(&mut self) {
         let Role::Leader(lead) = &self.role else { return };
         let peers: Vec<Node> = lead.peers.keys().copied().collect();
-        peers.into_iter().for_each(|to| self.send(to, true));
+        peers.into_iter().for_each(|to| self.replicate_to(to, true));
     }
 
-    pub(crate) fn send_all(&mut self) {
+    pub(crate) fn replicate_to_all(&mut self) {
         let Role::Leader(lead) = &self.role else { return };
         let peers: Vec<Node> = lead.peers.keys().copied().collect();
-        peers.into_iter().for_each(|to| self.send(to, false));
+        peers.into_iter().for_each(|to| self.replicate_to(to, false));
     }
 
-    /// Send a follower what it lacks, as far as the limits allow; `always`: at least one message, as a heartbeat.
-    pub(crate) fn send(&mut self, to: Node, always: bool) {
+    /// Sends a follower the entries that it lacks, or a snapshot chunk, within the limits. With `always` it sends at least one
+    /// `AppendEntries` as a heartbeat, unless a chunk is due instead.
+    pub(crate) fn replicate_to(&mut self, to: Node, always: bool) {
         let mut always = always;
         loop {
             let Role::Leader(lead) = &self.role else { return };
             let Some(progress) = lead.peers.get(&to) else { return };
             let message = if progress.next <= self.log.snapshot.index {
-                // What comes next is in the snapshot alone (RP 7), which goes one chunk at a time.
+                // The next entry is only in the snapshot (RP 7), which is sent one chunk at a time.
                 match self.next_chunk(to) {
                     Some(chunk) => return self.send_message(to, chunk, false),
                     None => return,
@@ -43,9 +44,9 @@
         }
     }
 
-    /// The next chunk of the snapshot for a follower; `None` while one is in flight.
+    /// The next snapshot chunk for a follower; `None` while one is in flight.
     fn next_chunk(&mut self, to: Node) -> Option<Message> {
-        let (term, chunk_bytes) = (self.hard.term, self.config.snapshot_chunk_bytes);
+        let (term, chunk_bytes) = (self.hard_state.term, self.config.snapshot_chunk_bytes);
         let Role::Leader(lead) = &mut self.role else { return None };
         let (round, progress) = (lead.round, lead.peers.get_mut(&to)?);
         let snapshot = &self.log.snapshot;
@@ -72,9 +73,10 @@
         })
     }
 
-    /// The next entries for a follower, none of them if too many messages are in flight; `None`: there is nothing to send.
+    /// The next `AppendEntries` for a follower, without entries if too many messages are in flight; `None` if there is nothing to
+    /// send.
     fn next_entries(&mut self, to: Node, always: bool) -> Option<Message> {
-        let (term, commit, last) = (self.hard.term, self.commit, self.log.last_index());
+        let (term, commit, last) = (self.hard_state.term, self.commit_index, self.log.last_index());
         let (max_bytes, max_in_flight) = (self.config.max_append_bytes, self.config.max_in_flight);
         let Role::Leader(lead) = &mut self.role else { return None };
         let (round, progress) = (lead.round, lead.peers.get_mut(&to)?);
@@ -106,22 +108,25 @@
         round: u64,
         gone: Vec<Node>,
     ) {
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             return self.enter_term(now, term);
         }
-        let end = self.log.last_index();
-        if term < self.hard.term || !self.is_leader() {
+        let last_index = self.log.last_index();
+        if term < self.hard_state.term || !self.is_leader() {
             return;
         }
-        if !self.rule(matched.is_none_or(|m| m <= end), "Leader Append-Only, RP 5.3: no follower has more") {
+        if !self.check_invariant(
+            matched.is_none_or(|m| m <= last_index),
+            "Leader Append-Only, RP 5.3: no follower matches beyond the end of the leader's log",
+        ) {
             return;
         }
         let Role::Leader(lead) = &mut self.role else { return };
         let Some(p) = lead.peers.get_mut(&from) else { return };
-        (p.heard_at, p.gone, p.fresh) = (now, gone, true);
+        (p.heard_at, p.gone, p.responded) = (now, gone, true);
         p.round = p.round.max(round);
         p.in_flight = p.in_flight.saturating_sub(1);
-        let mut again = false;
+        let mut resend = false;
         match matched {
             Some(m) => {
                 p.matched = p.matched.max(m);
@@ -131,17 +136,17 @@
                     p.snapshot = None;
                 }
             }
-            // Each of several under way is refused with the same word: only the first one is answered, or each answer would
-            // bring more of them.
+            // Several messages in flight are rejected with the same hint. Only the first rejection is acted on: resending after
+            // each would multiply the messages.
             None if p.probing && last + 1 >= p.next => {}
             None => {
                 (p.next, p.in_flight, p.probing) = ((last + 1).min(p.next).max(p.matched + 1), 0, true);
-                again = true;
+                resend = true;
             }
         }
-        self.count_reads();
-        self.advance(now);
-        self.send(from, again);
+        self.confirm_reads();
+        self.advance_commit_index(now);
+        self.replicate_to(from, resend);
         self.advance_transfer(now);
     }
 
@@ -154,39 +159,44 @@
         next: u64,
         round: u64,
     ) {
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             return self.enter_term(now, term);
         }
         let Role::Leader(lead) = &mut self.role else { return };
-        let Some(p) = lead.peers.get_mut(&from).filter(|_| term == self.hard.term) else { return };
-        (p.heard_at, p.fresh) = (now, true);
+        let Some(p) = lead.peers.get_mut(&from).filter(|_| term == self.hard_state.term) else { return };
+        (p.heard_at, p.responded) = (now, true);
         p.round = p.round.max(round);
         if p.snapshot.is_some_and(|s| s.0 == index) {
             p.snapshot = Some((index, next, false));
         }
-        self.count_reads();
-        self.send(from, false);
+        self.confirm_reads();
+        self.replicate_to(from, false);
     }
 
-    /// What most of the voters have durably is committed, if it is of this term (RP 5.4.2); what is before it, with it.
-    pub(crate) fn advance(&mut self, now: Instant) {
-        let (me, durable, group) = (self.me, self.durable, self.group().clone());
-        let learners = self.config.is_broken(Mutation::LearnerCounts);
+    /// Commits the entries that a majority of the voters has durably, if the last of them is of the current term (RP 5.4.2).
+    pub(crate) fn advance_commit_index(&mut self, now: Instant) {
+        let (me, durable_index, group) = (self.me, self.durable_index, self.group().clone());
+        let count_learners = self.config.has_mutation(Mutation::LearnerCounts);
         let Role::Leader(lead) = &mut self.role else { return };
-        let counted = group.voters.iter().chain(group.learners.iter().filter(|_| learners));
-        let own =
-            if self.config.is_broken(Mutation::AnswerBeforeSync) { self.log.last_index() } else { durable };
-        let mut places: Vec<Index> = counted
-            .map(|v| if *v == me { own } else { lead.peers.get(v).map_or(0, |p| p.matched) })
+        let counted_nodes = group.voters.iter().chain(group.learners.iter().filter(|_| count_learners));
+        let own_index = if self.config.has_mutation(Mutation::AnswerBeforeSync) {
+            self.log.last_index()
+        } else {
+            durable_index
+        };
+        let mut match_indexes: Vec<Index> = counted_nodes
+            .map(|v| if *v == me { own_index } else { lead.peers.get(v).map_or(0, |p| p.matched) })
             .collect();
-        places.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(&place) = places.get(group.majority().saturating_sub(1)) else { return };
-        let of_term = self.log.term(place) == Some(self.hard.term);
-        if place <= self.commit || !(of_term || self.config.is_broken(Mutation::OldTermCommits)) {
+        match_indexes.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(&majority_index) = match_indexes.get(group.majority().saturating_sub(1)) else { return };
+        let in_current_term = self.log.term(majority_index) == Some(self.hard_state.term);
+        if majority_index <= self.commit_index
+            || !(in_current_term || self.config.has_mutation(Mutation::OldTermCommits))
+        {
             return;
         }
-        self.commit_to(place);
-        // D 4.2.2: a leader that is not in the committed group any more leaves.
+        self.commit_to(majority_index);
+        // D 4.2.2: a leader that is no voter of the committed group steps down.
         if !self.is_changing() && !self.group().is_voter(me) {
             self.send_heartbeats();
             self.abandon_reads();
@@ -194,7 +204,7 @@
             self.leader = None;
             return self.reset_election_timer(now);
         }
-        // Followers hear of it at once: who waits for an answer elsewhere waits for this.
+        // Followers learn the commit index at once, since requests at other nodes wait for it.
         self.send_heartbeats();
     }
 }
--- a/crates/control/raft/src/role.rs
+++ b/crates/control/raft/src/role.rs
@@ -1,5 +1,5 @@
-//! A replica's role and what it keeps while it has that role (RP 5.1, figure 4). Data alone: what is done with it is in
-//! [`crate::election`], [`crate::follower`], [`crate::leader`], [`crate::proposal`] and [`crate::replication`].
+//! A replica's role and the state that belongs to it (RP 5.1, figure 4). The behaviour is in [`crate::election`],
+//! [`crate::follower`], [`crate::leader`], [`crate::proposal`] and [`crate::replication`].
 use crate::log::Index;
 use crate::Node;
 use silvercross_time::Instant;
@@ -8,50 +8,51 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
     Follower,
-    /// Asks for votes; `pre_vote`: only whether it would be elected (D 9.6).
+    /// Collects votes; with `pre_vote` only asks whether it would be elected (D 9.6).
     Candidate {
         votes: BTreeSet<Node>,
         pre_vote: bool,
     },
-    Leader(Leadership),
+    Leader(LeaderState),
 }
 
-/// How far a follower is.
+/// A follower's replication progress, as the leader sees it.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Durably the same up to here.
+    /// The follower's log durably matches the leader's up to this index.
     pub matched: Index,
-    /// When it last answered.
+    /// When it last responded.
     pub heard_at: Instant,
-    /// Voters that it considers lost for good.
+    /// Voters that it considers permanently lost.
     pub gone: Vec<Node>,
     pub(crate) next: Index,
     pub(crate) in_flight: usize,
-    /// Its matching index is being searched for: one message at a time.
+    /// Whether its matching index is still being searched for; only one message with entries is then in flight.
     pub(crate) probing: bool,
     pub(crate) round: u64,
-    /// The snapshot being sent to it: its index, the next offset, whether a chunk is in flight.
+    /// The snapshot being sent to it: its index, the next offset in bytes, and whether a chunk is in flight.
     pub(crate) snapshot: Option<(Index, u64, bool)>,
-    /// Whether it has answered since the last heartbeat.
-    pub(crate) fresh: bool,
+    /// Whether it has responded since the last heartbeat.
+    pub(crate) responded: bool,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Leadership {
+pub(crate) struct LeaderState {
     pub(crate) peers: BTreeMap<Node, Progress>,
-    /// The first place of its own term.
-    pub(crate) first: Index,
+    /// The index of the first entry of its term.
+    pub(crate) first_index: Index,
     pub(crate) round: u64,
     pub(crate) heartbeat_at: Instant,
+    /// Pending reads: number, round that confirms it, commit index when it was requested.
     pub(crate) reads: VecDeque<(u64, u64, Index)>,
-    pub(crate) next_read: u64,
-    /// The log's time when it became leader, and when that was by its own clock.
-    pub(crate) clock: (u64, Instant),
-    /// The voter that leadership is being transferred to, and when the attempt is given up.
+    pub(crate) last_read_number: u64,
+    /// The log time in milliseconds when it became leader, and its local time then.
+    pub(crate) clock_base: (u64, Instant),
+    /// The target of a leadership transfer, and when the transfer is aborted.
     pub(crate) transfer: Option<(Node, Instant)>,
 }
 
-impl Leadership {
+impl LeaderState {
     pub(crate) fn next_deadline(&self) -> Instant {
         self.heartbeat_at
     }
--- a/crates/control/raft/src/step.rs
+++ b/crates/control/raft/src/step.rs
@@ -1,6 +1,5 @@
-//! What comes in: time and messages, handed to the part that answers them; and the questions after a start by which a replica
-//! learns whether its folder is the latest. The answers themselves are in [`crate::election`], [`crate::follower`] and
-//! [`crate::replication`].
+//! The inputs of a replica: time and messages, which are dispatched to [`crate::election`], [`crate::follower`] and
+//! [`crate::replication`]; and recovery, by which a replica finds out after a start whether its storage is an older copy.
 use crate::config::Mutation;
 use crate::log::Snapshot;
 use crate::message::Message;
@@ -14,18 +13,18 @@
 use silvercross_time::Instant;
 use std::hash::Hasher;
 
-/// Nodes whose number of writes is kept, besides those of the group.
-const MAX_WRITE_COUNTS: usize = 256;
+/// At this many nodes with a tracked number of writes, those outside the group are forgotten.
+const MAX_TRACKED_NODES: usize = 256;
 
 impl Replica {
-    /// Let time pass.
+    /// Does what is due at this time. To be called at [`Replica::next_deadline`].
     pub fn tick(&mut self, now: Instant) {
         if self.ended.is_some() {
             return;
         }
         if self.recovery_answers.is_some() && now >= self.hello_at {
             self.hello_at = now + self.config.heartbeat_interval;
-            self.finish_recovery(None);
+            self.try_finish_recovery(None);
             let others: Vec<Node> = self.group().voters.iter().filter(|v| **v != self.me).copied().collect();
             if self.recovery_answers.is_some() {
                 others.into_iter().for_each(|v| self.send_message(v, Message::Hello, false));
@@ -38,24 +37,24 @@
         }
     }
 
-    /// Take a message in. `writes`: how many writes its sender had made durable when it said it.
+    /// Handles a message. `writes` is how many writes its sender had made durable when it sent the message.
     pub fn handle_message(&mut self, now: Instant, from: Node, writes: u64, message: Message) {
         if self.ended.is_some() || from == self.me {
             return;
         }
-        if !self.is_from_latest_folder(from, writes, &message) {
+        if !self.is_from_latest_storage(from, writes, &message) {
             return;
         }
         match message {
             Message::Hello => self.send_message(from, Message::HelloBack { seen: writes }, false),
-            Message::HelloBack { seen } | Message::Older { seen } if seen > self.done => {
-                if !self.config.is_broken(Mutation::VotesWithOldStorage) {
-                    self.end(Ended::Older { seen, held: self.done });
+            Message::HelloBack { seen } | Message::Older { seen } if seen > self.durable_writes => {
+                if !self.config.has_mutation(Mutation::VotesWithOldStorage) {
+                    self.end(Ended::Older { seen, held: self.durable_writes });
                 }
             }
-            Message::HelloBack { .. } => self.finish_recovery(Some(from)),
+            Message::HelloBack { .. } => self.try_finish_recovery(Some(from)),
             Message::Older { .. } => {}
-            // It has not heard yet that nothing is missing: it promises nothing.
+            // Until recovery ends, it may neither vote nor acknowledge: its storage may lack earlier votes and entries.
             _ if self.recovery_answers.is_some() => {}
             Message::RequestVote { term, last, last_term, pre_vote, transfer } => {
                 self.handle_request_vote(now, from, term, (last_term, last), pre_vote, transfer)
@@ -67,8 +66,8 @@
                 self.handle_append_entries(now, from, term, (prev, prev_term), entries, commit, round)
             }
             Message::InstallSnapshot { term, index, index_term, at_ms, group, offset, data, done, round } => {
-                let part = Snapshot { index, term: index_term, at_ms, group, data };
-                self.handle_snapshot_chunk(now, from, term, part, offset, done, round)
+                let chunk = Snapshot { index, term: index_term, at_ms, group, data };
+                self.handle_snapshot_chunk(now, from, term, chunk, offset, done, round)
             }
             Message::AppendEntriesResponse { term, matched, last, round, gone } => {
                 self.handle_append_response(now, from, term, matched, last, round, gone)
@@ -77,28 +76,28 @@
                 self.handle_chunk_response(now, from, term, index, next, round)
             }
             Message::TimeoutNow { term } => {
-                if term == self.hard.term && self.leader == Some(from) {
+                if term == self.hard_state.term && self.leader == Some(from) {
                     self.campaign(now, false, true);
                 }
             }
         }
     }
 
-    /// Note how many writes a sender had made durable. `false`: more were heard of before, so the message is late or from an
-    /// older folder and must not be acted on; its sender is told.
-    fn is_from_latest_folder(&mut self, from: Node, writes: u64, message: &Message) -> bool {
-        if self.seen.len() >= MAX_WRITE_COUNTS {
-            // Those that are in no group any more are never heard again but for strangers.
+    /// Tracks how many writes a sender had made durable. `false`: an earlier message had more, so this one is late or from an
+    /// older copy of the storage and must not be acted on. The sender is notified.
+    fn is_from_latest_storage(&mut self, from: Node, writes: u64, message: &Message) -> bool {
+        if self.seen_writes.len() >= MAX_TRACKED_NODES {
+            // Bounds memory: nodes that left the group are not expected to send again.
             let group = self.log.group().clone();
-            self.seen.retain(|n, _| group.all().any(|m| m == *n));
+            self.seen_writes.retain(|n, _| group.all().any(|m| m == *n));
         }
-        let seen = self.seen.entry(from).or_default();
-        if writes < *seen && !self.config.is_broken(Mutation::VotesWithOldStorage) {
-            // Late, or from an older folder: its sender knows which.
+        let seen = self.seen_writes.entry(from).or_default();
+        if writes < *seen && !self.config.has_mutation(Mutation::VotesWithOldStorage) {
+            // The sender can tell a late message from an older copy of its storage by its own number of writes.
             let seen = *seen;
             match *message {
                 Message::Hello => self.send_message(from, Message::HelloBack { seen }, false),
-                // Two that are both late would go on telling each other so.
+                // Not notified: two nodes with late messages would keep notifying each other.
                 Message::Older { .. } | Message::HelloBack { .. } => {}
                 _ => self.send_message(from, Message::Older { seen }, false),
             }
@@ -108,26 +107,31 @@
         true
     }
 
-    /// Recovery ends once most of the voters, itself among them, have answered: whoever heard a promise that mattered is likely to
-    /// be there (docs/design/records.md says what is left).
-    fn finish_recovery(&mut self, from: Option<Node>) {
+    /// Ends recovery once a majority of the voters, counting itself, has responded: a node that saw the latest vote or
+    /// acknowledgement of this replica is then likely to be among them (docs/design/records.md describes the remaining risk). A
+    /// replica that is no voter doesn't wait.
+    fn try_finish_recovery(&mut self, from: Option<Node>) {
         let Some(recovery_answers) = &mut self.recovery_answers else { return };
         let group = self.log.group();
         recovery_answers.extend(from.filter(|f| group.is_voter(*f)));
-        let own = usize::from(group.is_voter(self.me));
-        if recovery_answers.len() + own >= group.majority() || group.voters.is_empty() || own == 0 {
+        let own_answer = usize::from(group.is_voter(self.me));
+        if recovery_answers.len() + own_answer >= group.majority()
+            || group.voters.is_empty()
+            || own_answer == 0
+        {
             self.recovery_answers = None;
         }
     }
 
-    /// Start an election now, without a pre-vote: as if its timeout had passed and the pre-vote had succeeded.
+    /// Starts an election now, as if the election timeout had elapsed and the pre-vote had succeeded.
     pub fn campaign_at_once(&mut self, now: Instant) {
         if !self.is_leader() && self.ended.is_none() {
             self.campaign(now, false, false);
         }
     }
 
-    /// A digest of all that decides what it does next; equal for replicas that differ only in chance and in what they counted.
+    /// A hash of the state that determines its behaviour, without the random generator, the counters and the count of failed
+    /// elections.
     pub fn fingerprint(&self) -> u64 {
         struct Digest(std::collections::hash_map::DefaultHasher);
         impl std::fmt::Write for Digest {
