--- a/crates/control/raft/tests/table/mod.rs
+++ b/crates/control/raft/tests/table/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas on a table: messages lie there until a test delivers, doubles or drops them; disks are played by hand.
+//! A simulated cluster: a test delivers, duplicates or drops each message and completes each write itself.
 #![allow(dead_code)]
 use silvercross_raft::{
     Apply, Config, Entry, Group, HardState, Message, Mutation, Node, Payload, PersistentState, Replica,
@@ -7,38 +7,39 @@
 use silvercross_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A message that lies on the table.
-pub type Lying = (Node, Node, u64, Message);
+/// A message in flight: sender, receiver, number of durable writes of the sender, message.
+pub type InFlight = (Node, Node, u64, Message);
 
-/// One replica and its disk.
+/// A replica and its storage.
 #[derive(Clone)]
-pub struct Seat {
+pub struct Server {
     pub replica: Replica,
     pub disk: PersistentState,
-    /// Writes that are under way.
-    pub writing: Vec<silvercross_raft::Write>,
+    /// Writes that are not durable yet.
+    pub pending_writes: Vec<silvercross_raft::Write>,
     pub up: bool,
 }
 
-/// All of them.
+/// The servers of a cluster, the messages between them, and what they did so far.
 #[derive(Clone)]
-pub struct Table {
-    pub seats: Vec<Seat>,
-    pub lying: Vec<Lying>,
-    /// What was applied anywhere, by place.
+pub struct Cluster {
+    pub servers: Vec<Server>,
+    pub in_flight: Vec<InFlight>,
+    /// The entries applied by any server, by index.
     pub applied: BTreeMap<u64, Entry>,
-    /// Who led which term.
+    /// The leaders of each term.
     pub terms_led: BTreeMap<u64, BTreeSet<Node>>,
-    /// Syncs are done at once.
-    pub sync: bool,
+    /// Whether writes are durable at once.
+    pub sync_at_once: bool,
     pub config: Config,
-    /// What each one's clock says.
+    /// The clock of each server.
     pub clock: Vec<Instant>,
-    pub broken: Option<String>,
+    /// The violation found.
+    pub violation: Option<String>,
 }
 
 pub fn config(mutation: Option<Mutation>) -> Config {
-    // No time passes on the table: whoever is told to stand stands, and nobody hears a leader.
+    // No time passes, so with a timeout of zero no server ignores a candidate because it hears from a leader.
     Config {
         election_timeout: Duration::ZERO,
         heartbeat_interval: Duration::from_micros(1),
@@ -50,148 +51,152 @@
     }
 }
 
-impl Table {
-    /// So many replicas of one group, of which the last `learners` only learn.
+impl Cluster {
+    /// A cluster of one group of these many voters and learners; the learners have the last numbers.
     pub fn new(voters: u64, learners: u64, mutation: Option<Mutation>) -> Self {
-        Table::with(voters, learners, config(mutation))
+        Cluster::with(voters, learners, config(mutation))
     }
 
-    /// With times of their own.
+    /// A cluster with its own configuration.
     pub fn with(voters: u64, learners: u64, config: Config) -> Self {
         let group = Group {
             voters: (1..=voters).map(Node).collect(),
             learners: (voters + 1..=voters + learners).map(Node).collect(),
         };
-        let kept = PersistentState {
+        let persisted = PersistentState {
             snapshot: Snapshot { index: 1, term: 0, at_ms: 0, group, data: Vec::new() },
             ..PersistentState::default()
         };
-        let seats = (1..=voters + learners).map(|n| Seat {
-            replica: Replica::new(config.clone(), Node(n), kept.clone(), 1, Instant::ZERO),
-            disk: kept.clone(),
-            writing: Vec::new(),
+        let servers = (1..=voters + learners).map(|n| Server {
+            replica: Replica::new(config.clone(), Node(n), persisted.clone(), 1, Instant::ZERO),
+            disk: persisted.clone(),
+            pending_writes: Vec::new(),
             up: true,
         });
-        let mut new = Table {
-            seats: seats.collect(),
-            lying: Vec::new(),
+        let mut new = Cluster {
+            servers: servers.collect(),
+            in_flight: Vec::new(),
             applied: BTreeMap::new(),
             terms_led: BTreeMap::new(),
-            sync: true,
+            sync_at_once: true,
             config,
             clock: vec![Instant::ZERO; (voters + learners) as usize],
-            broken: None,
+            violation: None,
         };
-        (0..new.seats.len()).for_each(|i| new.pump(i));
+        (0..new.servers.len()).for_each(|i| new.process_outputs(i));
         new
     }
 
     pub fn at(&mut self, i: usize) -> &mut Replica {
-        &mut self.seats[i].replica
+        &mut self.servers[i].replica
     }
 
-    /// Take what a replica wants done.
-    pub fn pump(&mut self, i: usize) {
-        let seat = &mut self.seats[i];
-        let me = seat.replica.me();
+    /// Processes the outputs of a replica, and checks them.
+    pub fn process_outputs(&mut self, i: usize) {
+        let server = &mut self.servers[i];
+        let me = server.replica.me();
         loop {
-            while let Some((to, writes, message)) = seat.replica.poll_send() {
-                self.lying.push((me, to, writes, message));
+            while let Some((to, writes, message)) = server.replica.poll_send() {
+                self.in_flight.push((me, to, writes, message));
             }
-            match seat.replica.poll_write() {
-                Some(write) if self.sync => {
+            match server.replica.poll_write() {
+                Some(write) if self.sync_at_once => {
                     let number = write.number;
-                    seat.disk.apply(write);
-                    seat.replica.written(self.clock[i], number);
+                    server.disk.apply(write);
+                    server.replica.written(self.clock[i], number);
                 }
-                Some(write) => seat.writing.push(write),
+                Some(write) => server.pending_writes.push(write),
                 None => break,
             }
         }
-        if seat.replica.is_leader() {
-            let terms_led = self.terms_led.entry(seat.replica.term()).or_default();
-            terms_led.insert(me);
-            if terms_led.len() > 1 {
-                self.broken = Some(format!("two lead in term {}", seat.replica.term()));
+        if server.replica.is_leader() {
+            let leaders = self.terms_led.entry(server.replica.term()).or_default();
+            leaders.insert(me);
+            if leaders.len() > 1 {
+                self.violation = Some(format!("two leaders in term {}", server.replica.term()));
             }
         }
-        while let Some(apply) = seat.replica.poll_apply() {
+        while let Some(apply) = server.replica.poll_apply() {
             if let Apply::Entry(index, entry) = apply {
-                let before = self.applied.entry(index).or_insert_with(|| entry.clone());
-                if *before != entry {
-                    self.broken = Some(format!("at {index} {entry:?} was applied, and {before:?} before"));
+                let earlier = self.applied.entry(index).or_insert_with(|| entry.clone());
+                if *earlier != entry {
+                    self.violation =
+                        Some(format!("at {index} {entry:?} was applied, and {earlier:?} before"));
                 }
             }
         }
-        if let Some(why) = seat.replica.ended() {
-            self.broken.get_or_insert(format!("{me:?} ended: {why:?}"));
+        if let Some(reason) = server.replica.ended() {
+            self.violation.get_or_insert(format!("{me:?} ended: {reason:?}"));
         }
     }
 
-    /// A write that is under way is done.
-    pub fn written(&mut self, i: usize) {
-        let seat = &mut self.seats[i];
-        if !seat.writing.is_empty() {
-            let write = seat.writing.remove(0);
+    /// Completes the oldest pending write of a server.
+    pub fn complete_write(&mut self, i: usize) {
+        let server = &mut self.servers[i];
+        if !server.pending_writes.is_empty() {
+            let write = server.pending_writes.remove(0);
             let number = write.number;
-            seat.disk.apply(write);
-            seat.replica.written(self.clock[i], number);
-            self.pump(i);
+            server.disk.apply(write);
+            server.replica.written(self.clock[i], number);
+            self.process_outputs(i);
         }
     }
 
-    /// Deliver a message that lies there; it goes off the table unless it is to come twice.
-    pub fn deliver(&mut self, which: usize, twice: bool) {
+    /// Delivers a message in flight. It stays in flight if it is to be delivered twice.
+    pub fn deliver(&mut self, position: usize, twice: bool) {
         let (from, to, writes, message) =
-            if twice { self.lying[which].clone() } else { self.lying.remove(which) };
+            if twice { self.in_flight[position].clone() } else { self.in_flight.remove(position) };
         let i = to.0 as usize - 1;
-        if self.seats[i].up {
+        if self.servers[i].up {
             let now = self.clock[i];
-            self.seats[i].replica.handle_message(now, from, writes, message);
-            self.pump(i);
+            self.servers[i].replica.handle_message(now, from, writes, message);
+            self.process_outputs(i);
         }
     }
 
-    /// Deliver all between these, whatever comes of it, until nothing lies between them; what lies for others is dropped.
-    pub fn among(&mut self, these: &[u64]) {
+    /// Delivers all messages among `members`, and those that follow from them, until none is left, 200
+    /// at most; drops all others.
+    pub fn deliver_among(&mut self, members: &[u64]) {
         for _ in 0..200 {
-            let fits = |m: &Lying| these.contains(&m.0 .0) && these.contains(&m.1 .0);
-            self.lying.retain(fits);
-            if self.lying.is_empty() {
+            let is_kept = |m: &InFlight| members.contains(&m.0 .0) && members.contains(&m.1 .0);
+            self.in_flight.retain(is_kept);
+            if self.in_flight.is_empty() {
                 return;
             }
             self.deliver(0, false);
         }
     }
 
-    /// It stands for election.
+    /// Starts an election of a server.
     pub fn campaign(&mut self, i: usize) {
         let now = self.clock[i];
         self.at(i).campaign_at_once(now);
-        self.pump(i);
+        self.process_outputs(i);
     }
 
-    /// It stands until the votes of these make it lead; whatever else was said is lost.
-    pub fn elect(&mut self, i: usize, by: &[u64]) {
+    /// Starts elections of a server until the votes of `supporters` make it the leader; drops all other messages.
+    pub fn elect(&mut self, i: usize, supporters: &[u64]) {
         for _ in 0..4 {
             self.campaign(i);
             for _ in 0..100 {
-                let me = self.seats[i].replica.me();
-                let fits = |m: &Lying| {
-                    let votes = matches!(
+                let me = self.servers[i].replica.me();
+                let is_kept = |m: &InFlight| {
+                    let is_for_election = matches!(
                         m.3,
                         Message::RequestVote { .. }
                             | Message::RequestVoteResponse { .. }
                             | Message::HelloBack { .. }
                             | Message::Hello
                     );
-                    votes && (m.0 == me || by.contains(&m.0 .0)) && (m.1 == me || by.contains(&m.1 .0))
+                    is_for_election
+                        && (m.0 == me || supporters.contains(&m.0 .0))
+                        && (m.1 == me || supporters.contains(&m.1 .0))
                 };
-                if self.seats[i].replica.is_leader() {
+                if self.servers[i].replica.is_leader() {
                     return;
                 }
-                self.lying.retain(fits);
-                if self.lying.is_empty() {
+                self.in_flight.retain(is_kept);
+                if self.in_flight.is_empty() {
                     break;
                 }
                 self.deliver(0, false);
@@ -199,40 +204,40 @@
         }
     }
 
-    /// It proposes a command.
-    pub fn propose(&mut self, i: usize, what: u8) -> bool {
+    /// Proposes a command at a server; returns whether it accepted the command.
+    pub fn propose(&mut self, i: usize, command: u8) -> bool {
         let now = self.clock[i];
-        let done = self.at(i).propose(now, vec![what]).is_ok();
+        let accepted = self.at(i).propose(now, vec![command]).is_ok();
         self.at(i).flush(now);
-        self.pump(i);
-        done
+        self.process_outputs(i);
+        accepted
     }
 
-    /// It stops and comes back with what its disk, or an older copy of it, holds.
+    /// Crashes a server and restarts it with its storage or an older copy of it.
     pub fn restart(&mut self, i: usize, from: Option<PersistentState>) {
-        let disk = from.unwrap_or_else(|| self.seats[i].disk.clone());
-        let me = self.seats[i].replica.me();
-        self.seats[i] = Seat {
+        let disk = from.unwrap_or_else(|| self.servers[i].disk.clone());
+        let me = self.servers[i].replica.me();
+        self.servers[i] = Server {
             replica: Replica::new(self.config.clone(), me, disk.clone(), 1, self.clock[i]),
             disk,
-            writing: Vec::new(),
+            pending_writes: Vec::new(),
             up: true,
         };
         let now = self.clock[i];
         self.at(i).tick(now);
-        self.pump(i);
+        self.process_outputs(i);
     }
 
-    /// What is applied that was proposed.
-    pub fn commands(&self) -> Vec<u8> {
-        let of = |e: &Entry| match &e.payload {
+    /// The commands that were applied.
+    pub fn applied_commands(&self) -> Vec<u8> {
+        let command = |e: &Entry| match &e.payload {
             Payload::Command(c) => c.first().copied(),
             _ => None,
         };
-        self.applied.values().filter_map(of).collect()
+        self.applied.values().filter_map(command).collect()
     }
 }
 
-pub fn hard(term: u64, vote: u64) -> HardState {
+pub fn hard_state(term: u64, vote: u64) -> HardState {
     HardState { term, vote: Some(Node(vote)) }
 }
