--- a/crates/balancer/core/src/interface.rs
+++ b/crates/balancer/core/src/interface.rs
@@ -43,24 +43,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// Growth of the aim with the request's own work (0: none).
-    pub aim_stretch: f64,
+    pub target_per_work: f64,
     /// All the time a client waits, over its tries.
     pub deadline: Micros,
     /// What an answer is worth.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth paid for an answer past the aim.
-    pub late_worth: f64,
+    pub late_value_share: f64,
     /// Whether it may run again.
     pub effect: Effect,
     /// The answer is a stream.
     pub stream: bool,
     /// The most upstreams that may receive it; `None`: as many as it has attempts. One that sent it back unseen, could
     /// not be reached or was never sent to has not received it. The first attempt always goes.
-    pub sends: Option<u32>,
+    pub max_receivers: Option<u32>,
     /// What a crossing between zones costs, as a share of the aim, where that is more than the price for all classes.
-    pub toll: f64,
+    pub cross_zone_cost: f64,
 }
 
 /// One tenant and its allowance.
@@ -91,9 +91,9 @@
     /// Instances in this tier.
     pub instances: u32,
     /// This instance's number, from 0.
-    pub me: u32,
+    pub instance_index: u32,
     /// This instance's zone.
-    pub my_zone: u32,
+    pub own_zone: u32,
     /// How many zones are named.
     pub zones: u32,
     /// The classes.
@@ -101,52 +101,52 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request past its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// Worth is counted for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub value_per_work: bool,
     /// The part of the result that counts all worth alike; the rest goes by what is served worst.
-    pub whole: f64,
+    pub total_value_weight: f64,
     /// Points taken off.
     pub prices: Prices,
     /// The list comes only when asked for.
     pub list_on_request: bool,
     /// Past this without asking, the instance counts as told.
-    pub must_ask_in: Micros,
+    pub max_list_age: Micros,
     /// Sends to a draining or gone upstream must stop within this.
     pub drain_grace: Micros,
     /// Least share of its capacity that a started upstream has.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// It is warm no later than this.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// It falls over when sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this span.
-    pub fall_span: Micros,
+    pub overload_window: Micros,
     /// Requests a second that a cold upstream bears, from all instances together; `None`: not stated, and the multiple
     /// counts. Where it is stated, neither the multiple nor its span allows more.
     pub cold_rate: Option<f64>,
     /// Instances that may send to a cold upstream, who share the rate stated; 0: all.
     pub cold_senders: u32,
     /// Second tries as a share of first ones; `None`: the module's own.
-    pub retry_share: Option<f64>,
+    pub retry_ratio: Option<f64>,
     /// So many second tries may be saved up; `None`: the module's own.
-    pub retry_cap: Option<f64>,
+    pub max_saved_retries: Option<f64>,
     /// The most attempts of one request.
-    pub attempts_cap: u32,
+    pub max_attempts: u32,
     /// A connection that is not ready by then has failed.
-    pub connect_limit: Micros,
+    pub connect_timeout: Micros,
     /// Attempts may be called off.
     pub may_cancel: bool,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub may_hedge: bool,
     /// Probes are allowed.
     pub probes: bool,
     /// Clients may be told when to come back, up to this long; `None`: they get no advice.
     pub max_retry_after: Option<Micros>,
     /// Clients mark their repeats.
-    pub marks_repeats: bool,
+    pub clients_mark_retries: bool,
     /// An upstream that met a request's subject lately does less work for it.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
 }
 
 /// What the list says of an upstream's life.
@@ -187,7 +187,7 @@
     /// Only what changed.
     Patch,
     /// The complete list.
-    Whole,
+    Snapshot,
     /// The complete list as last held, perhaps out of date.
     StaleCopy,
     /// A call failed or the subscription broke; the held list stays.
@@ -204,7 +204,7 @@
     /// Answered with an error; it may have run.
     Error,
     /// Sent back unseen.
-    Full,
+    Rejected,
     /// No answer within the limit; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -214,7 +214,7 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// A request as it arrives.
@@ -233,7 +233,7 @@
     /// Expected work on a standard core.
     pub cost_hint: Option<Micros>,
     /// A client's repeat, where clients mark them.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// It writes.
     pub write: bool,
 }
@@ -250,7 +250,7 @@
     /// Time from its send.
     pub elapsed: Micros,
     /// The request is over, by this or before.
-    pub over: bool,
+    pub request_over: bool,
 }
 
 /// Something that happened.
@@ -268,7 +268,7 @@
         /// The new ones.
         settings: &'a Settings,
         /// For each class, which one of before tells how long it usually takes.
-        from: &'a [Option<u32>],
+        previous: &'a [Option<u32>],
     },
     /// A request was taken.
     Request(NewRequest),
--- a/crates/balancer/core/src/policy/attempts.rs
+++ b/crates/balancer/core/src/policy/attempts.rs
@@ -18,8 +18,8 @@
         let own_limit = limit < p.deadline - now;
         // Where no second copy may go out, a late first answer has to be given up before another is tried.
         let c = &self.set.classes[p.class];
-        let retry = c.effect != Effect::Once && !self.set.second_copies;
-        let more = p.attempts.len() + 1 < p.cap && c.sends.is_none_or(|most| p.received() + 1 < most);
+        let retry = c.effect != Effect::Once && !self.set.may_hedge;
+        let more = p.attempts.len() + 1 < p.cap && c.max_receivers.is_none_or(|most| p.received() + 1 < most);
         let cut = own_limit && retry && more && now + limit < p.aim_at;
         let expected = self.slowness(&self.upstreams[i]) * (work + self.upstreams[i].work_out);
         // A stated cold rate is of requests, not of work: each costs a usual one.
@@ -38,7 +38,7 @@
 
     /// Our own first-answer limit: well above the usual latency of such a request.
     fn first_answer(&self, class: usize, work: f64) -> Micros {
-        let aim = self.set.classes[class].aim as f64;
+        let aim = self.set.classes[class].latency_target as f64;
         (work * LIMIT_USUAL).clamp(aim * LIMIT_AIM.0, aim * LIMIT_AIM.1) as Micros
     }
 
@@ -53,7 +53,7 @@
             a.suspected = true;
             self.failure(a.upstream, a.sent);
         }
-        if late && !p.over && !p.streaming && self.set.second_copies {
+        if late && !p.over && !p.streaming && self.set.may_hedge {
             self.again(id, &mut p, 1.0, out);
         }
         self.pending.insert(id, p);
@@ -62,10 +62,10 @@
     /// One more attempt, if rules, time and the retry budget allow.
     fn again(&mut self, id: RequestId, p: &mut Pending, cost: f64, out: &mut Vec<Action>) -> bool {
         let c = &self.set.classes[p.class];
-        let end = if c.late_worth > 0.0 { p.deadline } else { p.deadline.min(p.aim_at) };
+        let end = if c.late_value_share > 0.0 { p.deadline } else { p.deadline.min(p.aim_at) };
         if p.attempts.len() >= p.cap
-            || c.sends.is_some_and(|most| p.received() >= most)
-            || (p.out > 0 && !self.set.second_copies)
+            || c.max_receivers.is_some_and(|most| p.received() >= most)
+            || (p.out > 0 && !self.set.may_hedge)
             || (self.now as f64 + p.work * 0.5 > end as f64)
             || self.retry_tokens < cost
         {
@@ -96,25 +96,25 @@
         }
         match outcome {
             // Signs of life. A full queue would have taken the aim at least: it tells of crowding.
-            Outcome::Served | Outcome::Error | Outcome::Full => {
+            Outcome::Served | Outcome::Error | Outcome::Rejected => {
                 self.life(a.upstream);
                 let served = outcome == Outcome::Served;
                 let of_kind = &mut self.kinds[self.upstreams[a.upstream].entry.kind as usize].served;
                 of_kind.add(self.now, RATE_OVER, if served { work } else { 0.0 });
-                let took = if served { e.elapsed } else { self.set.classes[p.class].aim };
+                let took = if served { e.elapsed } else { self.set.classes[p.class].latency_target };
                 self.learn(p.class, p.unit, a.upstream, took, outcome != Outcome::Error);
             }
             Outcome::TimedOut if a.own_limit && !a.suspected => self.failure(a.upstream, a.sent),
             Outcome::ConnectFailed | Outcome::Reset => self.failure(a.upstream, a.sent),
             // The client's time was up: no fault of the upstream's is proven, but that long it took at least.
             Outcome::TimedOut => self.learn(p.class, p.unit, a.upstream, e.elapsed, true),
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
-        if e.over || outcome == Outcome::Served {
+        if e.request_over || outcome == Outcome::Served {
             p.over = true;
             self.call_off(id, &mut p, None, out);
         }
-        let cost = f64::from(!matches!(outcome, Outcome::Full | Outcome::ConnectFailed));
+        let cost = f64::from(!matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed));
         if !p.over && !p.streaming && !self.again(id, &mut p, cost, out) && p.out == 0 {
             self.give_up(id, &mut p, out);
         }
--- a/crates/balancer/core/src/policy/list.rs
+++ b/crates/balancer/core/src/policy/list.rs
@@ -19,7 +19,7 @@
             // All may start at once: spread the first calls too.
             ListKind::StaleCopy if self.set.list_on_request => self.ask_in(S / 2, out),
             ListKind::StaleCopy => {}
-            ListKind::Patch | ListKind::Whole => {
+            ListKind::Patch | ListKind::Snapshot => {
                 (self.subscribed, self.list_failures) = (self.subscribed || self.asked, 0)
             }
         }
--- a/crates/balancer/core/src/policy/mod.rs
+++ b/crates/balancer/core/src/policy/mod.rs
@@ -24,19 +24,19 @@
 
 /// What is taken of a class before its answers tell.
 fn guess(c: &Class) -> Usual {
-    Usual { per_unit: c.aim as f64 * 0.12, unit: 1.0, seen: 0.0, budget: 0, votes: 0 }
+    Usual { per_unit: c.latency_target as f64 * 0.12, unit: 1.0, seen: 0.0, budget: 0, votes: 0 }
 }
 
 impl Balancer {
     /// A new instance, at its start; its first event should be the stale copy of the list.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut zone_order: Vec<u32> = (0..settings.zones).filter(|z| *z != settings.my_zone).collect();
+        let mut zone_order: Vec<u32> = (0..settings.zones).filter(|z| *z != settings.own_zone).collect();
         for i in (1..zone_order.len()).rev() {
             zone_order.swap(i, (rng.next_u64() % (i as u64 + 1)) as usize);
         }
         let usual = settings.classes.iter().map(guess).collect();
-        let (spread, retry_tokens) = (1.5, settings.retry_cap.unwrap_or(admission::RETRY_CAP) / 2.0);
+        let (spread, retry_tokens) = (1.5, settings.max_saved_retries.unwrap_or(admission::RETRY_CAP) / 2.0);
         Balancer { zone_order, usual, spread, retry_tokens, ..Balancer::blank(settings, rng, now) }
     }
 
@@ -45,9 +45,9 @@
         self.now = now;
         match event {
             Event::List { kind, entries } => self.on_list(kind, entries, out),
-            Event::Settings { settings, from } => {
+            Event::Settings { settings, previous } => {
                 let known = |f: &Option<u32>| f.and_then(|f| self.usual.get(f as usize).copied());
-                let usual = settings.classes.iter().zip(from).map(|(c, f)| known(f).unwrap_or(guess(c)));
+                let usual = settings.classes.iter().zip(previous).map(|(c, f)| known(f).unwrap_or(guess(c)));
                 (self.usual, self.set) = (usual.collect(), settings.clone());
             }
             Event::Request(r) => self.on_request(r, out),
--- a/crates/balancer/core/src/policy/pick.rs
+++ b/crates/balancer/core/src/policy/pick.rs
@@ -52,21 +52,20 @@
     /// Where to send, and the time that a usual request of the class can expect there and thereabouts.
     pub(super) fn pick(&mut self, p: &Pending) -> Option<(usize, f64)> {
         let group = self.allowed(p)?;
-        let (c, ours, work) = (self.set.classes[p.class], self.set.my_zone, p.work);
+        let (c, ours, work) = (self.set.classes[p.class], self.set.own_zone, p.work);
         // Work that an upstream of full capacity serves this balancer in a microsecond; counted anew below.
         let served: f64 = self.kinds.iter().map(|k| k.served.now(self.now, RATE_OVER)).sum();
         let warm_rate = served / self.whole.max(1.0);
         self.whole = 0.0;
         let mut wholes = vec![0.0; self.kinds.len()];
         let usual = self.usual[p.class].per_unit * self.usual[p.class].unit;
-        let slack = TURN_SLACK * c.aim as f64;
+        let slack = TURN_SLACK * c.latency_target as f64;
         // A window of the ring: so many can be kept an eye on, in each zone; those doing badly hardly count.
         let watch = (self.asked_rate.now(self.now, RATE_OVER) * WATCH_SPAN).max(WATCH_LEAST);
         let mut watched = vec![0.0; self.zones.len()];
         let crowds: Vec<f64> = self.zones.iter().map(|z| z.faded(self.now, estimates::FADE)).collect();
         let (mut pool, mut away): (Vec<Choice>, Vec<Choice>) = Default::default();
-        // Where upstreams keep subjects warm, each subject has a home.
-        let home = p.key.filter(|_| self.set.warm_keys);
+        let home = p.key.filter(|_| self.set.key_affinity);
         let (mut listed_here, mut open_here, mut nearest, mut warm) = (0, 0, None::<usize>, false);
         for place in 0..self.ring.len() {
             let i = self.ring[place];
@@ -112,7 +111,8 @@
             // Exception, lasting imbalance: the own zone's turns are expected later than another's by over a
             // crossing's price as a share of the aim. By chance and gain, lest hundreds swing together.
             let (own, chance) = (turns(&pool, slack).1, self.random());
-            let toll = self.set.prices.cross_zone.max(c.toll) * c.aim as f64 + CROSS_WAY;
+            let toll =
+                self.set.prices.cross_zone.max(c.cross_zone_cost) * c.latency_target as f64 + CROSS_WAY;
             for z in &self.zone_order {
                 let far: Vec<_> = away.iter().copied().filter(|c| c.zone == *z).collect();
                 if !far.is_empty() && chance < (own - turns(&far, slack).1 - toll) / own * CROSS_GAIN {
--- a/crates/balancer/core/src/state.rs
+++ b/crates/balancer/core/src/state.rs
@@ -239,7 +239,7 @@
 impl Attempt {
     /// It is out, or ended in a way that an upstream may have received it.
     pub fn received(&self) -> bool {
-        !matches!(self.ended, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot))
+        !matches!(self.ended, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
     }
 }
 
--- a/crates/balancer/core/tests/common/mod.rs
+++ b/crates/balancer/core/tests/common/mod.rs
@@ -7,9 +7,19 @@
 pub const S: Micros = 1_000_000;
 
 pub fn class(effect: Effect) -> Class {
-    let (aim, deadline) = (500 * MS, 2 * S);
-    let (worth, late_worth, aim_stretch, stream, sends) = (1.0, 0.0, 0.0, false, None);
-    Class { aim, aim_stretch, deadline, worth, late_worth, effect, stream, sends, toll: 0.0 }
+    let (latency_target, deadline) = (500 * MS, 2 * S);
+    let (value, late_value_share, target_per_work, stream, max_receivers) = (1.0, 0.0, 0.0, false, None);
+    Class {
+        latency_target,
+        target_per_work,
+        deadline,
+        value,
+        late_value_share,
+        effect,
+        stream,
+        max_receivers,
+        cross_zone_cost: 0.0,
+    }
 }
 
 pub fn keyed(group: DedupGroup) -> Effect {
@@ -27,34 +37,34 @@
     ];
     Settings {
         instances: 3,
-        me: 0,
-        my_zone: 0,
+        instance_index: 0,
+        own_zone: 0,
         zones: 2,
         classes: effects.into_iter().map(class).collect(),
         tenants: Vec::new(),
-        over_share_worth: 1.0,
-        worth_by_work: false,
-        whole: 1.0,
+        over_share_value: 1.0,
+        value_per_work: false,
+        total_value_weight: 1.0,
         prices: Prices::default(),
         list_on_request: true,
-        must_ask_in: 10 * S,
+        max_list_age: 10 * S,
         drain_grace: 2 * S,
-        cold_from: 0.3,
-        warm_within: 9 * S,
-        fall_multiple: 3.0,
-        fall_span: 3 * S,
+        initial_capacity: 0.3,
+        warm_up_time: 9 * S,
+        overload_multiple: 3.0,
+        overload_window: 3 * S,
         cold_rate: None,
         cold_senders: 0,
-        retry_share: None,
-        retry_cap: None,
-        attempts_cap: 4,
-        connect_limit: 250 * MS,
+        retry_ratio: None,
+        max_saved_retries: None,
+        max_attempts: 4,
+        connect_timeout: 250 * MS,
         may_cancel: true,
-        second_copies: true,
+        may_hedge: true,
         probes: false,
         max_retry_after: Some(2 * S),
-        marks_repeats: false,
-        warm_keys: false,
+        clients_mark_retries: false,
+        key_affinity: false,
     }
 }
 
@@ -79,7 +89,7 @@
         key: None,
         budget: 2 * S,
         cost_hint: None,
-        repeat: false,
+        client_retry: false,
         write: false,
     }
 }
@@ -131,9 +141,9 @@
     }
 
     pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
-        let over = outcome == Outcome::Served;
+        let request_over = outcome == Outcome::Served;
         let request = RequestId(id);
-        self.event(Event::AttemptEnded(Ended { request, attempt, outcome, elapsed, over }))
+        self.event(Event::AttemptEnded(Ended { request, attempt, outcome, elapsed, request_over }))
     }
 
     /// Send and serve one request, wherever it goes.
--- a/crates/balancer/core/tests/failures.rs
+++ b/crates/balancer/core/tests/failures.rs
@@ -74,7 +74,7 @@
     let lost = idle.event(Event::Request(NewRequest { budget: S, ..request(900, 0) }));
     assert_eq!(advice(&lost), Some(2 * S), "its aim has passed: stay away for the longest");
     let mut patient = settings();
-    patient.classes[0].aim = 3 * S;
+    patient.classes[0].latency_target = 3 * S;
     let mut far = Desk::new(patient, &[]);
     assert_eq!(advice(&far.ask(0).1), Some(S), "a queue clears in about a second");
     let silent = Settings { max_retry_after: None, ..settings() };
@@ -121,9 +121,9 @@
 }
 
 /// Of eight requests each of a cheap class and of one worth eight times as much, how many are sent into a crowd.
-fn sent_into_a_crowd(whole: f64, answers_take: Micros) -> (usize, usize) {
-    let mut set = Settings { whole, ..settings() };
-    set.classes[0].worth = 8.0;
+fn sent_into_a_crowd(total_value_weight: f64, answers_take: Micros) -> (usize, usize) {
+    let mut set = Settings { total_value_weight, ..settings() };
+    set.classes[0].value = 8.0;
     let mut desk = Desk::new(set, &[0; 6]);
     for _ in 0..40 {
         desk.spread(0, 1);
@@ -178,7 +178,7 @@
 #[test]
 fn the_first_answer_limit_leaves_ordinary_answers_alone() {
     // Where no second copy may go out, a limit below the aim cuts off attempts that would have been in time.
-    let single = Settings { second_copies: false, ..settings() };
+    let single = Settings { may_hedge: false, ..settings() };
     let mut desk = Desk::new(single, &[0; 4]);
     for _ in 0..60 {
         let (id, _) = desk.sent(0);
@@ -387,7 +387,7 @@
     // A hundred sidecars of a few requests a second, some light and some heavy. A budget that had to be saved up
     // whole, and was cut back at each light request, let next to no work through: the cold stayed idle, and so cold.
     let mut set = settings();
-    (set.instances, set.cold_from) = (100, 0.2);
+    (set.instances, set.initial_capacity) = (100, 0.2);
     let (mut work, mut warm) = ([0.0; 20], 0.0);
     for seed in 0..100 {
         let mut desk = Desk::seeded(set.clone(), &[0; 6], seed);
@@ -414,16 +414,16 @@
     let usual = warm / 6.0 / 12.0 * 3.0;
     let (span, got) = (15, work.iter().sum::<f64>());
     let most = work.windows(span).map(|w| w.iter().sum::<f64>()).fold(0.0, f64::max);
-    let allowed = set.fall_multiple * (0.2 + 0.8 * 4.0 * S as f64 / set.warm_within as f64) * usual;
+    let allowed = set.overload_multiple * (0.2 + 0.8 * 4.0 * S as f64 / set.warm_up_time as f64) * usual;
     assert!(most <= allowed, "{most:.0} in a span, {allowed:.0} allowed");
-    assert!(got >= 0.3 * set.fall_multiple * 0.2 * usual, "{got:.0} of {usual:.0} that a warm one gets");
+    assert!(got >= 0.3 * set.overload_multiple * 0.2 * usual, "{got:.0} of {usual:.0} that a warm one gets");
 }
 
 #[test]
 fn where_all_is_cold_a_heavy_request_still_has_a_place() {
-    let mut desk = Desk::new(Settings { warm_within: 90 * S, ..settings() }, &[0; 4]);
+    let mut desk = Desk::new(Settings { warm_up_time: 90 * S, ..settings() }, &[0; 4]);
     let cold: Vec<_> = (0..4).map(|i| Entry { last_start: Some(desk.now), ..entry(i, 0) }).collect();
-    desk.list(ListKind::Whole, &cold);
+    desk.list(ListKind::Snapshot, &cold);
     let mut sent = |id: u64, hint: Micros| {
         desk.now += S;
         let out = desk.event(Event::Request(NewRequest { cost_hint: Some(hint), ..request(id, 0) }));
@@ -488,14 +488,14 @@
         }
         refusals
     };
-    assert!(refusals(Outcome::Full) >= 10, "{}", refusals(Outcome::Full));
+    assert!(refusals(Outcome::Rejected) >= 10, "{}", refusals(Outcome::Rejected));
     assert_eq!(refusals(Outcome::Error), 0);
 }
 
 #[test]
 fn a_subject_goes_to_one_upstream_at_every_sidecar_until_that_is_late() {
     // A pool of sidecars that each go round the fleet bring an upstream the same subject so seldom that nothing is warm.
-    let warm = Settings { warm_keys: true, ..settings() };
+    let warm = Settings { key_affinity: true, ..settings() };
     let home = |desk: &mut Desk, key: u64| {
         let r = NewRequest { key: Some(key), ..request(desk.next, 0) };
         desk.next += 1;
--- a/crates/balancer/core/tests/liveness.rs
+++ b/crates/balancer/core/tests/liveness.rs
@@ -11,7 +11,7 @@
 /// A far aim, so that a second request goes where one is out already.
 fn patient() -> Settings {
     let mut set = settings();
-    set.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (100 * S, 200 * S));
+    set.classes.iter_mut().for_each(|c| (c.latency_target, c.deadline) = (100 * S, 200 * S));
     set
 }
 
@@ -84,7 +84,7 @@
 
 #[test]
 fn errors_full_and_cancelled_do_not_exclude() {
-    for outcome in [Outcome::Error, Outcome::Full, Outcome::Cancelled, Outcome::Moot] {
+    for outcome in [Outcome::Error, Outcome::Rejected, Outcome::Cancelled, Outcome::NotSent] {
         let mut desk = Desk::new(settings(), &[0, 0]);
         let id = desk.until_sent_to(1, 1);
         desk.now += MS;
--- a/crates/balancer/core/tests/rules.rs
+++ b/crates/balancer/core/tests/rules.rs
@@ -42,7 +42,7 @@
 }
 
 fn never_ran(outcome: Option<Outcome>) -> bool {
-    matches!(outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot))
+    matches!(outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
 }
 
 impl World {
@@ -125,10 +125,10 @@
         if r.over {
             wrong.push("a send after the final answer");
         }
-        if r.tries.len() >= self.set.attempts_cap as usize {
+        if r.tries.len() >= self.set.max_attempts as usize {
             wrong.push("a send beyond the cap");
         }
-        if !self.set.second_copies && r.tries.iter().any(|t| t.ended.is_none()) {
+        if !self.set.may_hedge && r.tries.iter().any(|t| t.ended.is_none()) {
             wrong.push("two attempts out together");
         }
         for t in r.tries.iter().filter(|t| !never_ran(t.ended)) {
@@ -163,8 +163,8 @@
         r.tries[k].ended = Some(outcome);
         r.over |= outcome == Outcome::Served || r.streaming;
         let elapsed = self.now - r.tries[k].sent;
-        let (over, attempt, request) = (r.over, k as u32, RequestId(id));
-        self.event(Event::AttemptEnded(Ended { request, attempt, outcome, elapsed, over }));
+        let (request_over, attempt, request) = (r.over, k as u32, RequestId(id));
+        self.event(Event::AttemptEnded(Ended { request, attempt, outcome, elapsed, request_over }));
     }
 
     /// Let time pass, with all that falls due on the way, in order.
@@ -219,7 +219,7 @@
             Outcome::Served,
             Outcome::Served,
             Outcome::Error,
-            Outcome::Full,
+            Outcome::Rejected,
             Outcome::ConnectFailed,
             Outcome::Reset,
             Outcome::Cancelled,
@@ -231,11 +231,11 @@
                 let class = self.below(self.set.classes.len() as u64) as u32;
                 let budget = 1 + self.below(self.set.classes[class as usize].deadline as u64) as Micros;
                 let hint = (self.below(2) == 0).then(|| self.below(300_000) as Micros);
-                let repeat = self.below(4) == 0;
+                let client_retry = self.below(4) == 0;
                 let deadline = self.now + budget;
                 let (tries, over, streaming) = (Vec::new(), false, false);
                 self.reqs.insert(id, Req { class: class as usize, deadline, tries, over, streaming });
-                let new = NewRequest { budget, cost_hint: hint, repeat, ..request(id, class) };
+                let new = NewRequest { budget, cost_hint: hint, client_retry, ..request(id, class) };
                 self.event(Event::Request(new));
             }
             7..=13 => {
@@ -291,7 +291,7 @@
                             _ => drop(self.closed.entry(e.upstream.0).or_insert(self.now)),
                         }
                     }
-                    self.event(Event::List { kind: ListKind::Whole, entries: &kept });
+                    self.event(Event::List { kind: ListKind::Snapshot, entries: &kept });
                 }
                 _ => self.event(Event::Timer { token: 999_999_999 }),
             },
@@ -299,7 +299,7 @@
                 let unknown = RequestId(1 << 40);
                 self.event(Event::RequestGone { request: unknown });
                 let outcome = Outcome::Served;
-                let ended = Ended { request: unknown, attempt: 3, outcome, elapsed: 5, over: true };
+                let ended = Ended { request: unknown, attempt: 3, outcome, elapsed: 5, request_over: true };
                 self.event(Event::AttemptEnded(ended));
             }
             _ => {
@@ -313,17 +313,17 @@
 fn edge_settings() -> impl Strategy<Value = (Settings, u32)> {
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
     (flags, 1u32..5, 1u32..4, 1u32..8).prop_map(|(flags, cap, zones, upstreams)| {
-        let (second_copies, may_cancel, advice, pushed, stream) = flags;
+        let (may_hedge, may_cancel, advice, pushed, stream) = flags;
         let mut set = settings();
         set.classes.iter_mut().for_each(|c| c.stream = stream);
         let max_retry_after = advice.then_some(2 * S);
         let list_on_request = !pushed;
         let set = Settings {
-            second_copies,
+            may_hedge,
             may_cancel,
             max_retry_after,
             list_on_request,
-            attempts_cap: cap,
+            max_attempts: cap,
             zones,
             ..set
         };
@@ -359,10 +359,10 @@
     // one is its share of what such a one can do; over any span the cold one may get the multiple of the cold
     // part of that, and one request where that is less than one.
     let cases = (any::<u64>(), 2u32..6, 20u64..200, 0.1f64..0.6, 1.5f64..4.0);
-    let held = runner(60).run(&cases, |(seed, warm, per_s, cold_from, multiple)| {
-        let set = Settings { cold_from, fall_multiple: multiple, zones: 1, ..settings() };
-        let span = set.fall_span;
-        let (warm_within, gap) = (set.warm_within, S / per_s as Micros);
+    let held = runner(60).run(&cases, |(seed, warm, per_s, initial_capacity, multiple)| {
+        let set = Settings { initial_capacity, overload_multiple: multiple, zones: 1, ..settings() };
+        let span = set.overload_window;
+        let (warm_up_time, gap) = (set.warm_up_time, S / per_s as Micros);
         let mut balancer = Balancer::new(set, seed, 100 * S);
         let mut now = 100 * S;
         let mut entries: Vec<_> = (0..=warm).map(|i| entry(i, 0)).collect();
@@ -377,24 +377,24 @@
             if !told && now >= started {
                 told = true;
                 entries[warm as usize].last_start = Some(started);
-                let list = Event::List { kind: ListKind::Whole, entries: &entries };
+                let list = Event::List { kind: ListKind::Snapshot, entries: &entries };
                 balancer.handle(now, list, &mut out);
             }
             out.clear();
             balancer.handle(now, Event::Request(request(id, 0)), &mut out);
             let Some(to) = first_send(&out) else { continue };
             sends.push((now, to));
-            let (attempt, outcome, elapsed, over) = (0, Outcome::Served, 60 * MS, true);
-            let ended = Ended { request: RequestId(id), attempt, outcome, elapsed, over };
+            let (attempt, outcome, elapsed, request_over) = (0, Outcome::Served, 60 * MS, true);
+            let ended = Ended { request: RequestId(id), attempt, outcome, elapsed, request_over };
             balancer.handle(now, Event::AttemptEnded(ended), &mut out);
         }
         let cold: Vec<_> = sends.iter().filter(|s| s.1 == warm).map(|s| s.0).collect();
         for at in &cold {
-            let age = (at - started) as f64 / warm_within as f64;
+            let age = (at - started) as f64 / warm_up_time as f64;
             if age >= 1.0 {
                 break;
             }
-            let share = cold_from + (1.0 - cold_from) * age;
+            let share = initial_capacity + (1.0 - initial_capacity) * age;
             let got = cold.iter().filter(|t| **t > at - span && **t <= *at).count() as f64;
             let usual = per_s as f64 * span as f64 / 1e6 / f64::from(warm);
             let most = (multiple * share * usual).max(1.0);
--- a/crates/balancer/core/tests/stated.rs
+++ b/crates/balancer/core/tests/stated.rs
@@ -25,13 +25,16 @@
 
 #[test]
 fn a_stated_cold_rate_holds_for_all_instances_together() {
-    let stated = Settings { instances: 10, cold_rate: Some(20.0), fall_span: 0, ..settings() };
+    let stated = Settings { instances: 10, cold_rate: Some(20.0), overload_window: 0, ..settings() };
     let sent = fed_cold(&stated);
     assert!((70..=110).contains(&sent), "{sent} in 5 s at 20 a second");
     // Where fewer may send, each has a larger part.
     let fewer = fed_cold(&Settings { cold_senders: 5, ..stated.clone() });
     assert!((140..=220).contains(&fewer), "{fewer} in 5 s at 20 a second and half the senders");
-    assert!(fed_cold(&Settings { cold_rate: None, fall_span: 3 * S, ..stated }) > 220, "else the multiple");
+    assert!(
+        fed_cold(&Settings { cold_rate: None, overload_window: 3 * S, ..stated }) > 220,
+        "else the multiple"
+    );
 }
 
 /// Second tries of as many requests, each answered with an error at first.
@@ -52,7 +55,7 @@
 
 #[test]
 fn stated_retry_figures_go_before_the_modules_own() {
-    let stated = |share, cap| Settings { retry_share: share, retry_cap: cap, ..settings() };
+    let stated = |share, cap| Settings { retry_ratio: share, max_saved_retries: cap, ..settings() };
     // 100 requests: half of the cap at the start, and a share of each.
     assert_eq!(second_tries(stated(None, None), 25), 4);
     assert_eq!(second_tries(stated(Some(0.25), None), 25), 25);
@@ -62,15 +65,15 @@
 
 #[test]
 fn no_more_upstreams_receive_a_request_than_its_class_says() {
-    let stated = |sends, second_copies| {
-        let mut set = Settings { second_copies, retry_cap: Some(20.0), ..settings() };
-        set.classes[0].sends = sends;
+    let stated = |sends, may_hedge| {
+        let mut set = Settings { may_hedge, max_saved_retries: Some(20.0), ..settings() };
+        set.classes[0].max_receivers = sends;
         let mut desk = Desk::new(set, &[0; 8]);
         desk.spread(0, 20);
         desk
     };
     // What ended unseen does not count; the cap on attempts bounds it all.
-    for unseen in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
+    for unseen in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut desk = stated(Some(1), true);
         let id = desk.sent(0).0;
         for attempt in 0..3 {
@@ -97,7 +100,7 @@
 fn a_toll_keeps_a_class_in_its_zone() {
     let crossed = |toll: f64| {
         let mut set = settings();
-        set.classes[0].toll = toll;
+        set.classes[0].cross_zone_cost = toll;
         let mut desk = Desk::new(set, &[0, 1]);
         let mut crossed = 0;
         for _ in 0..300 {
--- a/crates/balancer/facade/src/lib.rs
+++ b/crates/balancer/facade/src/lib.rs
@@ -471,13 +471,13 @@
             classes.pop();
             from.pop();
         }
-        let zone = front.zones.get(settings.my_zone as usize);
-        let my_zone = zone.map_or(self.settings.my_zone, |z| index(&mut self.front.zones, z));
-        let zones = self.settings.zones.max(settings.zones).max(my_zone + 1);
+        let zone = front.zones.get(settings.own_zone as usize);
+        let own_zone = zone.map_or(self.settings.own_zone, |z| index(&mut self.front.zones, z));
+        let zones = self.settings.zones.max(settings.zones).max(own_zone + 1);
         (self.front.classes, self.front.tenants) = (names, front.tenants);
-        self.settings = Settings { classes, my_zone, zones, ..settings };
+        self.settings = Settings { classes, own_zone, zones, ..settings };
         let settings = self.settings.clone();
-        self.drive(now, Event::Settings { settings: &settings, from: &from });
+        self.drive(now, Event::Settings { settings: &settings, previous: &from });
         self.turn()
     }
 
@@ -506,7 +506,7 @@
         let left = budget.min(self.stop_at.map_or(Micros::MAX, |at| (at - now).max(0)));
         let deadline = now + left - MARGIN.min(left / MARGIN_SHARE);
         let deadline = if coming { self.stop_at.unwrap_or(FAR) } else { deadline };
-        let (class, cap, attempts) = (r.class, self.settings.attempts_cap, Vec::new());
+        let (class, cap, attempts) = (r.class, self.settings.max_attempts, Vec::new());
         let coming = coming.then(|| (budget, Vec::new()));
         self.open.insert(r.handle, Open { class, cap, deadline, over: false, attempts, coming });
         if deadline < FAR {
@@ -521,7 +521,7 @@
                 key: r.key,
                 budget,
                 cost_hint: r.cost_hint,
-                repeat: r.repeat,
+                client_retry: r.repeat,
                 write: r.write,
             }),
         );
@@ -623,7 +623,7 @@
             News::Broken => self.drive(now, Event::List { kind: ListKind::Broken, entries: &[] }),
             News::Moved => self.drive(now, Event::List { kind: ListKind::Moved, entries: &[] }),
             News::List { whole, hosts } => {
-                let kind = if *whole { ListKind::Whole } else { ListKind::Patch };
+                let kind = if *whole { ListKind::Snapshot } else { ListKind::Patch };
                 let entries = self.entries(now, hosts, *whole);
                 self.drive(now, Event::List { kind, entries: &entries });
             }
@@ -660,7 +660,7 @@
             self.settings.instances = senders;
             let from: Vec<Option<u32>> = (0..self.settings.classes.len() as u32).map(Some).collect();
             let settings = self.settings.clone();
-            self.drive(now, Event::Settings { settings: &settings, from: &from });
+            self.drive(now, Event::Settings { settings: &settings, previous: &from });
         }
         self.turn()
     }
@@ -730,12 +730,12 @@
             open.over = true;
             self.steps.push(Step::Serve { attempt });
         }
-        let over = open.over;
-        if over && open.attempts.iter().all(|a| a.ended) {
+        let request_over = open.over;
+        if request_over && open.attempts.iter().all(|a| a.ended) {
             self.open.remove(&attempt.request);
         }
         let request = RequestId(attempt.request.number());
-        self.ended.push_back(Ended { request, attempt: attempt.number, outcome, elapsed, over });
+        self.ended.push_back(Ended { request, attempt: attempt.number, outcome, elapsed, request_over });
     }
 
     /// Tell the module of ends until none is left: what it does about one may end others.
@@ -811,7 +811,7 @@
             known.out += 1;
         }
         if now >= open.deadline || attempt.number >= open.cap {
-            return self.end(now, attempt, Outcome::Moot);
+            return self.end(now, attempt, Outcome::NotSent);
         }
         let Some(to) = self.known.get(upstream.0 as usize).and_then(|k| k.dial) else {
             return self.end(now, attempt, Outcome::ConnectFailed);
@@ -908,10 +908,10 @@
     match report {
         Report::Served => Outcome::Served,
         Report::Error => Outcome::Error,
-        Report::TurnedAway => Outcome::Full,
+        Report::TurnedAway => Outcome::Rejected,
         Report::NotConnected => Outcome::ConnectFailed,
         Report::Broken => Outcome::Reset,
-        Report::NotTried => Outcome::Moot,
+        Report::NotTried => Outcome::NotSent,
     }
 }
 
--- a/crates/balancer/settings/src/lib.rs
+++ b/crates/balancer/settings/src/lib.rs
@@ -280,8 +280,8 @@
     let (l, r, p) = (&info.limits, &info.rules, &info.prices);
     Ok(Settings {
         instances: info.balancers.max(1),
-        me: info.me,
-        my_zone: info.my_zone,
+        instance_index: info.me,
+        own_zone: info.my_zone,
         zones: (info.areas.len() as u32).max(info.my_zone + 1),
         classes,
         tenants: info
@@ -289,29 +289,29 @@
             .iter()
             .map(|t| Tenant { share: t.share, allowance_per_s: t.allowance_per_s })
             .collect(),
-        over_share_worth: info.over_share_worth,
-        worth_by_work: info.counted_by == "work",
-        whole: info.goal.whole,
+        over_share_value: info.over_share_worth,
+        value_per_work: info.counted_by == "work",
+        total_value_weight: info.goal.whole,
         prices: Prices { cross_zone: p.cross_zone, waste: p.waste, late_fail: p.late_fail, probe: p.probe },
         list_on_request: info.discovery == "on_request",
-        must_ask_in: seconds(r.must_ask_in_s),
+        max_list_age: seconds(r.must_ask_in_s),
         drain_grace: seconds(r.drain_grace_s),
-        cold_from: r.cold_from,
-        warm_within: seconds(r.warm_within_s),
-        fall_multiple: r.fall_multiple,
-        fall_span: seconds(r.fall_s),
+        initial_capacity: r.cold_from,
+        warm_up_time: seconds(r.warm_within_s),
+        overload_multiple: r.fall_multiple,
+        overload_window: seconds(r.fall_s),
         cold_rate: None,
         cold_senders: 0,
-        retry_share: None,
-        retry_cap: None,
-        attempts_cap: l.attempts_cap,
-        connect_limit: seconds(l.connect_timeout_s),
+        retry_ratio: None,
+        max_saved_retries: None,
+        max_attempts: l.attempts_cap,
+        connect_timeout: seconds(l.connect_timeout_s),
         may_cancel: l.may_cancel,
-        second_copies: l.second_copies,
+        may_hedge: l.second_copies,
         probes: l.probes,
         max_retry_after: l.retry_after.then(|| seconds(l.max_retry_after_s)),
-        marks_repeats: info.clients.marks_retry,
-        warm_keys: info.family_info.warm_keys,
+        clients_mark_retries: info.clients.marks_retry,
+        key_affinity: info.family_info.warm_keys,
     })
 }
 
@@ -329,15 +329,15 @@
         other => return Err(format!("settings: unknown effect {other:?}")),
     };
     Ok(Class {
-        aim: seconds(c.aim_s),
-        aim_stretch: c.aim_stretch,
+        latency_target: seconds(c.aim_s),
+        target_per_work: c.aim_stretch,
         deadline: seconds(c.deadline_s),
-        worth: c.importance,
-        late_worth: c.late_value,
+        value: c.importance,
+        late_value_share: c.late_value,
         effect,
         stream: c.stream,
-        sends: None,
-        toll: 0.0,
+        max_receivers: None,
+        cross_zone_cost: 0.0,
     })
 }
 
@@ -398,9 +398,14 @@
 
     #[test]
     fn what_is_not_stated_is_as_before() {
-        let stated = |info: Value| read_value(changed("/family_info", Some(info))).expect("good").0.warm_keys;
-        assert!(!read_value(good()).expect("good").0.warm_keys);
-        assert_eq!(read_value(good()).expect("good").0.whole, 1.0, "all of the result, unless stated");
+        let stated =
+            |info: Value| read_value(changed("/family_info", Some(info))).expect("good").0.key_affinity;
+        assert!(!read_value(good()).expect("good").0.key_affinity);
+        assert_eq!(
+            read_value(good()).expect("good").0.total_value_weight,
+            1.0,
+            "all of the result, unless stated"
+        );
         assert!(
             !stated(json!({})) && !stated(json!({"warm_keys": false})) && stated(json!({"warm_keys": true}))
         );
--- a/crates/balancer/settings/src/migrate.rs
+++ b/crates/balancer/settings/src/migrate.rs
@@ -193,8 +193,11 @@
         };
         let new = migrate(&old(), &target).expect("good");
         let (settings, front) = crate::read_value(new.file["settings"].clone()).expect("readable");
-        assert_eq!((settings.instances, settings.me, settings.my_zone, settings.zones), (22, 7, 0, 2));
-        assert!(!settings.list_on_request && settings.warm_keys);
+        assert_eq!(
+            (settings.instances, settings.instance_index, settings.own_zone, settings.zones),
+            (22, 7, 0, 2)
+        );
+        assert!(!settings.list_on_request && settings.key_affinity);
         assert_eq!(front.zones, ["east", "west"]);
         for path in [
             "/name",
--- a/crates/daemon/sidecar/src/lifecycle/gateway.rs
+++ b/crates/daemon/sidecar/src/lifecycle/gateway.rs
@@ -206,7 +206,7 @@
         far: file.far.clone(),
         peers: Peers::new(n, l.most),
         at: l.peers.clone(),
-        aim: c.settings.classes.iter().map(|k| k.aim).max().unwrap_or(0),
+        aim: c.settings.classes.iter().map(|k| k.latency_target).max().unwrap_or(0),
         every: Micros::from(l.ask_ms) * 1000,
         told: vec![false; n],
         asks: vec![None; n],
--- a/crates/daemon/sidecar/src/lifecycle/start.rs
+++ b/crates/daemon/sidecar/src/lifecycle/start.rs
@@ -118,7 +118,7 @@
     Bounds {
         descriptors: config.sockets,
         buffer_bytes: (config.memory_mb as f64 * 1e6 * BUFFER_SHARE) as usize,
-        connect_limit: config.settings.connect_limit,
+        connect_limit: config.settings.connect_timeout,
         whole_limit: whole_limit(&config.settings),
         idle_close: config.front.idle_close,
     }
@@ -126,7 +126,7 @@
 
 /// An answer is sent in one go, and its 64 KiB at most are a moment's work: a part of the shortest aim is plenty.
 fn whole_limit(settings: &Settings) -> Micros {
-    let shortest = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
+    let shortest = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0);
     (shortest / WHOLE_PART).max(WHOLE_LEAST)
 }
 
--- a/crates/testing/emulator/src/baselines.rs
+++ b/crates/testing/emulator/src/baselines.rs
@@ -115,7 +115,7 @@
     }
 
     fn send(&mut self, now: Micros, request: RequestId, mut o: Open, out: &mut Vec<Action>) {
-        let may = o.attempts.len() < self.settings.attempts_cap as usize && now < o.deadline;
+        let may = o.attempts.len() < self.settings.max_attempts as usize && now < o.deadline;
         match self.choose(&o, now).filter(|_| may) {
             Some(i) => {
                 let upstream = self.entries[i].expect("listed").upstream;
@@ -145,10 +145,12 @@
         let Some(mut o) = self.open.remove(&e.request) else { return };
         let Some(&i) = o.attempts.get(e.attempt as usize) else { return };
         self.out[i] = self.out[i].saturating_sub(1);
-        if e.over || matches!(e.outcome, Outcome::Served) {
+        if e.request_over || matches!(e.outcome, Outcome::Served) {
             return;
         }
-        if !matches!(e.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot) && o.risky.is_none() {
+        if !matches!(e.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+            && o.risky.is_none()
+        {
             o.risky = Some((i, o.sent[e.attempt as usize]));
         }
         self.send(now, e.request, o, out);
@@ -159,7 +161,7 @@
     fn decide(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         match event {
             Event::List { kind, entries } => {
-                if matches!(kind, ListKind::Whole | ListKind::StaleCopy) {
+                if matches!(kind, ListKind::Snapshot | ListKind::StaleCopy) {
                     self.entries.iter_mut().for_each(|e| *e = None);
                 }
                 for e in entries {
@@ -173,7 +175,7 @@
                 match kind {
                     ListKind::StaleCopy | ListKind::Moved => out.push(Action::Subscribe(true)),
                     ListKind::Broken => out.push(Action::Timer { after: ASK_AGAIN, token: 0 }),
-                    ListKind::Patch | ListKind::Whole => {}
+                    ListKind::Patch | ListKind::Snapshot => {}
                 }
             }
             Event::Timer { .. } => out.push(Action::Subscribe(true)),
--- a/crates/testing/emulator/tests/broken_on_purpose.rs
+++ b/crates/testing/emulator/tests/broken_on_purpose.rs
@@ -32,7 +32,7 @@
         match (self.how, event) {
             (How::NoCooldown, Event::AttemptEnded(mut e)) => {
                 e.outcome = match e.outcome {
-                    Outcome::ConnectFailed => Outcome::Full,
+                    Outcome::ConnectFailed => Outcome::Rejected,
                     Outcome::Reset => Outcome::Error,
                     Outcome::TimedOut => Outcome::Cancelled,
                     other => other,
@@ -60,7 +60,7 @@
             all.for_each(|c| c.effect = silvercross_core::interface::Effect::Repeatable);
         }
         if how == How::NoColdBudget {
-            settings.fall_multiple = 1e9;
+            settings.overload_multiple = 1e9;
         }
         Box::new(Broken { module: policy::Balancer::new(settings, seed, now), how })
     })
--- a/crates/tools/bench-adapter/src/lib.rs
+++ b/crates/tools/bench-adapter/src/lib.rs
@@ -134,7 +134,7 @@
             "FLEET" => {
                 let kind = match part.need("scope")? {
                     "patch" => ListKind::Patch,
-                    "whole" => ListKind::Whole,
+                    "whole" => ListKind::Snapshot,
                     "stale_copy" => ListKind::StaleCopy,
                     "broken" => ListKind::Broken,
                     other => return Err(format!("FLEET: scope={other} is malformed")),
@@ -157,7 +157,7 @@
                 key: part.get("name_key").map(silvercross_settings::digest),
                 budget: part.time("grace_s")?,
                 cost_hint: part.time_if("cost_guess_s")?,
-                repeat: part.flag("repeat")?,
+                client_retry: part.flag("repeat")?,
                 write: part.flag("update")?,
             }),
             "VERDICT" => {
@@ -167,7 +167,7 @@
                     attempt: small(part, "attempt")?,
                     outcome: part.outcome("verdict")?,
                     elapsed: part.time("elapsed_s")?,
-                    over: part.flag("no_more")?,
+                    request_over: part.flag("no_more")?,
                 })
             }
             "STARTED" => Event::StreamStarted { request: request()?, attempt: small(part, "attempt")? },
--- a/crates/tools/bench-adapter/src/wire.rs
+++ b/crates/tools/bench-adapter/src/wire.rs
@@ -89,12 +89,12 @@
         Ok(match self.whole(key)? {
             0 => Outcome::Served,
             1 => Outcome::Error,
-            2 => Outcome::Full,
+            2 => Outcome::Rejected,
             3 => Outcome::TimedOut,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
             6 => Outcome::Cancelled,
-            7 => Outcome::Moot,
+            7 => Outcome::NotSent,
             n => return Err(self.bad(key, &n.to_string())),
         })
     }
