--- a/crates/balancer/core/src/policy/cold.rs
+++ b/crates/balancer/core/src/policy/cold.rs
@@ -1,45 +1,45 @@
-//! What an upstream that started lately may be sent.
+//! What may be sent to an upstream that started lately.
 use super::*;
 
-/// Part of the cold budget used, and of a span's worth saved up: in any span no more than all of it.
-const COLD_CARE: f64 = 0.8;
-const COLD_SAVED: f64 = 0.125;
-/// A request heavier than so many usual ones goes to no cold upstream: alone it could spend all there is.
-const COLD_HEAVY: f64 = 5.0;
+/// Share of the cold budget in use, and of a window's budget that may be saved: never over a full one.
+const COLD_SAFETY: f64 = 0.8;
+const COLD_BURST: f64 = 0.125;
+/// In typical requests; a heavier one goes to no cold upstream: alone it could use up the budget.
+const COLD_MAX_WORK: f64 = 5.0;
 
 impl Balancer {
-    /// The least share of its capacity a started upstream has now; `None` once warm.
+    /// The least share of its capacity that a started upstream has now; `None` once warm.
     pub(super) fn cold_share(&self, u: &Upstream) -> Option<f64> {
         let age = self.now - u.entry.last_start?;
-        let grown = age as f64 / self.set.warm_up_time.max(1) as f64;
-        (grown < 1.0).then(|| self.set.initial_capacity + (1.0 - self.set.initial_capacity) * grown.max(0.0))
+        let grown = age as f64 / self.cfg.warm_up_time.max(1) as f64;
+        (grown < 1.0).then(|| self.cfg.initial_capacity + (1.0 - self.cfg.initial_capacity) * grown.max(0.0))
     }
 
-    /// What this balancer may send a cold upstream: the multiple of the cold share of what a warm one of its
-    /// kind serves it, in debt from a random start: a request goes when the last one's work is paid off, so
-    /// hundreds whose part is under one request come one by one, heavy and light alike. One request a span
-    /// for all balancers together is always safe, and needed where all is cold. A stated rate replaces both.
-    pub(super) fn cold_room(&mut self, i: usize, work: f64, warm_rate: f64) -> bool {
-        let (now, span) = (self.now, self.set.overload_window as f64);
+    /// Whether a cold upstream's token bucket admits a request. It refills at the overload multiple of its
+    /// cold share of what a warm one of its kind serves this instance, from a random debt: so hundreds of
+    /// instances with budgets under one request each come one by one, heavy and light requests alike. One
+    /// request per window over all instances is safe, and needed if all are cold. A cold rate replaces both.
+    pub(super) fn cold_admits(&mut self, i: usize, work: f64, warm_rate: f64) -> bool {
+        let (now, span) = (self.now, self.cfg.overload_window as f64);
         let Some(share) = self.cold_share(&self.upstreams[i]) else { return true };
-        let kind = &self.kinds[self.upstreams[i].entry.kind as usize];
-        let like = if kind.whole >= 1.0 { kind.served.now(now, RATE_OVER) / kind.whole } else { warm_rate };
-        let (usual, all) = (self.usual_most(), f64::from(self.set.instances.max(1)));
-        let rate = match (self.set.cold_rate, f64::from(self.set.cold_senders)) {
-            (Some(stated), senders) => stated * usual / 1e6 / if senders > 0.0 { senders } else { all },
-            _ => (self.set.overload_multiple * share * like * COLD_CARE).max(usual / (span * all)),
+        let k = &self.kinds[self.upstreams[i].entry.kind as usize];
+        let warm = if k.capacity >= 1.0 { k.work_rate.now(now, RATE_SPAN) / k.capacity } else { warm_rate };
+        let (typical, total) = (self.max_typical_work(), f64::from(self.cfg.instances.max(1)));
+        let rate = match (self.cfg.cold_rate, f64::from(self.cfg.cold_senders)) {
+            (Some(stated), senders) => stated * typical / 1e6 / if senders > 0.0 { senders } else { total },
+            _ => (self.cfg.overload_multiple * share * warm * COLD_SAFETY).max(typical / (span * total)),
         };
-        // Where all is cold a heavy request has nowhere else to go, and pays for it by a longer debt.
-        let heaviest = if self.any_warm { COLD_HEAVY * usual } else { f64::MAX };
+        // With every upstream cold a heavy request has no alternative; it leaves a longer debt.
+        let heaviest = if self.any_warm { COLD_MAX_WORK * typical } else { f64::MAX };
         let u = &mut self.upstreams[i];
-        // Debt, not savings, pays for a request: the cap on what is saved may be below the work of one.
-        u.saved = (u.saved + rate * (now - u.saved_at).max(0) as f64).min(rate * span * COLD_SAVED);
-        u.saved_at = now;
-        u.saved >= 0.0 && work <= heaviest
+        // Requests overdraw the bucket, since its cap may be below the work of a single one.
+        u.tokens = (u.tokens + rate * (now - u.refilled_at).max(0) as f64).min(rate * span * COLD_BURST);
+        u.refilled_at = now;
+        u.tokens >= 0.0 && work <= heaviest
     }
 
-    /// The work of a usual request of the heaviest class.
-    pub(super) fn usual_most(&self) -> f64 {
-        self.usual.iter().map(|k| k.per_unit * k.unit).fold(0.0, f64::max)
+    /// Work of a typical request of the heaviest class.
+    pub(super) fn max_typical_work(&self) -> f64 {
+        self.class_stats.iter().map(|k| k.per_unit * k.unit).fold(0.0, f64::max)
     }
 }
--- a/crates/balancer/core/src/policy/pick.rs
+++ b/crates/balancer/core/src/policy/pick.rs
@@ -1,34 +1,34 @@
-//! Where a request goes: pool, spill, turns and homes.
+//! Where a request goes: candidates, other zones, key affinity and weighted rotation.
 use super::*;
 
-/// Other zones join when fewer than this share of the own zone's upstreams is eligible.
+/// Other zones join when fewer than this share of the own zone's upstreams are eligible.
 const SPILL_SHARE: f64 = 0.5;
-/// Late by twice the best: a turn in two to this power, but this at least; this share of the aim is nothing.
-const TURN: (i32, f64) = (9, 0.02);
-const TURN_SLACK: f64 = 0.05;
-/// As many share the turns as answer once in this time, but so many at least: hundreds of sidecars change
-/// an upstream's state within it, and few connections are then kept busy rather than many opened.
-const WATCH_SPAN: f64 = 0.25e6;
-const WATCH_LEAST: f64 = 2.0;
-/// A subject's home is passed over when so many times as late as the turns.
-const HOME_LATE: f64 = 1.5;
-/// Crossings by chance, as a multiple of the gain's share of the time; the way there and back takes some.
+/// Rotation weight: best over expected time, to this power, at least this; slack, as a share of the target.
+const SKEW: (i32, f64) = (9, 0.02);
+const SLACK: f64 = 0.05;
+/// The rotation covers one upstream per request of this span, but at least the minimum: older samples are
+/// outdated by hundreds of other instances, and few connections stay busy instead of many being opened.
+const WINDOW_SPAN: f64 = 0.25e6;
+const WINDOW_MIN: f64 = 2.0;
+/// Key affinity skips an upstream that is this many times slower than the rotation's mean.
+const KEY_LATE: f64 = 1.5;
+/// Probability of crossing to another zone per relative gain; round trip that it adds, in microseconds.
 const CROSS_GAIN: f64 = 8.0;
-const CROSS_WAY: f64 = 20e3;
+const ZONE_RTT: f64 = 20e3;
 
-/// The part of a turn that each earns against the best of its pool, and the mean times over their turns.
-fn turns(pool: &[Choice], slack: f64) -> (Vec<f64>, f64, f64) {
-    let best = pool.iter().map(|c| c.time).fold(f64::MAX, f64::min).max(1.0) + slack;
-    let parts: Vec<f64> = pool.iter().map(|c| (best / c.time).powi(TURN.0).clamp(TURN.1, 1.0)).collect();
-    let mean = |f: fn(&Choice) -> f64| {
-        pool.iter().zip(&parts).map(|(c, e)| f(c) * e).sum::<f64>() / parts.iter().sum::<f64>().max(1e-9)
+/// Rotation weights of a pool, and the weighted means of its expected and typical times.
+fn weigh(pool: &[Candidate], slack: f64) -> (Vec<f64>, f64, f64) {
+    let min = pool.iter().map(|c| c.expected).fold(f64::MAX, f64::min).max(1.0) + slack;
+    let weights: Vec<f64> = pool.iter().map(|c| (min / c.expected).powi(SKEW.0).clamp(SKEW.1, 1.0)).collect();
+    let mean = |f: fn(&Candidate) -> f64| {
+        pool.iter().zip(&weights).map(|(c, e)| f(c) * e).sum::<f64>() / weights.iter().sum::<f64>().max(1e-9)
     };
-    let (time, usual) = (mean(|c| c.time), mean(|c| c.usual));
-    (parts, time, usual)
+    let (expected, typical) = (mean(|c| c.expected), mean(|c| c.typical));
+    (weights, expected, typical)
 }
 
-/// An upstream's rank among a subject's homes, the same at every balancer (splitmix64).
-fn mixed(key: u64, digest: u64) -> u64 {
+/// Rendezvous hash (splitmix64): a key's upstream is the one with the lowest, the same at every instance.
+fn rendezvous_hash(key: u64, digest: u64) -> u64 {
     let z = (key ^ digest.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -36,114 +36,113 @@
 }
 
 impl Balancer {
-    /// Where the effect rules let this request go now: everywhere, a group, or (`None`) nowhere.
-    pub(super) fn allowed(&self, p: &Pending) -> Option<Option<(DedupGroup, usize)>> {
-        let Some(first) = p.attempts.iter().find(|a| a.received()) else { return Some(None) };
-        match self.set.classes[p.class].effect {
+    /// Where the effect rules let this request go now: anywhere, a group, or (`None`) nowhere.
+    pub(super) fn allowed_scope(&self, p: &Pending) -> Option<Option<(DedupGroup, usize)>> {
+        let Some(first) = p.attempts.iter().find(|a| a.may_be_received()) else { return Some(None) };
+        match self.cfg.classes[p.class].effect {
             Effect::Repeatable => Some(None),
             Effect::Once => None,
-            // The window runs from each attempt that may have run; the earliest ends first.
+            // Each attempt that may have run starts a window; the earliest ends first.
             Effect::Keyed { group, window } => {
                 (self.now < first.sent + window - MS).then_some(Some((group, first.upstream)))
             }
         }
     }
 
-    /// Where to send, and the time that a usual request of the class can expect there and thereabouts.
+    /// The upstream to send to, and the time that a typical request of the class can expect in its pool.
     pub(super) fn pick(&mut self, p: &Pending) -> Option<(usize, f64)> {
-        let group = self.allowed(p)?;
-        let (c, ours, work) = (self.set.classes[p.class], self.set.own_zone, p.work);
-        // Work that an upstream of full capacity serves this balancer in a microsecond; counted anew below.
-        let served: f64 = self.kinds.iter().map(|k| k.served.now(self.now, RATE_OVER)).sum();
-        let warm_rate = served / self.whole.max(1.0);
-        self.whole = 0.0;
-        let mut wholes = vec![0.0; self.kinds.len()];
-        let usual = self.usual[p.class].per_unit * self.usual[p.class].unit;
-        let slack = TURN_SLACK * c.latency_target as f64;
-        // A window of the ring: so many can be kept an eye on, in each zone; those doing badly hardly count.
-        let watch = (self.asked_rate.now(self.now, RATE_OVER) * WATCH_SPAN).max(WATCH_LEAST);
-        let mut watched = vec![0.0; self.zones.len()];
-        let crowds: Vec<f64> = self.zones.iter().map(|z| z.faded(self.now, estimates::FADE)).collect();
-        let (mut pool, mut away): (Vec<Choice>, Vec<Choice>) = Default::default();
-        let home = p.key.filter(|_| self.set.key_affinity);
-        let (mut listed_here, mut open_here, mut nearest, mut warm) = (0, 0, None::<usize>, false);
-        for place in 0..self.ring.len() {
-            let i = self.ring[place];
-            let roomy = self.cold_room(i, work, warm_rate);
+        let group = self.allowed_scope(p)?;
+        let (c, own_zone, work) = (self.cfg.classes[p.class], self.cfg.own_zone, p.work);
+        // Work per microsecond that a warm upstream serves this instance. The loop recounts the capacity.
+        let served: f64 = self.kinds.iter().map(|k| k.work_rate.now(self.now, RATE_SPAN)).sum();
+        let warm_rate = served / self.capacity.max(1.0);
+        self.capacity = 0.0;
+        let mut capacities = vec![0.0; self.kinds.len()];
+        let typical = self.class_stats[p.class].per_unit * self.class_stats[p.class].unit;
+        let slack = SLACK * c.latency_target as f64;
+        // A window of the ring in each zone; slow upstreams take up little of it.
+        let window = (self.request_rate.now(self.now, RATE_SPAN) * WINDOW_SPAN).max(WINDOW_MIN);
+        let mut window_used = vec![0.0; self.zones.len()];
+        let zones: Vec<f64> = self.zones.iter().map(|z| z.decayed(self.now, estimates::ZONE_SPAN)).collect();
+        let (mut pool, mut remote): (Vec<Candidate>, Vec<Candidate>) = Default::default();
+        let key = p.key.filter(|_| self.cfg.key_affinity);
+        let (mut local_listed, mut local_open, mut next_expiry, mut any_warm) = (0, 0, None::<usize>, false);
+        for slot in 0..self.ring.len() {
+            let i = self.ring[slot];
+            let admitted = self.cold_admits(i, work, warm_rate);
             let u = &self.upstreams[i];
-            let here = u.entry.zone == ours;
-            listed_here += u32::from(here && u.listed);
+            let local = u.entry.zone == own_zone;
+            local_listed += u32::from(local && u.in_service);
             let cold = self.cold_share(u);
-            warm |= u.listed && cold.is_none();
-            let share = if u.listed { cold.unwrap_or(1.0) } else { 0.0 };
-            self.whole += share;
-            wholes[u.entry.kind as usize] += if u.state == State::Unknown { 0.0 } else { share };
-            let grouped = group.is_none_or(|(g, f)| u.within(g, &self.upstreams[f].entry));
-            if !u.listed || !grouped || !roomy || p.attempts.iter().any(|a| a.upstream == i) {
+            any_warm |= u.in_service && cold.is_none();
+            let share = if u.in_service { cold.unwrap_or(1.0) } else { 0.0 };
+            self.capacity += share;
+            capacities[u.entry.kind as usize] += if u.state == State::Unknown { 0.0 } else { share };
+            let in_group = group.is_none_or(|(g, f)| u.in_group(g, &self.upstreams[f].entry));
+            if !u.in_service || !in_group || !admitted || p.attempts.iter().any(|a| a.upstream == i) {
                 continue;
             }
             if !self.eligible(u) {
-                nearest = nearest.filter(|j| self.upstreams[*j].until() <= u.until()).or(Some(i));
+                next_expiry = next_expiry.filter(|j| self.upstreams[*j].expiry() <= u.expiry()).or(Some(i));
                 continue;
             }
-            open_here += u32::from(here);
-            if home.is_some() || watched[u.entry.zone as usize] < watch {
-                let (own, zone) = (u.seen.faded(self.now, self.hold), u.entry.zone as usize);
-                watched[zone] += if home.is_none() { own.max(1.0).powi(-TURN.0) } else { 0.0 };
-                let slow = self.kinds[u.entry.kind as usize].slow * crowds[zone] * own;
-                let to = if here { &mut pool } else { &mut away };
-                let (time, usual) = (slow * (work + u.work_out), slow * (usual + 0.5 * u.work_out));
-                to.push(Choice { place, i, zone: u.entry.zone, excluded: u.excluded(), time, usual });
+            local_open += u32::from(local);
+            if key.is_some() || window_used[u.entry.zone as usize] < window {
+                let (own, zone) = (u.slowdown.decayed(self.now, self.decay), u.entry.zone as usize);
+                window_used[zone] += if key.is_none() { own.max(1.0).powi(-SKEW.0) } else { 0.0 };
+                let slowdown = self.kinds[u.entry.kind as usize].factor * zones[zone] * own;
+                let to = if local { &mut pool } else { &mut remote };
+                let (expected, typical) = (slowdown * (work + u.load), slowdown * (typical + 0.5 * u.load));
+                to.push(Candidate { slot, i, zone: u.entry.zone, excluded: u.excluded(), expected, typical });
             }
         }
-        self.any_warm = warm;
-        self.kinds.iter_mut().zip(wholes).for_each(|(k, whole)| k.whole = whole);
-        let few = |open: f64| open < f64::from(listed_here) * SPILL_SHARE;
-        if few(f64::from(open_here)) || pool.is_empty() {
-            // The page's spill: other zones in this balancer's own order, until half as many are there again.
+        self.any_warm = any_warm;
+        self.kinds.iter_mut().zip(capacities).for_each(|(k, capacity)| k.capacity = capacity);
+        let too_few = |open: f64| open < f64::from(local_listed) * SPILL_SHARE;
+        if too_few(f64::from(local_open)) || pool.is_empty() {
+            // Spill: other zones in this instance's order, until half as many upstreams are in the pool.
             for z in &self.zone_order {
-                pool.extend(away.iter().filter(|c| c.zone == *z));
-                if !pool.is_empty() && !few(pool.len() as f64) {
+                pool.extend(remote.iter().filter(|c| c.zone == *z));
+                if !pool.is_empty() && !too_few(pool.len() as f64) {
                     break;
                 }
             }
         } else {
-            // Exception, lasting imbalance: the own zone's turns are expected later than another's by over a
-            // crossing's price as a share of the aim. By chance and gain, lest hundreds swing together.
-            let (own, chance) = (turns(&pool, slack).1, self.random());
-            let toll =
-                self.set.prices.cross_zone.max(c.cross_zone_cost) * c.latency_target as f64 + CROSS_WAY;
+            // Lasting imbalance: the own zone's mean time exceeds another's by more than a crossing costs.
+            // At random in proportion to the gain: otherwise hundreds of instances would swing together.
+            let (own, chance) = (weigh(&pool, slack).1, self.random());
+            let cost = self.cfg.prices.cross_zone.max(c.cross_zone_cost) * c.latency_target as f64 + ZONE_RTT;
             for z in &self.zone_order {
-                let far: Vec<_> = away.iter().copied().filter(|c| c.zone == *z).collect();
-                if !far.is_empty() && chance < (own - turns(&far, slack).1 - toll) / own * CROSS_GAIN {
-                    pool = far;
+                let others: Vec<_> = remote.iter().copied().filter(|c| c.zone == *z).collect();
+                if !others.is_empty() && chance < (own - weigh(&others, slack).1 - cost) / own * CROSS_GAIN {
+                    pool = others;
                     break;
                 }
             }
         }
         if c.effect == Effect::Once && pool.iter().any(|c| !c.excluded) {
-            // What cannot be sent again is a poor scout.
+            // A request that can't be sent again is not used as a trial.
             pool.retain(|c| !c.excluded);
         }
         if pool.is_empty() {
-            let i = nearest.filter(|_| p.attempts.is_empty())?;
-            return Some((i, self.slowness(&self.upstreams[i]) * usual));
+            let i = next_expiry.filter(|_| p.attempts.is_empty())?;
+            return Some((i, self.expected_slowdown(&self.upstreams[i]) * typical));
         }
-        let (parts, late, usual) = turns(&pool, slack);
-        let rank = |c: &&Choice| mixed(home.unwrap_or(0), self.upstreams[c.i].entry.digest);
-        let at_home = pool.iter().filter(|c| home.is_some() && c.time <= late * HOME_LATE).min_by_key(rank);
-        if let Some(c) = at_home {
-            return Some((c.i, usual));
+        let (weights, mean, typical) = weigh(&pool, slack);
+        let hash = |c: &&Candidate| rendezvous_hash(key.unwrap_or(0), self.upstreams[c.i].entry.digest);
+        let best = pool.iter().filter(|c| key.is_some() && c.expected <= mean * KEY_LATE).min_by_key(hash);
+        if let Some(c) = best {
+            return Some((c.i, typical));
         }
-        // Each time round an upstream earns its part of a turn, and is passed over until it has a whole one.
-        let from = pool.iter().position(|c| c.place > self.turn).unwrap_or(0);
+        // Weighted rotation: each pass adds the weight to an upstream's credit, and a request costs one.
+        let from = pool.iter().position(|c| c.slot > self.ring_cursor).unwrap_or(0);
         for k in from..from + 2 * pool.len() {
-            let (c, part) = (pool[k % pool.len()], parts[k % pool.len()]);
+            let (c, weight) = (pool[k % pool.len()], weights[k % pool.len()]);
             let u = &mut self.upstreams[c.i];
-            u.turns += part;
-            if u.turns >= 1.0 {
-                (u.turns, self.turn) = (u.turns - 1.0, c.place);
-                return Some((c.i, usual));
+            u.turn_credit += weight;
+            if u.turn_credit >= 1.0 {
+                (u.turn_credit, self.ring_cursor) = (u.turn_credit - 1.0, c.slot);
+                return Some((c.i, typical));
             }
         }
         None
--- a/crates/balancer/core/src/state.rs
+++ b/crates/balancer/core/src/state.rs
@@ -1,79 +1,99 @@
-//! What the decision module remembers: plain records. No decisions here.
+//! Records that the decision module keeps between events. No decisions here.
 use crate::interface::*;
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{HashMap, VecDeque};
 
-/// Before any time the clock can show.
+/// Earlier than any event; not `i64::MIN`, so that differences from it don't overflow.
 pub(crate) const LONG_AGO: Micros = i64::MIN / 4;
 
+/// Health of an upstream, from the outcomes of its attempts.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum State {
+    /// No response and no counted failure since it was added or last reset.
     Unknown,
     Online,
-    Offline { since: Micros, until: Micros },
-    Dead { since: Micros, until: Micros },
+    /// Excluded for a cooldown, which grows with consecutive failures.
+    Offline {
+        since: Micros,
+        until: Micros,
+    },
+    /// Excluded for a long cooldown: a streak of failures while other upstreams respond.
+    Dead {
+        since: Micros,
+        until: Micros,
+    },
 }
 
-/// Answer time as a multiple of the usual, and when an answer last told.
+/// Response time as a multiple of the typical one, as of the last update.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Seen {
-    pub slow: f64,
-    pub fed: Micros,
+pub(crate) struct Slowdown {
+    pub factor: f64,
+    pub at: Micros,
 }
 
-/// A machine kind's answer time as a multiple of the usual, how many answers told, what its upstreams serve, and how
-/// many of those met there are, cold ones by the share of their capacity.
+/// Estimates for the upstreams of one machine kind.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Kind {
-    pub slow: f64,
-    pub seen: f64,
-    pub served: Rate,
-    pub whole: f64,
+pub(crate) struct KindStats {
+    /// Response time as a multiple of the typical one.
+    pub factor: f64,
+    /// Responses that `factor` was learnt from.
+    pub samples: f64,
+    /// Work that its upstreams serve for this instance.
+    pub work_rate: Rate,
+    /// Upstreams in service whose state is known, each counted by its share of full capacity.
+    pub capacity: f64,
 }
 
-impl Kind {
+impl KindStats {
     pub fn new(now: Micros) -> Self {
-        Kind { slow: 1.0, seen: 0.0, served: Rate::new(now), whole: 0.0 }
+        KindStats { factor: 1.0, samples: 0.0, work_rate: Rate::new(now), capacity: 0.0 }
     }
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
-    pub listed: bool,
+    /// Listed as running.
+    pub in_service: bool,
     pub entry: Entry,
     pub state: State,
+    /// Counted transport failures in the current streak.
     pub failures: u32,
-    /// Failures since its last sign of life that were not counted.
-    pub broken: u32,
+    /// Failures since the last response that were not counted.
+    pub uncounted: u32,
     pub streak_start: Micros,
     pub last_failure: Micros,
-    pub last_life: Micros,
-    pub scouts: u32,
-    /// How slow it is by its own answers.
-    pub seen: Seen,
-    pub out: u32,
-    pub work_out: f64,
-    /// Part of a turn in the rotation that it has earned.
-    pub turns: f64,
-    /// Work it may be sent while cold, saved up, and until when that is counted.
-    pub saved: f64,
-    pub saved_at: Micros,
+    pub last_response: Micros,
+    /// Attempts in flight that were sent while it was offline or dead.
+    pub trials: u32,
+    /// Slowdown that its machine kind and zone don't explain.
+    pub slowdown: Slowdown,
+    /// Attempts in flight.
+    pub in_flight: u32,
+    /// Work of the attempts in flight.
+    pub load: f64,
+    /// Credit in the weighted rotation; a request costs one.
+    pub turn_credit: f64,
+    /// Token bucket of work that it may be sent while cold; negative is debt.
+    pub tokens: f64,
+    pub refilled_at: Micros,
 }
 
-/// An upstream that a request may go to: the time expected there of it, and of a usual one.
+/// An upstream that a request may be sent to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Choice {
-    /// Its place in the ring.
-    pub place: usize,
+pub(crate) struct Candidate {
+    /// Position in the ring.
+    pub slot: usize,
     pub i: usize,
     pub zone: u32,
     pub excluded: bool,
-    pub time: f64,
-    pub usual: f64,
+    /// Response time expected for this request.
+    pub expected: f64,
+    /// Response time expected for a typical request of the class.
+    pub typical: f64,
 }
 
-/// Something counted, fading with time: its rate in a microsecond.
+/// An exponentially decaying average rate, per microsecond.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rate {
     rate: f64,
@@ -85,24 +105,24 @@
         Rate { rate: 0.0, at }
     }
 
-    /// The rate now, counted over about this time.
-    pub fn now(&self, now: Micros, over: f64) -> f64 {
-        self.rate * (-((now - self.at) as f64) / over).exp()
+    /// The rate at `now`; `span` is the time constant of the decay.
+    pub fn now(&self, now: Micros, span: f64) -> f64 {
+        self.rate * (-((now - self.at) as f64) / span).exp()
     }
 
-    pub fn add(&mut self, now: Micros, over: f64, what: f64) {
-        *self = Rate { rate: self.now(now, over) + what / over, at: now };
+    pub fn add(&mut self, now: Micros, span: f64, amount: f64) {
+        *self = Rate { rate: self.now(now, span) + amount / span, at: now };
     }
 }
 
-impl Seen {
-    /// The multiple now, fading to one over this time without answers.
-    pub fn faded(&self, now: Micros, over: f64) -> f64 {
-        // Nothing is left of it to count after so long; a large fleet's picks ask for many.
-        if self.slow == 1.0 || (now - self.fed) as f64 > 40.0 * over {
+impl Slowdown {
+    /// The factor at `now`, decaying to 1 without updates; `span` is the time constant.
+    pub fn decayed(&self, now: Micros, span: f64) -> f64 {
+        // Skips `exp` where the result rounds to 1: each pick calls this for many upstreams.
+        if self.factor == 1.0 || (now - self.at) as f64 > 40.0 * span {
             return 1.0;
         }
-        1.0 + (self.slow - 1.0) * (-((now - self.fed).max(0) as f64) / over).exp()
+        1.0 + (self.factor - 1.0) * (-((now - self.at).max(0) as f64) / span).exp()
     }
 }
 
@@ -110,136 +130,157 @@
 pub(crate) struct Attempt {
     pub upstream: usize,
     pub sent: Micros,
+    /// Response time expected when it was sent.
     pub expected: f64,
-    pub ended: Option<Outcome>,
-    pub scout: bool,
-    pub own_limit: bool,
-    pub suspected: bool,
-    pub ordered_off: bool,
+    /// `None` while in flight.
+    pub outcome: Option<Outcome>,
+    /// Sent to an upstream that was offline or dead.
+    pub trial: bool,
+    /// Sent with the first-answer limit as its time limit.
+    pub bounded: bool,
+    /// The first-answer limit has passed, which was taken as a failure.
+    pub overdue: bool,
+    pub cancel_sent: bool,
 }
 
+/// A request without a final answer, or with attempts in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
     pub class: usize,
     pub key: Option<u64>,
-    pub aim_at: Micros,
+    /// When its latency target ends.
+    pub target_at: Micros,
     pub deadline: Micros,
+    /// The cost hint in microseconds, 1 without a hint.
     pub unit: f64,
+    /// Expected response time at an idle upstream of typical speed.
     pub work: f64,
-    /// The most attempts it may have.
+    /// Maximum number of attempts.
     pub cap: usize,
     pub attempts: Vec<Attempt>,
-    pub out: u32,
-    pub over: bool,
+    /// Attempts in flight.
+    pub in_flight: u32,
+    pub finished: bool,
     pub streaming: bool,
 }
 
+/// Estimates for one class of requests.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Usual {
-    /// Usual answer time per unit (the hint in microseconds where there is one, else 1), and the usual unit.
+pub(crate) struct ClassStats {
+    /// Typical response time per unit.
     pub per_unit: f64,
+    /// Typical units of a request (see [`Pending::unit`]).
     pub unit: f64,
-    pub seen: f64,
-    /// The budget that most tries bring, by majority vote.
+    /// Responses that `per_unit` was learnt from.
+    pub samples: f64,
+    /// The time budget that most requests arrive with, by majority vote.
     pub budget: Micros,
     pub votes: u32,
 }
 
-/// One instance's decisions.
+/// The decision module of one instance.
 pub struct Balancer {
-    pub(crate) set: Settings,
+    pub(crate) cfg: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: Micros,
     pub(crate) upstreams: Vec<Upstream>,
+    /// The other zones in the order in which this instance fails over to them.
     pub(crate) zone_order: Vec<u32>,
-    pub(crate) turn: usize,
+    /// Slot of the ring that was picked last.
+    pub(crate) ring_cursor: usize,
     pub(crate) subscribed: bool,
-    pub(crate) asked: bool,
+    /// A subscription was requested and hasn't failed since.
+    pub(crate) subscribe_sent: bool,
     pub(crate) list_failures: u32,
-    pub(crate) last_life: Micros,
-    pub(crate) fails: VecDeque<(Micros, usize)>,
-    pub(crate) blamed: bool,
+    pub(crate) last_response: Micros,
+    /// Time and upstream of the latest transport failures, counted or not, to detect a local fault.
+    pub(crate) recent_failures: VecDeque<(Micros, usize)>,
+    /// Several upstreams fail and none responds, so the fault is assumed to be on this side.
+    pub(crate) local_fault: bool,
+    /// Until when failures don't count after a local fault.
     pub(crate) grace_until: Micros,
     pub(crate) pending: HashMap<RequestId, Pending>,
-    pub(crate) usual: Vec<Usual>,
-    pub(crate) kinds: Vec<Kind>,
-    pub(crate) zones: Vec<Seen>,
+    pub(crate) class_stats: Vec<ClassStats>,
+    pub(crate) kinds: Vec<KindStats>,
+    pub(crate) zones: Vec<Slowdown>,
     pub(crate) retry_tokens: f64,
-    pub(crate) worth_seen: f64,
-    pub(crate) work_seen: f64,
-    /// How long an upstream's own part is held without answers, in microseconds.
-    pub(crate) hold: f64,
-    /// Listed upstreams, cold ones by the share of their capacity, as of the last pick.
-    pub(crate) whole: f64,
-    /// One of them is warm.
+    /// Decaying sum of the value of new requests, and of their typical work.
+    pub(crate) value_sum: f64,
+    pub(crate) work_sum: f64,
+    /// Time constant with which an upstream's own slowdown decays, in microseconds.
+    pub(crate) decay: f64,
+    /// Upstreams in service, each counted by its share of full capacity, as of the last pick.
+    pub(crate) capacity: f64,
+    /// At least one upstream in service is warm, as of the last pick.
     pub(crate) any_warm: bool,
-    pub(crate) spread: f64,
-    /// First tries asked for.
-    pub(crate) asked_rate: Rate,
-    /// Upstreams in this balancer's own random order.
+    /// Multiple of the expected response time that a set share of responses stays within.
+    pub(crate) margin: f64,
+    /// New requests; attempts after the first don't count.
+    pub(crate) request_rate: Rate,
+    /// Upstreams in a random order of this instance's own, which rotation follows.
     pub(crate) ring: Vec<usize>,
 }
 
 impl Balancer {
-    /// An instance that has seen nothing.
-    pub(crate) fn blank(set: Settings, rng: Pcg64Mcg, now: Micros) -> Self {
+    /// An instance without upstreams, requests or estimates.
+    pub(crate) fn empty(cfg: Settings, rng: Pcg64Mcg, now: Micros) -> Self {
         Balancer {
-            set,
+            cfg,
             rng,
             now,
             upstreams: Vec::new(),
             zone_order: Vec::new(),
-            turn: 0,
+            ring_cursor: 0,
             subscribed: false,
-            asked: false,
+            subscribe_sent: false,
             list_failures: 0,
-            last_life: LONG_AGO,
-            fails: VecDeque::new(),
-            blamed: false,
+            last_response: LONG_AGO,
+            recent_failures: VecDeque::new(),
+            local_fault: false,
             grace_until: LONG_AGO,
             pending: HashMap::new(),
-            usual: Vec::new(),
+            class_stats: Vec::new(),
             kinds: Vec::new(),
             zones: Vec::new(),
             retry_tokens: 0.0,
-            worth_seen: 0.0,
-            work_seen: 0.0,
-            hold: 1e7,
-            whole: 0.0,
+            value_sum: 0.0,
+            work_sum: 0.0,
+            decay: 1e7,
+            capacity: 0.0,
             any_warm: false,
-            spread: 1.0,
-            asked_rate: Rate::new(now),
+            margin: 1.0,
+            request_rate: Rate::new(now),
             ring: Vec::new(),
         }
     }
 }
 
 impl Balancer {
-    /// From 0 to 1, by the instance's seed.
+    /// A random number from 0 to 1, exclusive.
     pub(crate) fn random(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
 impl Attempt {
-    pub fn new(upstream: usize, sent: Micros, scout: bool, own_limit: bool) -> Self {
+    pub fn new(upstream: usize, sent: Micros, trial: bool, bounded: bool) -> Self {
         Attempt {
             upstream,
             sent,
             expected: 0.0,
-            ended: None,
-            scout,
-            own_limit,
-            suspected: false,
-            ordered_off: false,
+            outcome: None,
+            trial,
+            bounded,
+            overdue: false,
+            cancel_sent: false,
         }
     }
 }
 
 impl Attempt {
-    /// It is out, or ended in a way that an upstream may have received it.
-    pub fn received(&self) -> bool {
-        !matches!(self.ended, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
+    /// Whether an upstream may have received it, which holds for every attempt in flight.
+    pub fn may_be_received(&self) -> bool {
+        !matches!(self.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
     }
 }
 
@@ -247,40 +288,40 @@
     pub fn new(
         class: usize,
         key: Option<u64>,
-        aim_at: Micros,
+        target_at: Micros,
         deadline: Micros,
         unit: f64,
         work: f64,
         cap: usize,
     ) -> Self {
-        let (attempts, out, over, streaming) = (Vec::new(), 0, false, false);
-        Pending { class, key, aim_at, deadline, unit, work, cap, attempts, out, over, streaming }
+        let (attempts, in_flight, finished, streaming) = (Vec::new(), 0, false, false);
+        Pending { class, key, target_at, deadline, unit, work, cap, attempts, in_flight, finished, streaming }
     }
 
-    /// How many upstreams may have received it.
-    pub fn received(&self) -> u32 {
-        self.attempts.iter().filter(|a| a.received()).count() as u32
+    /// The number of attempts that an upstream may have received.
+    pub fn receivers(&self) -> u32 {
+        self.attempts.iter().filter(|a| a.may_be_received()).count() as u32
     }
 }
 
 impl Upstream {
     pub fn new(entry: Entry) -> Self {
         Upstream {
-            listed: false,
+            in_service: false,
             entry,
             state: State::Unknown,
             failures: 0,
-            broken: 0,
+            uncounted: 0,
             streak_start: LONG_AGO,
             last_failure: LONG_AGO,
-            last_life: LONG_AGO,
-            scouts: 0,
-            seen: Seen { slow: 1.0, fed: LONG_AGO },
-            out: 0,
-            work_out: 0.0,
-            turns: 0.0,
-            saved: 0.0,
-            saved_at: LONG_AGO,
+            last_response: LONG_AGO,
+            trials: 0,
+            slowdown: Slowdown { factor: 1.0, at: LONG_AGO },
+            in_flight: 0,
+            load: 0.0,
+            turn_credit: 0.0,
+            tokens: 0.0,
+            refilled_at: LONG_AGO,
         }
     }
 
@@ -288,14 +329,16 @@
         matches!(self.state, State::Offline { .. } | State::Dead { .. })
     }
 
-    pub fn until(&self) -> Micros {
+    /// When its cooldown expires; [`LONG_AGO`] without one.
+    pub fn expiry(&self) -> Micros {
         match self.state {
             State::Unknown | State::Online => LONG_AGO,
             State::Offline { until, .. } | State::Dead { until, .. } => until,
         }
     }
 
-    pub fn within(&self, group: DedupGroup, of: &Entry) -> bool {
+    /// Whether it is in the deduplication group that `of` belongs to.
+    pub fn in_group(&self, group: DedupGroup, of: &Entry) -> bool {
         match group {
             DedupGroup::All => true,
             DedupGroup::Zone => self.entry.zone == of.zone,
