--- a/crates/balancer/core/src/interface.rs
+++ b/crates/balancer/core/src/interface.rs
@@ -1,21 +1,21 @@
-//! What the decision module (`policy`) is told and what it answers. No decisions here.
+//! Settings, events and actions of the decision module (`policy`). No decisions here.
 
-/// Integer microseconds, as a point on the caller's monotonic clock or as a span.
+/// Microseconds, as a point on the caller's monotonic clock or as a duration.
 pub type Micros = i64;
 
-/// An upstream, numbered densely by the caller in the order this instance first heard of it. The number of one that has
-/// been told as gone may be given to another.
+/// An upstream, numbered densely by the caller in the order of first listing. The number of one that was listed as gone
+/// may be reused for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u32);
 
-/// A request this instance has taken.
+/// A request that this instance has accepted from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Where repeats of a keyed request are dropped.
+/// The upstreams among which duplicates of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
-    /// Any upstream drops them.
+    /// All upstreams.
     All,
     /// The upstreams of one zone.
     Zone,
@@ -23,16 +23,16 @@
     Cell,
 }
 
-/// Whether a request that may have run can run again.
+/// Whether a request that may have been executed can be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Any number of times.
     Repeatable,
-    /// Within the group that drops repeats, for `window` from the send of an attempt that may have run.
+    /// Within the group that drops duplicates, for `window` from the send of an attempt that may have been executed.
     Keyed {
-        /// The upstreams that drop repeats.
+        /// The upstreams that drop duplicates.
         group: DedupGroup,
-        /// For how long they do.
+        /// For how long they recognise a duplicate.
         window: Micros,
     },
     /// Never.
@@ -42,119 +42,119 @@
 /// One class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// A response within this time earns the full value.
     pub latency_target: Micros,
-    /// Growth of the aim with the request's own work (0: none).
+    /// Increase of the latency target per unit of the request's expected work; 0: none.
     pub target_per_work: f64,
-    /// All the time a client waits, over its tries.
+    /// How long a client waits in all, its own retries included.
     pub deadline: Micros,
-    /// What an answer is worth.
+    /// Value of a response within the latency target.
     pub value: f64,
-    /// Share of the worth paid for an answer past the aim.
+    /// Share of the value that a response past the latency target still earns.
     pub late_value_share: f64,
-    /// Whether it may run again.
+    /// Whether a request may be executed again.
     pub effect: Effect,
-    /// The answer is a stream.
+    /// The response is a stream.
     pub stream: bool,
-    /// The most upstreams that may receive it; `None`: as many as it has attempts. One that sent it back unseen, could
-    /// not be reached or was never sent to has not received it. The first attempt always goes.
+    /// Maximum number of upstreams that may receive a request; `None`: the number of attempts. An upstream that rejected
+    /// it unprocessed, could not be reached or was never sent to has not received it. The first attempt is always sent.
     pub max_receivers: Option<u32>,
-    /// What a crossing between zones costs, as a share of the aim, where that is more than the price for all classes.
+    /// Cost of sending to another zone, as a share of the latency target; [`Prices::cross_zone`] is the minimum.
     pub cross_zone_cost: f64,
 }
 
-/// One tenant and its allowance.
+/// A tenant and its allowance.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Share of the service allotted.
+    /// Share of the service that it is allotted.
     pub share: f64,
-    /// Requests a second over all instances that count as within the share.
+    /// Requests per second, over all instances, that count as within the share.
     pub allowance_per_s: f64,
 }
 
-/// Points taken off the result, each times its share or rate.
+/// Deductions from the objective, each multiplied by its share or rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
-    /// Attempts that cross zones, a first try.
+    /// Attempts in another zone, per request.
     pub cross_zone: f64,
-    /// Upstream work without an answer, as a share of the work offered.
+    /// Work of upstreams that led to no response, as a share of the work offered.
     pub waste: f64,
-    /// Worth that ended unserved after its aim.
+    /// Value of requests that failed after their latency target.
     pub late_fail: f64,
-    /// Probes, a first try.
+    /// Probes, per request.
     pub probe: f64,
 }
 
-/// What an instance is handed at its start.
+/// Settings of an instance, at its start or in [`Event::Settings`].
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Instances in this tier.
     pub instances: u32,
-    /// This instance's number, from 0.
+    /// Index of this instance, from 0.
     pub instance_index: u32,
-    /// This instance's zone.
+    /// Zone of this instance.
     pub own_zone: u32,
-    /// How many zones are named.
+    /// Number of zones.
     pub zones: u32,
-    /// The classes.
+    /// The classes of requests, which [`NewRequest::class`] refers to.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants, which [`NewRequest::tenant`] refers to; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request past its tenant's share, as a part of its class's worth.
+    /// Value of a request beyond its tenant's share, as a fraction of its class's value.
     pub over_share_value: f64,
-    /// Worth is counted for each unit of work, not for each request.
+    /// Value is counted per unit of work instead of per request.
     pub value_per_work: bool,
-    /// The part of the result that counts all worth alike; the rest goes by what is served worst.
+    /// Weight of the total value in the objective, from 0 to 1; the rest is that of the worst-served class.
     pub total_value_weight: f64,
-    /// Points taken off.
+    /// Deductions from the objective.
     pub prices: Prices,
-    /// The list comes only when asked for.
+    /// The list is sent only on request.
     pub list_on_request: bool,
-    /// Past this without asking, the instance counts as told.
+    /// An instance that has not requested the list for this long is held to know every draining upstream.
     pub max_list_age: Micros,
-    /// Sends to a draining or gone upstream must stop within this.
+    /// Sends to a draining or gone upstream must stop within this time.
     pub drain_grace: Micros,
-    /// Least share of its capacity that a started upstream has.
+    /// Least share of its full capacity that an upstream has right after its start.
     pub initial_capacity: f64,
-    /// It is warm no later than this.
+    /// Time after its start by which an upstream has its full capacity.
     pub warm_up_time: Micros,
-    /// It falls over when sent more than this multiple of its present capacity ...
+    /// A cold upstream collapses when sent more than this multiple of its present capacity ...
     pub overload_multiple: f64,
-    /// ... over this span.
+    /// ... over this window.
     pub overload_window: Micros,
-    /// Requests a second that a cold upstream bears, from all instances together; `None`: not stated, and the multiple
-    /// counts. Where it is stated, neither the multiple nor its span allows more.
+    /// Requests per second that a cold upstream may be sent by all instances together. Replaces the overload multiple,
+    /// which applies with `None`.
     pub cold_rate: Option<f64>,
-    /// Instances that may send to a cold upstream, who share the rate stated; 0: all.
+    /// Number of instances that may send to a cold upstream and share `cold_rate`; 0: all.
     pub cold_senders: u32,
-    /// Second tries as a share of first ones; `None`: the module's own.
+    /// Retries as a share of requests; `None`: the module's default.
     pub retry_ratio: Option<f64>,
-    /// So many second tries may be saved up; `None`: the module's own.
+    /// Retries that may be saved up; `None`: the module's default.
     pub max_saved_retries: Option<f64>,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// A connection that is not ready by then has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Two attempts of one request may be out together.
+    /// Several attempts of a request may be in flight together.
     pub may_hedge: bool,
     /// Probes are allowed.
     pub probes: bool,
-    /// Clients may be told when to come back, up to this long; `None`: they get no advice.
+    /// Maximum delay that a refusal may ask a client to keep before its retry; `None`: refusals carry none.
     pub max_retry_after: Option<Micros>,
-    /// Clients mark their repeats.
+    /// Clients mark their retries.
     pub clients_mark_retries: bool,
-    /// An upstream that met a request's subject lately does less work for it.
+    /// Upstreams do less work for keys that they served recently, so a key's requests should go to one upstream.
     pub key_affinity: bool,
 }
 
-/// What the list says of an upstream's life.
+/// State of an upstream according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It runs.
+    /// It accepts requests.
     Running,
-    /// It finishes its work: nothing new.
+    /// It finishes its requests and accepts no new ones.
     Draining,
     /// It is removed.
     Gone,
@@ -163,202 +163,202 @@
 /// One upstream as listed.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// Which one.
+    /// The upstream.
     pub upstream: UpstreamId,
-    /// Its life.
+    /// Its state.
     pub lifecycle: Lifecycle,
-    /// Its last start; `None`: long ago.
+    /// Time of its last start; `None`: long ago.
     pub last_start: Option<Micros>,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// Its machine kind.
+    /// Its machine kind, from 0.
     pub kind: u32,
-    /// Its listed size, to be compared with that of others.
+    /// Its listed size, relative to other upstreams.
     pub size: f64,
-    /// A digest of its name, the same at every instance.
+    /// Hash of its name, the same at every instance.
     pub digest: u64,
 }
 
-/// How list news is to be read.
+/// Kind of an update of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// The changed entries.
     Patch,
     /// The complete list.
     Snapshot,
-    /// The complete list as last held, perhaps out of date.
+    /// The complete list from a saved copy, perhaps out of date.
     StaleCopy,
-    /// A call failed or the subscription broke; the held list stays.
+    /// A call failed or the subscription broke; the present list stays in use.
     Broken,
-    /// Another list service is to be asked from now on; the held list stays.
+    /// The list service has changed; the present list stays in use.
     Moved,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// A successful response.
     Served,
-    /// Answered with an error; it may have run.
+    /// An error response; the request may have been executed.
     Error,
-    /// Sent back unseen.
+    /// Rejected by the upstream without being processed.
     Rejected,
-    /// No answer within the limit; it may have run.
+    /// No response within the limit; the request may have been executed.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection; the request was not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have been executed.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; the request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
-/// A request as it arrives.
+/// A request from a client.
 #[derive(Clone, Copy, Debug)]
 pub struct NewRequest {
-    /// Its id; never used again.
+    /// Its id, unique over the instance's lifetime.
     pub id: RequestId,
-    /// Its class (index).
+    /// Index of its class.
     pub class: u32,
-    /// Its tenant (index).
+    /// Index of its tenant.
     pub tenant: u32,
-    /// A digest of its subject; equal subjects have equal digests.
+    /// Hash of the key that it concerns, for [`Settings::key_affinity`].
     pub key: Option<u64>,
-    /// Time until the client stops waiting for this try.
+    /// Time until the client stops waiting for this request.
     pub budget: Micros,
-    /// Expected work on a standard core.
+    /// Expected processing time on a standard core.
     pub cost_hint: Option<Micros>,
-    /// A client's repeat, where clients mark them.
+    /// Marked by the client as a retry; see [`Settings::clients_mark_retries`].
     pub client_retry: bool,
-    /// It writes.
+    /// It is a write.
     pub write: bool,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
-    /// Its request.
+    /// The request.
     pub request: RequestId,
-    /// Its number among the request's attempts, from 0.
+    /// Index of the attempt within the request, from 0.
     pub attempt: u32,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time from its send.
+    /// Time since it was sent.
     pub elapsed: Micros,
-    /// The request is over, by this or before.
+    /// The request is over, by this outcome or an earlier one.
     pub request_over: bool,
 }
 
-/// Something that happened.
+/// Input to the decision module.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// News of the list.
+    /// An update of the list.
     List {
-        /// How to read it.
+        /// Kind of the update.
         kind: ListKind,
-        /// The entries; none when broken.
+        /// The entries; none with `Broken` and `Moved`.
         entries: &'a [Entry],
     },
-    /// Other settings hold from now on. A class that open requests or late outcomes name stands where it stood.
+    /// The settings have changed. Classes that open requests refer to keep their index.
     Settings {
-        /// The new ones.
+        /// The new settings.
         settings: &'a Settings,
-        /// For each class, which one of before tells how long it usually takes.
+        /// For each class, index of the previous class whose estimates it takes over.
         previous: &'a [Option<u32>],
     },
-    /// A request was taken.
+    /// A request has arrived.
     Request(NewRequest),
-    /// An attempt ended; each attempt sent ends once.
+    /// An attempt has ended; this happens once for each [`Action::Send`].
     AttemptEnded(Ended),
-    /// The answer's stream has begun; the attempt is the client's now.
+    /// The response stream has begun and is passed to the client.
     StreamStarted {
-        /// Its request.
+        /// The request.
         request: RequestId,
-        /// The attempt's number.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// The client has left, or the request is over for another reason.
+    /// The client has disconnected, or the request is over for another reason.
     RequestGone {
-        /// Which one.
+        /// The request.
         request: RequestId,
     },
-    /// A timer came due.
+    /// A timer has expired.
     Timer {
-        /// As set.
+        /// The token of [`Action::Timer`].
         token: u64,
     },
-    /// A probe ended.
+    /// A probe has ended.
     ProbeEnded {
-        /// The upstream probed.
+        /// The probed upstream.
         upstream: UpstreamId,
         /// How it ended.
         outcome: Outcome,
-        /// Time from its send.
+        /// Time since it was sent.
         elapsed: Micros,
     },
 }
 
-/// Something to be done.
+/// Output of the decision module, which the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt; attempts of a request number 0, 1, 2 ... in this order.
+    /// Begin an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The destination.
         upstream: UpstreamId,
-        /// Time limit; `None`: until the client gives up.
+        /// Time limit of the attempt; `None`: the client's.
         limit: Option<Micros>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// Final answer: no, and a new try does no harm.
+    /// Final answer: the request is refused, and a retry does no harm.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should keep away.
+        /// How long the client should wait before a retry.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed.
+    /// Final answer: the request has failed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Ask for a timer.
+    /// Set a timer.
     Timer {
-        /// Time from now.
+        /// Delay from now.
         after: Micros,
-        /// Handed back with it.
+        /// Returned in [`Event::Timer`].
         token: u64,
     },
-    /// Ask for list changes from now on, or stop.
+    /// Subscribe to the list, or unsubscribe.
     Subscribe(bool),
-    /// Ask for the whole list once.
+    /// Request the complete list once.
     FetchList,
     /// Probe an upstream.
     Probe(UpstreamId),
     /// Close idle connections to an upstream.
     CloseIdle(UpstreamId),
-    /// A line for the report.
+    /// Write a line to the log.
     Note(String),
 }
 
-/// Whatever decides: the module in service, a plain policy where the two are compared. Events come in the order of time;
-/// equal events, at equal times, give equal actions.
+/// A decision maker: the module itself, or a simple policy to compare it with. Events arrive in order of time; equal
+/// events at equal times result in equal actions.
 pub trait Decide {
-    /// Take one event in, at the time it happened, and append what is to be done.
+    /// Handles one event at the time it happened and appends the resulting actions.
     fn decide(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>);
 
-    /// Whether an upstream would not be picked now, for its failures or its drain. Changes nothing.
+    /// Whether an upstream is not picked now, for its failures or because it is draining or gone.
     fn avoids(&self, _now: Micros, _upstream: UpstreamId) -> bool {
         false
     }
--- a/crates/balancer/core/src/lib.rs
+++ b/crates/balancer/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of silvercross, a client-side load balancer.
+//! Decision module of silvercross, a client-side load balancer.
 //!
-//! Sans-IO: the caller hands in [`interface::Settings`] once, then [`interface::Event`]s with the time they
-//! happened at, and carries out the [`interface::Action`]s that come back. Equal events give equal actions.
+//! Sans-IO: the caller passes in [`interface::Settings`], then [`interface::Event`]s with their time, and carries out the
+//! [`interface::Action`]s that result. Equal events result in equal actions.
 #![forbid(unsafe_code)]
 
 pub mod interface;
