--- a/crates/balancer/core/src/policy/attempts.rs
+++ b/crates/balancer/core/src/policy/attempts.rs
@@ -22,7 +22,7 @@
         let may_add = p.attempts.len() + 1 < p.cap && c.max_receivers.is_none_or(|n| p.receivers() + 1 < n);
         let bounded = own_limit && sequential && may_add && now + limit < p.target_at;
         let expected = self.expected_slowdown(&self.upstreams[i]) * (work + self.upstreams[i].load);
-        // A configured cold rate limits requests, not work: each costs a typical one.
+        // A configured cold rate limits requests, not work: all cost the same.
         let paid = if self.cfg.cold_rate.is_some() { self.max_typical_work() } else { work };
         let u = &mut self.upstreams[i];
         (u.tokens, u.in_flight, u.load) = (u.tokens - paid, u.in_flight + 1, u.load + work);
--- a/crates/balancer/core/src/policy/liveness.rs
+++ b/crates/balancer/core/src/policy/liveness.rs
@@ -1,7 +1,7 @@
 //! Which upstreams are excluded and for how long, and when failures are taken for a local fault.
 use super::*;
 
-/// Cooldowns double from the time of this many own requests, within the bounds; a trial is one of as many.
+/// Cooldowns double from the time of this many own requests, within the bounds: few requests are trials.
 const COOLDOWN_REQUESTS: f64 = 40.0;
 const COOLDOWN: (Micros, Micros) = (2 * S, 20 * S);
 /// Dead: this many counted failures over the streak, no further apart than the gap, and responses elsewhere.
--- a/crates/balancer/core/src/policy/pick.rs
+++ b/crates/balancer/core/src/policy/pick.rs
@@ -100,7 +100,7 @@
         self.kinds.iter_mut().zip(capacities).for_each(|(k, capacity)| k.capacity = capacity);
         let too_few = |open: f64| open < f64::from(local_listed) * SPILL_SHARE;
         if too_few(f64::from(local_open)) || pool.is_empty() {
-            // Spill: other zones in this instance's order, until half as many upstreams are in the pool.
+            // Spill: other zones in this instance's order, until half as many as the own zone lists are in.
             for z in &self.zone_order {
                 pool.extend(remote.iter().filter(|c| c.zone == *z));
                 if !pool.is_empty() && !too_few(pool.len() as f64) {
