--- a/crates/balancer/core/tests/common/mod.rs
+++ b/crates/balancer/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and short hands for the tests. They feed events; no server is modelled.
+//! Settings and helpers for the tests, which pass in events; no upstream is modelled.
 #![allow(dead_code)]
 use silvercross_core::interface::*;
 use silvercross_core::policy::Balancer;
@@ -7,16 +7,26 @@
 pub const S: Micros = 1_000_000;
 
 pub fn class(effect: Effect) -> Class {
-    let (aim, deadline) = (500 * MS, 2 * S);
-    let (worth, late_worth, aim_stretch, stream, sends) = (1.0, 0.0, 0.0, false, None);
-    Class { aim, aim_stretch, deadline, worth, late_worth, effect, stream, sends, toll: 0.0 }
+    let (latency_target, deadline) = (500 * MS, 2 * S);
+    let (value, late_value_share, target_per_work, stream, max_receivers) = (1.0, 0.0, 0.0, false, None);
+    Class {
+        latency_target,
+        target_per_work,
+        deadline,
+        value,
+        late_value_share,
+        effect,
+        stream,
+        max_receivers,
+        cross_zone_cost: 0.0,
+    }
 }
 
 pub fn keyed(group: DedupGroup) -> Effect {
     Effect::Keyed { group, window: S }
 }
 
-/// Classes 0 to 4: repeatable, once, keyed everywhere, in a zone, in a cell.
+/// Settings with classes 0 to 4: repeatable, once, keyed over all upstreams, in a zone, in a cell.
 pub fn settings() -> Settings {
     let effects = [
         Effect::Repeatable,
@@ -27,34 +37,34 @@
     ];
     Settings {
         instances: 3,
-        me: 0,
-        my_zone: 0,
+        instance_index: 0,
+        own_zone: 0,
         zones: 2,
         classes: effects.into_iter().map(class).collect(),
         tenants: Vec::new(),
-        over_share_worth: 1.0,
-        worth_by_work: false,
-        whole: 1.0,
+        over_share_value: 1.0,
+        value_per_work: false,
+        total_value_weight: 1.0,
         prices: Prices::default(),
         list_on_request: true,
-        must_ask_in: 10 * S,
+        max_list_age: 10 * S,
         drain_grace: 2 * S,
-        cold_from: 0.3,
-        warm_within: 9 * S,
-        fall_multiple: 3.0,
-        fall_span: 3 * S,
+        initial_capacity: 0.3,
+        warm_up_time: 9 * S,
+        overload_multiple: 3.0,
+        overload_window: 3 * S,
         cold_rate: None,
         cold_senders: 0,
-        retry_share: None,
-        retry_cap: None,
-        attempts_cap: 4,
-        connect_limit: 250 * MS,
+        retry_ratio: None,
+        max_saved_retries: None,
+        max_attempts: 4,
+        connect_timeout: 250 * MS,
         may_cancel: true,
-        second_copies: true,
+        may_hedge: true,
         probes: false,
         max_retry_after: Some(2 * S),
-        marks_repeats: false,
-        warm_keys: false,
+        clients_mark_retries: false,
+        key_affinity: false,
     }
 }
 
@@ -79,31 +89,31 @@
         key: None,
         budget: 2 * S,
         cost_hint: None,
-        repeat: false,
+        client_retry: false,
         write: false,
     }
 }
 
-/// One instance and the time its next event happens at.
-pub struct Desk {
+/// One instance, and the time of its next event.
+pub struct TestRig {
     pub balancer: Balancer,
     pub now: Micros,
-    pub next: u64,
+    pub next_id: u64,
     budgets: Vec<Micros>,
 }
 
-impl Desk {
-    pub fn new(settings: Settings, zones_of_upstreams: &[u32]) -> Self {
-        Self::seeded(settings, zones_of_upstreams, 7)
+impl TestRig {
+    pub fn new(settings: Settings, upstream_zones: &[u32]) -> Self {
+        Self::seeded(settings, upstream_zones, 7)
     }
 
-    pub fn seeded(settings: Settings, zones_of_upstreams: &[u32], seed: u64) -> Self {
+    pub fn seeded(settings: Settings, upstream_zones: &[u32], seed: u64) -> Self {
         let budgets = settings.classes.iter().map(|c| c.deadline).collect();
         let balancer = Balancer::new(settings, seed, S);
-        let mut desk = Desk { balancer, now: S, next: 1, budgets };
-        let entries: Vec<_> = (0..).zip(zones_of_upstreams).map(|(i, z)| entry(i, *z)).collect();
-        desk.list(ListKind::StaleCopy, &entries);
-        desk
+        let mut rig = TestRig { balancer, now: S, next_id: 1, budgets };
+        let entries: Vec<_> = (0..).zip(upstream_zones).map(|(i, z)| entry(i, *z)).collect();
+        rig.list(ListKind::StaleCopy, &entries);
+        rig
     }
 
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
@@ -116,44 +126,44 @@
         self.event(Event::List { kind, entries })
     }
 
-    /// A new request of a class; its id and what was done about it.
-    pub fn ask(&mut self, class: u32) -> (u64, Vec<Action>) {
-        let id = self.next;
-        self.next += 1;
+    /// Submits a new request of a class; its id and the resulting actions.
+    pub fn submit(&mut self, class: u32) -> (u64, Vec<Action>) {
+        let id = self.next_id;
+        self.next_id += 1;
         let budget = self.budgets[class as usize];
         (id, self.event(Event::Request(NewRequest { budget, ..request(id, class) })))
     }
 
-    /// A new request that must be sent somewhere: its id and where.
-    pub fn sent(&mut self, class: u32) -> (u64, u32) {
-        let (id, out) = self.ask(class);
+    /// Submits a new request that must be sent; its id and the upstream.
+    pub fn send(&mut self, class: u32) -> (u64, u32) {
+        let (id, out) = self.submit(class);
         (id, first_send(&out).unwrap_or_else(|| panic!("request {id} was not sent: {out:?}")))
     }
 
     pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
-        let over = outcome == Outcome::Served;
+        let request_over = outcome == Outcome::Served;
         let request = RequestId(id);
-        self.event(Event::AttemptEnded(Ended { request, attempt, outcome, elapsed, over }))
+        self.event(Event::AttemptEnded(Ended { request, attempt, outcome, elapsed, request_over }))
     }
 
-    /// Send and serve one request, wherever it goes.
+    /// Submits and serves one request; the upstream that it was sent to.
     pub fn serve(&mut self, class: u32) -> u32 {
-        let (id, to) = self.sent(class);
+        let (id, to) = self.send(class);
         self.now += 20 * MS;
         self.end(id, 0, Outcome::Served, 20 * MS);
         to
     }
 
-    /// The client leaves and the attempt is called off.
-    pub fn leave(&mut self, id: u64) {
+    /// The client disconnects and the attempt is cancelled.
+    pub fn disconnect(&mut self, id: u64) {
         self.event(Event::RequestGone { request: RequestId(id) });
         self.end(id, 0, Outcome::Cancelled, MS);
     }
 
-    /// Send requests until one goes to `to`, serving the others; its id.
+    /// Submits requests until one is sent to `to`, serving the others; its id.
     pub fn until_sent_to(&mut self, class: u32, to: u32) -> u64 {
         for _ in 0..200 {
-            let (id, at) = self.sent(class);
+            let (id, at) = self.send(class);
             if at == to {
                 return id;
             }
@@ -163,8 +173,8 @@
         panic!("nothing went to {to}");
     }
 
-    /// Where `n` further requests go, each served.
-    pub fn spread(&mut self, class: u32, n: usize) -> Vec<u32> {
+    /// Submits and serves `n` requests; the upstreams that they were sent to.
+    pub fn serve_many(&mut self, class: u32, n: usize) -> Vec<u32> {
         (0..n).map(|_| self.serve(class)).collect()
     }
 }
