--- a/crates/control/control-store/src/batch.rs
+++ b/crates/control/control-store/src/batch.rs
@@ -1,7 +1,7 @@
-//! One pass over an owner's queue: which calls go into the next append, wait for the next confirmation of the epoch, or stay
-//! in the queue.
+//! One pass over an owner's queue: which calls go into the next append, wait for the next confirmation of the
+//! epoch, or stay in the queue.
 //!
-//! It sends nothing; `protocol::replicate` does what comes of it.
+//! It sends nothing; `protocol::replicate` acts on the result.
 
 use crate::call::{Applied, Caller, QueuedCall, UncommittedCall, UnconfirmedCall};
 use crate::key_slot::CommittedValue;
@@ -11,22 +11,22 @@
 use crate::value::State;
 use std::collections::VecDeque;
 
-/// An answer that needs nobody else.
+/// An answer that doesn't depend on other nodes.
 pub(crate) struct ImmediateAnswer<V> {
     pub(crate) caller: Caller,
     pub(crate) outcome: CallOutcome<V>,
 }
 
-/// What becomes of the calls that wait at a key.
+/// The result of a pass over the calls queued at a key.
 pub(crate) struct Batch<V: State> {
-    /// Bytes of changes at most in the append, but for the last change.
+    /// Limit for the size of an append's changes, which only the last change may exceed.
     max_bytes: usize,
-    /// Whether an append is in flight: changes wait for it.
+    /// Whether an append is in flight, so that changes have to wait.
     is_busy: bool,
     mutation: Option<Mutation>,
-    /// What the changes make of the committed value; `None` as long as nothing changes it.
+    /// The committed value with the changes applied; `None` if nothing has changed it.
     pub(crate) value: Option<V>,
-    /// The changes that do. At most `MAX_BATCH_CHANGES`.
+    /// The changes in the append. At most `MAX_BATCH_CHANGES`.
     pub(crate) changes: Vec<V::Change>,
     bytes: usize,
     /// Calls to be answered with the append.
@@ -35,12 +35,12 @@
     pub(crate) unconfirmed: Vec<UnconfirmedCall<V::Change>>,
     /// Calls that stay in the queue.
     pub(crate) queue: VecDeque<QueuedCall<V::Change>>,
-    /// Answers given at once: only where a mutation is in force.
+    /// Calls to be answered at once: only under a mutation.
     pub(crate) answers: Vec<ImmediateAnswer<V>>,
 }
 
 impl<V: State> Batch<V> {
-    /// An empty one.
+    /// An empty batch.
     pub(crate) fn new(max_bytes: usize, is_busy: bool, mutation: Option<Mutation>) -> Self {
         Batch {
             max_bytes,
@@ -60,7 +60,7 @@
         is_active(self.mutation, mutation)
     }
 
-    /// Takes the next open call of the queue.
+    /// Adds the next call of the queue.
     pub(crate) fn add(&mut self, call: QueuedCall<V::Change>, committed: &CommittedValue<V>) {
         if !matches!(call.request, Request::Change(_)) {
             if self.has_mutation(Mutation::ReadsWithoutConfirmation) {
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Tries a change on what those before it make of the value.
+    /// Applies a change to the value as the previous changes left it.
     fn apply(&mut self, call: QueuedCall<V::Change>, committed: &CommittedValue<V>) {
         let Request::Change(change) = &call.request else { return };
-        // A change is tried on a clone: one that is rejected may leave nothing behind.
+        // On a clone, so that a rejected change leaves nothing behind.
         let mut tried = self.value.as_ref().unwrap_or(&committed.value).clone();
         match (tried.apply(change), self.value.is_some()) {
             (Ok(true), _) => self.change(tried, call, Ok(true)),
@@ -101,12 +101,12 @@
             (Ok(false), true) if self.has_mutation(Mutation::AnswersFromUncommitted) => {
                 self.answer(&call, CallOutcome::Committed { revision: committed.revision, changed: false });
             }
-            // It depends on a change that is not committed yet: answered when that is.
+            // The result depends on a change that is not committed yet, so it is answered with the append.
             (applied, true) => self.uncommitted.push(UncommittedCall { call, applied }),
         }
     }
 
-    /// The change goes into the append, which makes `value` of it.
+    /// Adds a change to the append, which leads to `value`.
     fn change(&mut self, value: V, call: QueuedCall<V::Change>, applied: Applied) {
         if let Request::Change(change) = &call.request {
             self.bytes += bitcode::encode(change).len();
--- a/crates/control/control-store/src/call.rs
+++ b/crates/control/control-store/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls: of this node's callers, and as they wait at a key, together with those that were forwarded here.
+//! Calls of this node's callers, and calls queued at a key, including those that other nodes forwarded.
 
 use crate::limits::{FORWARD_TIMEOUT, MAX_REMEMBERED_FORWARDS};
 use crate::message::Request;
@@ -7,21 +7,20 @@
 use silvercross_time::Instant;
 use std::collections::{BTreeSet, VecDeque};
 
-/// What [`State::apply`](crate::value::State::apply) said.
+/// The result of [`State::apply`](crate::value::State::apply).
 pub(crate) type Applied = Result<bool, Rejection>;
 
-/// Who waits for a queued call.
+/// Who receives the outcome of a queued call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Caller {
-    /// A caller of this node: the call's number in the table of open calls.
+    /// A caller of this node; the call's id in the table of open calls.
     Local(u64),
-    /// A call that was forwarded here.
+    /// The node that forwarded the call.
     Remote {
-        /// By whom.
         node: Node,
-        /// Its number there.
+        /// The call's id there.
         id: u64,
-        /// Under which epoch.
+        /// The epoch under which it was forwarded.
         epoch: Epoch,
     },
 }
@@ -38,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct UnconfirmedCall<C> {
     pub(crate) call: QueuedCall<C>,
-    /// Why it is rejected, if it is.
+    /// Set if the call is to be rejected.
     pub(crate) rejection: Option<Rejection>,
 }
 
@@ -49,7 +48,7 @@
     pub(crate) applied: Applied,
 }
 
-/// The calls that were forwarded here under one epoch, the last `MAX_REMEMBERED_FORWARDS` of them.
+/// The last `MAX_RECENT_FORWARDS` calls that were forwarded here under one epoch, to recognize duplicates.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RememberedForwards {
     known: BTreeSet<(Node, u64)>,
@@ -57,7 +56,7 @@
 }
 
 impl RememberedForwards {
-    /// Whether this one has not come before.
+    /// Whether this call is new.
     pub(crate) fn insert(&mut self, from: Node, id: u64) -> bool {
         if !self.known.insert((from, id)) {
             return false;
@@ -72,7 +71,7 @@
     }
 }
 
-/// To whom a call is forwarded, as owner of which epoch.
+/// The node that a call is forwarded to, and the epoch under which that node owns the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ForwardTarget {
     pub(crate) node: Node,
@@ -86,14 +85,13 @@
     Local,
     /// At another node.
     Forwarded {
-        /// Which.
         target: ForwardTarget,
-        /// Since when.
+        /// When it was forwarded.
         since: Instant,
     },
-    /// Nowhere: there is nobody to turn to until then.
+    /// Nowhere: it is routed again at this time.
     Parked(Instant),
-    /// What is read stands at this revision; the value here doesn't yet.
+    /// The read returns the value at this revision, which has not arrived here yet.
     AwaitingRevision(Revision),
 }
 
@@ -104,13 +102,13 @@
     pub(crate) key: String,
     pub(crate) request: Request<C>,
     pub(crate) deadline: Instant,
-    /// At most `MAX_FORWARDS_PER_CALL`.
+    /// The targets tried so far. At most `MAX_FORWARDS_PER_CALL`.
     pub(crate) tried: Vec<ForwardTarget>,
     pub(crate) place: CallPlace,
 }
 
 impl<C> Call<C> {
-    /// When it is answered or gets another place at the latest.
+    /// When the call has to be answered or routed again at the latest.
     pub(crate) fn next_deadline(&self) -> Instant {
         match self.place {
             CallPlace::Local | CallPlace::AwaitingRevision(_) => self.deadline,
@@ -119,7 +117,7 @@
         }
     }
 
-    /// To whom it is forwarded at present.
+    /// The node that it is currently forwarded to.
     pub(crate) fn forwarded_to(&self) -> Option<ForwardTarget> {
         match self.place {
             CallPlace::Forwarded { target, .. } => Some(target),
--- a/crates/control/control-store/src/change_log.rs
+++ b/crates/control/control-store/src/change_log.rs
@@ -1,18 +1,19 @@
 //! The last changes of a key, for replicas that lack only these.
 //!
-//! The log is in memory alone and bounded: who lacks more gets a snapshot. It knows nothing of owners or messages.
+//! The log is kept only in memory and is bounded: a replica that lacks more gets a snapshot. It is
+//! independent of owners and messages.
 
 use crate::limits::{CHANGE_LOG_ENTRY_BYTES, MAX_ALL_CHANGE_LOGS_BYTES, MAX_CHANGE_LOG_BYTES};
 use crate::types::Revision;
 use std::collections::VecDeque;
 
-/// Changes that lead from one revision to another: what an append brings.
+/// Changes that lead from one revision to another: the content of an append.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeRun<C> {
     pub(crate) base: Revision,
     pub(crate) revision: Revision,
     pub(crate) changes: Vec<C>,
-    /// Whether others follow that are known already.
+    /// Whether further known changes follow.
     pub(crate) more: bool,
 }
 
@@ -23,22 +24,22 @@
     bytes: usize,
 }
 
-/// What changed from `base` until now, append by append, under whichever owners; the oldest are forgotten at the bounds.
+/// The changes since `base`, append by append, of any owner. The oldest are dropped at the limits.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeLog<C> {
-    /// The revision before the first one remembered.
+    /// The revision before the first entry.
     base: Revision,
     entries: VecDeque<Entry<C>>,
     bytes: usize,
 }
 
 impl<C: Clone + bitcode::Encode> ChangeLog<C> {
-    /// Nothing is known of what was before.
+    /// An empty log.
     pub(crate) fn starting_at(base: Revision) -> Self {
         ChangeLog { base, entries: VecDeque::new(), bytes: 0 }
     }
 
-    /// The next append, in a store of `key_count` keys.
+    /// Adds an append, in a store of `key_count` keys.
     pub(crate) fn push(&mut self, revision: Revision, changes: Vec<C>, key_count: usize) {
         let encoded = changes.iter().map(|change| bitcode::encode(change).len());
         let bytes = CHANGE_LOG_ENTRY_BYTES + encoded.sum::<usize>();
@@ -52,12 +53,12 @@
         }
     }
 
-    /// Whether one who has `revision` lacks only what is remembered.
+    /// Whether the log contains everything after `revision`.
     pub(crate) fn covers(&self, revision: Revision) -> bool {
         self.index_after(revision).is_some()
     }
 
-    /// Where the changes after `revision` begin.
+    /// The index of the first entry after `revision`.
     fn index_after(&self, revision: Revision) -> Option<usize> {
         if revision == self.base {
             return Some(0);
@@ -65,7 +66,8 @@
         self.entries.binary_search_by_key(&revision, |entry| entry.revision).ok().map(|index| index + 1)
     }
 
-    /// What one who has `base` lacks, about `max_bytes` of it; `None` if that is not known, or it lacks nothing.
+    /// The changes that follow `base`, about `max_bytes` of them; `None` if they are not in the log, or there
+    /// are none.
     pub(crate) fn since(&self, base: Revision, max_bytes: usize) -> Option<ChangeRun<C>> {
         let first = self.index_after(base)?;
         let (mut changes, mut bytes, mut end) = (Vec::new(), 0, first);
@@ -82,7 +84,7 @@
         (end > first).then_some(ChangeRun { base, revision, changes, more })
     }
 
-    /// The revision before the last append, if that append is remembered.
+    /// The revision before the last append, if that append is in the log.
     pub(crate) fn before_last(&self) -> Option<Revision> {
         match self.entries.len() {
             0 => None,
--- a/crates/control/control-store/src/key_slot.rs
+++ b/crates/control/control-store/src/key_slot.rs
@@ -1,4 +1,4 @@
-//! What a control store knows of one key: the value, and this node's part in its ownership.
+//! The state of one key in a control store: its value, and this node's role in its ownership.
 
 use crate::call::{QueuedCall, RememberedForwards, UncommittedCall, UnconfirmedCall};
 use crate::change_log::ChangeLog;
@@ -7,22 +7,22 @@
 use silvercross_time::Instant;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A key here. `promised`, `accepted` and `value` are as the last write that was issued leaves them: what says others
-/// of them waits for that write.
+/// A key at this node. `promised`, `accepted` and `value` are as of the last issued write: messages that
+/// depend on them wait for that write.
 #[derive(Clone, Debug)]
 pub(crate) struct KeySlot<V: State> {
     pub(crate) promised: Epoch,
     pub(crate) accepted: Revision,
     pub(crate) value: V,
-    /// How the value came from earlier ones.
+    /// The changes that led to the value.
     pub(crate) change_log: ChangeLog<V::Change>,
-    /// The highest epoch heard of.
+    /// The highest known epoch.
     pub(crate) highest_epoch: Epoch,
-    /// When its owner was heard last.
+    /// When its owner was last heard from.
     pub(crate) owner_heard: Instant,
-    /// Since when nobody reachable owns it.
+    /// Since when the key has had no reachable owner.
     pub(crate) ownerless_since: Option<Instant>,
-    /// No claim before this, after a lost one.
+    /// No claim before this time, after one was lost.
     pub(crate) claim_not_before: Instant,
     pub(crate) ownership: Ownership<V>,
     /// Calls that wait for this node to own the key, or for the append in flight. At most `MAX_QUEUED_CALLS`.
@@ -30,7 +30,7 @@
 }
 
 impl<V: State> KeySlot<V> {
-    /// A key of which nothing is known.
+    /// A key without a value.
     pub(crate) fn new(now: Instant) -> KeySlot<V> {
         KeySlot {
             promised: Epoch::default(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Puts a value with its promise in the place of what is here; how it came about is not known.
+    /// Replaces value and promise. The changes that led to the value are not known.
     pub(crate) fn replace(&mut self, promised: Epoch, accepted: Revision, value: V) {
         self.promised = promised;
         self.accepted = accepted;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The same, to be changed.
+    /// Mutable access to that ownership.
     pub(crate) fn owner_mut(&mut self) -> Option<&mut Owner<V>> {
         match &mut self.ownership {
             Ownership::Owner(owner) => Some(owner),
@@ -78,20 +78,20 @@
         }
     }
 
-    /// Whether this node neither owns nor claims it.
+    /// Whether this node neither owns nor claims the key.
     pub(crate) fn is_replica(&self) -> bool {
         matches!(self.ownership, Ownership::Replica)
     }
 }
 
-/// What this node is to a key.
+/// This node's role for a key.
 #[derive(Clone, Debug)]
 pub(crate) enum Ownership<V: State> {
-    /// It accepts what the owner appends.
+    /// Accepts the owner's appends.
     Replica,
-    /// It wants to own it.
+    /// Claims the key.
     Claiming(Claim),
-    /// It owns it.
+    /// Owns the key.
     Owner(Box<Owner<V>>),
 }
 
@@ -110,20 +110,20 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub(crate) epoch: Epoch,
-    /// The highest epoch heard of before.
+    /// The highest known epoch before this claim.
     pub(crate) previous_epoch: Epoch,
-    /// Who has promised, with which incarnation.
+    /// The replicas that have promised, with their incarnations.
     pub(crate) promises: BTreeMap<Node, Incarnation>,
-    /// What those have accepted.
+    /// The revisions that they had accepted.
     pub(crate) accepted: BTreeMap<Node, Revision>,
-    /// When a node with a later value was last asked to claim in this one's place.
+    /// When a replica with a later value was last asked to claim the key instead.
     pub(crate) delegated: Option<Instant>,
     pub(crate) last_sent: Instant,
     pub(crate) forwards: RememberedForwards,
 }
 
 impl Claim {
-    /// One that nobody has promised yet.
+    /// A claim without promises.
     pub(crate) fn new(now: Instant, epoch: Epoch, previous_epoch: Epoch) -> Claim {
         Claim {
             epoch,
@@ -144,37 +144,37 @@
     pub(crate) value: V,
 }
 
-/// The last append that a replica has confirmed, with which incarnation. Ordered by incarnation first: what was confirmed
-/// with a later disk counts, however little it is.
+/// The last append that a replica has confirmed, and its incarnation then. Ordered by incarnation first: only
+/// what was confirmed with the latest disk counts, even if it is less.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConfirmedAppend {
     pub(crate) incarnation: Incarnation,
     pub(crate) sequence: u64,
 }
 
-/// An ownership of this node. The slot's value is what the last append makes of it.
+/// An ownership of this node. The slot's value includes the last append.
 #[derive(Clone, Debug)]
 pub(crate) struct Owner<V: State> {
     pub(crate) epoch: Epoch,
-    /// The last append's number.
+    /// The number of the last append.
     pub(crate) sequence: u64,
     /// `None` until a quorum has the value under this epoch.
     pub(crate) committed: Option<CommittedValue<V>>,
-    /// Who has which append.
+    /// The last append confirmed by each replica.
     pub(crate) confirmed: BTreeMap<Node, ConfirmedAppend>,
     /// The append in flight, one at a time.
     pub(crate) in_flight: Option<InFlightAppend<V>>,
     /// The confirmation of the epoch in progress, one at a time.
     pub(crate) confirmation: Option<EpochConfirmation<V::Change>>,
     pub(crate) confirmation_rounds: u64,
-    /// What the next confirmation is for, with the queue at most `MAX_QUEUED_CALLS`. A rejection waits for it too: an owner
-    /// that was overtaken may not reject what has become valid.
+    /// Calls for the next confirmation; together with the queue at most `MAX_QUEUED_CALLS`. Rejections wait
+    /// for it too: a superseded owner must not reject what has become valid.
     pub(crate) unconfirmed: Vec<UnconfirmedCall<V::Change>>,
     pub(crate) forwards: RememberedForwards,
 }
 
 impl<V: State> Owner<V> {
-    /// A new ownership with its first append in flight, which rewrites the value under the new epoch.
+    /// A new ownership. Its first append, which rewrites the value under the new epoch, is in flight.
     pub(crate) fn new(now: Instant, epoch: Epoch, forwards: RememberedForwards) -> Owner<V> {
         Owner {
             epoch,
@@ -189,12 +189,12 @@
         }
     }
 
-    /// Where the last append leads.
+    /// The revision of the last append.
     pub(crate) fn last_revision(&self) -> Revision {
         Revision { epoch: self.epoch, sequence: self.sequence }
     }
 
-    /// All calls that wait for it, to be routed anew.
+    /// All calls that wait at this ownership, to be routed again.
     pub(crate) fn into_calls(self) -> Vec<QueuedCall<V::Change>> {
         let in_flight =
             self.in_flight.into_iter().flat_map(|append| append.calls).map(|waiting| waiting.call);
@@ -204,15 +204,15 @@
     }
 }
 
-/// An append in flight, and the calls answered with its commit.
+/// An append in flight, and the calls to answer when it is committed.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAppend<V: State> {
     pub(crate) last_sent: Instant,
     pub(crate) calls: Vec<UncommittedCall<V::Change>>,
 }
 
-/// The question whether the epoch is still in force, who has confirmed it, and the calls that wait for it (as with Raft's
-/// ReadIndex).
+/// A confirmation that the epoch is still in force: the nodes that confirmed it, and the calls that wait for
+/// it (as with Raft's ReadIndex).
 #[derive(Clone, Debug)]
 pub(crate) struct EpochConfirmation<C> {
     pub(crate) round: u64,
--- a/crates/control/control-store/src/lib.rs
+++ b/crates/control/control-store/src/lib.rs
@@ -1,17 +1,18 @@
-//! The mesh's control state, decided without I/O: each key has one owner at a time, which replicates a change to the other
-//! replicas before it answers, and which another replaces under a higher epoch. There is no common log and no leader of all keys.
+//! The mesh's control state as a protocol without I/O. Each key has one owner at a time, which replicates a
+//! change to the other replicas before it answers, and which another node replaces under a higher epoch.
+//! There is no common log and no leader of all keys.
 //!
-//! Each key is a register as in Paxos with a stable proposer: an owner collects promises for its epoch from a quorum
-//! (prepare), takes over the latest accepted value, and from then on only sends accepts. The replica set itself is decided
-//! the same way, through a joint replica set (Raft, section 6). Why nothing acknowledged is lost:
-//! `docs/design/control-store.md`.
+//! Each key is a register as in Paxos with a stable proposer: an owner collects promises for its epoch from a
+//! quorum (prepare), takes over the latest accepted value, and from then on only sends accepts. The replica
+//! set itself is decided the same way, through a joint replica set (Raft, section 6). Why nothing
+//! acknowledged is lost: `docs/design/control-store.md`.
 //!
-//! The caller owns sockets, disk and clock. It hands in what happened ([`ControlStore::receive`],
-//! [`ControlStore::write_completed`], [`ControlStore::set_reachable`], [`ControlStore::tick`]) and after each of these calls
-//! does what [`ControlStore::take_effects`] returns.
+//! The caller owns sockets, disk and clock. It reports events ([`ControlStore::receive`],
+//! [`ControlStore::write_completed`], [`ControlStore::set_reachable`], [`ControlStore::tick`]) and after each
+//! of these calls executes what [`ControlStore::take_effects`] returns.
 //!
-//! Where to go on reading: `store` for the state, [`Message`] for what replicas say to each other, `protocol` for the rules,
-//! one file for each role.
+//! Where to start reading: `store` for the state, [`Message`] for what replicas send each other, `protocol`
+//! for the rules, one file for each role.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
--- a/crates/control/control-store/src/message.rs
+++ b/crates/control/control-store/src/message.rs
@@ -1,7 +1,7 @@
-//! What control nodes say to each other.
+//! Messages between control nodes.
 //!
-//! These types are encoded as they stand: the order of variants and of fields, and the fields' types, are the wire format
-//! (`tests/wire_bytes.rs` holds them). Names may change.
+//! These types are encoded as they are: the order of variants and of fields, and the fields' types, are the
+//! wire format (`tests/wire_bytes.rs` checks them). Names may change.
 
 use crate::replica_set::{AcceptedReplicaSet, ReplicaSet, Vote};
 use crate::snapshot::SnapshotDigest;
@@ -9,82 +9,86 @@
 use crate::value::Rejection;
 use bitcode::{Decode, Encode};
 
-/// What a voter has of a key, without its value.
+/// A voter's state of a key, without the value.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct KeySummary {
-    /// Its name.
+    /// The key.
     pub key: String,
-    /// The highest epoch that was promised.
+    /// The highest promised epoch.
     pub promised: Epoch,
-    /// Where its value stands.
+    /// The revision of the value.
     pub accepted: Revision,
 }
 
-/// What is asked of a key's owner.
+/// A request to a key's owner.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Request<C> {
-    /// To change it.
+    /// Change the value.
     Change(C),
-    /// To read it; where the value is replicated anyway, its revision is enough.
+    /// Read the value. Where it is replicated anyway, its revision is enough.
     Read,
-    /// To send its value to a node that doesn't have it at that revision.
+    /// Send the value to a node that doesn't have it at that revision.
     ReadValue,
 }
 
-/// What an owner says to a call that was forwarded to it.
+/// An owner's reply to a forwarded call.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ForwardReply<V> {
     /// The outcome.
     Answered(CallOutcome<V>),
-    /// What is read is the value at this revision, which the asker has or will be sent.
+    /// The read returns the value at this revision, which the requesting node has or will receive.
     ReadAt(Revision),
-    /// It doesn't own the key; the highest epoch that it knows of.
+    /// The node doesn't own the key. Contains the highest epoch that it knows.
     NotOwner(Epoch),
 }
 
-/// The outcome of a call or read.
+/// The outcome of a change or read.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CallOutcome<V> {
-    /// It is in force and stays so.
+    /// The change is in force, and durable.
     Committed {
-        /// Where the value stood with it.
+        /// The revision of the value that contains it.
         revision: Revision,
-        /// Whether it changed anything; else all of it stood already.
+        /// Whether the value changed; `false` if it already contained the change.
         changed: bool,
     },
-    /// Nothing of it is in force.
+    /// No part of the change is in force.
     Rejected(Rejection),
-    /// The value that a read asked for.
+    /// The value that was read.
     Value {
-        /// Where it stands.
+        /// Its revision.
         revision: Revision,
         /// The value.
         value: V,
     },
-    /// No answer in time, or no space in a table: it may be in force or not. The caller may repeat it.
+    /// No answer in time, or no space in a table: the change may be in force or not. The caller may repeat
+    /// it.
     Unknown,
 }
 
-/// Between control nodes. `V` is the value, `C` its change. Fields that recur: `key`, `epoch` and `sequence` as in
-/// [`KeyPosition`]; `incarnations` as in [`Incarnations`]; `round` and `id` name the question that is answered.
+/// A message between control nodes. `V` is the value, `C` its change. Common fields: `key`, `epoch` and
+/// `sequence` as in [`KeyPosition`]; `incarnations` as in [`Incarnations`]; `round` and `id` identify the
+/// request that is answered.
 #[allow(missing_docs)]
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Message<V, C> {
-    /// Prepare: the sender wants to own the key. Its own promise is durable.
+    /// Prepare: the sender claims the key. Its own promise is durable.
     Claim { key: String, epoch: Epoch },
-    /// Durable: nothing of a lower epoch is accepted any more; `accepted` was until now.
+    /// Durable: nothing of a lower epoch is accepted from now on; `accepted` is the last that was.
     Promise { key: String, epoch: Epoch, accepted: Revision, incarnations: Incarnations },
-    /// The receiver's value is later than what the claimer of this epoch has: it is to claim the key itself.
+    /// The receiver's value is later than that of the node that claims under this epoch: the receiver is to
+    /// claim the key itself.
     ClaimRequest { key: String, epoch: Epoch },
-    /// Accept: the owner under `epoch` appends `changes`, which lead from `base` to `revision`; `more`: others follow.
+    /// Accept: the owner under `epoch` appends `changes`, which lead from `base` to `revision`. `more`:
+    /// further appends follow.
     Append { key: String, epoch: Epoch, revision: Revision, base: Revision, changes: Vec<C>, more: bool },
     /// Durable: this append of this epoch, or a later one of it.
     Appended { key: String, epoch: Epoch, sequence: u64, incarnations: Incarnations },
-    /// The sender has only `accepted` and lacks what came since; `needs_snapshot`: changes would not do.
+    /// The sender has only `accepted` and lacks what follows. `needs_snapshot`: it can't use changes.
     Lagging { key: String, epoch: Epoch, accepted: Revision, needs_snapshot: bool },
-    /// The snapshot at this revision is wanted, from this byte of its encoding on.
+    /// Requests the snapshot at this revision, from this byte of its encoding on.
     SnapshotRequest { key: String, revision: Revision, offset: u64 },
-    /// A chunk of it, of so many bytes in all, with a digest of all of them.
+    /// A chunk of a snapshot, with the size and the digest of the whole snapshot.
     SnapshotChunk {
         key: String,
         revision: Revision,
@@ -93,43 +97,45 @@
         digest: SnapshotDigest,
         bytes: Vec<u8>,
     },
-    /// What came was of a lower epoch than this.
+    /// A message was rejected because its epoch is lower than this one.
     HigherEpoch { key: String, epoch: Epoch },
-    /// Is this epoch still in force?
+    /// Asks whether this epoch is still in force.
     ConfirmEpoch { key: String, epoch: Epoch, round: u64 },
-    /// No higher one was promised here until now.
+    /// No higher epoch was promised here by now.
     EpochConfirmed { key: String, epoch: Epoch, round: u64 },
-    /// The sender no longer owns or claims the key under this epoch, for its disk has no space: another may claim it at once.
+    /// The sender no longer owns or claims the key under this epoch because its disk has no space: another
+    /// node may claim it at once.
     OwnershipReleased { key: String, epoch: Epoch },
-    /// All that the sender owns, and its last appends.
+    /// All keys that the sender owns, with their last appends.
     Heartbeat { keys: Vec<KeyPosition> },
-    /// A call of the sender's caller, for the owner under this epoch and no other: a late one can do nothing under a
-    /// later ownership, in which the same call may have been rejected.
+    /// A call for the owner under this epoch and no other: if it arrives late, it has no effect under a later
+    /// ownership, under which the same call may have been rejected.
     Forward { id: u64, key: String, epoch: Epoch, request: Request<C> },
-    /// What became of it under the epoch that it named.
+    /// The reply to a forwarded call, under the epoch that the call named.
     ForwardReply { id: u64, epoch: Epoch, reply: ForwardReply<V> },
-    /// The sender's disk is empty: it asks for everything.
+    /// The sender's disk is empty: requests everything.
     RepairRequest { incarnation: Incarnation },
-    /// Everything a voter has, but for the values: those are fetched as snapshots.
+    /// A voter's whole state except for the values, which are fetched as snapshots.
     RepairReply { incarnation: Incarnation, keys: Vec<KeySummary>, vote: Vote, incarnations: Incarnations },
-    /// A higher incarnation of the receiver is known here.
+    /// The sender knows a higher incarnation of the receiver.
     StaleIncarnation { incarnation: Incarnation },
-    /// Who are the replicas?
+    /// Asks for the current replica set.
     ReplicaSetRequest,
-    /// The replicas, as was decided.
+    /// A replica set that was decided.
     ReplicaSet { replica_set: ReplicaSet },
     /// Durable: the sender votes under the replica set of this version.
     ReplicaSetInForce,
-    /// What the receiver has confirmed to the sender as durable, with this incarnation: the receiver's disk went back to an
-    /// older state if it lacks any of it.
+    /// What the receiver has confirmed to the sender as durable under this incarnation. If the receiver lacks
+    /// any of it, its disk was rolled back to an older state.
     ConfirmedPositions { incarnation: Incarnation, keys: Vec<KeyPosition> },
-    /// Prepare for the next replica set, in which `replaced` is to leave, if any.
+    /// Prepare for the next replica set, in which `replaced` (if any) is to leave.
     PrepareReplicaSet { epoch: Epoch, replaced: Option<Node> },
-    /// Durable: no next replica set of a lower epoch is accepted any more; `accepted` was until now.
+    /// Durable: no next replica set of a lower epoch is accepted from now on; `accepted` is the last that
+    /// was.
     ReplicaSetPromise { epoch: Epoch, accepted: Option<AcceptedReplicaSet>, incarnations: Incarnations },
-    /// The next replica set, to be accepted.
+    /// Accept: the next replica set.
     AcceptReplicaSet { epoch: Epoch, replica_set: ReplicaSet },
-    /// Durable: accepted.
+    /// Durable: the next replica set of this epoch is accepted.
     ReplicaSetAccepted { epoch: Epoch, incarnations: Incarnations },
     /// A higher epoch was promised for the next replica set.
     HigherReplicaSetEpoch { epoch: Epoch },
--- a/crates/control/control-store/src/metrics.rs
+++ b/crates/control/control-store/src/metrics.rs
@@ -1,41 +1,41 @@
-//! What a control store shows of itself: counters, and each key as an operator sees it.
+//! The reported state of a control store: counters, and each key as an operator sees it.
 //!
-//! How these are filled in is in `protocol::status`.
+//! They are filled in by `protocol::status`.
 
 use crate::types::{Epoch, Node, Revision};
 
-/// What a node is to a key.
+/// The role of a node for a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Its owner.
+    /// It owns the key.
     Owner,
-    /// Claims ownership, or has it and has not yet committed the value under its epoch.
+    /// It claims the key, or owns it and has not yet committed the value under its epoch.
     Claiming,
-    /// Accepts what the owner appends.
+    /// It accepts the owner's appends.
     Replica,
-    /// No voter: its disk was empty and is being repaired, or it is outside the replica set.
+    /// It is no voter: its disk was empty and is being repaired, or it is outside the replica set.
     Repairing,
 }
 
 /// A key as an operator sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyState {
-    /// Its name.
+    /// The key.
     pub key: String,
     /// The highest epoch promised here.
     pub promised: Epoch,
     /// The revision of the value here.
     pub accepted: Revision,
-    /// Who is believed to own it.
+    /// The owner known to this node.
     pub owner: Option<Node>,
-    /// What this node is to it.
+    /// This node's role.
     pub role: Role,
 }
 
 /// A key that this node owns, with a value committed under its epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnedKey {
-    /// Its name.
+    /// The key.
     pub key: String,
     /// The epoch of this ownership.
     pub epoch: Epoch,
@@ -48,21 +48,21 @@
 pub struct Metrics {
     /// Claims made.
     pub claims: u64,
-    /// Ownerships that were taken up to a first commit.
+    /// Ownerships taken, up to a first commit.
     pub ownerships_taken: u64,
-    /// Ownerships and claims given up, mostly for a higher epoch.
+    /// Ownerships and claims given up, mostly because of a higher epoch.
     pub stepped_down: u64,
     /// Appends sent.
     pub appends_sent: u64,
-    /// Snapshots begun to be sent.
+    /// Snapshots of which the first chunk was sent unasked, or in place of a revision no longer available.
     pub snapshots_sent: u64,
-    /// Chunks of snapshots sent.
+    /// Snapshot chunks sent.
     pub snapshot_chunks_sent: u64,
-    /// Snapshots received whose digest was wrong, and not installed.
+    /// Received snapshots with a wrong digest or encoding, which were not installed.
     pub corrupt_snapshots: u64,
-    /// Claims left to a replica with a later value.
+    /// Claims delegated to a replica with a later value.
     pub claims_delegated: u64,
-    /// Times that a replica said that it lacks appends.
+    /// Reports of replicas that they lack appends.
     pub lagging_replicas: u64,
     /// Claims, appends and other messages rejected for a lower epoch.
     pub rejected_lower_epoch: u64,
@@ -72,18 +72,18 @@
     pub unknown_outcomes: u64,
     /// Calls forwarded.
     pub forwarded: u64,
-    /// Repairs of other replicas' empty disks answered.
+    /// Repairs of other replicas' disks answered.
     pub repairs_answered: u64,
-    /// Messages that a replica sent with a disk that it lost since.
+    /// Messages that a replica sent before it lost its disk.
     pub stale_incarnations: u64,
     /// Messages under an older replica set.
     pub older_replica_set: u64,
     /// Later replica sets adopted.
     pub replica_sets_adopted: u64,
-    /// Times that this replica's own disk was found to have gone back to an older state.
+    /// How often this replica's own disk was found rolled back to an older state.
     pub disk_rollbacks: u64,
-    /// Times that the disk had no space.
+    /// How often the disk ran out of space.
     pub disk_full: u64,
-    /// Promises and appends that were not confirmed, for the disk had no space.
+    /// Messages not sent because they depended on a write and the disk had no space.
     pub replies_withheld: u64,
 }
--- a/crates/control/control-store/src/mutation.rs
+++ b/crates/control/control-store/src/mutation.rs
@@ -1,59 +1,60 @@
-//! Rules changed on purpose, so that the tests of the checkers can show that they would catch each.
+//! Deliberately broken protocol rules, with which the tests show that they detect each violation.
 
-/// A rule of the protocol that is changed on purpose; without the feature `mutants` nothing heeds it.
+/// A rule of the protocol to break. Without the feature `mutants` it has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Answers when the owner alone has synced.
+    /// Answers when only the owner has synced.
     AnswersBeforeQuorum,
-    /// Promises an epoch that it does not store.
+    /// Promises an epoch without storing it.
     PromiseNotDurable,
     /// Accepts appends of a lower epoch than promised.
     AcceptsLowerEpochAppends,
     /// Votes with an empty disk.
     VotesWithEmptyDisk,
-    /// Takes a key over after its own promise alone.
+    /// Takes ownership after its own promise alone.
     ClaimsWithoutQuorum,
     /// Counts what was said with a disk that was lost since.
     CountsEarlierIncarnations,
     /// Reads without confirming that its epoch is still in force.
     ReadsWithoutConfirmation,
-    /// Keeps what a value that rejects a change has made of it.
+    /// Keeps what `State::apply` left behind when it rejected a change.
     KeepsPartialChange,
-    /// A replica that joins votes before it is repaired.
+    /// A joining replica votes before it is repaired.
     JoiningReplicaVotesUnrepaired,
-    /// While a replica is being replaced a majority of the replica set before is enough.
+    /// During a replacement, a majority of the previous replica set is enough.
     OldQuorumOnly,
-    /// Heeds messages under an older replica set.
+    /// Handles messages under an older replica set.
     AcceptsOlderReplicaSetMessages,
-    /// A removed replica goes on voting and is counted.
+    /// A removed replica continues to vote and is counted.
     RemovedReplicaVotes,
-    /// The replica that leaves is removed before the one that joins is repaired.
+    /// Removes the leaving replica before the joining one is repaired.
     RemovesLeavingReplicaEarly,
-    /// A replica that leaves stops once it knows the replica set without it, whoever else has that.
+    /// A leaving replica stops once it knows the replica set without it, even if no other replica has that
+    /// one.
     StopsBeforeReplicaSetInForce,
-    /// Is repaired under a joint replica set though the one after it may be in force.
+    /// Repairs under a joint replica set although the next one may be in force.
     RepairsUnderOvertakenReplicaSet,
-    /// Goes on voting with a disk that went back to an older state.
+    /// Continues to vote with a disk that was rolled back to an older state.
     VotesAfterDiskRollback,
     /// Confirms promises and appends although the write failed.
     ConfirmsFailedWrites,
-    /// Goes on from its start as if nothing were on its disk.
+    /// Starts as if its disk were empty.
     StartsWithoutStoredState,
-    /// Installs a snapshot in the place of a later value.
+    /// Installs a snapshot in place of a later value.
     InstallsOlderSnapshots,
-    /// Puts chunks of several revisions together.
+    /// Assembles a snapshot from chunks of different revisions.
     MixesSnapshotRevisions,
-    /// Takes ownership with the value it has, whatever the others have.
+    /// Takes ownership with its own value even if others have a later one.
     ClaimsWithOlderValue,
     /// Rejects without confirming that its epoch is still in force.
     RejectsWithoutConfirmation,
     /// Answers at once what depends on a change that is not committed yet.
     AnswersFromUncommitted,
-    /// Starts before its promises are read from disk.
+    /// Starts without reading its promises from disk.
     ForgetsStoredPromises,
 }
 
-/// Whether `mutation` is the one in force; never without the feature `mutants`.
+/// Whether `mutation` is active; never without the feature `mutants`.
 pub(crate) fn is_active(in_force: Option<Mutation>, mutation: Mutation) -> bool {
     cfg!(feature = "mutants") && in_force == Some(mutation)
 }
--- a/crates/control/control-store/src/proposal.rs
+++ b/crates/control/control-store/src/proposal.rs
@@ -9,18 +9,19 @@
 pub(crate) struct Proposal {
     pub(crate) epoch: Epoch,
     pub(crate) next: ReplicaSet,
-    /// Who has promised, with which incarnation.
+    /// The replicas that have promised, with their incarnations.
     pub(crate) promises: BTreeMap<Node, Incarnation>,
-    /// What was accepted under the highest epoch, of all who promised: it goes in the place of `next`.
+    /// The replica set accepted under the highest epoch by any replica that promised. It takes the place of
+    /// `next`.
     pub(crate) latest_accepted: Option<AcceptedReplicaSet>,
-    /// A quorum has promised: `next` may be accepted now.
+    /// Whether a quorum has promised, so that `next` may be accepted.
     pub(crate) is_accepting: bool,
-    /// Who has accepted, with which incarnation.
+    /// The replicas that have accepted, with their incarnations.
     pub(crate) accepted: BTreeMap<Node, Incarnation>,
 }
 
 impl Proposal {
-    /// One that nobody has promised yet.
+    /// A proposal without promises.
     pub(crate) fn new(epoch: Epoch, next: ReplicaSet) -> Proposal {
         Proposal {
             epoch,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// A replica has promised, and accepted this before.
+    /// Records a replica's promise, and what it has accepted before.
     pub(crate) fn promise(
         &mut self,
         from: Node,
--- a/crates/control/control-store/src/protocol/accept.rs
+++ b/crates/control/control-store/src/protocol/accept.rs
@@ -1,7 +1,7 @@
-//! A replica's side: promises for claims, and the appends of owners.
+//! The replica's role: promises in response to claims, and appends from owners.
 //!
-//! The invariant (of a Paxos acceptor): nothing of an epoch below the highest promised one is accepted, and both promise and
-//! value are durable before they are confirmed.
+//! The invariant (of a Paxos acceptor): nothing of an epoch below the highest promised one is accepted, and
+//! both promise and value are durable before they are confirmed.
 
 use crate::change_log::ChangeRun;
 use crate::message::Message;
@@ -12,7 +12,7 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// Rejects what is of a lower epoch than promised.
+    /// Rejects messages of an epoch below the promised one.
     fn rejects_lower_epoch(&mut self, from: Node, key: &str, epoch: Epoch) -> bool {
         let Some(promised) = self.keys.get(key).map(|slot| slot.promised) else { return true };
         if epoch < promised {
@@ -22,7 +22,7 @@
         epoch < promised
     }
 
-    /// Another wants to own the key: promises to accept nothing of a lower epoch any more.
+    /// Another node claims the key: promises not to accept anything of a lower epoch.
     pub(crate) fn on_claim(&mut self, now: Instant, from: Node, key: String, epoch: Epoch) {
         let is_own = epoch.owner == from.0;
         if !is_own || self.slot(now, &key).is_none() || self.rejects_lower_epoch(from, &key, epoch) {
@@ -41,8 +41,8 @@
         self.send_after_write(now, from, Message::Promise { key, epoch, accepted, incarnations });
     }
 
-    /// Changes of the owner, of which the last may lead to a revision before the owner's epoch: one who lags goes the way of the
-    /// others.
+    /// Accepts changes from the owner. A lagging replica goes through the earlier revisions in order, so the
+    /// resulting revision may belong to an epoch before the owner's.
     pub(crate) fn on_append(
         &mut self,
         now: Instant,
@@ -69,7 +69,7 @@
             return;
         }
         let Some(accepted) = self.keys.get(&key).map(|slot| slot.accepted) else { return };
-        // Also if it stood here already: the append that brought it may have been the last one then.
+        // Also if the append was already applied: it may have been the last one when it arrived first.
         if more && accepted == revision {
             self.report_lagging(from, key.clone(), epoch, false);
         }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Puts an append's changes into the value, if they follow on it; else says what this replica lacks.
+    /// Applies an append if it continues the value here; otherwise reports what this replica has.
     fn apply_append(
         &mut self,
         now: Instant,
@@ -110,7 +110,8 @@
         self.send_after_write(now, owner, Message::Appended { key, epoch, sequence, incarnations });
     }
 
-    /// Says to the owner what this replica has, unless a later value is on its way already.
+    /// Reports this replica's revision to the owner, unless a snapshot of a later one is already being
+    /// received.
     fn report_lagging(&mut self, owner: Node, key: String, epoch: Epoch, needs_snapshot: bool) {
         let Some(accepted) = self.keys.get(&key).map(|slot| slot.accepted) else { return };
         if self.incoming_snapshots.get(&key).is_none_or(|snapshot| snapshot.revision <= accepted) {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// An owner says what it owns.
+    /// An owner announces the keys that it owns.
     pub(crate) fn on_heartbeat(&mut self, now: Instant, from: Node, keys: Vec<KeyPosition>) {
         for position in keys {
             let revision = position.revision();
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Heard of an epoch: whoever owns or claims under a lower one steps down.
+    /// Records an epoch. If this node owns or claims the key under a lower one, it steps down.
     pub(crate) fn observe_epoch(&mut self, now: Instant, key: &str, epoch: Epoch) {
         let Some(slot) = self.slot(now, key) else { return };
         if epoch <= slot.highest_epoch {
--- a/crates/control/control-store/src/protocol/calls.rs
+++ b/crates/control/control-store/src/protocol/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of this node's callers: where each is served, and that it is answered in time.
+//! Calls of this node's callers: routes each to the node that serves it, and answers it in time.
 
 use crate::call::{Call, CallPlace, Caller, ForwardTarget, QueuedCall};
 use crate::effect::Effect;
@@ -11,12 +11,13 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// A change. Its outcome comes as an [`Effect::Answer`] with this token, within 800 ms.
+    /// Changes the key's value. The outcome is an [`Effect::Answer`] with this token, within 800 ms.
     pub fn call(&mut self, now: Instant, token: u64, key: &str, change: V::Change) {
         self.begin(now, token, key, Request::Change(change));
     }
 
-    /// A read of all that was acknowledged before it. Its outcome comes as that of a change does.
+    /// Reads the key's value, including everything acknowledged before the read. The outcome is returned as
+    /// for a change.
     pub fn read(&mut self, now: Instant, token: u64, key: &str) {
         self.begin(now, token, key, Request::Read);
     }
@@ -44,14 +45,14 @@
         self.open_call(now, call);
     }
 
-    /// Gives a call the next number and a place.
+    /// Assigns the next id to a call and routes it.
     fn open_call(&mut self, now: Instant, call: Call<V::Change>) {
         self.last_call = self.last_call.wrapping_add(1);
         self.open_calls.insert(self.last_call, call);
         self.route(now, self.last_call);
     }
 
-    /// Finds a place for an open call: here, at the owner, or at who should be.
+    /// Routes an open call: to this node, to the owner, or to the node that should become the owner.
     pub(crate) fn route(&mut self, now: Instant, id: u64) {
         let Some(call) = self.open_calls.get(&id) else { return };
         let Some(slot) = self.keys.get(&call.key) else { return };
@@ -73,8 +74,8 @@
         self.enqueue(now, &key, QueuedCall { caller: Caller::Local(id), request, deadline });
     }
 
-    /// To whom a call is to be forwarded: the owner, or who should be. A node that can't claim the key itself turns to any
-    /// other.
+    /// The node to forward a call to: the owner, or the one that should claim the key. A node that can't
+    /// claim the key itself tries any other.
     fn forward_target(&self, now: Instant, call: &Call<V::Change>) -> Option<ForwardTarget> {
         let epoch = self.keys.get(&call.key)?.highest_epoch;
         let order = self.claim_order(&call.key);
@@ -92,7 +93,7 @@
         let is_voter = self.is_voter();
         let Some(call) = self.open_calls.get_mut(&id) else { return };
         let request = match &call.request {
-            // No value is replicated to here.
+            // This node has no replicated value to read from.
             Request::Read if !is_voter => Request::ReadValue,
             request => request.clone(),
         };
@@ -103,7 +104,7 @@
         self.send(target.node, message);
     }
 
-    /// Puts a call where the key is owned or claimed, and claims it if need be.
+    /// Queues a call at the key, and claims the key if this node neither owns nor claims it.
     pub(crate) fn enqueue(&mut self, now: Instant, key: &str, call: QueuedCall<V::Change>) {
         let Some(slot) = self.keys.get_mut(key) else { return };
         let unconfirmed = slot.owner().map_or(0, |owner| owner.unconfirmed.len());
@@ -119,8 +120,9 @@
         }
     }
 
-    /// What is read stands at this revision: answered with the value here, once that is there; if it has gone on already, to
-    /// what nobody may know to be committed, the owner is asked for the value.
+    /// Answers a read for which the owner returned this revision, from the local value once it has reached
+    /// it. If the local value is already past it, it may not be committed, so the owner is asked for the
+    /// value itself.
     pub(crate) fn read_here(&mut self, now: Instant, id: u64, revision: Revision) {
         let Some(call) = self.open_calls.get_mut(&id) else { return };
         let Some(slot) = self.keys.get(&call.key) else { return };
@@ -134,12 +136,12 @@
         } else if let Some(mut call) = self.open_calls.remove(&id) {
             call.request = Request::ReadValue;
             call.tried.clear();
-            // Under another number: this one was served.
+            // Under a new id: the owner ignores one that it has already served.
             self.open_call(now, call);
         }
     }
 
-    /// The value here has gone on: answers what waited for it.
+    /// The local value has changed: answers the reads that waited for it.
     pub(crate) fn resume_reads(&mut self, now: Instant, key: &str) {
         let waiting = |(id, call): (&u64, &Call<V::Change>)| match call.place {
             CallPlace::AwaitingRevision(revision) if call.key == key => Some((*id, revision)),
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Answers a call's caller, or who forwarded it.
+    /// Answers a local caller, or the node that forwarded the call.
     pub(crate) fn answer(&mut self, caller: Caller, outcome: CallOutcome<V>) {
         match caller {
             Caller::Remote { node, id, epoch } => {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Calls forwarded to a node that can't be reached any more get another place.
+    /// Reroutes calls that were forwarded to a node that is no longer reachable.
     pub(crate) fn reroute_calls_forwarded_to(&mut self, now: Instant, node: Node) {
         let is_there = |call: &Call<V::Change>| call.forwarded_to().is_some_and(|to| to.node == node);
         let calls = self.open_calls.iter().filter(|(_, call)| is_there(call));
@@ -177,7 +179,7 @@
         }
     }
 
-    /// All calls that are not served here get another place: the replicas are others now, or this node is one.
+    /// Reroutes all calls that are not served here: the replica set has changed, or this node can claim now.
     pub(crate) fn reroute_calls(&mut self, now: Instant) {
         let mut ids = Vec::new();
         for (id, call) in &mut self.open_calls {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Answers calls whose time is over, and gives those another place that got no answer where they are.
+    /// Answers calls whose deadline has passed, and reroutes those without a reply.
     pub(crate) fn tick_calls(&mut self, now: Instant) {
         let due = self.open_calls.iter().filter(|(_, call)| call.next_deadline() <= now);
         let due: Vec<u64> = due.map(|(id, _)| *id).collect();
--- a/crates/control/control-store/src/protocol/candidates.rs
+++ b/crates/control/control-store/src/protocol/candidates.rs
@@ -1,4 +1,4 @@
-//! Who is to be replaced, when, and by whom; and how long a replica that stops is still needed.
+//! Which replica is to be replaced, when and by which node; and how long a stopping replica is still needed.
 
 use crate::limits::{
     MAX_CANDIDATES, MAX_STOPPING_NODES, PROPOSAL_STAGGER, UNREACHABLE_REPLACE_DELAY,
@@ -11,7 +11,7 @@
 use crate::value::State;
 use silvercross_time::Instant;
 
-/// A replica that is to be replaced, and from when on.
+/// A replica that is to be replaced, and the time from which it may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DueReplacement {
     pub(crate) from: Instant,
@@ -19,8 +19,8 @@
 }
 
 impl<V: State> ControlStore<V> {
-    /// A control node with a disk that is in no replica set that it knows of: it may replace a replica that is unreachable.
-    /// `is_available` is whether it can still be reached and says so.
+    /// Reports a control node that has a disk and is in no replica set it knows of: it may replace an
+    /// unreachable replica. `is_available` says whether the node is still reachable and offers itself.
     pub fn set_candidate(&mut self, now: Instant, node: Node, is_available: bool) {
         if !is_available {
             self.candidates.remove(&node);
@@ -35,13 +35,14 @@
         }
     }
 
-    /// This node is told to stop: as long as it is still there the others replace it, if there is a candidate, and take over
-    /// what it owns. [`ControlStore::is_still_needed`] says how long it is to stay for that.
+    /// This node is stopping: while it is still running the others replace it, if there is a candidate, and
+    /// take over its keys. [`ControlStore::is_still_needed`] says how long it has to keep running for that.
     pub fn begin_graceful_stop(&mut self, now: Instant) {
         self.set_stopping(now, self.node, true);
     }
 
-    /// Whether a control node has said that it stops. Holds until its next start says otherwise, also when it is unreachable.
+    /// Reports whether a control node has announced that it is stopping. Holds until it is revoked after the
+    /// node's next start, also while the node is unreachable.
     pub fn set_stopping(&mut self, now: Instant, node: Node, is_stopping: bool) {
         let has_room = self.stopping.len() < MAX_STOPPING_NODES;
         if !is_stopping && self.stopping.remove(&node).is_some() {
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Whether this node, which stops, is still needed as a replica: it is being replaced or could be, or the replica set
-    /// without it is not in force yet.
+    /// Whether this stopping node is still needed as a replica: it is being replaced or could be, or the
+    /// replica set without it is not in force yet.
     pub fn is_still_needed(&self) -> bool {
         match &self.votes_without_this {
             Some(voters) => {
@@ -70,8 +71,9 @@
         }
     }
 
-    /// Whether the others that can be reached are no majority, and one may join that can't at this moment: the link to it is
-    /// down, or it hasn't heard yet that the replacement in which it joined was abandoned.
+    /// Whether the other reachable replicas are no majority while a node that could join is unavailable for
+    /// now: its link is down, or it has not yet heard that the replacement in which it was joining was
+    /// abandoned.
     fn awaits_candidate(&self) -> bool {
         let others: Vec<Node> = self.reachable.iter().copied().collect();
         let is_free = |n: &Node| !self.replica_set.contains(*n) && !self.stopping.contains_key(n);
@@ -79,14 +81,15 @@
         is_known && !self.replica_set.is_majority(&others, None)
     }
 
-    /// Who could replace a replica now; the one with which a replacement was abandoned last comes last.
+    /// The node that could replace a replica now. The one whose replacement was abandoned last is the last
+    /// choice.
     pub(crate) fn replacement_candidate(&self) -> Option<Node> {
         let is_free = |node: &&Node| self.reachable.contains(node) && !self.replica_set.contains(**node);
         let free = self.candidates.iter().filter(is_free).copied();
         free.min_by_key(|node| (Some(*node) == self.abandoned, *node))
     }
 
-    /// From when on a replica that can't be reached counts as lost.
+    /// When an unreachable replica counts as lost.
     fn lost_from(&self, node: Node) -> Option<Instant> {
         let stops =
             |other: Node| other != node && self.is_present(other) && self.stopping.contains_key(&other);
@@ -103,8 +106,9 @@
         self.lost_from(node).is_some_and(|from| now >= from)
     }
 
-    /// From when on this replica is to be replaced: if it is lost, or has said that it stops. Then it proposes that first
-    /// itself, for its own word needs no other that knows of it.
+    /// When a replica is due for replacement: once it is lost, or has announced that it is stopping. A
+    /// stopping replica proposes first, since its own proposal doesn't require others to know that it is
+    /// stopping.
     fn replace_from(&self, node: Node) -> Option<Instant> {
         let Some(said) = self.stopping.get(&node) else { return self.lost_from(node) };
         Some(if node == self.node { *said } else { *said + PROPOSAL_STAGGER })
@@ -115,18 +119,19 @@
         self.replica_set.nodes().filter_map(due)
     }
 
-    /// The replica whose time to be replaced comes first.
+    /// The replacement that is due first.
     pub(crate) fn first_replacement(&self) -> Option<DueReplacement> {
         self.replacements().min()
     }
 
-    /// Whom to replace now: of those whose time it is one that can't be reached goes before one that is still there.
+    /// The replica to replace now. Of those that are due, an unreachable one goes before one that is still
+    /// reachable.
     pub(crate) fn replica_to_replace(&self, now: Instant) -> Option<Node> {
         let due = self.replacements().filter(|due| due.from <= now);
         due.min_by_key(|due| (!self.unreachable_since.contains_key(&due.node), *due)).map(|due| due.node)
     }
 
-    /// Whether a replica other than these can't be reached.
+    /// Whether any replica other than these is unreachable.
     pub(crate) fn is_another_unreachable(&self, except: &[Node]) -> bool {
         let is_gone = |node: Node| !except.contains(&node) && self.unreachable_since.contains_key(&node);
         self.replica_set.nodes().any(is_gone)
--- a/crates/control/control-store/src/protocol/claim.rs
+++ b/crates/control/control-store/src/protocol/claim.rs
@@ -1,4 +1,5 @@
-//! Claims: how this node takes ownership of a key, leaves it to one with a later value, and gives it up.
+//! Claims: how this node takes ownership of a key, delegates a claim to a node with a later value, and
+//! releases ownership.
 
 use crate::call::{Caller, QueuedCall};
 use crate::key_slot::{Claim, Owner, Ownership};
@@ -14,8 +15,8 @@
 use silvercross_time::{Duration, Instant};
 
 impl<V: State> ControlStore<V> {
-    /// Wants to own the key. The epoch is durable here before anybody hears of it, so that no later start uses it
-    /// again.
+    /// Claims the key. The epoch is durable here before it is sent to anyone, so that it is not used again
+    /// after a restart.
     pub(crate) fn claim(&mut self, now: Instant, key: &str) {
         if !self.can_claim() {
             return;
@@ -36,7 +37,7 @@
         self.after_write(now, AfterWrite::OwnPromise { key: key.to_owned(), epoch });
     }
 
-    /// The claim is durable here: the others hear of it.
+    /// The claim is durable here: sends it to the other replicas.
     pub(crate) fn on_own_promise(&mut self, now: Instant, key: String, epoch: Epoch) {
         let (node, incarnation) = (self.node, self.incarnation);
         let Some(claim) = self.claim_under(&key, epoch) else { return };
@@ -46,7 +47,7 @@
         self.try_take_ownership(now, &key);
     }
 
-    /// A replica has promised the epoch claimed.
+    /// A replica has promised the claimed epoch.
     pub(crate) fn on_promise(
         &mut self,
         now: Instant,
@@ -65,13 +66,14 @@
         self.try_take_ownership(now, &key);
     }
 
-    /// This node's claim of the key, if it is of this epoch.
+    /// This node's claim of the key, if it has this epoch.
     fn claim_under(&mut self, key: &str, epoch: Epoch) -> Option<&mut Claim> {
         self.keys.get_mut(key)?.claim_mut().filter(|claim| claim.epoch == epoch)
     }
 
-    /// Once a quorum has promised: writes the key anew if nobody among them has a later value, else leaves it to
-    /// who has. Who can't be reached any more is not counted, unless its value is no later.
+    /// Once a quorum has promised: takes ownership if no reachable replica among them has a later value, else
+    /// delegates the claim to the one with the latest. The promise of an unreachable replica counts only if
+    /// its value is not later than the one here.
     pub(crate) fn try_take_ownership(&mut self, now: Instant, key: &str) {
         let Some(slot) = self.keys.get(key) else { return };
         let Ownership::Claiming(claim) = &slot.ownership else { return };
@@ -92,7 +94,7 @@
         self.take_ownership(now, key);
     }
 
-    /// Owns the key from here on: rewrites its value under the epoch claimed.
+    /// Takes ownership: rewrites the value under the claimed epoch.
     fn take_ownership(&mut self, now: Instant, key: &str) {
         let key_count = self.keys.len();
         let Some(slot) = self.keys.get_mut(key) else { return };
@@ -107,14 +109,15 @@
         self.replicate_last_append(now, key, epoch, sequence);
     }
 
-    /// A link ended: a claim that waited for the replica behind it may do without.
+    /// Checks the open claims again after a link was lost: a claim delegated to the replica behind it may
+    /// succeed without that replica.
     pub(crate) fn retry_claims(&mut self, now: Instant) {
         for key in self.keys_where(|slot| matches!(slot.ownership, Ownership::Claiming(_))) {
             self.try_take_ownership(now, &key);
         }
     }
 
-    /// Asks one with a later value to claim, and waits whether it does.
+    /// Asks a replica with a later value to claim the key instead, at most once per resend interval.
     fn delegate_claim(&mut self, now: Instant, to: Node, key: &str) {
         let Some(claim) = self.keys.get_mut(key).and_then(|slot| slot.claim_mut()) else { return };
         if claim.delegated.is_none_or(|at| now >= at + RESEND_INTERVAL) {
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Another that claims has an older value than this node: it claims in its place.
+    /// Another node's claim was delegated to this one, whose value is later.
     pub(crate) fn on_claim_request(&mut self, now: Instant, key: String, epoch: Epoch) {
         let Some(slot) = self.keys.get_mut(&key) else { return };
         if slot.is_replica() && slot.promised == epoch {
@@ -134,8 +137,8 @@
         }
     }
 
-    /// Gives up the key or the claim, for a higher epoch was heard of. Open calls go to its owner; those that others
-    /// forwarded here go back.
+    /// Gives up ownership or the claim of a key. Local calls are routed again, those forwarded by other nodes
+    /// are returned to them.
     pub(crate) fn step_down(&mut self, now: Instant, key: &str) {
         let jitter = (self.random() % CLAIM_BACKOFF_JITTER.as_micros() as u64) as i64;
         let Some(slot) = self.keys.get_mut(key) else { return };
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Gives up all that this node owns or claims, for its disk has no space, and lets the others know.
+    /// Gives up all owned and claimed keys because the disk has no space, and notifies the other replicas.
     pub(crate) fn release_all_keys(&mut self, now: Instant) {
         let mut releases = Vec::new();
         let mut given_up = Vec::new();
@@ -172,14 +175,14 @@
                 Ownership::Claiming(claim) if claim.promises.contains_key(&self.node) => {
                     releases.push(Message::OwnershipReleased { key: key.clone(), epoch: claim.epoch });
                 }
-                // Not durable: nobody has heard of it, nor may anybody.
+                // The claim is not durable and was never sent, so its epoch must not be made known.
                 Ownership::Claiming(claim) => slot.highest_epoch = claim.previous_epoch,
                 Ownership::Replica if slot.queue.is_empty() => continue,
                 Ownership::Replica => {}
             }
             given_up.push(key.clone());
         }
-        // Sent first: calls that go on to others find them ready to claim.
+        // Sent before the calls are routed again, so that the nodes that receive those can claim at once.
         for release in releases {
             self.broadcast(&release);
         }
@@ -188,7 +191,8 @@
         }
     }
 
-    /// The key's owner has given it up: the first in claim order without it claims at once, the others one after the other.
+    /// The key's owner has released it: the first other node in claim order claims it at once, each further
+    /// one a stagger interval later.
     pub(crate) fn on_ownership_released(&mut self, now: Instant, from: Node, key: String, epoch: Epoch) {
         let order = self.claim_order(&key);
         let rank = order.into_iter().filter(|node| *node != from).position(|node| node == self.node);
--- a/crates/control/control-store/src/protocol/confirm.rs
+++ b/crates/control/control-store/src/protocol/confirm.rs
@@ -1,7 +1,7 @@
-//! An owner's question whether its epoch is still in force, for reads and for calls that change nothing.
+//! Confirmation of an owner's epoch, for reads and for calls that change nothing.
 //!
-//! Without it an owner that was overtaken unawares could read an old value or reject what has become valid (as with Raft's
-//! ReadIndex, section 6.4 of Ongaro's thesis).
+//! Without it, an owner that was superseded without noticing could return a stale value or reject a change
+//! that has become valid since (as with Raft's ReadIndex, section 6.4 of Ongaro's thesis).
 
 use crate::call::{Caller, UnconfirmedCall};
 use crate::key_slot::{CommittedValue, EpochConfirmation};
@@ -12,7 +12,8 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// Asks the others whether the epoch is still in force, for all that waits for it.
+    /// Asks the other replicas whether the epoch is still in force, on behalf of all calls that wait for
+    /// that.
     pub(crate) fn confirm_epoch(&mut self, now: Instant, key: &str) {
         let Some(owner) = self.keys.get_mut(key).and_then(|slot| slot.owner_mut()) else { return };
         if owner.unconfirmed.is_empty() || owner.confirmation.is_some() {
@@ -27,7 +28,7 @@
         self.on_epoch_confirmed(now, self.node, key.to_owned(), epoch, round);
     }
 
-    /// A node has promised no higher epoch: once a quorum says so, what waited for it is answered.
+    /// A node has not promised a higher epoch. Once a quorum has said so, the waiting calls are answered.
     pub(crate) fn on_epoch_confirmed(
         &mut self,
         now: Instant,
@@ -57,7 +58,7 @@
         self.confirm_epoch(now, &key);
     }
 
-    /// Answers a call that waited for the confirmation, with what stood committed meanwhile.
+    /// Answers a call that waited for the confirmation, from the value committed by now.
     fn answer_confirmed(&mut self, waiting: UnconfirmedCall<V::Change>, committed: &CommittedValue<V>) {
         let UnconfirmedCall { call, rejection } = waiting;
         let revision = committed.revision;
--- a/crates/control/control-store/src/protocol/durable.rs
+++ b/crates/control/control-store/src/protocol/durable.rs
@@ -1,6 +1,7 @@
-//! Writes to disk: what is to be written, what waits for it, and what is left out while the disk has no space.
+//! Disk writes: what is written, what waits for it, and what is withheld while the disk has no space.
 //!
-//! The invariant: nothing is said to another node, or counted as said by this one, before what it rests on is durable.
+//! The invariant: nothing is sent to another node, or counted as this node's own answer, before the state it
+//! depends on is durable.
 
 use crate::effect::Effect;
 use crate::limits::MAX_WRITES_IN_FLIGHT;
@@ -14,8 +15,8 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// Takes what is to be done. To be called after every other call; [`ControlStore::write_completed`] may make room for
-    /// the next write.
+    /// Returns the pending effects. To be called after every other call; [`ControlStore::write_completed`]
+    /// may allow the next write.
     pub fn take_effects(&mut self) -> Vec<Effect<V>> {
         if self.has_unwritten() && self.writes_in_flight.len() < MAX_WRITES_IN_FLIGHT {
             self.last_write += 1;
@@ -30,7 +31,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// This write and all before it are durable.
+    /// This write and all earlier ones are durable.
     pub fn write_completed(&mut self, now: Instant, write: u64) {
         while self.writes_in_flight.front().is_some_and(|in_flight| in_flight.write <= write) {
             if let Some(done) = self.writes_in_flight.pop_front() {
@@ -41,9 +42,9 @@
         }
     }
 
-    /// Whether the disk takes writes; until told otherwise it does. Without space nothing is said that rests on a write,
-    /// nothing is claimed, and what this node owns goes to others; what rests on no write goes on. Writes in flight
-    /// stay so.
+    /// Reports whether the disk has space; initially it has. Without space, nothing that depends on a write
+    /// is sent, nothing is claimed, and owned keys are released; what needs no write continues. Writes in
+    /// flight stay in flight.
     pub fn set_disk_has_space(&mut self, now: Instant, has_space: bool) {
         if self.disk_has_space == has_space {
             return;
@@ -61,7 +62,7 @@
         self.release_all_keys(now);
     }
 
-    /// Drops the messages that wait for writes: who asked asks again.
+    /// Drops the messages that wait for writes: the nodes that expect them ask again.
     fn withhold_replies(&mut self) {
         let in_flight = self.writes_in_flight.iter_mut().map(|in_flight| &mut in_flight.then);
         for steps in in_flight.chain([&mut self.after_next_write]) {
@@ -71,22 +72,22 @@
         }
     }
 
-    /// Whether the disk takes writes, as far as is known.
+    /// Whether the disk has space, as last reported.
     pub fn disk_has_space(&self) -> bool {
         self.disk_has_space
     }
 
-    /// Whether it may claim: it is a voter and its disk takes writes.
+    /// Whether this node may claim keys: it is a voter and its disk has space.
     pub(crate) fn can_claim(&self) -> bool {
         self.is_voter() && self.disk_has_space
     }
 
-    /// The key goes into the next write.
+    /// Includes the key in the next write.
     pub(crate) fn persist_key(&mut self, key: &str) {
         self.unwritten_keys.insert(key.to_owned());
     }
 
-    /// The metadata goes into the next write.
+    /// Includes the metadata in the next write.
     pub(crate) fn persist_metadata(&mut self) {
         self.has_unwritten_metadata = true;
     }
@@ -95,20 +96,20 @@
         self.has_unwritten_metadata || !self.unwritten_keys.is_empty()
     }
 
-    /// Nothing that is not yet in flight is written any more.
+    /// Discards everything that is not yet part of a write in flight.
     pub(crate) fn forget_unwritten(&mut self) {
         self.unwritten_keys.clear();
         self.has_unwritten_metadata = false;
     }
 
-    /// Sends it once all that was to be written until now is durable, if the replica set is still the same.
+    /// Sends a message once all pending writes are durable, if the replica set is still the same.
     pub(crate) fn send_after_write(&mut self, now: Instant, to: Node, message: Message<V, V::Change>) {
         let version = self.replica_set.version;
         self.after_write(now, AfterWrite::Send { version, to, message });
     }
 
-    /// Does it once all that was to be written until now is durable. While the disk has no space a message that would
-    /// wait for that is withheld: who asked asks again.
+    /// Runs an action once all pending writes are durable. While the disk has no space, a message that would
+    /// have to wait is withheld: the node that expects it asks again.
     pub(crate) fn after_write(&mut self, now: Instant, step: AfterWrite<V>) {
         let waits = self.has_unwritten() || !self.writes_in_flight.is_empty();
         if waits && !self.disk_has_space && matches!(step, AfterWrite::Send { .. }) {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Does what waited for a write.
+    /// Runs an action that waited for a write.
     fn run_after_write(&mut self, now: Instant, step: AfterWrite<V>) {
         match step {
             AfterWrite::Send { version, .. } if version != self.replica_set.version => {}
--- a/crates/control/control-store/src/protocol/entry.rs
+++ b/crates/control/control-store/src/protocol/entry.rs
@@ -1,4 +1,4 @@
-//! Where messages and time come in: which message counts, and what handles it.
+//! Entry points for messages and timers: decides which messages are valid and dispatches them.
 
 use crate::change_log::ChangeRun;
 use crate::limits::RESEND_INTERVAL;
@@ -11,15 +11,15 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// A message came, said under this version of the replica set. One of an older version is answered with the newer
-    /// replica set and does nothing else. From a node outside the replica set it is counted and dropped, but for calls
-    /// that it forwards.
+    /// Handles a message that was sent under this version of the replica set. One of an older version is only
+    /// answered with the newer replica set. Messages from nodes outside the replica set are counted and
+    /// dropped, except forwarded calls.
     pub fn receive(&mut self, now: Instant, from: Node, version: u64, message: Message<V, V::Change>) {
         if from == self.node {
             self.metrics.unknown_senders += 1;
             return;
         }
-        // These two hold whatever the version under which they were said.
+        // These two are valid under any version of the replica set.
         match message {
             Message::ConfirmedPositions { incarnation, keys } => {
                 self.on_confirmed_positions(now, incarnation, &keys);
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Whether a message was said under the replica set in force here; else the newer one is asked for or sent.
+    /// Whether a message was sent under the replica set in force here. If not, the newer one is requested or
+    /// sent.
     fn is_same_version(&mut self, from: Node, version: u64) -> bool {
         let own = self.replica_set.version;
         if version == own || self.has_mutation(Mutation::AcceptsOlderReplicaSetMessages) {
@@ -68,7 +69,7 @@
         self.handle(now, from, message);
     }
 
-    /// Hands a message that counts to what handles it.
+    /// Dispatches a message that passed the checks of version and sender.
     pub(crate) fn handle(&mut self, now: Instant, from: Node, message: Message<V, V::Change>) {
         match message {
             Message::Forward { id, key, epoch, request } => {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The same for messages about a key, which only a voter heeds.
+    /// Dispatches the messages that only a voter handles.
     fn handle_as_voter(&mut self, now: Instant, from: Node, message: Message<V, V::Change>) {
         match message {
             Message::Claim { key, epoch } => self.on_claim(now, from, key, epoch),
@@ -126,7 +127,7 @@
         }
     }
 
-    /// The same for messages about the next replica set.
+    /// Dispatches the messages that decide the next replica set.
     fn handle_replica_set_proposal(&mut self, now: Instant, from: Node, message: Message<V, V::Change>) {
         match message {
             Message::PrepareReplicaSet { epoch, replaced } => {
@@ -148,12 +149,12 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs all timers that have expired.
     pub fn tick(&mut self, now: Instant) {
         self.tick_calls(now);
         self.tick_snapshots(now);
         match self.phase {
-            // What is due of keys and of the replica set begins with a write.
+            // The timers of keys and of the replica set all begin with a write.
             Phase::Voter if !self.disk_has_space => {}
             Phase::Voter => {
                 self.tick_keys(now);
@@ -174,7 +175,7 @@
         now >= self.repair.last_sent + RESEND_INTERVAL
     }
 
-    /// When [`ControlStore::tick`] is to be called at the latest; `None`: not before something else happens.
+    /// When [`ControlStore::tick`] has to be called at the latest; `None` if no timer is running.
     pub fn next_deadline(&self) -> Option<Instant> {
         let calls = self.open_calls.values().map(|call| call.next_deadline()).min();
         let rest = match self.phase {
--- a/crates/control/control-store/src/protocol/forward.rs
+++ b/crates/control/control-store/src/protocol/forward.rs
@@ -1,4 +1,4 @@
-//! Calls that other nodes forward here, and what owners reply to those that this node forwarded.
+//! Calls that other nodes forward to this one, and the owners' replies to calls that this node forwarded.
 
 use crate::call::{Caller, ForwardTarget, QueuedCall};
 use crate::key_slot::Ownership;
@@ -10,8 +10,9 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// A call of another's caller. It is never forwarded further, and served only under the epoch it names: who claims the
-    /// key for it says under which, and it comes again.
+    /// Handles a call forwarded by another node. It is never forwarded further, and is served only under the
+    /// epoch that it names. If this node claims the key because of it, the reply carries the new epoch and
+    /// the sender forwards the call again.
     pub(crate) fn on_forward(
         &mut self,
         now: Instant,
@@ -22,7 +23,7 @@
         request: Request<V::Change>,
     ) {
         self.observe_epoch(now, &key, epoch);
-        // Who is believed to own it and does not, or is first in claim order: all others would turn to it.
+        // Other nodes forward to the owner that they know, or else to the first in claim order: these claim.
         let is_believed = self.keys.get(&key).is_some_and(|slot| slot.highest_epoch.owner == self.node.0);
         let is_first = is_believed || self.claim_order(&key).first() == Some(&self.node);
         if self.can_claim() && is_first && self.known_owner(now, &key).is_none() {
@@ -46,18 +47,19 @@
         }
     }
 
-    /// The epoch that it names may be that of a claim here which is not durable yet.
+    /// Sent after the write: the epoch in the reply may be that of a claim here that is not durable yet.
     fn send_not_owner(&mut self, now: Instant, to: Node, message: Message<V, V::Change>) {
         if self.disk_has_space {
             self.send_after_write(now, to, message);
         } else {
-            // Without space there is no claim of its own that is not durable yet.
+            // Without space this node has no claim that is not durable yet.
             self.send(to, message);
         }
     }
 
-    /// What an owner says. That a change is committed, and a read's value, hold whenever they come. A rejection counts only
-    /// while the call is with who rejects: in the hands of a later owner it may come into force.
+    /// Handles the reply of an owner. Commits and values are valid whenever they arrive. A rejection counts
+    /// only while the call is still forwarded to the node that rejects it: a later owner may yet commit the
+    /// change.
     pub(crate) fn on_forward_reply(
         &mut self,
         now: Instant,
--- a/crates/control/control-store/src/protocol/links.rs
+++ b/crates/control/control-store/src/protocol/links.rs
@@ -1,4 +1,4 @@
-//! Which nodes can be reached, and what is sent to one whose link came up.
+//! Which nodes are reachable, and what is sent to a node when its link comes up.
 
 use crate::key_slot::Ownership;
 use crate::limits::MAX_LINKS;
@@ -8,12 +8,12 @@
 use crate::value::State;
 use silvercross_time::Instant;
 
-/// The offset basis and the prime of FNV-1a with 64 bits.
+/// Offset basis and prime of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
 impl<V: State> ControlStore<V> {
-    /// Whether there is a link to this node. Until told, there is none.
+    /// Reports whether there is a link to this node. Initially there is none.
     pub fn set_reachable(&mut self, now: Instant, node: Node, is_reachable: bool) {
         if node == self.node {
             return;
@@ -42,7 +42,8 @@
         self.tick(now);
     }
 
-    /// A link came up: claims and appends that the other missed.
+    /// Sends what the node may have missed while the link was down: claims, appends, and the positions it has
+    /// confirmed. A node that is no voter asks for the replica set or for its repair instead.
     fn on_link_up(&mut self, now: Instant, to: Node) {
         if !self.is_voter() {
             if self.replica_set.version == 0 {
@@ -87,25 +88,25 @@
         }
     }
 
-    /// Whether it can be reached, or is this node.
+    /// Whether the node is reachable or this one.
     pub(crate) fn is_present(&self, node: Node) -> bool {
         node == self.node || self.reachable.contains(&node)
     }
 
-    /// The other replicas that can be reached.
+    /// The other replicas that are reachable.
     pub(crate) fn reachable_replicas(&self) -> Vec<Node> {
         self.replica_set.nodes().filter(|n| *n != self.node && self.reachable.contains(n)).collect()
     }
 
-    /// Sends it to all other replicas that can be reached.
+    /// Sends a message to all other reachable replicas.
     pub(crate) fn broadcast(&mut self, message: &Message<V, V::Change>) {
         for to in self.reachable_replicas() {
             self.send(to, message.clone());
         }
     }
 
-    /// The replicas that can be reached, this one included, in the order in which they would own the key (rendezvous
-    /// hashing, so that keys spread over them): those that stop come last.
+    /// The reachable replicas, this one included, in the order in which they may claim the key: by rendezvous
+    /// hashing, so that ownership spreads over them, with stopping nodes last.
     pub(crate) fn claim_order(&self, key: &str) -> Vec<Node> {
         let hash =
             key.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
--- a/crates/control/control-store/src/protocol/quorum.rs
+++ b/crates/control/control-store/src/protocol/quorum.rs
@@ -1,4 +1,4 @@
-//! What counts as a quorum, and whose earlier answers still count.
+//! What counts as a quorum, and which earlier answers still count.
 
 use crate::message::Message;
 use crate::mutation::Mutation;
@@ -7,14 +7,15 @@
 use crate::value::State;
 
 impl<V: State> ControlStore<V> {
-    /// Whether a quorum has answered, with disks that its replicas still have: a majority, and while one replica is being
-    /// replaced a majority of the replica set before and of the one after.
+    /// Whether a quorum has answered, with disks that were not lost since: a majority, and during a
+    /// replacement both a majority of the previous replica set and one of the next.
     pub(crate) fn have_quorum(&self, answers: impl Iterator<Item = NodeIncarnation>) -> bool {
         self.is_quorum(&self.with_current_disks(answers))
     }
 
-    /// Whether a majority of the replica set, without one that joins, has answered. This does for a repair and for the
-    /// next replica set, of which only one another must know: every quorum has a majority of these.
+    /// Whether a majority of the replica set, not counting a joining replica, has answered. That is enough
+    /// for a repair and for deciding the next replica set: such majorities intersect each other and every
+    /// quorum, since each quorum contains one.
     pub(crate) fn have_base_majority(&self, answers: impl Iterator<Item = NodeIncarnation>) -> bool {
         let nodes = self.with_current_disks(answers);
         self.replica_set.is_majority(&nodes, self.replica_set.joining)
@@ -27,7 +28,7 @@
             .collect()
     }
 
-    /// Whether these are a quorum.
+    /// Whether these nodes are a quorum.
     pub(crate) fn is_quorum(&self, nodes: &[Node]) -> bool {
         let replica_set = &self.replica_set;
         if self.has_mutation(Mutation::RemovedReplicaVotes) {
@@ -39,19 +40,20 @@
                 || replica_set.is_majority(nodes, replica_set.leaving))
     }
 
-    /// Whether no later incarnation of the replica's disk is known than this one.
+    /// Whether no later incarnation of the node's disk is known.
     pub(crate) fn is_current(&self, node: Node, incarnation: Incarnation) -> bool {
         node == self.node
             || self.has_mutation(Mutation::CountsEarlierIncarnations)
             || incarnation >= self.known_incarnation(node)
     }
 
-    /// The highest incarnation of a replica's disk that is known here.
+    /// The highest known incarnation of a node's disk.
     pub(crate) fn known_incarnation(&self, node: Node) -> Incarnation {
         self.incarnations.get(&node).copied().unwrap_or_default()
     }
 
-    /// Whether it was said with a disk that the replica still has; else the replica hears so.
+    /// Whether a message was sent with the node's current disk. If not, the node is told of its latest known
+    /// incarnation.
     pub(crate) fn check_incarnation(&mut self, from: Node, incarnation: Incarnation) -> bool {
         let is_current = self.is_current(from, incarnation);
         if !is_current {
@@ -62,13 +64,13 @@
         is_current
     }
 
-    /// The incarnations of all disks, as far as they are known here.
+    /// All disk incarnations known here.
     pub(crate) fn incarnations(&self) -> Incarnations {
         Incarnations { own: self.incarnation, others: node_incarnations(&self.incarnations).collect() }
     }
 
-    /// Takes in what another says of incarnations. A replica of which a higher one is known takes it for its own: what it said
-    /// under the lower one counts no more, which is always safe.
+    /// Merges the incarnations that another node knows. If it knows a higher one of this node, this node
+    /// adopts it: what it said under the lower one no longer counts, which is always safe.
     pub(crate) fn merge_incarnations(&mut self, incarnations: &Incarnations) {
         for other in &incarnations.others {
             if other.node == self.node {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Takes a higher incarnation for its own.
+    /// Adopts a higher incarnation.
     pub(crate) fn raise_own_incarnation(&mut self, incarnation: Incarnation) {
         if incarnation > self.incarnation && self.phase == Phase::Voter {
             self.incarnation = incarnation;
--- a/crates/control/control-store/src/protocol/repair.rs
+++ b/crates/control/control-store/src/protocol/repair.rs
@@ -1,7 +1,8 @@
-//! A disk that was lost, or went back to an older state: its replica asks the others for everything before it votes again.
+//! Repair of a disk that was lost or rolled back to an older state: its replica fetches everything from the
+//! others before it votes again.
 //!
-//! The invariant: what a replica said with the lost disk counts no more once others have heard of its new incarnation, and it
-//! votes only with all that a majority of the others knew then.
+//! The invariant: what a replica said with the lost disk no longer counts once others know its new
+//! incarnation, and it votes only with everything that a majority of the others knew by then.
 
 use crate::limits::{MAX_KEYS, MAX_KEY_BYTES};
 use crate::message::{KeySummary, Message};
@@ -15,8 +16,9 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// What this replica has confirmed to another, with the disk that it has: if it lacks any of it that disk went back to an
-    /// older state. It is as good as empty then, on disk too, and is repaired.
+    /// Compares the state here with what this replica has confirmed to another node under its current
+    /// incarnation. If any of it is missing, the disk was rolled back to an older state: it is treated as
+    /// empty from then on, also after a restart, and repaired.
     pub(crate) fn on_confirmed_positions(
         &mut self,
         now: Instant,
@@ -40,7 +42,7 @@
         Incarnation { count: after.count.saturating_add(1), nonce: self.random() }
     }
 
-    /// Asks all others for everything.
+    /// Requests the state of all other replicas.
     pub(crate) fn ask_repair(&mut self, now: Instant) {
         self.repair.last_sent = now;
         for to in self.reachable_replicas() {
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Replies with what is durable once the asker's new incarnation is durable too: from then on nothing that is said here
-    /// counts together with what the asker said before.
+    /// Replies with this node's durable state once the sender's new incarnation is durable here too: from
+    /// then on nothing that this node says counts together with what the sender said before.
     pub(crate) fn on_repair_request(&mut self, now: Instant, from: Node, incarnation: Incarnation) {
         let known = self.known_incarnation(from);
         if incarnation < known {
@@ -74,7 +76,7 @@
         self.send_after_write(now, from, Message::RepairReply { incarnation, keys, vote, incarnations });
     }
 
-    /// Another knows a higher incarnation of this node's disk.
+    /// Another node knows a higher incarnation of this node's disk.
     pub(crate) fn on_stale_incarnation(&mut self, now: Instant, incarnation: Incarnation) {
         if incarnation <= self.incarnation {
             return;
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Whether a reply is to the repair in progress, and of a replica that still has its disk.
+    /// Whether a reply belongs to the repair in progress and its sender still has its disk.
     fn is_awaited_reply(
         &mut self,
         from: Node,
@@ -101,7 +103,7 @@
         self.check_incarnation(from, incarnations.own)
     }
 
-    /// Takes in what another replica has.
+    /// Merges the state of another replica.
     pub(crate) fn on_repair_reply(
         &mut self,
         now: Instant,
@@ -122,9 +124,10 @@
         self.continue_repair(now);
     }
 
-    /// Whether the replacement that is in progress may be complete already, as far as those know who replied to a repair. Then
-    /// the joining replica may stand in the place of one of them, with values that none of them has: the repair is to be of the
-    /// replica set without who leaves. Those who replied decide on that without this node.
+    /// Whether the replacement in progress may already be complete, according to the repair replies. The
+    /// joining replica may then have replaced one of the replicas that replied and hold values that none of
+    /// them has, so the repair has to use the replica set without the leaving replica. The replicas that
+    /// replied decide on that one without this node.
     fn may_be_overtaken(&self) -> bool {
         let next = self.repair.vote.accepted.as_ref().map(|accepted| &accepted.replica_set);
         let is_complete = |joining| next.is_some_and(|next| next.contains(joining));
@@ -132,9 +135,9 @@
             && !self.has_mutation(Mutation::RepairsUnderOvertakenReplicaSet)
     }
 
-    /// Once a majority has replied, fetches the values; once they are there, becomes a voter.
+    /// Fetches the values once a majority has replied, and becomes a voter once they are complete.
     pub(crate) fn continue_repair(&mut self, now: Instant) {
-        // The replies are of others alone, and still a majority of the whole replica set.
+        // Only others reply, yet they have to be a majority of the whole replica set.
         let is_enough = self.have_base_majority(node_incarnations(&self.repair.replies));
         if self.phase != Phase::Repairing || !is_enough || self.may_be_overtaken() {
             return;
@@ -153,7 +156,7 @@
         }
     }
 
-    /// All values are there: writes them, and votes once they are durable.
+    /// Writes all fetched values, and votes once they are durable.
     fn finish_repair(&mut self, now: Instant) {
         for (key, known) in std::mem::take(&mut self.repair.keys) {
             let fetched = self.repair.values.remove(&key).unwrap_or_default();
@@ -163,12 +166,12 @@
         }
         self.incoming_snapshots.clear();
         self.repair.values.clear();
-        // Until now no owner could be heard: each has its time to speak.
+        // Owners could not be heard until now: restarts their silence timeout.
         for slot in self.keys.values_mut().filter(|slot| slot.highest_epoch != Epoch::default()) {
             slot.owner_heard = now;
             slot.ownerless_since = None;
         }
-        // All of them: what an earlier time as a replica left on disk is overwritten too.
+        // All keys, to overwrite what an earlier membership left on disk.
         for key in self.keys_where(|_| true) {
             self.persist_key(&key);
         }
--- a/crates/control/control-store/src/protocol/replica_set_adopt.rs
+++ b/crates/control/control-store/src/protocol/replica_set_adopt.rs
@@ -1,7 +1,7 @@
-//! How a decided replica set comes into force here, and how a node that doesn't know it asks.
+//! How a decided replica set comes into force here, and how a node that doesn't know it requests it.
 //!
-//! The invariant: a node says nothing under an older replica set once it has adopted a later one, and a replica that joins, or
-//! comes back, votes only once it is repaired.
+//! The invariant: a node says nothing under an older replica set once it has adopted a later one, and a
+//! replica that joins, or comes back, votes only once it is repaired.
 
 use crate::limits::{MAX_REPLICAS, RESEND_INTERVAL};
 use crate::message::Message;
@@ -15,7 +15,8 @@
 use std::collections::BTreeSet;
 
 impl<V: State> ControlStore<V> {
-    /// Adopts a later replica set, which was decided: from here on this node does nothing under the one before.
+    /// Adopts a later replica set that was decided. From then on this node does nothing under the previous
+    /// one.
     pub(crate) fn adopt_replica_set(&mut self, now: Instant, replica_set: ReplicaSet) {
         if replica_set.version <= self.replica_set.version || replica_set.members.len() > MAX_REPLICAS {
             return;
@@ -34,7 +35,8 @@
             self.persist_metadata();
             self.after_next_write.push(AfterWrite::Vote { version: self.replica_set.version });
         } else {
-            // On disk it stays what it was under the replica set before: it has said nothing under this one.
+            // The stored state stays that of the previous replica set: this node has said nothing under the
+            // new one.
             self.forget_unwritten();
         }
         if self.phase == Phase::Repairing && previous != Phase::Repairing {
@@ -50,7 +52,7 @@
         }
     }
 
-    /// What this node is to a later replica set.
+    /// This node's phase under a later replica set.
     fn phase_under(&self, replica_set: &ReplicaSet) -> Phase {
         let Some(joined_in) = replica_set.joined_in(self.node) else {
             let goes_on = self.has_mutation(Mutation::RemovedReplicaVotes) && self.phase == Phase::Voter;
@@ -68,13 +70,13 @@
         }
     }
 
-    /// Puts a replica set in the place of the one before, and forgets what was said under that.
+    /// Replaces the replica set, and discards everything that was said under the previous one.
     fn replace_replica_set(&mut self, now: Instant, replica_set: ReplicaSet) {
         self.abandoned = self.replica_set.joining.filter(|node| !replica_set.contains(*node));
         self.replica_set = replica_set;
         self.vote = Vote::default();
         self.proposal = None;
-        // What waits for a write was said under the replica set before.
+        // Messages that wait for a write belong to the previous replica set.
         self.after_next_write.clear();
         self.repair.forget_replies();
         self.incarnations.retain(|node, _| self.replica_set.contains(*node));
@@ -87,7 +89,7 @@
         self.next_proposal = now + RESEND_INTERVAL + self.proposal_delay();
     }
 
-    /// Gives up what this node owns or claims, and routes all calls anew.
+    /// Gives up all owned and claimed keys, and reroutes all calls.
     fn give_up_all_keys(&mut self, now: Instant) {
         for key in self.keys_where(|slot| !slot.is_replica() || !slot.queue.is_empty()) {
             self.step_down(now, &key);
@@ -95,7 +97,7 @@
         self.reroute_calls(now);
     }
 
-    /// No claim was lost to another: who is first in claim order needn't wait.
+    /// No claim was lost to another node, so the first node in claim order doesn't have to back off.
     fn claim_first_without_backoff(&mut self, now: Instant) {
         let first = |key: &&String| self.claim_order(key).first() == Some(&self.node);
         let keys: Vec<String> = self.keys.keys().filter(first).cloned().collect();
@@ -106,8 +108,8 @@
         }
     }
 
-    /// What is on disk is no good: from here on, and after a start too, this node is one that was wiped, but keeps its
-    /// incarnation.
+    /// The state on disk is unusable: from now on, also after a restart, this node acts as if its disk were
+    /// wiped, but keeps its incarnation.
     pub(crate) fn reset_to_outside(&mut self, now: Instant) {
         self.replica_set.version = 0;
         self.vote = Vote::default();
@@ -120,33 +122,34 @@
         self.ask_replica_set(now);
     }
 
-    /// Sends the replica set as this node knows it.
+    /// Sends the replica set known to this node.
     pub(crate) fn send_replica_set(&mut self, to: Node) {
         self.send(to, Message::ReplicaSet { replica_set: self.replica_set.clone() });
     }
 
-    /// Another votes under the replica set without this node.
+    /// Another node votes under the replica set without this node.
     pub(crate) fn on_replica_set_in_force(&mut self, from: Node) {
         if let Some(voters) = &mut self.votes_without_this {
             voters.insert(from);
         }
     }
 
-    /// Whether it has to ask who the replicas are: it doesn't know, or none that it knows can be reached.
+    /// Whether this node has to find out who the replicas are: it doesn't know any replica set, or can reach
+    /// none of its replicas.
     fn has_lost_replicas(&self) -> bool {
         let is_known = self.replica_set.version > 0
             && self.replica_set.nodes().any(|node| self.reachable.contains(&node));
         self.phase == Phase::Outside && !is_known
     }
 
-    /// Whether it has to ask the replicas who they are, or whether their set is in force without this one.
+    /// Whether this node has to ask for the replica set, or whether the one without it is in force.
     pub(crate) fn must_ask_replica_set(&self) -> bool {
         let is_leaving = self.stopping.contains_key(&self.node) && self.votes_without_this.is_some();
         self.has_lost_replicas() || (is_leaving && self.is_still_needed())
     }
 
-    /// Asks all that are linked who the replicas are; where this one has left in plan, the replicas whether their set is in
-    /// force.
+    /// Asks all linked nodes who the replicas are. After a planned removal, asks the replicas whether their
+    /// replica set is in force.
     pub(crate) fn ask_replica_set(&mut self, now: Instant) {
         self.repair.last_sent = now;
         if self.replica_set.version > 0 && !self.has_lost_replicas() {
--- a/crates/control/control-store/src/protocol/replica_set_change.rs
+++ b/crates/control/control-store/src/protocol/replica_set_change.rs
@@ -1,7 +1,7 @@
-//! How the next replica set is decided: single-decree Paxos among the replicas of this one.
+//! How the next replica set is decided: single-decree Paxos among the replicas of the current one.
 //!
-//! One replica is replaced at a time, through a joint replica set; each step is decided by a majority of the replica set before
-//! it, and the second only with the vote of the one that joins.
+//! One replica is replaced at a time, through a joint replica set. Each of the two steps is decided by a
+//! majority of the replica set before it, the second only with the vote of the joining replica.
 
 use crate::limits::{MAX_REPLICAS, PROPOSAL_STAGGER};
 use crate::message::Message;
@@ -14,7 +14,7 @@
 use silvercross_time::{Duration, Instant};
 
 impl<V: State> ControlStore<V> {
-    /// How long this node waits for those to propose that come before it: the first replica that can be reached proposes first.
+    /// How long this node leaves it to other replicas to propose: the first reachable replica proposes first.
     pub(crate) fn proposal_delay(&self) -> Duration {
         let before = |node: &Node| *node < self.node && self.reachable.contains(node);
         PROPOSAL_STAGGER * self.replica_set.nodes().filter(before).count() as i64
@@ -31,24 +31,26 @@
         Some((due.from + delay).max(self.next_proposal))
     }
 
-    /// What this node would have the next replica set be.
+    /// The replica set that this node would propose next.
     fn planned_replica_set(&self, now: Instant) -> Option<ReplicaSet> {
         if let (Some(leaving), Some(joining)) = (self.replica_set.leaving, self.replica_set.joining) {
             return Some(self.replica_set.without(self.replica_to_drop(now, leaving, joining)));
         }
         let node = self.replica_to_replace(now)?;
         let joining = self.replacement_candidate()?;
-        // With a candidate that failed before there would be no quorum again.
+        // A second attempt with the candidate that failed before would again leave no quorum.
         let is_in_vain =
             self.abandoned == Some(joining) && self.is_present(node) && self.is_another_unreachable(&[node]);
         (!is_in_vain).then(|| self.replica_set.joint(node, joining))
     }
 
-    /// Which of the two ends a joint replica set: the one that leaves, or if the replacement is to be abandoned the one that joins.
+    /// The replica to remove from a joint replica set: the leaving one, or the joining one if the replacement
+    /// has to be abandoned.
     fn replica_to_drop(&self, now: Instant, leaving: Node, joining: Node) -> Node {
-        // Who stops in plan is there as long as it can be.
+        // A stopping replica is reachable while it waits for its replacement.
         let is_back = !self.stopping.contains_key(&leaving) && self.is_present(leaving);
-        // Another one is unreachable, so without the joining replica's vote there is no quorum, and it was asked in vain.
+        // The joining replica was asked without success, and as another one is unreachable there is no quorum
+        // without its vote.
         let was_asked =
             self.proposal.as_ref().is_some_and(|proposal| !proposal.promises.contains_key(&joining));
         let is_stuck =
@@ -78,14 +80,14 @@
         let replaced = next.leaving;
         self.proposal = Some(Proposal::new(epoch, next));
         if let Some(joining) = self.replica_set.joining.filter(|node| *node != self.node) {
-            // It doesn't ask, for it doesn't know yet.
+            // The joining replica doesn't know the replica set yet, so it doesn't ask for it.
             self.send_replica_set(joining);
         }
         self.broadcast(&Message::PrepareReplicaSet { epoch, replaced });
         self.on_prepare_replica_set(now, self.node, epoch, replaced);
     }
 
-    /// Rejects what is of a lower epoch than promised for the next replica set.
+    /// Rejects a proposal for the next replica set below the promised epoch.
     fn rejects_lower_proposal(&mut self, from: Node, epoch: Epoch) -> bool {
         let promised = self.vote.promised;
         if epoch < promised && from != self.node {
@@ -94,7 +96,8 @@
         epoch < promised
     }
 
-    /// Promises, if this node finds as well that who is to be replaced is lost, or knows that it stops.
+    /// Promises, if the replica to be replaced is the sender, or this node also considers it lost or
+    /// stopping.
     pub(crate) fn on_prepare_replica_set(
         &mut self,
         now: Instant,
@@ -115,7 +118,8 @@
         self.send_after_write(now, from, Message::ReplicaSetPromise { epoch, accepted, incarnations });
     }
 
-    /// A replica has promised: once a majority has, what was accepted before or else what this node wants is to be accepted.
+    /// A replica has promised. Once a majority has, proposes for acceptance what was accepted earlier, or
+    /// else this node's own plan.
     pub(crate) fn on_replica_set_promise(
         &mut self,
         now: Instant,
@@ -145,7 +149,8 @@
         self.on_accept_replica_set(now, self.node, epoch, replica_set);
     }
 
-    /// A replacement is completed only once the joining replica votes; one that was accepted before may be in force already.
+    /// A replacement is completed only once the joining replica votes, unless a replica set was accepted
+    /// earlier: that one may already be in force.
     fn has_vote_of_joining(&self, proposal: &Proposal) -> bool {
         let votes = |joining| !proposal.next.contains(joining) || proposal.promises.contains_key(&joining);
         proposal.latest_accepted.is_some()
@@ -172,7 +177,8 @@
         self.send_after_write(now, from, Message::ReplicaSetAccepted { epoch, incarnations });
     }
 
-    /// A replica has accepted: once a majority has, the next replica set is decided, and all of both hear of it.
+    /// A replica has accepted. Once a majority has, the next replica set is decided and sent to the members
+    /// of both.
     pub(crate) fn on_replica_set_accepted(
         &mut self,
         now: Instant,
@@ -202,7 +208,7 @@
         }
     }
 
-    /// Another proposes under a higher epoch.
+    /// Another node proposes under a higher epoch.
     pub(crate) fn on_higher_replica_set_epoch(&mut self, epoch: Epoch) {
         self.highest_proposal = self.highest_proposal.max(epoch);
     }
--- a/crates/control/control-store/src/protocol/replicate.rs
+++ b/crates/control/control-store/src/protocol/replicate.rs
@@ -1,7 +1,7 @@
-//! An owner's work: appends to the replicas, and their commit.
+//! The owner's role: replicates appends and commits them.
 //!
-//! One append of a key is in flight at a time; it is committed once a quorum has confirmed it, and only then anybody is
-//! answered.
+//! Each key has at most one append in flight. It is committed once a quorum has confirmed it, and calls are
+//! answered only then.
 
 use crate::batch::{Batch, ImmediateAnswer};
 use crate::call::Caller;
@@ -16,7 +16,7 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// Writes the last append here and sends it to all others.
+    /// Writes the last append here and sends it to the other replicas.
     pub(crate) fn replicate_last_append(&mut self, now: Instant, key: &str, epoch: Epoch, sequence: u64) {
         self.persist_key(key);
         for to in self.reachable_replicas() {
@@ -25,8 +25,8 @@
         self.after_write(now, AfterWrite::OwnAppend { key: key.to_owned(), epoch, sequence });
     }
 
-    /// The last append, committed or not: it is the owner's alone to write under its epoch. Who lacks what was before it
-    /// says so.
+    /// Sends the last append, committed or not: only this owner can write under its epoch. A replica that
+    /// lacks the appends before it reports that.
     pub(crate) fn send_last_append(&mut self, now: Instant, to: Node, key: &str) {
         let Some(slot) = self.keys.get(key) else { return };
         match slot.change_log.before_last() {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// What came after `base`: the changes if they are remembered, else a snapshot, of which the first chunk.
+    /// Sends what follows `base`: the changes if the change log still has them, else the first chunk of a
+    /// snapshot.
     fn send_changes_since(&mut self, now: Instant, to: Node, key: &str, base: Revision) {
         let Some(slot) = self.keys.get(key) else { return };
         let Some(epoch) = slot.owner().map(|owner| owner.epoch) else { return };
@@ -56,7 +57,7 @@
         }
     }
 
-    /// A replica has only this; `None`: it can do nothing with changes.
+    /// A replica has reported the revision that it has; `None` if it needs a snapshot.
     pub(crate) fn on_lagging(
         &mut self,
         now: Instant,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// A replica has the append of this number on disk.
+    /// A replica has this append on disk.
     pub(crate) fn on_appended(
         &mut self,
         now: Instant,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Whether there is an append in flight which a quorum has.
+    /// Whether an append is in flight that a quorum has confirmed.
     fn is_append_committed(&self, key: &str) -> bool {
         let Some(owner) = self.keys.get(key).and_then(|slot| slot.owner()) else { return false };
         if owner.in_flight.is_none() {
@@ -115,7 +116,7 @@
         self.have_quorum(answers)
     }
 
-    /// Acknowledges the append in flight.
+    /// Commits the append in flight and answers its calls.
     fn commit(&mut self, now: Instant, key: &str) {
         let Some(slot) = self.keys.get_mut(key) else { return };
         let value = slot.value.clone();
@@ -136,8 +137,8 @@
         self.process_queue(now, key);
     }
 
-    /// Starts what waits at a key with a committed value: reads and what is in force already with the next confirmation,
-    /// changes with the next append.
+    /// Processes the queue of a key with a committed value: reads and calls that leave that value as it is
+    /// wait for the next confirmation of the epoch, changes go into the next append.
     pub(crate) fn process_queue(&mut self, now: Instant, key: &str) {
         let Some(batch) = self.next_batch(now, key) else { return };
         let key_count = self.keys.len();
@@ -164,7 +165,7 @@
         self.confirm_epoch(now, key);
     }
 
-    /// What the calls in a key's queue come to; `None` where there is no committed value of this owner.
+    /// Sorts the calls in a key's queue; `None` if this node has not committed a value as its owner.
     fn next_batch(&mut self, now: Instant, key: &str) -> Option<Batch<V>> {
         let slot = self.keys.get_mut(key)?;
         let queue = std::mem::take(&mut slot.queue);
--- a/crates/control/control-store/src/protocol/snapshots.rs
+++ b/crates/control/control-store/src/protocol/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: whom to ask for one, what is sent of one, and when one is installed.
+//! Snapshot transfer: whom to request a snapshot from, what to send, and when to install one.
 
 use crate::limits::{
     INCOMING_SNAPSHOT_TIMEOUT, MAX_INCOMING_SNAPSHOTS, MAX_OUTGOING_SNAPSHOTS, MAX_SNAPSHOT_BYTES,
@@ -14,8 +14,9 @@
 use silvercross_time::Instant;
 
 impl<V: State> ControlStore<V> {
-    /// The first chunk of a snapshot for one who has only `accepted`: of one that is being sent already if changes lead on from
-    /// it, else, and if it isn't known what that one has, of the last revision.
+    /// Sends the first chunk of a snapshot to a replica that has `accepted`: of a snapshot already being sent
+    /// if it is later and the change log continues from it. Otherwise, or if `accepted` is unknown, of the
+    /// current revision.
     pub(crate) fn send_first_chunk(&mut self, now: Instant, to: Node, key: &str, accepted: Option<Revision>) {
         let Some(slot) = self.keys.get(key) else { return };
         let is_useful = |snapshot: &&OutgoingSnapshot| {
@@ -29,7 +30,7 @@
         self.send_chunk(now, to, key, revision, 0);
     }
 
-    /// Sends the chunk at this offset, if the snapshot is there or can be made.
+    /// Sends the chunk at this offset, if the snapshot exists or can be made.
     fn send_chunk(&mut self, now: Instant, to: Node, key: &str, revision: Revision, offset: u64) {
         let Some(index) = self.outgoing_snapshot(now, key, revision) else { return };
         let snapshot = &mut self.outgoing_snapshots[index];
@@ -46,7 +47,7 @@
         self.send(to, message);
     }
 
-    /// The index of the snapshot at this revision, made if the value still stands there.
+    /// The index of the snapshot of this revision, made if the value still has that revision.
     fn outgoing_snapshot(&mut self, now: Instant, key: &str, revision: Revision) -> Option<usize> {
         let is_it = |snapshot: &OutgoingSnapshot| snapshot.key == key && snapshot.revision == revision;
         if let Some(index) = self.outgoing_snapshots.iter().position(is_it) {
@@ -67,12 +68,13 @@
         Some(self.outgoing_snapshots.len() - 1)
     }
 
-    /// Forgets snapshots that nobody asks for any more.
+    /// Drops snapshots that nobody has requested for a while.
     pub(crate) fn drop_idle_snapshots(&mut self, now: Instant) {
         self.outgoing_snapshots.retain(|snapshot| now < snapshot.last_used + OUTGOING_SNAPSHOT_IDLE_TIMEOUT);
     }
 
-    /// Sends what was asked for; if that is gone, the first chunk of what stands here now, if it is later.
+    /// Sends the requested chunk. If that snapshot no longer exists, sends the first chunk of the current
+    /// revision, if it is later.
     pub(crate) fn on_snapshot_request(
         &mut self,
         now: Instant,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Whether this revision of the key would be of use.
+    /// Whether a snapshot of the key at this revision is needed.
     fn wants_snapshot(&self, key: &str, revision: Revision) -> bool {
         let installs_any = self.has_mutation(Mutation::InstallsOlderSnapshots);
         match self.phase {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// A chunk came.
+    /// Adds a chunk to its snapshot, and installs the snapshot when it is complete.
     pub(crate) fn on_snapshot_chunk(&mut self, now: Instant, from: Node, key: String, chunk: ReceivedChunk) {
         let total_bytes = chunk.header.total_bytes;
         let is_sound = total_bytes <= MAX_SNAPSHOT_BYTES && chunk.bytes.len() as u64 <= total_bytes;
@@ -131,12 +133,12 @@
         let is_right = mixes || snapshot.header.is_some_and(|header| header.digest == digest);
         match bitcode::decode(&snapshot.bytes) {
             Ok(value) if is_right => self.install_snapshot(now, key, snapshot.revision, value),
-            // It comes again as if nothing of it had come.
+            // Discarded whole; the next transfer starts from the beginning.
             _ => self.metrics.corrupt_snapshots += 1,
         }
     }
 
-    /// Asks for as many chunks as may be asked for.
+    /// Requests chunks up to the limit in flight.
     fn request_chunks(&mut self, key: &str) {
         let Some(snapshot) = self.incoming_snapshots.get_mut(key) else { return };
         let (to, revision) = (snapshot.sender, snapshot.revision);
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Begins to receive this revision or a later one, if there is room.
+    /// Starts to receive this revision or a later one, unless too many snapshots are being received.
     pub(crate) fn begin_snapshot(&mut self, now: Instant, from: Node, key: &str, revision: Revision) {
         let has_room = self.incoming_snapshots.len() < MAX_INCOMING_SNAPSHOTS;
         if has_room && !self.incoming_snapshots.contains_key(key) {
@@ -155,21 +157,22 @@
         }
     }
 
-    /// Goes on where it was, with this sender.
+    /// Continues a snapshot from what was received, with this sender.
     fn resume_snapshot(&mut self, now: Instant, from: Node, key: &str) {
         let Some(snapshot) = self.incoming_snapshots.get_mut(key) else { return };
         snapshot.resume_with(now, from);
         self.request_chunks(key);
     }
 
-    /// The keys whose snapshots are received and are so.
+    /// The keys of incoming snapshots that match the predicate.
     fn incoming_where(&self, is_so: impl Fn(&IncomingSnapshot) -> bool) -> Vec<String> {
         let snapshots = self.incoming_snapshots.iter().filter(|(_, snapshot)| is_so(snapshot));
         snapshots.map(|(key, _)| key.clone()).collect()
     }
 
-    /// A link came up: what was received over it goes on, and what would have been over one that is down. A snapshot that is
-    /// there in part is left to who sends it: another would rather have a later one, and begin anew.
+    /// A link came up: resumes the snapshots sent by this node, and those without a first chunk whose sender
+    /// is unreachable. One that is partly received waits for its sender: another node probably has a later
+    /// revision, and the transfer would start from the beginning.
     pub(crate) fn resume_snapshots_from(&mut self, now: Instant, with: Node) {
         let resumes = |snapshot: &IncomingSnapshot| {
             let is_stuck = snapshot.header.is_none() && !self.reachable.contains(&snapshot.sender);
@@ -180,7 +183,7 @@
         }
     }
 
-    /// A link ended: a snapshot of which nothing has come over it is asked of another that has it, if one is known.
+    /// A link was lost: requests the snapshots without a first chunk from another node known to have them.
     pub(crate) fn request_snapshots_elsewhere(&mut self, now: Instant, lost: Node) {
         for key in self.incoming_where(|snapshot| snapshot.sender == lost && snapshot.header.is_none()) {
             let mut sources = self.repair.sources(&key);
@@ -191,12 +194,12 @@
         }
     }
 
-    /// When a snapshot is to be asked for again.
+    /// When the next snapshot request has to be repeated.
     pub(crate) fn snapshot_deadline(&self) -> Option<Instant> {
         self.incoming_snapshots.values().map(IncomingSnapshot::deadline).min()
     }
 
-    /// Asks again for what has not come.
+    /// Repeats requests that were not answered in time.
     pub(crate) fn tick_snapshots(&mut self, now: Instant) {
         for key in self.incoming_where(|snapshot| now >= snapshot.deadline()) {
             let Some(snapshot) = self.incoming_snapshots.get(&key) else { continue };
@@ -217,7 +220,8 @@
         }
     }
 
-    /// Whom to ask for a snapshot after this one: another that has it, the owner, the same again, or anybody.
+    /// The next node to request a snapshot from: another one known to have it, the owner, the same sender
+    /// again, or any reachable replica.
     fn next_sender(&mut self, key: &str, sender: Node) -> Option<Node> {
         let owner = self.keys.get(key).map(|slot| Node(slot.highest_epoch.owner));
         let others = self.reachable_replicas();
@@ -230,8 +234,8 @@
             .or(others.get(index).copied())
     }
 
-    /// A snapshot is complete. It is what its revision's owner wrote, so it may stand here in the place of an older value even
-    /// if a higher epoch was promised meanwhile; but then nothing is confirmed to anybody.
+    /// Installs a complete snapshot. Its value was written by the owner of its revision, so it may replace an
+    /// older value even if a higher epoch was promised since. In that case nothing is confirmed.
     fn install_snapshot(&mut self, now: Instant, key: String, revision: Revision, value: V) {
         if self.phase == Phase::Repairing {
             self.repair.values.insert(key, FetchedValue { revision, value });
@@ -251,7 +255,7 @@
         self.request_missing(&key, epoch);
     }
 
-    /// Asks the owner for what came since.
+    /// Asks the owner for the changes since the revision here.
     pub(crate) fn request_missing(&mut self, key: &str, epoch: Epoch) {
         let owner = Node(epoch.owner);
         let Some(accepted) = self.keys.get(key).map(|slot| slot.accepted) else { return };
--- a/crates/control/control-store/src/protocol/status.rs
+++ b/crates/control/control-store/src/protocol/status.rs
@@ -1,4 +1,4 @@
-//! What a control store shows of itself to its caller.
+//! The state that a control store reports to its caller.
 
 use crate::key_slot::{KeySlot, Ownership};
 use crate::metrics::{KeyState, Metrics, OwnedKey, Role};
@@ -44,17 +44,17 @@
         self.metrics
     }
 
-    /// The replica set as this node knows it.
+    /// The replica set known to this node.
     pub fn replica_set(&self) -> &ReplicaSet {
         &self.replica_set
     }
 
-    /// The replicas this node goes by, one that joins or leaves included.
+    /// The nodes of that replica set, including a joining or leaving one.
     pub fn replica_nodes(&self) -> Vec<Node> {
         self.replica_set.nodes().collect()
     }
 
-    /// Whether this node is no replica.
+    /// Whether this node is not in the replica set.
     pub fn is_outside(&self) -> bool {
         !self.replica_set.contains(self.node)
     }
--- a/crates/control/control-store/src/protocol/timers.rs
+++ b/crates/control/control-store/src/protocol/timers.rs
@@ -1,4 +1,4 @@
-//! What is due for keys: claims of ownerless ones, what is sent again, and the heartbeat.
+//! Timers of keys: claims of keys without an owner, resends, and the heartbeat.
 
 use crate::key_slot::{KeySlot, Ownership};
 use crate::limits::{HEARTBEAT_INTERVAL, OWNER_SILENCE_TIMEOUT, RESEND_INTERVAL};
@@ -9,13 +9,13 @@
 use silvercross_time::Instant;
 use std::collections::BTreeMap;
 
-/// Whether no later incarnation of the node's disk is known than this one.
+/// Whether no later incarnation of the node's disk is known.
 fn is_latest(known: &BTreeMap<Node, Incarnation>, node: Node, incarnation: Incarnation) -> bool {
     known.get(&node).is_none_or(|known| incarnation >= *known)
 }
 
 impl<V: State> ControlStore<V> {
-    /// When something is due for the key.
+    /// When the key's next timer expires.
     pub(crate) fn key_deadline(&self, key: &str, slot: &KeySlot<V>) -> Option<Instant> {
         match &slot.ownership {
             Ownership::Replica if !slot.queue.is_empty() => Some(slot.claim_not_before),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Does what is due for keys, and sends the heartbeat.
+    /// Runs the expired timers of keys, and sends the heartbeat.
     pub(crate) fn tick_keys(&mut self, now: Instant) {
         let is_due = |(key, slot): &(&String, &KeySlot<V>)| {
             let owner_changed =
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Does what is due for one key.
+    /// Runs the timers of one key.
     fn tick_key(&mut self, now: Instant, key: &str) {
         let Some(slot) = self.keys.get_mut(key) else { return };
         slot.queue.retain(|call| now < call.deadline);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Claims a key for which calls wait, or which was without an owner for long enough.
+    /// Claims a key that has waiting calls or has been without an owner for long enough.
     fn tick_replica(&mut self, now: Instant, key: &str) {
         let has_owner = self.has_lasting_owner(now, key);
         let delay = self.claim_delay(key);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Asks those again that have not promised.
+    /// Sends the claim again to replicas that have not promised.
     fn tick_claim(&mut self, now: Instant, key: &str) {
         let mut missing = self.reachable_replicas();
         let ControlStore { node, keys, incarnations, .. } = self;
@@ -113,7 +113,7 @@
         self.try_take_ownership(now, key);
     }
 
-    /// Sends the append and the confirmation in flight again to those that have not answered.
+    /// Sends the append and the confirmation in flight again to replicas that have not answered.
     fn tick_owner(&mut self, now: Instant, key: &str) {
         let others = self.reachable_replicas();
         let ControlStore { keys, incarnations, .. } = self;
--- a/crates/control/control-store/src/repair.rs
+++ b/crates/control/control-store/src/repair.rs
@@ -1,4 +1,4 @@
-//! How far the repair of an empty disk has come.
+//! Progress of the repair of an empty disk.
 //!
 //! The rules of a repair are in `protocol::repair`.
 
@@ -8,12 +8,12 @@
 use silvercross_time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A key that others have.
+/// A key that other replicas have.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyToRepair {
     /// The highest promise and revision of all replies.
     pub(crate) summary: KeySummary,
-    /// All who have the value at that revision.
+    /// The replicas that have the value at that revision.
     pub(crate) sources: BTreeSet<Node>,
 }
 
@@ -27,20 +27,20 @@
 /// The state of a repair.
 #[derive(Clone, Debug)]
 pub(crate) struct Repair<V> {
-    /// Who has replied, with which incarnation. At most one of each replica.
+    /// The replicas that have replied, with their incarnations. At most one entry for each replica.
     pub(crate) replies: BTreeMap<Node, Incarnation>,
     /// At most `MAX_KEYS`.
     pub(crate) keys: BTreeMap<String, KeyToRepair>,
-    /// Values that are there. At most one of each key.
+    /// Fetched values. At most one for each key.
     pub(crate) values: BTreeMap<String, FetchedValue<V>>,
-    /// What the replies say of the next replica set.
+    /// The merged votes of the replies on the next replica set.
     pub(crate) vote: Vote,
-    /// When the others were asked last.
+    /// When the other replicas were last asked.
     pub(crate) last_sent: Instant,
 }
 
 impl<V> Repair<V> {
-    /// Nothing asked yet.
+    /// A repair without replies.
     pub(crate) fn new(now: Instant) -> Self {
         Repair {
             replies: BTreeMap::new(),
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Forgets what was replied; values that were fetched stay, for they hold at their revisions.
+    /// Drops the replies. Values that were fetched are kept, since they are valid at their revisions.
     pub(crate) fn forget_replies(&mut self) {
         self.replies.clear();
         self.keys.clear();
         self.vote = Vote::default();
     }
 
-    /// Takes in what `from` has of a key.
+    /// Merges what `from` has of a key.
     pub(crate) fn merge(&mut self, from: Node, summary: KeySummary, max_keys: usize) {
         let Some(known) = self.keys.get_mut(&summary.key) else {
             if self.keys.len() < max_keys {
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Who is known to have the key's value.
+    /// The replicas known to have the key's value.
     pub(crate) fn sources(&self, key: &str) -> impl Iterator<Item = Node> + '_ {
         self.keys.get(key).into_iter().flat_map(|known| known.sources.iter().copied())
     }
 
-    /// Which revision of the key, or a later one, is still to be fetched.
+    /// The revision of the key that still has to be fetched, if any. A later one is as good.
     pub(crate) fn missing(&self, key: &str) -> Option<Revision> {
         let needed = self.keys.get(key).map(|known| known.summary.accepted)?;
         let fetched = self.values.get(key).map_or(Revision::default(), |fetched| fetched.revision);
--- a/crates/control/control-store/src/replica_set.rs
+++ b/crates/control/control-store/src/replica_set.rs
@@ -1,4 +1,4 @@
-//! A replica set as a value: who belongs, what a quorum of it is, and the next one in a replacement.
+//! The replica set as a value: its members, its majorities, and the next one in a replacement.
 //!
 //! Nothing here sends or waits; how the next replica set is decided is in `protocol::replica_set_change`.
 
@@ -14,22 +14,24 @@
     pub joined_in: u64,
 }
 
-/// All replicas as of one version. While one is being replaced both it and the one that joins belong, and a quorum is a
-/// majority without the one that joins and a majority without the one that leaves (joint consensus, Raft, section 6).
+/// All replicas as of one version. During a replacement both the leaving and the joining replica are members,
+/// and a quorum is a majority without the joining one and a majority without the leaving one (joint
+/// consensus, Raft, section 6).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ReplicaSet {
-    /// Rises with every change; 1 was formatted on the first start, 0 is not known yet and `members` a hint where to ask.
+    /// Increases with every change; 1 is the one formatted at the first start. With 0 the replica set is
+    /// unknown and `members` are nodes to ask.
     pub version: u64,
     /// In order of their nodes.
     pub members: Vec<Member>,
-    /// Who is being replaced.
+    /// The replica that is being replaced.
     pub leaving: Option<Node>,
-    /// By whom.
+    /// The replica that replaces it.
     pub joining: Option<Node>,
 }
 
 impl ReplicaSet {
-    /// The replica set of a first start, or with version 0 a hint where to ask.
+    /// The replica set of a first start, or with version 0 the nodes to ask for it.
     pub(crate) fn first(version: u64, nodes: Vec<Node>) -> ReplicaSet {
         let mut members: Vec<Member> =
             nodes.into_iter().map(|node| Member { node, joined_in: version }).collect();
@@ -38,27 +40,27 @@
         ReplicaSet { version, members, leaving: None, joining: None }
     }
 
-    /// Whether it belongs.
+    /// Whether the node is a member.
     pub fn contains(&self, node: Node) -> bool {
         self.joined_in(node).is_some()
     }
 
-    /// The version in which it joined, if it belongs.
+    /// The version in which the node joined, if it is a member.
     pub(crate) fn joined_in(&self, node: Node) -> Option<u64> {
         self.members.iter().find(|member| member.node == node).map(|member| member.joined_in)
     }
 
-    /// All that belong.
+    /// All members.
     pub(crate) fn nodes(&self) -> impl Iterator<Item = Node> + '_ {
         self.members.iter().map(|member| member.node)
     }
 
-    /// Whether one is being replaced.
+    /// Whether a replica is being replaced.
     pub fn is_joint(&self) -> bool {
         self.joining.is_some() || self.leaving.is_some()
     }
 
-    /// Whether `nodes` are more than half of all that belong but `without`.
+    /// Whether `nodes` include more than half of all members except `without`.
     pub(crate) fn is_majority(&self, nodes: &[Node], without: Option<Node>) -> bool {
         let counted = self.nodes().filter(|node| Some(*node) != without);
         let (mut size, mut present) = (0, 0);
@@ -69,7 +71,7 @@
         present * 2 > size
     }
 
-    /// The joint replica set after this one, in which `joining` is to replace `leaving`.
+    /// The joint replica set that follows this one, in which `joining` is to replace `leaving`.
     pub(crate) fn joint(&self, leaving: Node, joining: Node) -> ReplicaSet {
         let version = self.version + 1;
         let mut members = self.members.clone();
@@ -78,41 +80,41 @@
         ReplicaSet { version, members, leaving: Some(leaving), joining: Some(joining) }
     }
 
-    /// The replica set after this joint one, without `node`: the replacement is complete if it is the one that leaves, abandoned
-    /// if it is the one that joins.
+    /// The replica set that follows this joint one, without `node`: the replacement is complete if that is
+    /// the leaving replica, abandoned if it is the joining one.
     pub(crate) fn without(&self, node: Node) -> ReplicaSet {
         let members = self.members.iter().copied().filter(|member| member.node != node).collect();
         ReplicaSet { version: self.version + 1, members, leaving: None, joining: None }
     }
 }
 
-/// A replica set that was accepted, and under which epoch.
+/// A replica set that was accepted, and the epoch under which it was.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AcceptedReplicaSet {
     /// The proposal's epoch.
     pub epoch: Epoch,
-    /// What was proposed.
+    /// The proposed replica set.
     pub replica_set: ReplicaSet,
 }
 
-/// What a replica has said about the next replica set: the state of a Paxos acceptor. Durable before it is said.
+/// A replica's vote on the next replica set: the state of a Paxos acceptor. Durable before it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Vote {
     /// Nothing of a lower epoch is accepted.
     pub promised: Epoch,
-    /// The last that was accepted.
+    /// The last accepted replica set.
     pub accepted: Option<AcceptedReplicaSet>,
 }
 
 impl Vote {
-    /// Takes in what another replica has said.
+    /// Merges the vote of another replica.
     pub(crate) fn merge(&mut self, other: Vote) {
         self.promised = self.promised.max(other.promised);
         keep_later(&mut self.accepted, other.accepted);
     }
 }
 
-/// Keeps what was accepted under the higher epoch.
+/// Keeps the one accepted under the higher epoch.
 pub(crate) fn keep_later(known: &mut Option<AcceptedReplicaSet>, other: Option<AcceptedReplicaSet>) {
     if other.as_ref().map(|accepted| accepted.epoch) > known.as_ref().map(|accepted| accepted.epoch) {
         *known = other;
--- a/crates/control/control-store/src/snapshot.rs
+++ b/crates/control/control-store/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshots in transfer: a value as it was encoded, sent in chunks of which the receiver asks for the next.
+//! Snapshots in transfer: an encoded value, sent in chunks that the receiver requests one by one.
 //!
-//! What was received is kept when a link breaks, and nothing is installed that is not complete and of one revision. Who is
-//! asked, and when again, is decided in `protocol::snapshots`.
+//! What was received is kept when a link is lost, and only a complete snapshot of one revision is installed.
+//! Which node is asked, and when again, is decided in `protocol::snapshots`.
 
 use crate::limits::{CHUNK_TIMEOUT, FIRST_CHUNK_TIMEOUT, MAX_CHUNKS_IN_FLIGHT};
 use crate::types::{Node, Revision};
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// SipHash-1-3 with a zero key and 128 bits, over a snapshot's encoding: against damage, not against forgery.
+/// SipHash-1-3 with a zero key and 128 bits, over a snapshot's encoding. It detects corruption, not forgery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SnapshotDigest {
     /// The first 64 bits.
@@ -21,7 +21,7 @@
 }
 
 impl SnapshotDigest {
-    /// Of an encoded value.
+    /// The digest of an encoded value.
     pub(crate) fn of(bytes: &[u8]) -> SnapshotDigest {
         let mut hasher = SipHasher13::new();
         hasher.write(bytes);
@@ -30,14 +30,14 @@
     }
 }
 
-/// What is known of a snapshot with its first chunk.
+/// Properties of a snapshot, sent with each of its chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SnapshotHeader {
     pub(crate) total_bytes: u64,
     pub(crate) digest: SnapshotDigest,
 }
 
-/// A chunk, as it comes. `offset` counts bytes of the snapshot's encoding.
+/// A received chunk. `offset` is in bytes of the snapshot's encoding.
 pub(crate) struct ReceivedChunk {
     pub(crate) revision: Revision,
     pub(crate) offset: u64,
@@ -45,28 +45,27 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// A snapshot that is received.
+/// A snapshot that is being received.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingSnapshot {
-    /// Who sends it.
     pub(crate) sender: Node,
     pub(crate) revision: Revision,
-    /// `None` until the first chunk is there.
+    /// `None` until the first chunk has arrived.
     pub(crate) header: Option<SnapshotHeader>,
-    /// What is there, from the start without a gap.
+    /// What was received, from the start without a gap.
     pub(crate) bytes: Vec<u8>,
-    /// Chunks that came before their turn, by offset. At most `MAX_CHUNKS_IN_FLIGHT`.
+    /// Chunks received ahead of a missing one, by offset. At most `MAX_CHUNKS_IN_FLIGHT`.
     out_of_order: BTreeMap<u64, Vec<u8>>,
-    /// How long a chunk is.
+    /// The size of a chunk.
     chunk_bytes: u64,
-    /// Asked for, up to this offset.
+    /// Everything up to this offset was requested.
     requested_up_to: u64,
     pub(crate) last_requested: Instant,
     pub(crate) last_received: Instant,
 }
 
 impl IncomingSnapshot {
-    /// Nothing of it is there.
+    /// A snapshot of which nothing was received.
     pub(crate) fn new(now: Instant, sender: Node, revision: Revision) -> IncomingSnapshot {
         IncomingSnapshot {
             sender,
@@ -81,7 +80,7 @@
         }
     }
 
-    /// Takes a chunk in; `false` if it is of another snapshot.
+    /// Adds a chunk; `false` if it belongs to another snapshot.
     pub(crate) fn add(&mut self, now: Instant, sender: Node, chunk: ReceivedChunk) -> bool {
         let is_first = chunk.offset == 0
             && match self.header {
@@ -111,18 +110,18 @@
         true
     }
 
-    /// When what was asked for is asked for again.
+    /// When the request in flight has to be repeated.
     pub(crate) fn deadline(&self) -> Instant {
         let timeout = if self.header.is_none() { FIRST_CHUNK_TIMEOUT } else { CHUNK_TIMEOUT };
         self.last_requested + timeout
     }
 
-    /// Whether all bytes are there.
+    /// Whether all bytes were received.
     pub(crate) fn is_complete(&self) -> bool {
         self.header.is_some_and(|header| self.bytes.len() as u64 >= header.total_bytes)
     }
 
-    /// The offset of the next chunk to ask for, if one may be.
+    /// The offset of the next chunk to request, if the limit allows one.
     pub(crate) fn next_request(&mut self) -> Option<u64> {
         let Some(header) = self.header else {
             let unasked = self.requested_up_to == 0;
@@ -139,7 +138,7 @@
         Some(offset)
     }
 
-    /// Goes on where it was, with this sender.
+    /// Continues from what was received, with this sender.
     pub(crate) fn resume_with(&mut self, now: Instant, sender: Node) {
         self.out_of_order.clear();
         self.sender = sender;
@@ -148,7 +147,7 @@
     }
 }
 
-/// A snapshot that is sent, as it was encoded: it stays the same while the key goes on changing.
+/// A snapshot that is being sent. Its encoding stays the same while the key continues to change.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingSnapshot {
     pub(crate) key: String,
@@ -159,7 +158,7 @@
 }
 
 impl OutgoingSnapshot {
-    /// The chunk that begins at this byte; empty beyond the end.
+    /// The chunk at this offset; empty beyond the end.
     pub(crate) fn chunk(&self, offset: u64, max_bytes: usize) -> &[u8] {
         let begin = usize::try_from(offset).unwrap_or(usize::MAX).min(self.bytes.len());
         let end = begin.saturating_add(max_bytes).min(self.bytes.len());
--- a/crates/control/control-store/src/store.rs
+++ b/crates/control/control-store/src/store.rs
@@ -1,7 +1,7 @@
 //! The state of a control store, and the few operations on it that all of `protocol` shares.
 //!
-//! The rules of the protocol are not here: each role has its own file below `protocol`, as an `impl` block. So this file
-//! and the types it is made of import nothing of them.
+//! The rules of the protocol are in the files below `protocol`, one `impl` block for each role. This file and
+//! the types it consists of import nothing from there.
 
 use crate::call::Call;
 use crate::effect::Effect;
@@ -26,17 +26,19 @@
 pub struct StartConfig {
     /// This node.
     pub node: Node,
-    /// All replicas on the first start; later, where to ask who they are. A replica set on disk goes first.
+    /// All replicas at the first start; later, the nodes to ask for the replica set. A replica set on disk
+    /// takes precedence.
     pub replica_set: Vec<Node>,
     /// Keys that exist from the start.
     pub keys: Vec<String>,
-    /// Whether this is the first start of this node: only then an empty disk is a new one and not a lost one.
+    /// Whether this is the first start of this node: only then is an empty disk new and not lost.
     pub is_first_start: bool,
-    /// For delays that differ between nodes. To differ with every start, for calls are numbered from it.
+    /// Seed of random delays. Has to differ between nodes and between starts, because call ids start at a
+    /// number drawn from it.
     pub seed: u64,
 }
 
-/// What this node is to the replica set.
+/// This node's status in the replica set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Phase {
     /// A replica whose metadata is being written: it votes once that is durable.
@@ -45,33 +47,34 @@
     Repairing,
     /// A replica whose promises and appends count.
     Voter,
-    /// No replica, or it doesn't know yet.
+    /// Not a replica, or the replica set is not known yet.
     Outside,
 }
 
 /// One control node's part of the control state.
 ///
-/// Every call may want something done: after each of them the caller is to do what [`ControlStore::take_effects`] returns.
+/// After each call, the caller has to execute the effects that [`ControlStore::take_effects`] returns.
 #[derive(Clone, Debug)]
 pub struct ControlStore<V: State> {
     pub(crate) node: Node,
     pub(crate) replica_set: ReplicaSet,
     pub(crate) vote: Vote,
     pub(crate) proposal: Option<Proposal>,
-    /// The highest epoch of a proposal that was heard of.
+    /// The highest known epoch of a proposal.
     pub(crate) highest_proposal: Epoch,
     pub(crate) next_proposal: Instant,
-    /// Linked nodes, replicas or not. At most `MAX_LINKS`, besides replicas.
+    /// Linked nodes, replicas or not. At most `MAX_LINKS`, not counting replicas.
     pub(crate) reachable: BTreeSet<Node>,
-    /// Since when replicas can't be reached.
+    /// Since when each unreachable replica has been so.
     pub(crate) unreachable_since: BTreeMap<Node, Instant>,
-    /// Who could become a replica. At most `MAX_CANDIDATES`.
+    /// Nodes that could become replicas. At most `MAX_CANDIDATES`.
     pub(crate) candidates: BTreeSet<Node>,
-    /// Control nodes, this one included, that have said that they stop, and since when. At most `MAX_STOPPING_NODES`.
+    /// Control nodes, this one included, that have announced that they are stopping, and since when. At most
+    /// `MAX_STOPPING_NODES`.
     pub(crate) stopping: BTreeMap<Node, Instant>,
-    /// The last joining replica with which a replacement was abandoned.
+    /// The joining replica of the last replacement, if it was abandoned.
     pub(crate) abandoned: Option<Node>,
-    /// Where this one was a replica and is none any more: who votes without it.
+    /// Set if this node was removed from the replica set: the nodes that vote under one without it.
     pub(crate) votes_without_this: Option<BTreeSet<Node>>,
     pub(crate) phase: Phase,
     pub(crate) incarnation: Incarnation,
@@ -101,10 +104,10 @@
     pub(crate) mutation: Option<Mutation>,
 }
 
-/// What a node is to the replica set at its start.
+/// The phase in which a node starts.
 fn first_phase(config: &StartConfig, metadata: Option<&Metadata>) -> Phase {
     match metadata {
-        // Its disk was found to have gone back to an older state: as good as empty.
+        // The disk was found rolled back to an older state before: it is treated as empty.
         Some(metadata) if metadata.replica_set.version == 0 => Phase::Outside,
         Some(_) => Phase::Voter,
         None if config.is_first_start && config.replica_set.contains(&config.node) => {
@@ -114,7 +117,8 @@
     }
 }
 
-/// Spreads the bits of a number (the finalizer of SplitMix64): random numbers and the claim order come from it.
+/// Mixes the bits of a number (the finalizer of SplitMix64). Random numbers and the claim order are based on
+/// it.
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -122,7 +126,7 @@
 }
 
 impl<V: State> ControlStore<V> {
-    /// A control store on what was found on disk.
+    /// A control store with the state found on disk.
     pub fn new(now: Instant, config: StartConfig, stored: StoredState<V>) -> Self {
         let phase = first_phase(&config, stored.metadata.as_ref());
         let metadata = stored.metadata.unwrap_or_else(|| Metadata {
@@ -171,7 +175,7 @@
         store
     }
 
-    /// Puts in the keys that exist from the start, and what was found on disk if it counts.
+    /// Creates the keys that exist from the start, and loads the stored ones if they count.
     fn load(&mut self, now: Instant, keys: Vec<String>, stored: Vec<StoredKey<V>>) {
         for key in keys {
             self.slot(now, &key);
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Puts what a disk or the others had in the place of what is here.
+    /// Replaces a key's state with one from disk or from other replicas.
     pub(crate) fn restore_key(&mut self, now: Instant, stored: StoredKey<V>) {
         if let Some(slot) = self.slot(now, &stored.key) {
             slot.replace(stored.promised, stored.accepted, stored.value);
@@ -195,7 +199,7 @@
         }
     }
 
-    /// The key's slot, made if there is room.
+    /// The key's slot, created if the limits allow it.
     pub(crate) fn slot(&mut self, now: Instant, key: &str) -> Option<&mut KeySlot<V>> {
         if !self.keys.contains_key(key) {
             if self.keys.len() >= MAX_KEYS || key.len() > MAX_KEY_BYTES {
@@ -206,17 +210,17 @@
         self.keys.get_mut(key)
     }
 
-    /// Keys whose slot is so.
+    /// The keys whose slots match the predicate.
     pub(crate) fn keys_where(&self, is_so: impl Fn(&KeySlot<V>) -> bool) -> Vec<String> {
         self.keys.iter().filter(|(_, slot)| is_so(slot)).map(|(key, _)| key.clone()).collect()
     }
 
-    /// Sends it, under the version of the replica set that is in force here.
+    /// Sends a message under the replica set in force here.
     pub(crate) fn send(&mut self, to: Node, message: Message<V, V::Change>) {
         self.effects.push(Effect::Send { to, version: self.replica_set.version, message });
     }
 
-    /// Has the caller do it.
+    /// Adds an effect for the caller to execute.
     pub(crate) fn push_effect(&mut self, effect: Effect<V>) {
         self.effects.push(effect);
     }
@@ -227,17 +231,18 @@
         mix(self.rng_state)
     }
 
-    /// Whether this node's promises and appends count: not while its metadata is being written or its disk repaired.
+    /// Whether this node's promises and appends count: not while its metadata is being written or its disk
+    /// repaired.
     pub fn is_voter(&self) -> bool {
         self.phase == Phase::Voter
     }
 
-    /// Whether this rule is changed on purpose.
+    /// Whether this mutation is active.
     pub(crate) fn has_mutation(&self, mutation: Mutation) -> bool {
         is_active(self.mutation, mutation)
     }
 
-    /// Changes a rule on purpose, for tests of the checkers.
+    /// Activates a mutation, to test that the checkers detect it.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
     pub fn set_mutation(&mut self, mutation: Mutation) {
@@ -253,13 +258,13 @@
         self.mutation = Some(mutation);
     }
 
-    /// Chunks of so many bytes in the place of [`SNAPSHOT_CHUNK_BYTES`], so that small values go in several too. For tests.
+    /// Replaces [`SNAPSHOT_CHUNK_BYTES`], so that small values too are sent in several chunks. For tests.
     #[doc(hidden)]
     pub fn set_snapshot_chunk_bytes(&mut self, bytes: usize) {
         self.snapshot_chunk_bytes = bytes.max(1);
     }
 
-    /// The same for two that go on alike, but for the random numbers from here on. For tests.
+    /// Equal for two stores that behave the same, apart from random numbers still to be drawn. For tests.
     #[doc(hidden)]
     pub fn fingerprint(&self) -> u64 {
         let alike = ControlStore { metrics: Metrics::default(), rng_state: 0, ..self.clone() };
--- a/crates/control/control-store/src/stored.rs
+++ b/crates/control/control-store/src/stored.rs
@@ -1,41 +1,42 @@
-//! What a replica keeps on disk.
+//! The state of a replica on disk.
 //!
-//! The encoding of these types is that of the stored data: their fields may be renamed but neither moved nor retyped.
+//! The encoding of these types is that of the stored data: fields may be renamed but neither moved nor
+//! retyped.
 
 use crate::replica_set::{ReplicaSet, Vote};
 use crate::types::{Epoch, Incarnation, NodeIncarnation, Revision};
 use bitcode::{Decode, Encode};
 
-/// What is durable of a key.
+/// The durable state of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StoredKey<V> {
-    /// Its name.
+    /// The key.
     pub key: String,
-    /// The highest epoch that was promised: nothing of a lower one is accepted.
+    /// The highest promised epoch: nothing of a lower one is accepted.
     pub promised: Epoch,
-    /// Where `value` stands.
+    /// The revision of `value`.
     pub accepted: Revision,
-    /// Its value.
+    /// The value.
     pub value: V,
 }
 
-/// That this disk is a replica's, and whose.
+/// Marks the disk as that of a replica, and identifies it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Metadata {
-    /// All replicas, as of the last version under which this one said anything.
+    /// The replica set of the last version under which this replica said anything.
     pub replica_set: ReplicaSet,
-    /// What was said about the next one.
+    /// This replica's promise and acceptance for the next replica set.
     pub vote: Vote,
-    /// Which disk of its replica this is.
+    /// The incarnation of this disk.
     pub incarnation: Incarnation,
-    /// The others' repairs that this replica has answered.
+    /// Known incarnations of the other replicas.
     pub incarnations: Vec<NodeIncarnation>,
 }
 
-/// What was found on disk at start.
+/// The state found on disk at start.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct StoredState<V> {
-    /// `None`: it was never formatted, or wiped.
+    /// `None` if the disk was never formatted, or was wiped.
     pub metadata: Option<Metadata>,
     /// All keys.
     pub keys: Vec<StoredKey<V>>,
--- a/crates/control/control-store/src/value.rs
+++ b/crates/control/control-store/src/value.rs
@@ -1,15 +1,16 @@
-//! What the control store asks of the values that it keeps.
+//! The interface of the values that the control store keeps.
 //!
-//! The store must not know more of a value than this. Implementations are in the packages of the values (`mesh-config`,
-//! `throttle`, `quota`) and in the daemon, which puts them together.
+//! The store must not depend on anything else of a value. Implementations are in the packages of the values
+//! (`mesh-config`, `throttle`, `quota`) and in the daemon, which combines them.
 
 use bitcode::{Decode, DecodeOwned, Encode};
 use std::fmt;
 
-/// Why a change is not taken. Nothing of it is in force.
+/// Why a change was not applied. No part of it is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Rejection {
-    /// It would be valid, but another of the same version came first (HTTP 409); else it is invalid (HTTP 400).
+    /// The change would be valid, but another one of the same version came first (HTTP 409). Otherwise it is
+    /// invalid (HTTP 400).
     pub conflict: bool,
     /// Item, key and reason, for the operator.
     pub reason: String,
@@ -24,13 +25,13 @@
 
 impl std::error::Error for Rejection {}
 
-/// The value of a key and how it changes. It is sent as it is encoded.
+/// The value of a key and how it changes. Sent and stored in this encoding.
 pub trait State: Clone + Default + PartialEq + fmt::Debug + Encode + DecodeOwned {
-    /// What one call changes.
+    /// The change made by one call.
     type Change: Clone + PartialEq + fmt::Debug + Encode;
 
-    /// Applies a change whole or not at all: `Ok(true)` if something changed, `Ok(false)` if all of it stood already (it is
-    /// acknowledged again), `Err` with `self` as it was. Replicas apply the same changes in the same order, so the result
-    /// may depend on nothing but `self` and `change`.
+    /// Applies a change as a whole or not at all: `Ok(true)` if something changed, `Ok(false)` if the value
+    /// already contained it (it is acknowledged again), `Err` with `self` unchanged. Replicas apply the same
+    /// changes in the same order, so the result may depend on nothing but `self` and `change`.
     fn apply(&mut self, change: &Self::Change) -> Result<bool, Rejection>;
 }
--- a/crates/control/control-store/src/write_queue.rs
+++ b/crates/control/control-store/src/write_queue.rs
@@ -1,24 +1,24 @@
-//! Writes in flight, and what waits for them.
+//! Writes in flight, and the actions that wait for them.
 
 use crate::message::Message;
 use crate::types::{Epoch, Node};
 use crate::value::State;
 
-/// What is done once a write is durable.
+/// An action to run once a write is durable.
 #[derive(Clone, Debug)]
 pub(crate) enum AfterWrite<V: State> {
-    /// A message is sent.
+    /// Send a message.
     Send {
-        /// Under which version of the replica set: under a later one it is not sent any more.
+        /// The version of the replica set under which it is sent. Under a later one it is dropped.
         version: u64,
         to: Node,
         message: Message<V, V::Change>,
     },
-    /// This node's own promise for its claim counts.
+    /// Count this node's own promise for its claim.
     OwnPromise { key: String, epoch: Epoch },
-    /// This node's own append counts.
+    /// Count this node's own append.
     OwnAppend { key: String, epoch: Epoch, sequence: u64 },
-    /// This node votes, if this is still the replica set's version.
+    /// Start to vote, if the replica set still has this version.
     Vote { version: u64 },
 }
 
