--- a/crates/control/control-store/src/batch.rs
+++ b/crates/control/control-store/src/batch.rs
@@ -3,7 +3,7 @@
 //!
 //! It sends nothing; `protocol::replicate` acts on the result.
 
-use crate::call::{Applied, Caller, QueuedCall, UncommittedCall, UnconfirmedCall};
+use crate::call::{ApplyResult, Caller, QueuedCall, UncommittedCall, UnconfirmedCall};
 use crate::key_slot::CommittedValue;
 use crate::limits::MAX_BATCH_CHANGES;
 use crate::message::{CallOutcome, Request};
@@ -22,7 +22,7 @@
     /// Limit for the size of an append's changes, which only the last change may exceed.
     max_bytes: usize,
     /// Whether an append is in flight, so that changes have to wait.
-    is_busy: bool,
+    is_append_in_flight: bool,
     mutation: Option<Mutation>,
     /// The committed value with the changes applied; `None` if nothing has changed it.
     pub(crate) value: Option<V>,
@@ -41,10 +41,10 @@
 
 impl<V: State> Batch<V> {
     /// An empty batch.
-    pub(crate) fn new(max_bytes: usize, is_busy: bool, mutation: Option<Mutation>) -> Self {
+    pub(crate) fn new(max_bytes: usize, is_append_in_flight: bool, mutation: Option<Mutation>) -> Self {
         Batch {
             max_bytes,
-            is_busy,
+            is_append_in_flight,
             mutation,
             value: None,
             changes: Vec::new(),
@@ -69,7 +69,10 @@
             } else {
                 self.unconfirmed.push(UnconfirmedCall { call, rejection: None });
             }
-        } else if self.is_busy || self.changes.len() >= MAX_BATCH_CHANGES || self.bytes >= self.max_bytes {
+        } else if self.is_append_in_flight
+            || self.changes.len() >= MAX_BATCH_CHANGES
+            || self.bytes >= self.max_bytes
+        {
             self.queue.push_back(call);
         } else {
             self.apply(call, committed);
@@ -80,14 +83,14 @@
     fn apply(&mut self, call: QueuedCall<V::Change>, committed: &CommittedValue<V>) {
         let Request::Change(change) = &call.request else { return };
         // On a clone, so that a rejected change leaves nothing behind.
-        let mut tried = self.value.as_ref().unwrap_or(&committed.value).clone();
-        match (tried.apply(change), self.value.is_some()) {
-            (Ok(true), _) => self.change(tried, call, Ok(true)),
+        let mut updated = self.value.as_ref().unwrap_or(&committed.value).clone();
+        match (updated.apply(change), self.value.is_some()) {
+            (Ok(true), _) => self.push_change(updated, call, Ok(true)),
             (Ok(false), false) => self.unconfirmed.push(UnconfirmedCall { call, rejection: None }),
             (Err(rejection), _)
-                if self.has_mutation(Mutation::KeepsPartialChange) && tried != committed.value =>
+                if self.has_mutation(Mutation::KeepsPartialChange) && updated != committed.value =>
             {
-                self.change(tried, call, Err(rejection));
+                self.push_change(updated, call, Err(rejection));
             }
             (Err(rejection), false) if self.has_mutation(Mutation::RejectsWithoutConfirmation) => {
                 self.answer(&call, CallOutcome::Rejected(rejection));
@@ -107,7 +110,7 @@
     }
 
     /// Adds a change to the append, which leads to `value`.
-    fn change(&mut self, value: V, call: QueuedCall<V::Change>, applied: Applied) {
+    fn push_change(&mut self, value: V, call: QueuedCall<V::Change>, applied: ApplyResult) {
         if let Request::Change(change) = &call.request {
             self.bytes += bitcode::encode(change).len();
             self.changes.push(change.clone());
--- a/crates/control/control-store/src/call.rs
+++ b/crates/control/control-store/src/call.rs
@@ -1,6 +1,6 @@
 //! Calls of this node's callers, and calls queued at a key, including those that other nodes forwarded.
 
-use crate::limits::{FORWARD_TIMEOUT, MAX_REMEMBERED_FORWARDS};
+use crate::limits::{FORWARD_TIMEOUT, MAX_RECENT_FORWARDS};
 use crate::message::Request;
 use crate::types::{Epoch, Node, Revision};
 use crate::value::Rejection;
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// The result of [`State::apply`](crate::value::State::apply).
-pub(crate) type Applied = Result<bool, Rejection>;
+pub(crate) type ApplyResult = Result<bool, Rejection>;
 
 /// Who receives the outcome of a queued call.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -45,26 +45,26 @@
 #[derive(Clone, Debug)]
 pub(crate) struct UncommittedCall<C> {
     pub(crate) call: QueuedCall<C>,
-    pub(crate) applied: Applied,
+    pub(crate) applied: ApplyResult,
 }
 
 /// The last `MAX_RECENT_FORWARDS` calls that were forwarded here under one epoch, to recognize duplicates.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RememberedForwards {
-    known: BTreeSet<(Node, u64)>,
+pub(crate) struct RecentForwards {
+    seen: BTreeSet<(Node, u64)>,
     order: VecDeque<(Node, u64)>,
 }
 
-impl RememberedForwards {
+impl RecentForwards {
     /// Whether this call is new.
     pub(crate) fn insert(&mut self, from: Node, id: u64) -> bool {
-        if !self.known.insert((from, id)) {
+        if !self.seen.insert((from, id)) {
             return false;
         }
         self.order.push_back((from, id));
-        if self.order.len() > MAX_REMEMBERED_FORWARDS {
+        if self.order.len() > MAX_RECENT_FORWARDS {
             if let Some(oldest) = self.order.pop_front() {
-                self.known.remove(&oldest);
+                self.seen.remove(&oldest);
             }
         }
         true
@@ -80,7 +80,7 @@
 
 /// Where an open call is served.
 #[derive(Clone, Debug)]
-pub(crate) enum CallPlace {
+pub(crate) enum CallRoute {
     /// Here: in its key's queue, or waiting for an append or a confirmation.
     Local,
     /// At another node.
@@ -103,24 +103,24 @@
     pub(crate) request: Request<C>,
     pub(crate) deadline: Instant,
     /// The targets tried so far. At most `MAX_FORWARDS_PER_CALL`.
-    pub(crate) tried: Vec<ForwardTarget>,
-    pub(crate) place: CallPlace,
+    pub(crate) tried_targets: Vec<ForwardTarget>,
+    pub(crate) route: CallRoute,
 }
 
 impl<C> Call<C> {
     /// When the call has to be answered or routed again at the latest.
     pub(crate) fn next_deadline(&self) -> Instant {
-        match self.place {
-            CallPlace::Local | CallPlace::AwaitingRevision(_) => self.deadline,
-            CallPlace::Forwarded { since, .. } => self.deadline.min(since + FORWARD_TIMEOUT),
-            CallPlace::Parked(until) => self.deadline.min(until),
+        match self.route {
+            CallRoute::Local | CallRoute::AwaitingRevision(_) => self.deadline,
+            CallRoute::Forwarded { since, .. } => self.deadline.min(since + FORWARD_TIMEOUT),
+            CallRoute::Parked(until) => self.deadline.min(until),
         }
     }
 
     /// The node that it is currently forwarded to.
     pub(crate) fn forwarded_to(&self) -> Option<ForwardTarget> {
-        match self.place {
-            CallPlace::Forwarded { target, .. } => Some(target),
+        match self.route {
+            CallRoute::Forwarded { target, .. } => Some(target),
             _ => None,
         }
     }
--- a/crates/control/control-store/src/change_log.rs
+++ b/crates/control/control-store/src/change_log.rs
@@ -3,7 +3,7 @@
 //! The log is kept only in memory and is bounded: a replica that lacks more gets a snapshot. It is
 //! independent of owners and messages.
 
-use crate::limits::{CHANGE_LOG_ENTRY_BYTES, MAX_ALL_CHANGE_LOGS_BYTES, MAX_CHANGE_LOG_BYTES};
+use crate::limits::{CHANGE_LOG_ENTRY_OVERHEAD_BYTES, MAX_CHANGE_LOG_BYTES, MAX_TOTAL_CHANGE_LOG_BYTES};
 use crate::types::Revision;
 use std::collections::VecDeque;
 
@@ -42,11 +42,11 @@
     /// Adds an append, in a store of `key_count` keys.
     pub(crate) fn push(&mut self, revision: Revision, changes: Vec<C>, key_count: usize) {
         let encoded = changes.iter().map(|change| bitcode::encode(change).len());
-        let bytes = CHANGE_LOG_ENTRY_BYTES + encoded.sum::<usize>();
-        let share = MAX_CHANGE_LOG_BYTES.min(MAX_ALL_CHANGE_LOGS_BYTES / key_count.max(1));
+        let bytes = CHANGE_LOG_ENTRY_OVERHEAD_BYTES + encoded.sum::<usize>();
+        let limit = MAX_CHANGE_LOG_BYTES.min(MAX_TOTAL_CHANGE_LOG_BYTES / key_count.max(1));
         self.entries.push_back(Entry { revision, changes, bytes });
         self.bytes += bytes;
-        while self.bytes > MAX_CHANGE_LOG_BYTES || (self.bytes > share && self.entries.len() > 1) {
+        while self.bytes > MAX_CHANGE_LOG_BYTES || (self.bytes > limit && self.entries.len() > 1) {
             let Some(oldest) = self.entries.pop_front() else { break };
             self.bytes -= oldest.bytes;
             self.base = oldest.revision;
@@ -85,7 +85,7 @@
     }
 
     /// The revision before the last append, if that append is in the log.
-    pub(crate) fn before_last(&self) -> Option<Revision> {
+    pub(crate) fn base_of_last_append(&self) -> Option<Revision> {
         match self.entries.len() {
             0 => None,
             1 => Some(self.base),
--- a/crates/control/control-store/src/key_slot.rs
+++ b/crates/control/control-store/src/key_slot.rs
@@ -1,6 +1,6 @@
 //! The state of one key in a control store: its value, and this node's role in its ownership.
 
-use crate::call::{QueuedCall, RememberedForwards, UncommittedCall, UnconfirmedCall};
+use crate::call::{QueuedCall, RecentForwards, UncommittedCall, UnconfirmedCall};
 use crate::change_log::ChangeLog;
 use crate::types::{Epoch, Incarnation, Node, Revision};
 use crate::value::State;
@@ -19,7 +19,7 @@
     /// The highest known epoch.
     pub(crate) highest_epoch: Epoch,
     /// When its owner was last heard from.
-    pub(crate) owner_heard: Instant,
+    pub(crate) owner_last_heard: Instant,
     /// Since when the key has had no reachable owner.
     pub(crate) ownerless_since: Option<Instant>,
     /// No claim before this time, after one was lost.
@@ -38,7 +38,7 @@
             value: V::default(),
             change_log: ChangeLog::starting_at(Revision::default()),
             highest_epoch: Epoch::default(),
-            owner_heard: now,
+            owner_last_heard: now,
             ownerless_since: Some(now),
             claim_not_before: now,
             ownership: Ownership::Replica,
@@ -117,9 +117,9 @@
     /// The revisions that they had accepted.
     pub(crate) accepted: BTreeMap<Node, Revision>,
     /// When a replica with a later value was last asked to claim the key instead.
-    pub(crate) delegated: Option<Instant>,
+    pub(crate) delegated_at: Option<Instant>,
     pub(crate) last_sent: Instant,
-    pub(crate) forwards: RememberedForwards,
+    pub(crate) forwards: RecentForwards,
 }
 
 impl Claim {
@@ -130,9 +130,9 @@
             previous_epoch,
             promises: BTreeMap::new(),
             accepted: BTreeMap::new(),
-            delegated: None,
+            delegated_at: None,
             last_sent: now,
-            forwards: RememberedForwards::default(),
+            forwards: RecentForwards::default(),
         }
     }
 }
@@ -170,12 +170,12 @@
     /// Calls for the next confirmation; together with the queue at most `MAX_QUEUED_CALLS`. Rejections wait
     /// for it too: a superseded owner must not reject what has become valid.
     pub(crate) unconfirmed: Vec<UnconfirmedCall<V::Change>>,
-    pub(crate) forwards: RememberedForwards,
+    pub(crate) forwards: RecentForwards,
 }
 
 impl<V: State> Owner<V> {
     /// A new ownership. Its first append, which rewrites the value under the new epoch, is in flight.
-    pub(crate) fn new(now: Instant, epoch: Epoch, forwards: RememberedForwards) -> Owner<V> {
+    pub(crate) fn new(now: Instant, epoch: Epoch, forwards: RecentForwards) -> Owner<V> {
         Owner {
             epoch,
             sequence: 1,
--- a/crates/control/control-store/src/limits.rs
+++ b/crates/control/control-store/src/limits.rs
@@ -33,7 +33,7 @@
 /// Maximum number of times a call is forwarded; after that this node claims the key.
 pub(crate) const MAX_FORWARDS_PER_CALL: usize = 6;
 /// Forwarded calls that an owner remembers, to serve a duplicate only once. The oldest is dropped first.
-pub(crate) const MAX_REMEMBERED_FORWARDS: usize = 8192;
+pub(crate) const MAX_RECENT_FORWARDS: usize = 8192;
 /// Maximum number of writes in flight. Further changes are combined into the next write.
 pub(crate) const MAX_WRITES_IN_FLIGHT: usize = 2;
 /// Maximum number of changes in one append. The rest waits for the next one.
@@ -44,9 +44,9 @@
 pub(crate) const MAX_CHANGE_LOG_BYTES: usize = 1 << 20;
 /// Maximum size of all change logs. Each key has an equal share of it, and may exceed that with its last
 /// append alone.
-pub(crate) const MAX_ALL_CHANGE_LOGS_BYTES: usize = 16 << 20;
+pub(crate) const MAX_TOTAL_CHANGE_LOG_BYTES: usize = 16 << 20;
 /// Size that each append counts for in addition to its changes.
-pub(crate) const CHANGE_LOG_ENTRY_BYTES: usize = 64;
+pub(crate) const CHANGE_LOG_ENTRY_OVERHEAD_BYTES: usize = 64;
 
 /// Size of a snapshot chunk. It bounds how long a message waits on a slow link behind the chunks in flight.
 pub const SNAPSHOT_CHUNK_BYTES: usize = 32 * 1024;
--- a/crates/control/control-store/src/protocol/accept.rs
+++ b/crates/control/control-store/src/protocol/accept.rs
@@ -25,13 +25,14 @@
     /// Another node claims the key: promises not to accept anything of a lower epoch.
     pub(crate) fn on_claim(&mut self, now: Instant, from: Node, key: String, epoch: Epoch) {
         let is_own = epoch.owner == from.0;
-        if !is_own || self.slot(now, &key).is_none() || self.rejects_lower_epoch(from, &key, epoch) {
+        if !is_own || self.slot_or_insert(now, &key).is_none() || self.rejects_lower_epoch(from, &key, epoch)
+        {
             return;
         }
         self.observe_epoch(now, &key, epoch);
         let incarnations = self.incarnations();
         let Some(slot) = self.keys.get_mut(&key) else { return };
-        slot.owner_heard = now;
+        slot.owner_last_heard = now;
         let raised = epoch > slot.promised;
         slot.promised = epoch;
         let accepted = slot.accepted;
@@ -52,7 +53,7 @@
         append: ChangeRun<V::Change>,
     ) {
         let is_own = epoch.owner == from.0 && append.revision.epoch <= epoch;
-        if !is_own || self.slot(now, &key).is_none() {
+        if !is_own || self.slot_or_insert(now, &key).is_none() {
             return;
         }
         let accepts_any = self.has_mutation(Mutation::AcceptsLowerEpochAppends);
@@ -61,7 +62,7 @@
         }
         self.observe_epoch(now, &key, epoch);
         let Some(slot) = self.keys.get_mut(&key) else { return };
-        slot.owner_heard = now;
+        slot.owner_last_heard = now;
         slot.promised = slot.promised.max(epoch);
         let (revision, more) = (append.revision, append.more);
         let is_known = slot.accepted.epoch == epoch && slot.accepted >= revision;
@@ -128,7 +129,7 @@
         epoch: Epoch,
         round: u64,
     ) {
-        if self.slot(now, &key).is_some() && !self.rejects_lower_epoch(from, &key, epoch) {
+        if self.slot_or_insert(now, &key).is_some() && !self.rejects_lower_epoch(from, &key, epoch) {
             self.send(from, Message::EpochConfirmed { key, epoch, round });
         }
     }
@@ -139,12 +140,15 @@
             let revision = position.revision();
             let KeyPosition { key, epoch, .. } = position;
             let is_own = epoch.owner == from.0;
-            if !is_own || self.slot(now, &key).is_none() || self.rejects_lower_epoch(from, &key, epoch) {
+            if !is_own
+                || self.slot_or_insert(now, &key).is_none()
+                || self.rejects_lower_epoch(from, &key, epoch)
+            {
                 continue;
             }
             self.observe_epoch(now, &key, epoch);
             let Some(slot) = self.keys.get_mut(&key) else { continue };
-            slot.owner_heard = now;
+            slot.owner_last_heard = now;
             if slot.accepted < revision {
                 self.report_lagging(from, key, epoch, false);
             }
@@ -153,12 +157,12 @@
 
     /// Records an epoch. If this node owns or claims the key under a lower one, it steps down.
     pub(crate) fn observe_epoch(&mut self, now: Instant, key: &str, epoch: Epoch) {
-        let Some(slot) = self.slot(now, key) else { return };
+        let Some(slot) = self.slot_or_insert(now, key) else { return };
         if epoch <= slot.highest_epoch {
             return;
         }
         slot.highest_epoch = epoch;
-        slot.owner_heard = now;
+        slot.owner_last_heard = now;
         slot.ownerless_since = None;
         if slot.ownership.epoch().is_some_and(|own| own < epoch) {
             self.step_down(now, key);
--- a/crates/control/control-store/src/protocol/calls.rs
+++ b/crates/control/control-store/src/protocol/calls.rs
@@ -1,6 +1,6 @@
 //! Calls of this node's callers: routes each to the node that serves it, and answers it in time.
 
-use crate::call::{Call, CallPlace, Caller, ForwardTarget, QueuedCall};
+use crate::call::{Call, CallRoute, Caller, ForwardTarget, QueuedCall};
 use crate::effect::Effect;
 use crate::key_slot::Ownership;
 use crate::limits::{CALL_TIMEOUT, FORWARD_TIMEOUT, MAX_FORWARDS_PER_CALL, MAX_OPEN_CALLS, MAX_QUEUED_CALLS};
@@ -13,18 +13,18 @@
 impl<V: State> ControlStore<V> {
     /// Changes the key's value. The outcome is an [`Effect::Answer`] with this token, within 800 ms.
     pub fn call(&mut self, now: Instant, token: u64, key: &str, change: V::Change) {
-        self.begin(now, token, key, Request::Change(change));
+        self.begin_call(now, token, key, Request::Change(change));
     }
 
     /// Reads the key's value, including everything acknowledged before the read. The outcome is returned as
     /// for a change.
     pub fn read(&mut self, now: Instant, token: u64, key: &str) {
-        self.begin(now, token, key, Request::Read);
+        self.begin_call(now, token, key, Request::Read);
     }
 
-    fn begin(&mut self, now: Instant, token: u64, key: &str, request: Request<V::Change>) {
-        if self.slot(now, key).is_none() {
-            let reason = format!("no room for a further key ({} bytes)", key.len());
+    fn begin_call(&mut self, now: Instant, token: u64, key: &str, request: Request<V::Change>) {
+        if self.slot_or_insert(now, key).is_none() {
+            let reason = format!("too many keys, or a key that is too long ({} bytes)", key.len());
             let outcome = CallOutcome::Rejected(Rejection { conflict: false, reason });
             self.push_effect(Effect::Answer { token, outcome });
             return;
@@ -39,17 +39,17 @@
             key: key.to_owned(),
             request,
             deadline: now + CALL_TIMEOUT,
-            tried: Vec::new(),
-            place: CallPlace::Local,
+            tried_targets: Vec::new(),
+            route: CallRoute::Local,
         };
         self.open_call(now, call);
     }
 
     /// Assigns the next id to a call and routes it.
     fn open_call(&mut self, now: Instant, call: Call<V::Change>) {
-        self.last_call = self.last_call.wrapping_add(1);
-        self.open_calls.insert(self.last_call, call);
-        self.route(now, self.last_call);
+        self.last_call_id = self.last_call_id.wrapping_add(1);
+        self.open_calls.insert(self.last_call_id, call);
+        self.route(now, self.last_call_id);
     }
 
     /// Routes an open call: to this node, to the owner, or to the node that should become the owner.
@@ -64,11 +64,11 @@
         let can_claim = self.can_claim();
         let Some(call) = self.open_calls.get_mut(&id) else { return };
         if !can_claim {
-            call.tried.clear();
-            call.place = CallPlace::Parked(now + FORWARD_TIMEOUT);
+            call.tried_targets.clear();
+            call.route = CallRoute::Parked(now + FORWARD_TIMEOUT);
             return;
         }
-        call.place = CallPlace::Local;
+        call.route = CallRoute::Local;
         let (request, deadline) = (call.request.clone(), call.deadline);
         let key = call.key.clone();
         self.enqueue(now, &key, QueuedCall { caller: Caller::Local(id), request, deadline });
@@ -79,14 +79,14 @@
     fn forward_target(&self, now: Instant, call: &Call<V::Change>) -> Option<ForwardTarget> {
         let epoch = self.keys.get(&call.key)?.highest_epoch;
         let order = self.claim_order(&call.key);
-        let is_untried = |t: &ForwardTarget| t.node != self.node && !call.tried.contains(t);
+        let is_untried = |t: &ForwardTarget| t.node != self.node && !call.tried_targets.contains(t);
         let first = order.first().map(|node| ForwardTarget { node: *node, epoch });
         let mut target = self.known_owner(now, &call.key).or(first);
         if !self.can_claim() {
             let others = order.iter().map(|node| ForwardTarget { node: *node, epoch });
             target = target.into_iter().chain(others).find(is_untried);
         }
-        target.filter(|target| is_untried(target) && call.tried.len() < MAX_FORWARDS_PER_CALL)
+        target.filter(|target| is_untried(target) && call.tried_targets.len() < MAX_FORWARDS_PER_CALL)
     }
 
     fn forward(&mut self, now: Instant, id: u64, target: ForwardTarget) {
@@ -98,8 +98,8 @@
             request => request.clone(),
         };
         let message = Message::Forward { id, key: call.key.clone(), epoch: target.epoch, request };
-        call.tried.push(target);
-        call.place = CallPlace::Forwarded { target, since: now };
+        call.tried_targets.push(target);
+        call.route = CallRoute::Forwarded { target, since: now };
         self.metrics.forwarded += 1;
         self.send(target.node, message);
     }
@@ -123,19 +123,19 @@
     /// Answers a read for which the owner returned this revision, from the local value once it has reached
     /// it. If the local value is already past it, it may not be committed, so the owner is asked for the
     /// value itself.
-    pub(crate) fn read_here(&mut self, now: Instant, id: u64, revision: Revision) {
+    pub(crate) fn answer_read(&mut self, now: Instant, id: u64, revision: Revision) {
         let Some(call) = self.open_calls.get_mut(&id) else { return };
         let Some(slot) = self.keys.get(&call.key) else { return };
         if slot.accepted == revision {
             let value = slot.value.clone();
             self.answer(Caller::Local(id), CallOutcome::Value { revision, value });
         } else if slot.accepted < revision {
-            call.place = CallPlace::AwaitingRevision(revision);
+            call.route = CallRoute::AwaitingRevision(revision);
             let key = call.key.clone();
-            self.request_missing(&key, revision.epoch);
+            self.request_catch_up(&key, revision.epoch);
         } else if let Some(mut call) = self.open_calls.remove(&id) {
             call.request = Request::ReadValue;
-            call.tried.clear();
+            call.tried_targets.clear();
             // Under a new id: the owner ignores one that it has already served.
             self.open_call(now, call);
         }
@@ -143,13 +143,13 @@
 
     /// The local value has changed: answers the reads that waited for it.
     pub(crate) fn resume_reads(&mut self, now: Instant, key: &str) {
-        let waiting = |(id, call): (&u64, &Call<V::Change>)| match call.place {
-            CallPlace::AwaitingRevision(revision) if call.key == key => Some((*id, revision)),
+        let waiting = |(id, call): (&u64, &Call<V::Change>)| match call.route {
+            CallRoute::AwaitingRevision(revision) if call.key == key => Some((*id, revision)),
             _ => None,
         };
         let waiting: Vec<(u64, Revision)> = self.open_calls.iter().filter_map(waiting).collect();
         for (id, revision) in waiting {
-            self.read_here(now, id, revision);
+            self.answer_read(now, id, revision);
         }
     }
 
@@ -183,8 +183,8 @@
     pub(crate) fn reroute_calls(&mut self, now: Instant) {
         let mut ids = Vec::new();
         for (id, call) in &mut self.open_calls {
-            if !matches!(call.place, CallPlace::Local) {
-                call.tried.clear();
+            if !matches!(call.route, CallRoute::Local) {
+                call.tried_targets.clear();
                 ids.push(*id);
             }
         }
--- a/crates/control/control-store/src/protocol/candidates.rs
+++ b/crates/control/control-store/src/protocol/candidates.rs
@@ -14,7 +14,7 @@
 /// A replica that is to be replaced, and the time from which it may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DueReplacement {
-    pub(crate) from: Instant,
+    pub(crate) due_at: Instant,
     pub(crate) node: Node,
 }
 
@@ -56,44 +56,44 @@
     /// Whether this stopping node is still needed as a replica: it is being replaced or could be, or the
     /// replica set without it is not in force yet.
     pub fn is_still_needed(&self) -> bool {
-        match &self.votes_without_this {
+        match &self.voters_without_this {
             Some(voters) => {
                 let voters: Vec<Node> = voters.iter().copied().collect();
                 !self.has_mutation(Mutation::StopsBeforeReplicaSetInForce)
                     && !self.replica_set.is_majority(&voters, None)
             }
             None => {
-                let is_wanted = self.replica_set.is_joint()
+                let can_be_replaced = self.replica_set.is_joint()
                     || self.replacement_candidate().is_some()
                     || self.awaits_candidate();
-                !self.is_outside() && is_wanted
+                !self.is_outside() && can_be_replaced
             }
         }
     }
 
     /// Whether the other reachable replicas are no majority while a node that could join is unavailable for
     /// now: its link is down, or it has not yet heard that the replacement in which it was joining was
-    /// abandoned.
+    /// abandoned_joining.
     fn awaits_candidate(&self) -> bool {
         let others: Vec<Node> = self.reachable.iter().copied().collect();
         let is_free = |n: &Node| !self.replica_set.contains(*n) && !self.stopping.contains_key(n);
-        let is_known = self.candidates.iter().chain(&self.abandoned).any(is_free);
+        let is_known = self.candidates.iter().chain(&self.abandoned_joining).any(is_free);
         is_known && !self.replica_set.is_majority(&others, None)
     }
 
-    /// The node that could replace a replica now. The one whose replacement was abandoned last is the last
+    /// The node that could replace a replica now. The one whose replacement was abandoned_joining last is the last
     /// choice.
     pub(crate) fn replacement_candidate(&self) -> Option<Node> {
         let is_free = |node: &&Node| self.reachable.contains(node) && !self.replica_set.contains(**node);
         let free = self.candidates.iter().filter(is_free).copied();
-        free.min_by_key(|node| (Some(*node) == self.abandoned, *node))
+        free.min_by_key(|node| (Some(*node) == self.abandoned_joining, *node))
     }
 
     /// When an unreachable replica counts as lost.
-    fn lost_from(&self, node: Node) -> Option<Instant> {
-        let stops =
+    fn lost_at(&self, node: Node) -> Option<Instant> {
+        let is_stopping =
             |other: Node| other != node && self.is_present(other) && self.stopping.contains_key(&other);
-        let delay = if self.replica_set.nodes().any(stops) {
+        let delay = if self.replica_set.nodes().any(is_stopping) {
             UNREACHABLE_REPLACE_DELAY_DURING_STOP
         } else {
             UNREACHABLE_REPLACE_DELAY
@@ -103,19 +103,19 @@
 
     /// Whether a replica counts as lost.
     pub(crate) fn is_lost(&self, now: Instant, node: Node) -> bool {
-        self.lost_from(node).is_some_and(|from| now >= from)
+        self.lost_at(node).is_some_and(|from| now >= from)
     }
 
     /// When a replica is due for replacement: once it is lost, or has announced that it is stopping. A
     /// stopping replica proposes first, since its own proposal doesn't require others to know that it is
     /// stopping.
-    fn replace_from(&self, node: Node) -> Option<Instant> {
-        let Some(said) = self.stopping.get(&node) else { return self.lost_from(node) };
+    fn replacement_due_at(&self, node: Node) -> Option<Instant> {
+        let Some(said) = self.stopping.get(&node) else { return self.lost_at(node) };
         Some(if node == self.node { *said } else { *said + PROPOSAL_STAGGER })
     }
 
     fn replacements(&self) -> impl Iterator<Item = DueReplacement> + '_ {
-        let due = |node| self.replace_from(node).map(|from| DueReplacement { from, node });
+        let due = |node| self.replacement_due_at(node).map(|due_at| DueReplacement { due_at, node });
         self.replica_set.nodes().filter_map(due)
     }
 
@@ -127,13 +127,14 @@
     /// The replica to replace now. Of those that are due, an unreachable one goes before one that is still
     /// reachable.
     pub(crate) fn replica_to_replace(&self, now: Instant) -> Option<Node> {
-        let due = self.replacements().filter(|due| due.from <= now);
+        let due = self.replacements().filter(|due| due.due_at <= now);
         due.min_by_key(|due| (!self.unreachable_since.contains_key(&due.node), *due)).map(|due| due.node)
     }
 
     /// Whether any replica other than these is unreachable.
     pub(crate) fn is_another_unreachable(&self, except: &[Node]) -> bool {
-        let is_gone = |node: Node| !except.contains(&node) && self.unreachable_since.contains_key(&node);
-        self.replica_set.nodes().any(is_gone)
+        let is_unreachable =
+            |node: Node| !except.contains(&node) && self.unreachable_since.contains_key(&node);
+        self.replica_set.nodes().any(is_unreachable)
     }
 }
--- a/crates/control/control-store/src/protocol/claim.rs
+++ b/crates/control/control-store/src/protocol/claim.rs
@@ -40,7 +40,7 @@
     /// The claim is durable here: sends it to the other replicas.
     pub(crate) fn on_own_promise(&mut self, now: Instant, key: String, epoch: Epoch) {
         let (node, incarnation) = (self.node, self.incarnation);
-        let Some(claim) = self.claim_under(&key, epoch) else { return };
+        let Some(claim) = self.claim_with_epoch(&key, epoch) else { return };
         claim.promises.insert(node, incarnation);
         claim.last_sent = now;
         self.broadcast(&Message::Claim { key: key.clone(), epoch });
@@ -60,14 +60,14 @@
         if !self.check_incarnation(from, incarnation) {
             return;
         }
-        let Some(claim) = self.claim_under(&key, epoch) else { return };
+        let Some(claim) = self.claim_with_epoch(&key, epoch) else { return };
         claim.promises.insert(from, incarnation);
         claim.accepted.insert(from, accepted);
         self.try_take_ownership(now, &key);
     }
 
     /// This node's claim of the key, if it has this epoch.
-    fn claim_under(&mut self, key: &str, epoch: Epoch) -> Option<&mut Claim> {
+    fn claim_with_epoch(&mut self, key: &str, epoch: Epoch) -> Option<&mut Claim> {
         self.keys.get_mut(key)?.claim_mut().filter(|claim| claim.epoch == epoch)
     }
 
@@ -78,16 +78,17 @@
         let Some(slot) = self.keys.get(key) else { return };
         let Ownership::Claiming(claim) = &slot.ownership else { return };
         let ignores_later = self.has_mutation(Mutation::ClaimsWithOlderValue);
-        let has_later = |node: Node| {
+        let has_later_value = |node: Node| {
             claim.accepted.get(&node).is_some_and(|accepted| *accepted > slot.accepted) && !ignores_later
         };
-        let counts = |a: &NodeIncarnation| !has_later(a.node) || self.reachable.contains(&a.node);
+        let counts = |a: &NodeIncarnation| !has_later_value(a.node) || self.reachable.contains(&a.node);
         let has_quorum = self.has_mutation(Mutation::ClaimsWithoutQuorum)
             || self.have_quorum(node_incarnations(&claim.promises).filter(counts));
         if !has_quorum || !claim.promises.contains_key(&self.node) {
             return;
         }
-        let later = claim.accepted.iter().filter(|(n, _)| has_later(**n) && self.reachable.contains(*n));
+        let later =
+            claim.accepted.iter().filter(|(n, _)| has_later_value(**n) && self.reachable.contains(*n));
         if let Some(to) = later.max_by_key(|(_, accepted)| **accepted).map(|(node, _)| *node) {
             return self.delegate_claim(now, to, key);
         }
@@ -112,7 +113,7 @@
     /// Checks the open claims again after a link was lost: a claim delegated to the replica behind it may
     /// succeed without that replica.
     pub(crate) fn retry_claims(&mut self, now: Instant) {
-        for key in self.keys_where(|slot| matches!(slot.ownership, Ownership::Claiming(_))) {
+        for key in self.keys_matching(|slot| matches!(slot.ownership, Ownership::Claiming(_))) {
             self.try_take_ownership(now, &key);
         }
     }
@@ -120,8 +121,8 @@
     /// Asks a replica with a later value to claim the key instead, at most once per resend interval.
     fn delegate_claim(&mut self, now: Instant, to: Node, key: &str) {
         let Some(claim) = self.keys.get_mut(key).and_then(|slot| slot.claim_mut()) else { return };
-        if claim.delegated.is_none_or(|at| now >= at + RESEND_INTERVAL) {
-            claim.delegated = Some(now);
+        if claim.delegated_at.is_none_or(|at| now >= at + RESEND_INTERVAL) {
+            claim.delegated_at = Some(now);
             let epoch = claim.epoch;
             self.metrics.claims_delegated += 1;
             self.send(to, Message::ClaimRequest { key: key.to_owned(), epoch });
@@ -145,7 +146,7 @@
         let ownership = std::mem::replace(&mut slot.ownership, Ownership::Replica);
         let mut calls: Vec<QueuedCall<V::Change>> = std::mem::take(&mut slot.queue).into();
         slot.claim_not_before = now + MIN_CLAIM_BACKOFF + Duration::from_micros(jitter);
-        slot.owner_heard = now;
+        slot.owner_last_heard = now;
         slot.ownerless_since = None;
         let highest_epoch = slot.highest_epoch;
         self.metrics.stepped_down += 1;
@@ -202,7 +203,7 @@
         if epoch.owner != from.0 || slot.highest_epoch != epoch {
             return;
         }
-        slot.owner_heard = now - OWNER_SILENCE_TIMEOUT;
+        slot.owner_last_heard = now - OWNER_SILENCE_TIMEOUT;
         slot.ownerless_since = Some(since);
     }
 }
--- a/crates/control/control-store/src/protocol/durable.rs
+++ b/crates/control/control-store/src/protocol/durable.rs
@@ -25,8 +25,8 @@
             let unwritten = std::mem::take(&mut self.unwritten_keys);
             let keys = unwritten.into_iter().filter_map(|key| self.stored_key(key)).collect();
             self.effects.push(Effect::Store { write, metadata, keys });
-            let then = std::mem::take(&mut self.after_next_write);
-            self.writes_in_flight.push_back(WriteInFlight { write, then });
+            let actions = std::mem::take(&mut self.after_next_write);
+            self.writes_in_flight.push_back(WriteInFlight { write, actions });
         }
         std::mem::take(&mut self.effects)
     }
@@ -35,8 +35,8 @@
     pub fn write_completed(&mut self, now: Instant, write: u64) {
         while self.writes_in_flight.front().is_some_and(|in_flight| in_flight.write <= write) {
             if let Some(done) = self.writes_in_flight.pop_front() {
-                for step in done.then {
-                    self.run_after_write(now, step);
+                for action in done.actions {
+                    self.run_after_write(now, action);
                 }
             }
         }
@@ -64,11 +64,11 @@
 
     /// Drops the messages that wait for writes: the nodes that expect them ask again.
     fn withhold_replies(&mut self) {
-        let in_flight = self.writes_in_flight.iter_mut().map(|in_flight| &mut in_flight.then);
-        for steps in in_flight.chain([&mut self.after_next_write]) {
-            let before = steps.len();
-            steps.retain(|step| !matches!(step, AfterWrite::Send { .. }));
-            self.metrics.replies_withheld += (before - steps.len()) as u64;
+        let in_flight = self.writes_in_flight.iter_mut().map(|in_flight| &mut in_flight.actions);
+        for actions in in_flight.chain([&mut self.after_next_write]) {
+            let before = actions.len();
+            actions.retain(|action| !matches!(action, AfterWrite::Send { .. }));
+            self.metrics.replies_withheld += (before - actions.len()) as u64;
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Discards everything that is not yet part of a write in flight.
-    pub(crate) fn forget_unwritten(&mut self) {
+    pub(crate) fn discard_unwritten(&mut self) {
         self.unwritten_keys.clear();
         self.has_unwritten_metadata = false;
     }
@@ -110,25 +110,25 @@
 
     /// Runs an action once all pending writes are durable. While the disk has no space, a message that would
     /// have to wait is withheld: the node that expects it asks again.
-    pub(crate) fn after_write(&mut self, now: Instant, step: AfterWrite<V>) {
-        let waits = self.has_unwritten() || !self.writes_in_flight.is_empty();
-        if waits && !self.disk_has_space && matches!(step, AfterWrite::Send { .. }) {
+    pub(crate) fn after_write(&mut self, now: Instant, action: AfterWrite<V>) {
+        let must_wait = self.has_unwritten() || !self.writes_in_flight.is_empty();
+        if must_wait && !self.disk_has_space && matches!(action, AfterWrite::Send { .. }) {
             if self.has_mutation(Mutation::ConfirmsFailedWrites) {
-                return self.run_after_write(now, step);
+                return self.run_after_write(now, action);
             }
             self.metrics.replies_withheld += 1;
         } else if self.has_unwritten() {
-            self.after_next_write.push(step);
+            self.after_next_write.push(action);
         } else if let Some(last) = self.writes_in_flight.back_mut() {
-            last.then.push(step);
+            last.actions.push(action);
         } else {
-            self.run_after_write(now, step);
+            self.run_after_write(now, action);
         }
     }
 
     /// Runs an action that waited for a write.
-    fn run_after_write(&mut self, now: Instant, step: AfterWrite<V>) {
-        match step {
+    fn run_after_write(&mut self, now: Instant, action: AfterWrite<V>) {
+        match action {
             AfterWrite::Send { version, .. } if version != self.replica_set.version => {}
             AfterWrite::Send { to, message, .. } if to == self.node => self.handle(now, to, message),
             AfterWrite::Send { to, message, .. } => self.send(to, message),
--- a/crates/control/control-store/src/protocol/entry.rs
+++ b/crates/control/control-store/src/protocol/entry.rs
@@ -161,10 +161,10 @@
                 self.tick_replica_set(now);
             }
             Phase::Outside if self.must_ask_replica_set() && self.is_repair_due(now) => {
-                self.ask_replica_set(now);
+                self.request_replica_set(now);
             }
             Phase::Repairing if self.is_repair_due(now) => {
-                self.ask_repair(now);
+                self.request_repair(now);
                 self.continue_repair(now);
             }
             _ => {}
--- a/crates/control/control-store/src/protocol/forward.rs
+++ b/crates/control/control-store/src/protocol/forward.rs
@@ -24,8 +24,8 @@
     ) {
         self.observe_epoch(now, &key, epoch);
         // Other nodes forward to the owner that they know, or else to the first in claim order: these claim.
-        let is_believed = self.keys.get(&key).is_some_and(|slot| slot.highest_epoch.owner == self.node.0);
-        let is_first = is_believed || self.claim_order(&key).first() == Some(&self.node);
+        let is_known_owner = self.keys.get(&key).is_some_and(|slot| slot.highest_epoch.owner == self.node.0);
+        let is_first = is_known_owner || self.claim_order(&key).first() == Some(&self.node);
         if self.can_claim() && is_first && self.known_owner(now, &key).is_none() {
             self.claim(now, &key);
         }
@@ -69,22 +69,22 @@
         reply: ForwardReply<V>,
     ) {
         let Some(call) = self.open_calls.get(&id) else { return };
-        let is_with_sender = call.forwarded_to() == Some(ForwardTarget { node: from, epoch });
+        let is_current_target = call.forwarded_to() == Some(ForwardTarget { node: from, epoch });
         match reply {
             ForwardReply::Answered(outcome @ (CallOutcome::Committed { .. } | CallOutcome::Value { .. })) => {
                 self.answer(Caller::Local(id), outcome)
             }
-            ForwardReply::Answered(outcome) if is_with_sender => self.answer(Caller::Local(id), outcome),
+            ForwardReply::Answered(outcome) if is_current_target => self.answer(Caller::Local(id), outcome),
             ForwardReply::Answered(_) => {}
             ForwardReply::ReadAt(revision) => {
                 if call.request == Request::Read {
-                    self.read_here(now, id, revision);
+                    self.answer_read(now, id, revision);
                 }
             }
             ForwardReply::NotOwner(highest_epoch) => {
                 let key = call.key.clone();
                 self.observe_epoch(now, &key, highest_epoch);
-                if is_with_sender {
+                if is_current_target {
                     self.route(now, id);
                 }
             }
--- a/crates/control/control-store/src/protocol/links.rs
+++ b/crates/control/control-store/src/protocol/links.rs
@@ -26,8 +26,8 @@
         }
         if is_reachable {
             self.unreachable_since.remove(&node);
-            let may_know = self.replica_set.version == 0 && self.candidates.contains(&node);
-            if self.replica_set.contains(node) || may_know {
+            let may_know_replica_set = self.replica_set.version == 0 && self.candidates.contains(&node);
+            if self.replica_set.contains(node) || may_know_replica_set {
                 self.on_link_up(now, node);
                 self.resume_snapshots_from(now, node);
             }
--- a/crates/control/control-store/src/protocol/repair.rs
+++ b/crates/control/control-store/src/protocol/repair.rs
@@ -43,7 +43,7 @@
     }
 
     /// Requests the state of all other replicas.
-    pub(crate) fn ask_repair(&mut self, now: Instant) {
+    pub(crate) fn request_repair(&mut self, now: Instant) {
         self.repair.last_sent = now;
         for to in self.reachable_replicas() {
             let reply = self.repair.replies.get(&to);
@@ -84,13 +84,13 @@
         self.raise_own_incarnation(incarnation);
         if self.phase == Phase::Repairing {
             self.incarnation = self.next_incarnation(incarnation);
-            self.repair.forget_replies();
-            self.ask_repair(now);
+            self.repair.clear_replies();
+            self.request_repair(now);
         }
     }
 
     /// Whether a reply belongs to the repair in progress and its sender still has its disk.
-    fn is_awaited_reply(
+    fn is_expected_reply(
         &mut self,
         from: Node,
         incarnation: Incarnation,
@@ -113,7 +113,7 @@
         keys: Vec<KeySummary>,
         vote: Vote,
     ) {
-        if !self.is_awaited_reply(from, incarnation, incarnations) {
+        if !self.is_expected_reply(from, incarnation, incarnations) {
             return;
         }
         self.repair.replies.insert(from, incarnations.own);
@@ -128,7 +128,7 @@
     /// joining replica may then have replaced one of the replicas that replied and hold values that none of
     /// them has, so the repair has to use the replica set without the leaving replica. The replicas that
     /// replied decide on that one without this node.
-    fn may_be_overtaken(&self) -> bool {
+    fn replacement_may_be_complete(&self) -> bool {
         let next = self.repair.vote.accepted.as_ref().map(|accepted| &accepted.replica_set);
         let is_complete = |joining| next.is_some_and(|next| next.contains(joining));
         self.replica_set.joining.is_some_and(is_complete)
@@ -139,7 +139,7 @@
     pub(crate) fn continue_repair(&mut self, now: Instant) {
         // Only others reply, yet they have to be a majority of the whole replica set.
         let is_enough = self.have_base_majority(node_incarnations(&self.repair.replies));
-        if self.phase != Phase::Repairing || !is_enough || self.may_be_overtaken() {
+        if self.phase != Phase::Repairing || !is_enough || self.replacement_may_be_complete() {
             return;
         }
         let missing = self.repair.keys.iter().filter_map(|(key, known)| {
@@ -168,11 +168,11 @@
         self.repair.values.clear();
         // Owners could not be heard until now: restarts their silence timeout.
         for slot in self.keys.values_mut().filter(|slot| slot.highest_epoch != Epoch::default()) {
-            slot.owner_heard = now;
+            slot.owner_last_heard = now;
             slot.ownerless_since = None;
         }
         // All keys, to overwrite what an earlier membership left on disk.
-        for key in self.keys_where(|_| true) {
+        for key in self.keys_matching(|_| true) {
             self.persist_key(&key);
         }
         self.vote = std::mem::take(&mut self.repair.vote);
--- a/crates/control/control-store/src/protocol/replica_set_adopt.rs
+++ b/crates/control/control-store/src/protocol/replica_set_adopt.rs
@@ -21,9 +21,9 @@
         if replica_set.version <= self.replica_set.version || replica_set.members.len() > MAX_REPLICAS {
             return;
         }
-        let was_replica = self.replica_set.contains(self.node) || self.votes_without_this.is_some();
+        let was_replica = self.replica_set.contains(self.node) || self.voters_without_this.is_some();
         let is_removed = !replica_set.contains(self.node) && was_replica;
-        self.votes_without_this = is_removed.then(BTreeSet::new);
+        self.voters_without_this = is_removed.then(BTreeSet::new);
         if is_removed {
             self.repair.last_sent = now;
         }
@@ -37,7 +37,7 @@
         } else {
             // The stored state stays that of the previous replica set: this node has said nothing under the
             // new one.
-            self.forget_unwritten();
+            self.discard_unwritten();
         }
         if self.phase == Phase::Repairing && previous != Phase::Repairing {
             self.incarnation = self.next_incarnation(self.incarnation);
@@ -45,18 +45,18 @@
                 slot.replace(Epoch::default(), Revision::default(), V::default());
             }
         }
-        self.give_up_all_keys(now);
-        self.claim_first_without_backoff(now);
+        self.step_down_from_all_keys(now);
+        self.clear_claim_backoff_where_first(now);
         if self.phase == Phase::Repairing {
-            self.ask_repair(now);
+            self.request_repair(now);
         }
     }
 
     /// This node's phase under a later replica set.
     fn phase_under(&self, replica_set: &ReplicaSet) -> Phase {
         let Some(joined_in) = replica_set.joined_in(self.node) else {
-            let goes_on = self.has_mutation(Mutation::RemovedReplicaVotes) && self.phase == Phase::Voter;
-            return if goes_on { Phase::PersistingMetadata } else { Phase::Outside };
+            let keeps_voting = self.has_mutation(Mutation::RemovedReplicaVotes) && self.phase == Phase::Voter;
+            return if keeps_voting { Phase::PersistingMetadata } else { Phase::Outside };
         };
         let skips_repair = self.has_mutation(Mutation::VotesWithEmptyDisk)
             || (self.has_mutation(Mutation::JoiningReplicaVotesUnrepaired)
@@ -72,13 +72,13 @@
 
     /// Replaces the replica set, and discards everything that was said under the previous one.
     fn replace_replica_set(&mut self, now: Instant, replica_set: ReplicaSet) {
-        self.abandoned = self.replica_set.joining.filter(|node| !replica_set.contains(*node));
+        self.abandoned_joining = self.replica_set.joining.filter(|node| !replica_set.contains(*node));
         self.replica_set = replica_set;
         self.vote = Vote::default();
         self.proposal = None;
         // Messages that wait for a write belong to the previous replica set.
         self.after_next_write.clear();
-        self.repair.forget_replies();
+        self.repair.clear_replies();
         self.incarnations.retain(|node, _| self.replica_set.contains(*node));
         self.unreachable_since.retain(|node, _| self.replica_set.contains(*node));
         for node in self.replica_set.nodes() {
@@ -90,15 +90,15 @@
     }
 
     /// Gives up all owned and claimed keys, and reroutes all calls.
-    fn give_up_all_keys(&mut self, now: Instant) {
-        for key in self.keys_where(|slot| !slot.is_replica() || !slot.queue.is_empty()) {
+    fn step_down_from_all_keys(&mut self, now: Instant) {
+        for key in self.keys_matching(|slot| !slot.is_replica() || !slot.queue.is_empty()) {
             self.step_down(now, &key);
         }
         self.reroute_calls(now);
     }
 
     /// No claim was lost to another node, so the first node in claim order doesn't have to back off.
-    fn claim_first_without_backoff(&mut self, now: Instant) {
+    fn clear_claim_backoff_where_first(&mut self, now: Instant) {
         let first = |key: &&String| self.claim_order(key).first() == Some(&self.node);
         let keys: Vec<String> = self.keys.keys().filter(first).cloned().collect();
         for key in keys {
@@ -115,11 +115,11 @@
         self.vote = Vote::default();
         self.proposal = None;
         self.after_next_write.clear();
-        self.forget_unwritten();
+        self.discard_unwritten();
         self.phase = Phase::Outside;
         self.persist_metadata();
-        self.give_up_all_keys(now);
-        self.ask_replica_set(now);
+        self.step_down_from_all_keys(now);
+        self.request_replica_set(now);
     }
 
     /// Sends the replica set known to this node.
@@ -129,7 +129,7 @@
 
     /// Another node votes under the replica set without this node.
     pub(crate) fn on_replica_set_in_force(&mut self, from: Node) {
-        if let Some(voters) = &mut self.votes_without_this {
+        if let Some(voters) = &mut self.voters_without_this {
             voters.insert(from);
         }
     }
@@ -142,15 +142,16 @@
         self.phase == Phase::Outside && !is_known
     }
 
-    /// Whether this node has to ask for the replica set, or whether the one without it is in force.
+    /// Whether this node has to send replica set requests: to find the replicas, or to learn whether the replica set
+    /// without it is in force.
     pub(crate) fn must_ask_replica_set(&self) -> bool {
-        let is_leaving = self.stopping.contains_key(&self.node) && self.votes_without_this.is_some();
+        let is_leaving = self.stopping.contains_key(&self.node) && self.voters_without_this.is_some();
         self.has_lost_replicas() || (is_leaving && self.is_still_needed())
     }
 
     /// Asks all linked nodes who the replicas are. After a planned removal, asks the replicas whether their
     /// replica set is in force.
-    pub(crate) fn ask_replica_set(&mut self, now: Instant) {
+    pub(crate) fn request_replica_set(&mut self, now: Instant) {
         self.repair.last_sent = now;
         if self.replica_set.version > 0 && !self.has_lost_replicas() {
             return self.broadcast(&Message::ReplicaSetRequest);
--- a/crates/control/control-store/src/protocol/replica_set_change.rs
+++ b/crates/control/control-store/src/protocol/replica_set_change.rs
@@ -28,7 +28,7 @@
         self.replacement_candidate()?;
         let due = self.first_replacement()?;
         let delay = if due.node == self.node { Duration::ZERO } else { self.proposal_delay() };
-        Some((due.from + delay).max(self.next_proposal))
+        Some((due.due_at + delay).max(self.next_proposal))
     }
 
     /// The replica set that this node would propose next.
@@ -39,16 +39,17 @@
         let node = self.replica_to_replace(now)?;
         let joining = self.replacement_candidate()?;
         // A second attempt with the candidate that failed before would again leave no quorum.
-        let is_in_vain =
-            self.abandoned == Some(joining) && self.is_present(node) && self.is_another_unreachable(&[node]);
-        (!is_in_vain).then(|| self.replica_set.joint(node, joining))
+        let would_fail_again = self.abandoned_joining == Some(joining)
+            && self.is_present(node)
+            && self.is_another_unreachable(&[node]);
+        (!would_fail_again).then(|| self.replica_set.joint(node, joining))
     }
 
     /// The replica to remove from a joint replica set: the leaving one, or the joining one if the replacement
-    /// has to be abandoned.
+    /// has to be abandoned_joining.
     fn replica_to_drop(&self, now: Instant, leaving: Node, joining: Node) -> Node {
         // A stopping replica is reachable while it waits for its replacement.
-        let is_back = !self.stopping.contains_key(&leaving) && self.is_present(leaving);
+        let has_recovered = !self.stopping.contains_key(&leaving) && self.is_present(leaving);
         // The joining replica was asked without success, and as another one is unreachable there is no quorum
         // without its vote.
         let was_asked =
@@ -56,7 +57,7 @@
         let is_stuck =
             was_asked && self.is_present(leaving) && self.is_another_unreachable(&[leaving, joining]);
         let has_failed = self.is_lost(now, joining) || self.stopping.contains_key(&joining) || is_stuck;
-        if is_back || has_failed {
+        if has_recovered || has_failed {
             joining
         } else {
             leaving
--- a/crates/control/control-store/src/protocol/replicate.rs
+++ b/crates/control/control-store/src/protocol/replicate.rs
@@ -29,7 +29,7 @@
     /// lacks the appends before it reports that.
     pub(crate) fn send_last_append(&mut self, now: Instant, to: Node, key: &str) {
         let Some(slot) = self.keys.get(key) else { return };
-        match slot.change_log.before_last() {
+        match slot.change_log.base_of_last_append() {
             Some(base) => self.send_changes_since(now, to, key, base),
             None => self.send_first_chunk(now, to, key, None),
         }
--- a/crates/control/control-store/src/protocol/snapshots.rs
+++ b/crates/control/control-store/src/protocol/snapshots.rs
@@ -49,8 +49,8 @@
 
     /// The index of the snapshot of this revision, made if the value still has that revision.
     fn outgoing_snapshot(&mut self, now: Instant, key: &str, revision: Revision) -> Option<usize> {
-        let is_it = |snapshot: &OutgoingSnapshot| snapshot.key == key && snapshot.revision == revision;
-        if let Some(index) = self.outgoing_snapshots.iter().position(is_it) {
+        let is_match = |snapshot: &OutgoingSnapshot| snapshot.key == key && snapshot.revision == revision;
+        if let Some(index) = self.outgoing_snapshots.iter().position(is_match) {
             return Some(index);
         }
         let slot = self.keys.get(key).filter(|slot| slot.accepted == revision)?;
@@ -106,8 +106,8 @@
     /// Adds a chunk to its snapshot, and installs the snapshot when it is complete.
     pub(crate) fn on_snapshot_chunk(&mut self, now: Instant, from: Node, key: String, chunk: ReceivedChunk) {
         let total_bytes = chunk.header.total_bytes;
-        let is_sound = total_bytes <= MAX_SNAPSHOT_BYTES && chunk.bytes.len() as u64 <= total_bytes;
-        if !is_sound || !self.wants_snapshot(&key, chunk.revision) {
+        let is_valid = total_bytes <= MAX_SNAPSHOT_BYTES && chunk.bytes.len() as u64 <= total_bytes;
+        if !is_valid || !self.wants_snapshot(&key, chunk.revision) {
             return;
         }
         if !self.incoming_snapshots.contains_key(&key) {
@@ -130,9 +130,9 @@
         }
         let Some(snapshot) = self.incoming_snapshots.remove(&key) else { return };
         let digest = SnapshotDigest::of(&snapshot.bytes);
-        let is_right = mixes || snapshot.header.is_some_and(|header| header.digest == digest);
+        let is_intact = mixes || snapshot.header.is_some_and(|header| header.digest == digest);
         match bitcode::decode(&snapshot.bytes) {
-            Ok(value) if is_right => self.install_snapshot(now, key, snapshot.revision, value),
+            Ok(value) if is_intact => self.install_snapshot(now, key, snapshot.revision, value),
             // Discarded whole; the next transfer starts from the beginning.
             _ => self.metrics.corrupt_snapshots += 1,
         }
@@ -165,8 +165,8 @@
     }
 
     /// The keys of incoming snapshots that match the predicate.
-    fn incoming_where(&self, is_so: impl Fn(&IncomingSnapshot) -> bool) -> Vec<String> {
-        let snapshots = self.incoming_snapshots.iter().filter(|(_, snapshot)| is_so(snapshot));
+    fn incoming_matching(&self, predicate: impl Fn(&IncomingSnapshot) -> bool) -> Vec<String> {
+        let snapshots = self.incoming_snapshots.iter().filter(|(_, snapshot)| predicate(snapshot));
         snapshots.map(|(key, _)| key.clone()).collect()
     }
 
@@ -178,14 +178,14 @@
             let is_stuck = snapshot.header.is_none() && !self.reachable.contains(&snapshot.sender);
             snapshot.sender == with || is_stuck
         };
-        for key in self.incoming_where(resumes) {
+        for key in self.incoming_matching(resumes) {
             self.resume_snapshot(now, with, &key);
         }
     }
 
     /// A link was lost: requests the snapshots without a first chunk from another node known to have them.
     pub(crate) fn request_snapshots_elsewhere(&mut self, now: Instant, lost: Node) {
-        for key in self.incoming_where(|snapshot| snapshot.sender == lost && snapshot.header.is_none()) {
+        for key in self.incoming_matching(|snapshot| snapshot.sender == lost && snapshot.header.is_none()) {
             let mut sources = self.repair.sources(&key);
             if let Some(to) = sources.find(|node| self.reachable.contains(node)) {
                 drop(sources);
@@ -201,10 +201,10 @@
 
     /// Repeats requests that were not answered in time.
     pub(crate) fn tick_snapshots(&mut self, now: Instant) {
-        for key in self.incoming_where(|snapshot| now >= snapshot.deadline()) {
+        for key in self.incoming_matching(|snapshot| now >= snapshot.deadline()) {
             let Some(snapshot) = self.incoming_snapshots.get(&key) else { continue };
-            let is_alive = now < snapshot.last_received + INCOMING_SNAPSHOT_TIMEOUT;
-            if !is_alive || !self.wants_snapshot(&key, snapshot.revision) {
+            let has_progress = now < snapshot.last_received + INCOMING_SNAPSHOT_TIMEOUT;
+            if !has_progress || !self.wants_snapshot(&key, snapshot.revision) {
                 self.incoming_snapshots.remove(&key);
                 continue;
             }
@@ -252,11 +252,11 @@
             self.confirm_append(now, owner, key.clone(), revision);
         }
         let Some(epoch) = self.keys.get(&key).map(|slot| slot.highest_epoch) else { return };
-        self.request_missing(&key, epoch);
+        self.request_catch_up(&key, epoch);
     }
 
     /// Asks the owner for the changes since the revision here.
-    pub(crate) fn request_missing(&mut self, key: &str, epoch: Epoch) {
+    pub(crate) fn request_catch_up(&mut self, key: &str, epoch: Epoch) {
         let owner = Node(epoch.owner);
         let Some(accepted) = self.keys.get(key).map(|slot| slot.accepted) else { return };
         let is_incoming = self.incoming_snapshots.contains_key(key);
--- a/crates/control/control-store/src/protocol/timers.rs
+++ b/crates/control/control-store/src/protocol/timers.rs
@@ -21,7 +21,7 @@
             Ownership::Replica if !slot.queue.is_empty() => Some(slot.claim_not_before),
             Ownership::Replica => Some(match slot.ownerless_since {
                 Some(since) => (since + self.claim_delay(key)).max(slot.claim_not_before),
-                None => slot.owner_heard + OWNER_SILENCE_TIMEOUT,
+                None => slot.owner_last_heard + OWNER_SILENCE_TIMEOUT,
             }),
             Ownership::Claiming(claim) => Some(claim.last_sent + RESEND_INTERVAL),
             Ownership::Owner(owner) => {
--- a/crates/control/control-store/src/repair.rs
+++ b/crates/control/control-store/src/repair.rs
@@ -52,7 +52,7 @@
     }
 
     /// Drops the replies. Values that were fetched are kept, since they are valid at their revisions.
-    pub(crate) fn forget_replies(&mut self) {
+    pub(crate) fn clear_replies(&mut self) {
         self.replies.clear();
         self.keys.clear();
         self.vote = Vote::default();
--- a/crates/control/control-store/src/replica_set.rs
+++ b/crates/control/control-store/src/replica_set.rs
@@ -32,7 +32,7 @@
 
 impl ReplicaSet {
     /// The replica set of a first start, or with version 0 the nodes to ask for it.
-    pub(crate) fn first(version: u64, nodes: Vec<Node>) -> ReplicaSet {
+    pub(crate) fn initial(version: u64, nodes: Vec<Node>) -> ReplicaSet {
         let mut members: Vec<Member> =
             nodes.into_iter().map(|node| Member { node, joined_in: version }).collect();
         members.sort();
@@ -81,7 +81,7 @@
     }
 
     /// The replica set that follows this joint one, without `node`: the replacement is complete if that is
-    /// the leaving replica, abandoned if it is the joining one.
+    /// the leaving replica, abandoned_joining if it is the joining one.
     pub(crate) fn without(&self, node: Node) -> ReplicaSet {
         let members = self.members.iter().copied().filter(|member| member.node != node).collect();
         ReplicaSet { version: self.version + 1, members, leaving: None, joining: None }
--- a/crates/control/control-store/src/snapshot.rs
+++ b/crates/control/control-store/src/snapshot.rs
@@ -124,9 +124,9 @@
     /// The offset of the next chunk to request, if the limit allows one.
     pub(crate) fn next_request(&mut self) -> Option<u64> {
         let Some(header) = self.header else {
-            let unasked = self.requested_up_to == 0;
+            let is_first_request = self.requested_up_to == 0;
             self.requested_up_to = 1;
-            return unasked.then_some(0);
+            return is_first_request.then_some(0);
         };
         let in_flight = self.requested_up_to.saturating_sub(self.bytes.len() as u64);
         let window = MAX_CHUNKS_IN_FLIGHT as u64 * self.chunk_bytes;
--- a/crates/control/control-store/src/store.rs
+++ b/crates/control/control-store/src/store.rs
@@ -72,10 +72,10 @@
     /// Control nodes, this one included, that have announced that they are stopping, and since when. At most
     /// `MAX_STOPPING_NODES`.
     pub(crate) stopping: BTreeMap<Node, Instant>,
-    /// The joining replica of the last replacement, if it was abandoned.
-    pub(crate) abandoned: Option<Node>,
+    /// The joining replica of the last replacement, if it was abandoned_joining.
+    pub(crate) abandoned_joining: Option<Node>,
     /// Set if this node was removed from the replica set: the nodes that vote under one without it.
-    pub(crate) votes_without_this: Option<BTreeSet<Node>>,
+    pub(crate) voters_without_this: Option<BTreeSet<Node>>,
     pub(crate) phase: Phase,
     pub(crate) incarnation: Incarnation,
     pub(crate) incarnations: BTreeMap<Node, Incarnation>,
@@ -89,7 +89,7 @@
     pub(crate) keys: BTreeMap<String, KeySlot<V>>,
     /// At most `MAX_OPEN_CALLS`.
     pub(crate) open_calls: BTreeMap<u64, Call<V::Change>>,
-    pub(crate) last_call: u64,
+    pub(crate) last_call_id: u64,
     pub(crate) rng_state: u64,
     pub(crate) last_heartbeat: Instant,
     pub(crate) metrics: Metrics,
@@ -105,7 +105,7 @@
 }
 
 /// The phase in which a node starts.
-fn first_phase(config: &StartConfig, metadata: Option<&Metadata>) -> Phase {
+fn initial_phase(config: &StartConfig, metadata: Option<&Metadata>) -> Phase {
     match metadata {
         // The disk was found rolled back to an older state before: it is treated as empty.
         Some(metadata) if metadata.replica_set.version == 0 => Phase::Outside,
@@ -128,9 +128,9 @@
 impl<V: State> ControlStore<V> {
     /// A control store with the state found on disk.
     pub fn new(now: Instant, config: StartConfig, stored: StoredState<V>) -> Self {
-        let phase = first_phase(&config, stored.metadata.as_ref());
+        let phase = initial_phase(&config, stored.metadata.as_ref());
         let metadata = stored.metadata.unwrap_or_else(|| Metadata {
-            replica_set: ReplicaSet::first(u64::from(config.is_first_start), config.replica_set),
+            replica_set: ReplicaSet::initial(u64::from(config.is_first_start), config.replica_set),
             ..Metadata::default()
         });
         let others = metadata.replica_set.nodes().filter(|node| *node != config.node);
@@ -147,8 +147,8 @@
             reachable: BTreeSet::new(),
             candidates: BTreeSet::new(),
             stopping: BTreeMap::new(),
-            abandoned: None,
-            votes_without_this: None,
+            abandoned_joining: None,
+            voters_without_this: None,
             phase,
             incarnation: metadata.incarnation,
             repair: Repair::new(now),
@@ -157,7 +157,7 @@
             snapshot_chunk_bytes: SNAPSHOT_CHUNK_BYTES,
             keys: BTreeMap::new(),
             open_calls: BTreeMap::new(),
-            last_call: 0,
+            last_call_id: 0,
             rng_state: mix(config.seed ^ mix(now.as_micros() as u64 ^ (u64::from(config.node.0) << 32))),
             last_heartbeat: now,
             metrics: Metrics::default(),
@@ -170,7 +170,7 @@
             disk_has_space: true,
             mutation: None,
         };
-        store.last_call = store.random();
+        store.last_call_id = store.random();
         store.load(now, config.keys, stored.keys);
         store
     }
@@ -178,7 +178,7 @@
     /// Creates the keys that exist from the start, and loads the stored ones if they count.
     fn load(&mut self, now: Instant, keys: Vec<String>, stored: Vec<StoredKey<V>>) {
         for key in keys {
-            self.slot(now, &key);
+            self.slot_or_insert(now, &key);
         }
         if self.phase == Phase::Voter {
             for key in stored {
@@ -193,14 +193,14 @@
 
     /// Replaces a key's state with one from disk or from other replicas.
     pub(crate) fn restore_key(&mut self, now: Instant, stored: StoredKey<V>) {
-        if let Some(slot) = self.slot(now, &stored.key) {
+        if let Some(slot) = self.slot_or_insert(now, &stored.key) {
             slot.replace(stored.promised, stored.accepted, stored.value);
             slot.highest_epoch = slot.highest_epoch.max(stored.promised);
         }
     }
 
     /// The key's slot, created if the limits allow it.
-    pub(crate) fn slot(&mut self, now: Instant, key: &str) -> Option<&mut KeySlot<V>> {
+    pub(crate) fn slot_or_insert(&mut self, now: Instant, key: &str) -> Option<&mut KeySlot<V>> {
         if !self.keys.contains_key(key) {
             if self.keys.len() >= MAX_KEYS || key.len() > MAX_KEY_BYTES {
                 return None;
@@ -211,8 +211,8 @@
     }
 
     /// The keys whose slots match the predicate.
-    pub(crate) fn keys_where(&self, is_so: impl Fn(&KeySlot<V>) -> bool) -> Vec<String> {
-        self.keys.iter().filter(|(_, slot)| is_so(slot)).map(|(key, _)| key.clone()).collect()
+    pub(crate) fn keys_matching(&self, predicate: impl Fn(&KeySlot<V>) -> bool) -> Vec<String> {
+        self.keys.iter().filter(|(_, slot)| predicate(slot)).map(|(key, _)| key.clone()).collect()
     }
 
     /// Sends a message under the replica set in force here.
--- a/crates/control/control-store/src/write_queue.rs
+++ b/crates/control/control-store/src/write_queue.rs
@@ -26,5 +26,5 @@
 #[derive(Clone, Debug)]
 pub(crate) struct WriteInFlight<V: State> {
     pub(crate) write: u64,
-    pub(crate) then: Vec<AfterWrite<V>>,
+    pub(crate) actions: Vec<AfterWrite<V>>,
 }
