--- a/crates/control/control-store/tests/catchup/items.rs
+++ b/crates/control/control-store/tests/catchup/items.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Items that stand from the start, as many as a configuration remembers of dropped ones.
+/// Items that exist from the start: as many as the removed ones that a configuration remembers.
 pub const ITEM_COUNT: u32 = 65_536;
 
 /// Item to version and bytes.
 type Part = BTreeMap<u32, (u64, [u64; 5])>;
 
-/// Numbered items, each with a version and some bytes; parts of them are shared until they are changed.
+/// Numbered items, each with a version and some bytes. Parts of them are shared until they change.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Items(BTreeMap<u32, Rc<Part>>);
 
--- a/crates/control/control-store/tests/catchup/main.rs
+++ b/crates/control/control-store/tests/catchup/main.rs
@@ -1,4 +1,5 @@
-//! How a replica that was away catches up, over links as slow as 7 Mbit/s: in what time, with how many bytes, in what chunks.
+//! How a replica that was away catches up over links of 7 Mbit/s: the time it takes, the bytes sent, and the
+//! chunk sizes.
 
 mod items;
 mod network;
@@ -8,20 +9,20 @@
 use silvercross_control_store::{Node, SNAPSHOT_CHUNK_BYTES};
 use silvercross_time::{Duration, Instant};
 
-/// Bytes of a message besides its chunk or changes, at most.
+/// Maximum size of a message in addition to its chunk or changes.
 const MAX_OVERHEAD_BYTES: usize = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Absence {
-    /// Stopped, and started on its disk.
+    /// Stopped, and restarted on its disk.
     Restart,
-    /// The owner, so; another owns meanwhile.
+    /// The same for the owner; another replica owns the key in the meantime.
     RestartOfTheOwner,
-    /// Its disk lost.
+    /// Its disk was lost.
     Wipe,
-    /// All its links cut.
+    /// All its links were cut.
     Cut,
-    /// A spare node joins for a replica that is lost.
+    /// A spare node joins in place of a lost replica.
     Join,
 }
 
@@ -32,7 +33,7 @@
     unknown: u64,
 }
 
-/// A replica is away during so many changes; `load`: one more every 50 ms while it catches up.
+/// A replica misses this many changes. With `load`, another change follows every 50 ms while it catches up.
 fn catch_up_after(absence: Absence, changes: u64, load: bool) -> Measurement {
     let mut network = Network::new(Items::filled(ITEM_COUNT), 1, SNAPSHOT_CHUNK_BYTES);
     let owner = network.owner().expect("an owner");
@@ -91,7 +92,7 @@
     }
 }
 
-/// Who is to catch up then.
+/// Returns the node that has to catch up.
 fn come_back(network: &mut Network, absence: Absence, replica: usize) -> usize {
     match absence {
         Absence::Join => {
@@ -109,14 +110,14 @@
     replica
 }
 
-/// Whether a replica has what the owner has.
+/// Whether a replica has everything that the owner has.
 fn has_caught_up(network: &Network, replica: usize) -> bool {
     let owner = network.owner().filter(|owner| *owner != replica);
     let owned = owner.and_then(|owner| network.accepted(owner));
     owned.is_some_and(|owned| network.accepted(replica).is_some_and(|accepted| accepted >= owned))
 }
 
-/// What a replica has it reads out without anything from the others but its revision.
+/// A replica that has the value reads it with nothing but its revision from the other nodes.
 fn read_without_value(network: &mut Network, replica: usize) {
     let (values, bytes) = (network.values, network.traffic(replica));
     network.read(replica);
@@ -144,7 +145,7 @@
         ] {
             let measured = catch_up_after(absence, *changes, load);
             let lacks_few = *changes <= 3_000 && !matches!(absence, Absence::Wipe | Absence::Join);
-            // What it lacks, and a tenth for what goes besides; a change is well under 64 bytes.
+            // What the replica lacks, and a tenth for overhead. A change is well under 64 bytes.
             let lacks = if lacks_few { *changes as usize * 64 } else { snapshot };
             let bytes = lacks + lacks / 10 + 64 * 1024;
             let replacement = if absence == Absence::Join { 5_500_000 } else { 0 };
@@ -172,8 +173,8 @@
     check_all_absences(&[300, 3_000, 100_000]);
 }
 
-/// A wiped replica is sent a value of many chunks, and its link to the sender breaks at each, or it starts anew at one; with a
-/// change at each chunk too.
+/// A wiped replica receives a value of many chunks while its link to the sender is lost at each chunk, or it
+/// restarts at one of them, also with a change at each chunk.
 #[test]
 fn a_break_at_every_chunk_sends_nothing_twice() {
     for (breaks, changes, restarts) in
@@ -192,7 +193,7 @@
             if restarts && network.chunks_arrived == 10 {
                 network.stop(replica, false);
                 network.start(replica);
-                // What was in memory alone is gone.
+                // What it had only in memory is lost.
                 network.arrived.clear();
             } else if breaks {
                 let sender = network.last_sender;
--- a/crates/control/control-store/tests/catchup/network.rs
+++ b/crates/control/control-store/tests/catchup/network.rs
@@ -1,4 +1,4 @@
-//! Replicas on links of a bounded rate, in simulated time, with all bytes counted.
+//! Replicas on links of limited bandwidth, in simulated time, with all bytes counted.
 
 use crate::items::{Items, ITEM_COUNT};
 use silvercross_control_store::*;
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 pub const KEY: &str = "configuration";
-/// Of each link, each way.
+/// Bandwidth of each link, in each direction.
 pub const LINK_BITS_PER_SECOND: i64 = 7_000_000;
 const LINK_DELAY: Duration = Duration::from_millis(1);
 const SYNC_TIME: Duration = Duration::from_millis(2);
 const TICK_MICROS: i64 = 10_000;
-/// What goes with each message on the wire besides its encoding.
+/// Bytes on the wire that each message has in addition to its encoding.
 const FRAME_BYTES: usize = 12;
 
 type ItemsMessage = Message<Items, (u32, u64)>;
@@ -29,16 +29,16 @@
 
 pub struct Network {
     pub now: Instant,
-    /// `None` while its process is down.
+    /// `None` while the process is down.
     pub stores: Vec<Option<ControlStore<Items>>>,
     disks: Vec<StoredState<Items>>,
-    /// Rises with every start and end of a process.
+    /// Incremented at every start and end of a process.
     runs: Vec<u64>,
     writes: BTreeMap<(usize, u64), PendingWrite>,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     events: BTreeMap<u64, Event>,
     event_count: u64,
-    /// When a link has sent all that it was given.
+    /// When a link will have sent everything queued on it.
     idle_from: BTreeMap<(usize, usize), Instant>,
     cut_links: BTreeSet<(usize, usize)>,
     /// Bytes of all messages, by link.
@@ -52,14 +52,14 @@
     /// Chunks that arrived, by receiver, revision and offset.
     pub arrived: BTreeSet<(usize, Revision, u64)>,
     pub chunks_arrived: usize,
-    /// Who sent the last chunk that arrived.
+    /// The sender of the last chunk that arrived.
     pub last_sender: usize,
-    /// Chunks sent after they had arrived.
+    /// Chunks sent although they had already arrived.
     pub sent_again: usize,
     chunk_bytes: usize,
 }
 
-/// What three replicas have on disk from the start.
+/// The state on disk of three replicas at the start.
 fn stored_state(value: Items) -> StoredState<Items> {
     let members = (0..3).map(|node| Member { node: Node(node), joined_in: 1 }).collect();
     let replica_set = ReplicaSet { version: 1, members, leaving: None, joining: None };
@@ -71,7 +71,7 @@
 }
 
 impl Network {
-    /// Three replicas with the same on disk, and as many spare nodes as `spares`.
+    /// Three replicas with the same state on disk, and `spares` further nodes.
     pub fn new(value: Items, spares: usize, chunk_bytes: usize) -> Network {
         let n = 3 + spares;
         let disk = stored_state(value);
@@ -209,7 +209,7 @@
         self.schedule(ends + LINK_DELAY, Event::Arrive { link, version, message });
     }
 
-    /// Plays until then, or until the next chunk arrives.
+    /// Runs until the given time, or until the next chunk arrives.
     pub fn play_to_next_chunk(&mut self, until: Instant) {
         let before = self.chunks_arrived;
         while self.now < until && self.chunks_arrived == before {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// To the next event, tick, or `until`.
+    /// Runs to the next event or tick, at most to `until`.
     fn step(&mut self, until: Instant) {
         let next = self.queue.peek().map_or(until, |Reverse((at, _))| *at).min(until);
         let tick = Instant::from_micros((self.now.as_micros() / TICK_MICROS + 1) * TICK_MICROS);
@@ -286,7 +286,7 @@
         (0..self.stores.len()).find(|node| self.stores[*node].as_ref().is_some_and(owns))
     }
 
-    /// What a voter has accepted.
+    /// The revision that a voter has accepted.
     pub fn accepted(&self, node: usize) -> Option<Revision> {
         let store = self.stores[node].as_ref().filter(|store| store.is_voter())?;
         store.key_states().iter().find(|state| state.key == KEY).map(|state| state.accepted)
@@ -310,7 +310,7 @@
         self.do_effects(node);
     }
 
-    /// So many changes at the owner, 32 at a time.
+    /// Makes this many changes at the owner, 32 at a time.
     pub fn change(&mut self, changes: u64) {
         let before = self.committed;
         let mut asked = 0;
--- a/crates/control/control-store/tests/common/cluster.rs
+++ b/crates/control/control-store/tests/common/cluster.rs
@@ -1,4 +1,5 @@
-//! Replicas stepped by hand: messages and writes in order, at once or held back.
+//! Replicas under manual control: messages and writes are processed in order, immediately or after being held
+//! back.
 
 use super::notes::{Change, Notes};
 use silvercross_control_store::*;
@@ -7,7 +8,7 @@
 
 pub type NotesMessage = Message<Notes, Change>;
 pub const KEY: &str = "configuration";
-/// How far time goes on at a time.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(10);
 
 /// A write that is not synced yet.
@@ -19,7 +20,7 @@
 }
 
 impl PendingWrite {
-    /// Puts it on a disk.
+    /// Applies the write to a disk.
     pub fn persist(self, disk: &mut StoredState<Notes>) {
         disk.metadata = self.metadata.or(disk.metadata.take());
         for stored in self.keys {
@@ -29,7 +30,7 @@
     }
 }
 
-/// A message on its way.
+/// A message in flight.
 pub struct MessageInFlight {
     pub from: usize,
     pub to: usize,
@@ -42,7 +43,7 @@
     pub stores: Vec<ControlStore<Notes>>,
     pub disks: Vec<StoredState<Notes>>,
     pub messages: VecDeque<MessageInFlight>,
-    /// Not synced yet, where the disk is stalled.
+    /// Writes not synced yet, on stalled disks.
     pub writes: Vec<VecDeque<PendingWrite>>,
     pub stalled_disks: BTreeSet<usize>,
     /// Messages on these links are lost.
@@ -50,20 +51,20 @@
     /// Messages on these links wait.
     pub held_links: BTreeSet<(usize, usize)>,
     pub answers: BTreeMap<u64, CallOutcome<Notes>>,
-    /// The incarnations under which repair was asked for last.
+    /// The incarnation of each node's last repair request.
     pub repairing_as: BTreeMap<usize, Incarnation>,
     pub starts: u64,
-    /// How many are replicas from the start.
+    /// The number of initial replicas.
     pub replicas: usize,
-    /// Messages and writes until all stands still, if it is to.
+    /// Messages and writes left to process before everything stops, if limited.
     pub steps_left: Option<usize>,
-    /// They hear nothing, sync nothing, and their time does not pass.
+    /// These nodes receive and sync nothing, and their clocks stand still.
     pub paused: BTreeSet<usize>,
-    /// They have said that they stop.
+    /// These nodes have announced that they are stopping.
     pub stopping: BTreeSet<usize>,
 }
 
-/// How a node starts.
+/// The start configuration of a node.
 pub fn start_config(node: usize, replicas: usize, is_first_start: bool, seed: u64) -> StartConfig {
     StartConfig {
         node: Node(node as u32),
@@ -79,7 +80,7 @@
         Cluster::with_spares(n, 0)
     }
 
-    /// The spare ones are added with empty disks, after the first start.
+    /// The spares start with empty disks, not as a first start.
     pub fn with_spares(replicas: usize, spares: usize) -> Cluster {
         let n = replicas + spares;
         let store = |node| {
@@ -107,7 +108,7 @@
         cluster
     }
 
-    /// Three with an owner; who that is.
+    /// Three replicas, and the index of the owner.
     pub fn settled() -> (Cluster, usize) {
         let mut cluster = Cluster::new(3);
         cluster.advance(Duration::from_secs(1));
@@ -119,17 +120,17 @@
         (0..self.stores.len()).find(|node| !self.stores[*node].owned_keys().is_empty())
     }
 
-    /// The key as its owner has it.
+    /// The key's state at its owner.
     pub fn owned(&self, owner: usize) -> OwnedKey {
         self.stores[owner].owned_keys()[0].clone()
     }
 
-    /// The key as a node has it.
+    /// The key's state at a node.
     pub fn key_state(&self, node: usize) -> KeyState {
         self.stores[node].key_states()[0].clone()
     }
 
-    /// Links all that are not cut off from each other.
+    /// Links all nodes, except pairs that are cut off in both directions.
     pub fn link_all(&mut self) {
         for (a, b) in self.pairs() {
             if !self.cut_links.contains(&(a, b)) || !self.cut_links.contains(&(b, a)) {
@@ -144,14 +145,14 @@
         (0..n).flat_map(move |a| (0..n).map(move |b| (a, b))).filter(|(a, b)| a != b)
     }
 
-    /// Changes a rule on purpose at all of them.
+    /// Activates a mutation at all nodes.
     pub fn set_mutation(&mut self, mutation: Option<Mutation>) {
         for node in 0..self.stores.len() {
             self.set_mutation_at(node, mutation);
         }
     }
 
-    /// Changes a rule on purpose at one of them.
+    /// Activates a mutation at one node.
     pub fn set_mutation_at(&mut self, node: usize, mutation: Option<Mutation>) {
         #[cfg(feature = "mutants")]
         if let Some(mutation) = mutation {
@@ -160,7 +161,7 @@
         assert!(node < self.stores.len() && (mutation.is_none() || cfg!(feature = "mutants")));
     }
 
-    /// All hear who is no replica and could be one.
+    /// Informs all nodes which of them could become replicas.
     pub fn announce_candidates(&mut self) {
         let n = self.stores.len();
         for (a, b) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))) {
@@ -170,7 +171,7 @@
         self.run();
     }
 
-    /// Cuts a node off from all others, which know it.
+    /// Cuts a node off from all others, and reports the lost links on both sides.
     pub fn isolate(&mut self, node: usize) {
         for other in (0..self.stores.len()).filter(|other| *other != node) {
             self.stores[other].set_reachable(self.now, Node(node as u32), false);
@@ -185,7 +186,7 @@
         self.link_all();
     }
 
-    /// This one is told to stop, and all others hear of it.
+    /// Starts the graceful stop of a node, and announces it to all others.
     pub fn begin_graceful_stop(&mut self, node: usize) {
         self.stopping.insert(node);
         self.stores[node].begin_graceful_stop(self.now);
@@ -193,7 +194,7 @@
         self.announce_membership();
     }
 
-    /// What membership tells all that can be reached: who could become a replica, and who stops.
+    /// Announces to all reachable nodes which nodes could become replicas and which are stopping.
     pub fn announce_membership(&mut self) {
         for (a, b) in self.pairs() {
             let is_paused = self.paused.contains(&a) || self.paused.contains(&b);
@@ -207,7 +208,7 @@
         self.run();
     }
 
-    /// Syncs all that is written at a node.
+    /// Syncs all pending writes of a node.
     pub fn sync(&mut self, node: usize) {
         while self.sync_one(node) {}
     }
@@ -220,7 +221,7 @@
         true
     }
 
-    /// One step more is to be done, if it may.
+    /// Uses up one step; `false` if none is left.
     fn take_step(&mut self) -> bool {
         let Some(left) = &mut self.steps_left else { return true };
         let may = *left > 0;
@@ -228,7 +229,7 @@
         may
     }
 
-    /// Until nothing moves any more, or no step is left.
+    /// Runs until nothing is in flight or no step is left.
     pub fn run(&mut self) {
         loop {
             let mut moved = false;
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Whether there were any.
+    /// Whether there were any effects.
     fn take_effects(&mut self, node: usize) -> bool {
         let effects = self.stores[node].take_effects();
         let any = !effects.is_empty();
@@ -279,7 +280,7 @@
         any
     }
 
-    /// Hands over what is on its way; whether there was any, `None` if no step is left.
+    /// Delivers the messages in flight. Whether there were any; `None` if no step is left.
     fn deliver(&mut self) -> Option<bool> {
         let mut moved = false;
         for _ in 0..self.messages.len() {
@@ -301,18 +302,18 @@
         Some(moved)
     }
 
-    /// Hands a message over by hand.
+    /// Delivers a message directly.
     pub fn receive(&mut self, to: usize, from: usize, version: u64, message: NotesMessage) {
         self.stores[to].receive(self.now, Node(from as u32), version, message);
     }
 
-    /// Hands a replica set over by hand, under its own version.
+    /// Delivers a replica set directly, under its own version.
     pub fn receive_replica_set(&mut self, to: usize, from: usize, replica_set: &ReplicaSet) {
         let replica_set = replica_set.clone();
         self.receive(to, from, replica_set.version, Message::ReplicaSet { replica_set });
     }
 
-    /// Time goes by.
+    /// Lets simulated time pass.
     pub fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
@@ -324,7 +325,7 @@
         }
     }
 
-    /// Time goes by from one deadline to the next; until no step is left, if they are counted.
+    /// Lets simulated time pass from one deadline to the next, until no step is left if steps are limited.
     pub fn advance_by_deadlines(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until && self.steps_left != Some(0) {
@@ -340,7 +341,7 @@
         }
     }
 
-    /// Starts anew on its disk; what was not synced is lost.
+    /// Restarts a node on its disk. Unsynced writes are lost.
     pub fn restart(&mut self, node: usize) {
         self.starts += 1;
         self.writes[node].clear();
@@ -353,7 +354,7 @@
         self.link_all();
     }
 
-    /// Starts anew, with the rule changed again before it is linked.
+    /// Restarts a node, and activates the mutation again before it is linked.
     pub fn restart_with_mutation(&mut self, node: usize, mutation: Option<Mutation>) {
         let others = (0..self.stores.len()).filter(|other| *other != node);
         let links: Vec<(usize, usize)> = others.flat_map(|other| [(node, other), (other, node)]).collect();
@@ -365,7 +366,7 @@
         self.link_all();
     }
 
-    /// Starts anew with an empty disk.
+    /// Restarts a node with an empty disk.
     pub fn wipe(&mut self, node: usize) {
         self.disks[node] = StoredState::default();
         self.restart(node);
@@ -390,13 +391,13 @@
         matches!(self.answers.get(&token), Some(CallOutcome::Committed { .. }))
     }
 
-    /// The nodes of the replica set that a node goes by.
+    /// The members of the replica set known to a node.
     pub fn members(&self, node: usize) -> Vec<u32> {
         self.stores[node].replica_nodes().into_iter().map(|member| member.0).collect()
     }
 }
 
-/// The two of three beside this one.
+/// The two other nodes of three.
 pub fn others(owner: usize) -> (usize, usize) {
     ((owner + 1) % 3, (owner + 2) % 3)
 }
--- a/crates/control/control-store/tests/common/history.rs
+++ b/crates/control/control-store/tests/common/history.rs
@@ -1,5 +1,5 @@
-//! The checker: what callers saw, held against one plain map in which the highest version wins and nothing is lost.
-//! It shares no type with the control store.
+//! The checker: compares what callers observed with a plain map in which the highest version wins and nothing
+//! is lost. It shares no type with the control store.
 
 use silvercross_time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,7 +7,7 @@
 /// Item to version and content.
 pub type Items = BTreeMap<u8, (u64, u64)>;
 
-/// Where a value stood, in the order of the store.
+/// A revision of the store, with the same order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct At {
     pub round: u64,
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// None yet.
+    /// No answer yet.
     Pending,
     Unknown,
     Rejected,
@@ -37,23 +37,23 @@
 }
 
 impl RecordedCall {
-    /// What the value is to hold if it was taken.
+    /// The items of the value if the call is committed.
     fn wanted(&self) -> Items {
         self.items.iter().map(|(item, version, content)| (*item, (*version, *content))).collect()
     }
 
-    /// Whether a value has all its items, in its version or a higher one.
+    /// Whether a value has all items of the call, in their versions or higher ones.
     fn is_in(&self, value: &Items) -> bool {
         self.items.iter().all(|(item, version, _)| value.get(item).is_some_and(|known| known.0 >= *version))
     }
 }
 
-/// A committed value, as a node published it.
+/// A committed value, as published by a node.
 #[derive(Clone, Debug)]
 pub struct Commit {
     pub key: String,
     pub at: At,
-    /// Which node, in which run of its process.
+    /// The node, and the run of its process.
     pub publisher: (usize, u64),
     pub value: Items,
 }
@@ -64,7 +64,7 @@
     pub commits: Vec<Commit>,
 }
 
-/// Whether `later` has all that `earlier` has, or higher versions.
+/// Whether `later` has everything that `earlier` has, or higher versions of it.
 fn covers(later: &Items, earlier: &Items) -> bool {
     earlier.iter().all(|(item, (version, content))| match later.get(item) {
         Some((v, c)) => v > version || (v == version && c == content),
@@ -72,7 +72,7 @@
     })
 }
 
-/// The shortest part of a history that breaks a rule.
+/// Describes the first violation found in a history.
 pub fn check(history: &History) -> Result<(), String> {
     let keys: BTreeSet<&String> = history.calls.iter().map(|call| &call.key).collect();
     for key in keys {
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Values follow the revisions everywhere, and no node publishes an older one after a newer one.
+/// Each revision contains all earlier ones, and no node publishes an older revision after a newer one.
 fn check_commits(commits: &[&Commit]) -> Result<(), String> {
     let mut last: BTreeMap<(usize, u64), At> = BTreeMap::new();
     for commit in commits {
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-/// A read sees whatever was acknowledged or read before it began.
+/// A read returns everything that was acknowledged or read before it began.
 fn check_reads(calls: &[&RecordedCall]) -> Result<(), String> {
     // By time: what is known to be in force once answered.
     let mut facts: Vec<(Instant, Items, &RecordedCall)> = Vec::new();
@@ -120,7 +120,7 @@
     for call in calls {
         let Answer::Value(value) = &call.answer else { continue };
         for (when, fact, by) in &facts {
-            // What a change overtaken by a higher version asked for was never in force.
+            // A change that a higher version superseded need not have been in force itself.
             let is_covered = match by.answer {
                 Answer::Committed(_) => by.is_in(value),
                 _ => covers(value, fact),
@@ -133,7 +133,8 @@
     Ok(())
 }
 
-/// What was rejected is nowhere, calls are whole, a version has one content, and what is committed is in the value.
+/// Rejected changes are nowhere, changes are complete, a version has one content, and committed changes are
+/// in the value.
 fn check_values(calls: &[&RecordedCall], commits: &[&Commit]) -> Result<(), String> {
     let mut values: Vec<&Items> = commits.iter().map(|commit| &commit.value).collect();
     values.extend(calls.iter().filter_map(|call| match &call.answer {
@@ -158,7 +159,8 @@
     Ok(())
 }
 
-/// Each content was asked for, by a call that was not rejected and stands there whole; a version has one content.
+/// Each content belongs to a call that was not rejected and is complete in the value, and each version has
+/// one content.
 fn check_contents(calls: &[&RecordedCall], values: &[&Items]) -> Result<(), String> {
     let mut content_of: BTreeMap<(u8, u64), u64> = BTreeMap::new();
     let mut asked: BTreeMap<u64, &RecordedCall> = BTreeMap::new();
@@ -171,7 +173,7 @@
             }
         }
     }
-    // Sent again, it may have become valid.
+    // A rejected change that was repeated may have become valid.
     for call in calls.iter().filter(|call| !matches!(call.answer, Answer::Rejected)) {
         for (_, _, content) in &call.items {
             rejected.remove(content);
--- a/crates/control/control-store/tests/common/mod.rs
+++ b/crates/control/control-store/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Helpers of this package's tests, written once: a value, random numbers, a cluster stepped by hand, a simulation with
-//! faults, and the checker of what its callers saw.
+//! Shared helpers of this package's tests: a value, a manually controlled cluster, a simulation with faults,
+//! and the checker of what its callers observed.
 //!
-//! Each test target uses a part of them, so what is unused in one of them is allowed.
+//! Each test target uses only some of them, so unused code is allowed.
 #![allow(dead_code)]
 
 pub mod cluster;
--- a/crates/control/control-store/tests/common/notes.rs
+++ b/crates/control/control-store/tests/common/notes.rs
@@ -1,4 +1,4 @@
-//! A value to be kept: numbered items, each with a version and content, of which the highest version wins.
+//! A value for tests: numbered items, each with a version and content, of which the highest version wins.
 
 use silvercross_control_store::{Rejection, State};
 use std::cell::Cell;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 thread_local! {
-    /// Whether a rejected change leaves a part of itself behind. Only with a mutation that keeps it.
+    /// Whether a rejected change is partly applied. Only with a mutation that keeps such a value.
     pub static KEEPS_PARTS: Cell<bool> = const { Cell::new(false) };
 }
 
@@ -17,7 +17,7 @@
 /// Item, version, content.
 pub type Change = Vec<(u8, u64, u64)>;
 
-/// A content that refers to another item: it is valid only where that one stands.
+/// A content that refers to another item: it is valid only if that item exists.
 pub fn refers_to(item: u8) -> u64 {
     (1 << 32) | u64::from(item)
 }
--- a/crates/control/control-store/tests/common/replacement.rs
+++ b/crates/control/control-store/tests/common/replacement.rs
@@ -1,4 +1,4 @@
-//! Three replicas and a spare one in the middle of a replacement, and a fault in it.
+//! Three replicas and a spare node in the middle of a replacement, with a fault injected.
 
 use super::cluster::{others, Cluster, KEY};
 use super::notes::Notes;
@@ -9,27 +9,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     Nothing,
-    /// The node is lost for good.
+    /// The node is lost permanently.
     Lost,
-    /// Its disk is empty at the next start, which follows at once.
+    /// The node restarts at once with an empty disk.
     Wiped,
-    /// It stands still for three seconds, linked.
+    /// The node is paused, with its links up.
     Paused,
-    /// All lose power at once, with what was not synced.
+    /// All nodes lose power at once, with unsynced writes.
     Power,
-    /// It is lost for good and all others lose power, with what was not synced.
+    /// The node is lost permanently, and all others lose power with unsynced writes.
     LostAndPower,
-    /// The leaving replica has just stopped, as it is needed no more, and this one is lost for good.
+    /// The leaving replica has just stopped because it is no longer needed, and this node is lost
+    /// permanently.
     LostAsLeavingStops,
-    /// It stops; where it is the leaving replica it comes back with its disk after the others went on without it.
+    /// The node stops. If it is the leaving replica, it restarts with its disk after the others continued
+    /// without it.
     Stops,
 }
 
-/// All replicas and the spare one, of which the leaving one and one other alone have the last change.
+/// Three replicas and a spare node. Only the leaving replica and one other have the last change.
 pub struct Replacement {
     pub cluster: Cluster,
     pub leaving: usize,
-    /// Called for, by token, with the item that shows it.
+    /// The item changed by each call, by token.
     pub asked: BTreeMap<u64, u8>,
     pub reads: u64,
 }
@@ -56,7 +58,8 @@
         self.cluster.call(node, token, &[(token as u8, 1, token)]);
     }
 
-    /// One is told to stop and stays while it is needed, with calls in flight; at most as far as the steps go.
+    /// Stops the leaving replica gracefully, with calls in flight, until it is no longer needed or no step is
+    /// left.
     pub fn stop_gracefully(&mut self) {
         self.cluster.begin_graceful_stop(self.leaving);
         let other = (0..3).find(|node| *node != self.leaving).expect("another");
@@ -73,12 +76,12 @@
         panic!("still needed: {:?}", self.cluster.stores[self.leaving].replica_set());
     }
 
-    /// Whether the leaving one is still needed.
+    /// Whether the leaving replica is still needed.
     pub fn is_leaving_needed(&self) -> bool {
         self.cluster.stores[self.leaving].is_still_needed()
     }
 
-    /// Time goes by while the leaving one is needed, at most until then.
+    /// Lets time pass while the leaving replica is needed, at most until the given time.
     pub fn wait_while_leaving_needed(&mut self, until: Instant) {
         while self.is_leaving_needed() && self.cluster.now < until {
             self.cluster.advance_by_deadlines(Duration::from_millis(20));
@@ -113,7 +116,7 @@
         self.cluster.announce_membership();
     }
 
-    /// Asks these nodes in turn for a change until one acknowledges it; after how long.
+    /// Calls these nodes in turn until one acknowledges a change. Returns the time that took.
     pub fn time_to_answer(&mut self, nodes: &[usize]) -> Option<Duration> {
         let from = self.cluster.now;
         for token in 100..200 {
@@ -145,7 +148,7 @@
         panic!("no value at {node}");
     }
 
-    /// All that was acknowledged is in force at all of these.
+    /// Checks that everything acknowledged is in force at all of these nodes.
     pub fn assert_nothing_lost(&mut self, nodes: &[usize]) {
         let committed = self.asked.iter().filter(|(token, _)| self.cluster.is_committed(**token));
         let committed: Vec<u8> = committed.map(|(_, item)| *item).collect();
--- a/crates/control/control-store/tests/common/simulation/calls.rs
+++ b/crates/control/control-store/tests/common/simulation/calls.rs
@@ -1,4 +1,4 @@
-//! The simulation's callers: changes, the same again, races for a version, and reads, at random machines.
+//! The simulation's callers: new changes, repeated ones, races for a version, and reads, at random machines.
 
 use super::machine::Input;
 use super::{Event, Simulation};
@@ -7,7 +7,7 @@
 use silvercross_time::Duration;
 
 impl Simulation {
-    /// Begins a change, or a read without one; its token, if the machine's process is up.
+    /// Starts a change, or a read if there is none. Returns its token, if the machine's process is running.
     pub(super) fn begin_call(&mut self, node: usize, key: &str, change: Option<Change>) -> Option<u64> {
         self.machines[node].store.as_ref()?;
         let token = self.next_token;
@@ -25,7 +25,7 @@
         Some(token)
     }
 
-    /// One of the callers does something, and again after a while.
+    /// One caller makes a call, and schedules the next.
     pub(super) fn call_at_random(&mut self, number: usize) {
         let node = self.rng.index(self.machines.len());
         let key = self.keys[self.rng.index(self.keys.len())].clone();
@@ -33,7 +33,7 @@
             0..=3 => {
                 self.begin_call(node, &key, None);
             }
-            // Again, as it was.
+            // Repeats a recent change.
             4 | 5 if !self.recent.is_empty() => {
                 let (key, change) = self.recent[self.rng.index(self.recent.len())].clone();
                 self.begin_call(node, &key, Some(change));
@@ -54,7 +54,7 @@
         let first = self.rng.below(4) as u8;
         for item in [first, first + 1] {
             let last = self.versions.entry((key.to_owned(), item)).or_default();
-            // One in three races for a version that was tried before.
+            // One in three races for a version that was used before.
             let version = if self.rng.one_in(3) { (*last).max(1) } else { *last + 1 };
             *last = version;
             let content = if self.rng.one_in(30) { 0 } else { content };
--- a/crates/control/control-store/tests/common/simulation/faults.rs
+++ b/crates/control/control-store/tests/common/simulation/faults.rs
@@ -1,5 +1,5 @@
-//! What goes wrong in the simulation: crashes, wiped and full disks, pauses, cut links, machines lost for good or stopped in
-//! plan; and how each is undone.
+//! Faults of the simulation: crashes, wiped and full disks, pauses, cut links, machines lost permanently or
+//! stopped gracefully; and how each ends.
 
 use super::machine::{Input, Machine};
 use super::{Event, Simulation};
@@ -15,7 +15,7 @@
         to: usize,
     },
     FreeDisk(usize),
-    /// A machine that stops in plan does so, at the latest then.
+    /// A machine that is stopping gracefully stops, at the latest at this time.
     Stop {
         node: usize,
         run: u64,
@@ -85,7 +85,7 @@
                 Some("pause")
             }
             7 => {
-                // Cut off from all, knowing it or not.
+                // Cut off from all others, with or without being told.
                 let is_known = self.rng.one_in(2);
                 for peer in (0..n).filter(|peer| *peer != node) {
                     self.cut_link(node, peer, span, is_known);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A disk has no space for a while, in which its machine may crash and start again.
+    /// A disk has no space for a while, during which its machine may crash and restart.
     fn fill_disk(&mut self) -> &'static str {
         let node = self.rng.index(self.machines.len());
         let span = Duration::from_millis(20) + self.rng.micros_below(3_000_000);
@@ -114,7 +114,7 @@
         "full"
     }
 
-    /// A replica lost for good, or away for longer than is borne.
+    /// A replica is lost permanently, or is away long enough to be replaced.
     fn inject_long_fault(&mut self) -> Option<&'static str> {
         let n = self.machines.len();
         let node = self.rng.index(n);
@@ -167,7 +167,7 @@
         self.undo_after(span, Undo::Heal { from, to });
     }
 
-    /// The last replica set that anybody knows of.
+    /// The latest replica set known to any machine.
     pub(super) fn replica_set(&self) -> Option<ReplicaSet> {
         self.machines.iter().flat_map(known_replica_sets).max_by_key(|set| set.version)
     }
@@ -176,7 +176,7 @@
         self.replica_set().is_none_or(|set| set.contains(Node(node as u32)))
     }
 
-    /// How many replicas are lost for good, and how many other machines there are.
+    /// The numbers of permanently lost replicas and of usable machines outside the replica set.
     fn lost_and_spare(&self) -> (usize, usize) {
         let n = self.machines.len();
         let lost = (0..n).filter(|node| self.is_replica(*node) && self.machines[*node].is_destroyed).count();
@@ -185,16 +185,16 @@
         (lost, spare)
     }
 
-    /// Whether a machine has a disk on which it is a replica since this version.
+    /// Whether a machine's disk holds a replica set of this version or later.
     fn is_replica_on_disk_since(&self, node: usize, version: u64) -> bool {
         let machine = &self.machines[node];
         let metadata = machine.disk.metadata.as_ref().filter(|_| !machine.is_destroyed);
         metadata.is_some_and(|metadata| metadata.replica_set.version >= version)
     }
 
-    /// Whether the loss of this disk is one of those that are to be borne: with those that are lost already and not repaired
-    /// or replaced yet it is under half, in the last replica set that is in force (a majority of its replicas has it on
-    /// disk) and in each that anybody knows of beyond it.
+    /// Whether the loss of this disk has to be tolerated: together with disks already lost and not yet
+    /// repaired or replaced it is a minority, both of the latest replica set in force (one that a majority of
+    /// its replicas has on disk) and of each later one that is known to any machine.
     fn is_bearable(&self, node: usize) -> bool {
         let mut known: Vec<ReplicaSet> = self.machines.iter().flat_map(known_replica_sets).collect();
         let is_in_force = |set: &&ReplicaSet| {
@@ -260,7 +260,8 @@
         self.tick(node);
     }
 
-    /// It stops as soon as it is needed no more, or its grace is over; then it may be lost for good, if it was replaced.
+    /// The machine stops when it is no longer needed, or at the deadline. It may then be lost permanently, if
+    /// it was replaced.
     fn stop(&mut self, node: usize, run: u64, at_latest: Instant) {
         let machine = &self.machines[node];
         let Some(store) = machine.store.as_ref().filter(|_| machine.run == run) else { return };
@@ -282,7 +283,7 @@
     }
 }
 
-/// The replica sets that a machine knows of: on its disk, and in memory.
+/// The replica sets that a machine knows, on its disk and in memory.
 fn known_replica_sets(machine: &Machine) -> impl Iterator<Item = ReplicaSet> {
     let on_disk = machine.disk.metadata.as_ref().map(|metadata| metadata.replica_set.clone());
     let in_memory = machine.store.as_ref().map(|store| store.replica_set().clone());
--- a/crates/control/control-store/tests/common/simulation/machine.rs
+++ b/crates/control/control-store/tests/common/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! One machine of the simulation: its process, its disk, and what its store wants done.
+//! One machine of the simulation: its process, its disk, and the execution of its store's effects.
 
 use super::{Event, NotesMessage, Simulation};
 use crate::common::cluster::PendingWrite;
@@ -8,7 +8,7 @@
 use silvercross_time::{Duration, Instant};
 use std::collections::VecDeque;
 
-/// What comes to a store from outside.
+/// An input to a store.
 pub(super) enum Input {
     Message {
         from: usize,
@@ -21,7 +21,7 @@
         is_up: bool,
     },
     DiskHasSpace(bool),
-    /// A change, or a read without one.
+    /// A change, or a read if there is none.
     Call {
         token: u64,
         key: String,
@@ -30,26 +30,26 @@
 }
 
 pub(super) struct Machine {
-    /// `None` while its process is down.
+    /// `None` while the process is down.
     pub(super) store: Option<ControlStore<Notes>>,
     pub(super) disk: StoredState<Notes>,
     pub(super) is_formatted: bool,
     pub(super) writes: VecDeque<PendingWrite>,
-    /// Rises with every start and end of its process.
+    /// Incremented at every start and end of the process.
     pub(super) run: u64,
     pub(super) is_paused: bool,
-    /// What came while it was paused.
+    /// Inputs received while it was paused.
     pub(super) held: Vec<Input>,
     pub(super) last_sync: Instant,
-    /// Of its clock against the simulation's.
+    /// Offset of its clock from the simulation's.
     pub(super) clock_offset: Duration,
     pub(super) next_tick: Instant,
     pub(super) last_resumed: Instant,
-    /// Lost for good.
+    /// Lost permanently.
     pub(super) is_destroyed: bool,
-    /// Its disk has no space: writes stay in flight.
+    /// The disk has no space: writes stay in flight.
     pub(super) is_disk_full: bool,
-    /// It has said that it stops.
+    /// It has announced that it is stopping.
     pub(super) is_stopping: bool,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Puts the oldest write on the disk; its number.
+    /// Applies the oldest write to the disk, and returns its number.
     pub(super) fn persist_next(&mut self) -> Option<u64> {
         let pending = self.writes.pop_front()?;
         let write = pending.write;
@@ -110,7 +110,7 @@
         if machine.is_disk_full {
             store.set_disk_has_space(now, false);
         }
-        // Values of some bytes go in one to ten chunks.
+        // Values take between one and ten chunks.
         store.set_snapshot_chunk_bytes([10, 33, 100_000][self.loss as usize % 3]);
         machine.store = Some(store);
         self.do_effects(node);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A machine hears, some time later, whether its link to another is up.
+    /// Reports a link change to a machine after a delay.
     pub(super) fn change_link(&mut self, node: usize, peer: usize, is_up: bool) {
         let delay = Duration::from_millis(1) + self.rng.micros_below(50_000);
         let run = self.machines[node].run;
@@ -138,7 +138,7 @@
         machine.run += 1;
         machine.held.clear();
         machine.is_paused = false;
-        // Some of what was not said to be synced may be on disk all the same, in order.
+        // Writes not reported as synced may still be on disk, in order.
         if unsynced == 0 {
             while machine.persist_next().is_some() {}
         }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Hands something to a store; while its machine is paused it waits.
+    /// Passes an input to a store, or holds it while the machine is paused.
     pub(super) fn input(&mut self, node: usize, input: Input) {
         let machine = &mut self.machines[node];
         if machine.is_paused {
@@ -231,7 +231,7 @@
         self.schedule(synced, Event::Synced { node, run, write });
     }
 
-    /// A sync has come to its end, or found no space.
+    /// A sync has completed, or found no space.
     pub(super) fn synced(&mut self, node: usize, run: u64, write: u64) {
         let machine = &mut self.machines[node];
         if machine.run != run {
@@ -290,7 +290,7 @@
         self.announce_membership(node);
     }
 
-    /// A machine hears of the others whether they are no replicas and could be, and whether they stop.
+    /// Informs a machine which of the others could become replicas and which are stopping.
     fn announce_membership(&mut self, node: usize) {
         let n = self.machines.len();
         if n == self.replicas {
@@ -309,7 +309,7 @@
         self.do_effects(node);
     }
 
-    /// Its process is told to stop.
+    /// Starts a graceful stop of the process.
     pub(super) fn begin_graceful_stop(&mut self, node: usize) -> bool {
         let machine = &mut self.machines[node];
         let now = self.now + machine.clock_offset;
--- a/crates/control/control-store/tests/common/simulation/mod.rs
+++ b/crates/control/control-store/tests/common/simulation/mod.rs
@@ -1,15 +1,15 @@
-//! A simulation: control stores on links that lose, duplicate and reorder, on disks that forget what was not synced, with
-//! callers and faults drawn from a seed, all in simulated time.
+//! A simulation: control stores on links that lose, duplicate and reorder messages, on disks that lose
+//! unsynced writes, with callers and faults drawn from a seed, all in simulated time.
 //!
-//! Here are its state and its events; `machine` has what one machine does, `calls` the callers, `faults` what goes wrong,
-//! `outcome` the end of a run and what has to hold then.
+//! This file has its state and events, `machine` a single machine, `calls` the callers, `faults` the faults,
+//! and `outcome` the end of a run and its checks.
 
 mod calls;
 mod faults;
 mod machine;
 mod outcome;
 
-// Not every target needs both.
+// Not every test target uses both.
 #[allow(unused_imports)]
 pub use outcome::{machine_count, Report};
 
@@ -35,7 +35,7 @@
     Undo(Undo),
 }
 
-/// An event at its time; those of one time in the order in which they came up.
+/// An event at its time. Events at the same time are in the order in which they were scheduled.
 struct Scheduled {
     at: Instant,
     number: u64,
@@ -65,19 +65,19 @@
     queue: BinaryHeap<Reverse<Scheduled>>,
     scheduled: u64,
     machines: Vec<Machine>,
-    /// How many of them are replicas from the start.
+    /// The number of initial replicas.
     replicas: usize,
-    /// Whether messages from one to another are lost.
+    /// Whether messages from one machine to another are lost.
     cut: Vec<Vec<bool>>,
-    /// Of a thousand messages, how many are lost.
+    /// Lost messages per thousand.
     loss: u64,
-    /// Of a thousand messages, how many come twice.
+    /// Duplicated messages per thousand.
     duplication: u64,
-    /// One of so many messages and writes is slow.
+    /// One in this many messages and writes is slow.
     slow_one_in: u64,
     keys: Vec<String>,
     history: History,
-    /// By token, at which machine.
+    /// The machine of each open call, by token.
     open_calls: BTreeMap<u64, usize>,
     next_token: u64,
     contents: u64,
@@ -86,7 +86,7 @@
     faults_until: Instant,
     is_healing: bool,
     mutation: Option<Mutation>,
-    /// Whether disks run full among the other faults.
+    /// Whether faults include full disks.
     pub full_disks: bool,
     report: Report,
     failure: Option<String>,
@@ -97,7 +97,7 @@
         Simulation::with_spares(seed, machines, 0, mutation)
     }
 
-    /// With machines that are no replicas yet; replicas may be lost for good, and away for long.
+    /// With machines outside the initial replica set. Replicas may be lost permanently or be away for long.
     pub fn with_spares(seed: u64, replicas: usize, spares: usize, mutation: Option<Mutation>) -> Simulation {
         let machines = replicas + spares;
         let mut rng = Rng::new(seed);
@@ -159,7 +159,7 @@
         self.failure.get_or_insert(why);
     }
 
-    /// Runs until then, or until something fails.
+    /// Runs until the given time, or until a failure.
     fn play(&mut self, until: Instant) {
         while self.failure.is_none() && self.queue.peek().is_some_and(|Reverse(next)| next.at <= until) {
             let Some(Reverse(next)) = self.queue.pop() else { break };
--- a/crates/control/control-store/tests/common/simulation/outcome.rs
+++ b/crates/control/control-store/tests/common/simulation/outcome.rs
@@ -1,4 +1,4 @@
-//! The end of a run of the simulation: all is healed, and what has to hold then.
+//! The end of a simulation run: all faults are healed, then the checks.
 
 use super::faults::Undo;
 use super::machine::Machine;
@@ -15,29 +15,30 @@
     pub rejected: u64,
     pub unknown: u64,
     pub reads: u64,
-    /// Faults that struck while a call was open.
+    /// Faults injected while a call was open.
     pub faults_with_open_calls: u64,
     pub faults: BTreeMap<&'static str, u64>,
-    /// From the last heal until every key was settled.
+    /// Time from the last heal until every key was settled.
     pub settled_in: Duration,
     pub messages: u64,
     pub ownerships_taken: u64,
     pub stale_incarnations: u64,
-    /// Versions of the replica set beyond the first.
+    /// Versions of the replica set after the first.
     pub replica_sets: u64,
 }
 
-/// After everything is healed every key is owned and replicated everywhere within this: a silent owner is given up, the
-/// last in claim order claims, and one second for what was in flight on slow links and disks.
+/// Time within which every key is owned and replicated everywhere after all faults are healed: the timeout of
+/// a silent owner, the claim delay of the last node in claim order, and one second for slow links and disks.
 fn max_settling_time(machines: usize) -> Duration {
     Duration::from_millis(2_500) + Duration::from_millis(400) * machines as i64 + Duration::from_secs(1)
 }
 
-/// And where one was lost for good, until it is replaced: it has to be unreachable for four seconds, two steps are proposed,
-/// each tried again, and the joining replica is repaired.
+/// Additional time if a replica was lost permanently and has to be replaced: it has to be unreachable for
+/// four seconds, then two changes of the replica set are proposed, possibly more than once, and the joining
+/// replica is repaired.
 const MAX_REPLACEMENT_TIME: Duration = Duration::from_secs(4 + 6);
 
-/// How many machines a seed's schedule has.
+/// The number of machines in a seed's schedule.
 pub fn machine_count(seed: u64) -> usize {
     match seed % 10 {
         0 => 1,
@@ -47,7 +48,7 @@
 }
 
 impl Simulation {
-    /// One whole schedule: faults, then all healed, then the checker.
+    /// Runs a whole schedule: faults, then the heal, then the checker.
     pub fn run(mut self) -> Result<Report, String> {
         self.play(self.faults_until);
         self.heal();
@@ -73,7 +74,7 @@
         Ok(self.report)
     }
 
-    /// All links, disks and machines are good from here on, but for those lost for good.
+    /// Heals all links, disks and machines except those lost permanently.
     fn heal(&mut self) {
         self.is_healing = true;
         self.loss = 0;
@@ -113,7 +114,7 @@
         self.report.settled_in = self.now - healed;
     }
 
-    /// Whether every key is owned by exactly one, and all replicas have its value.
+    /// Whether every key has exactly one owner, and all replicas have its value.
     fn is_settled(&self) -> bool {
         let Some(set) = self.replica_set() else { return false };
         let replicas: Vec<&Machine> =
@@ -136,7 +137,7 @@
         owners.len() == 1 && replicas.iter().all(|machine| machine.store.as_ref().is_some_and(has_it))
     }
 
-    /// Through every machine a change and a read of every key, one after the other, each of which has to succeed.
+    /// Makes a change and a read of every key through every machine, one after another. Each has to succeed.
     fn check_calls_after_heal(&mut self) {
         for key in self.keys.clone() {
             for node in 0..self.machines.len() {
--- a/crates/control/control-store/tests/disk_full.rs
+++ b/crates/control/control-store/tests/disk_full.rs
@@ -1,5 +1,5 @@
-//! A replica whose disk has no space, stepped on three replicas: it says nothing that rests on a write, hands over what it owns,
-//! and comes back with space.
+//! Three replicas of which one has a full disk: it sends nothing that depends on a write, releases what it
+//! owns, and recovers once there is space.
 
 mod common;
 
@@ -24,18 +24,18 @@
     now: Instant,
     stores: Vec<ControlStore<Notes>>,
     disks: Vec<StoredState<Notes>>,
-    /// In flight.
+    /// Writes in flight.
     writes: Vec<VecDeque<PendingWrite>>,
     full: [bool; 3],
-    /// The most that were in flight at once.
+    /// The highest number of writes in flight at one node.
     most_writes: usize,
     answers: BTreeMap<u64, CallOutcome<Notes>>,
-    /// All that was ever sent.
+    /// All messages ever sent.
     sent: Vec<SentMessage>,
 }
 
 impl Trio {
-    /// With an owner; who that is, and the two others.
+    /// Three replicas with an owner; the indices of the owner and the two others.
     fn settled() -> (Trio, usize, usize, usize) {
         let mut trio = Trio {
             now: Instant::ZERO,
@@ -75,13 +75,13 @@
         (0..3).find(|node| !self.stores[*node].owned_keys().is_empty())
     }
 
-    /// On disk.
+    /// The promised epoch on disk.
     fn promised(&self, node: usize) -> Epoch {
         let stored = self.disks[node].keys.iter().find(|stored| stored.key == KEY);
         stored.map(|stored| stored.promised).unwrap_or_default()
     }
 
-    /// Until nothing moves any more.
+    /// Runs until nothing is in flight.
     fn run(&mut self) {
         loop {
             let mut out = Vec::new();
@@ -119,7 +119,7 @@
         self.stores[to].receive(self.now, Node(from as u32), version, message);
     }
 
-    /// What is in flight is synced, or found to have no space.
+    /// Syncs the writes in flight, or reports that there is no space.
     fn sync(&mut self, node: usize) {
         if self.writes[node].is_empty() {
             return;
@@ -155,7 +155,7 @@
         self.run();
     }
 
-    /// A claim of `from` with an epoch far above all.
+    /// Sends a claim with an epoch far above all others.
     fn claim(&mut self, from: usize, to: usize) -> Epoch {
         let epoch = Epoch { round: 99, owner: from as u32 };
         self.receive(to, from, 1, Message::Claim { key: KEY.into(), epoch });
@@ -163,14 +163,14 @@
         epoch
     }
 
-    /// How often a node has sent a promise for this epoch.
+    /// How many promises for this epoch a node has sent.
     fn promises(&self, from: usize, of: Epoch) -> usize {
         let is_promise = |m: &NotesMessage| matches!(m, Message::Promise { epoch, .. } if *epoch == of);
         self.sent.iter().filter(|sent| sent.from == from && is_promise(&sent.message)).count()
     }
 }
 
-/// How many promises are sent while there is no space for them.
+/// How many promises are sent while there is no space to store them.
 #[cfg_attr(not(feature = "mutants"), allow(unused_mut, unused_variables))]
 fn promises_without_space(mutation: Option<Mutation>) -> usize {
     let (mut trio, _, x, y) = Trio::settled();
@@ -205,7 +205,7 @@
     trio.advance(Duration::from_millis(300));
     assert!(matches!(trio.answers[&1], CallOutcome::Committed { .. }), "{:?}", trio.answers);
     assert!(trio.owner().is_some_and(|now| now != owner), "another owns it");
-    // Hundreds of changes and reads through all three, the full one too; each is answered at once.
+    // Changes and reads through all three, including the one with a full disk. Each is answered at once.
     for round in 0..200 {
         for node in [owner, x, y] {
             let token = 10 + 10 * round + node as u64;
@@ -235,7 +235,7 @@
     let (mut trio, owner, x, y) = Trio::settled();
     let before = trio.promised(x).max(trio.promised(y));
     trio.full[x] = true;
-    // The owner falls silent: `x` claims, and finds no space for its epoch.
+    // The owner becomes unreachable: `x` claims, and has no space to store its epoch.
     for other in [x, y] {
         trio.set_reachable(other, owner, false);
     }
@@ -263,7 +263,7 @@
     trio.full[y] = true;
     trio.link_all();
     assert!(trio.stores[y].is_voter() && !trio.stores[y].disk_has_space());
-    // What it promised before stands, and needs no write to be said again.
+    // A promise made earlier is durable, and is sent again without a write.
     let before = trio.promises(y, epoch);
     trio.claim(x, y);
     assert_eq!(trio.promises(y, epoch), before + 1);
--- a/crates/control/control-store/tests/explore/main.rs
+++ b/crates/control/control-store/tests/explore/main.rs
@@ -1,20 +1,21 @@
-//! Every order of events within a stated bound: three replicas, a spare one, one key, two changes under one version with
-//! different content, one replica lost for good (which the spare one replaces) and one disk wiped.
+//! Explores every order of events within a stated bound: three replicas and a spare node, one key, two changes under
+//! one version with different content, one replica lost permanently (which the spare node replaces) and one wiped disk.
 //!
-//! What is bounded, and nothing else:
-//! - Links and disks are in order and lose nothing but what is under way when an end of theirs goes or restarts.
-//! - What is under way is done in the order in which it came up, unless a link or a disk is *held*: from that moment on
-//!   nothing goes on there until all else is at rest. Holding one costs one of `surprises`; it may be let go, and held no
-//!   longer, whenever all else is at rest.
-//! - A change is called for, a replica goes or a disk is wiped when all that isn't held is at rest, or, for one of
-//!   `surprises`, between any two steps.
-//! - Time goes on only at rest, for all alike: `short` times by 0.4 s and `long` times by 4.6 s, in steps of 0.1 s in each
-//!   of which all that is not held comes to rest.
-//! - What a machine draws at random is not told apart.
-//! - Nothing is late over a restart, doubled or lost by itself: `simulation.rs` draws that.
+//! The bounds are these and no others:
+//! - Links and disks work, and lose only what is in flight when one of their ends is lost or restarts.
+//! - Messages and writes are processed in the order in which they were issued, unless their link or disk is *held*:
+//!   then nothing is processed there until everything else is at rest. Holding one uses up one of `surprises`; it may
+//!   be released whenever everything else is at rest.
+//! - A change is called for, a replica is lost or a disk is wiped while everything that is not held is at rest, or,
+//!   using up one of `surprises`, between any two steps.
+//! - Time passes only at rest, and equally for all nodes: `short` times by 0.4 s and `long` times by 4.6 s, in steps of
+//!   0.1 s, after each of which everything that is not held comes to rest.
+//! - States that differ only in random numbers count as the same.
+//! - Nothing arrives after a restart of the sender or receiver, and nothing is duplicated or lost otherwise; the tests
+//!   in `simulation.rs` cover that.
 //!
-//! Each state is expanded once, by a digest of 64 bits. `SURPRISES`, `SHORT`, `LONG` and `STATES` set the bounds of the
-//! large run (by hand).
+//! Each state is expanded once, identified by a digest of 64 bits. `SURPRISES`, `SHORT`, `LONG` and `STATES` set the
+//! bounds of the large run, which is started manually.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -25,7 +26,7 @@
 use std::rc::Rc;
 use world::{Answer, Budget, Step, World};
 
-/// The way to a state, the last step first.
+/// The path to a state, last step first.
 struct Path {
     step: Step,
     before: Option<Rc<Path>>,
@@ -50,12 +51,12 @@
 struct Exploration {
     states: usize,
     steps: usize,
-    /// Nothing is left to happen there.
+    /// States without a next step.
     ends: usize,
-    /// States in which a change was committed, a replica replaced.
+    /// States in which a change was committed, and in which a replica was replaced.
     committed: usize,
     replaced: usize,
-    /// Whether no bound cut it short.
+    /// Whether all states were explored.
     is_complete: bool,
 }
 
@@ -84,7 +85,7 @@
             let mut next = world.clone();
             next.take(step);
             let path = Some(Rc::new(Path { step, before: path.clone() }));
-            // Nothing else can happen until it is at rest.
+            // No other step is possible until the system is at rest.
             if next.budget.surprises == 0 {
                 next.rest();
             }
@@ -99,7 +100,7 @@
     Budget { surprises, calls: [true; 2], loss: true, wipe: true, short, long }
 }
 
-/// The build with rules left out plays it no second time.
+/// Not repeated in the build with mutations.
 #[cfg(not(feature = "mutants"))]
 #[test]
 fn all_orders_at_rest_and_one_surprise() {
@@ -111,7 +112,7 @@
     }
 }
 
-/// One change, one surprise, and no time for a replacement.
+/// One change, one surprise, and not enough time for a replacement.
 #[cfg(feature = "mutants")]
 fn caught(mutation: Mutation) -> String {
     let bounds = Budget { calls: [true, false], ..budget(1, 2, 0) };
--- a/crates/control/control-store/tests/explore/world.rs
+++ b/crates/control/control-store/tests/explore/world.rs
@@ -1,4 +1,4 @@
-//! Four machines, what is under way between them, and what may still happen.
+//! Four machines, the messages and writes in flight between them, and the possible next steps.
 
 use crate::common::cluster::{start_config, NotesMessage, PendingWrite, KEY};
 use crate::common::notes::Notes;
@@ -9,7 +9,7 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-/// How far time goes on at a time.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(100);
 const REPLICAS: usize = 3;
 const MACHINES: usize = 4;
@@ -45,12 +45,12 @@
     work: Rc<Work>,
 }
 
-/// What may still happen.
+/// The events that may still happen.
 #[derive(Clone, Copy, Debug, Hash)]
 pub struct Budget {
     pub surprises: u32,
     pub calls: [bool; 2],
-    /// Whether a replica may be lost for good.
+    /// Whether a replica may still be lost permanently.
     pub loss: bool,
     pub wipe: bool,
     pub short: u32,
@@ -85,11 +85,11 @@
     tasks: VecDeque<Task>,
     held: Vec<Channel>,
     lost: Option<usize>,
-    /// Who could become a replica, as all were told last.
+    /// Which nodes could become replicas, as last announced.
     outside: Vec<(usize, bool)>,
     starts: u64,
     pub budget: Budget,
-    /// The highest revision that was ever on its disk; after a wipe that of before, until it is a voter again.
+    /// The highest revision on each machine's disk. After a wipe it stays until the machine is a voter again.
     on_disk: [Revision; MACHINES],
     committed: Rc<BTreeMap<Revision, Notes>>,
     pub answers: [Option<Answer>; 2],
@@ -137,7 +137,7 @@
         world
     }
 
-    /// Changes a rule on purpose at one of them.
+    /// Activates the mutation at one machine.
     fn set_mutation(&mut self, node: usize) {
         #[cfg(feature = "mutants")]
         if let Some(mutation) = self.mutation {
@@ -150,7 +150,7 @@
         (0..MACHINES).filter(|i| Some(*i) != self.lost)
     }
 
-    /// Does one thing at a machine and takes what comes of it.
+    /// Calls a machine's store and handles the effects.
     fn at(&mut self, node: usize, act: impl FnOnce(&mut ControlStore<Notes>)) {
         let store = Rc::make_mut(&mut self.machines[node]);
         act(store);
@@ -212,7 +212,7 @@
             (Work::Write(pending), Channel::Disk(node)) => {
                 let disk = Rc::make_mut(&mut self.disks[node]);
                 pending.clone().persist(disk);
-                // A wiped one counts with what it on_disk until its disk is a replica's again.
+                // A wiped machine counts with what it had on disk until its disk is that of a replica again.
                 if let Some(stored) = disk.keys.first().filter(|_| disk.metadata.is_some()) {
                     self.on_disk[node] = stored.accepted;
                 }
@@ -297,7 +297,7 @@
         self.budget.surprises -= busy;
     }
 
-    /// All that may happen next.
+    /// All possible next steps.
     pub fn next(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         let front = self.front().map(|at| self.tasks[at].channel);
@@ -308,7 +308,7 @@
             }
             steps.push(Step::Hold(channel));
         }
-        // The two changes differ in nothing but their content: the first of them is called for first.
+        // The two changes differ only in their content, so the first one is always called first.
         if let Some(which) = self.budget.calls.iter().position(|left| *left) {
             steps.extend(self.living().map(|node| Step::Call(which, node)));
         }
@@ -352,7 +352,8 @@
         self.violation.get_or_insert(why);
     }
 
-    /// A commit is at a majority, by their disks; it has all that an earlier one has, and nothing that was rejected.
+    /// A commit is on the disks of a majority, contains everything committed earlier, and nothing that was
+    /// rejected.
     fn check_commit(&mut self, node: usize, revision: Revision, value: Notes) {
         let replicas = self.machines[node].replica_set().clone();
         let at_majority = |without: Option<Node>| {
--- a/crates/control/control-store/tests/mutants.rs
+++ b/crates/control/control-store/tests/mutants.rs
@@ -1,5 +1,6 @@
-//! Control stores that break one rule each: the judge finds every one of them. Those that need a rare order of events,
-//! and those of the replica set, are stepped in `rules.rs`.
+//! Control stores that break one rule each: the checker has to detect every one of them. Mutations that need
+//! a rare order of events, and those of the replica set, are tested step by step in the other test targets,
+//! such as `rules` and `planned`.
 #![cfg(feature = "mutants")]
 
 mod common;
@@ -8,7 +9,7 @@
 use common::simulation::Simulation;
 use silvercross_control_store::Mutation;
 
-/// The judge's words on the first of some schedules in which it shows.
+/// The first violation that the checker reports, over this many schedules.
 fn caught(mutation: Option<Mutation>, schedules: u64) -> String {
     caught_with(mutation, schedules, false)
 }
@@ -19,7 +20,7 @@
         let mut simulation = Simulation::new(seed, machines, mutation);
         simulation.full_disks = full_disks;
         let why = simulation.run().err()?;
-        // That nothing moves any more would not be enough.
+        // Not a violation of safety: a mutation has to cause one.
         if why.starts_with("not settled") || why.starts_with("a call after") {
             return None;
         }
--- a/crates/control/control-store/tests/planned.rs
+++ b/crates/control/control-store/tests/planned.rs
@@ -1,5 +1,6 @@
-//! A replica is replaced in plan: it says that it stops and is replaced while it is still there. At each message and each write
-//! of that something else goes wrong: nothing that was acknowledged is lost, and the others answer again in time.
+//! A planned replacement: a replica announces that it is stopping and is replaced while it is still running.
+//! With a fault at each of its messages and writes, nothing acknowledged may be lost, and the others have to
+//! answer again in time.
 
 mod common;
 
@@ -17,7 +18,8 @@
     MANY - replacement.cluster.steps_left.take().expect("it is set")
 }
 
-/// Injects a fault at one step of a planned replacement; after how long the others answer, if they are to.
+/// Injects a fault at one step of a planned replacement. Returns how long the others take to answer, if the
+/// case applies.
 fn time_to_answer_after(
     owner_leaves: bool,
     step: usize,
@@ -44,7 +46,7 @@
     Some(after)
 }
 
-/// All is whole again but for what is lost, and one more may go.
+/// After everything but the permanent losses has recovered, another replica may be lost.
 fn check_one_more_loss(replacement: &mut Replacement, fault: Fault, target: usize) {
     replacement.cluster.advance_by_deadlines(Duration::from_secs(3));
     replacement.cluster.paused.clear();
@@ -53,7 +55,7 @@
         replacement.cluster.cut_links.clear();
         replacement.cluster.restart(target);
     }
-    // The leaving starts again with the disk that it had.
+    // The leaving replica restarts with its old disk.
     if !matches!(fault, Fault::Lost | Fault::LostAndPower) || target != replacement.leaving {
         replacement.cluster.restart(replacement.leaving);
     }
@@ -86,7 +88,8 @@
     Fault::Stops,
 ];
 
-/// All faults at all steps: how many, and after how long the others answer at most, by fault.
+/// Injects each fault at each step. Returns the number of cases, and the longest time to an answer for each
+/// fault.
 fn inject_everywhere(faults: &[Fault], mutation: Option<Mutation>) -> (usize, BTreeMap<Fault, Duration>) {
     let mut longest = BTreeMap::new();
     let mut all = 0;
@@ -133,8 +136,8 @@
     inject_everywhere(&[Fault::LostAsLeavingStops], Some(Mutation::StopsBeforeReplicaSetInForce));
 }
 
-/// The joining replica's disk syncs nothing, so it is never repaired. Whether the leaving may end all the same, and after how long
-/// those that are left answer when another one is lost for good.
+/// The joining replica's disk syncs nothing, so it is never repaired. Returns whether the leaving replica is
+/// still needed, and how long the remaining ones take to answer after another one is lost permanently.
 fn joining_replica_never_repaired(mutation: Option<Mutation>) -> (bool, Option<Duration>) {
     let mut replacement = Replacement::new(false, mutation);
     replacement.cluster.stalled_disks.insert(3);
@@ -174,8 +177,9 @@
     );
 }
 
-/// As the leaving is told to stop another replica is lost for good, and the joining replica syncs nothing for so long, so that the replacement
-/// is abandoned. After how long the leaving may end; those that are left then have a majority.
+/// Another replica is lost permanently as the leaving one starts to stop, and the joining replica syncs
+/// nothing for a while, so that the replacement is abandoned. Returns when the leaving replica may stop; the
+/// remaining ones must have a majority then.
 fn joining_replica_late(owner_leaves: bool, lost: usize, late: Duration) -> Duration {
     let mut replacement = Replacement::new(owner_leaves, None);
     let leaving = replacement.leaving;
@@ -208,8 +212,9 @@
     }
 }
 
-/// The replacement is abandoned while another one is lost for good, and the joining replica hears of that late: it says that it is no
-/// candidate. Whether the leaving is there all the same, until those that are left have a majority.
+/// The replacement is abandoned while another replica is lost permanently, and the joining one learns that
+/// late: until then it doesn't offer itself as a candidate. Returns whether the leaving replica keeps running
+/// all the same, until the remaining ones have a majority.
 fn abandoned_unheard(owner_leaves: bool) -> bool {
     let mut replacement = Replacement::new(owner_leaves, None);
     let leaving = replacement.leaving;
@@ -243,7 +248,8 @@
     assert_eq!([false, true].map(abandoned_unheard), [true, true]);
 }
 
-/// After how long the leaving may end if another one is lost for good at this step; those that are left then have a majority.
+/// Another replica is lost permanently at this step. Returns when the leaving replica may stop; the remaining
+/// ones must have a majority then.
 fn lost_before_the_leaving_one_stops(owner_leaves: bool, step: usize, lost: usize) -> Duration {
     let mut replacement = Replacement::new(owner_leaves, None);
     let leaving = replacement.leaving;
@@ -277,9 +283,10 @@
     assert!(longest <= Duration::from_millis(2_500), "{longest}");
 }
 
-/// The new replica set stands at the joining replica and at one other, which alone have a change; that one is wiped and repaired while
-/// the joining replica can't be reached, but the leaving is back on its disk from the middle of the change, like the third. Whether they
-/// acknowledge anything, and whether the change is there when the joining replica is back.
+/// Only the joining replica and one other have the new replica set and a change made under it. That other one
+/// is wiped and repaired while the joining replica is unreachable, but the leaving replica is back with its
+/// disk from the middle of the replacement, like the third one. Returns whether they acknowledge anything,
+/// and whether the change is there once the joining replica is back.
 fn wiped_when_the_replacement_is_in_force(mutation: Option<Mutation>) -> (bool, bool) {
     let mut replacement = Replacement::new(false, mutation);
     let leaving = replacement.leaving;
@@ -290,7 +297,7 @@
         replacement.cluster.stores[3].is_voter()
             && replacement.cluster.stores[leaving].replica_set().is_joint()
     );
-    // The third misses the step to the new replica set, and goes then.
+    // The third replica misses the step to the new replica set.
     replacement.cluster.stalled_disks.insert(third);
     replacement
         .cluster
@@ -359,8 +366,8 @@
     }
 }
 
-/// One of three has the last change with the owner, and starts again on a disk from before that. Whether it finds that out,
-/// and whether the change is in force when the owner is lost then.
+/// A replica has the last change together with the owner only, and restarts on a disk from before that
+/// change. Returns how often it detected that, and whether the change is in force after the owner is lost.
 fn disk_gone_back(mutation: Option<Mutation>) -> (u64, bool) {
     let (mut cluster, owner) = Cluster::settled();
     cluster.set_mutation(mutation);
@@ -397,7 +404,7 @@
     cluster.cut_links.insert((y, x));
     cluster.disks[x] = before;
     for _ in 0..2 {
-        // Another start in the middle of the repair changes nothing.
+        // A restart in the middle of the repair changes nothing.
         cluster.restart(x);
         cluster.advance(Duration::from_secs(1));
         assert!(!cluster.stores[x].is_voter());
--- a/crates/control/control-store/tests/repaired.rs
+++ b/crates/control/control-store/tests/repaired.rs
@@ -1,5 +1,6 @@
-//! A wiped replica is repaired, or one that is gone for good is replaced. At each message and each write of that something else
-//! goes wrong, as far as it is to be borne: nothing that was acknowledged is lost, and the others answer again in time.
+//! A wiped replica is repaired, or a lost one replaced. With another fault at each message and write of that,
+//! as far as it has to be tolerated, nothing acknowledged may be lost, and the others have to answer again in
+//! time.
 
 mod common;
 
@@ -8,16 +9,16 @@
 use silvercross_time::Duration;
 use std::collections::BTreeMap;
 
-/// What is under way when it does.
+/// The operation in progress when the fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Under {
-    /// The replica that alone has the last change with the owner is wiped, and repaired.
+    /// A replica that has the last change together with the owner only is wiped, and repaired.
     Repair,
-    /// It is lost for good, and replaced by the spare one.
+    /// That replica is lost permanently, and replaced by the spare node.
     Replacement,
 }
 
-/// So far as the steps_left goes.
+/// Runs the operation for this many steps.
 fn begin(under: Under, steps_left: usize) -> Replacement {
     let mut replacement = Replacement::new(false, None);
     match under {
@@ -39,8 +40,8 @@
     replacement
 }
 
-/// Whether one more loss for good is to be borne: the repaired one votes, or more than half of the new replica set have it on
-/// disk.
+/// Whether another permanent loss has to be tolerated: the repaired replica votes, or a majority of the new
+/// replica set has that set on disk.
 fn stands(replacement: &Replacement, under: Under) -> bool {
     match under {
         Under::Repair => {
@@ -58,7 +59,7 @@
     }
 }
 
-/// After how long the others answer, where it is to be borne.
+/// How long the others take to answer, if the fault has to be tolerated.
 fn time_to_answer_after(under: Under, step: usize, fault: Fault, target: usize) -> Option<Duration> {
     let mut replacement = begin(under, step);
     let absent = if under == Under::Repair { 3 } else { replacement.leaving };
@@ -77,7 +78,7 @@
     let there: Vec<usize> = (0..4).filter(|n| *n != absent && !(gone && *n == target)).collect();
     let from = replacement.cluster.now;
     if fault == Fault::Paused {
-        // Until then it may be needed: one is gone already.
+        // The paused node may be needed for a majority, since another one is already absent.
         replacement.cluster.advance_by_deadlines(Duration::from_secs(1));
         replacement.cluster.paused.clear();
     }
--- a/crates/control/control-store/tests/repeats.rs
+++ b/crates/control/control-store/tests/repeats.rs
@@ -1,5 +1,5 @@
-//! Two operators under one version, the same call again, and calls that rest on others, stepped through changes of the
-//! owner, restarts, wipes and replacements.
+//! Competing changes under one version, repeated calls, and calls that depend on others, through changes of
+//! the owner, restarts, wipes and replacements.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const X: &[(u8, u64, u64)] = &[(1, 5, 7), (2, 5, 7)];
 const Y: &[(u8, u64, u64)] = &[(1, 5, 8)];
 
-/// What happens between a call and its repeat. `node` is a replica or the owner.
+/// An event between a call and its repeat.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     LaterOfOthers,
@@ -40,7 +40,7 @@
     cluster: Cluster,
     token: u64,
     version: u64,
-    /// Gone for good.
+    /// Lost permanently.
     lost: BTreeSet<usize>,
 }
 
@@ -58,7 +58,7 @@
     }
 
     fn owner(&self) -> usize {
-        // Who was cut off and doesn't know yet may believe it too: the highest epoch counts.
+        // A node that was cut off may still believe that it is the owner: the highest epoch counts.
         let owned = |i: &usize| self.cluster.stores[*i].owned_keys().first().map(|owned| owned.epoch);
         self.entries().into_iter().max_by_key(owned).expect("an owner")
     }
@@ -69,7 +69,7 @@
         self.token
     }
 
-    /// What is said in the end. What gets no clear answer is sent again, a few times.
+    /// The final outcome. A call without a definite answer is repeated a few times.
     fn settle(&mut self, node: usize, change: &[(u8, u64, u64)]) -> CallOutcome<Notes> {
         for _ in 0..6 {
             let token = self.begin(node, change);
@@ -145,8 +145,9 @@
     }
 }
 
-/// One call may be taken, its answer lost, in every way that copies and words can be lost between the owner and the others:
-/// the same version is then called for by another operator through every entry, the owner changes, and both repeat.
+/// A change is called for, with every combination of message losses between the owner and the others. Another
+/// change under the same version is then called for at each node, with and without a change of the owner, and
+/// both are repeated.
 fn races(mutation: Option<Mutation>) -> Result<u64, String> {
     let mut refused = 0;
     for lost in 0..16_u8 {
@@ -208,15 +209,15 @@
     assert!((1..96).contains(&refused), "either won at times: {refused}");
 }
 
-/// Eight calls at once through all entries, the first of which brings what the others name, while the owner changes or not:
-/// nothing that rests on a change is said before that change is in force for good.
+/// Eight concurrent calls through all nodes, of which the others depend on the first, with and without a
+/// change of the owner: no answer may depend on a change that is not committed.
 fn eight_at_once(mutation: Option<Mutation>) -> Result<(), String> {
     for cut in [false, true] {
         for lost in 0..4_u8 {
             let (mut cluster, owner) = Cluster::settled();
             cluster.set_mutation(mutation);
             let (x, y) = others(owner);
-            // One change is under way, so that the eight go in one copy.
+            // Another append is in flight, so that the eight changes go into one append.
             cluster.stalled_disks.extend([x, y]);
             cluster.call(owner, 1, &[(9, 1, 1)]);
             cluster.stores[owner].call(cluster.now, 10, KEY, vec![(1, 1, 7)]);
@@ -225,7 +226,7 @@
                 cluster.run();
                 cluster.stores[node].call(cluster.now, token, KEY, vec![(token as u8, 1, refers_to(1))]);
             }
-            // One more that rests on what is not in force yet: another content under the same version.
+            // Another call that depends on an uncommitted change: a different content under the same version.
             cluster.stores[owner].call(cluster.now, 18, KEY, vec![(1, 1, 8)]);
             cluster.run();
             cluster.cut_links.extend([(owner, x), (owner, y)].iter().take(lost as usize % 3));
@@ -257,7 +258,7 @@
                     _ => {}
                 }
             }
-            // The other content was refused: so the first one stays.
+            // The other content was rejected, so the first one has to be in force.
             if matches!(told.get(&18), Some(CallOutcome::Rejected(_))) && held.0.get(&1) != Some(&(1, 7)) {
                 return Err(format!("{name}: refused for a change that is not in force"));
             }
@@ -274,7 +275,8 @@
     eight_at_once(None).unwrap_or_else(|why| panic!("{why}"));
 }
 
-/// An owner that was cut off and overtaken gets a call that has become valid since, and one that was taken since.
+/// An owner that was cut off and superseded receives a call that has become valid since. Returns whether it
+/// is committed, by token.
 fn at_an_overtaken_owner(mutation: Option<Mutation>) -> Vec<(u64, bool)> {
     let (mut cluster, owner) = Cluster::settled();
     cluster.set_mutation(mutation);
@@ -283,7 +285,7 @@
     cluster.call(x, 1, &[(1, 1, 7)]);
     cluster.advance(Duration::from_millis(900));
     assert!(cluster.is_committed(1));
-    // It still believes; nobody told it.
+    // It does not know yet that it was superseded.
     cluster.call(owner, 2, &[(2, 1, refers_to(1))]);
     cluster.advance(Duration::from_millis(100));
     cluster.cut_links.clear();
--- a/crates/control/control-store/tests/rules/calls.rs
+++ b/crates/control/control-store/tests/rules/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and reads: forwarding, outcomes in time, and what is not taken.
+//! Calls and reads: forwarding, outcomes in time, and rejected messages and keys.
 
 use crate::common::cluster::{others, Cluster, NotesMessage, KEY};
 use crate::common::notes::Notes;
@@ -47,7 +47,7 @@
     cluster.call(x, 1, &[(1, 1, 7)]);
     cluster.advance(Duration::from_millis(600));
     assert!(cluster.is_committed(1));
-    // It still believes, and its messages come through: nobody confirms.
+    // It does not know yet that it was superseded. Its messages arrive, but nobody confirms its epoch.
     cluster.stores[owner].read(cluster.now, 2, KEY);
     cluster.run();
     assert!(!cluster.answers.contains_key(&2));
--- a/crates/control/control-store/tests/rules/main.rs
+++ b/crates/control/control-store/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Each rule of the protocol stepped by hand, on three replicas.
+//! The rules of the protocol, each tested step by step on a few replicas.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/control/control-store/tests/rules/ownership.rs
+++ b/crates/control/control-store/tests/rules/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership of a key: promises, appends, their durability, and take-overs.
+//! Ownership of a key: promises, appends, their durability, and takeovers.
 
 use crate::common::cluster::{others, Cluster, KEY};
 use silvercross_control_store::*;
@@ -15,7 +15,7 @@
     cluster.sync(x);
     cluster.run();
     assert!(cluster.is_committed(1));
-    // And the other way round: two others without the owner's own sync are more than half as well.
+    // The other way round: two other replicas are a majority without the owner's own sync.
     cluster.stalled_disks = BTreeSet::from([owner, y]);
     cluster.call(owner, 2, &[(1, 2, 8)]);
     assert!(!cluster.answers.contains_key(&2));
@@ -45,7 +45,7 @@
         let promised = cluster.key_state(node).promised;
         assert_eq!(cluster.disks[node].keys[0].promised, promised, "what is told is on disk");
     }
-    // A claim that is not synced is heard of by nobody, a promise neither.
+    // Neither a claim nor a promise is sent before it is synced.
     let epoch = Epoch { round: 99, owner: x as u32 };
     cluster.stalled_disks.insert(y);
     cluster.receive(y, x, 1, Message::Claim { key: KEY.into(), epoch });
@@ -63,7 +63,7 @@
 fn an_old_owners_append_is_rejected_and_its_calls_go_on() {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
-    // Cut off without knowing: it goes on believing.
+    // Cut off without being told: it still acts as the owner.
     cluster.cut_links.extend([(x, owner), (y, owner), (owner, x), (owner, y)]);
     cluster.call(x, 1, &[(1, 1, 7)]);
     cluster.advance(Duration::from_millis(600));
@@ -86,7 +86,7 @@
 fn a_take_over_adopts_the_highest_accepted() {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
-    // Only the owner and one other have it when it is acknowledged.
+    // Only the owner and one other replica have the change when it is acknowledged.
     cluster.cut_links.insert((owner, y));
     cluster.call(owner, 1, &[(1, 1, 7), (2, 1, 7)]);
     assert!(cluster.is_committed(1));
@@ -134,8 +134,8 @@
     assert!((18..=22).contains(&messages), "{messages} in ten seconds");
 }
 
-/// A replica promises a claimer, restarts, and is then sent the old owner's copy: whether that is acknowledged, and
-/// whether the claimer reads it.
+/// A replica promises a claim, restarts, and then receives an append of the old owner. Returns whether that
+/// is acknowledged, and whether the new owner reads it.
 fn promise_over_a_restart(mutation: Option<Mutation>) -> (bool, bool) {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
--- a/crates/control/control-store/tests/rules/repair.rs
+++ b/crates/control/control-store/tests/rules/repair.rs
@@ -1,4 +1,5 @@
-//! Disks that are lost: who is repaired votes only then, and its earlier answers count no more.
+//! Lost disks: a replica votes only once it is repaired, and what it said with the lost disk no longer
+//! counts.
 
 use crate::common::cluster::{others, Cluster};
 use crate::common::notes::Notes;
@@ -12,7 +13,8 @@
     cluster.cut_links.insert((owner, y));
     cluster.call(owner, 1, &[(1, 1, 7)]);
     assert!(cluster.is_committed(1));
-    // The other copy is wiped and the owner is gone: who is left may not answer without it.
+    // The other replica with the change is wiped and the owner is lost: the remaining one must not answer
+    // alone.
     cluster.isolate(owner);
     cluster.wipe(x);
     cluster.isolate(owner);
@@ -43,8 +45,9 @@
     assert_eq!(cluster.read(owner, 2).0.get(&1), Some(&(1, 7)));
 }
 
-/// A replica keeps a copy, loses its disk while its word is under way, and is repaired before the owner has synced: whether
-/// the change is acknowledged once that word comes, and whether it is there without the owner.
+/// A replica confirms an append, loses its disk while the confirmation is in flight, and is repaired before
+/// the owner has synced. Returns whether the change is acknowledged when the confirmation arrives, and
+/// whether it is there without the owner.
 fn confirmation_from_a_lost_disk(mutation: Option<Mutation>) -> (bool, bool) {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
@@ -64,7 +67,7 @@
         .expect("appended");
     let kept = cluster.messages.remove(at).expect("appended").message;
     cluster.held_links.clear();
-    // Repaired from what the others had on disk: the owner's copy was not there yet when it was asked.
+    // Repaired from what the others had on disk, which does not include the owner's append yet.
     let (own, other) = (cluster.disks[owner].keys.clone(), cluster.disks[y].keys.clone());
     cluster.cut_links.extend([(owner, x), (y, x)]);
     cluster.disks[x] = StoredState::default();
--- a/crates/control/control-store/tests/rules/replacement.rs
+++ b/crates/control/control-store/tests/rules/replacement.rs
@@ -1,4 +1,4 @@
-//! Replacement of a replica that is unreachable, by a spare one.
+//! Replacement of an unreachable replica by a spare node.
 
 use crate::common::cluster::KEY;
 use crate::spare::{replaced, with_spare};
@@ -35,7 +35,7 @@
     cluster.advance(Duration::from_millis(3_500));
     cluster.rejoin(x);
     cluster.advance(Duration::from_secs(3));
-    // One of three sees it gone: that is not more than half.
+    // Only one of three considers it unreachable, which is no majority.
     cluster.cut_links.extend([(owner, x), (x, owner)]);
     cluster.stores[owner].set_reachable(cluster.now, Node(x as u32), false);
     cluster.stores[x].set_reachable(cluster.now, Node(owner as u32), false);
@@ -52,7 +52,7 @@
         let (mut cluster, owner, x, y) = with_spare();
         cluster.isolate(x);
         cluster.announce_candidates();
-        // The newcomer hears nothing, so it is never repaired.
+        // The joining replica receives nothing, so it is never repaired.
         cluster.cut_links.extend([(owner, 3), (y, 3)]);
         cluster.advance(Duration::from_millis(4_700));
         assert!(cluster.stores[owner].replica_set().is_joint() || cluster.stores[y].replica_set().is_joint());
@@ -104,7 +104,7 @@
     cluster.advance(Duration::from_millis(700));
     assert!(cluster.is_committed(2), "{:?}", cluster.answers.get(&2));
     assert!(cluster.read(x, 3).0.contains_key(&2));
-    // And it may come again: what it had counts for nothing until it is repaired.
+    // It may join again, without its earlier state until it is repaired.
     cluster.announce_candidates();
     let gone = (0..4).find(|n| cluster.members(y).contains(&(*n as u32)) && *n != y).expect("another");
     cluster.isolate(gone);
@@ -116,7 +116,7 @@
 #[test]
 fn a_wiped_replica_asks_who_the_replicas_are_and_goes_by_no_hint() {
     let (mut cluster, owner, _, y) = replaced(None);
-    // Its hints still name the one that was removed, and not the newcomer.
+    // Its configured replicas still include the removed one, and not the new one.
     cluster.isolate(owner);
     cluster.wipe(y);
     cluster.advance(Duration::from_secs(1));
--- a/crates/control/control-store/tests/rules/replica_set_votes.rs
+++ b/crates/control/control-store/tests/rules/replica_set_votes.rs
@@ -1,14 +1,14 @@
-//! Who votes while the replica set changes, and under which replica set.
+//! Which replicas vote while the replica set changes, and under which replica set.
 
 use crate::spare::{replaced, with_spare};
 use silvercross_control_store::*;
 use silvercross_time::Duration;
 
-/// Who says so: a decided replica set counts whoever sends it.
+/// A sender outside the replica set: a decided replica set is valid whoever sends it.
 const UNKNOWN_NODE: usize = 9;
 
-/// An owner writes while it can reach nobody but who was removed: whether that is acknowledged, and whether the others
-/// have it then.
+/// An owner writes while it can reach only a removed replica. Returns whether that is acknowledged, and
+/// whether the others have it afterwards.
 fn append_to_a_removed_replica(mutation: Option<Mutation>) -> (bool, bool) {
     let (mut cluster, owner, x, _) = replaced(mutation);
     let rest: Vec<usize> = (0..4).filter(|n| *n != owner && *n != x).collect();
@@ -18,7 +18,7 @@
     cluster.run();
     cluster.cut_links.extend(rest.iter().flat_map(|n| [(owner, *n), (*n, owner)]));
     cluster.call(owner, 2, &[(2, 1, 8)]);
-    // The append is brought to the removed one, which is not in the replica set.
+    // Delivered directly: the owner does not send to a node outside the replica set.
     let OwnedKey { key, epoch, revision } = cluster.owned(owner);
     let version = cluster.stores[owner].replica_set().version;
     let base = cluster.key_state(x).accepted;
@@ -55,8 +55,9 @@
     );
 }
 
-/// A change is acknowledged by the owner and one other, which is lost for good. The one that lacks it and the joining replica
-/// hear of the replacement's two steps while the owner is away: whether another content is acknowledged without it.
+/// A change is acknowledged by the owner and one other replica, which is lost permanently. The replica that
+/// lacks the change and the joining one learn of both steps of the replacement while the owner is away.
+/// Returns whether another content of the same version is acknowledged without the owner.
 fn joining_replica_before_its_repair(mutation: Option<Mutation>) -> bool {
     let (mut cluster, owner, x, y) = with_spare();
     cluster.set_mutation(mutation);
@@ -100,15 +101,17 @@
     );
 }
 
-/// Who was removed and doesn't know it owns the key under the old replica set with one that knows: whether what they write is
-/// acknowledged, and whether the others have it then.
+/// A removed replica that does not know of its removal owns the key under the old replica set, together with
+/// a replica that knows the new one. Returns whether their write is acknowledged, and whether the others have
+/// it afterwards.
 fn old_owner_after_the_replacement(mutation: Option<Mutation>) -> (bool, bool) {
     let (mut cluster, _, x, y) = replaced(mutation);
-    // x still votes under the first replica set, and claims there with whoever heeds it.
+    // `x` still votes under the first replica set, and claims there with any replica that handles its
+    // messages.
     let rest: Vec<usize> = (0..4).filter(|n| *n != x && *n != y).collect();
     cluster.cut_links.retain(|way| *way != (y, x) && *way != (x, y));
     cluster.cut_links.extend(rest.iter().flat_map(|n| [(y, *n), (*n, y)]));
-    // It has the later owner's value, so nobody that heeds it has more.
+    // It has the later owner's value, so none of these has a later one.
     let OwnedKey { key, epoch, revision } = cluster.owned(cluster.owner().expect("an owner"));
     let base = cluster.key_state(x).accepted;
     let message = Message::Append { key, epoch, revision, base, changes: Vec::new(), more: false };
@@ -141,8 +144,9 @@
     );
 }
 
-/// In the middle of a replacement the owner reaches who is to leave alone, and writes; then the replacement comes into force without
-/// them: whether that is acknowledged, and whether the others have it.
+/// In the middle of a replacement the owner reaches only the leaving replica, and writes; then the
+/// replacement comes into force without them. Returns whether the write is acknowledged, and whether the
+/// others have it.
 fn append_with_the_old_majority_alone(mutation: Option<Mutation>) -> (bool, bool) {
     let (mut cluster, owner, x, y) = with_spare();
     cluster.set_mutation(mutation);
@@ -150,12 +154,12 @@
     replica_set.version += 1;
     replica_set.members.push(Member { node: Node(3), joined_in: replica_set.version });
     (replica_set.leaving, replica_set.joining) = (Some(Node(x as u32)), Some(Node(3)));
-    // All know the joint replica set, and the joining one is repaired.
+    // All know the joint replica set, and the joining replica is repaired.
     for node in 0..4 {
         cluster.receive_replica_set(node, UNKNOWN_NODE, &replica_set);
     }
     cluster.run();
-    // y and the joining one see neither of the others, and these don't see them.
+    // No links between `y` and the joining replica on one side, and the two others on the other.
     for (near, far) in [(owner, y), (owner, 3), (x, y), (x, 3)] {
         cluster.cut_links.extend([(near, far), (far, near)]);
         cluster.stores[near].set_reachable(cluster.now, Node(far as u32), false);
@@ -164,7 +168,7 @@
     cluster.call(owner, 2, &[(2, 1, 8)]);
     cluster.advance(Duration::from_millis(700));
     let committed = cluster.is_committed(2);
-    // Decided by a majority of both, before the cut: the replacement is in force.
+    // Decided by a majority of both replica sets before the cut: the replacement is in force.
     let mut next = replica_set.clone();
     next.version += 1;
     next.members.retain(|member| member.node != Node(x as u32));
--- a/crates/control/control-store/tests/rules/snapshots.rs
+++ b/crates/control/control-store/tests/rules/snapshots.rs
@@ -1,9 +1,9 @@
-//! Snapshots: what is corrupt, incomplete, of two revisions or old is never installed.
+//! A snapshot that is corrupt, incomplete, mixed from two revisions, or older is never installed.
 
 use crate::common::cluster::{others, Cluster, NotesMessage};
 use silvercross_control_store::*;
 
-/// All pieces of the key as it stands at its owner.
+/// All chunks of the key's current value, from its owner.
 fn snapshot_chunks(cluster: &mut Cluster, owner: usize, asks: usize) -> Vec<NotesMessage> {
     let OwnedKey { key, revision, .. } = cluster.owned(owner);
     let (mut pieces, mut offset) = (Vec::new(), 0);
@@ -23,8 +23,8 @@
     }
 }
 
-/// A replica that is behind gets pieces by hand, of two revisions: whether it takes what is torn, lacks a piece, is of both, and
-/// of the older one after the later.
+/// A lagging replica receives chunks of two revisions. Returns whether it installs a snapshot with a corrupt
+/// chunk, one with a missing chunk, one mixed from both revisions, and the older one after the later one.
 fn installs(mutation: Option<Mutation>) -> [bool; 4] {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
--- a/crates/control/control-store/tests/rules/spare.rs
+++ b/crates/control/control-store/tests/rules/spare.rs
@@ -1,10 +1,10 @@
-//! Three replicas and a spare one, and a replacement by the spare one.
+//! Three replicas and a spare node, before and after a replacement.
 
 use crate::common::cluster::{others, Cluster};
 use silvercross_control_store::Mutation;
 use silvercross_time::Duration;
 
-/// Three and a spare one, settled; the owner and the others.
+/// Three replicas with an owner, and a spare node; the indices of the owner and the two others.
 pub fn with_spare() -> (Cluster, usize, usize, usize) {
     let mut cluster = Cluster::with_spares(3, 1);
     cluster.advance(Duration::from_secs(1));
@@ -15,7 +15,7 @@
     (cluster, owner, x, y)
 }
 
-/// Replaces `x` while its links are cut, without telling it.
+/// Replaces `x` while its links are cut, without its knowledge.
 pub fn replaced(mutation: Option<Mutation>) -> (Cluster, usize, usize, usize) {
     let (mut cluster, owner, x, y) = with_spare();
     cluster.set_mutation(mutation);
@@ -23,7 +23,8 @@
     cluster.announce_candidates();
     cluster.advance(Duration::from_secs(7));
     assert!(!cluster.members(y).contains(&(x as u32)) && cluster.stores[3].is_voter());
-    // Ownerships begin that are later than what the removed one has claimed alone and claims next.
+    // Waits for an ownership with a later epoch than the removed replica has claimed alone and will claim
+    // next.
     let claimed = cluster.key_state(x).promised.round;
     loop {
         let owner = cluster.owner().unwrap_or(owner);
--- a/crates/control/control-store/tests/simulation.rs
+++ b/crates/control/control-store/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Schedules drawn from seeds in simulated time, held against a plain model.
+//! Random schedules in simulated time, checked against a plain model.
 
 mod common;
 
@@ -38,8 +38,9 @@
     assert!(changes >= 40, "{changes} changes of the replica set");
 }
 
-/// With replicas lost for good and replaced where REPLACEMENTS is set, with disks that fill up where FULL_DISKS is.
-/// `SCHEDULES=20000 FROM=0 cargo test --release -p silvercross-control-store --test simulation -- --ignored --nocapture`
+/// With permanent losses and replacements if REPLACEMENTS is set, with full disks if FULL_DISKS is.
+/// `SCHEDULES=20000 FROM=0 cargo test --release -p silvercross-control-store --test simulation -- --ignored
+/// --nocapture`
 #[test]
 #[ignore = "as many schedules as SCHEDULES says"]
 fn many_schedules_lose_nothing() {
@@ -105,7 +106,8 @@
     assert!(full >= 400 && committed >= 4_000, "{full} disks full, {committed} changes committed");
 }
 
-/// A snapshot that nobody wanted was offered over and over; a run of changes that came twice was not gone on from.
+/// Regressions: a snapshot that was not needed was offered repeatedly, and a replica that received the same
+/// append twice did not ask for the changes after it.
 #[test]
 fn schedules_that_once_failed_lose_nothing() {
     run(5_001_061);
--- a/crates/control/control-store/tests/wire_bytes.rs
+++ b/crates/control/control-store/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The encoding of every message between replicas and of every stored record, held to fixed bytes: replicas of different
-//! builds talk to each other, and read each other's disks.
+//! The encoding of every message between replicas and of every stored record, compared with fixed bytes:
+//! replicas of different builds exchange messages and read each other's disks.
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::{
@@ -14,7 +14,7 @@
 
 type StringMessage = Message<String, u64>;
 
-/// Adds the line of a value to `lines`, after reading the value back from its encoding.
+/// Adds the line of a value to `lines`, after decoding the value from its encoding.
 fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
     let bytes = bitcode::encode(&value);
     assert_eq!(bitcode::decode::<T>(&bytes).as_ref().ok(), Some(&value), "{name}");
