--- a/crates/control/control-store/tests/catchup/items.rs
+++ b/crates/control/control-store/tests/catchup/items.rs
@@ -16,7 +16,7 @@
 pub struct Items(BTreeMap<u32, Rc<Part>>);
 
 /// Bytes that don't compress.
-fn spread(number: u64) -> [u64; 5] {
+fn item_bytes(number: u64) -> [u64; 5] {
     [number.wrapping_mul(0x9e37_79b9_7f4a_7c15); 5]
 }
 
@@ -25,7 +25,7 @@
         let mut items = Items::default();
         for item in 0..count {
             let part = Rc::make_mut(items.0.entry(item / 256).or_default());
-            part.insert(item, (1, spread(u64::from(item))));
+            part.insert(item, (1, item_bytes(u64::from(item))));
         }
         items
     }
@@ -40,7 +40,7 @@
         let known = part.entry(change.0).or_default();
         let changed = change.1 > known.0;
         if changed {
-            *known = (change.1, spread(change.1));
+            *known = (change.1, item_bytes(change.1));
         }
         Ok(changed)
     }
--- a/crates/control/control-store/tests/catchup/main.rs
+++ b/crates/control/control-store/tests/catchup/main.rs
@@ -41,11 +41,11 @@
         Absence::RestartOfTheOwner => owner,
         _ => (owner + 1) % 3,
     };
-    leave(&mut network, absence, replica);
+    begin_absence(&mut network, absence, replica);
     network.change(changes);
     let (before, begun, unknown) = (network.traffic(replica), network.now, network.unknown);
     network.largest_message = 0;
-    let replica = come_back(&mut network, absence, replica);
+    let replica = end_absence(&mut network, absence, replica);
     let before = if absence == Absence::Join { 0 } else { before };
     let mut next_change = Instant::ZERO;
     while !has_caught_up(&network, replica) {
@@ -79,7 +79,7 @@
     measurement
 }
 
-fn leave(network: &mut Network, absence: Absence, replica: usize) {
+fn begin_absence(network: &mut Network, absence: Absence, replica: usize) {
     match absence {
         Absence::Restart | Absence::RestartOfTheOwner => network.stop(replica, false),
         Absence::Wipe => network.stop(replica, true),
@@ -93,7 +93,7 @@
 }
 
 /// Returns the node that has to catch up.
-fn come_back(network: &mut Network, absence: Absence, replica: usize) -> usize {
+fn end_absence(network: &mut Network, absence: Absence, replica: usize) -> usize {
     match absence {
         Absence::Join => {
             network.stop(replica, true);
@@ -144,10 +144,10 @@
             (Absence::Join, false),
         ] {
             let measured = catch_up_after(absence, *changes, load);
-            let lacks_few = *changes <= 3_000 && !matches!(absence, Absence::Wipe | Absence::Join);
+            let is_incremental = *changes <= 3_000 && !matches!(absence, Absence::Wipe | Absence::Join);
             // What the replica lacks, and a tenth for overhead. A change is well under 64 bytes.
-            let lacks = if lacks_few { *changes as usize * 64 } else { snapshot };
-            let bytes = lacks + lacks / 10 + 64 * 1024;
+            let missing_bytes = if is_incremental { *changes as usize * 64 } else { snapshot };
+            let bytes = missing_bytes + missing_bytes / 10 + 64 * 1024;
             let replacement = if absence == Absence::Join { 5_500_000 } else { 0 };
             let micros = bytes as i64 * 8_000_000 / LINK_BITS_PER_SECOND + 1_000_000 + replacement;
             let took = Duration::from_micros(micros);
@@ -162,21 +162,21 @@
 }
 
 #[test]
-fn who_was_away_catches_up_with_what_it_lacks_in_chunks() {
+fn a_returning_replica_catches_up_in_chunks() {
     check_all_absences(&[300]);
 }
 
 /// `cargo test --release -p silvercross-control-store --test catchup -- --ignored --nocapture`
 #[test]
 #[ignore = "in release: minutes otherwise"]
-fn who_was_away_for_long_catches_up_too() {
+fn a_replica_returning_after_many_changes_catches_up() {
     check_all_absences(&[300, 3_000, 100_000]);
 }
 
 /// A wiped replica receives a value of many chunks while its link to the sender is lost at each chunk, or it
 /// restarts at one of them, also with a change at each chunk.
 #[test]
-fn a_break_at_every_chunk_sends_nothing_twice() {
+fn a_link_lost_at_every_chunk_resends_nothing() {
     for (breaks, changes, restarts) in
         [(true, false, false), (true, true, false), (false, true, false), (true, true, true)]
     {
@@ -189,12 +189,12 @@
         let mut break_count = 0;
         while network.accepted(replica).is_none() {
             assert!(network.now < begun + Duration::from_secs(20), "it ends");
-            network.play_to_next_chunk(network.now + Duration::from_millis(100));
+            network.run_to_next_chunk(network.now + Duration::from_millis(100));
             if restarts && network.chunks_arrived == 10 {
                 network.stop(replica, false);
                 network.start(replica);
                 // What it had only in memory is lost.
-                network.arrived.clear();
+                network.arrived_chunks.clear();
             } else if breaks {
                 let sender = network.last_sender;
                 network.unlink(replica, sender);
@@ -210,7 +210,7 @@
         let now = network.owner().and_then(|owner| network.accepted(owner));
         assert_eq!(network.accepted(replica), now, "and has what came meanwhile");
         assert!(!breaks || break_count >= 20, "{break_count} breaks");
-        assert_eq!(network.sent_again, 0, "chunks sent again that had arrived");
+        assert_eq!(network.resent_chunks, 0, "chunks sent again that had arrived");
         let largest = network.largest_message;
         assert!(largest <= 1024 + MAX_OVERHEAD_BYTES, "{largest} bytes at once");
     }
--- a/crates/control/control-store/tests/catchup/network.rs
+++ b/crates/control/control-store/tests/catchup/network.rs
@@ -50,12 +50,12 @@
     pub tokens: u64,
     open_calls: usize,
     /// Chunks that arrived, by receiver, revision and offset.
-    pub arrived: BTreeSet<(usize, Revision, u64)>,
+    pub arrived_chunks: BTreeSet<(usize, Revision, u64)>,
     pub chunks_arrived: usize,
     /// The sender of the last chunk that arrived.
     pub last_sender: usize,
     /// Chunks sent although they had already arrived.
-    pub sent_again: usize,
+    pub resent_chunks: usize,
     chunk_bytes: usize,
 }
 
@@ -94,10 +94,10 @@
             unknown: 0,
             tokens: 0,
             open_calls: 0,
-            arrived: BTreeSet::new(),
+            arrived_chunks: BTreeSet::new(),
             chunks_arrived: 0,
             last_sender: 0,
-            sent_again: 0,
+            resent_chunks: 0,
             chunk_bytes,
         };
         for node in 0..n {
@@ -147,9 +147,9 @@
             }
             self.do_effects(a);
         }
-        let is_lost =
+        let is_on_link =
             |e: &Event| matches!(e, Event::Arrive { link, .. } if *link == (a, b) || *link == (b, a));
-        self.events.retain(|_, event| !is_lost(event));
+        self.events.retain(|_, event| !is_on_link(event));
     }
 
     pub fn stop(&mut self, node: usize, wipe: bool) {
@@ -199,7 +199,7 @@
         }
         let size = bitcode::encode(&message).len() + FRAME_BYTES;
         if let Message::SnapshotChunk { revision, offset, .. } = &message {
-            self.sent_again += usize::from(self.arrived.contains(&(to, *revision, *offset)));
+            self.resent_chunks += usize::from(self.arrived_chunks.contains(&(to, *revision, *offset)));
         }
         self.largest_message = self.largest_message.max(size);
         *self.bytes.entry(link).or_default() += size;
@@ -210,7 +210,7 @@
     }
 
     /// Runs until the given time, or until the next chunk arrives.
-    pub fn play_to_next_chunk(&mut self, until: Instant) {
+    pub fn run_to_next_chunk(&mut self, until: Instant) {
         let before = self.chunks_arrived;
         while self.now < until && self.chunks_arrived == before {
             self.step(until);
@@ -242,16 +242,16 @@
         if self.queue.peek().is_some_and(|Reverse((at, _))| *at <= next) {
             let Some(Reverse((_, number))) = self.queue.pop() else { return };
             if let Some(event) = self.events.remove(&number) {
-                self.happen(event);
+                self.handle_event(event);
             }
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive { link: (from, to), version, message } => {
                 if let Message::SnapshotChunk { revision, offset, .. } = &message {
-                    self.arrived.insert((to, *revision, *offset));
+                    self.arrived_chunks.insert((to, *revision, *offset));
                     self.chunks_arrived += 1;
                     self.last_sender = from;
                 }
@@ -313,15 +313,15 @@
     /// Makes this many changes at the owner, 32 at a time.
     pub fn change(&mut self, changes: u64) {
         let before = self.committed;
-        let mut asked = 0;
-        while asked < changes {
+        let mut requested = 0;
+        while requested < changes {
             let Some(owner) = self.owner() else {
                 self.advance(Duration::from_millis(10));
                 continue;
             };
-            for _ in 0..(changes - asked).min(32) {
-                asked += 1;
-                let item = (asked.wrapping_mul(0x9e37_79b9) % u64::from(ITEM_COUNT)) as u32;
+            for _ in 0..(changes - requested).min(32) {
+                requested += 1;
+                let item = (requested.wrapping_mul(0x9e37_79b9) % u64::from(ITEM_COUNT)) as u32;
                 self.call(owner, (item, 1 + self.tokens));
             }
             while self.open_calls > 0 {
--- a/crates/control/control-store/tests/common/history.rs
+++ b/crates/control/control-store/tests/common/history.rs
@@ -9,7 +9,7 @@
 
 /// A revision of the store, with the same order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct At {
+pub struct Position {
     pub round: u64,
     pub owner: u32,
     pub sequence: u64,
@@ -21,7 +21,7 @@
     Pending,
     Unknown,
     Rejected,
-    Committed(At),
+    Committed(Position),
     Value(Items),
 }
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct RecordedCall {
     pub key: String,
-    pub begun: Instant,
+    pub started: Instant,
     pub answered: Option<Instant>,
     /// Item, version, content.
     pub items: Vec<(u8, u64, u64)>,
@@ -38,12 +38,12 @@
 
 impl RecordedCall {
     /// The items of the value if the call is committed.
-    fn wanted(&self) -> Items {
+    fn expected_items(&self) -> Items {
         self.items.iter().map(|(item, version, content)| (*item, (*version, *content))).collect()
     }
 
     /// Whether a value has all items of the call, in their versions or higher ones.
-    fn is_in(&self, value: &Items) -> bool {
+    fn is_contained_in(&self, value: &Items) -> bool {
         self.items.iter().all(|(item, version, _)| value.get(item).is_some_and(|known| known.0 >= *version))
     }
 }
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub struct Commit {
     pub key: String,
-    pub at: At,
+    pub at: Position,
     /// The node, and the run of its process.
     pub publisher: (usize, u64),
     pub value: Items,
@@ -88,7 +88,7 @@
 
 /// Each revision contains all earlier ones, and no node publishes an older revision after a newer one.
 fn check_commits(commits: &[&Commit]) -> Result<(), String> {
-    let mut last: BTreeMap<(usize, u64), At> = BTreeMap::new();
+    let mut last: BTreeMap<(usize, u64), Position> = BTreeMap::new();
     for commit in commits {
         let known = last.entry(commit.publisher).or_default();
         if commit.at < *known {
@@ -112,7 +112,7 @@
     let mut facts: Vec<(Instant, Items, &RecordedCall)> = Vec::new();
     for call in calls {
         match (call.answered, &call.answer) {
-            (Some(answered), Answer::Committed(_)) => facts.push((answered, call.wanted(), call)),
+            (Some(answered), Answer::Committed(_)) => facts.push((answered, call.expected_items(), call)),
             (Some(answered), Answer::Value(value)) => facts.push((answered, value.clone(), call)),
             _ => {}
         }
@@ -122,11 +122,11 @@
         for (when, fact, by) in &facts {
             // A change that a higher version superseded need not have been in force itself.
             let is_covered = match by.answer {
-                Answer::Committed(_) => by.is_in(value),
+                Answer::Committed(_) => by.is_contained_in(value),
                 _ => covers(value, fact),
             };
-            if *when < call.begun && !is_covered {
-                return Err(format!("a read misses what stood before it: {by:?} then {call:?}"));
+            if *when < call.started && !is_covered {
+                return Err(format!("a read misses what was in force before it: {by:?} then {call:?}"));
             }
         }
     }
@@ -163,11 +163,11 @@
 /// one content.
 fn check_contents(calls: &[&RecordedCall], values: &[&Items]) -> Result<(), String> {
     let mut content_of: BTreeMap<(u8, u64), u64> = BTreeMap::new();
-    let mut asked: BTreeMap<u64, &RecordedCall> = BTreeMap::new();
+    let mut issued: BTreeMap<u64, &RecordedCall> = BTreeMap::new();
     let mut rejected: BTreeMap<u64, &RecordedCall> = BTreeMap::new();
     for call in calls {
         for (_, _, content) in &call.items {
-            asked.insert(*content, call);
+            issued.insert(*content, call);
             if matches!(call.answer, Answer::Rejected) {
                 rejected.insert(*content, call);
             }
@@ -187,8 +187,8 @@
             if let Some(call) = rejected.get(content) {
                 return Err(format!("rejected and in force: {call:?} in {value:?}"));
             }
-            let Some(call) = asked.get(content) else { return Err(format!("nobody asked for {content}")) };
-            if !call.is_in(value) {
+            let Some(call) = issued.get(content) else { return Err(format!("no call wrote {content}")) };
+            if !call.is_contained_in(value) {
                 return Err(format!("part of a call in force: {call:?} in {value:?}"));
             }
         }
--- a/crates/control/control-store/tests/common/notes.rs
+++ b/crates/control/control-store/tests/common/notes.rs
@@ -7,7 +7,7 @@
 
 thread_local! {
     /// Whether a rejected change is partly applied. Only with a mutation that keeps such a value.
-    pub static KEEPS_PARTS: Cell<bool> = const { Cell::new(false) };
+    pub static KEEP_PARTIAL_CHANGES: Cell<bool> = const { Cell::new(false) };
 }
 
 /// Item to version and content.
@@ -26,10 +26,10 @@
     fn apply_item(&mut self, item: u8, version: u64, content: u64) -> Result<bool, Rejection> {
         let rejection = |conflict| Rejection { conflict, reason: format!("item {item}, version {version}") };
         let known = self.0.get(&item).copied().unwrap_or_default();
-        let dangles = content >> 32 == 1 && !self.0.contains_key(&(content as u8));
+        let is_dangling = content >> 32 == 1 && !self.0.contains_key(&(content as u8));
         match version.cmp(&known.0) {
             _ if content == 0 => Err(rejection(false)),
-            Ordering::Greater if dangles => Err(rejection(false)),
+            Ordering::Greater if is_dangling => Err(rejection(false)),
             Ordering::Equal if known.1 != content => Err(rejection(true)),
             Ordering::Greater => {
                 self.0.insert(item, (version, content));
@@ -50,7 +50,7 @@
             match next.apply_item(*item, *version, *content) {
                 Ok(item_changed) => changed |= item_changed,
                 Err(rejection) => {
-                    if KEEPS_PARTS.get() {
+                    if KEEP_PARTIAL_CHANGES.get() {
                         *self = next;
                     }
                     return Err(rejection);
--- a/crates/control/control-store/tests/common/replacement.rs
+++ b/crates/control/control-store/tests/common/replacement.rs
@@ -16,9 +16,9 @@
     /// The node is paused, with its links up.
     Paused,
     /// All nodes lose power at once, with unsynced writes.
-    Power,
+    PowerLoss,
     /// The node is lost permanently, and all others lose power with unsynced writes.
-    LostAndPower,
+    LostAndPowerLoss,
     /// The leaving replica has just stopped because it is no longer needed, and this node is lost
     /// permanently.
     LostAsLeavingStops,
@@ -32,7 +32,7 @@
     pub cluster: Cluster,
     pub leaving: usize,
     /// The item changed by each call, by token.
-    pub asked: BTreeMap<u64, u8>,
+    pub changed_items: BTreeMap<u64, u8>,
     pub reads: u64,
 }
 
@@ -44,7 +44,7 @@
         let owner = cluster.owner().expect("an owner");
         let (x, y) = others(owner);
         let leaving = if owner_leaves { owner } else { x };
-        let mut replacement = Replacement { cluster, leaving, asked: BTreeMap::new(), reads: 0 };
+        let mut replacement = Replacement { cluster, leaving, changed_items: BTreeMap::new(), reads: 0 };
         replacement.call(owner, 1);
         replacement.cluster.cut_links.insert((owner, y));
         replacement.call(owner, 2);
@@ -54,7 +54,7 @@
     }
 
     pub fn call(&mut self, node: usize, token: u64) {
-        self.asked.insert(token, token as u8);
+        self.changed_items.insert(token, token as u8);
         self.cluster.call(node, token, &[(token as u8, 1, token)]);
     }
 
@@ -100,12 +100,12 @@
             Fault::Paused => {
                 self.cluster.paused.insert(target);
             }
-            Fault::Power => {
+            Fault::PowerLoss => {
                 for node in 0..4 {
                     self.cluster.restart(node);
                 }
             }
-            Fault::LostAndPower => {
+            Fault::LostAndPowerLoss => {
                 self.cluster.isolate(target);
                 for node in (0..4).filter(|node| *node != target) {
                     self.cluster.restart(node);
@@ -150,7 +150,7 @@
 
     /// Checks that everything acknowledged is in force at all of these nodes.
     pub fn assert_nothing_lost(&mut self, nodes: &[usize]) {
-        let committed = self.asked.iter().filter(|(token, _)| self.cluster.is_committed(**token));
+        let committed = self.changed_items.iter().filter(|(token, _)| self.cluster.is_committed(**token));
         let committed: Vec<u8> = committed.map(|(_, item)| *item).collect();
         assert!(committed.contains(&1) && committed.contains(&2));
         for node in nodes {
--- a/crates/control/control-store/tests/common/simulation/calls.rs
+++ b/crates/control/control-store/tests/common/simulation/calls.rs
@@ -16,7 +16,7 @@
         self.open_calls.insert(token, node);
         self.history.calls.push(RecordedCall {
             key: key.to_owned(),
-            begun: self.now,
+            started: self.now,
             answered: None,
             items: change.clone().unwrap_or_default(),
             answer: Answer::Pending,
@@ -48,8 +48,8 @@
     }
 
     fn change_at_random(&mut self, node: usize, key: &str) {
-        self.contents += 1;
-        let content = self.contents;
+        self.last_content += 1;
+        let content = self.last_content;
         let mut change = Change::new();
         let first = self.rng.below(4) as u8;
         for item in [first, first + 1] {
--- a/crates/control/control-store/tests/common/simulation/faults.rs
+++ b/crates/control/control-store/tests/common/simulation/faults.rs
@@ -19,7 +19,7 @@
     Stop {
         node: usize,
         run: u64,
-        at_latest: Instant,
+        deadline: Instant,
     },
 }
 
@@ -67,7 +67,7 @@
                 Some("power")
             }
             3 | 4 => {
-                if !self.is_bearable(node) {
+                if !self.is_tolerable(node) {
                     return None;
                 }
                 self.crash(node, true);
@@ -125,18 +125,18 @@
                 if !self.begin_graceful_stop(node) {
                     return None;
                 }
-                let stop = Undo::Stop { node, run, at_latest: self.now + span };
+                let stop = Undo::Stop { node, run, deadline: self.now + span };
                 self.undo_after(Duration::ZERO, stop);
-                Some("leaves in plan")
+                Some("graceful stop")
             }
             0 | 1 => {
                 let (lost, spare) = self.lost_and_spare();
-                if !self.is_replica(node) || spare <= lost || !self.is_bearable(node) {
+                if !self.is_replica(node) || spare <= lost || !self.is_tolerable(node) {
                     return None;
                 }
                 self.crash(node, true);
                 self.machines[node].is_destroyed = true;
-                Some("lost for good")
+                Some("permanent loss")
             }
             2 => {
                 self.crash(node, false);
@@ -145,9 +145,9 @@
             }
             _ => {
                 let is_known = !self.rng.one_in(3);
-                let spares_some = self.rng.one_in(3);
+                let keeps_some_links = self.rng.one_in(3);
                 for peer in (0..n).filter(|peer| *peer != node) {
-                    if spares_some && self.rng.one_in(3) {
+                    if keeps_some_links && self.rng.one_in(3) {
                         continue;
                     }
                     self.cut_link(node, peer, span, is_known);
@@ -195,7 +195,7 @@
     /// Whether the loss of this disk has to be tolerated: together with disks already lost and not yet
     /// repaired or replaced it is a minority, both of the latest replica set in force (one that a majority of
     /// its replicas has on disk) and of each later one that is known to any machine.
-    fn is_bearable(&self, node: usize) -> bool {
+    fn is_tolerable(&self, node: usize) -> bool {
         let mut known: Vec<ReplicaSet> = self.machines.iter().flat_map(known_replica_sets).collect();
         let is_in_force = |set: &&ReplicaSet| {
             let on_disk = |m: &&Member| self.is_replica_on_disk_since(m.node.0 as usize, set.version);
@@ -203,20 +203,20 @@
         };
         let in_force = known.iter().filter(is_in_force).map(|set| set.version).max().unwrap_or(0);
         known.retain(|set| set.version >= in_force.max(1));
-        let is_begun = self.machines[..self.replicas].iter().all(|m| m.is_formatted || m.is_destroyed);
-        let bears = |set: &ReplicaSet| {
+        let all_started = self.machines[..self.replicas].iter().all(|m| m.is_formatted || m.is_destroyed);
+        let is_tolerated = |set: &ReplicaSet| {
             let has_disk = |m: &Member| self.is_replica_on_disk_since(m.node.0 as usize, m.joined_in);
             let lost = set.members.iter().filter(|member| !has_disk(member)).count();
             let target = set.members.iter().find(|member| member.node.0 as usize == node);
             lost < (self.replicas - 1) / 2 && target.is_none_or(has_disk)
         };
-        is_begun && !known.is_empty() && known.iter().all(bears)
+        all_started && !known.is_empty() && known.iter().all(is_tolerated)
     }
 
     pub(super) fn undo(&mut self, undo: Undo) {
         match undo {
             Undo::Restart(node) => self.start(node),
-            Undo::Stop { node, run, at_latest } => self.stop(node, run, at_latest),
+            Undo::Stop { node, run, deadline } => self.stop(node, run, deadline),
             Undo::Heal { from, to } => {
                 self.cut[from][to] = false;
                 let are_up = self.machines[from].store.is_some() && self.machines[to].store.is_some();
@@ -250,11 +250,11 @@
         }
         machine.last_resumed = self.now;
         machine.next_tick = Instant::MAX;
-        let held = std::mem::take(&mut machine.held);
+        let held_inputs = std::mem::take(&mut machine.held_inputs);
         if self.rng.one_in(2) {
             self.tick(node);
         }
-        for input in held {
+        for input in held_inputs {
             self.input(node, input);
         }
         self.tick(node);
@@ -262,18 +262,18 @@
 
     /// The machine stops when it is no longer needed, or at the deadline. It may then be lost permanently, if
     /// it was replaced.
-    fn stop(&mut self, node: usize, run: u64, at_latest: Instant) {
+    fn stop(&mut self, node: usize, run: u64, deadline: Instant) {
         let machine = &self.machines[node];
         let Some(store) = machine.store.as_ref().filter(|_| machine.run == run) else { return };
         let (is_needed, is_outside) = (store.is_still_needed(), store.is_outside());
-        if (is_needed || machine.is_paused) && self.now < at_latest && !self.is_healing {
-            return self.undo_after(Duration::from_millis(50), Undo::Stop { node, run, at_latest });
+        if (is_needed || machine.is_paused) && self.now < deadline && !self.is_healing {
+            return self.undo_after(Duration::from_millis(50), Undo::Stop { node, run, deadline });
         }
         let (lost, spare) = self.lost_and_spare();
-        let may_go = !is_needed && is_outside && !self.is_replica(node) && spare > lost + 1;
+        let may_be_destroyed = !is_needed && is_outside && !self.is_replica(node) && spare > lost + 1;
         self.crash(node, false);
-        if may_go && self.rng.one_in(2) {
-            *self.report.faults.entry("left for good").or_default() += 1;
+        if may_be_destroyed && self.rng.one_in(2) {
+            *self.report.faults.entry("permanent departure").or_default() += 1;
             self.machines[node].disk = StoredState::default();
             self.machines[node].is_destroyed = true;
         } else {
--- a/crates/control/control-store/tests/common/simulation/machine.rs
+++ b/crates/control/control-store/tests/common/simulation/machine.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, NotesMessage, Simulation};
 use crate::common::cluster::PendingWrite;
-use crate::common::history::{Answer, At, Commit};
+use crate::common::history::{Answer, Commit, Position};
 use crate::common::notes::{Change, Notes};
 use silvercross_control_store::*;
 use silvercross_time::{Duration, Instant};
@@ -39,7 +39,7 @@
     pub(super) run: u64,
     pub(super) is_paused: bool,
     /// Inputs received while it was paused.
-    pub(super) held: Vec<Input>,
+    pub(super) held_inputs: Vec<Input>,
     pub(super) last_sync: Instant,
     /// Offset of its clock from the simulation's.
     pub(super) clock_offset: Duration,
@@ -62,7 +62,7 @@
             writes: VecDeque::new(),
             run: 0,
             is_paused: false,
-            held: Vec::new(),
+            held_inputs: Vec::new(),
             last_sync: Instant::ZERO,
             clock_offset,
             next_tick: Instant::MAX,
@@ -136,7 +136,7 @@
             return;
         }
         machine.run += 1;
-        machine.held.clear();
+        machine.held_inputs.clear();
         machine.is_paused = false;
         // Writes not reported as synced may still be on disk, in order.
         if unsynced == 0 {
@@ -159,7 +159,7 @@
     pub(super) fn input(&mut self, node: usize, input: Input) {
         let machine = &mut self.machines[node];
         if machine.is_paused {
-            machine.held.push(input);
+            machine.held_inputs.push(input);
             return;
         }
         let now = self.now + machine.clock_offset;
@@ -185,7 +185,7 @@
                 Effect::Store { write, metadata, keys } => {
                     self.store(node, PendingWrite { write, metadata, keys });
                 }
-                Effect::Answer { token, outcome } => self.answered(node, token, outcome),
+                Effect::Answer { token, outcome } => self.record_answer(node, token, outcome),
                 Effect::Committed { key, revision, value } => {
                     let publisher = (node, self.machines[node].run);
                     let commit = Commit { key, at: at(revision), publisher, value: value.0 };
@@ -232,7 +232,7 @@
     }
 
     /// A sync has completed, or found no space.
-    pub(super) fn synced(&mut self, node: usize, run: u64, write: u64) {
+    pub(super) fn complete_sync(&mut self, node: usize, run: u64, write: u64) {
         let machine = &mut self.machines[node];
         if machine.run != run {
             return;
@@ -246,14 +246,14 @@
         self.input(node, Input::WriteCompleted(write));
     }
 
-    fn answered(&mut self, node: usize, token: u64, outcome: CallOutcome<Notes>) {
+    fn record_answer(&mut self, node: usize, token: u64, outcome: CallOutcome<Notes>) {
         if self.open_calls.remove(&token).is_none() {
             return self.fail(format!("call {token} answered twice"));
         }
         let call = &mut self.history.calls[token as usize];
         call.answered = Some(self.now);
-        let took = self.now - call.begun;
-        let was_paused = self.machines[node].last_resumed >= call.begun;
+        let took = self.now - call.started;
+        let was_paused = self.machines[node].last_resumed >= call.started;
         if !was_paused && took > Duration::from_millis(801) {
             self.failure.get_or_insert(format!("call {token} answered after {took}"));
         }
@@ -322,6 +322,6 @@
     }
 }
 
-fn at(revision: Revision) -> At {
-    At { round: revision.epoch.round, owner: revision.epoch.owner, sequence: revision.sequence }
+fn at(revision: Revision) -> Position {
+    Position { round: revision.epoch.round, owner: revision.epoch.owner, sequence: revision.sequence }
 }
--- a/crates/control/control-store/tests/common/simulation/mod.rs
+++ b/crates/control/control-store/tests/common/simulation/mod.rs
@@ -80,7 +80,7 @@
     /// The machine of each open call, by token.
     open_calls: BTreeMap<u64, usize>,
     next_token: u64,
-    contents: u64,
+    last_content: u64,
     versions: BTreeMap<(String, u8), u64>,
     recent: Vec<(String, Change)>,
     faults_until: Instant,
@@ -119,7 +119,7 @@
             history: History::default(),
             open_calls: BTreeMap::new(),
             next_token: 0,
-            contents: 0,
+            last_content: 0,
             versions: BTreeMap::new(),
             recent: Vec::new(),
             faults_until,
@@ -130,12 +130,12 @@
             failure: None,
             rng,
         };
-        simulation.begin();
+        simulation.start_all();
         simulation
     }
 
     /// Starts all machines, callers and faults.
-    fn begin(&mut self) {
+    fn start_all(&mut self) {
         for _ in 0..self.cut.len() {
             let clock_offset = self.rng.micros_below(1_000_000_000);
             self.machines.push(Machine::new(clock_offset));
@@ -160,23 +160,23 @@
     }
 
     /// Runs until the given time, or until a failure.
-    fn play(&mut self, until: Instant) {
+    fn run_until(&mut self, until: Instant) {
         while self.failure.is_none() && self.queue.peek().is_some_and(|Reverse(next)| next.at <= until) {
             let Some(Reverse(next)) = self.queue.pop() else { break };
             self.now = next.at;
-            self.happen(next.event);
+            self.handle_event(next.event);
         }
         self.now = self.now.max(until);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive { from, to, version, message } => {
                 if !self.cut[from][to] {
                     self.input(to, Input::Message { from, version, message });
                 }
             }
-            Event::Synced { node, run, write } => self.synced(node, run, write),
+            Event::Synced { node, run, write } => self.complete_sync(node, run, write),
             Event::Deadline { node, run } => {
                 let machine = &self.machines[node];
                 if machine.run == run && machine.next_tick <= self.now {
--- a/crates/control/control-store/tests/common/simulation/outcome.rs
+++ b/crates/control/control-store/tests/common/simulation/outcome.rs
@@ -50,11 +50,11 @@
 impl Simulation {
     /// Runs a whole schedule: faults, then the heal, then the checker.
     pub fn run(mut self) -> Result<Report, String> {
-        self.play(self.faults_until);
+        self.run_until(self.faults_until);
         self.heal();
         self.settle();
         self.check_calls_after_heal();
-        self.play(self.now + Duration::from_secs(1));
+        self.run_until(self.now + Duration::from_secs(1));
         if let Some(token) = self.open_calls.keys().next() {
             self.fail(format!("call {token} was never answered"));
         }
@@ -63,7 +63,7 @@
                 self.report.ownerships_taken += metrics.ownerships_taken;
                 self.report.stale_incarnations += metrics.stale_incarnations;
                 if metrics.disk_rollbacks > 0 {
-                    self.failure.get_or_insert("a disk that is good was found to have gone back".into());
+                    self.failure.get_or_insert("an intact disk was found rolled back".into());
                 }
             }
         }
@@ -108,7 +108,7 @@
                     stores.map(|store| (store.is_voter(), store.replica_set(), store.key_states())).collect();
                 self.fail(format!("not settled after the heal: {states:?}"));
             }
-            self.play(self.now + Duration::from_millis(10));
+            self.run_until(self.now + Duration::from_millis(10));
         }
         self.report.replica_sets = self.replica_set().map_or(0, |set| set.version - 1);
         self.report.settled_in = self.now - healed;
@@ -141,8 +141,8 @@
     fn check_calls_after_heal(&mut self) {
         for key in self.keys.clone() {
             for node in 0..self.machines.len() {
-                self.contents += 1;
-                let change = vec![(9, node as u64 + 1, self.contents)];
+                self.last_content += 1;
+                let change = vec![(9, node as u64 + 1, self.last_content)];
                 self.check_call_after_heal(node, &key, Some(change));
                 self.check_call_after_heal(node, &key, None);
             }
@@ -151,10 +151,10 @@
 
     fn check_call_after_heal(&mut self, node: usize, key: &str, change: Option<super::Change>) {
         let Some(token) = self.begin_call(node, key, change) else { return };
-        let begun = self.now;
+        let started = self.now;
         let is_pending = |s: &Simulation| s.history.calls[token as usize].answered.is_none();
-        while is_pending(self) && self.now < begun + Duration::from_millis(900) {
-            self.play(self.now + Duration::from_millis(1));
+        while is_pending(self) && self.now < started + Duration::from_millis(900) {
+            self.run_until(self.now + Duration::from_millis(1));
         }
         let call = self.history.calls[token as usize].clone();
         if !matches!(call.answer, Answer::Committed(_) | Answer::Value(_)) {
--- a/crates/control/control-store/tests/disk_full.rs
+++ b/crates/control/control-store/tests/disk_full.rs
@@ -20,38 +20,38 @@
 }
 
 /// Three replicas whose disks may be full.
-struct Trio {
+struct ThreeReplicas {
     now: Instant,
     stores: Vec<ControlStore<Notes>>,
     disks: Vec<StoredState<Notes>>,
     /// Writes in flight.
     writes: Vec<VecDeque<PendingWrite>>,
-    full: [bool; 3],
+    full_disks: [bool; 3],
     /// The highest number of writes in flight at one node.
-    most_writes: usize,
+    max_writes_in_flight: usize,
     answers: BTreeMap<u64, CallOutcome<Notes>>,
     /// All messages ever sent.
     sent: Vec<SentMessage>,
 }
 
-impl Trio {
+impl ThreeReplicas {
     /// Three replicas with an owner; the indices of the owner and the two others.
-    fn settled() -> (Trio, usize, usize, usize) {
-        let mut trio = Trio {
+    fn settled() -> (ThreeReplicas, usize, usize, usize) {
+        let mut cluster = ThreeReplicas {
             now: Instant::ZERO,
             stores: Vec::new(),
             disks: vec![StoredState::default(); 3],
             writes: (0..3).map(|_| VecDeque::new()).collect(),
-            full: [false; 3],
-            most_writes: 0,
+            full_disks: [false; 3],
+            max_writes_in_flight: 0,
             answers: BTreeMap::new(),
             sent: Vec::new(),
         };
-        trio.stores = (0..3).map(|node| trio.store(node, true)).collect();
-        trio.link_all();
-        trio.advance(Duration::from_secs(1));
-        let owner = trio.owner().expect("an owner");
-        (trio, owner, (owner + 1) % 3, (owner + 2) % 3)
+        cluster.stores = (0..3).map(|node| cluster.store(node, true)).collect();
+        cluster.link_all();
+        cluster.advance(Duration::from_secs(1));
+        let owner = cluster.owner().expect("an owner");
+        (cluster, owner, (owner + 1) % 3, (owner + 2) % 3)
     }
 
     fn store(&self, node: usize, is_first_start: bool) -> ControlStore<Notes> {
@@ -101,11 +101,11 @@
                         Effect::Committed { .. } => {}
                     }
                 }
-                self.most_writes = self.most_writes.max(self.writes[node].len());
+                self.max_writes_in_flight = self.max_writes_in_flight.max(self.writes[node].len());
             }
-            let was_tried = |node: usize| self.full[node] && !self.stores[node].disk_has_space();
-            let waits = (0..3).any(|node| !self.writes[node].is_empty() && !was_tried(node));
-            if out.is_empty() && !waits {
+            let is_known_full = |node: usize| self.full_disks[node] && !self.stores[node].disk_has_space();
+            let has_pending = (0..3).any(|node| !self.writes[node].is_empty() && !is_known_full(node));
+            if out.is_empty() && !has_pending {
                 return;
             }
             for sent in out {
@@ -124,7 +124,7 @@
         if self.writes[node].is_empty() {
             return;
         }
-        if self.full[node] {
+        if self.full_disks[node] {
             return self.stores[node].set_disk_has_space(self.now, false);
         }
         while let Some(pending) = self.writes[node].pop_front() {
@@ -144,7 +144,7 @@
     }
 
     fn free_disk(&mut self, node: usize) {
-        self.full[node] = false;
+        self.full_disks[node] = false;
         self.sync(node);
         self.stores[node].set_disk_has_space(self.now, true);
         self.run();
@@ -173,20 +173,20 @@
 /// How many promises are sent while there is no space to store them.
 #[cfg_attr(not(feature = "mutants"), allow(unused_mut, unused_variables))]
 fn promises_without_space(mutation: Option<Mutation>) -> usize {
-    let (mut trio, _, x, y) = Trio::settled();
+    let (mut cluster, _, x, y) = ThreeReplicas::settled();
     #[cfg(feature = "mutants")]
     if let Some(mutation) = mutation {
-        trio.stores[y].set_mutation(mutation);
+        cluster.stores[y].set_mutation(mutation);
     }
-    trio.full[y] = true;
-    let epoch = trio.claim(x, y);
-    trio.claim(x, y);
-    assert!(trio.promised(y) < epoch);
-    let promises = trio.promises(y, epoch);
-    trio.free_disk(y);
-    assert_eq!(trio.promised(y), epoch, "the write succeeds once there is space");
-    trio.claim(x, y);
-    assert!(trio.promises(y, epoch) > promises, "who asks again gets it");
+    cluster.full_disks[y] = true;
+    let epoch = cluster.claim(x, y);
+    cluster.claim(x, y);
+    assert!(cluster.promised(y) < epoch);
+    let promises = cluster.promises(y, epoch);
+    cluster.free_disk(y);
+    assert_eq!(cluster.promised(y), epoch, "the write succeeds once there is space");
+    cluster.claim(x, y);
+    assert!(cluster.promises(y, epoch) > promises, "sent when asked again");
     promises
 }
 
@@ -194,53 +194,53 @@
 fn no_promise_is_sent_without_space() {
     assert_eq!(promises_without_space(None), 0);
     #[cfg(feature = "mutants")]
-    assert!(promises_without_space(Some(Mutation::ConfirmsFailedWrites)) > 0, "the mutation shows");
+    assert!(promises_without_space(Some(Mutation::ConfirmsFailedWrites)) > 0, "the mutation is detected");
 }
 
 #[test]
 fn an_owner_without_space_hands_over_and_no_call_waits_for_it() {
-    let (mut trio, owner, x, y) = Trio::settled();
-    trio.full[owner] = true;
-    trio.call(owner, 1, vec![(1, 1, 7)]);
-    trio.advance(Duration::from_millis(300));
-    assert!(matches!(trio.answers[&1], CallOutcome::Committed { .. }), "{:?}", trio.answers);
-    assert!(trio.owner().is_some_and(|now| now != owner), "another owns it");
+    let (mut cluster, owner, x, y) = ThreeReplicas::settled();
+    cluster.full_disks[owner] = true;
+    cluster.call(owner, 1, vec![(1, 1, 7)]);
+    cluster.advance(Duration::from_millis(300));
+    assert!(matches!(cluster.answers[&1], CallOutcome::Committed { .. }), "{:?}", cluster.answers);
+    assert!(cluster.owner().is_some_and(|now| now != owner), "another owns it");
     // Changes and reads through all three, including the one with a full disk. Each is answered at once.
     for round in 0..200 {
         for node in [owner, x, y] {
             let token = 10 + 10 * round + node as u64;
-            trio.call(node, token, vec![(2, 3 * round + 1 + node as u64, token)]);
-            trio.stores[node].read(trio.now, 5_000 + token, KEY);
-            trio.run();
+            cluster.call(node, token, vec![(2, 3 * round + 1 + node as u64, token)]);
+            cluster.stores[node].read(cluster.now, 5_000 + token, KEY);
+            cluster.run();
             for token in [token, 5_000 + token] {
-                let outcome = trio.answers.get(&token);
+                let outcome = cluster.answers.get(&token);
                 assert!(
                     outcome.is_some_and(|outcome| *outcome != CallOutcome::Unknown),
                     "{token} through {node}: {outcome:?}"
                 );
             }
         }
-        trio.advance(Duration::from_millis(20));
+        cluster.advance(Duration::from_millis(20));
     }
-    assert!(trio.most_writes <= 2, "{} writes in flight", trio.most_writes);
-    assert_eq!(trio.stores[owner].metrics().disk_full, 1);
-    trio.free_disk(owner);
-    trio.advance(Duration::from_secs(1));
-    let stored: Vec<&StoredKey<Notes>> = trio.disks.iter().flat_map(|disk| &disk.keys).collect();
+    assert!(cluster.max_writes_in_flight <= 2, "{} writes in flight", cluster.max_writes_in_flight);
+    assert_eq!(cluster.stores[owner].metrics().disk_full, 1);
+    cluster.free_disk(owner);
+    cluster.advance(Duration::from_secs(1));
+    let stored: Vec<&StoredKey<Notes>> = cluster.disks.iter().flat_map(|disk| &disk.keys).collect();
     assert!(stored.len() == 3 && stored.iter().all(|s| s.value == stored[0].value), "all have caught up");
 }
 
 #[test]
 fn an_epoch_that_was_never_durable_is_sent_to_nobody() {
-    let (mut trio, owner, x, y) = Trio::settled();
-    let before = trio.promised(x).max(trio.promised(y));
-    trio.full[x] = true;
+    let (mut cluster, owner, x, y) = ThreeReplicas::settled();
+    let before = cluster.promised(x).max(cluster.promised(y));
+    cluster.full_disks[x] = true;
     // The owner becomes unreachable: `x` claims, and has no space to store its epoch.
     for other in [x, y] {
-        trio.set_reachable(other, owner, false);
+        cluster.set_reachable(other, owner, false);
     }
-    trio.call(x, 1, vec![(1, 1, 7)]);
-    trio.advance(Duration::from_secs(2));
+    cluster.call(x, 1, vec![(1, 1, 7)]);
+    cluster.advance(Duration::from_secs(2));
     let is_own = |epoch: &Epoch| epoch.owner == x as u32 && *epoch > before;
     let names_own = |message: &NotesMessage| match message {
         Message::Claim { epoch, .. } | Message::OwnershipReleased { epoch, .. } => is_own(epoch),
@@ -249,31 +249,31 @@
         _ => false,
     };
     let sent: Vec<&SentMessage> =
-        trio.sent.iter().filter(|sent| sent.from == x && names_own(&sent.message)).collect();
+        cluster.sent.iter().filter(|sent| sent.from == x && names_own(&sent.message)).collect();
     assert!(sent.is_empty(), "{sent:?}");
-    assert!(trio.stores[x].metrics().claims <= 1, "it claims nothing more");
+    assert!(cluster.stores[x].metrics().claims <= 1, "it claims nothing more");
 }
 
 #[test]
 fn a_start_without_space_reads_answers_and_claims_only_with_space() {
-    let (mut trio, owner, x, y) = Trio::settled();
-    let epoch = trio.claim(x, y);
-    trio.stores[y] = trio.store(y, false);
-    trio.stores[y].set_disk_has_space(trio.now, false);
-    trio.full[y] = true;
-    trio.link_all();
-    assert!(trio.stores[y].is_voter() && !trio.stores[y].disk_has_space());
+    let (mut cluster, owner, x, y) = ThreeReplicas::settled();
+    let epoch = cluster.claim(x, y);
+    cluster.stores[y] = cluster.store(y, false);
+    cluster.stores[y].set_disk_has_space(cluster.now, false);
+    cluster.full_disks[y] = true;
+    cluster.link_all();
+    assert!(cluster.stores[y].is_voter() && !cluster.stores[y].disk_has_space());
     // A promise made earlier is durable, and is sent again without a write.
-    let before = trio.promises(y, epoch);
-    trio.claim(x, y);
-    assert_eq!(trio.promises(y, epoch), before + 1);
+    let before = cluster.promises(y, epoch);
+    cluster.claim(x, y);
+    assert_eq!(cluster.promises(y, epoch), before + 1);
     for other in [owner, x] {
-        trio.set_reachable(y, other, false);
+        cluster.set_reachable(y, other, false);
     }
-    trio.advance(Duration::from_secs(5));
-    assert_eq!(trio.stores[y].metrics().claims, 0);
-    trio.free_disk(y);
-    trio.advance(Duration::from_millis(1_500));
-    let claimed = trio.stores[y].key_states()[0].promised;
+    cluster.advance(Duration::from_secs(5));
+    assert_eq!(cluster.stores[y].metrics().claims, 0);
+    cluster.free_disk(y);
+    cluster.advance(Duration::from_millis(1_500));
+    let claimed = cluster.stores[y].key_states()[0].promised;
     assert!(claimed > epoch && claimed.owner == y as u32, "{claimed:?}: above what it had promised");
 }
--- a/crates/control/control-store/tests/explore/main.rs
+++ b/crates/control/control-store/tests/explore/main.rs
@@ -60,18 +60,18 @@
     is_complete: bool,
 }
 
-fn explore(budget: Budget, mutation: Option<Mutation>, most: usize) -> Result<Exploration, String> {
+fn explore(budget: Budget, mutation: Option<Mutation>, max_states: usize) -> Result<Exploration, String> {
     let mut seen = Exploration { is_complete: true, ..Exploration::default() };
-    let mut known = HashSet::new();
+    let mut visited = HashSet::new();
     let mut stack = vec![(World::new(budget, mutation), None::<Rc<Path>>)];
     while let Some((mut world, path)) = stack.pop() {
         if let Some(why) = &world.violation {
             return Err(format!("{why}, after {}", steps_of(&path)));
         }
-        if !known.insert(world.digest()) {
+        if !visited.insert(world.digest()) {
             continue;
         }
-        if known.len() > most {
+        if visited.len() > max_states {
             seen.is_complete = false;
             break;
         }
@@ -83,16 +83,16 @@
         for step in steps {
             seen.steps += 1;
             let mut next = world.clone();
-            next.take(step);
+            next.apply_step(step);
             let path = Some(Rc::new(Path { step, before: path.clone() }));
             // No other step is possible until the system is at rest.
             if next.budget.surprises == 0 {
-                next.rest();
+                next.run_to_rest();
             }
             stack.push((next, path));
         }
     }
-    seen.states = known.len().min(most);
+    seen.states = visited.len().min(max_states);
     Ok(seen)
 }
 
@@ -114,7 +114,7 @@
 
 /// One change, one surprise, and not enough time for a replacement.
 #[cfg(feature = "mutants")]
-fn caught(mutation: Mutation) -> String {
+fn find_violation(mutation: Mutation) -> String {
     let bounds = Budget { calls: [true, false], ..budget(1, 2, 0) };
     let why = explore(bounds, Some(mutation), usize::MAX).map(|seen| format!("{seen:?}"));
     let why = why.expect_err("not found");
@@ -125,19 +125,19 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn an_answer_before_a_quorum_has_it_is_found() {
-    assert!(caught(Mutation::AnswersBeforeQuorum).contains("not at a majority"));
+    assert!(find_violation(Mutation::AnswersBeforeQuorum).contains("not at a majority"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn a_wiped_replica_that_votes_is_found() {
-    assert!(caught(Mutation::VotesWithEmptyDisk).contains("lost between"));
+    assert!(find_violation(Mutation::VotesWithEmptyDisk).contains("lost between"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn a_take_over_without_a_quorum_is_found() {
-    assert!(caught(Mutation::ClaimsWithoutQuorum).contains("lost between"));
+    assert!(find_violation(Mutation::ClaimsWithoutQuorum).contains("lost between"));
 }
 
 #[test]
--- a/crates/control/control-store/tests/explore/world.rs
+++ b/crates/control/control-store/tests/explore/world.rs
@@ -146,12 +146,12 @@
         assert!(node < MACHINES && (self.mutation.is_none() || cfg!(feature = "mutants")));
     }
 
-    fn living(&self) -> impl Iterator<Item = usize> + '_ {
+    fn live_nodes(&self) -> impl Iterator<Item = usize> + '_ {
         (0..MACHINES).filter(|i| Some(*i) != self.lost)
     }
 
     /// Calls a machine's store and handles the effects.
-    fn at(&mut self, node: usize, act: impl FnOnce(&mut ControlStore<Notes>)) {
+    fn with_store(&mut self, node: usize, act: impl FnOnce(&mut ControlStore<Notes>)) {
         let store = Rc::make_mut(&mut self.machines[node]);
         act(store);
         let effects = store.take_effects();
@@ -182,9 +182,9 @@
 
     fn link(&mut self, node: usize) {
         let now = self.now;
-        for other in self.living().filter(|o| *o != node).collect::<Vec<_>>() {
-            self.at(node, |s| s.set_reachable(now, Node(other as u32), true));
-            self.at(other, |s| s.set_reachable(now, Node(node as u32), true));
+        for other in self.live_nodes().filter(|o| *o != node).collect::<Vec<_>>() {
+            self.with_store(node, |s| s.set_reachable(now, Node(other as u32), true));
+            self.with_store(other, |s| s.set_reachable(now, Node(node as u32), true));
         }
     }
 
@@ -192,8 +192,8 @@
         let now = self.now;
         self.tasks.retain(|task| !task.channel.touches(node));
         self.held.retain(|channel| !channel.touches(node));
-        for other in self.living().filter(|o| *o != node).collect::<Vec<_>>() {
-            self.at(other, |s| s.set_reachable(now, Node(node as u32), false));
+        for other in self.live_nodes().filter(|o| *o != node).collect::<Vec<_>>() {
+            self.with_store(other, |s| s.set_reachable(now, Node(node as u32), false));
         }
         self.tasks.retain(|task| !task.channel.touches(node));
     }
@@ -207,7 +207,7 @@
         let now = self.now;
         match (&*task.work, task.channel) {
             (Work::Message { version, message }, Channel::Link(from, to)) => {
-                self.at(to, |s| s.receive(now, Node(from as u32), *version, message.clone()));
+                self.with_store(to, |s| s.receive(now, Node(from as u32), *version, message.clone()));
             }
             (Work::Write(pending), Channel::Disk(node)) => {
                 let disk = Rc::make_mut(&mut self.disks[node]);
@@ -216,13 +216,13 @@
                 if let Some(stored) = disk.keys.first().filter(|_| disk.metadata.is_some()) {
                     self.on_disk[node] = stored.accepted;
                 }
-                self.at(node, |s| s.write_completed(now, pending.write));
+                self.with_store(node, |s| s.write_completed(now, pending.write));
             }
             _ => unreachable!("a message on a disk"),
         }
     }
 
-    pub fn rest(&mut self) {
+    pub fn run_to_rest(&mut self) {
         while let Some(at) = self.front() {
             self.run(at);
         }
@@ -231,21 +231,22 @@
     fn tick(&mut self) {
         self.now += STEP;
         let now = self.now;
-        let outside: Vec<(usize, bool)> = self.living().map(|n| (n, self.machines[n].is_outside())).collect();
+        let outside: Vec<(usize, bool)> =
+            self.live_nodes().map(|n| (n, self.machines[n].is_outside())).collect();
         let changed = outside != self.outside;
-        for node in self.living().collect::<Vec<_>>() {
+        for node in self.live_nodes().collect::<Vec<_>>() {
             for (other, outside) in outside.iter().filter(|_| changed) {
-                self.at(node, |s| s.set_candidate(now, Node(*other as u32), *outside));
+                self.with_store(node, |s| s.set_candidate(now, Node(*other as u32), *outside));
             }
             if self.machines[node].next_deadline().is_some_and(|at| at <= now) {
-                self.at(node, |s| s.tick(now));
+                self.with_store(node, |s| s.tick(now));
             }
         }
         self.outside = outside;
-        self.rest();
+        self.run_to_rest();
     }
 
-    pub fn take(&mut self, step: Step) {
+    pub fn apply_step(&mut self, step: Step) {
         let busy = u32::from(self.front().is_some());
         let now = self.now;
         match step {
@@ -267,7 +268,7 @@
             Step::Call(which, node) => {
                 self.budget.calls[which] = false;
                 let change = vec![(1, 1, CONTENTS[which])];
-                self.at(node, |s| s.call(now, which as u64, KEY, change));
+                self.with_store(node, |s| s.call(now, which as u64, KEY, change));
             }
             Step::Lose(node) => {
                 self.budget.loss = false;
@@ -310,13 +311,13 @@
         }
         // The two changes differ only in their content, so the first one is always called first.
         if let Some(which) = self.budget.calls.iter().position(|left| *left) {
-            steps.extend(self.living().map(|node| Step::Call(which, node)));
+            steps.extend(self.live_nodes().map(|node| Step::Call(which, node)));
         }
         if self.budget.loss {
             steps.extend((0..REPLICAS).map(Step::Lose));
         }
         if self.budget.wipe {
-            steps.extend(self.living().map(Step::Wipe));
+            steps.extend(self.live_nodes().map(Step::Wipe));
         }
         if front.is_none() {
             steps.extend(self.held.iter().map(|channel| Step::Release(*channel)));
@@ -348,7 +349,7 @@
         hasher.finish()
     }
 
-    fn report(&mut self, why: String) {
+    fn report_violation(&mut self, why: String) {
         self.violation.get_or_insert(why);
     }
 
@@ -363,11 +364,11 @@
             have * 2 > members.len()
         };
         if !at_majority(replicas.joining) || !at_majority(replicas.leaving) {
-            self.report(format!("{revision:?} is said to be committed and is not at a majority"));
+            self.report_violation(format!("{revision:?} is reported as committed and is not at a majority"));
         }
         for (which, answer) in self.answers.into_iter().enumerate() {
             if answer == Some(Answer::Rejected) && value.0.values().any(|v| v.1 == CONTENTS[which]) {
-                self.report(format!("change {which} was rejected and is in force"));
+                self.report_violation(format!("change {which} was rejected and is in force"));
             }
         }
         let covers =
@@ -379,7 +380,7 @@
         });
         if let Some((at, known)) = violation {
             let why = format!("lost between {at:?} {known:?} and {revision:?} {value:?}");
-            return self.report(why);
+            return self.report_violation(why);
         }
         Rc::make_mut(&mut self.committed).insert(revision, value);
     }
@@ -389,20 +390,22 @@
             CallOutcome::Committed { revision, .. } => {
                 let held = self.committed.get(&revision).and_then(|value| value.0.get(&1));
                 if held != Some(&(1, CONTENTS[which])) {
-                    self.report(format!("change {which} is acknowledged and not committed at {revision:?}"));
+                    self.report_violation(format!(
+                        "change {which} is acknowledged and not committed at {revision:?}"
+                    ));
                 }
                 Answer::Committed
             }
             CallOutcome::Rejected(_) => {
                 if self.committed.values().any(|value| value.0.values().any(|v| v.1 == CONTENTS[which])) {
-                    self.report(format!("change {which} is committed and rejected"));
+                    self.report_violation(format!("change {which} is committed and rejected"));
                 }
                 Answer::Rejected
             }
             _ => Answer::Unknown,
         });
         if self.answers == [Some(Answer::Committed); 2] {
-            self.report("both are committed under one version".into());
+            self.report_violation("both are committed under one version".into());
         }
     }
 }
--- a/crates/control/control-store/tests/planned.rs
+++ b/crates/control/control-store/tests/planned.rs
@@ -31,16 +31,17 @@
     replacement.cluster.steps_left = Some(step);
     replacement.stop_gracefully();
     replacement.cluster.steps_left = None;
-    let ends = fault == Fault::LostAsLeavingStops;
-    if ends && (replacement.is_leaving_needed() || target == replacement.leaving) {
+    let has_left = fault == Fault::LostAsLeavingStops;
+    if has_left && (replacement.is_leaving_needed() || target == replacement.leaving) {
         return None;
     }
     replacement.inject(fault, target);
-    let left = |n: &usize| (fault == Fault::Nothing || *n != target) && !(ends && *n == replacement.leaving);
-    let there: Vec<usize> = (0..4).filter(left).collect();
-    let after = replacement.time_to_answer(&there).expect("no majority answers");
-    replacement.assert_nothing_lost(&there);
-    if step.is_multiple_of(16) && !ends {
+    let is_live =
+        |n: &usize| (fault == Fault::Nothing || *n != target) && !(has_left && *n == replacement.leaving);
+    let remaining: Vec<usize> = (0..4).filter(is_live).collect();
+    let after = replacement.time_to_answer(&remaining).expect("no majority answers");
+    replacement.assert_nothing_lost(&remaining);
+    if step.is_multiple_of(16) && !has_left {
         check_one_more_loss(&mut replacement, fault, target);
     }
     Some(after)
@@ -56,23 +57,23 @@
         replacement.cluster.restart(target);
     }
     // The leaving replica restarts with its old disk.
-    if !matches!(fault, Fault::Lost | Fault::LostAndPower) || target != replacement.leaving {
+    if !matches!(fault, Fault::Lost | Fault::LostAndPowerLoss) || target != replacement.leaving {
         replacement.cluster.restart(replacement.leaving);
     }
     replacement.cluster.advance_by_deadlines(Duration::from_secs(8));
-    let lost = matches!(fault, Fault::Lost | Fault::LostAndPower).then_some(target);
-    let there: Vec<usize> = (0..4).filter(|n| Some(*n) != lost).collect();
-    let set = replacement.cluster.stores[there[0]].replica_set().clone();
+    let lost = matches!(fault, Fault::Lost | Fault::LostAndPowerLoss).then_some(target);
+    let remaining: Vec<usize> = (0..4).filter(|n| Some(*n) != lost).collect();
+    let set = replacement.cluster.stores[remaining[0]].replica_set().clone();
     assert!(
-        !set.is_joint() && there.iter().all(|n| *replacement.cluster.stores[*n].replica_set() == set),
+        !set.is_joint() && remaining.iter().all(|n| *replacement.cluster.stores[*n].replica_set() == set),
         "{set:?}"
     );
     let members: Vec<usize> = set.members.iter().map(|member| member.node.0 as usize).collect();
     assert!(
-        members.iter().all(|n| there.contains(n) && replacement.cluster.stores[*n].is_voter()),
+        members.iter().all(|n| remaining.contains(n) && replacement.cluster.stores[*n].is_voter()),
         "{set:?}, {lost:?}"
     );
-    replacement.assert_nothing_lost(&there);
+    replacement.assert_nothing_lost(&remaining);
     replacement.cluster.isolate(members[0]);
     replacement.cluster.advance_by_deadlines(Duration::from_secs(1));
     replacement.assert_nothing_lost(&members[1..]);
@@ -83,7 +84,7 @@
     Fault::Lost,
     Fault::Wiped,
     Fault::Paused,
-    Fault::LostAndPower,
+    Fault::LostAndPowerLoss,
     Fault::LostAsLeavingStops,
     Fault::Stops,
 ];
@@ -92,7 +93,7 @@
 /// fault.
 fn inject_everywhere(faults: &[Fault], mutation: Option<Mutation>) -> (usize, BTreeMap<Fault, Duration>) {
     let mut longest = BTreeMap::new();
-    let mut all = 0;
+    let mut count = 0;
     for owner_leaves in [false, true] {
         let steps = steps(owner_leaves, mutation);
         assert!(steps > 60, "{steps} messages and writes");
@@ -108,16 +109,16 @@
             let Some(after) = after else { continue };
             let known: &mut Duration = longest.entry(fault).or_default();
             *known = after.max(*known);
-            all += 1;
+            count += 1;
         }
     }
-    (all, longest)
+    (count, longest)
 }
 
 #[test]
 fn at_each_step_of_a_planned_replacement_one_node_may_be_lost() {
-    let (all, longest) = inject_everywhere(&FAULTS, None);
-    println!("{all} faults; the others answer after, at most: {longest:?}");
+    let (count, longest) = inject_everywhere(&FAULTS, None);
+    println!("{count} faults; the others answer after, at most: {longest:?}");
     for fault in FAULTS {
         let most = match fault {
             Fault::Nothing => Duration::ZERO,
@@ -149,11 +150,11 @@
     }
     let lost = (0..3).find(|n| *n != replacement.leaving).expect("another");
     replacement.cluster.isolate(lost);
-    let there: Vec<usize> =
+    let remaining: Vec<usize> =
         (0..3).filter(|n| *n != lost && (still_needed || *n != replacement.leaving)).collect();
-    let after = replacement.time_to_answer(&there);
+    let after = replacement.time_to_answer(&remaining);
     if after.is_some() {
-        replacement.assert_nothing_lost(&there);
+        replacement.assert_nothing_lost(&remaining);
     }
     (still_needed, after)
 }
@@ -193,9 +194,12 @@
     replacement.wait_while_leaving_needed(from + Duration::from_secs(20));
     let after = replacement.cluster.now - from;
     replacement.cluster.isolate(leaving);
-    let there: Vec<usize> = (0..4).filter(|n| *n != lost && *n != leaving).collect();
-    assert!(replacement.time_to_answer(&there).is_some(), "no majority once the leaving ended");
-    replacement.assert_nothing_lost(&there);
+    let remaining: Vec<usize> = (0..4).filter(|n| *n != lost && *n != leaving).collect();
+    assert!(
+        replacement.time_to_answer(&remaining).is_some(),
+        "no majority after the leaving replica stopped"
+    );
+    replacement.assert_nothing_lost(&remaining);
     after
 }
 
@@ -215,7 +219,7 @@
 /// The replacement is abandoned while another replica is lost permanently, and the joining one learns that
 /// late: until then it doesn't offer itself as a candidate. Returns whether the leaving replica keeps running
 /// all the same, until the remaining ones have a majority.
-fn abandoned_unheard(owner_leaves: bool) -> bool {
+fn abandonment_not_yet_known(owner_leaves: bool) -> bool {
     let mut replacement = Replacement::new(owner_leaves, None);
     let leaving = replacement.leaving;
     let rest: Vec<usize> = (0..3).filter(|n| *n != leaving).collect();
@@ -236,16 +240,19 @@
     replacement.cluster.sync(3);
     replacement.cluster.announce_membership();
     replacement.cluster.advance_by_deadlines(Duration::from_secs(4));
-    assert!(!replacement.is_leaving_needed(), "it may end now");
+    assert!(!replacement.is_leaving_needed(), "it may stop now");
     replacement.cluster.isolate(leaving);
-    assert!(replacement.time_to_answer(&[rest[1], 3]).is_some(), "no majority once the leaving ended");
+    assert!(
+        replacement.time_to_answer(&[rest[1], 3]).is_some(),
+        "no majority after the leaving replica stopped"
+    );
     replacement.assert_nothing_lost(&[rest[1], 3]);
     still_needed
 }
 
 #[test]
 fn a_leaving_replica_stays_while_the_joining_one_has_not_heard_that_the_replacement_was_abandoned() {
-    assert_eq!([false, true].map(abandoned_unheard), [true, true]);
+    assert_eq!([false, true].map(abandonment_not_yet_known), [true, true]);
 }
 
 /// Another replica is lost permanently at this step. Returns when the leaving replica may stop; the remaining
@@ -261,9 +268,12 @@
     replacement.wait_while_leaving_needed(from + Duration::from_secs(20));
     let after = replacement.cluster.now - from;
     replacement.cluster.isolate(leaving);
-    let there: Vec<usize> = (0..4).filter(|n| *n != lost && *n != leaving).collect();
-    assert!(replacement.time_to_answer(&there).is_some(), "no majority once the leaving ended");
-    replacement.assert_nothing_lost(&there);
+    let remaining: Vec<usize> = (0..4).filter(|n| *n != lost && *n != leaving).collect();
+    assert!(
+        replacement.time_to_answer(&remaining).is_some(),
+        "no majority after the leaving replica stopped"
+    );
+    replacement.assert_nothing_lost(&remaining);
     after
 }
 
@@ -287,7 +297,7 @@
 /// is wiped and repaired while the joining replica is unreachable, but the leaving replica is back with its
 /// disk from the middle of the replacement, like the third one. Returns whether they acknowledge anything,
 /// and whether the change is there once the joining replica is back.
-fn wiped_when_the_replacement_is_in_force(mutation: Option<Mutation>) -> (bool, bool) {
+fn wiped_after_the_replacement(mutation: Option<Mutation>) -> (bool, bool) {
     let mut replacement = Replacement::new(false, mutation);
     let leaving = replacement.leaving;
     let rest: Vec<usize> = (0..3).filter(|n| *n != leaving).collect();
@@ -333,15 +343,15 @@
 }
 
 #[test]
-fn who_is_wiped_when_the_replacement_is_in_force_is_not_repaired_as_of_before() {
-    assert_eq!(wiped_when_the_replacement_is_in_force(None), (false, true));
+fn a_replica_wiped_after_the_replacement_is_not_repaired_under_the_joint_replica_set() {
+    assert_eq!(wiped_after_the_replacement(None), (false, true));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn a_repair_as_of_before_the_replacement_is_caught() {
+fn a_repair_under_a_superseded_replica_set_is_caught() {
     let mutation = Some(Mutation::RepairsUnderOvertakenReplicaSet);
-    assert_eq!(wiped_when_the_replacement_is_in_force(mutation), (true, false), "acknowledged and lost");
+    assert_eq!(wiped_after_the_replacement(mutation), (true, false), "acknowledged and lost");
 }
 
 #[test]
@@ -368,7 +378,7 @@
 
 /// A replica has the last change together with the owner only, and restarts on a disk from before that
 /// change. Returns how often it detected that, and whether the change is in force after the owner is lost.
-fn disk_gone_back(mutation: Option<Mutation>) -> (u64, bool) {
+fn disk_rolled_back(mutation: Option<Mutation>) -> (u64, bool) {
     let (mut cluster, owner) = Cluster::settled();
     cluster.set_mutation(mutation);
     let (x, y) = others(owner);
@@ -385,18 +395,18 @@
 }
 
 #[test]
-fn a_disk_that_went_back_is_found_out_by_the_owner_and_repaired() {
-    assert_eq!(disk_gone_back(None), (1, true));
+fn a_rolled_back_disk_is_detected_by_the_owner_and_repaired() {
+    assert_eq!(disk_rolled_back(None), (1, true));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn a_disk_that_went_back_and_votes_is_caught() {
-    assert_eq!(disk_gone_back(Some(Mutation::VotesAfterDiskRollback)), (0, false), "acknowledged and lost");
+fn voting_after_a_disk_rollback_is_caught() {
+    assert_eq!(disk_rolled_back(Some(Mutation::VotesAfterDiskRollback)), (0, false), "acknowledged and lost");
 }
 
 #[test]
-fn a_disk_that_went_back_is_as_good_as_empty_until_it_is_repaired() {
+fn a_rolled_back_disk_is_treated_as_empty_until_it_is_repaired() {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
     let before = cluster.disks[x].clone();
@@ -419,7 +429,7 @@
 }
 
 #[test]
-fn one_that_lags_has_what_was_acknowledged_within_a_second() {
+fn a_lagging_replica_catches_up_within_a_second() {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
     cluster.cut_links.insert((owner, y));
--- a/crates/control/control-store/tests/repaired.rs
+++ b/crates/control/control-store/tests/repaired.rs
@@ -11,7 +11,7 @@
 
 /// The operation in progress when the fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Under {
+enum Operation {
     /// A replica that has the last change together with the owner only is wiped, and repaired.
     Repair,
     /// That replica is lost permanently, and replaced by the spare node.
@@ -19,15 +19,15 @@
 }
 
 /// Runs the operation for this many steps.
-fn begin(under: Under, steps_left: usize) -> Replacement {
+fn begin(op: Operation, steps_left: usize) -> Replacement {
     let mut replacement = Replacement::new(false, None);
-    match under {
-        Under::Repair => {
+    match op {
+        Operation::Repair => {
             replacement.cluster.isolate(3);
             replacement.cluster.steps_left = Some(steps_left);
             replacement.cluster.wipe(replacement.leaving);
         }
-        Under::Replacement => {
+        Operation::Replacement => {
             replacement.cluster.isolate(replacement.leaving);
             replacement.cluster.announce_membership();
             replacement.cluster.advance_by_deadlines(Duration::from_millis(3_900));
@@ -42,13 +42,13 @@
 
 /// Whether another permanent loss has to be tolerated: the repaired replica votes, or a majority of the new
 /// replica set has that set on disk.
-fn stands(replacement: &Replacement, under: Under) -> bool {
-    match under {
-        Under::Repair => {
+fn tolerates_another_loss(replacement: &Replacement, op: Operation) -> bool {
+    match op {
+        Operation::Repair => {
             replacement.cluster.stores[replacement.leaving].is_voter()
                 && replacement.cluster.disks[replacement.leaving].metadata.is_some()
         }
-        Under::Replacement => {
+        Operation::Replacement => {
             let set = replacement.cluster.stores[3].replica_set();
             let at = |n: &Node| {
                 replacement.cluster.disks[n.0 as usize].metadata.as_ref().map(|m| m.replica_set.version)
@@ -60,60 +60,58 @@
 }
 
 /// How long the others take to answer, if the fault has to be tolerated.
-fn time_to_answer_after(under: Under, step: usize, fault: Fault, target: usize) -> Option<Duration> {
-    let mut replacement = begin(under, step);
-    let absent = if under == Under::Repair { 3 } else { replacement.leaving };
-    let under_way = if under == Under::Repair { replacement.leaving } else { 3 };
-    let borne = match fault {
-        Fault::Lost | Fault::LostAndPower => stands(&replacement, under),
-        Fault::Wiped => target == under_way || stands(&replacement, under),
+fn time_to_answer_after(op: Operation, step: usize, fault: Fault, target: usize) -> Option<Duration> {
+    let mut replacement = begin(op, step);
+    let absent = if op == Operation::Repair { 3 } else { replacement.leaving };
+    let affected = if op == Operation::Repair { replacement.leaving } else { 3 };
+    let is_tolerated = match fault {
+        Fault::Lost | Fault::LostAndPowerLoss => tolerates_another_loss(&replacement, op),
+        Fault::Wiped => target == affected || tolerates_another_loss(&replacement, op),
         _ => true,
     };
-    if target == absent || !borne {
+    if target == absent || !is_tolerated {
         return None;
     }
     replacement.cluster.steps_left = None;
     replacement.inject(fault, target);
-    let gone = matches!(fault, Fault::Lost | Fault::LostAndPower | Fault::Paused);
-    let there: Vec<usize> = (0..4).filter(|n| *n != absent && !(gone && *n == target)).collect();
+    let is_absent = matches!(fault, Fault::Lost | Fault::LostAndPowerLoss | Fault::Paused);
+    let remaining: Vec<usize> = (0..4).filter(|n| *n != absent && !(is_absent && *n == target)).collect();
     let from = replacement.cluster.now;
     if fault == Fault::Paused {
         // The paused node may be needed for a majority, since another one is already absent.
         replacement.cluster.advance_by_deadlines(Duration::from_secs(1));
         replacement.cluster.paused.clear();
     }
-    replacement.time_to_answer(&there).expect("no majority answers");
+    replacement.time_to_answer(&remaining).expect("no majority answers");
     let after = replacement.cluster.now - from;
-    replacement.assert_nothing_lost(&there);
+    replacement.assert_nothing_lost(&remaining);
     Some(after)
 }
 
 #[test]
-fn at_each_step_of_a_repair_or_a_replacement_another_fault_is_borne() {
+fn at_each_step_of_a_repair_or_a_replacement_another_fault_is_tolerated() {
     const MANY: usize = 1_000_000;
     let faults =
-        [Fault::Nothing, Fault::Lost, Fault::Wiped, Fault::Paused, Fault::Power, Fault::LostAndPower];
-    for under in [Under::Repair, Under::Replacement] {
-        let steps = MANY - begin(under, MANY).cluster.steps_left.expect("it is set");
+        [Fault::Nothing, Fault::Lost, Fault::Wiped, Fault::Paused, Fault::PowerLoss, Fault::LostAndPowerLoss];
+    for op in [Operation::Repair, Operation::Replacement] {
+        let steps = MANY - begin(op, MANY).cluster.steps_left.expect("it is set");
         let mut longest: BTreeMap<Fault, (usize, Duration)> = BTreeMap::new();
         for (step, target) in (0..=steps).flat_map(|s| (0..4).map(move |v| (s, v))) {
             for fault in faults {
-                let run = || time_to_answer_after(under, step, fault, target);
+                let run = || time_to_answer_after(op, step, fault, target);
                 let after = std::panic::catch_unwind(run)
-                    .unwrap_or_else(|_| panic!("{under:?}, {fault:?} of {target} at step {step} of {steps}"));
+                    .unwrap_or_else(|_| panic!("{op:?}, {fault:?} of {target} at step {step}/{steps}"));
                 let Some(after) = after else { continue };
                 let known = longest.entry(fault).or_default();
                 *known = (known.0 + 1, known.1.max(after));
             }
         }
-        println!(
-            "{under:?}, {steps} steps; faults, and after how long the others answer at most: {longest:?}"
-        );
+        println!("{op:?}, {steps} steps; faults, and after how long the others answer at most: {longest:?}");
         for fault in faults {
             let (injected, after) = longest[&fault];
             assert!(
                 injected >= 10 && after <= Duration::from_millis(2_500),
-                "{under:?}, {fault:?}: {injected}, {after}"
+                "{op:?}, {fault:?}: {injected}, {after}"
             );
         }
     }
--- a/crates/control/control-store/tests/repeats.rs
+++ b/crates/control/control-store/tests/repeats.rs
@@ -15,8 +15,8 @@
 /// An event between a call and its repeat.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    LaterOfOthers,
-    LaterOfTheSame,
+    OthersChanged,
+    SameChanged,
     OwnerCut,
     OwnerRestarts,
     OwnerWiped,
@@ -26,8 +26,8 @@
 }
 
 const EVENTS: [Event; 8] = [
-    Event::LaterOfOthers,
-    Event::LaterOfTheSame,
+    Event::OthersChanged,
+    Event::SameChanged,
     Event::OwnerCut,
     Event::OwnerRestarts,
     Event::OwnerWiped,
@@ -53,17 +53,17 @@
         Case { cluster, token: 0, version: 9, lost: BTreeSet::new() }
     }
 
-    fn entries(&self) -> Vec<usize> {
+    fn live_nodes(&self) -> Vec<usize> {
         (0..4).filter(|node| !self.lost.contains(node)).collect()
     }
 
     fn owner(&self) -> usize {
         // A node that was cut off may still believe that it is the owner: the highest epoch counts.
         let owned = |i: &usize| self.cluster.stores[*i].owned_keys().first().map(|owned| owned.epoch);
-        self.entries().into_iter().max_by_key(owned).expect("an owner")
+        self.live_nodes().into_iter().max_by_key(owned).expect("an owner")
     }
 
-    fn begin(&mut self, node: usize, change: &[(u8, u64, u64)]) -> u64 {
+    fn start_call(&mut self, node: usize, change: &[(u8, u64, u64)]) -> u64 {
         self.token += 1;
         self.cluster.stores[node].call(self.cluster.now, self.token, KEY, change.to_vec());
         self.token
@@ -72,30 +72,30 @@
     /// The final outcome. A call without a definite answer is repeated a few times.
     fn settle(&mut self, node: usize, change: &[(u8, u64, u64)]) -> CallOutcome<Notes> {
         for _ in 0..6 {
-            let token = self.begin(node, change);
+            let token = self.start_call(node, change);
             self.cluster.advance(Duration::from_millis(900));
             match self.cluster.answers.get(&token) {
                 Some(CallOutcome::Unknown) => {}
-                Some(verdict) => return verdict.clone(),
+                Some(outcome) => return outcome.clone(),
                 None => panic!("no answer in time"),
             }
         }
         panic!("{change:?} at {node}: never settled");
     }
 
-    fn done(&mut self, node: usize, change: &[(u8, u64, u64)]) -> bool {
+    fn commits(&mut self, node: usize, change: &[(u8, u64, u64)]) -> bool {
         matches!(self.settle(node, change), CallOutcome::Committed { .. })
     }
 
-    fn happens(&mut self, event: Event) {
+    fn inject(&mut self, event: Event) {
         let owner = self.owner();
         let other = self.cluster.stores[owner].replica_nodes().into_iter().map(|n| n.0 as usize);
         let other = other.filter(|n| *n != owner && !self.lost.contains(n)).min().expect("another");
         self.version += 1;
         let version = self.version;
         match event {
-            Event::LaterOfOthers => assert!(self.done(other, &[(3, version, 1), (4, version, 1)])),
-            Event::LaterOfTheSame => assert!(self.done(other, &[(1, version, 9)])),
+            Event::OthersChanged => assert!(self.commits(other, &[(3, version, 1), (4, version, 1)])),
+            Event::SameChanged => assert!(self.commits(other, &[(1, version, 9)])),
             Event::OwnerCut => {
                 self.cluster.isolate(owner);
                 self.cluster.advance(Duration::from_millis(1_500));
@@ -105,7 +105,7 @@
             Event::OwnerWiped => self.cluster.wipe(owner),
             Event::OtherWiped => self.cluster.wipe(other),
             Event::PowerLost => {
-                for node in self.entries() {
+                for node in self.live_nodes() {
                     self.cluster.restart(node);
                 }
             }
@@ -129,16 +129,16 @@
 }
 
 #[test]
-fn a_call_that_was_taken_is_acknowledged_again_whatever_came_between() {
+fn a_committed_change_is_acknowledged_again_after_any_two_events() {
     for first in EVENTS {
         for second in EVENTS {
             let mut case = Case::new(None);
-            let entry = case.entries()[1];
-            assert!(case.done(entry, X));
+            let entry = case.live_nodes()[1];
+            assert!(case.commits(entry, X));
             for event in [first, second] {
-                case.happens(event);
-                for node in case.entries() {
-                    assert!(case.done(node, X), "{first:?}, {second:?}: refused at {node} after {event:?}");
+                case.inject(event);
+                for node in case.live_nodes() {
+                    assert!(case.commits(node, X), "{first:?} {second:?}: fails at {node} after {event:?}");
                 }
             }
         }
@@ -149,7 +149,7 @@
 /// change under the same version is then called for at each node, with and without a change of the owner, and
 /// both are repeated.
 fn races(mutation: Option<Mutation>) -> Result<u64, String> {
-    let mut refused = 0;
+    let mut rejected = 0;
     for lost in 0..16_u8 {
         for (second, event) in (0..3).flat_map(|n| [None, Some(Event::OwnerCut)].map(|e| (n, e))) {
             let (mut cluster, owner) = Cluster::settled();
@@ -158,60 +158,62 @@
             let ways = [(owner, x), (owner, y), (x, owner), (y, owner)];
             cluster.cut_links.extend((0..4).filter(|i| lost & (1 << i) != 0).map(|i| ways[i]));
             let mut case = Case { cluster, token: 0, version: 9, lost: BTreeSet::new() };
-            let first = case.begin(owner, X);
+            let first = case.start_call(owner, X);
             case.cluster.run();
             if event.is_some() {
                 case.cluster.isolate(owner);
                 case.cluster.advance(Duration::from_millis(1_500));
             }
-            let other = case.begin((owner + second) % 3, Y);
+            let other = case.start_call((owner + second) % 3, Y);
             case.cluster.advance(Duration::from_millis(200));
             case.cluster.cut_links.clear();
             case.cluster.link_all();
             case.cluster.advance(Duration::from_secs(4));
-            let said = |token| match case.cluster.answers.get(&token) {
+            let outcome_of = |token| match case.cluster.answers.get(&token) {
                 Some(CallOutcome::Committed { .. }) => Some(true),
                 Some(CallOutcome::Rejected(_)) => Some(false),
                 _ => None,
             };
-            let mut clear = [said(first), said(other)];
+            let mut outcomes = [outcome_of(first), outcome_of(other)];
             for node in 0..3 {
                 for (at, change) in [(0, X), (1, Y)] {
-                    let now = case.done(node, change);
+                    let now = case.commits(node, change);
                     let name = format!("lost {lost:04b}, second at {second}, {event:?}, repeat at {node}");
-                    match clear[at] {
+                    match outcomes[at] {
                         Some(before) if before != now => {
-                            return Err(format!("{name}: call {at} was done {before}, and again {now}"));
+                            return Err(format!(
+                                "{name}: call {at} was committed: {before}, repeated: {now}"
+                            ));
                         }
-                        _ => clear[at] = Some(now),
+                        _ => outcomes[at] = Some(now),
                     }
                 }
             }
-            if clear == [Some(true), Some(true)] {
-                return Err(format!("lost {lost:04b}, second at {second}, {event:?}: both done"));
+            if outcomes == [Some(true), Some(true)] {
+                return Err(format!("lost {lost:04b}, second at {second}, {event:?}: both committed"));
             }
-            if clear == [Some(false), Some(false)] {
-                return Err(format!("lost {lost:04b}, second at {second}, {event:?}: none done"));
+            if outcomes == [Some(false), Some(false)] {
+                return Err(format!("lost {lost:04b}, second at {second}, {event:?}: none committed"));
             }
-            let held = case.cluster.read(x, 9_999).0[&1];
-            if held != (5, if clear[0] == Some(true) { 7 } else { 8 }) {
-                return Err(format!("lost {lost:04b}: {held:?} is in force"));
+            let value = case.cluster.read(x, 9_999).0[&1];
+            if value != (5, if outcomes[0] == Some(true) { 7 } else { 8 }) {
+                return Err(format!("lost {lost:04b}: {value:?} is in force"));
             }
-            refused += u64::from(clear[0] == Some(false));
+            rejected += u64::from(outcomes[0] == Some(false));
         }
     }
-    Ok(refused)
+    Ok(rejected)
 }
 
 #[test]
-fn of_two_operators_under_one_version_exactly_one_wins_and_each_hears_the_same_again() {
-    let refused = races(None).unwrap_or_else(|why| panic!("{why}"));
-    assert!((1..96).contains(&refused), "either won at times: {refused}");
+fn of_two_changes_under_one_version_exactly_one_wins_and_repeats_have_the_same_outcome() {
+    let rejected = races(None).unwrap_or_else(|why| panic!("{why}"));
+    assert!((1..96).contains(&rejected), "either won at times: {rejected}");
 }
 
 /// Eight concurrent calls through all nodes, of which the others depend on the first, with and without a
 /// change of the owner: no answer may depend on a change that is not committed.
-fn eight_at_once(mutation: Option<Mutation>) -> Result<(), String> {
+fn eight_concurrent_calls(mutation: Option<Mutation>) -> Result<(), String> {
     for cut in [false, true] {
         for lost in 0..4_u8 {
             let (mut cluster, owner) = Cluster::settled();
@@ -230,8 +232,8 @@
             cluster.stores[owner].call(cluster.now, 18, KEY, vec![(1, 1, 8)]);
             cluster.run();
             cluster.cut_links.extend([(owner, x), (owner, y)].iter().take(lost as usize % 3));
-            let words = lost == 3;
-            if words {
+            let no_replies = lost == 3;
+            if no_replies {
                 cluster.cut_links.extend([(x, owner), (y, owner)]);
             }
             cluster.stalled_disks.clear();
@@ -244,26 +246,29 @@
             cluster.cut_links.clear();
             cluster.link_all();
             cluster.advance(Duration::from_secs(4));
-            let told = cluster.answers.clone();
-            let held = cluster.read(x, 99);
-            let name = format!("cut {cut}, lost {lost}, {early:?} said early");
-            for (token, verdict) in told.range(10..18) {
-                match verdict {
-                    CallOutcome::Committed { .. } if held.0.get(&1) != Some(&(1, 7)) => {
-                        return Err(format!("{name}: {token} is done without what it rests on"));
+            let answers = cluster.answers.clone();
+            let value = cluster.read(x, 99);
+            let name = format!("cut {cut}, lost {lost}, {early:?} answered early");
+            for (token, outcome) in answers.range(10..18) {
+                match outcome {
+                    CallOutcome::Committed { .. } if value.0.get(&1) != Some(&(1, 7)) => {
+                        return Err(format!("{name}: {token} is committed without what it depends on"));
                     }
-                    CallOutcome::Committed { .. } if *token > 10 && !held.0.contains_key(&(*token as u8)) => {
-                        return Err(format!("{name}: {token} is done and not in force"));
+                    CallOutcome::Committed { .. }
+                        if *token > 10 && !value.0.contains_key(&(*token as u8)) =>
+                    {
+                        return Err(format!("{name}: {token} is committed and not in force"));
                     }
                     _ => {}
                 }
             }
             // The other content was rejected, so the first one has to be in force.
-            if matches!(told.get(&18), Some(CallOutcome::Rejected(_))) && held.0.get(&1) != Some(&(1, 7)) {
-                return Err(format!("{name}: refused for a change that is not in force"));
+            if matches!(answers.get(&18), Some(CallOutcome::Rejected(_))) && value.0.get(&1) != Some(&(1, 7))
+            {
+                return Err(format!("{name}: rejected for a change that is not in force"));
             }
             if !cut && lost == 0 && !(10..18).all(|token| cluster.is_committed(token)) {
-                return Err(format!("{name}: not all done: {told:?}"));
+                return Err(format!("{name}: not all committed: {answers:?}"));
             }
         }
     }
@@ -271,13 +276,13 @@
 }
 
 #[test]
-fn eight_calls_at_once_of_which_seven_rest_on_the_first() {
-    eight_at_once(None).unwrap_or_else(|why| panic!("{why}"));
+fn eight_concurrent_calls_of_which_seven_depend_on_the_first() {
+    eight_concurrent_calls(None).unwrap_or_else(|why| panic!("{why}"));
 }
 
 /// An owner that was cut off and superseded receives a call that has become valid since. Returns whether it
 /// is committed, by token.
-fn at_an_overtaken_owner(mutation: Option<Mutation>) -> Vec<(u64, bool)> {
+fn at_a_superseded_owner(mutation: Option<Mutation>) -> Vec<(u64, bool)> {
     let (mut cluster, owner) = Cluster::settled();
     cluster.set_mutation(mutation);
     let (x, y) = others(owner);
@@ -294,30 +299,30 @@
 }
 
 #[test]
-fn a_call_that_rests_on_an_acknowledged_one_is_taken_by_an_overtaken_owner_too() {
-    assert_eq!(at_an_overtaken_owner(None), [(2, true)]);
+fn a_call_at_a_superseded_owner_that_depends_on_an_acknowledged_one_is_committed() {
+    assert_eq!(at_a_superseded_owner(None), [(2, true)]);
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn a_refusal_by_an_overtaken_owner_is_caught() {
-    assert_eq!(at_an_overtaken_owner(Some(Mutation::RejectsWithoutConfirmation)), [(2, false)]);
+fn a_rejection_by_a_superseded_owner_is_caught() {
+    assert_eq!(at_a_superseded_owner(Some(Mutation::RejectsWithoutConfirmation)), [(2, false)]);
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn what_rests_on_a_change_under_way_and_is_told_at_once_is_caught() {
-    let why = eight_at_once(Some(Mutation::AnswersFromUncommitted)).expect_err("not found");
+fn answering_from_an_uncommitted_change_is_caught() {
+    let why = eight_concurrent_calls(Some(Mutation::AnswersFromUncommitted)).expect_err("not found");
     println!("{why}");
-    assert!(why.contains("refused for a change that is not in force"), "{why}");
+    assert!(why.contains("rejected for a change that is not in force"), "{why}");
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn same_version_of_two_operators_both_done_is_caught() {
+fn two_changes_committed_under_one_version_are_caught() {
     for mutation in [Mutation::AnswersBeforeQuorum, Mutation::ClaimsWithoutQuorum] {
         let why = races(Some(mutation)).expect_err("not found");
         println!("{mutation:?}: {why}");
-        assert!(why.contains("both done") || why.contains("and again false"), "{why}");
+        assert!(why.contains("both committed") || why.contains("repeated: false"), "{why}");
     }
 }
--- a/crates/control/control-store/tests/rules/calls.rs
+++ b/crates/control/control-store/tests/rules/calls.rs
@@ -20,7 +20,7 @@
     assert!(matches!(&cluster.answers[&5], CallOutcome::Rejected(r) if r.conflict));
     cluster.call(y, 6, &[(3, 1, 0)]);
     assert!(matches!(&cluster.answers[&6], CallOutcome::Rejected(r) if !r.conflict));
-    assert!(!cluster.read(y, 7).0.contains_key(&3), "nothing of a refused call is in force");
+    assert!(!cluster.read(y, 7).0.contains_key(&3), "nothing of a rejected call is in force");
 }
 
 #[test]
@@ -62,20 +62,20 @@
     let (x, _) = others(owner);
     let epoch = cluster.owned(owner).epoch;
     let old = Epoch { round: 0, owner: owner as u32 };
-    let pass = |id, epoch| Message::Forward {
+    let forward = |id, epoch| Message::Forward {
         id,
         key: KEY.into(),
         epoch,
         request: Request::Change(vec![(1, id, id)]),
     };
-    cluster.receive(owner, x, 1, pass(5, old));
+    cluster.receive(owner, x, 1, forward(5, old));
     cluster.run();
     assert!(cluster.read(owner, 1).0.is_empty(), "a late call does nothing under a later ownership");
     for _ in 0..2 {
-        cluster.receive(owner, x, 1, pass(6, epoch));
+        cluster.receive(owner, x, 1, forward(6, epoch));
         cluster.run();
     }
-    assert_eq!(cluster.owned(owner).revision.sequence, 2, "one that comes twice is served once");
+    assert_eq!(cluster.owned(owner).revision.sequence, 2, "a duplicate is served once");
 }
 
 #[test]
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn messages_come_through_their_encoding() {
+fn messages_survive_encoding_and_decoding() {
     let epoch = Epoch { round: 3, owner: 1 };
     let value = Notes(BTreeMap::from([(1, (2, 3))]));
     let base = Revision { epoch, sequence: 3 };
--- a/crates/control/control-store/tests/rules/ownership.rs
+++ b/crates/control/control-store/tests/rules/ownership.rs
@@ -43,7 +43,7 @@
     assert_eq!(claims(&cluster), 0);
     for node in [x, y] {
         let promised = cluster.key_state(node).promised;
-        assert_eq!(cluster.disks[node].keys[0].promised, promised, "what is told is on disk");
+        assert_eq!(cluster.disks[node].keys[0].promised, promised, "what was sent is on disk");
     }
     // Neither a claim nor a promise is sent before it is synced.
     let epoch = Epoch { round: 99, owner: x as u32 };
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_old_owners_append_is_rejected_and_its_calls_go_on() {
+fn an_old_owners_append_is_rejected_and_its_calls_are_rerouted() {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
     // Cut off without being told: it still acts as the owner.
@@ -73,12 +73,12 @@
     let before = cluster.disks[x].keys.clone();
     cluster.cut_links.clear();
     cluster.advance(Duration::from_millis(400));
-    assert_eq!(cluster.disks[x].keys, before, "nothing of the old owner was taken");
-    let refused = |node: usize| cluster.stores[node].metrics().rejected_lower_epoch;
-    assert!(refused(x) + refused(y) > 0);
+    assert_eq!(cluster.disks[x].keys, before, "nothing of the old owner was accepted");
+    let rejected = |node: usize| cluster.stores[node].metrics().rejected_lower_epoch;
+    assert!(rejected(x) + rejected(y) > 0);
     assert!(
         matches!(cluster.answers.get(&2), Some(CallOutcome::Rejected(r)) if r.conflict),
-        "its call met the later owner"
+        "its call reached the later owner"
     );
 }
 
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn one_replica_alone_owns_at_once_and_five_bear_two_losses() {
+fn one_replica_alone_owns_at_once_and_five_tolerate_two_losses() {
     let mut cluster = Cluster::new(1);
     cluster.call(0, 1, &[(1, 1, 7)]);
     assert!(cluster.is_committed(1));
--- a/crates/control/control-store/tests/rules/repair.rs
+++ b/crates/control/control-store/tests/rules/repair.rs
@@ -65,7 +65,7 @@
         .iter()
         .position(|m| matches!(m.message, Message::Appended { sequence: 2, .. }))
         .expect("appended");
-    let kept = cluster.messages.remove(at).expect("appended").message;
+    let confirmation = cluster.messages.remove(at).expect("appended").message;
     cluster.held_links.clear();
     // Repaired from what the others had on disk, which does not include the owner's append yet.
     let (own, other) = (cluster.disks[owner].keys.clone(), cluster.disks[y].keys.clone());
@@ -92,7 +92,7 @@
     cluster.run();
     assert!(cluster.stores[x].is_voter());
     cluster.cut_links.insert((y, x));
-    cluster.receive(owner, x, 1, kept);
+    cluster.receive(owner, x, 1, confirmation);
     cluster.sync(owner);
     cluster.run();
     cluster.sync(owner);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn what_was_confirmed_with_a_lost_disk_counts_no_more() {
+fn confirmations_from_a_lost_disk_do_not_count() {
     assert_eq!(confirmation_from_a_lost_disk(None), (false, false));
 }
 
--- a/crates/control/control-store/tests/rules/replacement.rs
+++ b/crates/control/control-store/tests/rules/replacement.rs
@@ -1,7 +1,7 @@
 //! Replacement of an unreachable replica by a spare node.
 
 use crate::common::cluster::KEY;
-use crate::spare::{replaced, with_spare};
+use crate::spare::{after_replacement, with_spare};
 use silvercross_control_store::*;
 use silvercross_time::Duration;
 
@@ -10,7 +10,7 @@
     let (mut cluster, owner, x, y) = with_spare();
     cluster.isolate(x);
     cluster.advance(Duration::from_secs(6));
-    assert_eq!(cluster.stores[y].replica_set().version, 1, "nobody to come");
+    assert_eq!(cluster.stores[y].replica_set().version, 1, "no candidate");
     cluster.announce_candidates();
     cluster.advance(Duration::from_secs(4));
     for node in [owner, y, 3] {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn who_is_away_for_less_or_for_some_alone_is_not_replaced() {
+fn a_replica_unreachable_briefly_or_for_a_minority_is_not_replaced() {
     let (mut cluster, owner, x, y) = with_spare();
     cluster.announce_candidates();
     cluster.isolate(x);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_replacement_is_abandoned_if_who_leaves_is_back_or_who_joins_is_lost() {
+fn a_replacement_is_abandoned_if_the_leaving_replica_is_back_or_the_joining_one_is_lost() {
     for back in [true, false] {
         let (mut cluster, owner, x, y) = with_spare();
         cluster.isolate(x);
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_removed_replica_that_returns_is_a_candidate_and_forwards_calls() {
-    let (mut cluster, _, x, y) = replaced(None);
+    let (mut cluster, _, x, y) = after_replacement(None);
     assert!(cluster.stores[x].is_voter(), "it doesn't know yet");
     cluster.rejoin(x);
     cluster.advance(Duration::from_secs(4));
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn a_wiped_replica_asks_who_the_replicas_are_and_goes_by_no_hint() {
-    let (mut cluster, owner, _, y) = replaced(None);
+fn a_wiped_replica_asks_for_the_replica_set_and_does_not_vote_under_its_configured_one() {
+    let (mut cluster, owner, _, y) = after_replacement(None);
     // Its configured replicas still include the removed one, and not the new one.
     cluster.isolate(owner);
     cluster.wipe(y);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_replacement_of_one_that_is_back_does_not_hinder_that_of_one_that_is_lost() {
+fn replacing_a_reachable_replica_does_not_prevent_replacing_a_lost_one() {
     let (mut cluster, owner, x, y) = with_spare();
     cluster.isolate(y);
     let mut replica_set = cluster.stores[owner].replica_set().clone();
--- a/crates/control/control-store/tests/rules/replica_set_votes.rs
+++ b/crates/control/control-store/tests/rules/replica_set_votes.rs
@@ -1,6 +1,6 @@
 //! Which replicas vote while the replica set changes, and under which replica set.
 
-use crate::spare::{replaced, with_spare};
+use crate::spare::{after_replacement, with_spare};
 use silvercross_control_store::*;
 use silvercross_time::Duration;
 
@@ -10,7 +10,7 @@
 /// An owner writes while it can reach only a removed replica. Returns whether that is acknowledged, and
 /// whether the others have it afterwards.
 fn append_to_a_removed_replica(mutation: Option<Mutation>) -> (bool, bool) {
-    let (mut cluster, owner, x, _) = replaced(mutation);
+    let (mut cluster, owner, x, _) = after_replacement(mutation);
     let rest: Vec<usize> = (0..4).filter(|n| *n != owner && *n != x).collect();
     cluster.cut_links.retain(|way| *way != (owner, x) && *way != (x, owner));
     let replica_set = cluster.stores[owner].replica_set().clone();
@@ -105,7 +105,7 @@
 /// a replica that knows the new one. Returns whether their write is acknowledged, and whether the others have
 /// it afterwards.
 fn old_owner_after_the_replacement(mutation: Option<Mutation>) -> (bool, bool) {
-    let (mut cluster, _, x, y) = replaced(mutation);
+    let (mut cluster, _, x, y) = after_replacement(mutation);
     // `x` still votes under the first replica set, and claims there with any replica that handles its
     // messages.
     let rest: Vec<usize> = (0..4).filter(|n| *n != x && *n != y).collect();
@@ -136,7 +136,7 @@
 
 #[cfg(feature = "mutants")]
 #[test]
-fn an_old_replica_sets_owner_that_is_heeded_is_caught() {
+fn handling_messages_under_an_older_replica_set_is_caught() {
     assert_eq!(
         old_owner_after_the_replacement(Some(Mutation::AcceptsOlderReplicaSetMessages)),
         (true, false),
--- a/crates/control/control-store/tests/rules/snapshots.rs
+++ b/crates/control/control-store/tests/rules/snapshots.rs
@@ -4,20 +4,20 @@
 use silvercross_control_store::*;
 
 /// All chunks of the key's current value, from its owner.
-fn snapshot_chunks(cluster: &mut Cluster, owner: usize, asks: usize) -> Vec<NotesMessage> {
+fn snapshot_chunks(cluster: &mut Cluster, owner: usize, requester: usize) -> Vec<NotesMessage> {
     let OwnedKey { key, revision, .. } = cluster.owned(owner);
-    let (mut pieces, mut offset) = (Vec::new(), 0);
+    let (mut chunks, mut offset) = (Vec::new(), 0);
     loop {
         let message = Message::SnapshotRequest { key: key.clone(), revision, offset };
-        cluster.receive(owner, asks, 1, message);
+        cluster.receive(owner, requester, 1, message);
         for effect in cluster.stores[owner].take_effects() {
             let Effect::Send { message, .. } = effect else { panic!("{effect:?}") };
             let Message::SnapshotChunk { total_bytes, bytes, .. } = &message else { panic!("{message:?}") };
             offset += bytes.len() as u64;
             let last = offset >= *total_bytes;
-            pieces.push(message);
+            chunks.push(message);
             if last {
-                return pieces;
+                return chunks;
             }
         }
     }
@@ -42,25 +42,25 @@
     assert!(old.len() > 3 && old.len() == new.len());
     let values = |cluster: &Cluster| cluster.disks[x].keys[0].value.clone();
     let nothing = values(&cluster);
-    let mut brought = |pieces: Vec<NotesMessage>| {
-        for piece in pieces {
-            cluster.receive(x, owner, 1, piece);
+    let mut deliver = |chunks: Vec<NotesMessage>| {
+        for chunk in chunks {
+            cluster.receive(x, owner, 1, chunk);
         }
         cluster.run();
         (values(&cluster), cluster.stores[x].metrics().corrupt_snapshots)
     };
     let mut torn = old.clone();
-    let Message::SnapshotChunk { bytes, .. } = &mut torn[1] else { panic!("a piece") };
+    let Message::SnapshotChunk { bytes, .. } = &mut torn[1] else { panic!("a chunk") };
     bytes[0] ^= 0x80;
-    let (is, count) = brought(torn);
+    let (is, count) = deliver(torn);
     let torn = is != nothing;
     assert!(torn || count == 1);
-    let lacks = brought(old[..2].iter().chain(&old[3..]).cloned().collect()).0 != nothing;
-    let mixed = brought([&old[..2], &new[2..]].concat()).0 != nothing;
-    let whole = brought(new.clone()).0;
+    let incomplete = deliver(old[..2].iter().chain(&old[3..]).cloned().collect()).0 != nothing;
+    let mixed = deliver([&old[..2], &new[2..]].concat()).0 != nothing;
+    let whole = deliver(new.clone()).0;
     assert!(whole.0.iter().all(|(i, one)| *one == (2, 2_000 + u64::from(*i))) && whole.0.len() == 30);
-    let older = brought(old).0 != whole;
-    [torn, lacks, mixed, older]
+    let older = deliver(old).0 != whole;
+    [torn, incomplete, mixed, older]
 }
 
 #[test]
@@ -70,7 +70,7 @@
 
 #[cfg(feature = "mutants")]
 #[test]
-fn a_snapshot_put_together_from_two_is_caught() {
+fn a_snapshot_mixed_from_two_revisions_is_caught() {
     assert!(installs(Some(Mutation::MixesSnapshotRevisions))[2]);
 }
 
--- a/crates/control/control-store/tests/rules/spare.rs
+++ b/crates/control/control-store/tests/rules/spare.rs
@@ -16,7 +16,7 @@
 }
 
 /// Replaces `x` while its links are cut, without its knowledge.
-pub fn replaced(mutation: Option<Mutation>) -> (Cluster, usize, usize, usize) {
+pub fn after_replacement(mutation: Option<Mutation>) -> (Cluster, usize, usize, usize) {
     let (mut cluster, owner, x, y) = with_spare();
     cluster.set_mutation(mutation);
     cluster.isolate(x);
--- a/crates/control/control-store/tests/simulation.rs
+++ b/crates/control/control-store/tests/simulation.rs
@@ -62,7 +62,7 @@
     };
     let reports: Vec<Report> = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..threads).map(|t| scope.spawn(move || work(t))).collect();
-        workers.into_iter().flat_map(|w| w.join().expect("a schedule broke the claim")).collect()
+        workers.into_iter().flat_map(|w| w.join().expect("a schedule failed")).collect()
     });
     let sum = |get: fn(&Report) -> u64| reports.iter().map(get).sum::<u64>();
     let mut faults: BTreeMap<&str, u64> = BTreeMap::new();
--- a/crates/control/control-store/tests/wire_bytes.rs
+++ b/crates/control/control-store/tests/wire_bytes.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn messages_and_records_are_encoded_as_they_always_were() {
+fn message_and_record_encodings_are_unchanged() {
     let mut lines = String::new();
     messages(&mut lines);
     let record =
