--- a/crates/control/control-store/src/protocol/claim.rs
+++ b/crates/control/control-store/src/protocol/claim.rs
@@ -110,8 +110,8 @@
         self.replicate_last_append(now, key, epoch, sequence);
     }
 
-    /// Checks the open claims again after a link was lost: a claim delegated to the replica behind it may
-    /// succeed without that replica.
+    /// Checks the open claims again after a link was lost: a claim delegated to the unreachable
+    /// replica may succeed without it.
     pub(crate) fn retry_claims(&mut self, now: Instant) {
         for key in self.keys_matching(|slot| matches!(slot.ownership, Ownership::Claiming(_))) {
             self.try_take_ownership(now, &key);
--- a/crates/control/control-store/src/store.rs
+++ b/crates/control/control-store/src/store.rs
@@ -33,8 +33,8 @@
     pub keys: Vec<String>,
     /// Whether this is the first start of this node: only then is an empty disk new and not lost.
     pub is_first_start: bool,
-    /// Seed of random delays. Has to differ between nodes and between starts, because call ids start at a
-    /// number drawn from it.
+    /// Seed of random delays, which also depend on the node. Has to differ between starts, because call ids
+    /// start at a number drawn from it.
     pub seed: u64,
 }
 
--- a/crates/control/control-store/tests/catchup/main.rs
+++ b/crates/control/control-store/tests/catchup/main.rs
@@ -50,7 +50,7 @@
     let mut next_change = Instant::ZERO;
     while !has_caught_up(&network, replica) {
         assert!(network.now < begun + Duration::from_secs(60), "{absence:?} after {changes} changes");
-        assert_ne!(network.owner(), Some(replica), "it owns the key with what it has");
+        assert_ne!(network.owner(), Some(replica), "owner before it has caught up");
         if load && network.now >= next_change {
             next_change = network.now + Duration::from_millis(50);
             let item = (network.tokens % u64::from(ITEM_COUNT)) as u32;
@@ -168,7 +168,7 @@
 
 /// `cargo test --release -p silvercross-control-store --test catchup -- --ignored --nocapture`
 #[test]
-#[ignore = "in release: minutes otherwise"]
+#[ignore = "takes minutes in a debug build"]
 fn a_replica_returning_after_many_changes_catches_up() {
     check_all_absences(&[300, 3_000, 100_000]);
 }
@@ -188,7 +188,7 @@
         let begun = network.now;
         let mut break_count = 0;
         while network.accepted(replica).is_none() {
-            assert!(network.now < begun + Duration::from_secs(20), "it ends");
+            assert!(network.now < begun + Duration::from_secs(20), "the repair completes");
             network.run_to_next_chunk(network.now + Duration::from_millis(100));
             if restarts && network.chunks_arrived == 10 {
                 network.stop(replica, false);
@@ -208,7 +208,7 @@
         }
         network.advance(Duration::from_millis(1_100));
         let now = network.owner().and_then(|owner| network.accepted(owner));
-        assert_eq!(network.accepted(replica), now, "and has what came meanwhile");
+        assert_eq!(network.accepted(replica), now, "including the changes made meanwhile");
         assert!(!breaks || break_count >= 20, "{break_count} breaks");
         assert_eq!(network.resent_chunks, 0, "chunks sent again that had arrived");
         let largest = network.largest_message;
--- a/crates/control/control-store/tests/disk_full.rs
+++ b/crates/control/control-store/tests/disk_full.rs
@@ -275,5 +275,5 @@
     cluster.free_disk(y);
     cluster.advance(Duration::from_millis(1_500));
     let claimed = cluster.stores[y].key_states()[0].promised;
-    assert!(claimed > epoch && claimed.owner == y as u32, "{claimed:?}: above what it had promised");
+    assert!(claimed > epoch && claimed.owner == y as u32, "{claimed:?}: above its earlier promise");
 }
--- a/crates/control/control-store/tests/explore/main.rs
+++ b/crates/control/control-store/tests/explore/main.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-#[ignore = "as far as SURPRISES, SHORT, LONG and STATES say"]
+#[ignore = "bounds from SURPRISES, SHORT, LONG and STATES"]
 fn many_orders() {
     let number = |name: &str, or| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
     let bounds = budget(number("SURPRISES", 2), number("SHORT", 1), number("LONG", 1));
--- a/crates/control/control-store/tests/repeats.rs
+++ b/crates/control/control-store/tests/repeats.rs
@@ -208,7 +208,7 @@
 #[test]
 fn of_two_changes_under_one_version_exactly_one_wins_and_repeats_have_the_same_outcome() {
     let rejected = races(None).unwrap_or_else(|why| panic!("{why}"));
-    assert!((1..96).contains(&rejected), "either won at times: {rejected}");
+    assert!((1..96).contains(&rejected), "each won at least once: {rejected}");
 }
 
 /// Eight concurrent calls through all nodes, of which the others depend on the first, with and without a
--- a/crates/control/control-store/tests/rules/ownership.rs
+++ b/crates/control/control-store/tests/rules/ownership.rs
@@ -67,7 +67,7 @@
     cluster.cut_links.extend([(x, owner), (y, owner), (owner, x), (owner, y)]);
     cluster.call(x, 1, &[(1, 1, 7)]);
     cluster.advance(Duration::from_millis(600));
-    assert!(cluster.is_committed(1), "the call was served by another after the owner said nothing");
+    assert!(cluster.is_committed(1), "the call was served by another owner after a timeout");
     cluster.call(owner, 2, &[(1, 1, 9)]);
     assert!(!cluster.answers.contains_key(&2));
     let before = cluster.disks[x].keys.clone();
@@ -149,7 +149,10 @@
     cluster.held_links.insert((y, x));
     cluster.call(x, 1, &[]);
     cluster.advance(Duration::from_millis(300));
-    assert!(cluster.messages.iter().any(|m| matches!(m.message, Message::Promise { .. })), "on its way");
+    assert!(
+        cluster.messages.iter().any(|m| matches!(m.message, Message::Promise { .. })),
+        "the promise is in flight"
+    );
     cluster.cut_links.insert((x, y));
     cluster.restart(y);
     cluster.cut_links.remove(&(owner, y));
--- a/crates/control/control-store/tests/rules/repair.rs
+++ b/crates/control/control-store/tests/rules/repair.rs
@@ -41,7 +41,7 @@
     cluster.restart(y);
     cluster.advance(Duration::from_secs(4));
     assert!(cluster.stores.iter().all(|l| l.is_voter()));
-    assert!(cluster.owner().is_some(), "taken again without any call");
+    assert!(cluster.owner().is_some(), "owned again without any call");
     assert_eq!(cluster.read(owner, 2).0.get(&1), Some(&(1, 7)));
 }
 
--- a/crates/control/control-store/tests/rules/replacement.rs
+++ b/crates/control/control-store/tests/rules/replacement.rs
@@ -78,7 +78,7 @@
     cluster.isolate(x);
     cluster.announce_candidates();
     cluster.advance(Duration::from_millis(4_150));
-    assert!(cluster.stores[owner].replica_set().is_joint(), "in the middle");
+    assert!(cluster.stores[owner].replica_set().is_joint(), "replacement in progress");
     for node in [owner, y, 3] {
         cluster.restart(node);
     }
@@ -96,7 +96,7 @@
 #[test]
 fn a_removed_replica_that_returns_is_a_candidate_and_forwards_calls() {
     let (mut cluster, _, x, y) = after_replacement(None);
-    assert!(cluster.stores[x].is_voter(), "it doesn't know yet");
+    assert!(cluster.stores[x].is_voter(), "it doesn't know of its removal yet");
     cluster.rejoin(x);
     cluster.advance(Duration::from_secs(4));
     assert!(cluster.stores[x].is_outside() && !cluster.stores[x].is_voter());
@@ -120,7 +120,7 @@
     cluster.isolate(owner);
     cluster.wipe(y);
     cluster.advance(Duration::from_secs(1));
-    assert!(!cluster.stores[y].is_voter(), "the newcomer alone is not more than half");
+    assert!(!cluster.stores[y].is_voter(), "the joining replica alone is no majority");
     cluster.rejoin(owner);
     cluster.advance(Duration::from_secs(3));
     assert!(cluster.stores[y].is_voter());
--- a/crates/control/control-store/tests/rules/snapshots.rs
+++ b/crates/control/control-store/tests/rules/snapshots.rs
@@ -52,8 +52,8 @@
     let mut torn = old.clone();
     let Message::SnapshotChunk { bytes, .. } = &mut torn[1] else { panic!("a chunk") };
     bytes[0] ^= 0x80;
-    let (is, count) = deliver(torn);
-    let torn = is != nothing;
+    let (value, count) = deliver(torn);
+    let torn = value != nothing;
     assert!(torn || count == 1);
     let incomplete = deliver(old[..2].iter().chain(&old[3..]).cloned().collect()).0 != nothing;
     let mixed = deliver([&old[..2], &new[2..]].concat()).0 != nothing;
--- a/crates/control/control-store/tests/simulation.rs
+++ b/crates/control/control-store/tests/simulation.rs
@@ -42,7 +42,7 @@
 /// `SCHEDULES=20000 FROM=0 cargo test --release -p silvercross-control-store --test simulation -- --ignored
 /// --nocapture`
 #[test]
-#[ignore = "as many schedules as SCHEDULES says"]
+#[ignore = "runs the number of schedules in SCHEDULES"]
 fn many_schedules_lose_nothing() {
     let number = |name: &str, or| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
     let (from, count) = (number("FROM", 0), number("SCHEDULES", 2_000));
