--- a/crates/control/control-store/src/metrics.rs
+++ b/crates/control/control-store/src/metrics.rs
@@ -54,7 +54,7 @@
     pub stepped_down: u64,
     /// Appends sent.
     pub appends_sent: u64,
-    /// Snapshots of which the first chunk was sent is_first_request, or in place of a revision no longer available.
+    /// Snapshots of which the first chunk was sent unasked, or in place of a revision no longer available.
     pub snapshots_sent: u64,
     /// Snapshot chunks sent.
     pub snapshot_chunks_sent: u64,
--- a/crates/control/control-store/src/protocol/candidates.rs
+++ b/crates/control/control-store/src/protocol/candidates.rs
@@ -73,7 +73,7 @@
 
     /// Whether the other reachable replicas are no majority while a node that could join is unavailable for
     /// now: its link is down, or it has not yet heard that the replacement in which it was joining was
-    /// abandoned_joining.
+    /// abandoned.
     fn awaits_candidate(&self) -> bool {
         let others: Vec<Node> = self.reachable.iter().copied().collect();
         let is_free = |n: &Node| !self.replica_set.contains(*n) && !self.stopping.contains_key(n);
@@ -81,7 +81,7 @@
         is_known && !self.replica_set.is_majority(&others, None)
     }
 
-    /// The node that could replace a replica now. The one whose replacement was abandoned_joining last is the last
+    /// The node that could replace a replica now. The one whose replacement was abandoned last is the last
     /// choice.
     pub(crate) fn replacement_candidate(&self) -> Option<Node> {
         let is_free = |node: &&Node| self.reachable.contains(node) && !self.replica_set.contains(**node);
--- a/crates/control/control-store/src/protocol/links.rs
+++ b/crates/control/control-store/src/protocol/links.rs
@@ -42,8 +42,8 @@
         self.tick(now);
     }
 
-    /// Sends what the node may have missed while the link was down: claims, appends, and the positions it has
-    /// confirmed. A node that is no voter asks for the replica set or for its repair instead.
+    /// Sends what the other node may have missed while the link was down: claims, appends, and the positions
+    /// that it has confirmed. If this node is no voter, it asks for the replica set or for its repair instead.
     fn on_link_up(&mut self, now: Instant, to: Node) {
         if !self.is_voter() {
             if self.replica_set.version == 0 {
--- a/crates/control/control-store/src/protocol/replica_set_adopt.rs
+++ b/crates/control/control-store/src/protocol/replica_set_adopt.rs
@@ -142,8 +142,8 @@
         self.phase == Phase::Outside && !is_known
     }
 
-    /// Whether this node has to send replica set requests: to find the replicas, or to learn whether the replica set
-    /// without it is in force.
+    /// Whether this node has to send replica set requests: to find the replicas, or to learn whether the
+    /// replica set without it is in force.
     pub(crate) fn must_ask_replica_set(&self) -> bool {
         let is_leaving = self.stopping.contains_key(&self.node) && self.voters_without_this.is_some();
         self.has_lost_replicas() || (is_leaving && self.is_still_needed())
--- a/crates/control/control-store/src/protocol/replica_set_change.rs
+++ b/crates/control/control-store/src/protocol/replica_set_change.rs
@@ -46,7 +46,7 @@
     }
 
     /// The replica to remove from a joint replica set: the leaving one, or the joining one if the replacement
-    /// has to be abandoned_joining.
+    /// has to be abandoned.
     fn replica_to_drop(&self, now: Instant, leaving: Node, joining: Node) -> Node {
         // A stopping replica is reachable while it waits for its replacement.
         let has_recovered = !self.stopping.contains_key(&leaving) && self.is_present(leaving);
--- a/crates/control/control-store/src/replica_set.rs
+++ b/crates/control/control-store/src/replica_set.rs
@@ -81,7 +81,7 @@
     }
 
     /// The replica set that follows this joint one, without `node`: the replacement is complete if that is
-    /// the leaving replica, abandoned_joining if it is the joining one.
+    /// the leaving replica, abandoned if it is the joining one.
     pub(crate) fn without(&self, node: Node) -> ReplicaSet {
         let members = self.members.iter().copied().filter(|member| member.node != node).collect();
         ReplicaSet { version: self.version + 1, members, leaving: None, joining: None }
--- a/crates/control/control-store/src/store.rs
+++ b/crates/control/control-store/src/store.rs
@@ -72,7 +72,7 @@
     /// Control nodes, this one included, that have announced that they are stopping, and since when. At most
     /// `MAX_STOPPING_NODES`.
     pub(crate) stopping: BTreeMap<Node, Instant>,
-    /// The joining replica of the last replacement, if it was abandoned_joining.
+    /// The joining replica of the last replacement, if it was abandoned.
     pub(crate) abandoned_joining: Option<Node>,
     /// Set if this node was removed from the replica set: the nodes that vote under one without it.
     pub(crate) voters_without_this: Option<BTreeSet<Node>>,
