--- a/crates/control/mesh-membership/src/effect.rs
+++ b/crates/control/mesh-membership/src/effect.rs
@@ -25,7 +25,7 @@
         /// What.
         message: MembershipMessage<T>,
     },
-    /// Send a message with control entries over the link. Once the network has taken all of it, it is reported by `entries_left`;
+    /// Send a message with control entries over the link. Once the network has taken all of it, it is reported by `entries_sent`;
     /// until then there is no further one on this connection.
     SendEntries {
         /// To whom.
--- a/crates/control/mesh-membership/src/events.rs
+++ b/crates/control/mesh-membership/src/events.rs
@@ -60,7 +60,7 @@
     }
 
     /// Part of a message came over a link: the other side is there.
-    pub fn heard(&mut self, now: Instant, from: Node) {
+    pub fn partial_message_received(&mut self, now: Instant, from: Node) {
         self.note_time(now);
         if let Some(link) = self.links.up.get_mut(&from) {
             link.heard_at = now;
--- a/crates/control/mesh-membership/src/updates.rs
+++ b/crates/control/mesh-membership/src/updates.rs
@@ -151,7 +151,7 @@
     }
 
     /// The network has taken the message of the last [`Effect::SendEntries`] for this link.
-    pub fn entries_left(&mut self, now: Instant, to: Node) {
+    pub fn entries_sent(&mut self, now: Instant, to: Node) {
         self.note_time(now);
         if let Some(link) = self.links.up.get_mut(&to) {
             link.outbox.message_left();
--- a/crates/control/mesh-membership/tests/entry_exchange.rs
+++ b/crates/control/mesh-membership/tests/entry_exchange.rs
@@ -70,7 +70,7 @@
     [PARENT, Node(21)].into_iter().for_each(|node| membership.receive(at(1), node, request(KEY)));
     assert_eq!(sent_entries(membership.take_effects()), others, "one message each");
     for node in [PARENT, Node(21)] {
-        membership.entries_left(at(2), node);
+        membership.entries_sent(at(2), node);
         membership.receive(at(2), node, both());
     }
     let effects = membership.take_effects();
@@ -93,16 +93,16 @@
     assert_eq!(sent_entries(membership.take_effects()).len(), LINKED.len());
     LINKED.into_iter().for_each(|node| membership.receive(at(1), node, request(KEY)));
     assert!((2..=9).all(|change| sent_entries(publish(&mut membership, change)).is_empty()));
-    membership.entries_left(at(2), PARENT);
+    membership.entries_sent(at(2), PARENT);
     let newest = SentEntry { to: PARENT, revision: Revision::new(1, 0, 9) };
     assert_eq!(sent_entries(membership.take_effects()), [newest], "on the link that took the first one");
     assert_eq!(membership.metrics().entries_superseded, 8 * LINKED.len() as u64);
-    membership.entries_left(at(3), PARENT);
+    membership.entries_sent(at(3), PARENT);
     let effects = membership.take_effects();
     assert!(announced(&effects).is_empty() && sent_entries(effects).is_empty(), "nothing is left");
     // It came from there meanwhile: it does not go back.
     membership.receive(at(4), Node(20), update(vec![], vec![entry(Revision::new(2, 0, 0), 3)]));
-    membership.entries_left(at(5), Node(20));
+    membership.entries_sent(at(5), Node(20));
     let effects = membership.take_effects();
     assert!(announced(&effects).iter().all(|announced| announced.to != Node(20)));
     assert!(sent_entries(effects).iter().all(|sent| sent.to != Node(20)));
@@ -122,7 +122,7 @@
     membership.receive(at(2), PARENT, request(KEY));
     let newest = SentEntry { to: PARENT, revision: Revision::new(1, 0, 3) };
     assert_eq!(sent_entries(membership.take_effects()), [newest]);
-    membership.entries_left(at(3), PARENT);
+    membership.entries_sent(at(3), PARENT);
     assert!(sent_entries(membership.take_effects()).is_empty(), "it is asked for once");
     membership.receive(at(4), PARENT, request(KEY));
     assert_eq!(sent_entries(membership.take_effects()), [newest], "whoever asks gets it");
@@ -175,7 +175,7 @@
     // While parts of the answer come it is waited for.
     for _ in 0..8 {
         now += step;
-        membership.heard(now, PARENT);
+        membership.partial_message_received(now, PARENT);
         membership.tick(now);
         assert!(asked(&membership.take_effects()).is_empty());
     }
@@ -220,7 +220,7 @@
         keys.extend(sent.map(|entry| entry.key));
         membership.publish(at(change), "a", Revision::new(1, 0, change as u64), large.clone());
         membership.receive(at(change), PARENT, request("a"));
-        membership.entries_left(at(change), PARENT);
+        membership.entries_sent(at(change), PARENT);
     }
     assert_eq!(keys[..3], ["a", "b", "a"]);
 }
--- a/crates/control/mesh-membership/tests/simulation/delivery.rs
+++ b/crates/control/mesh-membership/tests/simulation/delivery.rs
@@ -83,7 +83,7 @@
             Event::Up { peer, .. } => membership.link_up(now, peer),
             Event::Down { peer, .. } => membership.link_down(now, peer),
             Event::Message { from, message, .. } => membership.receive(now, from, message),
-            Event::EntriesLeft { to } => membership.entries_left(now, to),
+            Event::EntriesLeft { to } => membership.entries_sent(now, to),
             Event::Datagram { from, datagram } => membership.receive_datagram(now, from, datagram),
             Event::Probed { node, reachable } => membership.probe_finished(now, node, reachable),
             Event::Confirm { request_id, revisions } => {
--- a/crates/daemon/mesh/src/peers/links.rs
+++ b/crates/daemon/mesh/src/peers/links.rs
@@ -72,7 +72,7 @@
     fn entries_left(&self, node_state: &Rc<NodeState>, node: Node, number: u64) {
         // Of an older connection it says nothing: membership has begun anew with the newest one.
         if self.newest_link(node) == Some(number) {
-            self.membership.borrow_mut().entries_left(node_state.now(), node);
+            self.membership.borrow_mut().entries_sent(node_state.now(), node);
             self.carry_out_effects(node_state);
         }
     }
@@ -237,7 +237,9 @@
         while let Some(incoming) = reader.next_incoming(MAX_FRAME_BYTES).await {
             match incoming {
                 // Over a thin link a large frame may take longer than a silent link is kept.
-                Incoming::Chunk => peers.membership.borrow_mut().heard(node_state.now(), node),
+                Incoming::Chunk => {
+                    peers.membership.borrow_mut().partial_message_received(node_state.now(), node)
+                }
                 Incoming::Frame(frame) => {
                     if !peers.receive(&node_state, node, *frame) {
                         break;
--- a/crates/testing/control-sim/src/node_events.rs
+++ b/crates/testing/control-sim/src/node_events.rs
@@ -44,7 +44,7 @@
                 let (now, to) = (self.local_now(node), Node(self.nodes[to].id));
                 let is_current = self.nodes[node].generation == generation;
                 if let Some(membership) = self.nodes[node].membership.as_mut().filter(|_| is_current) {
-                    membership.entries_left(now, to);
+                    membership.entries_sent(now, to);
                     self.run_effects(node);
                 }
             }
