--- a/crates/control/mesh-membership/src/anti_entropy.rs
+++ b/crates/control/mesh-membership/src/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: neighbours compare digests, list the versions in the buckets that differ, and fetch what they lack. What
-//! changes meanwhile is disseminated in `updates`.
+//! Anti-entropy: neighbours compare digests, list the versions in the buckets that differ, and fetch what
+//! they lack. Changes are disseminated by `updates`.
 use crate::control_entry::{EntryRevision, Revision};
 use crate::membership::Membership;
 use crate::message::MembershipMessage;
@@ -10,26 +10,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-/// Records and entries that are newer here, by whose they are.
-struct NewerHere {
+/// Records and entries that are newer on this side.
+struct NewerLocally {
     nodes: BTreeSet<Node>,
     keys: BTreeSet<String>,
 }
 
-/// Records and entries that are newer at the other side of a link.
-struct NewerThere {
+/// Records and entries that are newer on the other side of a link.
+struct NewerRemotely {
     nodes: Vec<Node>,
     entries: Vec<EntryRevision>,
 }
 
-/// The versions in some buckets at the other side of a link.
+/// Versions listed by the other side of a link.
 struct RemoteVersions {
     records: BTreeMap<Node, RecordVersion>,
     entries: BTreeMap<String, Revision>,
 }
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
-    /// Introduces this node on a link that came up.
+    /// Sends the first message on an established link.
     pub(crate) fn send_hello(&mut self, to: Node) {
         self.flush_updates();
         if let Some(record) = self.own_record().cloned() {
@@ -39,7 +39,8 @@
         }
     }
 
-    /// A neighbour introduced itself. One that knows nothing gets everything; otherwise the lower node begins to compare.
+    /// Handles a neighbour's hello. A neighbour that knows nothing is sent a snapshot; otherwise the node
+    /// with the lower address starts the comparison.
     pub(crate) fn receive_hello(
         &mut self,
         now: Instant,
@@ -48,17 +49,17 @@
         digest: u64,
         known_items: u32,
     ) {
-        let knew_nothing = self.table.known_items() <= 1;
-        self.receive_introduction(now, from, record);
+        let was_empty = self.table.known_items() <= 1;
+        self.receive_hello_record(now, from, record);
         if known_items <= 1 {
             self.send_snapshot(from);
-        } else if !knew_nothing && self.config.local_node < from && !self.table.in_sync(now, digest) {
+        } else if !was_empty && self.config.local_node < from && !self.table.in_sync(now, digest) {
             self.send_bucket_digests(from);
         }
     }
 
-    /// The record that a neighbour sent of itself. It is shown a newer one of it, if that is known here.
-    fn receive_introduction(&mut self, now: Instant, from: Node, record: NodeRecord<T>) {
+    /// Handles the sender's record in its hello, and sends back a newer record of it if one is known here.
+    fn receive_hello_record(&mut self, now: Instant, from: Node, record: NodeRecord<T>) {
         let introduced = record.version();
         if record.node != from {
             self.metrics.rejected_items += 1;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Keeps a link alive, and compares.
+    /// Sends a keep-alive with the current digest.
     pub(crate) fn send_keepalive(&mut self, to: Node, wants_reply: bool) {
         self.flush_updates();
         let position = self.position();
@@ -82,7 +83,7 @@
         self.send(to, MembershipMessage::KeepAlive { digest, wants_reply, position });
     }
 
-    /// A neighbour compares.
+    /// Handles a keep-alive and compares digests.
     pub(crate) fn receive_keepalive(&mut self, now: Instant, from: Node, digest: u64, wants_reply: bool) {
         let equal = self.table.in_sync(now, digest);
         let between_control_nodes = self.config.is_control && self.placement.is_control(from);
@@ -104,7 +105,7 @@
         self.send(to, MembershipMessage::BucketDigests { digests });
     }
 
-    /// Lists the versions in the buckets that differ.
+    /// Answers with the versions in the buckets that differ.
     pub(crate) fn receive_bucket_digests(&mut self, from: Node, digests: &[u32]) {
         let buckets = self.table.differing_buckets(digests);
         if buckets.is_empty() {
@@ -117,8 +118,8 @@
         self.send(from, MembershipMessage::VersionIndex { buckets, records, entries });
     }
 
-    /// Compares what the other listed: sends or announces what is newer here, and fetches what is newer there. One that lists no bucket
-    /// announces entries.
+    /// Compares the listed versions: sends or announces what is newer here, and fetches what is newer
+    /// there. Without buckets the index is an announcement of entries.
     pub(crate) fn receive_version_index(
         &mut self,
         now: Instant,
@@ -128,27 +129,27 @@
         entries: Vec<EntryRevision>,
     ) {
         for entry in &entries {
-            self.note_remote_entry(from, &entry.key, entry.revision);
+            self.record_remote_entry(from, &entry.key, entry.revision);
         }
         let remote = RemoteVersions {
             records: records.into_iter().map(|version| (version.node, version)).collect(),
             entries: entries.into_iter().map(|entry| (entry.key, entry.revision)).collect(),
         };
-        let newer_here = self.newer_here(buckets, &remote);
-        let newer_there = self.newer_there(&remote);
-        self.send_records(from, newer_here.nodes);
-        self.offer_entries(from, newer_here.keys);
+        let newer_locally = self.newer_locally(buckets, &remote);
+        let newer_remotely = self.newer_remotely(&remote);
+        self.send_records(from, newer_locally.nodes);
+        self.offer_entries(from, newer_locally.keys);
         if let Some(own) = remote.records.get(&self.config.local_node).copied() {
             self.receive_own_version(now, own);
         }
-        if !newer_there.nodes.is_empty() {
-            self.send(from, MembershipMessage::Fetch { nodes: newer_there.nodes, keys: Vec::new() });
+        if !newer_remotely.nodes.is_empty() {
+            self.send(from, MembershipMessage::Fetch { nodes: newer_remotely.nodes, keys: Vec::new() });
         }
-        self.want_entries(from, newer_there.entries);
+        self.want_entries(from, newer_remotely.entries);
     }
 
-    /// What is newer here, in these buckets. A node that is gone is not shown to one that never knew it.
-    fn newer_here(&self, buckets: &[u8], remote: &RemoteVersions) -> NewerHere {
+    /// What is newer here in these buckets. A gone record is not sent to a node that never knew it.
+    fn newer_locally(&self, buckets: &[u8], remote: &RemoteVersions) -> NewerLocally {
         let local = self.table.versions_in(buckets);
         let records = local.records.iter().filter(|version| match remote.records.get(&version.node) {
             Some(other) => other < *version,
@@ -158,14 +159,13 @@
             .entries
             .into_iter()
             .filter(|entry| remote.entries.get(&entry.key).is_none_or(|other| *other < entry.revision));
-        NewerHere {
+        NewerLocally {
             nodes: records.map(|version| version.node).collect(),
             keys: entries.map(|entry| entry.key).collect(),
         }
     }
 
-    /// What is newer there.
-    fn newer_there(&self, remote: &RemoteVersions) -> NewerThere {
+    fn newer_remotely(&self, remote: &RemoteVersions) -> NewerRemotely {
         let records = remote
             .records
             .values()
@@ -174,7 +174,7 @@
             .entries
             .iter()
             .filter(|(key, other)| self.table.entry(key).is_none_or(|own| own.revision < **other));
-        NewerThere {
+        NewerRemotely {
             nodes: records.map(|other| other.node).collect(),
             entries: entries
                 .map(|(key, revision)| EntryRevision { key: key.clone(), revision: *revision })
--- a/crates/control/mesh-membership/src/control_entry.rs
+++ b/crates/control/mesh-membership/src/control_entry.rs
@@ -1,22 +1,22 @@
-//! Entries of the control state as membership distributes them: a key, a revision, opaque bytes. Knows nothing of what the
-//! bytes mean nor of how the control store agrees on them.
+//! Entries of the control state as they are distributed: a key, a revision and opaque bytes. Agreement on
+//! them is the task of the control store.
 use bitcode::{Decode, Encode};
 
-/// The version of a control entry, compared from the first field on.
+/// The version of a control entry, ordered lexicographically by its fields.
 ///
 /// Encoded between nodes: order and types of the fields are part of the wire format, the same as of a tuple of three `u64`.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Encode, Decode)]
 pub struct Revision {
     /// The number of the ownership epoch in which the entry was written.
     pub epoch: u64,
-    /// The owner in that epoch, by the bits of its address.
+    /// The owner in that epoch, as the bits of its address.
     pub owner: u64,
     /// Counts the owner's writes within the epoch.
     pub sequence: u64,
 }
 
 impl Revision {
-    /// A revision of these parts.
+    /// Creates a revision from its parts.
     pub const fn new(epoch: u64, owner: u64, sequence: u64) -> Self {
         Revision { epoch, owner, sequence }
     }
@@ -47,26 +47,26 @@
     pub revision: Revision,
 }
 
-/// An entry of the control state, as it travels.
+/// An entry of the control state.
 ///
 /// Encoded between nodes: order and types of the fields are part of the wire format.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct ControlEntry {
-    /// What it is about.
+    /// The entry's key.
     pub key: String,
-    /// Its version.
+    /// Its revision.
     pub revision: Revision,
-    /// Its content.
+    /// Its value.
     pub bytes: Vec<u8>,
 }
 
-/// A look at an entry that is known here.
+/// A borrowed view of a known entry.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct EntryView<'a> {
-    /// What it is about.
+    /// The entry's key.
     pub key: &'a str,
-    /// Its version.
+    /// Its revision.
     pub revision: Revision,
-    /// Its content.
+    /// Its value.
     pub bytes: &'a [u8],
 }
--- a/crates/control/mesh-membership/src/datagram.rs
+++ b/crates/control/mesh-membership/src/datagram.rs
@@ -1,48 +1,48 @@
-//! What goes between watchers by datagram. Only the form: what is done with one stands in `watching`.
+//! Datagrams between watchers. They are handled in `watching`.
 use crate::node::Node;
 use bitcode::{Decode, Encode};
 use silvercross_time::Duration;
 
-/// What goes by datagram, and may be lost.
+/// A datagram of the failure detector; it may be lost.
 ///
 /// Encoded between nodes: order of the variants, and order and types of their fields, are part of the wire format.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum Datagram {
-    /// A heartbeat, to watchers.
+    /// Heartbeat to a watcher.
     Heartbeat {
         /// The sender's incarnation.
         incarnation: u64,
-        /// Its sequence within the incarnation.
+        /// The sender's sequence within the incarnation.
         sequence: u64,
     },
-    /// To a node that is believed gone and was heard: it may refute this.
+    /// To a node that sent a heartbeat although it is recorded as gone, so that it can refute this.
     DeclaredDead {
-        /// The incarnation that is believed gone.
+        /// The incarnation recorded as gone.
         incarnation: u64,
         /// The sequence within the incarnation.
         sequence: u64,
     },
-    /// To another watcher: the node is silent; was it heard there?
+    /// To another watcher: asks whether it has heard the silent node.
     Suspect {
-        /// The node in question.
+        /// The silent node.
         suspect: Node,
-        /// Its incarnation as far as known.
+        /// Its incarnation as known to the sender.
         incarnation: u64,
     },
-    /// Nothing was heard of the suspect here either.
+    /// Reply: the sender hasn't heard the suspect either.
     SuspectConfirmed {
-        /// The node in question.
+        /// The suspected node.
         suspect: Node,
-        /// Its incarnation as asked.
+        /// Its incarnation, copied from the query.
         incarnation: u64,
     },
-    /// The suspect was heard here, by the sender itself.
+    /// Reply: the sender has heard the suspect.
     SuspectAlive {
-        /// The node in question.
+        /// The suspected node.
         suspect: Node,
-        /// Its incarnation as asked.
+        /// Its incarnation, copied from the query.
         incarnation: u64,
-        /// How long ago. What another watcher heard is no newer for having been reported.
+        /// Time since it was heard, so that passing the report on doesn't make it any newer.
         elapsed: Duration,
     },
 }
--- a/crates/control/mesh-membership/src/effect.rs
+++ b/crates/control/mesh-membership/src/effect.rs
@@ -1,54 +1,56 @@
-//! What the caller has to do, or gets to know. Knows nothing of sockets; the calls that report outcomes stand in `events`.
+//! Actions and notifications for the caller. Their outcomes are reported through the methods in `events`.
 use crate::control_entry::ControlEntry;
 use crate::datagram::Datagram;
 use crate::message::MembershipMessage;
 use crate::node::Node;
 use crate::record::NodeRecord;
 
-/// What the caller is to do, or to know. Effects are carried out in the order in which they are given.
+/// An action to execute, or a notification. The caller handles effects in the order in which they are
+/// returned.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Effect<T> {
-    /// Make a link; the outcome is reported by `link_up` or `link_down`.
+    /// Open a link; the outcome is reported with `link_up` or `link_down`.
     OpenLink {
-        /// To whom.
+        /// The node to connect to.
         to: Node,
     },
-    /// Drop a link, or stop trying to make it. No `link_down` is needed.
+    /// Close a link, or stop opening it. No `link_down` is needed.
     CloseLink {
-        /// To whom.
+        /// The node at the other end.
         to: Node,
     },
     /// Send a message over the link.
     SendMessage {
-        /// To whom.
+        /// The receiver.
         to: Node,
-        /// What.
+        /// The message.
         message: MembershipMessage<T>,
     },
-    /// Send a message with control entries over the link. Once the network has taken all of it, it is reported by `entries_sent`;
-    /// until then there is no further one on this connection.
+    /// Send a message with control entries over the link. The caller reports with `entries_sent` that the
+    /// network has accepted all of it; until then no further one is emitted for this connection.
     SendEntries {
-        /// To whom.
+        /// The receiver.
         to: Node,
-        /// What.
+        /// The message.
         message: MembershipMessage<T>,
     },
     /// Send a datagram.
     SendDatagram {
-        /// To whom.
+        /// The receiver.
         to: Node,
-        /// What.
+        /// The datagram.
         datagram: Datagram,
     },
-    /// See whether the node's machine accepts a connection; the outcome is reported by `probe_finished`.
+    /// Check whether the node's machine accepts a connection; the outcome is reported with
+    /// `probe_finished`.
     Probe {
-        /// Which node.
+        /// The node to probe.
         node: Node,
     },
-    /// Have a majority of the control replicas confirm the revisions of all keys; the outcome is reported by
-    /// `revisions_confirmed`.
+    /// Have a majority of the control replicas confirm the revisions of all keys; the outcome is reported
+    /// with `revisions_confirmed`.
     ConfirmRevisions {
-        /// To be handed back with the outcome.
+        /// Returned with the outcome.
         request_id: u64,
     },
     /// The record of another node changed.
--- a/crates/control/mesh-membership/src/entry_outbox.rs
+++ b/crates/control/mesh-membership/src/entry_outbox.rs
@@ -1,49 +1,51 @@
-//! Control entries for one neighbour, at the side that has them.
+//! Sender side of the exchange of control entries with one neighbour.
 //!
-//! An entry is sent whole, and a link may carry fewer bytes than entries change. So a newer version is announced, by its revision
-//! alone, and the neighbour asks for the entry when it has received what it asked for before (`entry_requests`): what the system has
-//! taken of a connection has not arrived, and what waits in its buffers can't be taken back. The content is read when the message is made.
+//! Entries are sent whole, and entries may change faster than a link can carry them. Therefore a newer
+//! version is only announced by its revision, and the neighbour requests the entry after it has received
+//! what it requested before (`entry_requests`): data accepted by the operating system has not yet arrived,
+//! and cannot be withdrawn from its buffers. The value is read when the message is built.
 //!
-//! Invariants: an entry is sent only where it was asked for, and one message at a time; none that was superseded waits; after the last
-//! change the newest version is announced. Knows nothing of links, messages and the content.
+//! Invariants: an entry is sent only on request, and one message at a time; no superseded version is
+//! queued; after the last change the newest version is announced.
 use crate::control_entry::{ControlEntry, EntryRevision, Revision};
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// Bytes of control entries after which a further message is begun.
+/// Size of control entries at which a message is complete.
 const MESSAGE_ENTRY_BYTES: usize = 256 << 10;
 
-/// The control entries for one neighbour. Each set is bounded by the entries that are known.
+/// Control entries queued for one neighbour. Each set is bounded by the number of known entries.
 #[derive(Default)]
 pub(crate) struct EntryOutbox {
-    /// Entries of which the neighbour has not heard that there is a newer version.
+    /// Entries with a newer version not yet announced to the neighbour.
     unannounced: BTreeSet<String>,
-    /// Entries that were announced, and neither asked for nor found to be there since.
+    /// Entries announced, but neither requested nor found to be known to the neighbour since.
     announced: BTreeSet<String>,
-    /// Entries that the neighbour asked for.
+    /// Entries requested by the neighbour.
     requested: BTreeSet<String>,
-    /// Entries in the message that the network has not taken yet; empty if there is none.
+    /// Entries in the message not yet accepted by the network; empty if there is none.
     in_flight: Vec<String>,
-    /// The last entry that was put in a message: the next message begins behind it, so that one which changes all the time keeps no
-    /// other one back.
+    /// The last entry sent. The next message starts after it, so that an entry which changes constantly
+    /// doesn't starve the others.
     last_key: String,
 }
 
 impl EntryOutbox {
-    /// The neighbour lacks the newest version of this entry. Whether it had not asked for an older one yet, or not got it.
+    /// Queues an entry of which the neighbour lacks the newest version. Returns whether this supersedes a
+    /// version not yet sent.
     pub(crate) fn enqueue(&mut self, key: &str) -> bool {
         let is_superseded = self.announced.contains(key) || self.requested.contains(key);
         !self.unannounced.insert(key.to_string()) || is_superseded
     }
 
-    /// The neighbour asks for the newest version of this entry.
+    /// Handles a request for the newest version of an entry.
     pub(crate) fn request(&mut self, key: &str) {
         self.announced.remove(key);
         self.requested.insert(key.to_string());
     }
 
-    /// The neighbour has this revision of an entry, of which `newest` is known here.
-    pub(crate) fn note_remote(&mut self, key: &str, revision: Revision, newest: Revision) {
+    /// Records that the neighbour has this revision of an entry; `newest` is the newest known here.
+    pub(crate) fn record_remote(&mut self, key: &str, revision: Revision, newest: Revision) {
         if revision >= newest {
             self.unannounced.remove(key);
             self.announced.remove(key);
@@ -51,7 +53,7 @@
         }
     }
 
-    /// What is to be announced now. An entry that was asked for follows as it is then, so it needs no announcement.
+    /// The announcements to send now. A requested entry needs none, as it is sent in its newest version.
     pub(crate) fn next_announcement(
         &mut self,
         newest: impl Fn(&str) -> Option<Revision>,
@@ -67,7 +69,8 @@
         entries
     }
 
-    /// The next message's entries, as they are now; `None` while one is on its way, or if none was asked for.
+    /// The entries of the next message in their current versions; `None` while a message is in flight or if
+    /// nothing is requested.
     pub(crate) fn next_message(
         &mut self,
         newest: impl Fn(&str) -> Option<ControlEntry>,
@@ -90,22 +93,22 @@
         (!entries.is_empty()).then_some(entries)
     }
 
-    /// The requested entry behind the last one that was sent, or else the first.
+    /// The next requested entry after the last one sent, wrapping around.
     fn next_requested(&self) -> Option<String> {
         let behind = (Bound::Excluded(self.last_key.as_str()), Bound::Unbounded);
         self.requested.range::<str, _>(behind).next().or_else(|| self.requested.first()).cloned()
     }
 
-    /// Another connection is used from here on. What was sent on the one before may be lost, and its end may not even be known: all
-    /// that the neighbour may lack is announced again.
+    /// Handles the replacement of the connection. Anything sent on the old one may be lost, possibly
+    /// without notice: everything that the neighbour may lack is announced again.
     pub(crate) fn connection_changed(&mut self) {
         self.unannounced.extend(std::mem::take(&mut self.in_flight));
         self.unannounced.append(&mut self.announced);
         self.unannounced.append(&mut self.requested);
     }
 
-    /// The network has taken the message that was on its way.
-    pub(crate) fn message_left(&mut self) {
+    /// Records that the network has accepted the message in flight.
+    pub(crate) fn message_sent(&mut self) {
         self.in_flight.clear();
     }
 }
--- a/crates/control/mesh-membership/src/events.rs
+++ b/crates/control/mesh-membership/src/events.rs
@@ -1,5 +1,6 @@
-//! What the caller reports: messages, datagrams, links, outcomes and the passing of time. Each call notes the time, leaves
-//! the work to the role that it concerns, and lets the roles settle. Knows no rule of the protocol itself.
+//! Entry points for the caller: messages, datagrams, link events, outcomes and time. Each call records the
+//! time, delegates to the role concerned and lets the roles react. The protocol rules are in the files of
+//! the roles.
 use crate::datagram::Datagram;
 use crate::effect::Effect;
 use crate::limits::MAX_NODES;
@@ -12,14 +13,14 @@
 use std::fmt::Debug;
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
-    /// Other seeds than at the start; nodes met meanwhile stay known.
+    /// Replaces the seeds; nodes learned in the meantime stay known.
     pub fn set_seeds(&mut self, now: Instant, seeds: &[Node]) {
-        self.config.seeds = self.config.shuffled(seeds);
+        self.config.seeds = self.config.shuffled_seeds(seeds);
         self.links.placement_changed = true;
         self.tick(now);
     }
 
-    /// A message came over a link. One of a node without a link is dropped.
+    /// Handles a message received over a link. Messages of a node without a link are dropped.
     pub fn receive(&mut self, now: Instant, from: Node, message: MembershipMessage<T>) {
         self.note_time(now);
         let Some(link) = self.links.up.get_mut(&from) else { return };
@@ -27,14 +28,14 @@
         match message {
             MembershipMessage::Hello { record, digest, known_items, position } => {
                 link.set_position(position);
-                link.greeted = true;
+                link.has_hello = true;
                 self.receive_hello(now, from, record, digest, known_items);
                 self.choose_links(now);
             }
             MembershipMessage::KeepAlive { digest, wants_reply, position } => {
-                let moved = link.set_position(position);
+                let position_changed = link.set_position(position);
                 self.receive_keepalive(now, from, digest, wants_reply);
-                if moved {
+                if position_changed {
                     self.choose_links(now);
                 }
             }
@@ -56,26 +57,26 @@
                 self.finish_freshness_request(now, number, revisions);
             }
         }
-        self.settle(now);
+        self.react_to_changes(now);
     }
 
-    /// Part of a message came over a link: the other side is there.
+    /// Reports that part of a message arrived over a link, which shows that the other side is alive.
     pub fn partial_message_received(&mut self, now: Instant, from: Node) {
         self.note_time(now);
         if let Some(link) = self.links.up.get_mut(&from) {
             link.heard_at = now;
-            link.requests.progressed(now);
+            link.requests.record_progress(now);
         }
     }
 
-    /// A datagram came.
+    /// Handles a received datagram.
     pub fn receive_datagram(&mut self, now: Instant, from: Node, datagram: Datagram) {
         self.note_time(now);
         self.handle_datagram(now, from, datagram);
-        self.settle(now);
+        self.react_to_changes(now);
     }
 
-    /// A link is up, by either side's making.
+    /// Reports that a link is up, whichever side opened it.
     pub fn link_up(&mut self, now: Instant, node: Node) {
         self.note_time(now);
         let full = self.links.up.len() >= MAX_NODES && !self.links.up.contains_key(&node);
@@ -85,28 +86,28 @@
         }
         self.add_link(now, node);
         self.send_hello(node);
-        self.settle(now);
+        self.react_to_changes(now);
     }
 
-    /// A link went down, or could not be made.
+    /// Reports that a link went down or could not be opened.
     pub fn link_down(&mut self, now: Instant, node: Node) {
         self.note_time(now);
-        self.lose_link(now, node);
-        self.settle(now);
+        self.handle_link_down(now, node);
+        self.react_to_changes(now);
     }
 
-    /// The outcome of [`Effect::Probe`]: whether the machine of the node accepted a connection.
+    /// Reports the outcome of [`Effect::Probe`]: whether the node's machine accepted a connection.
     pub fn probe_finished(&mut self, now: Instant, node: Node, reachable: bool) {
         self.note_time(now);
         self.handle_probe_outcome(now, node, reachable);
-        self.settle(now);
+        self.react_to_changes(now);
     }
 
-    /// Time went on.
+    /// Performs the work that is due at this time.
     pub fn tick(&mut self, now: Instant) {
         self.note_time(now);
-        self.tend_links(now);
-        self.tend_watches(now);
+        self.maintain_links(now);
+        self.maintain_watches(now);
         if now >= self.next_forget_at {
             self.next_forget_at = now + FORGET_INTERVAL;
             self.table.forget_gone(now, self.config.local_node);
@@ -115,7 +116,7 @@
         if now >= self.links.next_choice_at {
             self.choose_links(now);
         }
-        self.settle(now);
+        self.react_to_changes(now);
     }
 
     /// When the next tick is due.
@@ -124,33 +125,34 @@
         own.min(self.links_deadline()).min(self.watches_deadline()).min(self.freshness_deadline())
     }
 
-    /// What is to be done since the last take. Updates are gathered into as few messages as fit for each link.
+    /// Returns the effects since the last call. Updates are batched into as few messages as possible for
+    /// each link.
     pub fn take_effects(&mut self) -> Vec<Effect<T>> {
         self.flush_updates();
         std::mem::take(&mut self.effects)
     }
 
-    /// Notes the time. After a stall, what was not heard says nothing of others.
+    /// Records the time. After a stall, links and monitored nodes are treated as just heard, because
+    /// silence during the stall proves nothing.
     pub(crate) fn note_time(&mut self, now: Instant) {
         let since = now - self.last_call_at;
         if since > STALL_THRESHOLD {
-            self.check.stalled(now, since);
+            self.check.handle_stall(now, since);
             self.links.up.values_mut().for_each(|link| link.heard_at = now);
             self.watches.watched.values_mut().for_each(|watch| *watch = Watch::new(now));
         }
         self.last_call_at = self.last_call_at.max(now);
     }
 
-    /// Lets the roles act on what an event has changed.
-    pub(crate) fn settle(&mut self, now: Instant) {
+    /// Lets the roles react to what an event has changed.
+    pub(crate) fn react_to_changes(&mut self, now: Instant) {
         if self.links.placement_changed {
             self.choose_links(now);
         }
         self.announce_position();
-        self.tend_freshness(now);
+        self.advance_freshness_check(now);
     }
 
-    /// Sends a message over a link.
     pub(crate) fn send(&mut self, to: Node, message: MembershipMessage<T>) {
         self.metrics.messages_sent += 1;
         self.effects.push(Effect::SendMessage { to, message });
--- a/crates/control/mesh-membership/src/hash.rs
+++ b/crates/control/mesh-membership/src/hash.rs
@@ -1,5 +1,5 @@
-//! The mixing function behind digests, ring positions and draws. Part of the protocol: all nodes have to compute the same
-//! values.
+//! The mixing function behind digests, ring positions and random values. Part of the protocol: all nodes
+//! must compute the same values.
 
 /// Spreads the bits of a number: the output function of SplitMix64 (Steele, Lea and Flood, 2014).
 pub(crate) fn mix(value: u64) -> u64 {
@@ -9,7 +9,7 @@
     z ^ (z >> 31)
 }
 
-/// [`mix`] over a byte string, its length included.
+/// [`mix`] over a byte string, including its length.
 pub(crate) fn mix_bytes(bytes: &[u8]) -> u64 {
     bytes.iter().fold(mix(bytes.len() as u64), |sum, byte| mix(sum ^ u64::from(*byte)))
 }
--- a/crates/control/mesh-membership/src/lib.rs
+++ b/crates/control/mesh-membership/src/lib.rs
@@ -1,21 +1,24 @@
-//! Who is in the mesh, which nodes watch each other, the tree of relays that updates travel down, and how all nodes
-//! converge on the same state.
+//! Mesh membership: which nodes are in the mesh, which nodes monitor each other, the relay tree that
+//! updates travel down, and how all nodes converge on the same state.
 //!
-//! No I/O, no clock, no threads: the caller hands in messages, datagrams, link events and the time, and carries out the
-//! [`Effect`]s that [`Membership::take_effects`] returns. Equal calls give equal effects.
+//! No I/O, no clock, no threads: the caller passes in messages, datagrams, link events and the time, and
+//! executes the [`Effect`]s returned by [`Membership::take_effects`]. The same sequence of calls produces
+//! the same effects.
 //!
-//! - A node's [`NodeRecord`] is written by the node itself; the highest (incarnation, sequence, gone) wins everywhere.
-//!   Watchers may only add `gone` to what the node wrote last, and the node refutes that with a higher `sequence`. This is
-//!   the incarnation rule of SWIM (Das, Gupta and Motivala, 2002, section 4.2).
-//! - Updates flood over the links of the tree; what is not newer than what is known is not forwarded. Of a control entry at
-//!   most one version at a time is on its way over a link, and the newest one after it.
-//! - On every link digests are compared about once a second; where they differ, the versions in the differing buckets are
-//!   listed and only what is missing is sent (anti-entropy).
-//! - Every node sends heartbeats to its next few nodes on a ring. These declare it gone only together or after a failed
-//!   probe, and not when they may be cut off or were stalled themselves.
-//! - A node that started asks up the tree what a majority of the control replicas has, and is current once it has that.
+//! - A [`NodeRecord`] is written by its own node; the highest (incarnation, sequence, gone) wins
+//!   everywhere. Watchers may only set `gone` on the latest record written by the node, which refutes it
+//!   with a higher `sequence`. This is the incarnation rule of SWIM (Das, Gupta and Motivala, 2002, section
+//!   4.2).
+//! - Updates flood over the links of the tree; a node doesn't forward what is not newer than what it knows.
+//!   At most one version of a control entry is in flight on a link at a time, followed by the newest one.
+//! - Neighbours compare digests about once a second; where they differ, the versions in the differing
+//!   buckets are listed and only what is missing is sent (anti-entropy).
+//! - Every node sends heartbeats to its next few nodes on a ring. They declare it gone only when several of
+//!   them agree or after a failed probe, and not while they may be isolated or have just been stalled.
+//! - After a start, a node asks up the tree for the revisions that a majority of the control replicas has,
+//!   and is current once it has them.
 //!
-//! On reading go on with [`Membership`] (`membership.rs`), which lists the files that implement its roles.
+//! Start reading at [`Membership`] (`membership.rs`), which lists the files that implement its roles.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
--- a/crates/control/mesh-membership/src/link_keepalive.rs
+++ b/crates/control/mesh-membership/src/link_keepalive.rs
@@ -1,5 +1,5 @@
-//! Links come and go: added, kept alive, given up when silent, and failed dials remembered. Which links there should be
-//! stands in `relay_tree` and `control_links`.
+//! Link lifecycle: opening, keep-alives, time-outs and back-off. The selection of links is in `relay_tree`
+//! and `control_links`.
 use crate::effect::Effect;
 use crate::link::{FailedDial, Link};
 use crate::membership::Membership;
@@ -9,23 +9,23 @@
 use silvercross_time::{Duration, Instant};
 use std::fmt::Debug;
 
-/// After so many failed attempts a node is dialled less often.
-const FREQUENT_ATTEMPTS: u32 = 8;
-/// Links are timed in whole microseconds: a link is silent one after its time-out.
+/// After this many failed attempts a node is dialled less often.
+const MAX_FREQUENT_ATTEMPTS: u32 = 8;
+/// Times have microsecond resolution: a link counts as silent one microsecond after its time-out.
 const ONE_MICROSECOND: Duration = Duration::from_micros(1);
 
-/// How a link is kept alive.
+/// Keep-alive interval and time-out of a link.
 struct LinkTiming {
     keepalive_interval: Duration,
     timeout: Duration,
 }
 
-/// Why a node is not dialled for a while.
+/// Why dialling a node is delayed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DialFailure {
-    /// The link ended, or didn't come up.
+    /// The link went down or could not be opened.
     NoLink,
-    /// The link came up, but led to no control node.
+    /// The link came up, but the node has no path to a control node.
     Unrooted,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A link is up; it may be there already, made by the other side.
+    /// Registers an established link; there may already be one opened by the other side.
     pub(crate) fn add_link(&mut self, now: Instant, node: Node) {
         let dialled = self.links.dials.remove(&node).is_some();
         self.links.failed.remove(&node);
@@ -46,11 +46,11 @@
         let link = self.links.up.entry(node).or_insert(Link::new(now, next_keepalive_at));
         link.connection_changed();
         link.heard_at = now;
-        link.dialled_here |= dialled;
+        link.is_outgoing |= dialled;
     }
 
-    /// A link is down, or could not be made.
-    pub(crate) fn lose_link(&mut self, now: Instant, node: Node) {
+    /// Handles a link that went down or could not be opened.
+    pub(crate) fn handle_link_down(&mut self, now: Instant, node: Node) {
         let link = self.links.up.remove(&node);
         let dialled = self.links.dials.remove(&node).is_some();
         self.check.link_lost(node);
@@ -60,19 +60,19 @@
         if self.links.parent == Some(node) {
             self.links.parent = None;
         }
-        if dialled || link.is_some_and(|link| link.dialled_here) {
+        if dialled || link.is_some_and(|link| link.is_outgoing) {
             self.back_off(now, node, DialFailure::NoLink);
         }
         self.choose_links(now);
     }
 
-    /// Leaves a node alone for a while.
+    /// Delays the next dial of a node.
     pub(crate) fn back_off(&mut self, now: Instant, node: Node, failure: DialFailure) {
         let attempts = self.links.failed.get(&node).map_or(0, |failed| failed.attempts);
         let has_parent = !self.config.is_control && self.links.parent.is_some();
         let delay = if has_parent || failure == DialFailure::Unrooted {
             PARENT_RETRY_DELAY
-        } else if attempts < FREQUENT_ATTEMPTS {
+        } else if attempts < MAX_FREQUENT_ATTEMPTS {
             LINK_RETRY_DELAY
         } else {
             LINK_RETRY_DELAY * 2
@@ -81,23 +81,23 @@
         self.links.failed.insert(node, failed);
     }
 
-    /// Begins to make a link.
+    /// Starts to open a link.
     pub(crate) fn dial(&mut self, now: Instant, node: Node) {
         self.links.dials.insert(node, now);
         self.links.last_dial_at = now;
         self.effects.push(Effect::OpenLink { to: node });
     }
 
-    /// Ends a link, or the making of one, that is of no use.
-    pub(crate) fn drop_link(&mut self, node: Node) {
+    /// Closes a link that is not needed, or stops opening it.
+    pub(crate) fn close_link(&mut self, node: Node) {
         self.links.up.remove(&node);
         self.links.dials.remove(&node);
         self.check.link_lost(node);
         self.effects.push(Effect::CloseLink { to: node });
     }
 
-    /// Gives up links that are silent or don't come up, and sends keep-alives.
-    pub(crate) fn tend_links(&mut self, now: Instant) {
+    /// Closes links that timed out, and sends keep-alives that are due.
+    pub(crate) fn maintain_links(&mut self, now: Instant) {
         let silent = self
             .links
             .up
@@ -107,7 +107,7 @@
         let lost: Vec<Node> = silent.map(|(node, _)| *node).chain(late.map(|(node, _)| *node)).collect();
         for node in lost {
             self.effects.push(Effect::CloseLink { to: node });
-            self.lose_link(now, node);
+            self.handle_link_down(now, node);
         }
         let due = self
             .links
@@ -124,16 +124,16 @@
         }
     }
 
-    /// Whether this side keeps the link alive.
+    /// Whether this side sends the keep-alives of the link.
     fn sends_keepalives(&self, node: Node, link: &Link) -> bool {
         if self.config.is_control && self.placement.is_control(node) {
             self.config.local_node < node
         } else {
-            link.dialled_here || self.links.parent == Some(node)
+            link.is_outgoing || self.links.parent == Some(node)
         }
     }
 
-    /// When a link has to be looked at.
+    /// When a link next needs attention.
     pub(crate) fn links_deadline(&self) -> Instant {
         let up = self.links.up.iter().map(|(node, link)| {
             let silent_at = link.heard_at + self.link_timing(*node).timeout + ONE_MICROSECOND;
--- a/crates/control/mesh-membership/src/membership.rs
+++ b/crates/control/mesh-membership/src/membership.rs
@@ -1,12 +1,13 @@
-//! One node's part in the mesh: its state, and what callers may look at. Decides nothing itself; the roles stand in files of
-//! their own, each an `impl` of [`Membership`]:
+//! State and accessors of a mesh member. Its roles are implemented in separate files, each as an `impl` of
+//! [`Membership`]:
 //!
-//! - `events`: what the caller reports, the passing of time, and the taking of effects;
-//! - `own_record`: what the node publishes of itself, and how it refutes what others say;
-//! - `updates`: records and entries taken in and disseminated; `anti_entropy`: versions compared, missing ones fetched;
-//! - `link_keepalive`, `relay_tree`, `control_links`: links kept alive, and which links there are;
-//! - `watching`: heartbeats, and nodes declared gone;
-//! - `freshness_requests`: whether the node is current.
+//! - `events`: entry points for the caller, the passage of time, and the returned effects;
+//! - `own_record`: this node's own record, and refutation of false claims about it;
+//! - `updates`: receiving and disseminating records and entries; `anti_entropy`: comparing versions and
+//!   fetching missing ones;
+//! - `link_keepalive`, `relay_tree`, `control_links`: keeping links alive, and selecting which links exist;
+//! - `watching`: heartbeats and failure detection;
+//! - `freshness_requests`: the check that this node is current.
 use crate::config::MembershipConfig;
 use crate::control_entry::EntryView;
 use crate::effect::Effect;
@@ -25,19 +26,19 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// What a pending update is about.
+/// What a pending update concerns.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(crate) enum Subject {
+pub(crate) enum UpdateKey {
     /// A node's record.
     Record(Node),
     /// The control entry under a key.
     Entry(String),
 }
 
-/// One node's part in the mesh.
+/// A member of the mesh.
 ///
-/// Bounded: [`MAX_NODES`](crate::MAX_NODES) records, [`MAX_CONTROL_ENTRIES`](crate::MAX_CONTROL_ENTRIES) control entries,
-/// links to nodes that could be in the mesh (4,096; further ones are dropped at once), updates not yet taken up to one item
+/// Memory is bounded: [`MAX_NODES`](crate::MAX_NODES) records and as many links (further links are closed
+/// at once), [`MAX_CONTROL_ENTRIES`](crate::MAX_CONTROL_ENTRIES) control entries, and one pending update
 /// for each record and entry.
 pub struct Membership<T> {
     pub(crate) config: MembershipConfig,
@@ -47,27 +48,28 @@
     pub(crate) watches: Watches,
     pub(crate) check: FreshnessCheck,
     pub(crate) started_at: Instant,
-    /// The latest time that the caller gave.
+    /// The latest time passed in by the caller.
     pub(crate) last_call_at: Instant,
     pub(crate) next_forget_at: Instant,
-    /// When the parent, or for a control node any other, was last found to know the same.
+    /// When the parent, or for a control node any other control node, was last found to have the same
+    /// versions.
     pub(crate) synced_at: Option<Instant>,
-    /// Changes to be disseminated, and which neighbour each came from.
-    pub(crate) pending: BTreeMap<Subject, Option<Node>>,
+    /// Changes to be disseminated, and the neighbour that each came from.
+    pub(crate) pending: BTreeMap<UpdateKey, Option<Node>>,
     pub(crate) effects: Vec<Effect<T>>,
     pub(crate) metrics: Metrics,
 }
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
-    /// A node that knows itself and its seeds.
+    /// Creates a member that knows only itself and its seeds.
     pub fn new(now: Instant, config: MembershipConfig, body: T) -> Self {
-        let seeds = config.shuffled(&config.seeds);
+        let seeds = config.shuffled_seeds(&config.seeds);
         let phase = (mix(config.random_seed) % HEARTBEAT_INTERVAL.as_micros() as u64) as i64;
-        let first_request = mix(config.random_seed ^ mix(config.incarnation));
+        let first_request_number = mix(config.random_seed ^ mix(config.incarnation));
         let record = NodeRecord {
             node: config.local_node,
             incarnation: config.incarnation,
-            // Drawn, so that two starts with the same incarnation can be distinguished.
+            // Random, so that two starts with the same incarnation can be distinguished.
             sequence: mix(config.random_seed) >> 44,
             zone: config.zone.clone(),
             is_control: config.is_control,
@@ -79,7 +81,7 @@
             placement: Placement::default(),
             links: Links::new(now),
             watches: Watches::new(now + Duration::from_micros(phase)),
-            check: FreshnessCheck::new(now, config.is_control, first_request),
+            check: FreshnessCheck::new(now, config.is_control, first_request_number),
             started_at: now,
             last_call_at: now,
             next_forget_at: now + FORGET_INTERVAL,
@@ -94,7 +96,7 @@
         membership
     }
 
-    /// All records, this node's own as well, and of those lately gone.
+    /// All records, including this node's own and those of nodes recently gone.
     pub fn records(&self) -> impl Iterator<Item = &NodeRecord<T>> {
         self.table.records()
     }
@@ -114,7 +116,7 @@
         self.table.entries()
     }
 
-    /// Where updates come from; none for control nodes.
+    /// The node that updates come from; always `None` for a control node.
     pub fn parent(&self) -> Option<Node> {
         self.links.parent
     }
@@ -124,7 +126,7 @@
         self.links.up.keys().copied().collect()
     }
 
-    /// Whether there is a link on which something came lately: of a control node any, of others the parent's.
+    /// Whether something was recently received on the parent's link, or for a control node on any link.
     pub fn is_connected(&self, now: Instant) -> bool {
         let is_alive = |link: &Link| link.is_alive(now);
         match self.links.parent {
@@ -138,29 +140,30 @@
         self.own_record().map_or(self.config.incarnation, |own| own.incarnation)
     }
 
-    /// Time since the parent, or for a control node any other, was last found to know the same.
+    /// Time since the parent, or for a control node any other control node, was last found to have the same
+    /// versions.
     pub fn last_sync_age(&self, now: Instant) -> Option<Duration> {
         self.synced_at.map(|at| now - at)
     }
 
-    /// Whether this node has what a majority had acknowledged before it started. Never goes back to waiting.
+    /// Whether this node has everything that a majority had acknowledged before it started. Never returns
+    /// to `Waiting`.
     pub fn freshness(&self) -> Freshness {
         self.check.state
     }
 
-    /// Counters.
+    /// The counters of this node.
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
 
-    /// Changes a rule on purpose, for the tests of the checkers.
+    /// Enables a deliberate bug, to test that the checkers detect it.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
     pub fn set_mutation(&mut self, mutation: crate::freshness::Mutation) {
         self.check.set_mutation(mutation);
     }
 
-    /// This node's own record.
     pub(crate) fn own_record(&self) -> Option<&NodeRecord<T>> {
         self.table.record(self.config.local_node)
     }
--- a/crates/control/mesh-membership/src/message.rs
+++ b/crates/control/mesh-membership/src/message.rs
@@ -1,25 +1,25 @@
-//! What goes over a link between two nodes. Only the form: what is done with a message stands in `events`.
+//! Messages on a link between two nodes. They are handled in `events`.
 use crate::control_entry::{ControlEntry, EntryRevision};
 use crate::limits::{MAX_PATH_NODES, MAX_REPORTED_PEERS};
 use crate::node::Node;
 use crate::record::{NodeRecord, RecordVersion};
 use bitcode::{Decode, Encode};
 
-/// Where a node stands in the relay tree, as it reports to its neighbours.
+/// A node's position in the relay tree, as it reports it to its neighbours.
 ///
 /// Encoded between nodes: order and types of the fields are part of the wire format.
 #[derive(Clone, Default, PartialEq, Debug, Encode, Decode)]
 pub struct TreePosition {
-    /// Itself and its parents up to a control node; empty when no control node is reached. At most 32.
+    /// The node and its ancestors up to a control node; empty if it reaches no control node. At most 32.
     pub path: Vec<Node>,
-    /// Of a control node: the other control nodes that it has links to. At most 64.
+    /// For a control node, the other control nodes that it is linked with. At most 64.
     pub peers: Vec<Node>,
-    /// It has more children than it should.
+    /// Whether it has more children than it should.
     pub full: bool,
 }
 
 impl TreePosition {
-    /// The position with its lists cut to their limits: a neighbour may report anything.
+    /// Truncates the lists to their limits: a neighbour may report anything.
     pub(crate) fn bounded(mut self) -> Self {
         self.path.truncate(MAX_PATH_NODES);
         self.peers.truncate(MAX_REPORTED_PEERS);
@@ -27,77 +27,78 @@
     }
 }
 
-/// What goes over a link.
+/// A message on a link.
 ///
 /// Encoded between nodes: order of the variants, and order and types of their fields, are part of the wire format.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum MembershipMessage<T> {
-    /// The first message of each side.
+    /// First message of each side.
     Hello {
         /// The sender's own record.
         record: NodeRecord<T>,
-        /// Over all versions that the sender knows.
+        /// Digest of all versions that the sender knows.
         digest: u64,
-        /// How many records and control entries the sender knows.
+        /// Number of records and control entries that the sender knows.
         known_items: u32,
-        /// Where the sender stands.
+        /// The sender's position in the tree.
         position: TreePosition,
     },
-    /// Keeps the link, and compares.
+    /// Keeps the link alive and compares digests.
     KeepAlive {
-        /// Over all versions that the sender knows.
+        /// Digest of all versions that the sender knows.
         digest: u64,
-        /// Whether this is to be answered.
+        /// Whether a keep-alive is expected in return.
         wants_reply: bool,
-        /// Where the sender stands.
+        /// The sender's position in the tree.
         position: TreePosition,
     },
-    /// Digests of the buckets that versions are divided into. Answered with a [`VersionIndex`](Self::VersionIndex) of
-    /// those that differ.
+    /// Digests of the version buckets. Answered with a [`VersionIndex`](Self::VersionIndex) of the buckets
+    /// that differ.
     BucketDigests {
-        /// One for each bucket.
+        /// One digest for each bucket.
         digests: Vec<u32>,
     },
-    /// The versions in some buckets. Answered with what is newer here, and what is wanted.
+    /// The versions in some buckets; without buckets, an announcement of newer control entries. The
+    /// receiver sends or announces what is newer on its side and fetches what is newer on the sender's.
     VersionIndex {
-        /// The buckets.
+        /// The bucket numbers.
         buckets: Vec<u8>,
-        /// The versions of all records in them.
+        /// Versions of all records in the buckets.
         records: Vec<RecordVersion>,
-        /// The revisions of all control entries in them.
+        /// Revisions of all control entries in the buckets.
         entries: Vec<EntryRevision>,
     },
-    /// Records and control entries that are missing. Answered with an [`Update`](Self::Update).
+    /// Requests missing records and control entries. Answered with [`Update`](Self::Update)s.
     Fetch {
-        /// Whose records.
+        /// Nodes whose records are requested.
         nodes: Vec<Node>,
-        /// Which control entries.
+        /// Keys of the requested control entries.
         keys: Vec<String>,
     },
-    /// Changes.
+    /// Changed records and control entries.
     Update {
         /// Newer records.
         records: Vec<NodeRecord<T>>,
         /// Newer control entries.
         entries: Vec<ControlEntry>,
     },
-    /// Everything, or a chunk of it, for a node that knows nothing yet.
+    /// All records, or a chunk of them, for a node that knows nothing yet.
     Snapshot {
-        /// Records of the nodes that are there.
+        /// Records of the nodes that are not gone.
         records: Vec<NodeRecord<T>>,
         /// Control entries.
         entries: Vec<ControlEntry>,
     },
-    /// Asks what a majority of the control replicas has. Goes up the tree.
+    /// Asks for the revisions that a majority of the control replicas has. Forwarded up the tree.
     FreshnessRequest {
-        /// The sender's own number for it.
+        /// Request number chosen by the sender.
         number: u64,
     },
-    /// The answer: all revisions that a majority had at some time after the request was sent.
+    /// Reply to a request: the revisions that a majority had at some time after the request was sent.
     FreshnessReply {
-        /// As in the request.
+        /// The number of the request.
         number: u64,
-        /// Each key that was ever written; `None`: no majority was reached.
+        /// One revision for each key that was ever written; `None` if no majority was reached.
         revisions: Option<Vec<EntryRevision>>,
     },
 }
--- a/crates/control/mesh-membership/src/own_record.rs
+++ b/crates/control/mesh-membership/src/own_record.rs
@@ -1,5 +1,5 @@
-//! What a node publishes of itself, and how it refutes what others say of it (SWIM's incarnation rule). Knows nothing of
-//! how records travel; go on with `updates`.
+//! This node's own record: changes to it, and refutation of what others claim about it (SWIM's incarnation
+//! rule). Dissemination is in `updates`.
 use crate::membership::Membership;
 use crate::node::Node;
 use crate::record::{NodeRecord, RecordVersion};
@@ -7,7 +7,7 @@
 use std::fmt::Debug;
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
-    /// The node publishes something else of itself from now on. After [`leave`](Self::leave) it changes nothing.
+    /// Publishes a new body for this node. Has no effect after [`leave`](Self::leave).
     pub fn update_body(&mut self, now: Instant, body: T) {
         self.note_time(now);
         let Some(own) = self.own_record() else { return };
@@ -18,7 +18,7 @@
         self.put(now, record);
     }
 
-    /// Signs off, and notifies the others. Links are kept until the process ends.
+    /// Signs off and notifies the other nodes. Links stay up until the process ends.
     pub fn leave(&mut self, now: Instant) {
         self.note_time(now);
         let Some(own) = self.own_record() else { return };
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Others know a record of this node: one that it didn't write is refuted.
+    /// Handles a record of this node received from others, and refutes it if this node didn't write it.
     pub(crate) fn receive_own_record(&mut self, now: Instant, record: NodeRecord<T>) {
         let Some(own) = self.own_record() else { return };
         if own.gone {
@@ -50,10 +50,11 @@
         self.put(now, refuted);
     }
 
-    /// Others know a version of this node that it may not have written.
+    /// Handles a version of this node's record known to others, which this node may not have written.
     pub(crate) fn receive_own_version(&mut self, now: Instant, version: RecordVersion) {
         if let Some(own) = self.own_record() {
-            // Only versions are compared; a record of the same version is taken for its own.
+            // Only the versions are compared: a record of the same version is assumed to be this node's
+            // own.
             let record = NodeRecord {
                 incarnation: version.incarnation,
                 sequence: version.sequence,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether the node is known as a sidecar that is there.
+    /// Whether the node is known as a sidecar that is not gone.
     pub(crate) fn is_known_sidecar(&self, node: Node) -> bool {
         self.record(node).is_some_and(|record| !record.is_control && !record.gone)
     }
--- a/crates/control/mesh-membership/src/parent_candidates.rs
+++ b/crates/control/mesh-membership/src/parent_candidates.rs
@@ -1,22 +1,23 @@
-//! The parents that a sidecar may choose from, the best first. Decides the order alone; which of them is dialled and kept
-//! stands in `relay_tree`.
+//! Ordered list of possible parents of a sidecar. Dialling and selecting one of them is in `relay_tree`.
 use crate::hash::{mix, mix_bytes};
 use crate::limits::TREE_FANOUT;
 use crate::node::Node;
 use crate::placement::Placement;
 
-/// Parents to choose from, the best first.
+/// Possible parents, the best first.
 #[derive(Default)]
 pub(crate) struct ParentCandidates {
     pub(crate) nodes: Vec<Node>,
-    /// Candidates before this index are lower in the order of the tree, so no two nodes can each have the other as parent.
-    pub(crate) lower: usize,
+    /// Candidates before this index don't come after the node in tree order, so no two nodes can each have
+    /// the other as parent.
+    pub(crate) lower_end: usize,
 }
 
 impl ParentCandidates {
-    /// Whom a sidecar goes to, in order: its ancestors, control nodes, the first of its zone, the first of other zones
-    /// (only from the first of a zone), `further` control nodes that may have come back, then those after it.
-    pub(crate) fn of(placement: &Placement, node: Node, zone: &str, further: &[Node]) -> Self {
+    /// Lists in order: the node's ancestors, control nodes, the first sidecars of its zone, the first of
+    /// earlier zones (for the first sidecar of a zone only), `additional` control nodes that may have come
+    /// back, and the sidecars and zones after it.
+    pub(crate) fn for_node(placement: &Placement, node: Node, zone: &str, additional: &[Node]) -> Self {
         let sidecars = placement.sidecars_of(zone);
         let tree = placement.zone_tree(zone);
         let rank = placement.rank(zone, node).unwrap_or(sidecars.len());
@@ -33,26 +34,28 @@
         if rank == 0 {
             first_of_other_zones(placement, zone, Side::Before).for_each(&mut push);
         }
-        further.iter().for_each(|node| push(*node));
+        additional.iter().for_each(|node| push(*node));
         sidecars.iter().skip(rank + 1).take(TREE_FANOUT).for_each(|position| push(position.node));
-        let higher_firsts: Vec<Node> = first_of_other_zones(placement, zone, Side::After).collect();
+        let first_of_higher_zones: Vec<Node> = first_of_other_zones(placement, zone, Side::After).collect();
         if rank == 0 {
-            higher_firsts.iter().for_each(|node| push(*node));
+            first_of_higher_zones.iter().for_each(|node| push(*node));
         }
         let is_higher = |node: &Node| {
-            higher_firsts.contains(node) || placement.rank(zone, *node).is_some_and(|other| other > rank)
+            first_of_higher_zones.contains(node)
+                || placement.rank(zone, *node).is_some_and(|other| other > rank)
         };
-        let lower = nodes.iter().position(|node| is_higher(node) && !further.contains(node));
-        ParentCandidates { lower: lower.unwrap_or(nodes.len()), nodes }
+        let lower_end = nodes.iter().position(|node| is_higher(node) && !additional.contains(node));
+        ParentCandidates { lower_end: lower_end.unwrap_or(nodes.len()), nodes }
     }
 
-    /// The parent that the tree gives the node.
-    pub(crate) fn proper(&self) -> Option<Node> {
+    /// The parent according to the tree.
+    pub(crate) fn preferred(&self) -> Option<Node> {
         self.nodes.first().copied()
     }
 }
 
-/// Those of the zone first. Sidecars of a zone spread over the zone's control nodes, but all go to the same ones elsewhere.
+/// Control nodes of the node's zone first. Within their zone sidecars are spread over the control nodes;
+/// for other zones all sidecars of a zone use the same order.
 fn control_nodes_in_order(placement: &Placement, node: Node, zone: &str) -> Vec<Node> {
     let zone_salt = mix_bytes(zone.as_bytes());
     let mut ordered: Vec<(bool, u64, Node)> = placement
@@ -67,14 +70,14 @@
     ordered.into_iter().map(|(_, _, control_node)| control_node).collect()
 }
 
-/// Zones before or after a zone in the order of their names.
+/// Whether to list the zones before or after a zone in the order of their names.
 #[derive(Clone, Copy, PartialEq)]
 enum Side {
     Before,
     After,
 }
 
-/// The first sidecars of other zones.
+/// The first sidecars of other zones on one side, at most [`TREE_FANOUT`].
 fn first_of_other_zones<'a>(
     placement: &'a Placement,
     zone: &'a str,
--- a/crates/control/mesh-membership/src/placement.rs
+++ b/crates/control/mesh-membership/src/placement.rs
@@ -1,15 +1,15 @@
-//! Positions on the watchers' ring and ranks in the relay tree, of the nodes that are believed to be there. Equal at all
-//! nodes that know the same records. Knows nothing of links; whom a node dials stands in `parent_candidates`.
+//! Positions on the monitoring ring and in the relay tree of all nodes that are not known to be gone. The
+//! same on all nodes that know the same records. The choice of a parent is in `parent_candidates`.
 use crate::hash::mix;
 use crate::limits::TREE_FANOUT;
 use crate::node::Node;
 use std::collections::BTreeMap;
 
-/// Keeps ring positions and tree positions of the same node independent of each other.
+/// Makes the ring position and the tree position of a node independent of each other.
 const RING_SALT: u64 = 0x52 << 32;
 const TREE_SALT: u64 = 0x54 << 32;
 
-/// A node's place in an order that its own number decides.
+/// A node's position in an order by hash.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct Position {
     hash: u64,
@@ -26,20 +26,20 @@
     }
 }
 
-/// Which neighbours on the ring.
+/// Which neighbours on the ring to list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Direction {
-    /// Those after a node: its watchers.
+    /// The nodes after a node, which are its watchers.
     Successors,
-    /// Those before a node: whom it watches.
+    /// The nodes before a node, which it monitors.
     Predecessors,
 }
 
-/// Kept in order as nodes come and go, so nothing is sorted anew.
+/// The ring and the trees, kept sorted as nodes come and go.
 #[derive(Default)]
 pub(crate) struct Placement {
     ring: Vec<Position>,
-    /// The sidecars of each zone in the order of the tree.
+    /// The sidecars of each zone in tree order.
     sidecars: BTreeMap<String, Vec<Position>>,
     /// Control nodes and their zones.
     control_nodes: BTreeMap<Node, String>,
@@ -79,25 +79,25 @@
         }
     }
 
-    /// How many nodes there are.
+    /// Number of nodes on the ring.
     pub(crate) fn count(&self) -> usize {
         self.ring.len()
     }
 
-    /// At most `count` nodes next to a node on the ring, the nearest first, without itself.
+    /// At most `count` neighbours of a node on the ring, the nearest first, without the node itself.
     pub(crate) fn ring_neighbours(&self, node: Node, count: usize, direction: Direction) -> Vec<Node> {
         let length = self.ring.len();
         let (start, present) = match self.ring.binary_search(&Position::on_ring(node)) {
             Ok(at) => (at, true),
             Err(at) => (at, false),
         };
-        let most = count.min(length - usize::from(present));
+        let limit = count.min(length - usize::from(present));
         let step = |i: usize| match (direction, present) {
             (Direction::Successors, true) => (start + 1 + i) % length,
             (Direction::Successors, false) => (start + i) % length,
             (Direction::Predecessors, _) => (start + 2 * length - 1 - i) % length,
         };
-        (0..most).map(|i| self.ring[step(i)].node).collect()
+        (0..limit).map(|i| self.ring[step(i)].node).collect()
     }
 
     pub(crate) fn is_control(&self, node: Node) -> bool {
@@ -109,7 +109,7 @@
         &self.control_nodes
     }
 
-    /// The sidecars of a zone in the order of the tree.
+    /// The sidecars of a zone in tree order.
     pub(crate) fn sidecars_of(&self, zone: &str) -> &[Position] {
         self.sidecars.get(zone).map_or(&[], Vec::as_slice)
     }
@@ -119,7 +119,7 @@
         &self.sidecars
     }
 
-    /// A sidecar's rank in the tree of its zone; `None`: it is not there.
+    /// A sidecar's rank in the tree of its zone; `None` if it is not in the zone.
     pub(crate) fn rank(&self, zone: &str, node: Node) -> Option<usize> {
         self.sidecars.get(zone)?.binary_search(&Position::in_tree(node)).ok()
     }
@@ -129,8 +129,9 @@
         ZoneTree { has_control_node: self.control_nodes.values().any(|of| of == zone) }
     }
 
-    /// Whether `parent` is as good as the proper one: of the zone, and one level above.
-    pub(crate) fn fits_parent(&self, node: Node, zone: &str, parent: Node) -> bool {
+    /// Whether `parent` is as good as the preferred one: in the same zone and one level above, or, for a
+    /// sidecar of the first level in a zone without a control node, any control node.
+    pub(crate) fn is_suitable_parent(&self, node: Node, zone: &str, parent: Node) -> bool {
         let tree = self.zone_tree(zone);
         let Some(rank) = self.rank(zone, node) else { return false };
         let level = tree.level(rank);
@@ -141,15 +142,15 @@
     }
 }
 
-/// How the ranks of a zone's sidecars form a tree.
+/// How the sidecars of a zone form a tree by rank.
 #[derive(Clone, Copy)]
 pub(crate) struct ZoneTree {
-    /// Without one the first sidecar alone has a link out of the zone.
+    /// Without a control node in the zone, only the first sidecar has a link out of the zone.
     has_control_node: bool,
 }
 
 impl ZoneTree {
-    /// The rank of the parent; `None` for sidecars that are directly below a control node.
+    /// The rank of the parent; `None` for a sidecar directly below a control node.
     pub(crate) fn parent_rank(self, rank: usize) -> Option<usize> {
         if self.has_control_node {
             (rank / TREE_FANOUT).checked_sub(1)
@@ -158,7 +159,7 @@
         }
     }
 
-    /// How many levels below the control nodes, from 1.
+    /// Number of levels below the control nodes, starting at 1.
     fn level(self, rank: usize) -> usize {
         std::iter::successors(Some(rank), |rank| self.parent_rank(*rank)).count()
     }
--- a/crates/control/mesh-membership/src/record.rs
+++ b/crates/control/mesh-membership/src/record.rs
@@ -1,31 +1,30 @@
-//! What is known of a node, and what records are ordered by. Knows nothing of how records travel; go on with `message`
-//! and `version_table`.
+//! Node records and their versions.
 use crate::node::Node;
 use bitcode::{Decode, Encode};
 
-/// What is known of a node. The highest (incarnation, sequence, gone) wins everywhere.
+/// What is known about a node. The highest (incarnation, sequence, gone) wins everywhere.
 ///
 /// Encoded between nodes: order and types of the fields are part of the wire format.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct NodeRecord<T> {
-    /// Whose record it is.
+    /// The node that the record describes.
     pub node: Node,
-    /// Rises with each start of the node.
+    /// Increases with each start of the node.
     pub incarnation: u64,
-    /// Rises within an incarnation, with each change, from a drawn beginning.
+    /// Increases with each change within an incarnation, from a random initial value.
     pub sequence: u64,
     /// The node's zone.
     pub zone: String,
     /// Whether the node holds the control state.
     pub is_control: bool,
-    /// Signed off, or declared gone by its watchers.
+    /// The node signed off, or its watchers declared it gone.
     pub gone: bool,
     /// What the node publishes about itself.
     pub body: T,
 }
 
 impl<T> NodeRecord<T> {
-    /// What records are ordered by.
+    /// The version by which records of a node are ordered.
     pub fn version(&self) -> RecordVersion {
         RecordVersion {
             node: self.node,
@@ -36,12 +35,12 @@
     }
 }
 
-/// The version of a record. Compared only with versions of the same node.
+/// The version of a record. Comparable only with versions of the same node.
 ///
 /// Encoded between nodes: order and types of the fields are part of the wire format.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Encode, Decode)]
 pub struct RecordVersion {
-    /// Whose record it is.
+    /// The node that the record describes.
     pub node: Node,
     /// The node's incarnation.
     pub incarnation: u64,
--- a/crates/control/mesh-membership/src/relay_tree.rs
+++ b/crates/control/mesh-membership/src/relay_tree.rs
@@ -1,5 +1,5 @@
-//! The relay tree: where this node stands in it, and which parent a sidecar has. The order of the candidates stands in
-//! `parent_candidates`, the links of control nodes in `control_links`.
+//! The relay tree: this node's position in it, and selection of a sidecar's parent. The order of the
+//! candidates is in `parent_candidates`, the links of control nodes in `control_links`.
 use crate::limits::{MAX_CONCURRENT_DIALS, MAX_PATH_NODES, MAX_REPORTED_PEERS, TREE_FANOUT};
 use crate::link_keepalive::DialFailure;
 use crate::membership::Membership;
@@ -10,11 +10,11 @@
 use silvercross_time::{Duration, Instant};
 use std::fmt::Debug;
 
-/// A node is new for so long, and moves to its proper parent after a short delay.
+/// For this long after its start a node moves to its preferred parent after a short delay.
 const NEW_NODE_PERIOD: Duration = Duration::from_secs(5);
 const NEW_NODE_SETTLE_DELAY: Duration = Duration::from_millis(300);
 
-/// A candidate that is linked, and its rank among the candidates.
+/// A linked candidate and its rank among all candidates.
 #[derive(Clone, Copy)]
 struct LinkedCandidate {
     rank: usize,
@@ -22,14 +22,18 @@
 }
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
-    /// Where this node stands, as it reports to its neighbours.
+    /// This node's position, as reported to its neighbours.
     pub(crate) fn position(&self) -> TreePosition {
         let local_node = self.config.local_node;
         if self.config.is_control {
-            let linked =
-                self.links.up.iter().filter(|(node, link)| link.greeted && self.placement.is_control(**node));
+            let linked = self
+                .links
+                .up
+                .iter()
+                .filter(|(node, link)| link.has_hello && self.placement.is_control(**node));
             let peers: Vec<Node> = linked.map(|(node, _)| *node).take(MAX_REPORTED_PEERS).collect();
-            // One that reaches no more than half of the control nodes gets no updates: its children go elsewhere.
+            // A control node without a majority of the control nodes receives no updates: its children have
+            // to choose another parent.
             let has_majority = 2 * (peers.len() + 1) > self.other_control_nodes().len() + 1;
             let path = if has_majority { vec![local_node] } else { Vec::new() };
             return TreePosition { path, peers, full: false };
@@ -45,8 +49,8 @@
         TreePosition { path, peers: Vec::new(), full: children > 2 * TREE_FANOUT }
     }
 
-    /// Control nodes that report that they reach most of the control nodes, as far as is known here: the one at the end of
-    /// this node's own path, or of a control node those that it is linked with.
+    /// Control nodes that report a link to a majority of the control nodes, as far as this node knows: the
+    /// one at the end of its own path, or for a control node those that it is linked with.
     pub fn reachable_control_nodes(&self) -> Vec<Node> {
         if self.config.is_control {
             let local_node = self.config.local_node;
@@ -61,7 +65,7 @@
         self.position().path.last().copied().into_iter().collect()
     }
 
-    /// Notifies its neighbours at once when its path to a control node is lost or found again.
+    /// Notifies the neighbours at once when the path to a control node is lost or regained.
     pub(crate) fn announce_position(&mut self) {
         let rooted = match self.config.is_control {
             true => !self.position().path.is_empty(),
@@ -69,13 +73,13 @@
         };
         if rooted != self.links.announced_rooted {
             self.links.announced_rooted = rooted;
-            let greeted = self.links.up.iter().filter(|(_, link)| link.greeted);
-            let greeted: Vec<Node> = greeted.map(|(node, _)| *node).collect();
-            greeted.into_iter().for_each(|node| self.send_keepalive(node, false));
+            let linked = self.links.up.iter().filter(|(_, link)| link.has_hello);
+            let linked: Vec<Node> = linked.map(|(node, _)| *node).collect();
+            linked.into_iter().for_each(|node| self.send_keepalive(node, false));
         }
     }
 
-    /// Sees to it that the links are those that should be.
+    /// Opens and closes links so that they match the known nodes.
     pub(crate) fn choose_links(&mut self, now: Instant) {
         let placement_changed = std::mem::take(&mut self.links.placement_changed);
         self.links.next_choice_at = Instant::MAX;
@@ -87,11 +91,15 @@
             return;
         }
         if placement_changed {
-            let mut further = self.links.former_control_nodes.clone();
-            further.extend(self.config.seeds.iter());
-            further.retain(|node| !self.is_known_sidecar(*node));
-            self.links.candidates =
-                ParentCandidates::of(&self.placement, self.config.local_node, &self.config.zone, &further);
+            let mut additional = self.links.former_control_nodes.clone();
+            additional.extend(self.config.seeds.iter());
+            additional.retain(|node| !self.is_known_sidecar(*node));
+            self.links.candidates = ParentCandidates::for_node(
+                &self.placement,
+                self.config.local_node,
+                &self.config.zone,
+                &additional,
+            );
         }
         self.choose_parent(now);
         self.search_parent(now);
@@ -101,13 +109,14 @@
         self.links.is_rooted(node, self.config.local_node)
     }
 
-    fn fits_parent(&self, parent: Node) -> bool {
+    fn is_suitable_parent(&self, parent: Node) -> bool {
         let full = self.links.up.get(&parent).is_some_and(|link| link.position().full);
-        let is_proper = self.links.candidates.proper() == Some(parent);
-        is_proper || (!full && self.placement.fits_parent(self.config.local_node, &self.config.zone, parent))
+        let is_preferred = self.links.candidates.preferred() == Some(parent);
+        is_preferred
+            || (!full && self.placement.is_suitable_parent(self.config.local_node, &self.config.zone, parent))
     }
 
-    /// Takes the best of the links that are up for the parent's.
+    /// Selects the best of the established links as the parent's.
     fn choose_parent(&mut self, now: Instant) {
         let chosen = self.best_parent();
         if chosen == self.links.parent {
@@ -115,43 +124,43 @@
         }
         self.links.parent = chosen;
         self.metrics.parent_changes += u64::from(chosen.is_some());
-        self.links.unfit_since = None;
+        self.links.unsuitable_since = None;
         self.links.unrooted_since = None;
         if let Some(link) = chosen.and_then(|chosen| self.links.up.get_mut(&chosen)) {
             link.next_keepalive_at = link.next_keepalive_at.min(now + KEEPALIVE_INTERVAL);
         }
     }
 
-    /// The best of the linked candidates. A rooted parent that fits is kept; without any rooted one a lower one is still
-    /// better than none.
+    /// The best linked candidate. A suitable rooted parent is kept; if no candidate is rooted, an unrooted
+    /// one that doesn't come after this node in tree order is used.
     fn best_parent(&self) -> Option<Node> {
         let candidates = &self.links.candidates;
         let linked: Vec<LinkedCandidate> = candidates
             .nodes
             .iter()
             .enumerate()
-            .filter(|(_, node)| self.links.is_greeted(**node))
+            .filter(|(_, node)| self.links.has_hello_from(**node))
             .map(|(rank, node)| LinkedCandidate { rank, node: *node })
             .collect();
         let rooted = linked.iter().find(|candidate| self.is_rooted(candidate.node));
-        let unrooted = linked.iter().find(|candidate| candidate.rank < candidates.lower);
+        let unrooted = linked.iter().find(|candidate| candidate.rank < candidates.lower_end);
         match self.links.parent {
-            Some(parent) if self.is_rooted(parent) && self.fits_parent(parent) => Some(parent),
+            Some(parent) if self.is_rooted(parent) && self.is_suitable_parent(parent) => Some(parent),
             Some(parent) if self.is_rooted(parent) => match rooted {
                 Some(better) if better.rank < self.links.candidate_rank(parent) => Some(better.node),
                 _ => Some(parent),
             },
             parent => {
-                let kept = parent.filter(|parent| self.links.candidate_rank(*parent) < candidates.lower);
+                let kept = parent.filter(|parent| self.links.candidate_rank(*parent) < candidates.lower_end);
                 rooted.map(|found| found.node).or(kept).or(unrooted.map(|found| found.node))
             }
         }
     }
 
-    /// Makes links to better parents, and drops those that are of no use.
+    /// Dials better parents, and closes links that are not needed.
     fn search_parent(&mut self, now: Instant) {
         let Some(parent) = self.links.parent else {
-            self.search_further(now);
+            self.dial_next_candidate(now);
             return;
         };
         if !self.is_rooted(parent) {
@@ -159,77 +168,77 @@
             if now < since + UNROOTED_PARENT_TIMEOUT {
                 self.links.next_choice_at = since + UNROOTED_PARENT_TIMEOUT;
             } else {
-                self.search_further(now);
+                self.dial_next_candidate(now);
             }
             return;
         }
         self.links.unrooted_since = None;
-        let fits = self.fits_parent(parent);
-        let wanted = self.links.candidates.proper().filter(|_| !fits);
-        self.drop_unused_links(wanted);
+        let is_suitable = self.is_suitable_parent(parent);
+        let wanted = self.links.candidates.preferred().filter(|_| !is_suitable);
+        self.close_unused_links(wanted);
         match wanted {
-            Some(proper) => self.move_to(now, proper),
-            None => self.links.unfit_since = None,
+            Some(preferred) => self.move_to_preferred(now, preferred),
+            None => self.links.unsuitable_since = None,
         }
     }
 
-    /// Drops the links made from this side but the parent's and that of the parent wanted.
-    fn drop_unused_links(&mut self, wanted: Option<Node>) {
+    /// Closes links opened by this side except those to the parent and to `wanted`.
+    fn close_unused_links(&mut self, wanted: Option<Node>) {
         let parent = self.links.parent;
-        let dialled_here = self.links.up.iter().filter(|(_, link)| link.dialled_here).map(|(node, _)| *node);
-        let unused: Vec<Node> = dialled_here
+        let outgoing = self.links.up.iter().filter(|(_, link)| link.is_outgoing).map(|(node, _)| *node);
+        let unused: Vec<Node> = outgoing
             .chain(self.links.dials.keys().copied())
             .filter(|node| Some(*node) != parent && Some(*node) != wanted)
             .collect();
-        unused.into_iter().for_each(|node| self.drop_link(node));
+        unused.into_iter().for_each(|node| self.close_link(node));
     }
 
-    /// The parent is a substitute: goes to the proper one once it has been so for a while.
-    fn move_to(&mut self, now: Instant, proper: Node) {
-        let since = *self.links.unfit_since.get_or_insert(now);
+    /// Moves from a substitute to the preferred parent after a delay.
+    fn move_to_preferred(&mut self, now: Instant, preferred: Node) {
+        let since = *self.links.unsuitable_since.get_or_insert(now);
         let is_new = now - self.started_at < NEW_NODE_PERIOD;
         let settled_at = since + if is_new { NEW_NODE_SETTLE_DELAY } else { PARENT_RETRY_DELAY };
-        let not_before = match self.links.failed.get(&proper) {
+        let not_before = match self.links.failed.get(&preferred) {
             Some(failed) => settled_at.max(failed.retry_at),
             None => settled_at,
         };
-        if self.links.dials.contains_key(&proper) {
-            // Its outcome, or the end of its time, leads back here.
+        if self.links.dials.contains_key(&preferred) {
+            // The outcome of the dial, or its time-out, triggers the next selection.
         } else if now < not_before {
             self.links.next_choice_at = not_before;
-        } else if self.links.up.contains_key(&proper) {
-            self.reject_unrooted(now, proper);
+        } else if self.links.up.contains_key(&preferred) {
+            self.reject_unrooted(now, preferred);
             self.links.next_choice_at = now + PARENT_RETRY_DELAY;
         } else {
-            self.dial(now, proper);
+            self.dial(now, preferred);
         }
     }
 
-    /// A linked node that leads to no control node is left alone for a while.
+    /// Delays the next attempt at a linked node that has no path to a control node.
     fn reject_unrooted(&mut self, now: Instant, node: Node) {
-        if self.links.is_greeted(node) {
+        if self.links.has_hello_from(node) {
             self.back_off(now, node, DialFailure::Unrooted);
-            if self.links.up.get(&node).is_some_and(|link| link.dialled_here) {
-                self.drop_link(node);
+            if self.links.up.get(&node).is_some_and(|link| link.is_outgoing) {
+                self.close_link(node);
             }
         }
     }
 
-    /// There is no path to a control node: goes through all candidates that could have one, a few at a time.
-    fn search_further(&mut self, now: Instant) {
-        let useless = self
+    /// Without a path to a control node: tries the remaining candidates, a few at a time.
+    fn dial_next_candidate(&mut self, now: Instant) {
+        let unrooted = self
             .links
             .up
             .iter()
-            .filter(|(node, link)| link.dialled_here && link.greeted && Some(**node) != self.links.parent)
+            .filter(|(node, link)| link.is_outgoing && link.has_hello && Some(**node) != self.links.parent)
             .map(|(node, _)| *node)
             .filter(|node| !self.is_rooted(*node));
-        let useless: Vec<Node> = useless.collect();
-        useless.into_iter().for_each(|node| self.reject_unrooted(now, node));
+        let unrooted: Vec<Node> = unrooted.collect();
+        unrooted.into_iter().for_each(|node| self.reject_unrooted(now, node));
         let mut earliest = Instant::MAX;
         let mut next = None;
         for node in &self.links.candidates.nodes {
-            if self.links.has_or_dials(*node) {
+            if self.links.is_linked_or_dialling(*node) {
                 continue;
             }
             match self.links.failed.get(node).filter(|failed| failed.retry_at > now) {
--- a/crates/control/mesh-membership/src/tests/mod.rs
+++ b/crates/control/mesh-membership/src/tests/mod.rs
@@ -1,2 +1,3 @@
-//! Tests of rings and trees alone. Inside the package, for `Placement` and `ParentCandidates` are private to it.
+//! Tests of the ring and the tree, inside the package because `Placement` and `ParentCandidates` are
+//! private.
 mod placement;
--- a/crates/control/mesh-membership/src/tests/placement.rs
+++ b/crates/control/mesh-membership/src/tests/placement.rs
@@ -1,10 +1,11 @@
-//! Positions on the ring and in the tree, and the order of the parents to choose from.
+//! Positions on the ring and in the tree, and the order of parent candidates.
 use crate::limits::TREE_FANOUT;
 use crate::node::Node;
 use crate::parent_candidates::ParentCandidates;
 use crate::placement::{Direction, Placement};
 
-/// So many sidecars in zone a, a control node in zones b and c, and one in a if wanted.
+/// Zone a with the given number of sidecars and optionally a control node, and control nodes in zones b and
+/// c.
 fn zone_of(count: u32, with_control_node: bool) -> Placement {
     let mut placement = Placement::default();
     (1..=count).for_each(|node| placement.add(Node(node), "a", false));
@@ -21,7 +22,7 @@
 }
 
 fn candidates(placement: &Placement, node: Node) -> ParentCandidates {
-    ParentCandidates::of(placement, node, "a", &[])
+    ParentCandidates::for_node(placement, node, "a", &[])
 }
 
 #[test]
@@ -32,14 +33,14 @@
         let found = candidates(&placement, *node);
         let proper = if rank < TREE_FANOUT { Node(1_000) } else { by_rank[rank / TREE_FANOUT - 1] };
         assert_eq!(found.nodes[0], proper);
-        assert!(placement.fits_parent(*node, "a", proper));
+        assert!(placement.is_suitable_parent(*node, "a", proper));
         assert!(found.nodes.contains(&Node(1_001)) && !found.nodes.contains(node));
-        for lower in &found.nodes[..found.lower] {
+        for lower in &found.nodes[..found.lower_end] {
             assert!(placement.rank("a", *lower).is_none_or(|other| other < rank));
         }
     }
-    assert!(!placement.fits_parent(by_rank[25], "a", by_rank[1]), "two levels above");
-    assert!(placement.fits_parent(by_rank[25], "a", by_rank[9]), "another of the level above");
+    assert!(!placement.is_suitable_parent(by_rank[25], "a", by_rank[1]), "two levels above");
+    assert!(placement.is_suitable_parent(by_rank[25], "a", by_rank[9]), "another of the level above");
 }
 
 #[test]
--- a/crates/control/mesh-membership/src/updates.rs
+++ b/crates/control/mesh-membership/src/updates.rs
@@ -1,51 +1,52 @@
-//! Dissemination: records and control entries are taken in, and what is newer floods over all links but those whose other
-//! side has it. What neighbours still lack is found in `anti_entropy`.
+//! Dissemination: newer records and control entries are stored and flooded over all links except those
+//! whose other side has them. What neighbours still lack is found by `anti_entropy`.
 use crate::control_entry::{ControlEntry, EntryRevision, EntryView, Revision};
 use crate::effect::Effect;
 use crate::freshness::Mutation;
 use crate::limits::MAX_FORMER_CONTROL_NODES;
 use crate::link::Link;
-use crate::membership::{Membership, Subject};
+use crate::membership::{Membership, UpdateKey};
 use crate::message::MembershipMessage;
 use crate::node::Node;
 use crate::record::NodeRecord;
-use crate::version_table::Outcome;
+use crate::version_table::PutOutcome;
 use silvercross_time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-/// Records in one message of a snapshot or an update.
+/// Maximum number of records in a snapshot or update message.
 const MAX_MESSAGE_RECORDS: usize = 1_024;
-/// What a record counts for in `redundant_bytes`.
+/// Size of a record as counted in `redundant_bytes`.
 const RECORD_BYTES: u64 = 64;
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
-    /// A control entry in its newest version, by its owner. An older one than is known changes nothing.
+    /// Publishes the newest version of a control entry, called by its owner. Has no effect if that version
+    /// or a newer one is known.
     pub fn publish(&mut self, now: Instant, key: &str, revision: Revision, bytes: Vec<u8>) {
         self.note_time(now);
         match self.table.put_entry(now, ControlEntry { key: key.to_string(), revision, bytes }) {
-            Outcome::Newer => drop(self.pending.insert(Subject::Entry(key.to_string()), None)),
-            Outcome::Rejected => self.metrics.rejected_items += 1,
-            Outcome::Known => (),
+            PutOutcome::Newer => drop(self.pending.insert(UpdateKey::Entry(key.to_string()), None)),
+            PutOutcome::Rejected => self.metrics.rejected_items += 1,
+            PutOutcome::Known => (),
         }
     }
 
-    /// Puts in a record that is to be disseminated, and keeps the placement; whether it was newer.
+    /// Stores a record for dissemination and updates the placement; returns whether it was newer.
     pub(crate) fn put(&mut self, now: Instant, record: NodeRecord<T>) -> bool {
         let (node, zone, is_control, gone) =
             (record.node, record.zone.clone(), record.is_control, record.gone);
         let put = self.table.put(now, record);
-        if put.outcome == Outcome::Rejected {
+        if put.outcome == PutOutcome::Rejected {
             self.metrics.rejected_items += 1;
         }
-        if put.outcome != Outcome::Newer {
+        if put.outcome != PutOutcome::Newer {
             return false;
         }
-        let former = put.former;
-        let same = former.as_ref().is_some_and(|former| {
+        let former = put.previous;
+        let same_placement = former.as_ref().is_some_and(|former| {
             former.gone == gone && former.is_control == is_control && former.zone == zone
         });
-        if !same {
+        if !same_placement {
             if let Some(former) = former.filter(|former| !former.gone) {
                 self.placement.remove(node, &former.zone, former.is_control);
             }
@@ -58,11 +59,11 @@
                 self.remember_control_node(node);
             }
         }
-        self.pending.insert(Subject::Record(node), None);
+        self.pending.insert(UpdateKey::Record(node), None);
         true
     }
 
-    /// Keeps a control node in mind beyond its record, as the latest.
+    /// Remembers a control node beyond the lifetime of its record, as the latest one.
     fn remember_control_node(&mut self, node: Node) {
         let former = &mut self.links.former_control_nodes;
         former.retain(|other| *other != node);
@@ -70,45 +71,43 @@
         former.truncate(MAX_FORMER_CONTROL_NODES);
     }
 
-    /// A neighbour sent a record.
     pub(crate) fn receive_record(&mut self, now: Instant, from: Node, record: NodeRecord<T>) {
         let node = record.node;
         if node == self.config.local_node {
             return self.receive_own_record(now, record);
         }
         if self.put(now, record.clone()) {
-            self.pending.insert(Subject::Record(node), Some(from));
+            self.pending.insert(UpdateKey::Record(node), Some(from));
             self.effects.push(Effect::RecordChanged(record));
         } else {
             self.metrics.redundant_bytes += RECORD_BYTES;
         }
     }
 
-    /// A neighbour sent a control entry.
     pub(crate) fn receive_entry(&mut self, now: Instant, from: Node, entry: ControlEntry) {
-        self.note_remote_entry(from, &entry.key, entry.revision);
+        self.record_remote_entry(from, &entry.key, entry.revision);
         if let Some(link) = self.links.up.get_mut(&from) {
             link.requests.received(&entry.key, entry.revision);
         }
         match self.table.put_entry(now, entry.clone()) {
-            Outcome::Newer => {
-                self.pending.insert(Subject::Entry(entry.key.clone()), Some(from));
+            PutOutcome::Newer => {
+                self.pending.insert(UpdateKey::Entry(entry.key.clone()), Some(from));
                 self.effects.push(Effect::EntryChanged(entry));
             }
-            Outcome::Known => self.metrics.redundant_bytes += entry.bytes.len() as u64,
-            Outcome::Rejected => self.metrics.rejected_items += 1,
+            PutOutcome::Known => self.metrics.redundant_bytes += entry.bytes.len() as u64,
+            PutOutcome::Rejected => self.metrics.rejected_items += 1,
         }
     }
 
-    /// A neighbour has this revision: if it is the newest one, nothing has to be sent to it.
-    pub(crate) fn note_remote_entry(&mut self, from: Node, key: &str, revision: Revision) {
+    /// Records that a neighbour has this revision: if it is the newest one, nothing has to be sent to it.
+    pub(crate) fn record_remote_entry(&mut self, from: Node, key: &str, revision: Revision) {
         let newest = self.table.entry(key).map_or(revision, |known| known.revision);
         if let Some(link) = self.links.up.get_mut(&from) {
-            link.outbox.note_remote(key, revision, newest);
+            link.outbox.record_remote(key, revision, newest);
         }
     }
 
-    /// Sends everything that is there to a node that knows nothing yet.
+    /// Sends all known items to a node that knows nothing yet.
     pub(crate) fn send_snapshot(&mut self, to: Node) {
         let present = self.table.records().filter(|record| !record.gone && record.node != to);
         let nodes = present.map(|record| record.node).collect();
@@ -119,14 +118,14 @@
         self.offer_entries(to, keys);
     }
 
-    /// Sends records as they are now.
+    /// Sends the current records of the given nodes.
     pub(crate) fn send_records(&mut self, to: Node, nodes: BTreeSet<Node>) {
         for records in self.record_chunks(nodes) {
             self.send(to, MembershipMessage::Update { records, entries: Vec::new() });
         }
     }
 
-    /// The neighbour lacks these control entries.
+    /// Queues control entries that the neighbour lacks.
     pub(crate) fn offer_entries(&mut self, to: Node, keys: BTreeSet<String>) {
         let Some(link) = self.links.up.get_mut(&to) else { return };
         for key in keys {
@@ -134,7 +133,7 @@
         }
     }
 
-    /// The neighbour asks for these control entries: each follows as it is when the link takes it.
+    /// Handles a request for control entries. Each is sent in its current version at the time of sending.
     pub(crate) fn receive_entry_request(&mut self, from: Node, keys: Vec<String>) {
         let Some(link) = self.links.up.get_mut(&from) else { return };
         for key in keys.iter().filter(|key| self.table.entry(key).is_some()) {
@@ -142,7 +141,7 @@
         }
     }
 
-    /// The neighbour has these revisions, which are newer than those here.
+    /// Records which newer revisions the neighbour has.
     pub(crate) fn want_entries(&mut self, from: Node, entries: Vec<EntryRevision>) {
         let Some(link) = self.links.up.get_mut(&from) else { return };
         for entry in entries {
@@ -150,15 +149,15 @@
         }
     }
 
-    /// The network has taken the message of the last [`Effect::SendEntries`] for this link.
+    /// Reports that the network has accepted the message of the last [`Effect::SendEntries`] for this link.
     pub fn entries_sent(&mut self, now: Instant, to: Node) {
         self.note_time(now);
         if let Some(link) = self.links.up.get_mut(&to) {
-            link.outbox.message_left();
+            link.outbox.message_sent();
         }
     }
 
-    /// The connection on which messages to this node went has ended, and another one is up.
+    /// Reports that the connection to this node has been replaced by another one.
     pub fn connection_changed(&mut self, now: Instant, to: Node) {
         self.note_time(now);
         if let Some(link) = self.links.up.get_mut(&to) {
@@ -166,19 +165,19 @@
         }
     }
 
-    /// Records as they are now, in chunks of a bounded size.
+    /// The current records of the given nodes, in chunks of limited size.
     fn record_chunks(&self, nodes: BTreeSet<Node>) -> Vec<Vec<NodeRecord<T>>> {
         let records: Vec<NodeRecord<T>> =
             nodes.into_iter().filter_map(|node| self.table.record(node).cloned()).collect();
         records.chunks(MAX_MESSAGE_RECORDS).map(<[_]>::to_vec).collect()
     }
 
-    /// Sends gathered updates, so that digests sent after them cover them, as far as links take them.
+    /// Sends pending updates as far as the links accept them, so that digests sent afterwards cover them.
     pub(crate) fn flush_updates(&mut self) {
         let pending = std::mem::take(&mut self.pending);
         for to in self.linked_nodes() {
             if !pending.is_empty() {
-                self.distribute(to, &pending);
+                self.enqueue_updates(to, &pending);
             }
             self.announce_entries(to);
             self.send_next_entries(to);
@@ -186,16 +185,16 @@
         }
     }
 
-    /// Sends records of these, and puts control entries in line.
-    fn distribute(&mut self, to: Node, pending: &BTreeMap<Subject, Option<Node>>) {
+    /// Sends the pending records, and queues the pending control entries.
+    fn enqueue_updates(&mut self, to: Node, pending: &BTreeMap<UpdateKey, Option<Node>>) {
         let mut nodes = BTreeSet::new();
         for (subject, from) in pending {
             if self.has_update_from(to, *from) {
                 continue;
             }
             match subject {
-                Subject::Record(node) => drop(nodes.insert(*node)),
-                Subject::Entry(key) => self.enqueue_entry(to, key),
+                UpdateKey::Record(node) => drop(nodes.insert(*node)),
+                UpdateKey::Entry(key) => self.enqueue_entry(to, key),
             }
         }
         self.send_records(to, nodes);
@@ -207,7 +206,7 @@
         }
     }
 
-    /// Says of which control entries there are newer versions: by an index of no bucket, which lists these alone.
+    /// Announces newer control entries with a version index without buckets.
     fn announce_entries(&mut self, to: Node) {
         let table = &self.table;
         let Some(link) = self.links.up.get_mut(&to) else { return };
@@ -222,7 +221,7 @@
         }
     }
 
-    /// Sends the control entries that the neighbour asked for, if the link takes any.
+    /// Sends requested control entries unless a message with some is in flight.
     fn send_next_entries(&mut self, to: Node) {
         let table = &self.table;
         let newest = |key: &str| {
@@ -234,7 +233,7 @@
         };
         let Some(link) = self.links.up.get_mut(&to) else { return };
         if self.check.has_mutation(Mutation::SendsEveryVersion) {
-            link.outbox.message_left();
+            link.outbox.message_sent();
         }
         if let Some(entries) = link.outbox.next_message(newest) {
             self.metrics.messages_sent += 1;
@@ -243,7 +242,7 @@
         }
     }
 
-    /// Asks for control entries that the neighbour has announced, unless an answer of it is on its way.
+    /// Requests announced control entries unless a reply is pending.
     fn send_next_request(&mut self, to: Node) {
         let (table, now) = (&self.table, self.last_call_at);
         let Some(link) = self.links.up.get_mut(&to) else { return };
@@ -256,11 +255,12 @@
         }
     }
 
-    /// Whether `to` has what `from` sent: the same node, or control nodes that are linked with each other.
+    /// Whether `to` has what `from` sent: it is the same node, or both are control nodes linked with each
+    /// other.
     fn has_update_from(&self, to: Node, from: Option<Node>) -> bool {
         let Some(from) = from else { return false };
         let linked =
-            |from: &Link| self.config.is_control && self.placement.is_control(to) && from.updates(to);
+            |from: &Link| self.config.is_control && self.placement.is_control(to) && from.is_linked_with(to);
         to == from || self.links.up.get(&from).is_some_and(linked)
     }
 }
--- a/crates/control/mesh-membership/src/version_table.rs
+++ b/crates/control/mesh-membership/src/version_table.rs
@@ -1,5 +1,5 @@
-//! Records and control entries that are known, with digests over their versions. Decides what is newer; knows nothing of
-//! links, and who is notified of a change stands in `updates`.
+//! Store of known records and control entries, with digests over their versions. Dissemination of changes
+//! is in `updates`.
 use crate::control_entry::{ControlEntry, EntryRevision, EntryView, Revision};
 use crate::hash::{mix, mix_bytes};
 use crate::limits::{MAX_CONTROL_ENTRIES, MAX_CONTROL_ENTRY_BYTES, MAX_NAME_BYTES, MAX_NODES};
@@ -9,14 +9,14 @@
 use silvercross_time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The buckets that versions are divided into. Part of the protocol: equal at all nodes.
+/// Number of buckets that versions are divided into. Part of the protocol: the same at all nodes.
 pub(crate) const BUCKETS: usize = 64;
-/// Former digests kept, to tell a neighbour that is only a moment behind from one that lacks something.
-const MAX_FORMER_DIGESTS: usize = 32;
-/// How long a former digest counts as that of a neighbour a moment behind.
-const FORMER_DIGEST_RETENTION: Duration = Duration::from_millis(500);
+/// Recent digests kept, to distinguish a neighbour that lags slightly from one that lacks something.
+const MAX_RECENT_DIGESTS: usize = 32;
+/// How long a replaced digest still counts as in sync.
+const RECENT_DIGEST_RETENTION: Duration = Duration::from_millis(500);
 
-/// A record, and since when it has stood as it is.
+/// A record and the time when it was stored.
 struct StoredRecord<T> {
     record: NodeRecord<T>,
     stored_at: Instant,
@@ -27,38 +27,37 @@
     bytes: Vec<u8>,
 }
 
-/// The digest over all versions, as it was until some moment.
-struct FormerDigest {
+/// A replaced digest over all versions.
+struct RecentDigest {
     replaced_at: Instant,
     digest: u64,
 }
 
-/// What came of putting something in.
+/// Result of storing an item.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub(crate) enum Outcome {
-    /// It is newer and now known.
+pub(crate) enum PutOutcome {
+    /// It was newer and has been stored.
     Newer,
-    /// Known already, or older.
+    /// It is already known, or older.
     Known,
-    /// Beyond a limit, and dropped.
+    /// It exceeds a limit and was dropped.
     Rejected,
 }
 
-/// What came of putting a record in.
-pub(crate) struct RecordOutcome<T> {
-    pub(crate) outcome: Outcome,
-    /// The record that was there before.
-    pub(crate) former: Option<NodeRecord<T>>,
+/// Result of storing a record.
+pub(crate) struct RecordPutOutcome<T> {
+    pub(crate) outcome: PutOutcome,
+    /// The record that was replaced.
+    pub(crate) previous: Option<NodeRecord<T>>,
 }
 
-/// The versions in some buckets.
 pub(crate) struct BucketVersions {
     pub(crate) records: Vec<RecordVersion>,
     pub(crate) entries: Vec<EntryRevision>,
 }
 
-/// All that is known. Invariant: `bucket_sums` and `total` are the wrapping sums over the versions of all records that are
-/// not gone and of all entries.
+/// All known records and entries. Invariant: `bucket_sums` and `total` are the wrapping sums of the digests
+/// of all records that are not gone and of all entries.
 pub(crate) struct VersionTable<T> {
     /// At most [`MAX_NODES`].
     records: BTreeMap<Node, StoredRecord<T>>,
@@ -66,7 +65,7 @@
     entries: BTreeMap<String, StoredEntry>,
     bucket_sums: [u64; BUCKETS],
     total: u64,
-    former: VecDeque<FormerDigest>,
+    recent_digests: VecDeque<RecentDigest>,
 }
 
 fn node_bucket(node: Node) -> usize {
@@ -77,7 +76,7 @@
     (mix_bytes(key.as_bytes()) >> 32) as usize % BUCKETS
 }
 
-/// Records of nodes that are gone don't count: they are forgotten at different times.
+/// Gone records have no digest, since nodes remove them at different times.
 fn record_digest(version: RecordVersion) -> u64 {
     if version.gone {
         return 0;
@@ -96,21 +95,21 @@
             entries: BTreeMap::new(),
             bucket_sums: [0; BUCKETS],
             total: 0,
-            former: VecDeque::new(),
+            recent_digests: VecDeque::new(),
         }
     }
 
-    /// Takes the digest `less` out of a bucket and `more` in.
-    fn replace_digest(&mut self, now: Instant, bucket: usize, less: u64, more: u64) {
-        if less == more {
+    /// Replaces the digest `removed` in a bucket by `added`.
+    fn replace_digest(&mut self, now: Instant, bucket: usize, removed: u64, added: u64) {
+        if removed == added {
             return;
         }
-        if self.former.len() == MAX_FORMER_DIGESTS {
-            self.former.pop_front();
+        if self.recent_digests.len() == MAX_RECENT_DIGESTS {
+            self.recent_digests.pop_front();
         }
-        self.former.push_back(FormerDigest { replaced_at: now, digest: self.total });
-        self.bucket_sums[bucket] = self.bucket_sums[bucket].wrapping_sub(less).wrapping_add(more);
-        self.total = self.total.wrapping_sub(less).wrapping_add(more);
+        self.recent_digests.push_back(RecentDigest { replaced_at: now, digest: self.total });
+        self.bucket_sums[bucket] = self.bucket_sums[bucket].wrapping_sub(removed).wrapping_add(added);
+        self.total = self.total.wrapping_sub(removed).wrapping_add(added);
     }
 
     /// The digest over all versions.
@@ -118,19 +117,18 @@
         self.total
     }
 
-    /// Whether the digest is the present one, or was a moment ago.
+    /// Whether the digest is the current one or a recent one.
     pub(crate) fn in_sync(&self, now: Instant, digest: u64) -> bool {
         let mut recent =
-            self.former.iter().filter(|former| now - former.replaced_at <= FORMER_DIGEST_RETENTION);
-        digest == self.total || recent.any(|former| former.digest == digest)
+            self.recent_digests.iter().filter(|recent| now - recent.replaced_at <= RECENT_DIGEST_RETENTION);
+        digest == self.total || recent.any(|recent| recent.digest == digest)
     }
 
-    /// The digest of each bucket.
     pub(crate) fn bucket_digests(&self) -> Vec<u32> {
         self.bucket_sums.iter().map(|sum| (mix(*sum) >> 32) as u32).collect()
     }
 
-    /// How many records and entries are known.
+    /// Number of known records and entries.
     pub(crate) fn known_items(&self) -> usize {
         self.records.len() + self.entries.len()
     }
@@ -163,71 +161,69 @@
         })
     }
 
-    /// Whether no entry is known.
     pub(crate) fn has_no_entries(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The revisions of all entries.
     pub(crate) fn entry_revisions(&self) -> Vec<EntryRevision> {
         let revisions = self.entries.iter();
         revisions.map(|(key, stored)| EntryRevision { key: key.clone(), revision: stored.revision }).collect()
     }
 
-    /// Puts a record in, if it is newer than the one that is known.
-    pub(crate) fn put(&mut self, now: Instant, record: NodeRecord<T>) -> RecordOutcome<T> {
-        let unchanged = |outcome| RecordOutcome { outcome, former: None };
+    /// Stores a record if it is newer than the known one.
+    pub(crate) fn put(&mut self, now: Instant, record: NodeRecord<T>) -> RecordPutOutcome<T> {
+        let unchanged = |outcome| RecordPutOutcome { outcome, previous: None };
         let version = record.version();
         let known = self.version(version.node);
         if known.is_some_and(|known| known >= version) {
-            return unchanged(Outcome::Known);
+            return unchanged(PutOutcome::Known);
         }
-        // One that is gone and was never known is not forwarded: such a record would go round for ever.
+        // An unknown gone record is not stored or forwarded: it would circulate forever.
         if known.is_none() && version.gone {
-            return unchanged(Outcome::Known);
+            return unchanged(PutOutcome::Known);
         }
         if record.zone.len() > MAX_NAME_BYTES {
-            return unchanged(Outcome::Rejected);
+            return unchanged(PutOutcome::Rejected);
         }
         if known.is_none() && self.records.len() >= MAX_NODES {
             let gone = self.records.values().filter(|stored| stored.record.gone);
             let Some(oldest) = gone.min_by_key(|stored| stored.stored_at).map(|stored| stored.record.node)
             else {
-                return unchanged(Outcome::Rejected);
+                return unchanged(PutOutcome::Rejected);
             };
             self.records.remove(&oldest);
         }
-        let less = known.map_or(0, record_digest);
-        self.replace_digest(now, node_bucket(version.node), less, record_digest(version));
-        let former = self.records.insert(version.node, StoredRecord { record, stored_at: now });
-        RecordOutcome { outcome: Outcome::Newer, former: former.map(|stored| stored.record) }
+        let removed = known.map_or(0, record_digest);
+        self.replace_digest(now, node_bucket(version.node), removed, record_digest(version));
+        let previous = self.records.insert(version.node, StoredRecord { record, stored_at: now });
+        RecordPutOutcome { outcome: PutOutcome::Newer, previous: previous.map(|stored| stored.record) }
     }
 
-    /// Puts an entry in, if it is newer than the one that is known.
-    pub(crate) fn put_entry(&mut self, now: Instant, entry: ControlEntry) -> Outcome {
+    /// Stores an entry if it is newer than the known one.
+    pub(crate) fn put_entry(&mut self, now: Instant, entry: ControlEntry) -> PutOutcome {
         let ControlEntry { key, revision, bytes } = entry;
         let known = self.entries.get(&key).map(|stored| stored.revision);
         if known.is_some_and(|known| known >= revision) {
-            return Outcome::Known;
+            return PutOutcome::Known;
         }
         let full = known.is_none() && self.entries.len() >= MAX_CONTROL_ENTRIES;
         if full || key.len() > MAX_NAME_BYTES || bytes.len() > MAX_CONTROL_ENTRY_BYTES {
-            return Outcome::Rejected;
+            return PutOutcome::Rejected;
         }
-        let less = known.map_or(0, |known| entry_digest(&key, known));
-        self.replace_digest(now, entry_bucket(&key), less, entry_digest(&key, revision));
+        let removed = known.map_or(0, |known| entry_digest(&key, known));
+        self.replace_digest(now, entry_bucket(&key), removed, entry_digest(&key, revision));
         self.entries.insert(key, StoredEntry { revision, bytes });
-        Outcome::Newer
+        PutOutcome::Newer
     }
 
-    /// Forgets nodes that have been gone for long, but not this one itself.
+    /// Removes nodes that have been gone long enough, except the local one.
     pub(crate) fn forget_gone(&mut self, now: Instant, local_node: Node) {
         self.records.retain(|node, stored| {
             *node == local_node || !stored.record.gone || now - stored.stored_at < GONE_RECORD_RETENTION
         });
     }
 
-    /// The buckets whose digests differ from these.
+    /// The buckets whose digests differ from the given ones.
     pub(crate) fn differing_buckets(&self, digests: &[u32]) -> Vec<u8> {
         let own = self.bucket_digests().into_iter().enumerate();
         own.filter(|(bucket, digest)| digests.get(*bucket) != Some(digest))
@@ -235,7 +231,7 @@
             .collect()
     }
 
-    /// The versions in these buckets; numbers beyond the last bucket are ignored.
+    /// The versions in the given buckets; unknown bucket numbers are ignored.
     pub(crate) fn versions_in(&self, buckets: &[u8]) -> BucketVersions {
         let mut chosen = [false; BUCKETS];
         for bucket in buckets {
--- a/crates/control/mesh-membership/src/watching.rs
+++ b/crates/control/mesh-membership/src/watching.rs
@@ -1,5 +1,6 @@
-//! Failure detection: each node sends heartbeats to the next few nodes on the ring and listens for the few before it. A
-//! silent node is suspected, as in SWIM, but declared gone only if another watcher confirms or a probe fails.
+//! Failure detection: each node sends heartbeats to the next few nodes on the ring and monitors the few
+//! before it. As in SWIM a silent node is suspected first; it is declared gone only if another watcher
+//! confirms or a probe fails.
 use crate::datagram::Datagram;
 use crate::effect::Effect;
 use crate::limits::WATCHER_COUNT;
@@ -12,9 +13,10 @@
 use silvercross_time::{Duration, Instant};
 use std::fmt::Debug;
 
-/// What a watcher that is asked may have heard more than the one that asks.
+/// A queried watcher considers the suspect silent this much earlier than the querying one, since it may
+/// have received the last heartbeat later.
 const SUSPECT_REPLY_SLACK: Duration = Duration::from_millis(300);
-/// A probe without an outcome is begun anew after so long.
+/// After this long a probe without an outcome is abandoned, and the node is suspected anew.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl<T: Clone + PartialEq + Debug> Membership<T> {
@@ -23,7 +25,7 @@
         self.effects.push(Effect::SendDatagram { to, datagram });
     }
 
-    /// Lists who watches whom anew, if nodes came or went.
+    /// Lists watchers and monitored nodes anew if nodes have come or gone.
     fn update_ring(&mut self, now: Instant) {
         if !std::mem::take(&mut self.watches.ring_changed) {
             return;
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Whether it is more likely that this node hears nobody than that all others are gone.
-    fn is_likely_cut_off(&self, now: Instant) -> bool {
+    /// Whether this node is more likely isolated itself than all the others are gone.
+    fn is_likely_isolated(&self, now: Instant) -> bool {
         let watched = &self.watches.watched;
         let silent = watched.values().filter(|watch| watch.is_silent(now)).count();
         let no_link =
@@ -48,8 +50,8 @@
         (silent >= 2 && silent == watched.len()) || (no_link && !alone)
     }
 
-    /// Sends heartbeats, and acts on nodes that are silent.
-    pub(crate) fn tend_watches(&mut self, now: Instant) {
+    /// Sends heartbeats, and suspects silent nodes.
+    pub(crate) fn maintain_watches(&mut self, now: Instant) {
         self.update_ring(now);
         let Some(own) = self.own_record().filter(|own| !own.gone).map(NodeRecord::version) else {
             self.watches.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
@@ -57,7 +59,7 @@
             return;
         };
         if now >= self.watches.next_heartbeat_at {
-            // Late heartbeats don't pile up.
+            // Limits the catch-up after a delay, so that missed heartbeats are not sent in a burst.
             self.watches.next_heartbeat_at =
                 (self.watches.next_heartbeat_at + HEARTBEAT_INTERVAL).max(now + HEARTBEAT_INTERVAL / 2);
             let heartbeat = Datagram::Heartbeat { incarnation: own.incarnation, sequence: own.sequence };
@@ -67,34 +69,35 @@
         }
         let silent = self.watches.watched.iter().filter(|(_, watch)| watch.is_silent(now));
         let silent: Vec<Node> = silent.map(|(node, _)| *node).collect();
-        if !silent.is_empty() && !self.is_likely_cut_off(now) {
+        if !silent.is_empty() && !self.is_likely_isolated(now) {
             silent.into_iter().for_each(|node| self.suspect(now, node));
         }
     }
 
-    /// Asks the other watchers; when their time is over, decides or probes.
+    /// Queries the other watchers about a silent node; once their time is over, declares it gone or probes
+    /// it.
     fn suspect(&mut self, now: Instant, node: Node) {
         let Some(incarnation) = self.table.version(node).map(|version| version.incarnation) else { return };
         let Some(watch) = self.watches.watched.get_mut(&node) else { return };
         match &mut watch.suspicion {
-            None => self.begin_suspicion(now, node, incarnation),
-            Some(suspicion) if now < suspicion.until => (),
-            Some(suspicion) if suspicion.confirmed > 0 => self.declare_gone(now, node),
+            None => self.start_suspicion(now, node, incarnation),
+            Some(suspicion) if now < suspicion.deadline => (),
+            Some(suspicion) if suspicion.confirmations > 0 => self.declare_gone(now, node),
             Some(suspicion) if suspicion.probing => watch.suspicion = None,
             Some(suspicion) => {
                 suspicion.probing = true;
-                suspicion.until = now + PROBE_TIMEOUT;
+                suspicion.deadline = now + PROBE_TIMEOUT;
                 self.effects.push(Effect::Probe { node });
             }
         }
     }
 
-    /// Asks the other watchers of a silent node.
-    fn begin_suspicion(&mut self, now: Instant, suspect: Node, incarnation: u64) {
+    /// Queries the other watchers of a silent node.
+    fn start_suspicion(&mut self, now: Instant, suspect: Node, incarnation: u64) {
         let mut others = self.placement.ring_neighbours(suspect, WATCHER_COUNT, Direction::Successors);
         others.retain(|other| *other != self.config.local_node);
-        let until = now + SUSPECT_REPLY_TIMEOUT;
-        let suspicion = Suspicion { until, asked: others.len(), confirmed: 0, probing: false };
+        let deadline = now + SUSPECT_REPLY_TIMEOUT;
+        let suspicion = Suspicion { deadline, queried: others.len(), confirmations: 0, probing: false };
         if let Some(watch) = self.watches.watched.get_mut(&suspect) {
             watch.suspicion = Some(suspicion);
         }
@@ -114,7 +117,6 @@
         }
     }
 
-    /// A datagram of another node came.
     pub(crate) fn handle_datagram(&mut self, now: Instant, from: Node, datagram: Datagram) {
         match datagram {
             Datagram::Heartbeat { incarnation, sequence } => {
@@ -126,7 +128,7 @@
                 self.receive_own_version(now, version);
             }
             Datagram::Suspect { suspect, incarnation } => {
-                self.answer_about(now, from, suspect, incarnation);
+                self.answer_suspect_query(now, from, suspect, incarnation);
             }
             Datagram::SuspectConfirmed { suspect, incarnation } => {
                 self.receive_confirmation(now, suspect, incarnation);
@@ -140,7 +142,7 @@
         }
     }
 
-    /// A heartbeat came; one that is believed gone is notified, so that it can refute that.
+    /// Handles a heartbeat. A sender recorded as gone is notified, so that it can refute that.
     fn receive_heartbeat(&mut self, now: Instant, from: Node, incarnation: u64, sequence: u64) {
         self.watches.heard(now, from);
         let Some(known) = self.table.version(from).filter(|known| known.gone) else { return };
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Another watcher hasn't heard the suspect either.
+    /// Handles a confirmation that another watcher hasn't heard the suspect either.
     fn receive_confirmation(&mut self, now: Instant, suspect: Node, incarnation: u64) {
         let known = self.table.version(suspect);
         if known.is_none_or(|known| known.incarnation != incarnation) {
@@ -158,14 +160,14 @@
         }
         let watch = self.watches.watched.get_mut(&suspect);
         let Some(suspicion) = watch.and_then(|watch| watch.suspicion.as_mut()) else { return };
-        suspicion.confirmed += 1;
-        if suspicion.confirmed >= suspicion.asked && !self.is_likely_cut_off(now) {
+        suspicion.confirmations += 1;
+        if suspicion.confirmations >= suspicion.queried && !self.is_likely_isolated(now) {
             self.declare_gone(now, suspect);
         }
     }
 
-    /// Another watcher asks whether the suspect was heard here.
-    fn answer_about(&mut self, now: Instant, from: Node, suspect: Node, incarnation: u64) {
+    /// Replies to another watcher whether the suspect was heard here.
+    fn answer_suspect_query(&mut self, now: Instant, from: Node, suspect: Node, incarnation: u64) {
         let Some(known) = self.table.version(suspect) else { return };
         let alive = |elapsed| Datagram::SuspectAlive { suspect, incarnation, elapsed };
         if suspect == self.config.local_node {
@@ -176,32 +178,33 @@
         }
         let Some(watch) = self.watches.watched.get(&suspect) else { return };
         let latest = HEARTBEAT_TIMEOUT - SUSPECT_REPLY_SLACK;
-        let quiet = now - watch.last_sign() > latest;
+        let quiet = now - watch.last_activity() > latest;
         if known.incarnation > incarnation {
             self.send_datagram(from, alive(Duration::ZERO));
         } else if let Some(heard_at) = watch.heard_at.filter(|heard_at| now - *heard_at <= latest) {
             self.send_datagram(from, alive(now - heard_at));
-        } else if quiet && !self.is_likely_cut_off(now) {
+        } else if quiet && !self.is_likely_isolated(now) {
             self.send_datagram(from, Datagram::SuspectConfirmed { suspect, incarnation });
         }
     }
 
-    /// The outcome of a probe; without a probe under way it changes nothing.
+    /// Handles the outcome of a probe; ignored if no probe is running.
     pub(crate) fn handle_probe_outcome(&mut self, now: Instant, node: Node, reachable: bool) {
         if !self.watches.watched.get(&node).is_some_and(Watch::is_probed) {
             return;
         }
         if reachable {
             self.watches.heard(now, node);
-        } else if !self.is_likely_cut_off(now) {
+        } else if !self.is_likely_isolated(now) {
             self.declare_gone(now, node);
         }
     }
 
-    /// When a watched node has to be looked at.
+    /// When a monitored node next needs attention.
     pub(crate) fn watches_deadline(&self) -> Instant {
         let earliest = self.watches.watched.values().map(Watch::deadline).min().unwrap_or(Instant::MAX);
-        // While this node may be cut off it looks again with the next heartbeat.
+        // A deadline in the past means that this node may be isolated; it checks again with the next
+        // heartbeat.
         if earliest <= self.last_call_at {
             self.watches.next_heartbeat_at
         } else {
