--- a/crates/control/mesh-membership/tests/any_input.rs
+++ b/crates/control/mesh-membership/tests/any_input.rs
@@ -1,17 +1,18 @@
-//! Whatever comes, in any order: no record goes back, a node sends itself nothing, and the next tick lies ahead.
+//! Random input in any order: no record moves back to an older version, a node sends nothing to itself, and
+//! the next deadline is in the future.
 mod support;
 use bolero::generator::TypeGenerator;
 use silvercross_mesh_membership::*;
 use silvercross_time::{Duration, Instant};
 use support::{config, hello, record, update, START};
 
-const ME: Node = Node(10);
+const LOCAL_NODE: Node = Node(10);
 const LINKED: [Node; 3] = [Node(1), Node(20), Node(21)];
-/// Ticks are less than so many microseconds apart.
+/// Upper bound of the time between two ticks.
 const MAX_TICK_MICROS: i64 = 2_000_000;
 
 #[derive(Debug, TypeGenerator)]
-enum Drawn {
+enum Input {
     Records(Vec<(u8, u8, u8, bool)>),
     Entries(Vec<(u8, u8)>),
     BucketDigests(Vec<u32>),
@@ -26,7 +27,7 @@
 }
 
 fn membership() -> Membership<u32> {
-    let mut membership = Membership::new(START, config(ME, false, LINKED[0], 5), 0);
+    let mut membership = Membership::new(START, config(LOCAL_NODE, false, LINKED[0], 5), 0);
     for node in LINKED {
         membership.link_up(START, node);
         membership.receive(START, node, hello(node, node == LINKED[0]));
@@ -35,37 +36,37 @@
     membership
 }
 
-/// One of a few nodes, so that calls meet each other.
+/// One of a few nodes, so that inputs affect each other.
 fn node(number: u8) -> Node {
     Node(u32::from(number) % 32)
 }
 
-fn drawn_record(number: u8, incarnation: u8, sequence: u8, gone: bool) -> NodeRecord<u32> {
+fn random_record(number: u8, incarnation: u8, sequence: u8, gone: bool) -> NodeRecord<u32> {
     NodeRecord { gone, ..record(node(number), u64::from(incarnation), u64::from(sequence)) }
 }
 
-/// The message of a call that is one.
-fn message(drawn: &Drawn) -> Option<MembershipMessage<u32>> {
-    Some(match drawn {
-        Drawn::Records(drawn) => {
-            let records = drawn.iter().map(|(node, incarnation, sequence, gone)| {
-                drawn_record(*node, *incarnation, *sequence, *gone)
+/// The message of an input that is a message.
+fn message(input: &Input) -> Option<MembershipMessage<u32>> {
+    Some(match input {
+        Input::Records(input) => {
+            let records = input.iter().map(|(node, incarnation, sequence, gone)| {
+                random_record(*node, *incarnation, *sequence, *gone)
             });
             update(records.collect(), vec![])
         }
-        Drawn::Entries(drawn) => {
-            let entries = drawn.iter().map(|(epoch, size)| ControlEntry {
+        Input::Entries(input) => {
+            let entries = input.iter().map(|(epoch, size)| ControlEntry {
                 key: "k".into(),
                 revision: Revision::new(u64::from(*epoch), 0, 0),
                 bytes: vec![1; usize::from(*size)],
             });
             update(vec![], entries.collect())
         }
-        Drawn::BucketDigests(digests) => MembershipMessage::BucketDigests { digests: digests.clone() },
-        Drawn::VersionIndex(buckets, drawn) => {
-            let records = drawn
+        Input::BucketDigests(digests) => MembershipMessage::BucketDigests { digests: digests.clone() },
+        Input::VersionIndex(buckets, input) => {
+            let records = input
                 .iter()
-                .map(|(node, incarnation, gone)| drawn_record(*node, *incarnation, 0, *gone).version())
+                .map(|(node, incarnation, gone)| random_record(*node, *incarnation, 0, *gone).version())
                 .collect();
             MembershipMessage::VersionIndex { buckets: buckets.clone(), records, entries: vec![] }
         }
@@ -73,36 +74,36 @@
     })
 }
 
-/// The datagram of a call that is one.
-fn datagram(drawn: &Drawn) -> Option<Datagram> {
-    Some(match drawn {
-        Drawn::Suspect(suspect, incarnation) => {
+/// The datagram of an input that is a datagram.
+fn datagram(input: &Input) -> Option<Datagram> {
+    Some(match input {
+        Input::Suspect(suspect, incarnation) => {
             Datagram::Suspect { suspect: node(*suspect), incarnation: u64::from(*incarnation) }
         }
-        Drawn::DeclaredDead(incarnation, sequence) => {
+        Input::DeclaredDead(incarnation, sequence) => {
             Datagram::DeclaredDead { incarnation: *incarnation, sequence: *sequence }
         }
-        Drawn::SuspectConfirmed(suspect, incarnation) => {
+        Input::SuspectConfirmed(suspect, incarnation) => {
             Datagram::SuspectConfirmed { suspect: node(*suspect), incarnation: u64::from(*incarnation) }
         }
         _ => return None,
     })
 }
 
-fn call(membership: &mut Membership<u32>, now: &mut Instant, from: Node, drawn: &Drawn) {
-    if let Some(message) = message(drawn) {
+fn apply(membership: &mut Membership<u32>, now: &mut Instant, from: Node, input: &Input) {
+    if let Some(message) = message(input) {
         membership.receive(*now, from, message);
     }
-    if let Some(datagram) = datagram(drawn) {
+    if let Some(datagram) = datagram(input) {
         membership.receive_datagram(*now, from, datagram);
     }
-    match drawn {
-        Drawn::LinkUp(number) => membership.link_up(*now, node(*number)),
-        Drawn::LinkDown(number) => membership.link_down(*now, node(*number)),
-        Drawn::ProbeFinished(number, reachable) => {
+    match input {
+        Input::LinkUp(number) => membership.link_up(*now, node(*number)),
+        Input::LinkDown(number) => membership.link_down(*now, node(*number)),
+        Input::ProbeFinished(number, reachable) => {
             membership.probe_finished(*now, node(*number), *reachable);
         }
-        Drawn::Tick(span) => {
+        Input::Tick(span) => {
             *now += Duration::from_micros(i64::from(*span) % MAX_TICK_MICROS);
             membership.tick(*now);
             assert!(membership.next_deadline() > *now);
@@ -112,20 +113,20 @@
 }
 
 #[test]
-fn whatever_comes_nothing_goes_back_and_the_next_tick_lies_ahead() {
-    bolero::check!().with_iterations(300).with_type::<Vec<(u8, Drawn)>>().for_each(|calls| {
+fn no_input_moves_a_record_back_or_a_deadline_into_the_past() {
+    bolero::check!().with_iterations(300).with_type::<Vec<(u8, Input)>>().for_each(|inputs| {
         let mut membership = membership();
         let mut now = START;
-        for (from, drawn) in calls {
+        for (from, input) in inputs {
             let before: Vec<RecordVersion> = membership.records().map(NodeRecord::version).collect();
             let from = LINKED[usize::from(*from) % LINKED.len()];
-            call(&mut membership, &mut now, from, drawn);
+            apply(&mut membership, &mut now, from, input);
             for version in before {
                 let after = membership.record(version.node).map(NodeRecord::version);
                 assert!(after.is_none_or(|after| after >= version));
             }
             let to_itself =
-                |effect: &Effect<u32>| matches!(effect, Effect::SendMessage { to, .. } if *to == ME);
+                |effect: &Effect<u32>| matches!(effect, Effect::SendMessage { to, .. } if *to == LOCAL_NODE);
             assert!(!membership.take_effects().iter().any(to_itself));
         }
     });
--- a/crates/control/mesh-membership/tests/capacity.rs
+++ b/crates/control/mesh-membership/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! What one node of a large mesh costs, from the deciding code in simulated time, many nodes in one process. Run by hand:
+//! Cost of one node in a large mesh, from the membership code in simulated time with many nodes in one
+//! process. Run manually:
 //! `NODES=100,300,1000 cargo test --release -p silvercross-mesh-membership --test capacity -- --ignored --nocapture`
 mod simulation;
 
@@ -7,13 +8,13 @@
 use simulation::{control_node, ms, secs, sidecar, World};
 use std::time::Instant;
 
-/// Where a run names no sizes.
+/// Mesh sizes used if `NODES` is not set.
 const SIZES: &str = "30,100,300,1000";
-/// Bytes of one control entry, for its time through the tree.
+/// Size of the control entry whose propagation time is measured.
 const ENTRY_BYTES: usize = 100;
 
 /// Resident memory of this process, in bytes.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let entries: u64 = statm.split(' ').nth(1).and_then(|entries| entries.parse().ok()).unwrap_or(0);
     entries * 4096
@@ -25,38 +26,38 @@
     bytes: f64,
     control_node_children: usize,
     memory: f64,
-    processor: f64,
+    cpu: f64,
     entry_ms: f64,
     join_bytes: u64,
     zone_ms: f64,
 }
 
 fn measure(nodes: usize) -> Row {
-    let empty = resident();
+    let baseline = resident_bytes();
     let mut world = World::new(nodes - 3, 1, secs(2));
     world.run(secs(20));
     assert_eq!(world.disagreement(), None);
-    let memory = resident().saturating_sub(empty) as f64 / nodes as f64;
+    let memory = resident_bytes().saturating_sub(baseline) as f64 / nodes as f64;
     let before = world.traffic;
     let began = Instant::now();
     world.run(secs(10));
-    let processor = began.elapsed().as_secs_f64() / 10.0 / nodes as f64;
-    let rest = world.traffic;
-    let sent = (rest.messages + rest.datagrams) - (before.messages + before.datagrams);
+    let cpu = began.elapsed().as_secs_f64() / 10.0 / nodes as f64;
+    let at_rest = world.traffic;
+    let sent = (at_rest.messages + at_rest.datagrams) - (before.messages + before.datagrams);
     let revision = Revision::new(0, 1, 0);
     world.publish(control_node(0), "k", revision);
-    let entry = world.until_entry("k", revision, secs(10)).expect("everywhere");
+    let entry = world.run_until_entry("k", revision, secs(10)).expect("everywhere");
     let control_node_children = world.children(control_node(0)).len();
-    // One node joins: what its snapshot takes, beside what flows anyhow in that time.
+    // One node joins: bytes of its snapshot, without the usual traffic in that time.
     let joining = sidecar(0);
     world.kill(joining);
     world.run(secs(5));
     let at = world.traffic;
     world.start(joining, 2);
     world.run(secs(1));
-    let usual = (rest.bytes - before.bytes) / 10;
-    let join_bytes = (world.traffic.bytes - at.bytes).saturating_sub(usual);
-    // A zone without power, until the rest agrees on who is there.
+    let background_bytes = (at_rest.bytes - before.bytes) / 10;
+    let join_bytes = (world.traffic.bytes - at.bytes).saturating_sub(background_bytes);
+    // A zone loses power: time until the remaining nodes agree on who is up.
     world.nodes_of_zone(2).into_iter().for_each(|node| world.power_off(node));
     let mut zone_lost = Duration::ZERO;
     while world.disagreement().is_some() && zone_lost < secs(120) {
@@ -66,10 +67,10 @@
     Row {
         nodes,
         messages: sent as f64 / 10.0 / nodes as f64,
-        bytes: (rest.bytes - before.bytes) as f64 / 10.0 / nodes as f64,
+        bytes: (at_rest.bytes - before.bytes) as f64 / 10.0 / nodes as f64,
         control_node_children,
         memory,
-        processor,
+        cpu,
         entry_ms: entry.as_micros() as f64 / 1e3,
         join_bytes,
         zone_ms: zone_lost.as_micros() as f64 / 1e3,
@@ -77,10 +78,10 @@
 }
 
 #[test]
-#[ignore = "minutes; by hand, in release"]
+#[ignore = "takes minutes; run manually in release mode"]
 fn cost_of_a_node_by_the_size_of_the_mesh() {
     let sizes = std::env::var("NODES").unwrap_or_else(|_| SIZES.to_string());
-    println!("a control entry of {ENTRY_BYTES} bytes; processor time: of the deciding code, delivery in the model included");
+    println!("a control entry of {ENTRY_BYTES} bytes; processor time includes the simulated delivery");
     println!("nodes | msgs/s, bytes/s a node | children of a control node | memory a node, KB | processor a node, us/s | entry everywhere, ms | bytes a join | zone lost, agreed after ms");
     for size in sizes.split(',') {
         let row = measure(size.trim().parse().expect("a number of nodes"));
@@ -91,7 +92,7 @@
             row.bytes,
             row.control_node_children,
             row.memory / 1024.0,
-            row.processor * 1e6,
+            row.cpu * 1e6,
             row.entry_ms,
             row.join_bytes,
             row.zone_ms,
--- a/crates/control/mesh-membership/tests/drawn_faults.rs
+++ b/crates/control/mesh-membership/tests/drawn_faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn one after the other: after the last one all agree, and no node ever goes back.
+//! Random sequences of faults: after the last one all nodes agree, and a node that is ready stays ready.
 mod simulation;
 use bolero::generator::TypeGenerator;
 use silvercross_mesh_membership::*;
@@ -6,12 +6,12 @@
 use simulation::world::StartCounts;
 use simulation::{control_node, control_nodes, ms, secs, World};
 
-/// The key of the entry that a majority acknowledges.
+/// Key of the entry that a majority acknowledges.
 const ACKNOWLEDGED_KEY: &str = "c";
 
-/// What is drawn: which fault, of which node, for how long.
+/// Random input: the kind of fault, the node and a duration.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
-struct DrawnFault {
+struct RandomFault {
     kind: u8,
     node: u8,
     span: u8,
@@ -21,19 +21,19 @@
 enum FaultKind {
     PowerOff,
     Kill,
-    /// Those that are down start.
+    /// Starts all nodes that are down.
     StartAll,
     Freeze,
     CutOff,
     CutFromControlNodes,
-    /// Its zone is cut from the others.
+    /// The node's zone is cut from the others.
     CutZone,
-    /// What it sends to every other node is lost.
+    /// Everything that the node sends to every other node is lost.
     CutOneWay,
     Heal,
 }
 
-impl DrawnFault {
+impl RandomFault {
     fn kind(&self) -> FaultKind {
         match self.kind % 9 {
             0 => FaultKind::PowerOff,
@@ -48,18 +48,18 @@
         }
     }
 
-    /// How long a machine is frozen.
+    /// How long the machine is frozen.
     fn freeze_span(&self) -> Duration {
         ms(20) * i64::from(self.span)
     }
 
-    /// How long it is until the next fault.
+    /// Time until the next fault.
     fn pause(&self) -> Duration {
         ms(15) * i64::from(self.span)
     }
 }
 
-/// A control node that reaches a majority publishes again what that has acknowledged.
+/// A control node that reaches a majority publishes the acknowledged revision again.
 fn publish_acknowledged(world: &mut World) {
     let mut control_nodes = control_nodes().into_iter();
     let owner =
@@ -71,11 +71,11 @@
 
 fn start_all(world: &mut World, down: &mut Vec<Node>, incarnation: u64) {
     std::mem::take(down).into_iter().for_each(|node| world.start(node, incarnation));
-    // What the control store keeps is published again.
+    // Entries kept by the control store are published again.
     publish_acknowledged(world);
 }
 
-fn apply(world: &mut World, fault: &DrawnFault, node: Node, nodes: &[Node], down: &mut Vec<Node>) {
+fn apply(world: &mut World, fault: &RandomFault, node: Node, nodes: &[Node], down: &mut Vec<Node>) {
     let runs = world.machines[&node].membership.is_some();
     match fault.kind() {
         FaultKind::PowerOff if runs => {
@@ -103,8 +103,8 @@
     }
 }
 
-/// Runs the faults, and checks that all agree afterwards.
-fn run(sidecars: usize, seed: u64, faults: &[DrawnFault]) -> StartCounts {
+/// Runs the faults, and checks that all nodes agree afterwards.
+fn run(sidecars: usize, seed: u64, faults: &[RandomFault]) -> StartCounts {
     let mut world = World::new(sidecars, seed, ms(500));
     world.run(secs(3));
     let nodes = world.nodes();
@@ -116,38 +116,38 @@
         if world.machines[&control_node(0)].membership.is_some() {
             world.publish(control_node(0), "k", Revision::new(0, change, 0));
         }
-        let through = control_node(usize::from(fault.node % 3));
-        world.acknowledge(through, ACKNOWLEDGED_KEY, Revision::new(1, change, 0));
+        let control = control_node(usize::from(fault.node % 3));
+        world.acknowledge(control, ACKNOWLEDGED_KEY, Revision::new(1, change, 0));
         world.run(fault.pause());
     }
     world.heal();
     let frozen = faults.iter().filter(|fault| fault.kind() == FaultKind::Freeze);
-    let thawed = frozen.map(DrawnFault::freeze_span).max();
-    world.run(thawed.unwrap_or(Duration::ZERO));
+    let longest_freeze = frozen.map(RandomFault::freeze_span).max();
+    world.run(longest_freeze.unwrap_or(Duration::ZERO));
     start_all(&mut world, &mut down, 1);
     world.trace = std::env::var("TRACE").is_ok();
-    let took = world.until_agreed(secs(2));
+    let took = world.run_until_agreed(secs(2));
     assert!(took.is_ok(), "seed {seed}: {took:?} after {faults:?}");
     world.run(secs(8));
     assert_eq!(world.disagreement(), None, "seed {seed}");
-    assert_eq!(world.crossing_links(), 3, "seed {seed}: {faults:?}");
-    let waits = |node: &Node| world.membership(*node).freshness() == Freshness::Waiting;
-    assert!(!world.living().iter().any(waits), "seed {seed}: {faults:?}");
+    assert_eq!(world.cross_zone_links(), 3, "seed {seed}: {faults:?}");
+    let is_waiting = |node: &Node| world.membership(*node).freshness() == Freshness::Waiting;
+    assert!(!world.running().iter().any(is_waiting), "seed {seed}: {faults:?}");
     world.checked_starts
 }
 
 #[test]
 fn all_agree_after_any_faults() {
-    bolero::check!().with_iterations(60).with_type::<(u8, u64, Vec<DrawnFault>)>().for_each(
+    bolero::check!().with_iterations(60).with_type::<(u8, u64, Vec<RandomFault>)>().for_each(
         |(sidecars, seed, faults)| {
             run(3 + usize::from(sidecars % 24), *seed, &faults[..faults.len().min(12)]);
         },
     );
 }
 
-/// Longer, from seeds: `SEEDS=first..last cargo test --release -- --ignored faults_from_seeds`.
+/// A longer run by seeds: `SEEDS=first..last cargo test --release -- --ignored faults_from_seeds`.
 #[test]
-#[ignore = "minutes; by hand, in release"]
+#[ignore = "takes minutes; run manually in release mode"]
 fn faults_from_seeds() {
     let range = std::env::var("SEEDS").unwrap_or_else(|_| "0..300".into());
     let (first, last) = range.split_once("..").expect("first..last");
@@ -155,13 +155,14 @@
     let mut checked = StartCounts::default();
     for seed in first.parse::<u64>().expect("a number")..last.parse().expect("a number") {
         let mut world = World::new(0, seed, Duration::from_micros(1));
-        let faults: Vec<DrawnFault> = (0..2 + world.below(14))
+        let faults: Vec<RandomFault> = (0..2 + world.random_below(14))
             .map(|_| {
-                let (kind, node, span) = (world.below(256), world.below(256), world.below(256));
-                DrawnFault { kind: kind as u8, node: node as u8, span: span as u8 }
+                let (kind, node, span) =
+                    (world.random_below(256), world.random_below(256), world.random_below(256));
+                RandomFault { kind: kind as u8, node: node as u8, span: span as u8 }
             })
             .collect();
-        let sidecars = 3 + world.below(40) as usize;
+        let sidecars = 3 + world.random_below(40) as usize;
         match std::panic::catch_unwind(|| run(sidecars, seed, &faults)) {
             Ok(starts) => {
                 checked.current += starts.current;
--- a/crates/control/mesh-membership/tests/entry_exchange.rs
+++ b/crates/control/mesh-membership/tests/entry_exchange.rs
@@ -1,9 +1,10 @@
-//! Control entries between one node and its neighbours: announced, asked for, sent once, and sent again where they were lost.
+//! Exchange of control entries between one node and its neighbours: announced, requested, sent once, and
+//! sent again after a loss.
 mod support;
 use silvercross_mesh_membership::*;
 use support::{at, entry, keepalive, linked_membership, record, record_updates, update, KEY, LINKED, PARENT};
 
-/// A message with control entries, as far as these tests go by it.
+/// Receiver and revision of a control entry in a message.
 #[derive(Clone, Copy, PartialEq, Debug)]
 struct SentEntry {
     to: Node,
@@ -20,7 +21,7 @@
         .collect()
 }
 
-/// The control entries that were announced, by their revisions.
+/// Receivers and revisions of announced control entries.
 fn announced(effects: &[Effect<u32>]) -> Vec<SentEntry> {
     let entries = |effect: &Effect<u32>| match effect {
         Effect::SendMessage { to, message: MembershipMessage::VersionIndex { entries, .. } } => {
@@ -34,8 +35,8 @@
         .collect()
 }
 
-/// Of whom control entries were asked.
-fn asked(effects: &[Effect<u32>]) -> Vec<Node> {
+/// Nodes that control entries were requested from.
+fn requested_from(effects: &[Effect<u32>]) -> Vec<Node> {
     let to = |effect: &Effect<u32>| match effect {
         Effect::SendMessage { to, message: MembershipMessage::Fetch { keys, .. } } if !keys.is_empty() => {
             Some(*to)
@@ -45,13 +46,13 @@
     effects.iter().filter_map(to).collect()
 }
 
-/// A neighbour announces a version of the entry.
+/// A neighbour's announcement of a version of the entry.
 fn announcement(revision: Revision) -> MembershipMessage<u32> {
     let entries = vec![EntryRevision { key: KEY.into(), revision }];
     MembershipMessage::VersionIndex { buckets: Vec::new(), records: Vec::new(), entries }
 }
 
-/// A neighbour asks for an entry.
+/// A neighbour's request for an entry.
 fn request(key: &str) -> MembershipMessage<u32> {
     MembershipMessage::Fetch { nodes: Vec::new(), keys: vec![key.to_string()] }
 }
@@ -60,18 +61,18 @@
 fn an_update_goes_to_all_but_where_it_came_from_and_only_once() {
     let mut membership = linked_membership();
     let revision = Revision::new(1, 0, 0);
-    let both = || update(vec![record(Node(30), 1, 1)], vec![entry(revision, 3)]);
-    membership.receive(at(1), Node(20), both());
+    let record_and_entry = || update(vec![record(Node(30), 1, 1)], vec![entry(revision, 3)]);
+    membership.receive(at(1), Node(20), record_and_entry());
     let effects = membership.take_effects();
     assert_eq!(record_updates(&effects), [PARENT, Node(21)], "one message each");
     let others = [PARENT, Node(21)].map(|to| SentEntry { to, revision });
     assert_eq!(announced(&effects), others, "one announcement each");
-    assert!(sent_entries(effects).is_empty(), "nobody has asked");
+    assert!(sent_entries(effects).is_empty(), "not requested");
     [PARENT, Node(21)].into_iter().for_each(|node| membership.receive(at(1), node, request(KEY)));
     assert_eq!(sent_entries(membership.take_effects()), others, "one message each");
     for node in [PARENT, Node(21)] {
         membership.entries_sent(at(2), node);
-        membership.receive(at(2), node, both());
+        membership.receive(at(2), node, record_and_entry());
     }
     let effects = membership.take_effects();
     assert!(record_updates(&effects).is_empty());
@@ -80,9 +81,10 @@
     assert!(membership.metrics().redundant_bytes > 0);
 }
 
-/// Of an entry one version at a time is on its way on a link; the newest one follows, and those between never go.
+/// At most one version of an entry is in flight on a link; the newest one follows, and the versions in
+/// between are never sent.
 #[test]
-fn while_a_version_is_on_its_way_the_newer_ones_wait_and_only_the_newest_goes() {
+fn while_a_version_is_in_flight_newer_ones_wait_and_only_the_newest_is_sent() {
     let mut membership = linked_membership();
     let publish = |membership: &mut Membership<u32>, change| {
         membership.publish(at(1), KEY, Revision::new(1, 0, change), vec![change as u8]);
@@ -99,8 +101,8 @@
     assert_eq!(membership.metrics().entries_superseded, 8 * LINKED.len() as u64);
     membership.entries_sent(at(3), PARENT);
     let effects = membership.take_effects();
-    assert!(announced(&effects).is_empty() && sent_entries(effects).is_empty(), "nothing is left");
-    // It came from there meanwhile: it does not go back.
+    assert!(announced(&effects).is_empty() && sent_entries(effects).is_empty(), "nothing is queued");
+    // Received from that neighbour in the meantime: it is not sent back.
     membership.receive(at(4), Node(20), update(vec![], vec![entry(Revision::new(2, 0, 0), 3)]));
     membership.entries_sent(at(5), Node(20));
     let effects = membership.take_effects();
@@ -108,98 +110,99 @@
     assert!(sent_entries(effects).iter().all(|sent| sent.to != Node(20)));
 }
 
-/// What the network has taken has not arrived: the neighbour asks again when it has.
+/// Accepted by the network does not mean received: the neighbour requests again after it has received.
 #[test]
-fn a_newer_version_is_announced_at_once_and_goes_only_where_it_is_asked_for() {
+fn a_newer_version_is_announced_at_once_and_sent_only_on_request() {
     let mut membership = linked_membership();
     for change in 1..=3 {
         let revision = Revision::new(1, 0, change);
         membership.publish(at(1), KEY, revision, vec![1]);
         let effects = membership.take_effects();
         assert_eq!(announced(&effects), LINKED.map(|to| SentEntry { to, revision }));
-        assert!(sent_entries(effects).is_empty(), "nobody has asked");
+        assert!(sent_entries(effects).is_empty(), "not requested");
     }
     membership.receive(at(2), PARENT, request(KEY));
     let newest = SentEntry { to: PARENT, revision: Revision::new(1, 0, 3) };
     assert_eq!(sent_entries(membership.take_effects()), [newest]);
     membership.entries_sent(at(3), PARENT);
-    assert!(sent_entries(membership.take_effects()).is_empty(), "it is asked for once");
+    assert!(sent_entries(membership.take_effects()).is_empty(), "requested only once");
     membership.receive(at(4), PARENT, request(KEY));
-    assert_eq!(sent_entries(membership.take_effects()), [newest], "whoever asks gets it");
+    assert_eq!(sent_entries(membership.take_effects()), [newest], "every request is answered");
     membership.receive(at(5), PARENT, request("unknown"));
     assert!(sent_entries(membership.take_effects()).is_empty());
 }
 
-/// An entry is asked for once at a time; the newest version is asked for when that one has arrived.
+/// An entry has one pending request at a time; the newest version is requested after the reply has arrived.
 #[test]
-fn an_announced_entry_is_asked_for_when_the_one_before_has_arrived() {
+fn an_announced_entry_is_requested_when_the_previous_one_has_arrived() {
     let mut membership = linked_membership();
-    let asks = |membership: &mut Membership<u32>| asked(&membership.take_effects());
+    let take_requests = |membership: &mut Membership<u32>| requested_from(&membership.take_effects());
     membership.receive(at(1), PARENT, announcement(Revision::new(1, 0, 1)));
-    assert_eq!(asks(&mut membership), [PARENT]);
+    assert_eq!(take_requests(&mut membership), [PARENT]);
     for change in 2..=9 {
         membership.receive(at(2), PARENT, announcement(Revision::new(1, 0, change)));
-        assert!(asks(&mut membership).is_empty(), "the answer is on its way");
+        assert!(take_requests(&mut membership).is_empty(), "a reply is pending");
     }
     membership.receive(at(3), PARENT, update(vec![], vec![entry(Revision::new(1, 0, 1), 3)]));
-    assert_eq!(asks(&mut membership), [PARENT], "there are newer ones");
+    assert_eq!(take_requests(&mut membership), [PARENT], "a newer one was announced");
     membership.receive(at(4), PARENT, update(vec![], vec![entry(Revision::new(1, 0, 9), 3)]));
-    assert!(asks(&mut membership).is_empty(), "it is the newest");
+    assert!(take_requests(&mut membership).is_empty(), "the newest one has arrived");
     membership.receive(at(5), PARENT, announcement(Revision::new(1, 0, 9)));
-    assert!(asks(&mut membership).is_empty(), "it is here");
-    // What another neighbour has sent meanwhile is not asked for any more.
+    assert!(take_requests(&mut membership).is_empty(), "already known");
+    // A revision received from another neighbour in the meantime is not requested again.
     membership.receive(at(6), PARENT, announcement(Revision::new(1, 0, 10)));
-    assert_eq!(asks(&mut membership), [PARENT]);
+    assert_eq!(take_requests(&mut membership), [PARENT]);
     membership.receive(at(6), PARENT, announcement(Revision::new(1, 0, 11)));
     membership.receive(at(7), Node(20), update(vec![], vec![entry(Revision::new(1, 0, 11), 3)]));
     membership.receive(at(8), PARENT, update(vec![], vec![entry(Revision::new(1, 0, 10), 3)]));
-    assert!(asks(&mut membership).is_empty(), "it is here");
+    assert!(take_requests(&mut membership).is_empty(), "already known");
 }
 
-/// One that no longer has what it announced, and one whose connection is another, is asked again.
+/// Requests are repeated if the neighbour no longer has what it announced, or after a reconnect.
 #[test]
-fn what_does_not_arrive_is_asked_for_again() {
+fn what_does_not_arrive_is_requested_again() {
     let mut membership = linked_membership();
     membership.receive(at(1), PARENT, announcement(Revision::new(1, 0, 1)));
-    assert_eq!(asked(&membership.take_effects()), [PARENT]);
+    assert_eq!(requested_from(&membership.take_effects()), [PARENT]);
     membership.connection_changed(at(2), PARENT);
-    assert_eq!(asked(&membership.take_effects()), [PARENT], "what was on its way may be lost");
+    assert_eq!(requested_from(&membership.take_effects()), [PARENT], "what was in flight may be lost");
     let step = LINK_TIMEOUT / 2;
     let (mut now, mut asked_at) = (at(2), None);
     while now < at(2) + ENTRY_REQUEST_TIMEOUT * 2 && asked_at.is_none() {
         now += step;
         membership.receive(now, PARENT, keepalive(&[PARENT]));
-        asked_at = asked(&membership.take_effects()).first().map(|_| now);
+        asked_at = requested_from(&membership.take_effects()).first().map(|_| now);
     }
     assert!(asked_at.is_some_and(|at_last| at_last - at(2) > ENTRY_REQUEST_TIMEOUT), "{asked_at:?}");
-    // While parts of the answer come it is waited for.
+    // While parts of the reply arrive, the request is not repeated.
     for _ in 0..8 {
         now += step;
         membership.partial_message_received(now, PARENT);
         membership.tick(now);
-        assert!(asked(&membership.take_effects()).is_empty());
+        assert!(requested_from(&membership.take_effects()).is_empty());
     }
 }
 
-/// A process that was killed is back before the end of its old connection is seen: it gets what was sent there.
+/// A killed process may be back before the end of its old connection is detected: what was sent there is
+/// sent again.
 #[test]
-fn on_another_connection_what_was_on_its_way_goes_again() {
+fn after_a_reconnect_what_was_in_flight_is_sent_again() {
     let mut membership = linked_membership();
     membership.publish(at(1), KEY, Revision::new(1, 0, 1), vec![1]);
     assert_eq!(announced(&membership.take_effects()).len(), LINKED.len());
     let again = SentEntry { to: PARENT, revision: Revision::new(1, 0, 1) };
     membership.link_up(at(2), PARENT);
-    assert_eq!(announced(&membership.take_effects()), [again], "what was announced");
+    assert_eq!(announced(&membership.take_effects()), [again], "announced before");
     membership.receive(at(2), PARENT, request(KEY));
     assert_eq!(sent_entries(membership.take_effects()), [again]);
     membership.receive(at(2), PARENT, request(KEY));
     membership.connection_changed(at(3), PARENT);
-    assert_eq!(announced(&membership.take_effects()), [again], "what was asked for, and what was on its way");
+    assert_eq!(announced(&membership.take_effects()), [again], "requested, and in flight");
     membership.receive(at(4), PARENT, request(KEY));
-    assert_eq!(sent_entries(membership.take_effects()), [again], "nothing counts as on its way");
+    assert_eq!(sent_entries(membership.take_effects()), [again], "nothing counts as in flight");
 }
 
-/// An entry that changes all the time, larger than a message, leaves the others their turn.
+/// An entry that changes constantly and is larger than a message must not starve the others.
 #[test]
 fn no_entry_waits_for_one_that_changes_all_the_time() {
     let mut membership = linked_membership();
--- a/crates/control/mesh-membership/tests/mutants.rs
+++ b/crates/control/mesh-membership/tests/mutants.rs
@@ -1,22 +1,22 @@
-//! Checks in which one rule each is changed on purpose are caught by the simulation's checker.
+//! The checker of the simulation detects deliberate bugs.
 #![cfg(feature = "mutants")]
 
 mod simulation;
 use silvercross_mesh_membership::Mutation;
-use simulation::schedules::{run, starts_during_a_read, Case, Fault, Reachable, Starting, KEY, OLD};
+use simulation::schedules::{run, start_during_read, Case, Fault, Reachable, Starting, KEY, OLD};
 use simulation::thin_links::{longest_lag, MAX_LAG, SEND_BUFFER_BYTES};
 use simulation::{secs, World};
 
 /// A node called itself current with the old entry.
 fn assert_caught(world: &World) {
-    let stale = world.found.iter().any(|found| found.key == KEY && found.has == Some(OLD));
-    assert!(stale, "{:?}", world.found);
+    let stale = world.stale_entries.iter().any(|found| found.key == KEY && found.has == Some(OLD));
+    assert!(stale, "{:?}", world.stale_entries);
 }
 
 #[test]
 fn a_control_node_that_answers_without_a_majority_is_caught() {
-    for fault in [Fault::CutBothWays, Fault::CutIn, Fault::Alone] {
-        let (starting, reachable) = (Starting::Restarts, Reachable::Below);
+    for fault in [Fault::CutBothWays, Fault::CutIn, Fault::ResumedAlone] {
+        let (starting, reachable) = (Starting::Restarts, Reachable::FirstControlNode);
         let case = Case { fault, starting, reachable, span: secs(5) };
         assert_caught(&run(&case, Some(Mutation::AnswersWithoutMajority)).1);
     }
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_request_that_joins_the_one_in_flight_is_caught() {
-    assert_caught(&starts_during_a_read(Some(Mutation::JoinsReadInFlight)));
+    assert_caught(&start_during_read(Some(Mutation::JoinsReadInFlight)));
 }
 
 #[test]
--- a/crates/control/mesh-membership/tests/simulation/checks.rs
+++ b/crates/control/mesh-membership/tests/simulation/checks.rs
@@ -1,18 +1,18 @@
-//! What has to hold in every run, and how long it takes until all agree.
+//! Invariants checked in every run, and the time until all nodes agree.
 use super::ms;
 use super::world::{Body, World};
 use silvercross_mesh_membership::*;
 use silvercross_time::Duration;
 use std::collections::BTreeMap;
 
-/// What is amiss between nodes that should agree.
+/// A difference between nodes that should agree.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Disagreement {
     Records { at: Node, missing: Vec<u32>, extra: Vec<u32> },
     OldEntries { at: Node },
 }
 
-/// A node that calls itself current without what was acknowledged before it started.
+/// A node that calls itself current although it lacks something acknowledged before it started.
 #[derive(Clone, PartialEq, Debug)]
 pub struct StaleEntry {
     pub node: Node,
@@ -22,8 +22,8 @@
 }
 
 impl World {
-    /// A node that calls itself current has all that a majority had acknowledged before it started, and stays so; one that
-    /// doesn't know has waited for the whole time-out.
+    /// A node that calls itself current has everything that a majority had acknowledged before it started,
+    /// and stays current; one whose check timed out has waited for the whole time-out.
     pub(super) fn check_freshness(&mut self, node: Node) {
         let Some(machine) = self.machines.get(&node) else { return };
         let Some(membership) = &machine.membership else { return };
@@ -31,7 +31,7 @@
         if before == after {
             return;
         }
-        assert_eq!(before, Freshness::Waiting, "{node:?} was ready, and is {after:?}");
+        assert_eq!(before, Freshness::Waiting, "{node:?} was ready and is now {after:?}");
         match after {
             Freshness::Current { .. } => {
                 let has = |key: &str| membership.control_entry(key).map(|entry| entry.revision);
@@ -45,30 +45,31 @@
                     .collect();
                 self.checked_starts.current += u64::from(!machine.acknowledged_before.is_empty());
                 assert!(stale.is_empty() || self.mutation.is_some(), "{stale:?}");
-                self.found.extend(stale);
+                self.stale_entries.extend(stale);
             }
             _ => {
                 self.checked_starts.timed_out += 1;
                 let waited = self.now - machine.started_at;
-                assert!(waited >= READINESS_TIMEOUT, "{node:?} is ready too early: {after:?}");
+                assert!(waited >= READINESS_TIMEOUT, "{node:?} timed out too early: {after:?}");
             }
         }
         self.machine_mut(node).freshness = after;
     }
 
-    /// What is amiss: each living node has to know exactly the living ones, as they are, and the newest control entries.
+    /// The first difference found: every running node must know exactly the running nodes with their
+    /// current records, and the newest control entries.
     pub fn disagreement(&self) -> Option<Disagreement> {
-        let living = self.living();
-        let own = living.iter().map(|node| self.membership(*node).record(*node).expect("own").clone());
+        let running = self.running();
+        let own = running.iter().map(|node| self.membership(*node).record(*node).expect("own").clone());
         let truth: Vec<NodeRecord<Body>> = own.filter(|record| !record.gone).collect();
         let mut newest: BTreeMap<&str, Revision> = BTreeMap::new();
-        for node in &living {
+        for node in &running {
             for entry in self.membership(*node).control_entries() {
                 let revision = newest.entry(entry.key).or_insert(entry.revision);
                 *revision = (*revision).max(entry.revision);
             }
         }
-        for node in living {
+        for node in running {
             let membership = self.membership(node);
             let known: Vec<NodeRecord<Body>> =
                 membership.records().filter(|record| !record.gone).cloned().collect();
@@ -87,8 +88,8 @@
         None
     }
 
-    /// Runs until all agree, for at most so long; how long that took.
-    pub fn until_agreed(&mut self, timeout: Duration) -> Result<Duration, Disagreement> {
+    /// Runs until all nodes agree, at most for `timeout`; returns how long that took.
+    pub fn run_until_agreed(&mut self, timeout: Duration) -> Result<Duration, Disagreement> {
         let begin = self.now;
         loop {
             match self.disagreement() {
@@ -99,8 +100,9 @@
         }
     }
 
-    /// Runs until all living nodes have the entry, for at most so long; how long that took, or who lacks it.
-    pub fn until_entry(
+    /// Runs until all running nodes have the entry, at most for `timeout`; returns how long that took, or
+    /// the nodes that lack it.
+    pub fn run_until_entry(
         &mut self,
         key: &str,
         revision: Revision,
@@ -111,7 +113,7 @@
             let lacks = |node: &Node| {
                 self.membership(*node).control_entry(key).is_none_or(|entry| entry.revision < revision)
             };
-            let lacking: Vec<Node> = self.living().into_iter().filter(lacks).collect();
+            let lacking: Vec<Node> = self.running().into_iter().filter(lacks).collect();
             if lacking.is_empty() {
                 return Ok(self.now - begin);
             }
--- a/crates/control/mesh-membership/tests/simulation/delivery.rs
+++ b/crates/control/mesh-membership/tests/simulation/delivery.rs
@@ -1,16 +1,16 @@
-//! Time goes on: events happen in their order, at machines that are not frozen.
+//! Passage of time: events are delivered in order to machines that are not frozen.
 use super::ms;
 use super::world::{Event, EventKey, Pair, World};
 use silvercross_mesh_membership::Node;
 use silvercross_time::{Duration, Instant};
 
-/// How long a read takes that no majority confirms.
+/// Duration of a read that no majority confirms.
 const FAILED_READ_DELAY: Duration = ms(800);
 
 impl World {
     pub(super) fn push(&mut self, at: Instant, node: Node, event: Event) {
-        self.count += 1;
-        self.events.insert(EventKey { at, number: self.count }, (node, event));
+        self.last_id += 1;
+        self.events.insert(EventKey { at, number: self.last_id }, (node, event));
     }
 
     pub fn run(&mut self, span: Duration) {
@@ -24,23 +24,23 @@
             }
             let (key, (node, event)) = first.remove_entry();
             self.now = self.now.max(key.at);
-            self.happen(node, event);
+            self.dispatch(node, event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, node: Node, event: Event) {
+    fn dispatch(&mut self, node: Node, event: Event) {
         let frozen_until = self.machines[&node].frozen_until;
         if self.now < frozen_until && !matches!(event, Event::Dial { .. }) {
             self.push(frozen_until, node, event);
             return;
         }
         if let Some(event) = self.intercept(node, event) {
-            self.report(node, event);
+            self.deliver(node, event);
         }
     }
 
-    /// The event, if the node is to hear of it.
+    /// Handles the simulation's part of an event; returns the event if the node is to receive it.
     fn intercept(&mut self, node: Node, event: Event) -> Option<Event> {
         let now = self.now;
         let connection_to = |world: &World, peer| world.connections.get(&Pair::of(node, peer)).map(|c| c.id);
@@ -49,15 +49,15 @@
                 self.finish_dial(node, *to, *id);
                 return None;
             }
-            Event::Up { peer, connection } if connection_to(self, *peer) != Some(*connection) => {
-                // It was dropped meanwhile: the end at this side is reported as well.
+            Event::LinkUp { peer, connection } if connection_to(self, *peer) != Some(*connection) => {
+                // The connection was closed in the meantime: this side is also notified of its end.
                 let (peer, connection) = (*peer, *connection);
                 self.with(node, |membership| membership.link_up(now, peer));
-                self.push(now, node, Event::Down { peer, connection });
+                self.push(now, node, Event::LinkDown { peer, connection });
                 return None;
             }
-            // Not if there is a newer one.
-            Event::Down { peer, connection }
+            // Ignored if there is a newer connection.
+            Event::LinkDown { peer, connection }
                 if connection_to(self, *peer).is_some_and(|current| current != *connection) =>
             {
                 return None;
@@ -76,16 +76,16 @@
         Some(event)
     }
 
-    fn report(&mut self, node: Node, event: Event) {
+    fn deliver(&mut self, node: Node, event: Event) {
         let now = self.now;
         self.with(node, |membership| match event {
             Event::Tick => membership.tick(now),
-            Event::Up { peer, .. } => membership.link_up(now, peer),
-            Event::Down { peer, .. } => membership.link_down(now, peer),
+            Event::LinkUp { peer, .. } => membership.link_up(now, peer),
+            Event::LinkDown { peer, .. } => membership.link_down(now, peer),
             Event::Message { from, message, .. } => membership.receive(now, from, message),
-            Event::EntriesLeft { to } => membership.entries_sent(now, to),
+            Event::EntriesSent { to } => membership.entries_sent(now, to),
             Event::Datagram { from, datagram } => membership.receive_datagram(now, from, datagram),
-            Event::Probed { node, reachable } => membership.probe_finished(now, node, reachable),
+            Event::ProbeFinished { node, reachable } => membership.probe_finished(now, node, reachable),
             Event::Confirm { request_id, revisions } => {
                 membership.revisions_confirmed(now, request_id, Some(revisions));
             }
--- a/crates/control/mesh-membership/tests/simulation/faults.rs
+++ b/crates/control/mesh-membership/tests/simulation/faults.rs
@@ -1,15 +1,15 @@
-//! Faults of machines and of the network between them.
+//! Faults of machines and of the network.
 use super::world::{Event, Pair, Route, World};
 use silvercross_mesh_membership::Node;
 use silvercross_time::Duration;
 
 impl World {
-    /// Ends the process; its peers' ends of the connections are closed.
+    /// Ends the process; its peers see their connections close.
     pub fn kill(&mut self, node: Node) {
         self.stop(node, true);
     }
 
-    /// The machine loses its power; nobody is notified.
+    /// The machine loses power; its peers are not notified.
     pub fn power_off(&mut self, node: Node) {
         self.stop(node, false);
     }
@@ -26,7 +26,7 @@
             let peer = pair.other(node);
             if powered && !self.is_cut_from(node, peer) {
                 let at = self.now + self.delay(node, peer);
-                self.push(at, peer, Event::Down { peer: node, connection });
+                self.push(at, peer, Event::LinkDown { peer: node, connection });
             }
         }
     }
@@ -36,12 +36,12 @@
         self.machine_mut(node).frozen_until = until;
     }
 
-    /// Nothing passes in this direction.
+    /// Drops everything in this direction.
     pub fn cut(&mut self, from: Node, to: Node) {
         self.cuts.insert(Route { from, to });
     }
 
-    /// Nothing passes between a node and others, in either direction.
+    /// Drops everything between a node and others, in both directions.
     pub fn cut_off(&mut self, node: Node, others: &[Node]) {
         for other in others.iter().filter(|other| **other != node) {
             self.cut(node, *other);
@@ -53,12 +53,12 @@
         self.cuts.contains(&Route { from, to })
     }
 
-    /// Whether anything is lost between the two, in either direction.
+    /// Whether anything is lost between the two nodes, in either direction.
     pub fn is_cut(&self, a: Node, b: Node) -> bool {
         self.is_cut_from(a, b) || self.is_cut_from(b, a)
     }
 
-    /// All cuts end; connections on which something was lost end with them.
+    /// Ends all cuts; connections that lost something are closed.
     pub fn heal(&mut self) {
         self.cuts.clear();
         let lost = self.connections.iter().filter(|(_, connection)| connection.lost);
@@ -66,8 +66,8 @@
         for pair in lost {
             let connection = self.connections.remove(&pair).expect("listed").id;
             let at = self.now + self.delay(pair.low, pair.high);
-            self.push(at, pair.low, Event::Down { peer: pair.high, connection });
-            self.push(at, pair.high, Event::Down { peer: pair.low, connection });
+            self.push(at, pair.low, Event::LinkDown { peer: pair.high, connection });
+            self.push(at, pair.high, Event::LinkDown { peer: pair.low, connection });
         }
     }
 }
--- a/crates/control/mesh-membership/tests/simulation/network.rs
+++ b/crates/control/mesh-membership/tests/simulation/network.rs
@@ -1,13 +1,13 @@
-//! Connections, messages and datagrams on their way, and what they cost.
+//! Connections, messages and datagrams in flight, and their traffic counters.
 use super::secs;
 use super::world::{Body, Connection, Event, Pair, Route, World};
 use silvercross_mesh_membership::{Datagram, MembershipMessage, Node};
 use silvercross_time::{Duration, Instant};
 use std::collections::BTreeMap;
 
-/// What a message or datagram costs besides its content.
+/// Overhead counted for each message or datagram.
 const HEADER_BYTES: u64 = 40;
-/// Between machines of the same zone.
+/// Delay between machines of the same zone.
 const LOCAL_DELAY: Duration = Duration::from_micros(200);
 
 impl World {
@@ -19,8 +19,8 @@
         }
     }
 
-    /// The delay to a machine that may not exist.
-    fn delay_or_second(&self, a: Node, b: Node) -> Duration {
+    /// The delay to a machine, or 1 s if it doesn't exist.
+    fn delay_or_default(&self, a: Node, b: Node) -> Duration {
         if self.machines.contains_key(&b) {
             self.delay(a, b)
         } else {
@@ -29,10 +29,10 @@
     }
 
     pub(super) fn open_link(&mut self, node: Node, to: Node) {
-        self.count += 1;
-        let id = self.count;
+        self.last_id += 1;
+        let id = self.last_id;
         self.dials.insert(Route { from: node, to }, id);
-        let at = self.now + self.delay_or_second(node, to) * 2;
+        let at = self.now + self.delay_or_default(node, to) * 2;
         self.push(at, node, Event::Dial { to, id });
     }
 
@@ -41,11 +41,11 @@
         let Some(connection) = self.connections.remove(&Pair::of(node, to)) else { return };
         if !self.is_cut_from(node, to) {
             let at = self.now + self.delay(node, to);
-            self.push(at, to, Event::Down { peer: node, connection: connection.id });
+            self.push(at, to, Event::LinkDown { peer: node, connection: connection.id });
         }
     }
 
-    /// A dial has come through, is refused, or is tried again while nothing answers.
+    /// A dial succeeds, is refused, or is retried while the machine doesn't answer.
     pub(super) fn finish_dial(&mut self, node: Node, to: Node, id: u64) {
         let route = Route { from: node, to };
         if self.dials.get(&route) != Some(&id) {
@@ -62,8 +62,8 @@
         if !runs {
             return self.with(node, |membership| membership.link_down(now, to));
         }
-        self.count += 1;
-        let connection = self.count;
+        self.last_id += 1;
+        let connection = self.last_id;
         let pair = Pair::of(node, to);
         self.connections.insert(
             pair,
@@ -74,13 +74,13 @@
                 sent_until: BTreeMap::new(),
             },
         );
-        self.push(now, node, Event::Up { peer: to, connection });
-        self.push(now, to, Event::Up { peer: node, connection });
+        self.push(now, node, Event::LinkUp { peer: to, connection });
+        self.push(now, to, Event::LinkUp { peer: node, connection });
     }
 
-    /// How long so many bytes take to leave a machine on one connection.
+    /// Time to send this many bytes on one connection of a machine.
     fn transfer_time(&self, from: Node, bytes: u64) -> Duration {
-        match self.thin_link_bytes_per_second {
+        match self.link_bytes_per_second {
             Some(rate) if !self.machines[&from].is_control => {
                 Duration::from_micros((bytes * 1_000_000 / rate) as i64)
             }
@@ -97,7 +97,7 @@
         self.count_bytes(node, to, bytes, matches!(message, MembershipMessage::Update { .. }));
         let Some(connection) = self.connections.get_mut(&Pair::of(node, to)) else {
             if !cut {
-                self.push(now + delay * 2, node, Event::Down { peer: to, connection: 0 });
+                self.push(now + delay * 2, node, Event::LinkDown { peer: to, connection: 0 });
             }
             return;
         };
@@ -113,9 +113,9 @@
         self.push(at, to, Event::Message { from: node, connection, message });
     }
 
-    /// When the system has taken the last message to a node: what is not in its buffer has left this machine. Now, if there is no
-    /// connection.
-    pub(super) fn taken_at(&self, node: Node, to: Node) -> Instant {
+    /// When the operating system has accepted the last message to a node, that is when all but the size of
+    /// its buffer has been sent. Immediately, if there is no connection.
+    pub(super) fn accepted_at(&self, node: Node, to: Node) -> Instant {
         let connection = self.connections.get(&Pair::of(node, to));
         let sent_until = connection.and_then(|connection| connection.sent_until.get(&to).copied());
         let buffered = self.transfer_time(node, self.send_buffer_bytes);
@@ -126,7 +126,7 @@
         let bytes = bitcode::encode(&datagram).len() as u64;
         self.traffic.datagrams += 1;
         self.count_bytes(node, to, bytes, false);
-        let lost = self.below(1_000) < self.loss;
+        let lost = self.random_below(1_000) < self.loss;
         let runs = self.machines.get(&to).is_some_and(|machine| machine.membership.is_some());
         if runs && !lost && !self.is_cut_from(node, to) {
             let at = self.now + self.delay(node, to);
@@ -139,9 +139,9 @@
         self.traffic.bytes += bytes;
         self.traffic.updates += u64::from(is_update);
         if self.machines[&from].zone != self.machines[&to].zone {
-            self.traffic.crossing += 1;
-            self.traffic.crossing_bytes += bytes;
-            self.traffic.updates_crossing += u64::from(is_update);
+            self.traffic.cross_zone_messages += 1;
+            self.traffic.cross_zone_bytes += bytes;
+            self.traffic.cross_zone_updates += u64::from(is_update);
         }
     }
 }
--- a/crates/control/mesh-membership/tests/simulation/world.rs
+++ b/crates/control/mesh-membership/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The state of a simulated mesh: machines, connections, events to come, counters.
+//! State of a simulated mesh: machines, connections, scheduled events, counters.
 use super::checks::StaleEntry;
 use super::{control_node, control_nodes, ms, secs, sidecar};
 use silvercross_mesh_membership::*;
@@ -7,18 +7,18 @@
 
 pub type Body = u64;
 
-/// The time at which every simulation begins.
+/// Time at which every simulation begins.
 pub const START_TIME: Instant = Instant::from_micros(1_000_000_000);
 
 pub enum Event {
     Tick,
     Dial { to: Node, id: u64 },
-    Up { peer: Node, connection: u64 },
-    Down { peer: Node, connection: u64 },
+    LinkUp { peer: Node, connection: u64 },
+    LinkDown { peer: Node, connection: u64 },
     Message { from: Node, connection: u64, message: MembershipMessage<Body> },
-    EntriesLeft { to: Node },
+    EntriesSent { to: Node },
     Datagram { from: Node, datagram: Datagram },
-    Probed { node: Node, reachable: bool },
+    ProbeFinished { node: Node, reachable: bool },
     Confirm { request_id: u64, revisions: Vec<EntryRevision> },
     Unconfirmed { request_id: u64 },
 }
@@ -32,7 +32,7 @@
     pub tick_at: Instant,
     pub starts: u64,
     pub started_at: Instant,
-    /// What a majority had acknowledged when it started.
+    /// What a majority had acknowledged when the node started.
     pub acknowledged_before: BTreeMap<String, Revision>,
     pub freshness: Freshness,
 }
@@ -41,7 +41,7 @@
 pub struct Connection {
     pub id: u64,
     pub lost: bool,
-    /// When the last message to each side arrives.
+    /// Arrival time of the last message to each side.
     pub last_arrival: BTreeMap<Node, Instant>,
     /// When the last message to each side has left the sender's machine.
     pub sent_until: BTreeMap<Node, Instant>,
@@ -52,13 +52,13 @@
     pub messages: u64,
     pub datagrams: u64,
     pub bytes: u64,
-    pub crossing: u64,
-    pub crossing_bytes: u64,
+    pub cross_zone_messages: u64,
+    pub cross_zone_bytes: u64,
     pub updates: u64,
-    pub updates_crossing: u64,
+    pub cross_zone_updates: u64,
 }
 
-/// A node that found another gone, or signed off itself.
+/// A node that recorded another as gone, whether declared gone or signed off.
 #[derive(Clone, Copy, Debug)]
 pub struct GoneReport {
     pub at: Instant,
@@ -70,19 +70,19 @@
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
 pub struct ReadCounts {
     pub begun: u64,
-    /// Those that no majority confirmed.
+    /// Reads not confirmed by a majority.
     pub unconfirmed: u64,
 }
 
-/// How starts ended.
+/// Results of freshness checks.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
 pub struct StartCounts {
-    /// Current, with something acknowledged before.
+    /// Current, where something had been acknowledged before.
     pub current: u64,
     pub timed_out: u64,
 }
 
-/// A connection's key: the lower node first.
+/// Key of a connection: the lower node first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Pair {
     pub low: Node,
@@ -107,14 +107,14 @@
     }
 }
 
-/// A direction in which nothing passes, or in which one machine dials another.
+/// One direction between two machines.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Route {
     pub from: Node,
     pub to: Node,
 }
 
-/// When an event happens; those of the same moment in the order in which they were planned.
+/// Time of an event; simultaneous events are ordered by the time of scheduling.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct EventKey {
     pub at: Instant,
@@ -125,29 +125,29 @@
     pub now: Instant,
     pub machines: BTreeMap<Node, Machine>,
     pub cuts: BTreeSet<Route>,
-    /// Datagrams lost, of 1,000.
+    /// Datagrams lost per 1,000.
     pub loss: u64,
     pub zone_delay: Duration,
-    /// What a connection of a sidecar carries in each direction; without it, any number of bytes at once.
-    pub thin_link_bytes_per_second: Option<u64>,
-    /// Bytes of a connection that the system takes before they have left the machine.
+    /// Rate of a sidecar's connection in each direction; unlimited if `None`.
+    pub link_bytes_per_second: Option<u64>,
+    /// Size of the operating system's send buffer of a connection.
     pub send_buffer_bytes: u64,
     pub traffic: Traffic,
-    pub gone: Vec<GoneReport>,
+    pub gone_reports: Vec<GoneReport>,
     pub trace: bool,
     /// What a majority of the control nodes has acknowledged.
     pub acknowledged: BTreeMap<String, Revision>,
-    /// How long a read that a majority confirms takes.
+    /// Duration of a read that a majority confirms.
     pub read_delay: Duration,
     pub reads: ReadCounts,
     pub checked_starts: StartCounts,
-    /// Nodes run with this rule changed, and what the checker finds is kept.
+    /// Bug enabled at all nodes; violations are then collected instead of failing the run.
     pub mutation: Option<Mutation>,
-    pub found: Vec<StaleEntry>,
+    pub stale_entries: Vec<StaleEntry>,
     pub(super) events: BTreeMap<EventKey, (Node, Event)>,
     pub(super) connections: BTreeMap<Pair, Connection>,
     pub(super) dials: BTreeMap<Route, u64>,
-    pub(super) count: u64,
+    pub(super) last_id: u64,
     random_state: u64,
 }
 
@@ -158,11 +158,12 @@
 
 #[cfg(not(feature = "mutants"))]
 pub fn set_mutation(_: &mut Membership<Body>, mutation: Option<Mutation>) {
-    assert_eq!(mutation, None, "without the feature no rule can be changed");
+    assert_eq!(mutation, None, "requires the feature `mutants`");
 }
 
 impl World {
-    /// A control node in each of three zones, and sidecars spread over them; all start within `span`.
+    /// One control node in each of three zones, and sidecars spread over the zones; all start within
+    /// `span`.
     pub fn new(sidecars: usize, seed: u64, span: Duration) -> World {
         let mut world = World {
             now: START_TIME,
@@ -170,28 +171,28 @@
             cuts: BTreeSet::new(),
             loss: 5,
             zone_delay: ms(1),
-            thin_link_bytes_per_second: None,
+            link_bytes_per_second: None,
             send_buffer_bytes: 0,
             traffic: Traffic::default(),
-            gone: Vec::new(),
+            gone_reports: Vec::new(),
             trace: false,
             acknowledged: BTreeMap::new(),
             read_delay: ms(2),
             reads: ReadCounts::default(),
             checked_starts: StartCounts::default(),
             mutation: None,
-            found: Vec::new(),
+            stale_entries: Vec::new(),
             events: BTreeMap::new(),
             connections: BTreeMap::new(),
             dials: BTreeMap::new(),
-            count: 0,
+            last_id: 0,
             random_state: seed.wrapping_mul(2).wrapping_add(1),
         };
         (0..3).for_each(|zone| world.add(control_node(zone), zone, true));
         (0..sidecars).for_each(|i| world.add(sidecar(i), i % 3, false));
         let mut starts = Vec::new();
         for node in world.machines.keys().copied().collect::<Vec<Node>>() {
-            let delay = world.below(span.as_micros().max(1) as u64) as i64;
+            let delay = world.random_below(span.as_micros().max(1) as u64) as i64;
             starts.push((START_TIME + Duration::from_micros(delay), node));
         }
         starts.sort();
@@ -203,10 +204,10 @@
         world
     }
 
-    /// A mesh in which all agree, and links have settled.
+    /// A mesh in which all nodes agree and the links are stable.
     pub fn settled(sidecars: usize, seed: u64) -> World {
         let mut world = World::new(sidecars, seed, ms(500));
-        let took = world.until_agreed(secs(3));
+        let took = world.run_until_agreed(secs(3));
         assert!(took.is_ok(), "{took:?}");
         world.run(secs(6));
         assert_eq!(world.disagreement(), None);
@@ -229,22 +230,22 @@
         self.machines.insert(node, machine);
     }
 
-    /// A number below a bound, drawn.
-    pub fn below(&mut self, bound: u64) -> u64 {
+    /// A random number less than `bound`.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.random_state >> 33) % bound.max(1)
     }
 
     pub fn membership(&self, node: Node) -> &Membership<Body> {
-        self.machines[&node].membership.as_ref().expect("it runs")
+        self.machines[&node].membership.as_ref().expect("the node is running")
     }
 
     pub fn machine_mut(&mut self, node: Node) -> &mut Machine {
         self.machines.get_mut(&node).expect("known")
     }
 
-    /// All nodes, and those that start later, run with a rule changed.
+    /// Enables a bug at all nodes, including those that start later.
     pub fn mutate_all(&mut self, mutation: Option<Mutation>) {
         self.mutation = mutation;
         let running = self.machines.values_mut().filter_map(|machine| machine.membership.as_mut());
@@ -255,7 +256,7 @@
         self.machines.keys().copied().collect()
     }
 
-    pub fn living(&self) -> Vec<Node> {
+    pub fn running(&self) -> Vec<Node> {
         let running = self.machines.iter().filter(|(_, machine)| machine.membership.is_some());
         running.map(|(node, _)| *node).collect()
     }
@@ -266,12 +267,12 @@
     }
 
     pub fn start(&mut self, node: Node, incarnation: u64) {
-        self.start_with(node, incarnation, control_nodes().to_vec());
+        self.start_with_seeds(node, incarnation, control_nodes().to_vec());
     }
 
-    pub fn start_with(&mut self, node: Node, incarnation: u64, seeds: Vec<Node>) {
+    pub fn start_with_seeds(&mut self, node: Node, incarnation: u64, seeds: Vec<Node>) {
         let now = self.now;
-        let random_seed = self.below(u64::MAX);
+        let random_seed = self.random_below(u64::MAX);
         let mutation = self.mutation;
         let acknowledged_before = self.acknowledged.clone();
         let machine = self.machine_mut(node);
@@ -292,24 +293,24 @@
         (machine.started_at, machine.freshness) = (now, membership.freshness());
         machine.acknowledged_before = acknowledged_before;
         machine.membership = Some(membership);
-        self.carry_out_effects(node);
+        self.apply_effects(node);
     }
 
-    /// Something happens at a node, and what it wants is carried out.
+    /// Calls a node, and executes its effects.
     pub fn with(&mut self, node: Node, act: impl FnOnce(&mut Membership<Body>)) {
         let Some(membership) = self.machine_mut(node).membership.as_mut() else { return };
         act(membership);
-        self.carry_out_effects(node);
+        self.apply_effects(node);
     }
 
     pub fn publish(&mut self, node: Node, key: &str, revision: Revision) {
         self.publish_sized(node, key, revision, 100);
     }
 
-    /// Publishes an entry with a value of so many bytes.
+    /// Publishes an entry with a value of this size.
     pub fn publish_sized(&mut self, node: Node, key: &str, revision: Revision, bytes: usize) {
         let now = self.now;
-        // Not all alike: the encoding packs equal bytes.
+        // Mixed bytes, because the encoding compresses equal ones.
         let value =
             (0..bytes as u64).map(|at| (at.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 56) as u8).collect();
         self.with(node, |membership| membership.publish(now, key, revision, value));
@@ -320,7 +321,7 @@
         self.with(node, |membership| membership.update_body(now, body));
     }
 
-    /// Whether more than half of the control nodes run, and are reached from this one.
+    /// Whether this control node reaches a majority of running control nodes.
     pub fn has_majority(&self, node: Node) -> bool {
         let reached = |other: &Node| {
             let machine = &self.machines[other];
@@ -329,23 +330,23 @@
         control_nodes().iter().filter(|other| reached(other)).count() >= 2
     }
 
-    /// A change is acknowledged through a control node, if it reaches a majority.
+    /// Publishes a change as acknowledged through a control node, if that reaches a majority.
     pub fn acknowledge(&mut self, node: Node, key: &str, revision: Revision) -> bool {
-        let done = self.has_majority(node);
-        if done {
+        let has_majority = self.has_majority(node);
+        if has_majority {
             self.acknowledged.insert(key.to_string(), revision);
             self.publish(node, key, revision);
         }
-        done
+        has_majority
     }
 
-    /// Links between zones.
-    pub fn crossing_links(&self) -> usize {
+    /// Number of links between zones.
+    pub fn cross_zone_links(&self) -> usize {
         let crosses = |pair: &&Pair| self.machines[&pair.low].zone != self.machines[&pair.high].zone;
         self.connections.keys().filter(crosses).count()
     }
 
     pub fn children(&self, node: Node) -> Vec<Node> {
-        self.living().into_iter().filter(|other| self.membership(*other).parent() == Some(node)).collect()
+        self.running().into_iter().filter(|other| self.membership(*other).parent() == Some(node)).collect()
     }
 }
--- a/crates/control/mesh-membership/tests/single_node.rs
+++ b/crates/control/mesh-membership/tests/single_node.rs
@@ -1,22 +1,22 @@
-//! Single rules of one node: updates, refutation, and whom it suspects.
+//! Rules of a single node: updates, refutation, and suspicion.
 mod support;
 use silvercross_mesh_membership::*;
 use silvercross_time::{Duration, Instant};
 use support::{
     after, at, entry, heartbeat, keepalive, linked_membership, record, record_updates, update, KEY, LINKED,
-    ME, PARENT, START,
+    LOCAL_NODE, PARENT, START,
 };
 
 fn gone(record: NodeRecord<u32>) -> NodeRecord<u32> {
     NodeRecord { gone: true, ..record }
 }
 
-/// To whom updates of records were sent since the last look.
+/// Receivers of record updates since the last call.
 fn updated(membership: &mut Membership<u32>) -> Vec<Node> {
     record_updates(&membership.take_effects())
 }
 
-/// Over a thin link a large message takes longer than a silent link is kept.
+/// On a slow link a large message may take longer than the time-out of a silent link.
 #[test]
 fn a_link_on_which_part_of_a_message_comes_is_kept() {
     let mut membership = linked_membership();
@@ -28,11 +28,11 @@
         membership.tick(now);
     }
     assert!(membership.linked_nodes().contains(&PARENT));
-    assert!(!membership.linked_nodes().contains(&Node(20)), "nothing came from there");
+    assert!(!membership.linked_nodes().contains(&Node(20)), "nothing was received from it");
 }
 
 #[test]
-fn nothing_goes_back() {
+fn older_records_and_entries_are_ignored() {
     let mut membership = linked_membership();
     let (from, other) = (Node(20), Node(30));
     let newest = Revision::new(2, 5, 0);
@@ -57,22 +57,27 @@
 fn a_node_refutes_what_others_say_of_it() {
     let mut membership = linked_membership();
     let from = Node(20);
-    let own = membership.record(ME).expect("own").clone();
+    let own = membership.record(LOCAL_NODE).expect("own").clone();
     membership.receive(at(1), from, update(vec![gone(own.clone())], vec![]));
-    assert_eq!(membership.record(ME), Some(&NodeRecord { sequence: own.sequence + 1, ..own.clone() }));
+    assert_eq!(
+        membership.record(LOCAL_NODE),
+        Some(&NodeRecord { sequence: own.sequence + 1, ..own.clone() })
+    );
     assert_eq!(updated(&mut membership), LINKED, "also where it came from");
     let dead = Datagram::DeclaredDead { incarnation: 5, sequence: own.sequence + 1 };
     membership.receive_datagram(at(1), from, dead);
-    assert_eq!(membership.record(ME).map(|record| record.sequence), Some(own.sequence + 2));
-    membership.receive(at(1), from, update(vec![record(ME, 8, 3)], vec![]));
+    assert_eq!(membership.record(LOCAL_NODE).map(|record| record.sequence), Some(own.sequence + 2));
+    membership.receive(at(1), from, update(vec![record(LOCAL_NODE, 8, 3)], vec![]));
     assert_eq!(membership.incarnation(), 9);
     membership.leave(at(2));
-    membership.receive(at(3), from, update(vec![gone(record(ME, 99, 3))], vec![]));
-    let signed_off = membership.record(ME).is_some_and(|record| record.gone && record.incarnation == 9);
-    assert!(signed_off, "it did sign off");
+    membership.receive(at(3), from, update(vec![gone(record(LOCAL_NODE, 99, 3))], vec![]));
+    let signed_off =
+        membership.record(LOCAL_NODE).is_some_and(|record| record.gone && record.incarnation == 9);
+    assert!(signed_off, "it stays signed off");
 }
 
-/// Hears the links and some of those watched until the given time.
+/// Passes time until `to`, during which the node receives from its links and from the given monitored
+/// nodes.
 fn listen(membership: &mut Membership<u32>, from: Instant, to: Instant, heard: &[Node]) -> Vec<Effect<u32>> {
     let mut effects = Vec::new();
     let mut now = from;
@@ -96,22 +101,22 @@
     nodes
 }
 
-/// What another watcher says of the suspect.
+/// Another watcher's reply about the suspect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Answer {
     Confirms,
-    HeardIt,
+    Heard,
 }
 
 #[test]
 fn a_silent_node_is_declared_gone_by_two_or_after_a_failed_probe_and_not_when_another_heard_it() {
-    use Answer::{Confirms, HeardIt};
+    use Answer::{Confirms, Heard};
     let heard = [PARENT, Node(20)];
     let (suspect, incarnation) = (Node(21), 1);
     let suspected_at = after(HEARTBEAT_TIMEOUT + Duration::from_millis(100));
     let cases = [
         (vec![Confirms, Confirms], true),
-        (vec![Confirms, HeardIt], false),
+        (vec![Confirms, Heard], false),
         (vec![], true),
         (vec![Confirms], true),
     ];
@@ -122,7 +127,7 @@
         for (answer, from) in answers.iter().zip(heard) {
             let answer = match answer {
                 Confirms => Datagram::SuspectConfirmed { suspect, incarnation },
-                HeardIt => Datagram::SuspectAlive { suspect, incarnation, elapsed: Duration::ZERO },
+                Heard => Datagram::SuspectAlive { suspect, incarnation, elapsed: Duration::ZERO },
             };
             membership.receive_datagram(suspected_at, from, answer);
         }
@@ -141,7 +146,7 @@
 fn a_node_that_hears_nobody_or_stalled_suspects_nobody() {
     let mut membership = linked_membership();
     let effects = listen(&mut membership, START, after(HEARTBEAT_TIMEOUT * 3), &[]);
-    assert!(suspects(&effects).is_empty(), "all are silent: rather it is cut off itself");
+    assert!(suspects(&effects).is_empty(), "all are silent: this node is probably isolated");
     let mut membership = linked_membership();
     listen(&mut membership, START, after(Duration::from_millis(500)), &LINKED);
     let resumed = after(Duration::from_secs(60));
--- a/crates/control/mesh-membership/tests/support/mod.rs
+++ b/crates/control/mesh-membership/tests/support/mod.rs
@@ -1,23 +1,23 @@
-//! One node with neighbours of the test's own making.
+//! One node under test, with neighbours simulated by the test.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 use silvercross_mesh_membership::*;
 use silvercross_time::{Duration, Instant};
 
-/// The beginning of every test.
+/// Start time of every test.
 pub const START: Instant = Instant::ZERO;
 
-/// So many microseconds after the beginning.
+/// The time this many microseconds after the start.
 pub const fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
 }
 
-/// A span after the beginning.
+/// The time after `span` has passed since the start.
 pub fn after(span: Duration) -> Instant {
     START + span
 }
 
-/// All nodes are of one zone.
+/// The configuration of a node; all nodes are in the same zone.
 pub fn config(local_node: Node, is_control: bool, seed: Node, incarnation: u64) -> MembershipConfig {
     MembershipConfig {
         local_node,
@@ -34,19 +34,19 @@
     NodeRecord { node, incarnation, sequence, zone: "a".into(), is_control: false, gone: false, body: 1 }
 }
 
-/// A position directly below these control nodes.
+/// A position with the given path to a control node.
 pub fn position(path: &[Node]) -> TreePosition {
     TreePosition { path: path.to_vec(), ..TreePosition::default() }
 }
 
-/// The first message of a neighbour that knows other things.
+/// The first message of a neighbour that has different versions.
 pub fn hello(node: Node, is_control: bool) -> MembershipMessage<u32> {
     let record = NodeRecord { is_control, ..record(node, 1, 0) };
     let position = if is_control { position(&[node]) } else { TreePosition::default() };
     MembershipMessage::Hello { record, digest: 0, known_items: 9, position }
 }
 
-/// A keep-alive of a node directly below these control nodes.
+/// A keep-alive of a node with the given path to a control node.
 pub fn keepalive(path: &[Node]) -> MembershipMessage<u32> {
     MembershipMessage::KeepAlive { digest: 0, wants_reply: false, position: position(path) }
 }
@@ -60,17 +60,17 @@
 }
 
 /// The node under test.
-pub const ME: Node = Node(10);
+pub const LOCAL_NODE: Node = Node(10);
 /// Its parent.
 pub const PARENT: Node = Node(1);
-/// The nodes that it is linked with.
+/// Its linked neighbours.
 pub const LINKED: [Node; 3] = [PARENT, Node(20), Node(21)];
-/// A control entry's.
+/// Key of the control entry used in tests.
 pub const KEY: &str = "k";
 
-/// The node with its links up.
+/// The node under test with its links up.
 pub fn linked_membership() -> Membership<u32> {
-    let mut membership = Membership::new(START, config(ME, false, PARENT, 5), 0);
+    let mut membership = Membership::new(START, config(LOCAL_NODE, false, PARENT, 5), 0);
     for node in LINKED {
         membership.link_up(START, node);
         membership.receive(START, node, hello(node, node == PARENT));
@@ -79,12 +79,12 @@
     membership
 }
 
-/// A revision of the entry.
+/// The control entry in a given revision and size.
 pub fn entry(revision: Revision, bytes: usize) -> ControlEntry {
     ControlEntry { key: KEY.into(), revision, bytes: vec![1; bytes] }
 }
 
-/// To whom updates of records were sent.
+/// Receivers of record updates.
 pub fn record_updates(effects: &[Effect<u32>]) -> Vec<Node> {
     let to = |effect: &Effect<u32>| match effect {
         Effect::SendMessage { to, message: MembershipMessage::Update { .. } } => Some(*to),
--- a/crates/control/mesh-membership/tests/suspect_replies.rs
+++ b/crates/control/mesh-membership/tests/suspect_replies.rs
@@ -1,10 +1,10 @@
-//! Watchers that report to each other on a suspect: what one has heard from another is not heard anew.
+//! Watchers that report to each other on a suspect: a report received from another watcher keeps its age.
 mod support;
 use silvercross_mesh_membership::*;
 use silvercross_time::{Duration, Instant};
 use support::{after, config, heartbeat, keepalive, position, record, START};
 
-const ME: Node = Node(1);
+const LOCAL_NODE: Node = Node(1);
 const SUSPECT: Node = Node(2);
 const OTHER_WATCHER: Node = Node(3);
 const PARENT: Node = Node(9);
@@ -16,7 +16,7 @@
 /// A node that knows the suspect, the other watcher and its parent.
 fn watcher() -> Membership<u32> {
     let parent = NodeRecord { is_control: true, ..record(PARENT, 1, 1) };
-    let mut membership = Membership::new(START, config(ME, false, PARENT, 1), 1);
+    let mut membership = Membership::new(START, config(LOCAL_NODE, false, PARENT, 1), 1);
     membership.link_up(START, PARENT);
     let hello = MembershipMessage::Hello {
         record: parent.clone(),
@@ -32,7 +32,7 @@
     membership
 }
 
-/// What the other watcher is answered.
+/// Replies sent to the other watcher.
 fn answers(membership: &mut Membership<u32>) -> Vec<Datagram> {
     let effects = membership.take_effects().into_iter();
     effects
@@ -46,8 +46,8 @@
         .collect()
 }
 
-/// Time goes on; the parent and the other watcher are heard all the while.
-fn pass(membership: &mut Membership<u32>, from: Instant, to: Instant) {
+/// Passes time, during which the parent and the other watcher are heard.
+fn advance(membership: &mut Membership<u32>, from: Instant, to: Instant) {
     let mut now = from;
     while now < to {
         membership.receive(now, PARENT, keepalive(&[PARENT]));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_watcher_reports_how_long_ago_it_heard_and_hearsay_grows_no_younger() {
+fn a_watcher_reports_how_long_ago_it_heard_and_forwarded_reports_keep_their_age() {
     let mut membership = watcher();
     let ask = Datagram::Suspect { suspect: SUSPECT, incarnation: 1 };
     let heard = |millis| Datagram::SuspectAlive {
@@ -66,18 +66,19 @@
         incarnation: 1,
         elapsed: Duration::from_millis(millis),
     };
-    pass(&mut membership, START, millis(1_000));
+    advance(&mut membership, START, millis(1_000));
     membership.receive_datagram(millis(1_000), SUSPECT, heartbeat(1, 1));
-    pass(&mut membership, millis(1_000), millis(1_500));
+    advance(&mut membership, millis(1_000), millis(1_500));
     membership.take_effects();
     membership.receive_datagram(millis(1_500), OTHER_WATCHER, ask.clone());
     assert_eq!(answers(&mut membership), [heard(500)]);
-    pass(&mut membership, millis(1_500), millis(2_600));
-    // Another has heard it no later than this node: that changes nothing, however late it is reported.
+    advance(&mut membership, millis(1_500), millis(2_600));
+    // Another watcher's report is no newer than what this node heard: it has no effect, however late it
+    // arrives.
     membership.receive_datagram(millis(2_600), OTHER_WATCHER, heard(1_600));
     membership.receive_datagram(millis(2_650), OTHER_WATCHER, ask.clone());
     assert_eq!(answers(&mut membership), [heard(1_650)]);
-    pass(&mut membership, millis(2_600), millis(2_800));
+    advance(&mut membership, millis(2_600), millis(2_800));
     membership.receive_datagram(millis(2_800), OTHER_WATCHER, ask);
     let confirmed = Datagram::SuspectConfirmed { suspect: SUSPECT, incarnation: 1 };
     assert_eq!(answers(&mut membership), [confirmed]);
--- a/crates/control/mesh-membership/tests/thin_links.rs
+++ b/crates/control/mesh-membership/tests/thin_links.rs
@@ -1,9 +1,9 @@
-//! Changes that come faster than the links between sidecars carry the whole entry.
+//! An entry that changes faster than the links between sidecars can carry it.
 mod simulation;
 
 use simulation::thin_links::{longest_lag, MAX_LAG, SEND_BUFFER_BYTES};
 
-/// Seen in service as CONFIG and DENIED: each version waited behind all before it, on each level of the tree.
+/// Regression: each version waited behind all earlier ones on each level of the tree.
 #[test]
 fn no_node_falls_behind_while_changes_come_faster_than_links_carry_the_entry() {
     for seed in 1..=3 {
@@ -12,8 +12,8 @@
     }
 }
 
-/// Seen in service as CONFIG: what the system had taken of a link counted as arrived, so several superseded versions waited in its
-/// buffer on each level of the tree.
+/// Regression: data accepted by the operating system counted as received, so several superseded versions
+/// waited in its buffer on each level of the tree.
 #[test]
 fn no_node_falls_behind_while_the_system_buffers_several_versions_of_the_entry() {
     for seed in 1..=3 {
--- a/crates/control/mesh-membership/tests/wire_bytes.rs
+++ b/crates/control/mesh-membership/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The encoding of every message and datagram between machines, held to fixed bytes: machines of different builds talk to
-//! each other.
+//! The encoding of every message and datagram between machines, compared with fixed bytes: machines with
+//! different builds communicate with each other.
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_mesh_membership::{
@@ -9,10 +9,10 @@
 use silvercross_time::Duration;
 use std::fmt::{Debug, Write};
 
-/// One line per value: its name, then its encoding in hexadecimal.
+/// One line per value: its name and its encoding in hexadecimal.
 const TABLE: &str = include_str!("data/wire.hex");
 
-/// Adds the line of a value to `lines`, after reading the value back from its encoding.
+/// Adds the line of a value to `lines` after decoding the encoded value.
 fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
     let bytes = bitcode::encode(&value);
     assert_eq!(bitcode::decode::<T>(&bytes).as_ref().ok(), Some(&value), "{name}");
