--- a/crates/control/event-feed/src/cursor_text.rs
+++ b/crates/control/event-feed/src/cursor_text.rs
@@ -151,7 +151,7 @@
             return Err(CursorError::TooLong);
         }
         let bytes = decode_base64(text)?;
-        let body_len = bytes.len().checked_sub(4).ok_or(CursorError::CutShort)?;
+        let body_len = bytes.len().checked_sub(4).ok_or(CursorError::TooShort)?;
         let (body, checksum) = bytes.split_at(body_len);
         if checksum != short_hash(body).to_le_bytes() {
             return Err(CursorError::BadChecksum);
--- a/crates/control/event-feed/src/error.rs
+++ b/crates/control/event-feed/src/error.rs
@@ -9,7 +9,7 @@
     /// A character outside of the alphabet of base64url (RFC 4648, section 5).
     BadCharacter,
     /// Too short to hold its check sum.
-    CutShort,
+    TooShort,
     /// The check sum is of another text.
     BadChecksum,
     /// Written in a format that this version does not know.
@@ -23,7 +23,7 @@
         match self {
             CursorError::TooLong => "it is too long",
             CursorError::BadCharacter => "a letter is foreign",
-            CursorError::CutShort => "it is cut short",
+            CursorError::TooShort => "it is cut short",
             CursorError::BadChecksum => "it is cut short or changed",
             CursorError::UnknownFormat => "it is of another version",
             CursorError::Malformed => "it does not hold together",
--- a/crates/control/event-feed/tests/cursor_text.rs
+++ b/crates/control/event-feed/tests/cursor_text.rs
@@ -41,7 +41,7 @@
 fn an_error_says_what_is_wrong_with_the_text() {
     let text = Cursor::default().to_text();
     assert_eq!(Cursor::parse("a b"), Err(CursorError::BadCharacter));
-    assert_eq!(Cursor::parse("AAA"), Err(CursorError::CutShort));
+    assert_eq!(Cursor::parse("AAA"), Err(CursorError::TooShort));
     assert_eq!(Cursor::parse(&text.replace("AQ", "AB")), Err(CursorError::BadChecksum));
     assert_eq!(Cursor::parse(&"A".repeat((8 << 20) + 1)), Err(CursorError::TooLong));
     // With check sums that fit: format 2, and a key announced that does not come.
