--- a/crates/control/admission/src/controller.rs
+++ b/crates/control/admission/src/controller.rs
@@ -1,10 +1,9 @@
-//! The controller's state, and what callers may look at. Decides nothing itself; its parts stand in files of their own, each
-//! an `impl` of [`AdmissionController`]:
+//! The controller's state and its accessors. The logic is in further `impl` blocks of [`AdmissionController`]:
 //!
-//! - `upstream_events`: what is known of the upstream changes;
-//! - `request_events`: a request asks, begins and ends;
-//! - `capacity`: how many may be in flight, how long a request would wait, why nothing is admitted;
-//! - `timer`: pending requests are admitted or rejected as time goes on.
+//! - `upstream_events`: changes of the upstream's known state;
+//! - `request_events`: arrival, begin and end of requests;
+//! - `capacity`: concurrency limits, expected waits, reasons to admit nothing;
+//! - `timer`: admission and rejection of pending requests as time passes.
 use crate::attempt_ids::AttemptIds;
 use crate::decision::Effect;
 use crate::in_flight::InFlight;
@@ -17,7 +16,7 @@
 use silvercross_time::{Duration, Instant};
 use std::collections::VecDeque;
 
-/// A lower limit of requests in flight, after the upstream was full sooner than thought.
+/// A temporary lower limit on requests in flight, set when the upstream rejects a request as full.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoweredLimit {
     pub(crate) limit: u32,
@@ -26,20 +25,21 @@
 
 /// Admission to one upstream.
 ///
-/// Pending requests are at most four times the slots, 16 at least: at that bound the newest of the lowest priority is
-/// rejected. Those in flight are at most the concurrency limit for each incarnation of the upstream whose requests the
-/// caller has not yet finished. Effects are bounded by those that were pending, as long as the caller takes them.
+/// Memory is bounded. Pending requests are limited to four times the slots, or 16 if that is more; at the limit the newest
+/// of the lowest priority is rejected. Requests in flight are at most the concurrency limit for each incarnation of the
+/// upstream whose requests the caller has not yet finished. Effects are bounded by the requests that were pending, provided
+/// that the caller takes them.
 #[derive(Debug)]
 pub struct AdmissionController {
     pub(crate) settings: AdmissionSettings,
     pub(crate) limits: UpstreamLimits,
-    /// The latest time that the caller gave.
+    /// The latest time that a caller passed.
     pub(crate) now: Instant,
     pub(crate) report: Option<UpstreamReport>,
     pub(crate) state: UpstreamState,
-    /// Ids of incarnations that ended; at most `MAX_ENDED_INCARNATIONS`.
-    pub(crate) ended: VecDeque<String>,
-    /// The last draining of this incarnation.
+    /// Ids of ended incarnations; at most `MAX_ENDED_INCARNATIONS`.
+    pub(crate) ended_incarnations: VecDeque<String>,
+    /// The last drain of this incarnation.
     pub(crate) last_drain: Option<LastDrain>,
     pub(crate) is_evacuated: bool,
     pub(crate) warmup_ends: WarmupEnds,
@@ -47,15 +47,15 @@
     pub(crate) pending: PendingQueue,
     pub(crate) in_flight: InFlight,
     pub(crate) lowered_limit: Option<LoweredLimit>,
-    /// How long a request is in flight, smoothed; `None`: not known of this incarnation.
+    /// The smoothed time that a request is in flight; `None`: unknown for this incarnation.
     pub(crate) service_time: Option<Duration>,
-    pub(crate) ids: AttemptIds,
+    pub(crate) attempt_ids: AttemptIds,
     pub(crate) effects: Vec<Effect>,
     pub(crate) metrics: Metrics,
 }
 
 impl AdmissionController {
-    /// Admission to an upstream that is not there yet.
+    /// A controller for an upstream that has sent no heartbeat yet.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
@@ -63,7 +63,7 @@
             now: Instant::ZERO - MAX_SPAN,
             report: None,
             state: UpstreamState::Silent,
-            ended: VecDeque::new(),
+            ended_incarnations: VecDeque::new(),
             last_drain: None,
             is_evacuated: false,
             warmup_ends: WarmupEnds::NONE,
@@ -72,41 +72,41 @@
             in_flight: InFlight::default(),
             lowered_limit: None,
             service_time: None,
-            ids: AttemptIds::default(),
+            attempt_ids: AttemptIds::default(),
             effects: Vec::new(),
             metrics: Metrics::default(),
         }
     }
 
-    /// What happened to those that were pending, in order, since the last call.
+    /// Takes the decisions on pending requests since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The upstream as it is known, if there was a heartbeat.
+    /// The known state of the upstream; `None` before its first heartbeat.
     pub fn upstream(&self) -> Option<Upstream> {
         let report = self.report.clone()?;
         let (state, is_evacuated, warming_until) = (self.state, self.is_evacuated, self.warmup_ends.latest());
         Some(Upstream { report, state, is_evacuated, warming_until })
     }
 
-    /// How busy the present incarnation of the upstream is.
+    /// The present load of the current incarnation of the upstream.
     pub fn load(&self) -> Load {
-        Load { in_flight: self.in_flight.at_present() as usize, pending: self.pending.len() }
+        Load { in_flight: self.in_flight.current_count() as usize, pending: self.pending.len() }
     }
 
-    /// Counters since the start, and what was learned.
+    /// Counters since the start, and learned values.
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
 
-    /// Time as it is taken here: it never goes back, and sums with spans don't overflow.
-    pub(crate) fn note_time(&mut self, now: Instant) -> Instant {
+    /// Advances the controller's time, which never goes back and is bounded so that sums with spans don't overflow.
+    pub(crate) fn advance_time(&mut self, now: Instant) -> Instant {
         self.now = self.now.max(now.min(Instant::ZERO + MAX_SPAN));
         self.now
     }
 
-    /// Whether the upstream has this id.
+    /// Whether the current incarnation has this id.
     pub(crate) fn is_upstream(&self, id: &str) -> bool {
         self.report.as_ref().is_some_and(|report| report.id == id)
     }
--- a/crates/control/admission/src/decision.rs
+++ b/crates/control/admission/src/decision.rs
@@ -1,35 +1,35 @@
-//! What is decided on requests: at once, or later for one that was pending.
+//! Decisions on requests: immediate ones, and later ones for pending requests.
 use crate::rejection::Rejection;
 use silvercross_time::Duration;
 
-/// What happens to a request that asks to be admitted.
+/// The immediate decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// It may be sent now.
     Admitted,
-    /// It is pending; an [`Effect`] with its number follows, unless the caller abandons it.
+    /// It is pending: an [`Effect`] with its number follows, unless the caller abandons it.
     Pending,
     /// It is rejected.
     Rejected {
-        /// For what reason.
+        /// Why.
         reason: Rejection,
-        /// When to try here again at the earliest, if that is known.
+        /// How long to wait before a retry here, if that is known.
         retry_after: Option<Duration>,
     },
 }
 
-/// What happens to a request that was pending.
+/// The decision on a request that was pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// The request with this number may be sent now.
     Admitted(u64),
     /// It is rejected.
     Rejected {
-        /// The caller's handle.
+        /// The request's number.
         number: u64,
-        /// For what reason.
+        /// Why.
         reason: Rejection,
-        /// When to try here again at the earliest, if that is known.
+        /// How long to wait before a retry here, if that is known.
         retry_after: Option<Duration>,
     },
 }
--- a/crates/control/admission/src/lib.rs
+++ b/crates/control/admission/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the sidecar beside an upstream admits to it.
+//! Admission control for the upstream behind a sidecar.
 //!
-//! The only way to an upstream leads through this process, so the rules about what reaches it are kept here exactly,
-//! whatever the rest of the mesh believes: its id and service, its draining, the evacuation of its zone, the rate it
-//! bears while it warms up, the work it takes at a time, and that nothing that may run only once is sent twice.
+//! All requests to an upstream pass through its sidecar, so the limits are enforced here even when the rest of the mesh
+//! has stale information: the upstream's id and service, its draining, the evacuation of its zone, the rate while it
+//! warms up, its concurrency, and that a non-idempotent request is not sent twice.
 //!
-//! There is no clock, no thread and no I/O here: time comes with each call, and what is decided goes back as values.
+//! The package has no clock, threads or I/O: callers pass the time with each call and get decisions as return values.
 //!
-//! On reading go on with [`AdmissionController`] (`controller.rs`), which lists the files that implement its parts.
+//! Start reading at [`AdmissionController`] (`controller.rs`), which lists the files that implement its parts.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
--- a/crates/control/admission/src/pending_queue.rs
+++ b/crates/control/admission/src/pending_queue.rs
@@ -1,13 +1,13 @@
-//! The requests that wait to be admitted, by priority and then in the order in which they came.
+//! Requests that wait to be admitted, ordered by priority and then by arrival.
 use silvercross_time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The position of a pending request: its priority, then its turn.
+/// The position of a pending request: by priority, then by arrival.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct QueuePosition {
     pub(crate) priority: u32,
-    turn: u64,
+    sequence: u64,
 }
 
 /// A request that waits to be admitted.
@@ -17,7 +17,7 @@
     pub(crate) attempt_id: Arc<str>,
     pub(crate) is_idempotent: bool,
     pub(crate) is_retry: bool,
-    /// It is rejected then.
+    /// When it is rejected unless it is admitted before.
     pub(crate) until: Instant,
     pub(crate) deadline: Instant,
 }
@@ -29,13 +29,13 @@
     pub(crate) position: QueuePosition,
 }
 
-/// All pending requests. Invariant: `positions` and `expiries` have exactly one item for each of `requests`.
+/// All pending requests. Invariant: `positions` and `expiries` have exactly one entry for each of `requests`.
 #[derive(Debug, Default)]
 pub(crate) struct PendingQueue {
     requests: BTreeMap<QueuePosition, PendingRequest>,
     positions: BTreeMap<u64, QueuePosition>,
     expiries: BTreeSet<Expiry>,
-    next_turn: u64,
+    next_sequence: u64,
 }
 
 impl PendingQueue {
@@ -55,36 +55,36 @@
         self.requests.get(&position)
     }
 
-    /// The one that is admitted next.
+    /// The request that is admitted next.
     pub(crate) fn first(&self) -> Option<QueuePosition> {
         self.requests.keys().next().copied()
     }
 
-    /// The newest of the lowest priority.
+    /// The newest request of the lowest priority.
     pub(crate) fn last(&self) -> Option<QueuePosition> {
         self.requests.keys().next_back().copied()
     }
 
-    /// The one that is rejected next, and when.
+    /// The request whose pending time ends first, and when.
     pub(crate) fn next_expiry(&self) -> Option<Expiry> {
         self.expiries.first().copied()
     }
 
-    /// How many would be before a new one of this priority.
+    /// How many requests would be ahead of a new one of this priority.
     pub(crate) fn count_ahead_of(&self, priority: u32) -> usize {
-        self.requests.range(..=QueuePosition { priority, turn: u64::MAX }).count()
+        self.requests.range(..=QueuePosition { priority, sequence: u64::MAX }).count()
     }
 
-    /// Puts one in, behind those of its priority.
+    /// Adds a request behind those of its priority.
     pub(crate) fn push(&mut self, priority: u32, request: PendingRequest) {
-        let position = QueuePosition { priority, turn: self.next_turn };
-        self.next_turn += 1;
+        let position = QueuePosition { priority, sequence: self.next_sequence };
+        self.next_sequence += 1;
         self.positions.insert(request.number, position);
         self.expiries.insert(Expiry { at: request.until, position });
         self.requests.insert(position, request);
     }
 
-    /// Takes one out.
+    /// Removes the request at a position.
     pub(crate) fn take(&mut self, position: QueuePosition) -> Option<PendingRequest> {
         let request = self.requests.remove(&position)?;
         self.positions.remove(&request.number);
@@ -92,7 +92,7 @@
         Some(request)
     }
 
-    /// Takes out the one with this number.
+    /// Removes the request with this number.
     pub(crate) fn take_number(&mut self, number: u64) -> Option<PendingRequest> {
         let position = self.positions.get(&number).copied()?;
         self.take(position)
--- a/crates/control/admission/src/rejection.rs
+++ b/crates/control/admission/src/rejection.rs
@@ -1,28 +1,28 @@
 //! Why a request is rejected.
 
-/// Why a request is rejected. Each but `Duplicate` is a promise that it was not begun here.
+/// Why a request is rejected. Every reason but `Duplicate` guarantees that the request was not begun here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rejection {
-    /// There is no upstream, or it is silent or has signed off.
+    /// No upstream has sent a heartbeat yet, or it is silent or has signed off.
     NoUpstream,
-    /// Another upstream or another service was asked for.
+    /// The request is for another upstream or another service.
     WrongUpstream,
-    /// The upstream drains and its time for new requests is over.
+    /// The upstream is draining, and its time for new requests is over.
     Draining,
-    /// The zone is evacuated.
+    /// The upstream's zone is evacuated.
     Evacuated,
-    /// The upstream warms up and bears no more in time.
+    /// The upstream is warming up, and the limits for that don't admit the request in time.
     WarmingUp,
-    /// The upstream has no capacity in time.
+    /// The upstream, the queue or the memory for attempt ids has no capacity in time.
     AtCapacity,
-    /// The id may run only once, by its own word or that of the one before, and is pending here, in flight, or was sent.
-    /// No promise: it may have run.
+    /// An attempt with this id is pending or in flight and one of the two is not idempotent, a non-idempotent attempt with
+    /// it was begun here, or the number is in use. No guarantee: the earlier attempt may have run.
     Duplicate,
-    /// Its deadline has passed.
+    /// The request's deadline has passed.
     DeadlinePassed,
 }
 
 impl Rejection {
-    /// How many reasons there are.
+    /// The number of reasons.
     pub const COUNT: usize = 8;
 }
--- a/crates/control/admission/src/request.rs
+++ b/crates/control/admission/src/request.rs
@@ -1,26 +1,26 @@
-//! A request that asks to be admitted.
+//! The request to be admitted.
 use silvercross_time::Duration;
 
-/// A request that asks to be admitted.
+/// A request to be admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// The caller's handle; not in use by another that is pending or in flight.
+    /// The caller's number for it, unique among the requests that are pending or in flight.
     pub number: u64,
-    /// The id of the attempt. Its length is the caller's to bound.
+    /// The id of the attempt. The caller limits its length.
     pub attempt_id: String,
-    /// The id of the upstream that it is meant for, if it names one.
+    /// The id of the upstream incarnation that it is for, if it names one.
     pub expected_upstream: Option<String>,
-    /// The service that it is meant for.
+    /// The service that it is for.
     pub service: String,
-    /// Its priority; 0 goes first.
+    /// Its priority; 0 is the highest.
     pub priority: u32,
-    /// It may run more than once.
+    /// Whether it may safely run more than once.
     pub is_idempotent: bool,
-    /// It is not the first attempt of its request.
+    /// Whether it is a further attempt of a request.
     pub is_retry: bool,
     /// The time left until its latency target; may be negative.
     pub latency_target: Duration,
-    /// How long it may be pending here at most.
+    /// The longest time that it may be pending.
     pub max_pending: Duration,
     /// The time left until its deadline.
     pub timeout: Duration,
--- a/crates/control/admission/src/upstream.rs
+++ b/crates/control/admission/src/upstream.rs
@@ -1,57 +1,57 @@
-//! The upstream as it is known here.
+//! The known state of the upstream.
 use silvercross_time::Instant;
 
-/// What the present incarnation of the upstream reports of itself in its heartbeat.
+/// What the current incarnation of the upstream reports in its heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamReport {
     /// The id of this incarnation.
     pub id: String,
-    /// The service that it is of.
+    /// The service that it belongs to.
     pub service: String,
-    /// How many requests it works on at a time.
+    /// How many requests it processes concurrently.
     pub slots: u32,
 }
 
-/// Whether the upstream is there.
+/// Whether the upstream is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// Its last heartbeat said so.
+    /// Its last heartbeat reported it as ready.
     Ready,
-    /// It drains; it may be sent requests until this moment.
+    /// It is draining; requests may be sent to it until this time.
     Draining(Instant),
     /// It has signed off.
     SignedOff,
-    /// Nothing is heard of it.
+    /// It sends no heartbeats or refuses connections.
     Silent,
 }
 
-/// The upstream as it is known here.
+/// The known state of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// What its last heartbeat said.
+    /// The report in its last heartbeat.
     pub report: UpstreamReport,
-    /// Whether it is there.
+    /// Whether it is available.
     pub state: UpstreamState,
     /// Whether its zone is evacuated.
     pub is_evacuated: bool,
-    /// It counts as warming up until this moment.
+    /// It counts as warming up until this time.
     pub warming_until: Instant,
 }
 
-/// Until when the upstream warms up, by each source. A heartbeat may be on its way while a health response says more, so the
-/// latest of them holds.
+/// When the warm-up of the upstream ends, by source. A heartbeat may be older than a health response that arrives before it,
+/// so the latest time applies.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmupEnds {
-    /// By its last heartbeat or an evacuation's end.
+    /// From its last heartbeat, or the end of an evacuation since then.
     pub(crate) by_heartbeat: Instant,
-    /// By its last health response.
+    /// From its last health response.
     pub(crate) by_health: Instant,
-    /// After an evacuation's end, whatever it says.
+    /// The minimum after the end of an evacuation, whatever the upstream reports.
     pub(crate) by_evacuation: Instant,
 }
 
 impl WarmupEnds {
-    /// It is not known to warm up.
+    /// No warm-up is known.
     pub(crate) const NONE: WarmupEnds =
         WarmupEnds { by_heartbeat: Instant::MIN, by_health: Instant::MIN, by_evacuation: Instant::MIN };
 
@@ -60,11 +60,11 @@
     }
 }
 
-/// The last draining of an incarnation.
+/// The last drain of an incarnation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LastDrain {
-    /// Requests may be sent until then.
+    /// Requests may be sent until this time.
     pub(crate) until: Instant,
-    /// When a heartbeat took it back.
+    /// When a heartbeat reported the upstream as ready again.
     pub(crate) resumed_at: Option<Instant>,
 }
--- a/crates/control/admission/src/upstream_events.rs
+++ b/crates/control/admission/src/upstream_events.rs
@@ -1,4 +1,4 @@
-//! What is known of the upstream changes: heartbeats, draining, sign-off, silence, evacuation, warm-up and settings.
+//! Changes of the upstream's known state: heartbeats, draining, sign-off, silence, evacuation, warm-up and settings.
 use crate::controller::AdmissionController;
 use crate::limits::{MAX_ENDED_INCARNATIONS, MAX_SPAN};
 use crate::rejection::Rejection;
@@ -6,38 +6,38 @@
 use crate::upstream::{LastDrain, UpstreamReport, UpstreamState, WarmupEnds};
 use silvercross_time::{Duration, Instant};
 
-/// How long an upstream counts as warming up after the end of an evacuation, whatever it says.
+/// How long an upstream counts as warming up after the end of an evacuation, whatever it reports.
 const EVACUATION_WARMUP: Duration = Duration::from_secs(1);
-/// The margin before the end of a drain: a tenth of it, at most this.
+/// Admission closes before the end of the drain time-out, by a tenth of the time-out but at most this.
 const MAX_DRAIN_MARGIN: Duration = Duration::from_millis(250);
 
-/// A span as it is taken here: neither negative nor so long that sums overflow.
-fn bounded(span: Duration) -> Duration {
+/// Limits a span: neither negative nor so long that sums overflow.
+fn clamp_span(span: Duration) -> Duration {
     span.clamp(Duration::ZERO, MAX_SPAN)
 }
 
 impl AdmissionController {
-    /// A heartbeat says that the upstream is alive and ready. A new id is a new incarnation: what is pending for the old one
-    /// is rejected. An incarnation that signed off or was followed by another does not come back.
+    /// Processes a heartbeat that reports the upstream as ready. A new id is a new incarnation: requests pending for the old
+    /// one are rejected. Heartbeats of an incarnation that signed off or was replaced are ignored.
     pub fn heartbeat(&mut self, now: Instant, report: UpstreamReport, warmup_left: Duration) {
-        let now = self.note_time(now);
-        if self.ended.contains(&report.id) {
+        let now = self.advance_time(now);
+        if self.ended_incarnations.contains(&report.id) {
             return self.tick(now);
         }
         if self.is_upstream(&report.id) {
-            self.renew(now, &report);
+            self.continue_incarnation(now, &report);
         } else {
             self.begin_incarnation(now);
         }
         self.report = Some(report);
         self.state = UpstreamState::Ready;
-        self.warmup_ends.by_heartbeat = now + bounded(warmup_left);
+        self.warmup_ends.by_heartbeat = now + clamp_span(warmup_left);
         self.tick(now);
     }
 
-    /// A further heartbeat of the same incarnation.
-    fn renew(&mut self, now: Instant, report: &UpstreamReport) {
-        if self.report.as_ref().is_some_and(|before| before.service != report.service) {
+    /// Processes a further heartbeat of the current incarnation.
+    fn continue_incarnation(&mut self, now: Instant, report: &UpstreamReport) {
+        if self.report.as_ref().is_some_and(|previous| previous.service != report.service) {
             self.reject_all(Rejection::WrongUpstream);
         }
         if let Some(drain) = &mut self.last_drain {
@@ -45,10 +45,10 @@
         }
     }
 
-    /// The first heartbeat of an incarnation: nothing of the one before counts.
+    /// Processes the first heartbeat of an incarnation: discards the state of the previous one.
     fn begin_incarnation(&mut self, now: Instant) {
         self.reject_all(Rejection::WrongUpstream);
-        if let Some(id) = self.report.as_ref().map(|before| before.id.clone()) {
+        if let Some(id) = self.report.as_ref().map(|previous| previous.id.clone()) {
             self.remember_ended(id);
         }
         self.in_flight.begin_incarnation();
@@ -56,16 +56,16 @@
         self.lowered_limit = None;
         self.service_time = None;
         self.pacer.reset(now);
-        // Its own word on how long it warms up holds: one that has run for long is not held down because this process is new.
+        // The warm-up is only as long as the upstream reports: a warm one is not paced because this process has restarted.
         self.warmup_ends = WarmupEnds::NONE;
     }
 
-    /// The upstream's draining is acknowledged now: it is open for the time-out less a margin, then shut. Said again it
-    /// extends nothing, unless the upstream was ready for as long as the time-out in between.
+    /// Records that the upstream's drain is acknowledged now: requests are admitted for the drain time-out less a margin.
+    /// A repeated drain does not extend this, unless the upstream was ready for at least the time-out in between.
     pub fn begin_drain(&mut self, now: Instant, id: &str) {
-        let now = self.note_time(now);
+        let now = self.advance_time(now);
         if self.is_upstream(id) && matches!(self.state, UpstreamState::Ready | UpstreamState::Silent) {
-            let timeout = bounded(self.settings.drain_timeout);
+            let timeout = clamp_span(self.settings.drain_timeout);
             let until = match self.last_drain {
                 Some(LastDrain { until, resumed_at: None }) => until,
                 Some(LastDrain { until, resumed_at: Some(at) }) if now - at < timeout => until,
@@ -77,9 +77,9 @@
         self.tick(now);
     }
 
-    /// The upstream has signed off: shut at once, for good.
+    /// The upstream has signed off: nothing more is admitted to this incarnation.
     pub fn signed_off(&mut self, now: Instant, id: &str) {
-        let now = self.note_time(now);
+        let now = self.advance_time(now);
         if self.is_upstream(id) {
             self.state = UpstreamState::SignedOff;
             self.remember_ended(id.to_owned());
@@ -87,58 +87,58 @@
         self.tick(now);
     }
 
-    /// Its heartbeats stopped or a connection was refused: shut until the next heartbeat.
+    /// The upstream's heartbeats stopped or it refused a connection: nothing is admitted until the next heartbeat.
     pub fn set_silent(&mut self, now: Instant) {
-        let now = self.note_time(now);
+        let now = self.advance_time(now);
         if self.state != UpstreamState::SignedOff {
             self.state = UpstreamState::Silent;
         }
         self.tick(now);
     }
 
-    /// Other rules from the settings. A draining that is acknowledged already keeps its moment.
+    /// Replaces the settings. A drain that is already acknowledged keeps its end time.
     pub fn set_settings(&mut self, now: Instant, settings: AdmissionSettings) {
-        let now = self.note_time(now);
+        let now = self.advance_time(now);
         self.settings = settings;
         self.pacer.set_rate(&self.settings, &self.limits);
         self.tick(now);
     }
 
-    /// The operator's item of the service.
+    /// Replaces the limits of the upstream's service.
     pub fn set_limits(&mut self, now: Instant, limits: UpstreamLimits) {
-        let now = self.note_time(now);
+        let now = self.advance_time(now);
         self.limits = limits;
         self.pacer.set_rate(&self.settings, &self.limits);
         self.tick(now);
     }
 
-    /// The zone is evacuated, or no longer. The end leaves the upstream warming up for the span of its service, unless it
-    /// says otherwise after it.
+    /// Starts or ends the evacuation of the upstream's zone. After the end, the upstream counts as warming up for the
+    /// service's `warmup_span`, unless a later heartbeat reports otherwise.
     pub fn set_evacuated(&mut self, now: Instant, is_evacuated: bool) {
-        let now = self.note_time(now);
+        let now = self.advance_time(now);
         if self.is_evacuated && !is_evacuated {
             let ends = &mut self.warmup_ends;
-            ends.by_heartbeat = ends.by_heartbeat.max(now + bounded(self.limits.warmup_span));
+            ends.by_heartbeat = ends.by_heartbeat.max(now + clamp_span(self.limits.warmup_span));
             ends.by_evacuation = ends.by_evacuation.max(now + EVACUATION_WARMUP);
         }
         self.is_evacuated = is_evacuated;
         self.tick(now);
     }
 
-    /// A health response of the upstream says how long it still warms up.
+    /// Records the remaining warm-up time from a health response of the upstream.
     pub fn set_warmup_left(&mut self, now: Instant, left: Duration) {
-        let now = self.note_time(now);
-        self.warmup_ends.by_health = now + bounded(left);
+        let now = self.advance_time(now);
+        self.warmup_ends.by_health = now + clamp_span(left);
         self.tick(now);
     }
 
     fn remember_ended(&mut self, id: String) {
-        if self.ended.contains(&id) {
+        if self.ended_incarnations.contains(&id) {
             return;
         }
-        if self.ended.len() >= MAX_ENDED_INCARNATIONS {
-            self.ended.pop_front();
+        if self.ended_incarnations.len() >= MAX_ENDED_INCARNATIONS {
+            self.ended_incarnations.pop_front();
         }
-        self.ended.push_back(id);
+        self.ended_incarnations.push_back(id);
     }
 }
