--- a/crates/control/admission/tests/decisions.rs
+++ b/crates/control/admission/tests/decisions.rs
@@ -1,10 +1,10 @@
-//! Single decisions of the controller.
+//! Examples of the controller's decisions.
 mod support;
 use silvercross_admission::*;
 use silvercross_time::{Duration, Instant};
 use support::{at, ms, report, secs, SERVICE};
 
-/// A controller before upstream `a`, which has been ready since the beginning.
+/// A controller for upstream `a`, which is ready and warm from the start.
 fn controller(slots: u32) -> AdmissionController {
     let settings = AdmissionSettings { drain_timeout: secs(4), warmup_overrun: 1.0, warmup_slack: 5.0 };
     let limits = UpstreamLimits { max_connections: 130, warmup_rate: 20.0, warmup_span: secs(3) };
@@ -29,7 +29,7 @@
     }
 }
 
-/// A request of the highest priority that is not to be pending.
+/// A request of the highest priority that is not allowed to be pending.
 fn urgent(number: u64) -> AdmissionRequest {
     request(number, 0, Duration::ZERO)
 }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Admits requests of these numbers at once.
+/// Admits requests with these numbers immediately.
 fn admit_all(controller: &mut AdmissionController, now: Instant, numbers: std::ops::Range<u64>) {
     for number in numbers {
         assert_eq!(controller.admit(now, &urgent(number)), Decision::Admitted);
@@ -57,7 +57,7 @@
     assert!(controller.may_begin(at(13_740), 1));
     assert!(!controller.may_begin(at(13_750), 1));
     assert_eq!(reason(controller.admit(at(13_750), &urgent(2))), Some(Rejection::Draining));
-    // A heartbeat that says ready opens again, but one that came late buys no further time.
+    // A ready heartbeat reopens admission, but a second drain soon after it does not extend the first.
     controller.heartbeat(at(14_000), report("a", 4), Duration::ZERO);
     assert_eq!(controller.admit(at(14_000), &urgent(3)), Decision::Admitted);
     controller.begin_drain(at(14_001), "a");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_request_that_was_begun_here_gets_no_promise_even_when_shut() {
+fn a_repeated_attempt_that_was_begun_is_a_duplicate_even_when_closed() {
     let mut controller = controller(4);
     assert_eq!(controller.admit(at(2_000), &urgent(1)), Decision::Admitted);
     controller.begin(at(2_000), 1);
@@ -89,7 +89,7 @@
     assert_eq!(reason(controller.admit(at(3_000), &again(2))), Some(Rejection::Duplicate));
     let forgotten = at(2_000) + ID_RETENTION;
     assert_eq!(reason(controller.admit(forgotten, &again(3))), Some(Rejection::DeadlinePassed));
-    // Rejected by the upstream or never begun: it did not run.
+    // A request that the upstream rejected or that was never begun did not run: its id may be used again.
     let now = at(70_000);
     controller.heartbeat(now, report("a", 4), Duration::ZERO);
     for (number, is_begun) in [(10, true), (11, false)] {
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn evacuation_shuts_and_leaves_the_upstream_warming_up() {
+fn evacuation_stops_admission_and_leaves_the_upstream_warming_up() {
     let mut controller = controller(1);
     admit_all(&mut controller, at(2_000), 0..3);
     assert_eq!(controller.admit(at(2_000), &request(3, 0, secs(1))), Decision::Pending);
@@ -139,20 +139,20 @@
 }
 
 #[test]
-fn a_request_that_would_be_pending_in_vain_is_rejected_at_once() {
+fn a_request_that_would_wait_too_long_is_rejected_immediately() {
     let mut controller = controller(2);
     admit_all(&mut controller, at(2_000), 0..4);
     (0..4).for_each(|number| controller.begin(at(2_000), number));
     (0..4).for_each(|number| controller.finish(at(2_400), number));
     let now = at(3_000);
     admit_all(&mut controller, now, 4..8);
-    // Capacity comes free each 100 ms: two wait 100 and 200 ms, and a third has less patience than its turn needs.
+    // Capacity becomes free every 100 ms: two requests wait 100 and 200 ms, a third would wait longer than it may.
     assert_eq!(controller.admit(now, &request(8, 1, ms(250))), Decision::Pending);
     assert_eq!(controller.admit(now, &request(9, 1, ms(250))), Decision::Pending);
     let rejected = Decision::Rejected { reason: Rejection::AtCapacity, retry_after: Some(ms(300)) };
     assert_eq!(controller.admit(now, &request(10, 1, ms(250))), rejected);
     assert_eq!(controller.admit(now, &request(11, 0, ms(250))), Decision::Pending);
-    // Its patience is for its latency target, which is lost 400 ms before.
+    // A request is rejected when its latency target can no longer be met: 400 ms, one service time, before it.
     controller.tick(now + ms(250));
     assert_eq!(controller.take_effects().len(), 3);
     assert_eq!(controller.admit(now + ms(250), &request(12, 1, secs(1))), Decision::Pending);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn an_upstream_that_is_full_too_soon_gets_less_for_a_while() {
+fn a_rejection_by_the_upstream_lowers_the_concurrency_limit_for_a_while() {
     let mut controller = controller(2);
     let now = at(2_000);
     admit_all(&mut controller, now, 0..4);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn an_upstream_that_warms_up_gets_an_even_flow_and_the_rest_is_rejected_as_such() {
+fn an_upstream_that_warms_up_is_paced_and_excess_requests_are_rejected() {
     let mut controller = controller(40);
     controller.set_warmup_left(at(5_000), secs(10));
     let (mut admitted, mut rejected) = (0, 0);
@@ -194,7 +194,7 @@
             }
         }
     }
-    // 20 a second, four fifths of what the rule allows: neither starved nor pressed.
+    // 20 requests per second, four fifths of the allowed rate of 25.
     assert!((58..=64).contains(&admitted), "{admitted} admitted, {rejected} rejected");
     assert_eq!(controller.admit(at(8_000), &request(9_000, 0, ms(100))), Decision::Pending);
     let next = controller.next_deadline().expect("one is pending");
@@ -206,17 +206,17 @@
 fn a_warm_upstream_is_not_paced_because_its_controller_is_new() {
     let mut controller = controller(40);
     let warm = (1..=30).all(|n| controller.admit(at(n as i64), &urgent(n)) == Decision::Admitted);
-    assert!(warm, "its first heartbeat said that it is warm");
+    assert!(warm, "its first heartbeat reported that it is warm");
     controller.heartbeat(at(1_000), report("b", 40), secs(2));
     let other = |n| AdmissionRequest { expected_upstream: Some("b".into()), ..urgent(n) };
     let admitted =
         (100..160).filter(|n| controller.admit(at(1_000 + *n as i64), &other(*n)) == Decision::Admitted);
     let admitted = admitted.count();
-    assert!(admitted <= 10, "{admitted} at once to one that said it warms up");
+    assert!(admitted <= 10, "{admitted} admitted to an upstream that is warming up");
 }
 
 #[test]
-fn remembered_ids_have_a_bound() {
+fn remembered_ids_are_bounded() {
     let mut controller = controller(4);
     let now = at(2_000);
     for number in 0..MAX_REMEMBERED_IDS as u64 {
--- a/crates/control/admission/tests/recount.rs
+++ b/crates/control/admission/tests/recount.rs
@@ -1,4 +1,4 @@
-//! The controller against a slow plain checker that recounts everything that it admitted.
+//! Compares the controller with a slow reference model that recounts everything that was admitted.
 mod support;
 use bolero::generator::*;
 use silvercross_admission::*;
@@ -6,30 +6,30 @@
 use std::collections::BTreeMap;
 use support::{at, ms, secs, SERVICE};
 
-/// What a rejected request may be asked to stay away for.
+/// The range of `retry_after`.
 const RETRY_AFTER: std::ops::RangeInclusive<Duration> = ms(50)..=secs(1);
-/// The part of the rule for the warm-up rate that is used.
-const SAFE_PART: f64 = 0.8;
+/// The part of the allowed warm-up rate that is used.
+const SAFETY_FACTOR: f64 = 0.8;
 
-/// A request as the checker remembers it.
+/// A request that is pending or in flight.
 #[derive(Clone, Debug)]
-struct Asked {
+struct TrackedRequest {
     attempt_id: String,
     incarnation: u32,
     priority: u32,
     is_idempotent: bool,
-    /// It is admitted before this.
-    latest: Instant,
+    /// It must be admitted before this time.
+    admit_before: Instant,
     is_begun: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SentRequest {
     at: Instant,
     incarnation: u32,
 }
 
-/// Until when the upstream warms up, by each source.
+/// When the warm-up of the upstream ends, by source.
 #[derive(Clone, Copy, Debug)]
 struct WarmupEnds {
     by_heartbeat: Instant,
@@ -46,7 +46,7 @@
     }
 }
 
-/// One step, drawn: what happens, after how long, and two numbers that say to what.
+/// A random step: the operation, the pause before it and two operands.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct Step {
     kind: u8,
@@ -55,29 +55,29 @@
     y: u8,
 }
 
-/// What the checker knows: plain facts, recounted at each step.
-struct Checker {
+/// The reference model and the controller under test.
+struct ReferenceModel {
     admission: AdmissionController,
     settings: AdmissionSettings,
     limits: UpstreamLimits,
     now: Instant,
     incarnation: u32,
     slots: u32,
-    is_there: bool,
+    is_available: bool,
     is_signed_off: bool,
     draining_since: Option<Instant>,
     is_evacuated: bool,
     warmup_ends: WarmupEnds,
-    pending: Vec<(u64, Asked)>,
-    in_flight: BTreeMap<u64, Asked>,
-    sent: Vec<Sent>,
-    /// When each id that may not run again ended.
-    ran: BTreeMap<String, Instant>,
+    pending: Vec<(u64, TrackedRequest)>,
+    in_flight: BTreeMap<u64, TrackedRequest>,
+    sent: Vec<SentRequest>,
+    /// When each attempt id that may not run again ended.
+    ran_ids: BTreeMap<String, Instant>,
     next_number: u64,
-    answered: u64,
+    decided_count: u64,
 }
 
-impl Checker {
+impl ReferenceModel {
     fn new(a: u8, b: u8) -> Self {
         let settings = AdmissionSettings {
             drain_timeout: secs(i64::from(a % 5)),
@@ -91,14 +91,14 @@
         };
         let mut admission = AdmissionController::new(settings);
         admission.set_limits(at(0), limits);
-        Checker {
+        ReferenceModel {
             admission,
             settings,
             limits,
             now: at(0),
             incarnation: 0,
             slots: 1,
-            is_there: false,
+            is_available: false,
             is_signed_off: false,
             draining_since: None,
             is_evacuated: false,
@@ -106,9 +106,9 @@
             pending: Vec::new(),
             in_flight: BTreeMap::new(),
             sent: Vec::new(),
-            ran: BTreeMap::new(),
+            ran_ids: BTreeMap::new(),
             next_number: 0,
-            answered: 0,
+            decided_count: 0,
         }
     }
 
@@ -120,8 +120,8 @@
         self.now < self.warmup_ends.latest()
     }
 
-    fn in_flight_here(&self) -> usize {
-        self.in_flight.values().filter(|asked| asked.incarnation == self.incarnation).count()
+    fn in_flight_count(&self) -> usize {
+        self.in_flight.values().filter(|tracked| tracked.incarnation == self.incarnation).count()
     }
 
     fn concurrency_limit(&self) -> usize {
@@ -133,23 +133,26 @@
         (if self.is_warming_up() { limit.min((self.slots / 2).max(1)) } else { limit }) as usize
     }
 
-    /// A request is admitted now: every rule is counted anew.
-    fn check_admitted(&mut self, number: u64, asked: Asked) {
-        assert!(self.is_there && !self.is_signed_off && !self.is_evacuated, "nothing is admitted while shut");
+    /// Checks all limits for a request that is admitted now.
+    fn check_admitted(&mut self, number: u64, tracked: TrackedRequest) {
+        assert!(self.is_available && !self.is_signed_off && !self.is_evacuated, "admitted while closed");
         let may_send = |since: Instant| self.now < since + self.settings.drain_timeout;
-        assert!(self.draining_since.is_none_or(may_send), "nothing after the drain time-out");
-        assert_eq!(asked.incarnation, self.incarnation, "what was meant for one does not reach another");
-        assert!(self.in_flight_here() < self.concurrency_limit(), "more at a time than the limit");
-        if !asked.is_idempotent {
-            let is_other = |other: &Asked| other.attempt_id != asked.attempt_id;
-            assert!(self.in_flight.values().all(is_other), "in flight twice");
+        assert!(self.draining_since.is_none_or(may_send), "admitted after the drain time-out");
+        assert_eq!(
+            tracked.incarnation, self.incarnation,
+            "admitted to another incarnation than it arrived for"
+        );
+        assert!(self.in_flight_count() < self.concurrency_limit(), "concurrency limit exceeded");
+        if !tracked.is_idempotent {
+            let is_other = |other: &TrackedRequest| other.attempt_id != tracked.attempt_id;
+            assert!(self.in_flight.values().all(is_other), "attempt id in flight twice");
             let is_forgotten = |ended_at: &Instant| *ended_at + ID_RETENTION <= self.now;
-            assert!(self.ran.get(&asked.attempt_id).is_none_or(is_forgotten), "run twice");
+            assert!(self.ran_ids.get(&tracked.attempt_id).is_none_or(is_forgotten), "attempt id run twice");
         }
-        self.sent.push(Sent { at: self.now, incarnation: self.incarnation });
+        self.sent.push(SentRequest { at: self.now, incarnation: self.incarnation });
         self.check_warmup_rate();
-        self.answered += 1;
-        assert!(self.in_flight.insert(number, asked).is_none(), "admitted twice");
+        self.decided_count += 1;
+        assert!(self.in_flight.insert(number, tracked).is_none(), "admitted twice");
     }
 
     fn check_warmup_rate(&self) {
@@ -157,32 +160,34 @@
         if !self.is_warming_up() || rate <= 0.0 {
             return;
         }
-        let is_recent = |sent: &&Sent| sent.incarnation == self.incarnation && sent.at >= self.now - secs(1);
+        let is_recent =
+            |sent: &&SentRequest| sent.incarnation == self.incarnation && sent.at >= self.now - secs(1);
         let sent = self.sent.iter().filter(is_recent).count() as f64;
-        let rule = rate * self.settings.warmup_overrun + self.settings.warmup_slack;
-        let is_kept = sent <= (rule * SAFE_PART).max(1.0) && sent <= rule;
-        assert!(is_kept, "{sent} in a second, {rule} allowed");
+        let max_rate = rate * self.settings.warmup_overrun + self.settings.warmup_slack;
+        let is_within_limit = sent <= (max_rate * SAFETY_FACTOR).max(1.0) && sent <= max_rate;
+        assert!(is_within_limit, "{sent} requests sent in one second, {max_rate} allowed");
         assert!(sent <= (rate * 1.2).max(1.0));
     }
 
-    /// Takes the effects in order.
-    fn settle(&mut self) {
+    /// Checks the controller's effects in order.
+    fn check_effects(&mut self) {
         for effect in self.admission.take_effects() {
             let (Effect::Admitted(number) | Effect::Rejected { number, .. }) = effect;
             let position = self.pending.iter().position(|(pending, _)| *pending == number);
-            let (_, asked) = self.pending.remove(position.expect("it was pending, and was not answered"));
+            let (_, tracked) =
+                self.pending.remove(position.expect("an effect for a request that is not pending"));
             match effect {
                 Effect::Admitted(_) => {
                     let order = self.pending.iter().map(|(number, other)| (other.priority, *number));
-                    let is_first = order.min().is_none_or(|best| (asked.priority, number) < best);
-                    assert!(is_first, "out of turn");
-                    assert!(self.now < asked.latest);
-                    self.check_admitted(number, asked);
+                    let is_first = order.min().is_none_or(|best| (tracked.priority, number) < best);
+                    assert!(is_first, "admitted out of order");
+                    assert!(self.now < tracked.admit_before);
+                    self.check_admitted(number, tracked);
                 }
                 Effect::Rejected { reason, retry_after, .. } => {
                     assert_ne!(reason, Rejection::Duplicate);
                     assert!(retry_after.is_none_or(|span| RETRY_AFTER.contains(&span)));
-                    self.answered += 1;
+                    self.decided_count += 1;
                 }
             }
         }
@@ -191,71 +196,76 @@
 
     fn check_pending(&self) {
         assert!(self.pending.len() <= 16.max(self.slots as usize * 4));
-        let may_wait = |asked: &Asked| asked.latest > self.now && asked.incarnation == self.incarnation;
-        assert!(self.pending.iter().all(|(_, asked)| may_wait(asked)), "pending too long");
-        let load = Load { in_flight: self.in_flight_here(), pending: self.pending.len() };
+        let may_wait =
+            |other: &TrackedRequest| other.admit_before > self.now && other.incarnation == self.incarnation;
+        assert!(
+            self.pending.iter().all(|(_, tracked)| may_wait(tracked)),
+            "pending too long, or for another incarnation"
+        );
+        let load = Load { in_flight: self.in_flight_count(), pending: self.pending.len() };
         assert_eq!(self.admission.load(), load);
         assert_eq!(self.admission.next_deadline().is_some(), !self.pending.is_empty());
         if let Some(deadline) = self.admission.next_deadline() {
-            assert!(deadline > self.now, "asks to be ticked at once, for ever");
+            assert!(deadline > self.now, "next_deadline is not in the future");
             let is_in_time = |since: Instant| deadline <= since + self.settings.drain_timeout;
-            assert!(self.draining_since.is_none_or(is_in_time), "rejected too late");
+            assert!(self.draining_since.is_none_or(is_in_time), "next_deadline is after the drain time-out");
             let is_warm_in_time = !self.is_warming_up() || deadline <= self.warmup_ends.latest();
-            assert!(is_warm_in_time, "warming up for too long");
+            assert!(is_warm_in_time, "next_deadline is after the end of the warm-up");
         }
     }
 
-    fn arrive(&mut self, x: u8, y: u8) {
+    fn send_request(&mut self, x: u8, y: u8) {
         let number = self.next_number;
         self.next_number += 1;
         let max_pending = [Duration::ZERO, ms(20), ms(300), secs(4)][usize::from(y >> 3 & 3)];
-        let asked = Asked {
+        let tracked = TrackedRequest {
             attempt_id: format!("attempt-{}", x % 23),
             incarnation: self.incarnation,
             priority: u32::from(y % 3),
             is_idempotent: x & 64 != 0,
-            latest: self.now + max_pending,
+            admit_before: self.now + max_pending,
             is_begun: false,
         };
         let is_late = y == 99;
         let request = AdmissionRequest {
             number,
-            attempt_id: asked.attempt_id.clone(),
+            attempt_id: tracked.attempt_id.clone(),
             expected_upstream: [None, Some(self.upstream_id()), Some("other".into())]
                 [usize::from(y >> 5).min(2)]
             .clone(),
             service: if x == 77 { "other" } else { SERVICE }.into(),
-            priority: asked.priority,
-            is_idempotent: asked.is_idempotent,
+            priority: tracked.priority,
+            is_idempotent: tracked.is_idempotent,
             is_retry: x & 32 != 0,
             latency_target: ms(600),
             max_pending,
             timeout: if is_late { Duration::ZERO } else { max_pending + secs(1) },
         };
-        let mut present = self.in_flight.values().chain(self.pending.iter().map(|(_, asked)| asked));
-        let is_known =
-            self.ran.get(&asked.attempt_id).is_some_and(|ended_at| *ended_at + ID_RETENTION > self.now)
-                || present.any(|other| {
-                    other.attempt_id == asked.attempt_id && !(other.is_idempotent && asked.is_idempotent)
+        let mut active = self.in_flight.values().chain(self.pending.iter().map(|(_, tracked)| tracked));
+        let expects_duplicate =
+            self.ran_ids.get(&tracked.attempt_id).is_some_and(|ended_at| *ended_at + ID_RETENTION > self.now)
+                || active.any(|other| {
+                    other.attempt_id == tracked.attempt_id && !(other.is_idempotent && tracked.is_idempotent)
                 });
-        let is_meant = request.service == SERVICE && request.expected_upstream.as_deref() != Some("other");
+        let is_addressed_here =
+            request.service == SERVICE && request.expected_upstream.as_deref() != Some("other");
         let decision = self.admission.admit(self.now, &request);
-        // No promise is given for one that may have run, whatever else is wrong.
+        // A request that may have run is rejected as a duplicate, whatever else is wrong with it.
         let is_duplicate = matches!(decision, Decision::Rejected { reason: Rejection::Duplicate, .. });
-        assert_eq!(is_known, is_duplicate);
+        assert_eq!(expects_duplicate, is_duplicate);
         match decision {
             Decision::Admitted => {
-                assert!(is_meant && !is_late && self.pending.is_empty());
-                self.check_admitted(number, asked);
+                assert!(is_addressed_here && !is_late && self.pending.is_empty());
+                self.check_admitted(number, tracked);
             }
             Decision::Pending => {
-                assert!(is_meant && !is_late && max_pending > Duration::ZERO);
-                // One of lower priority that had to leave for it is among the effects.
-                self.pending.push((number, asked));
+                assert!(is_addressed_here && !is_late && max_pending > Duration::ZERO);
+                // The rejection of a request of lower priority that it replaced is among the effects.
+                self.pending.push((number, tracked));
             }
             Decision::Rejected { retry_after, .. } => {
                 assert!(retry_after.is_none_or(|span| RETRY_AFTER.contains(&span)));
-                self.answered += 1;
+                self.decided_count += 1;
             }
         }
     }
@@ -271,7 +281,7 @@
     fn heartbeat(&mut self, warmup: u8) {
         let left = ms(500) * i64::from(warmup % 4);
         if self.incarnation > 0 && !self.is_signed_off {
-            self.is_there = true;
+            self.is_available = true;
             self.draining_since = None;
             self.warmup_ends.by_heartbeat = self.now + left;
         }
@@ -291,8 +301,8 @@
 
     fn drain(&mut self) {
         if self.incarnation > 0 && !self.is_signed_off {
-            // A heartbeat too, if one that says that it drains.
-            (self.is_there, self.draining_since) = (true, self.draining_since.or(Some(self.now)));
+            // Draining is reported by a heartbeat, so the upstream is available.
+            (self.is_available, self.draining_since) = (true, self.draining_since.or(Some(self.now)));
         }
         self.admission.begin_drain(self.now, &self.upstream_id());
     }
@@ -300,17 +310,17 @@
     fn evacuate(&mut self, is_short: bool) {
         self.is_evacuated = true;
         self.admission.set_evacuated(self.now, true);
-        self.settle();
+        self.check_effects();
         if is_short {
             self.end_evacuation();
         }
     }
 
-    /// A request in flight ends as the upstream answers it.
+    /// The upstream answers a request in flight.
     fn finish(&mut self, number: u64) {
-        let asked = self.in_flight.remove(&number).expect("chosen");
-        if asked.is_begun && !asked.is_idempotent {
-            self.ran.insert(asked.attempt_id, self.now);
+        let tracked = self.in_flight.remove(&number).expect("chosen");
+        if tracked.is_begun && !tracked.is_idempotent {
+            self.ran_ids.insert(tracked.attempt_id, self.now);
         }
         self.admission.finish(self.now, number);
     }
@@ -320,7 +330,7 @@
             [ms(0), ms(0), ms(1), ms(7), ms(40), ms(250), secs(1), secs(1) + Duration::from_micros(1)];
         self.now += pauses[usize::from(pause % 8)];
         self.admission.tick(self.now);
-        self.settle();
+        self.check_effects();
         let now = self.now;
         let chosen = self.in_flight.keys().copied().nth(usize::from(x) % self.in_flight.len().max(1));
         match (kind % 32, chosen) {
@@ -337,7 +347,7 @@
                 self.admission.signed_off(now, &self.upstream_id());
             }
             (6, _) if x < 128 => {
-                self.is_there = false;
+                self.is_available = false;
                 self.admission.set_silent(now);
             }
             (7, _) => self.evacuate(x < 192),
@@ -348,7 +358,7 @@
             }
             (9, _) => {
                 if let Some((number, _)) = self.pending.pop() {
-                    self.answered += 1;
+                    self.decided_count += 1;
                     self.admission.abandon(now, number);
                 }
             }
@@ -362,32 +372,32 @@
             }
             (17..=21, Some(number)) => self.finish(number),
             (10..=21, None) => {}
-            _ => self.arrive(x, y),
+            _ => self.send_request(x, y),
         }
-        self.settle();
+        self.check_effects();
     }
 }
 
 #[test]
-fn every_rule_holds_by_recount() {
+fn controller_agrees_with_the_reference_model() {
     let steps = produce::<Vec<Step>>().with().len(0usize..400);
     bolero::check!()
         .with_iterations(3000)
         .with_max_len(4096)
         .with_generator((produce::<u8>(), produce::<u8>(), steps))
         .for_each(|(a, b, steps)| {
-            let mut checker = Checker::new(*a, *b);
-            checker.step(Step { kind: 0, pause: 0, x: *a, y: *b });
+            let mut model = ReferenceModel::new(*a, *b);
+            model.step(Step { kind: 0, pause: 0, x: *a, y: *b });
             for step in steps {
-                checker.step(*step);
+                model.step(*step);
             }
-            // Ticked only when it asks, every pending request is answered in the end.
+            // With ticks only at `next_deadline`, every pending request is decided eventually.
             for _ in 0..10_000 {
-                let Some(next) = checker.admission.next_deadline() else { break };
-                checker.now = next;
-                checker.admission.tick(next);
-                checker.settle();
+                let Some(next) = model.admission.next_deadline() else { break };
+                model.now = next;
+                model.admission.tick(next);
+                model.check_effects();
             }
-            assert_eq!(checker.answered, checker.next_number, "each is answered once");
+            assert_eq!(model.decided_count, model.next_number, "every request is decided exactly once");
         });
 }
