--- a/crates/control/event-feed/src/cursor.rs
+++ b/crates/control/event-feed/src/cursor.rs
@@ -1,37 +1,37 @@
-//! How far a reader has read: a watermark for each key. Its text form is in `cursor_text`.
+//! Cursors: a watermark for each key. Their text form is in `cursor_text`.
 use crate::position::Position;
 use std::collections::BTreeMap;
 
-/// No cursor has more keys.
+/// The most keys in a cursor.
 pub const MAX_CURSOR_KEYS: usize = 65_536;
 
-/// The last that was delivered of a key.
+/// How far the history of a key was delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watermark {
-    /// Up to where its history is delivered.
+    /// The position up to which it was delivered.
     pub position: Position,
-    /// Of its state there.
+    /// The hash of the state at this position.
     pub state_hash: u32,
-    /// It has ended there: a node that no longer knows the key has nothing to deliver of it.
+    /// Whether the key had ended there. A node that doesn't know an ended key reports no gap for it.
     pub ended: bool,
-    /// The reader's filter left it out there.
+    /// Whether the reader's filter excluded the key there.
     pub is_filtered_out: bool,
 }
 
-/// How far a reader has read. Means the same at every node.
+/// How far a reader has read. Valid at every node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Cursor {
-    /// By key.
+    /// Watermarks by key.
     pub watermarks: BTreeMap<String, Watermark>,
 }
 
 impl Cursor {
-    /// A cursor of one key.
+    /// A cursor for a single key.
     pub fn for_key(key: &str, watermark: Watermark) -> Self {
         Cursor { watermarks: BTreeMap::from([(key.to_string(), watermark)]) }
     }
 
-    /// Take over whatever the other is further in. Keys beyond [`MAX_CURSOR_KEYS`] are left out.
+    /// Takes over the watermarks in which the other cursor is further. Keys beyond [`MAX_CURSOR_KEYS`] are left out.
     pub fn merge(&mut self, other: Cursor) {
         for (key, watermark) in other.watermarks {
             let old = self.watermarks.get(&key);
--- a/crates/control/event-feed/src/cursor_text.rs
+++ b/crates/control/event-feed/src/cursor_text.rs
@@ -1,18 +1,19 @@
-//! The text form of a cursor, which goes into a URL. Readers keep it, so a change of it is a new [`FORMAT_VERSION`].
+//! The text form of a cursor, for use in URLs. Readers store it, so a change of the format needs a new [`FORMAT_VERSION`].
 //!
-//! Unpadded base64url (RFC 4648, section 5) of: the format's version; the number of keys; for each key, in their order, how many
-//! bytes it shares with the one before, how many follow, these, epoch, owner, version, a byte of flags and the state's hash; and
-//! over all a check sum. Numbers are LEB128, hashes are little-endian.
+//! The text is unpadded base64url (RFC 4648, section 5) of the format version, the number of keys, an entry for each key in
+//! ascending order, and a checksum of all this. An entry consists of the number of bytes that the key shares with the
+//! previous one, the number of further bytes, these bytes, epoch, owner, version, a byte of flags and the state's hash.
+//! Numbers are LEB128, hashes are little-endian.
 use crate::cursor::{Cursor, Watermark, MAX_CURSOR_KEYS};
 use crate::error::CursorError;
 use crate::key::short_hash;
 use crate::position::Position;
 
-/// The format that is written. Another one is refused.
+/// The format version that is written; others are rejected.
 const FORMAT_VERSION: u8 = 1;
-/// No key is longer.
+/// The longest key.
 const MAX_KEY_BYTES: usize = 1024;
-/// No cursor's text is longer.
+/// The longest text of a cursor.
 const MAX_TEXT_BYTES: usize = 8 << 20;
 /// The alphabet of base64url.
 const BASE64_URL: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
@@ -21,7 +22,7 @@
 const ENDED_FLAG: u8 = 2;
 const FILTERED_OUT_FLAG: u8 = 4;
 
-fn append_number(output: &mut Vec<u8>, mut number: u64) {
+fn append_leb128(output: &mut Vec<u8>, mut number: u64) {
     while number >= 0x80 {
         output.push(number as u8 | 0x80);
         number >>= 7;
@@ -31,10 +32,10 @@
 
 fn encode_base64(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 4 / 3 + 4);
-    for three in bytes.chunks(3) {
+    for chunk in bytes.chunks(3) {
         let bits =
-            three.iter().fold(0u32, |bits, byte| bits << 8 | u32::from(*byte)) << (8 * (3 - three.len()));
-        for i in 0..=three.len() {
+            chunk.iter().fold(0u32, |bits, byte| bits << 8 | u32::from(*byte)) << (8 * (3 - chunk.len()));
+        for i in 0..=chunk.len() {
             text.push(char::from(BASE64_URL[(bits >> (18 - 6 * i)) as usize & 63]));
         }
     }
@@ -43,19 +44,19 @@
 
 fn decode_base64(text: &str) -> Result<Vec<u8>, CursorError> {
     let mut bytes = Vec::with_capacity(text.len() * 3 / 4);
-    for four in text.as_bytes().chunks(4) {
+    for chunk in text.as_bytes().chunks(4) {
         let mut bits = 0u32;
-        for character in four {
+        for character in chunk {
             let value = BASE64_URL.iter().position(|known| known == character);
             bits = bits << 6 | value.ok_or(CursorError::BadCharacter)? as u32;
         }
-        bits <<= 6 * (4 - four.len());
-        bytes.extend_from_slice(&bits.to_be_bytes()[1..four.len()]);
+        bits <<= 6 * (4 - chunk.len());
+        bytes.extend_from_slice(&bits.to_be_bytes()[1..chunk.len()]);
     }
     Ok(bytes)
 }
 
-/// What is left of a cursor's bytes. `None` from its functions: they end too early, or hold no such thing.
+/// The remaining bytes of a cursor. Its functions return `None` if the bytes end too early or don't encode such a value.
 struct Decoder<'b>(&'b [u8]);
 
 impl Decoder<'_> {
@@ -65,7 +66,7 @@
         Some(*first)
     }
 
-    fn number(&mut self) -> Option<u64> {
+    fn leb128(&mut self) -> Option<u64> {
         let mut number = 0;
         for shift in (0..64).step_by(7) {
             let byte = self.byte()?;
@@ -84,14 +85,15 @@
     }
 
     fn cursor(&mut self) -> Option<Cursor> {
-        let count = usize::try_from(self.number()?).ok().filter(|n| *n <= MAX_CURSOR_KEYS)?;
+        let count = usize::try_from(self.leb128()?).ok().filter(|n| *n <= MAX_CURSOR_KEYS)?;
         let mut cursor = Cursor::default();
         let mut key_bytes: Vec<u8> = Vec::new();
         for _ in 0..count {
-            let shared = usize::try_from(self.number()?).ok().filter(|n| *n <= key_bytes.len())?;
-            let more = usize::try_from(self.number()?).ok().filter(|n| shared + *n <= MAX_KEY_BYTES)?;
-            key_bytes.truncate(shared);
-            key_bytes.extend_from_slice(self.take(more)?);
+            let shared_len = usize::try_from(self.leb128()?).ok().filter(|n| *n <= key_bytes.len())?;
+            let suffix_len =
+                usize::try_from(self.leb128()?).ok().filter(|n| shared_len + *n <= MAX_KEY_BYTES)?;
+            key_bytes.truncate(shared_len);
+            key_bytes.extend_from_slice(self.take(suffix_len)?);
             let key = String::from_utf8(key_bytes.clone()).ok()?;
             cursor.watermarks.insert(key, self.watermark()?);
         }
@@ -99,7 +101,7 @@
     }
 
     fn watermark(&mut self) -> Option<Watermark> {
-        let (epoch, owner, version) = (self.number()?, self.number()?, self.number()?);
+        let (epoch, owner, version) = (self.leb128()?, self.leb128()?, self.leb128()?);
         let flags = self.byte()?;
         let state_hash = u32::from_le_bytes(self.take(4)?.try_into().ok()?);
         let position = Position { epoch, owner, version, is_amended: flags & AMENDED_FLAG > 0 };
@@ -116,33 +118,33 @@
 }
 
 impl Cursor {
-    /// As text: letters, digits, `-` and `_`.
+    /// Encodes the cursor as text: letters, digits, `-` and `_`.
     pub fn to_text(&self) -> String {
         let mut output = vec![FORMAT_VERSION];
-        append_number(&mut output, self.watermarks.len() as u64);
-        let mut key_before = "";
+        append_leb128(&mut output, self.watermarks.len() as u64);
+        let mut previous_key = "";
         for (key, watermark) in &self.watermarks {
-            let shared = key_before.bytes().zip(key.bytes()).take_while(|(a, b)| a == b).count();
-            append_number(&mut output, shared as u64);
-            append_number(&mut output, (key.len() - shared) as u64);
-            output.extend_from_slice(&key.as_bytes()[shared..]);
+            let shared_len = previous_key.bytes().zip(key.bytes()).take_while(|(a, b)| a == b).count();
+            append_leb128(&mut output, shared_len as u64);
+            append_leb128(&mut output, (key.len() - shared_len) as u64);
+            output.extend_from_slice(&key.as_bytes()[shared_len..]);
             let Position { epoch, owner, version, .. } = watermark.position;
             for number in [epoch, owner, version] {
-                append_number(&mut output, number);
+                append_leb128(&mut output, number);
             }
             output.push(flags(watermark));
             output.extend_from_slice(&watermark.state_hash.to_le_bytes());
-            key_before = key;
+            previous_key = key;
         }
         let checksum = short_hash(&output);
         output.extend_from_slice(&checksum.to_le_bytes());
         encode_base64(&output)
     }
 
-    /// Read a cursor's text; an empty one is an empty cursor.
+    /// Parses a cursor's text; an empty text is an empty cursor.
     ///
     /// # Errors
-    /// For any text that [`Cursor::to_text`] does not write, what is wrong with it.
+    /// What is wrong with a text that is not a valid cursor.
     pub fn parse(text: &str) -> Result<Cursor, CursorError> {
         if text.is_empty() {
             return Ok(Cursor::default());
--- a/crates/control/event-feed/src/entry.rs
+++ b/crates/control/event-feed/src/entry.rs
@@ -1,24 +1,24 @@
-//! What a reader gets: events, and gaps between them.
+//! Feed entries: events, and gaps between them.
 use crate::cursor::Watermark;
 use crate::event::Event;
 use crate::position::Position;
 use std::rc::Rc;
 
-/// Why something is not delivered.
+/// Why events are not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GapReason {
-    /// This node did not see it: it was overtaken on its way.
+    /// This node did not see them: newer ones arrived first.
     Unseen,
-    /// The reader came too late: it is no longer kept.
+    /// The reader was too slow: they are no longer kept.
     Dropped,
-    /// This node knows nothing of keys that the cursor has.
+    /// The cursor has keys that are not known at this node.
     UnknownKeys,
-    /// More keys than are kept.
+    /// There are more keys than are kept.
     TooManyKeys,
 }
 
 impl GapReason {
-    /// Its text, which is a value of the wire.
+    /// The reason as it is sent on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             GapReason::Unseen => "not seen here",
@@ -29,29 +29,30 @@
     }
 }
 
-/// What a reader gets.
+/// An entry of the feed.
 #[derive(Clone, Debug)]
 pub enum FeedEntry {
-    /// Something is not delivered; a snapshot has the present state.
+    /// Events that are not delivered; a snapshot has the present state.
     Gap {
-        /// Of which kind.
+        /// The kind of their keys.
         kind: String,
-        /// How many: versions where unseen (at most) or dropped, keys otherwise.
+        /// The number of versions for `Unseen` (an upper bound) and `Dropped`; the number of keys otherwise.
         count: u64,
-        /// And some more whose number is not known.
+        /// Whether there are more, of unknown number.
         has_more: bool,
-        /// Why.
+        /// Why they are not delivered.
         reason: GapReason,
     },
     /// An event.
     Event {
-        /// What happened.
+        /// The event.
         event: Rc<Event>,
-        /// Up to here its history was delivered or brought nothing; `None`: nothing of it was delivered before.
+        /// The key's history was delivered or had no changes up to this position; `None`: nothing was delivered before.
         after: Option<Position>,
-        /// How many versions at most lie between that are not delivered; `None`: not known, for the term is another.
+        /// An upper bound on the versions in between that are not delivered; `None`: unknown, because the epoch or owner
+        /// differs or nothing was delivered before.
         missed: Option<u64>,
-        /// What the reader keeps of it, for its cursor.
+        /// The key's watermark after this event, for the reader's cursor.
         watermark: Watermark,
     },
 }
--- a/crates/control/event-feed/src/error.rs
+++ b/crates/control/event-feed/src/error.rs
@@ -1,20 +1,20 @@
-//! Why the text of a cursor can't be read.
+//! Errors of cursor texts.
 use std::fmt;
 
-/// Why the text of a cursor can't be read. The reader's mend is the same for all: begin without a cursor, from a snapshot.
+/// Why the text of a cursor is invalid. The remedy is the same for all: start without a cursor, from a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CursorError {
-    /// Longer than any cursor that is written.
+    /// The text is longer than the limit.
     TooLong,
-    /// A character outside of the alphabet of base64url (RFC 4648, section 5).
+    /// A character is outside the alphabet of base64url (RFC 4648, section 5).
     BadCharacter,
-    /// Too short to hold its check sum.
+    /// The text is too short to contain a checksum.
     TooShort,
-    /// The check sum is of another text.
+    /// The checksum does not match.
     BadChecksum,
-    /// Written in a format that this version does not know.
+    /// The format version is not supported.
     UnknownFormat,
-    /// The check sum is right, and the content contradicts itself.
+    /// The checksum matches, but the content is malformed.
     Malformed,
 }
 
@@ -22,18 +22,18 @@
     fn cause(self) -> &'static str {
         match self {
             CursorError::TooLong => "it is too long",
-            CursorError::BadCharacter => "a letter is foreign",
-            CursorError::TooShort => "it is cut short",
-            CursorError::BadChecksum => "it is cut short or changed",
-            CursorError::UnknownFormat => "it is of another version",
-            CursorError::Malformed => "it does not hold together",
+            CursorError::BadCharacter => "a character is not base64url",
+            CursorError::TooShort => "it is too short",
+            CursorError::BadChecksum => "the checksum does not match",
+            CursorError::UnknownFormat => "the format version is not supported",
+            CursorError::Malformed => "the content is malformed",
         }
     }
 }
 
 impl fmt::Display for CursorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the cursor can't be read: {} (begin without one, from a snapshot)", self.cause())
+        write!(f, "invalid cursor: {} (start without a cursor, from a snapshot)", self.cause())
     }
 }
 
--- a/crates/control/event-feed/src/feed.rs
+++ b/crates/control/event-feed/src/feed.rs
@@ -1,4 +1,4 @@
-//! What a node keeps of events: publishing, dropping and forgetting. What a reader gets of them is in `delivery`.
+//! The events kept at a node: publishing, dropping and forgetting. Delivery to readers is in `delivery`.
 use crate::cursor::Watermark;
 use crate::event::{Event, EventContent};
 use crate::key::{key_kind, short_hash};
@@ -7,52 +7,52 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// What is remembered of a dropped event, to be counted.
+/// A dropped event, remembered to be counted for slow readers.
 pub(crate) struct DroppedEvent {
     pub(crate) serial: u64,
     pub(crate) kind: String,
-    /// How many had been dropped before it.
+    /// How many events had been dropped before it.
     pub(crate) dropped_before: u64,
-    /// Itself and the versions before it that were not seen here; `None`: not known how many.
+    /// The event itself and the versions right before it that were not seen here; `None`: unknown.
     pub(crate) versions: Option<u64>,
 }
 
-/// The newest event of a key that is no longer kept.
+/// The newest dropped event of a key.
 #[derive(Clone, Copy)]
 pub(crate) struct LastDropped {
     pub(crate) watermark: Watermark,
-    /// How many had been dropped before it.
+    /// How many events had been dropped before it.
     pub(crate) dropped_before: u64,
 }
 
-/// What is kept of a key.
+/// The history of a key, as far as it is kept.
 #[derive(Default)]
 pub(crate) struct KeyHistory {
     pub(crate) last_position: Position,
-    /// In the order of their positions; never empty.
+    /// The kept events in ascending order of position; never empty.
     pub(crate) events: VecDeque<Rc<Event>>,
     pub(crate) last_dropped: Option<LastDropped>,
 }
 
-/// The events of a node.
+/// The event feed of a node.
 pub struct EventFeed {
     limits: Limits,
     pub(crate) histories: BTreeMap<String, KeyHistory>,
-    /// All events kept, by serial.
+    /// All kept events, by serial number.
     pub(crate) log: BTreeMap<u64, Rc<Event>>,
-    /// Serials of events that are not the newest of their key.
+    /// Serial numbers of events that are not the newest of their key.
     older: BTreeSet<u64>,
-    /// Serials of the newest events of keys that have ended.
+    /// Serial numbers of the newest events of keys that have ended.
     ended: BTreeSet<u64>,
     pub(crate) dropped: VecDeque<DroppedEvent>,
-    /// Keys that were forgotten or not kept, by kind.
-    pub(crate) full: BTreeMap<String, u64>,
+    /// The number of keys that were forgotten or not kept because of the limit, by kind.
+    pub(crate) keys_over_limit: BTreeMap<String, u64>,
     pub(crate) next_serial: u64,
     pub(crate) metrics: Metrics,
 }
 
 impl EventFeed {
-    /// A feed to which nothing was published.
+    /// An empty feed.
     pub fn new(limits: Limits) -> Self {
         EventFeed {
             limits,
@@ -61,28 +61,29 @@
             older: BTreeSet::new(),
             ended: BTreeSet::new(),
             dropped: VecDeque::new(),
-            full: BTreeMap::new(),
+            keys_over_limit: BTreeMap::new(),
             next_serial: 1,
             metrics: Metrics::default(),
         }
     }
 
-    /// Counters.
+    /// Counters of the feed.
     pub fn metrics(&self) -> Metrics {
         Metrics { keys: self.histories.len(), events: self.log.len(), ..self.metrics }
     }
 
-    /// The serial that the next event gets: a reader that has reached it has read all.
+    /// The serial number that the next event gets. A reader that has reached it has read everything.
     pub fn next_serial(&self) -> u64 {
         self.next_serial
     }
 
-    /// The last position seen of a key.
+    /// The last position of a key that was seen here.
     pub fn last_position(&self, key: &str) -> Option<Position> {
         self.histories.get(key).map(|history| history.last_position)
     }
 
-    /// Something happened. What is not above the last position seen of its key is known already. Whether it became an event.
+    /// Publishes a change of a key. It is ignored if its position is not above the last one seen. Returns whether it became an
+    /// event.
     pub fn publish(&mut self, content: EventContent) -> bool {
         let state_hash = short_hash(content.state.as_bytes());
         let mut seen_before = None;
@@ -92,14 +93,14 @@
             }
             seen_before = Some(history.last_position);
             let is_next = history.last_position.versions_between(&content.position) == Some(0);
-            let is_same =
+            let is_unchanged =
                 |newest: &Rc<Event>| newest.state_hash == state_hash && newest.content.ended == content.ended;
-            if (is_next || content.is_monotonic) && history.events.back().is_some_and(is_same) {
+            if (is_next || content.is_monotonic) && history.events.back().is_some_and(is_unchanged) {
                 history.last_position = content.position;
                 return false;
             }
         } else if self.histories.len() >= self.limits.max_keys && !self.forget_ended_key() {
-            self.count_full(key_kind(&content.key).to_string());
+            self.count_key_over_limit(key_kind(&content.key).to_string());
             return false;
         }
         let serial = self.next_serial;
@@ -138,13 +139,13 @@
         let kind = key_kind(&event.content.key).to_string();
         self.dropped.push_back(DroppedEvent { serial, kind, dropped_before, versions });
         if let Some(history) = self.histories.get_mut(&event.content.key) {
-            // Events of a key are dropped in their order, for that is the order of their serials.
+            // Events are dropped in order of serial numbers, which for a key is the order of its history.
             history.events.pop_front();
             history.last_dropped = Some(LastDropped { watermark: event.watermark(), dropped_before });
         }
     }
 
-    /// Forget the key that ended longest ago; whether there was one.
+    /// Forgets the key that ended longest ago. Returns whether there was one.
     fn forget_ended_key(&mut self) -> bool {
         let Some(serial) = self.ended.pop_first() else { return false };
         let Some(event) = self.log.get(&serial).cloned() else { return false };
@@ -154,12 +155,12 @@
                 self.older.remove(&event.serial);
             }
         }
-        self.count_full(key_kind(&event.content.key).to_string());
+        self.count_key_over_limit(key_kind(&event.content.key).to_string());
         true
     }
 
-    fn count_full(&mut self, kind: String) {
+    fn count_key_over_limit(&mut self, kind: String) {
         self.metrics.forgotten += 1;
-        *self.full.entry(kind).or_default() += 1;
+        *self.keys_over_limit.entry(kind).or_default() += 1;
     }
 }
--- a/crates/control/event-feed/src/filter.rs
+++ b/crates/control/event-feed/src/filter.rs
@@ -1,30 +1,30 @@
-//! Which events a reader wants.
+//! Filters of readers.
 use crate::event::EventContent;
 use crate::key::key_kind;
 
-/// Which events a reader wants; empty lists let everything through.
+/// Which events a reader wants; an empty list matches everything.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
-    /// Kinds.
+    /// Kinds of keys.
     pub kinds: Vec<String>,
-    /// Services. What is about no service is left out.
+    /// Services. If there are any, events without a service don't match.
     pub services: Vec<String>,
-    /// Zones. What is about no zone is left out.
+    /// Zones. If there are any, events without a zone don't match.
     pub zones: Vec<String>,
 }
 
 impl Filter {
-    pub(crate) fn has_kind_of(&self, key: &str) -> bool {
+    pub(crate) fn matches_kind_of(&self, key: &str) -> bool {
         self.kinds.is_empty() || self.kinds.iter().any(|kind| kind == key_kind(key))
     }
 
-    /// Whether it looks at more than the kind: then a key can leave it.
-    pub(crate) fn is_by_content(&self) -> bool {
+    /// Whether it checks more than the kind, so that a key can stop matching.
+    pub(crate) fn checks_content(&self) -> bool {
         !self.services.is_empty() || !self.zones.is_empty()
     }
 
-    pub(crate) fn has_content(&self, content: &EventContent) -> bool {
-        let has = |list: &[String], one: &String| list.is_empty() || list.contains(one);
-        has(&self.services, &content.service) && has(&self.zones, &content.zone)
+    pub(crate) fn matches_content(&self, content: &EventContent) -> bool {
+        let matches = |list: &[String], value: &String| list.is_empty() || list.contains(value);
+        matches(&self.services, &content.service) && matches(&self.zones, &content.zone)
     }
 }
--- a/crates/control/event-feed/src/key.rs
+++ b/crates/control/event-feed/src/key.rs
@@ -1,11 +1,11 @@
-//! Keys of histories, and the hash by which states are compared.
+//! Keys, and the hash by which states are compared.
 
-/// The kind of a key: what stands before its first slash.
+/// The kind of a key: the part before its first slash.
 pub fn key_kind(key: &str) -> &str {
     key.split('/').next().unwrap_or(key)
 }
 
-/// A short hash of a text (FNV-1a of 64 bits, folded to 32). It stands in cursors, so it stays as it is.
+/// A short hash (64-bit FNV-1a, folded to 32 bits). It is part of the cursor format and must not change.
 pub(crate) fn short_hash(bytes: &[u8]) -> u32 {
     let hash = bytes
         .iter()
--- a/crates/control/event-feed/src/limits.rs
+++ b/crates/control/event-feed/src/limits.rs
@@ -1,14 +1,14 @@
-//! How much a feed keeps, and its counters.
+//! Limits and counters of a feed.
 
-/// How much is kept.
+/// Limits on what a feed keeps.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Keys; at the limit the key that ended longest ago is forgotten, and where none has ended the new one is not kept. Both
-    /// are reported to readers as gaps.
+    /// Keys. At the limit the key that ended longest ago is forgotten; if none has ended, the new one is not kept. Both are
+    /// reported to readers as gaps.
     pub max_keys: usize,
-    /// Events besides the newest of each key; at the limit the oldest is dropped.
+    /// Events besides the newest of each key. At the limit the oldest is dropped.
     pub max_older_events: usize,
-    /// Dropped events that are remembered by kind, to be counted for slow readers; beyond it, counts are too low.
+    /// Dropped events that are remembered, to be counted for slow readers. Beyond the limit, these counts are too low.
     pub max_dropped: usize,
 }
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Counters.
+/// Counters of a feed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
     /// Keys kept.
@@ -27,6 +27,6 @@
     pub events: usize,
     /// Events dropped.
     pub dropped: u64,
-    /// Keys forgotten, or not kept for want of room.
+    /// Keys forgotten, or not kept, because of [`Limits::max_keys`].
     pub forgotten: u64,
 }
--- a/crates/control/event-feed/src/position.rs
+++ b/crates/control/event-feed/src/position.rs
@@ -1,24 +1,25 @@
-//! Where an event stands in its key's history.
+//! Positions in the history of a key.
 
-/// Where an event stands in its key's history. Ordered from the left.
+/// The position of an event in its key's history. Ordered by the fields from first to last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The term in which it was written: a node's incarnation, a round of ownership.
+    /// The epoch in which it was written, such as a node's incarnation or a round of ownership.
     pub epoch: u64,
-    /// Who wrote it.
+    /// The owner that wrote it.
     pub owner: u64,
-    /// Which version in that term; 0 in histories of terms alone.
+    /// The version within the epoch; 0 in histories in which every change starts a new epoch.
     pub version: u64,
-    /// Others amended this version (they found the node gone). The writer knows of no amendment, and its next version takes it back.
+    /// Whether other nodes amended this version because they found the owner gone. The owner doesn't know of the amendment, and
+    /// its next version reverts it.
     pub is_amended: bool,
 }
 
 impl Position {
-    /// How many versions lie between this position and a later one; amendments that were taken back in between are not counted.
-    /// `None`: not known, for the term is another.
+    /// The number of versions between this position and a later one, without amendments that were reverted in between.
+    /// `None`: unknown, because the epoch or owner differs.
     pub fn versions_between(&self, later: &Position) -> Option<u64> {
         if (self.epoch, self.owner) == (later.epoch, later.owner) {
-            // An amended version was there without the amendment before.
+            // The later version existed before it was amended, which counts as one.
             let unamended = u64::from(later.is_amended && later.version > self.version);
             Some(later.version.saturating_sub(self.version).saturating_sub(1) + unamended)
         } else if self.version == 0 && later.version == 0 {
