--- a/crates/control/event-feed/tests/cursor_text.rs
+++ b/crates/control/event-feed/tests/cursor_text.rs
@@ -2,7 +2,7 @@
 use silvercross_event_feed::{Cursor, CursorError, Position, Watermark};
 
 #[test]
-fn any_text_parses_as_a_cursor_or_is_an_error() {
+fn parsing_never_panics_and_text_round_trips() {
     bolero::check!().with_type::<String>().with_iterations(5_000).for_each(|text| drop(Cursor::parse(text)));
     let mut cursor = Cursor::default();
     for n in 0..200u64 {
@@ -19,9 +19,9 @@
     }
 }
 
-/// Readers keep this text, and nodes of other versions read it. Taken from version 0.1.0.
+/// Readers store these texts, and nodes of other versions parse them: a text from version 0.1.0 stays valid.
 #[test]
-fn the_text_stays_as_readers_have_it() {
+fn the_format_is_unchanged_since_version_0_1_0() {
     let mut cursor = Cursor::default();
     let position = Position { epoch: 0, owner: 0, version: 300, is_amended: false };
     let item = Watermark { position, state_hash: 0x0102_0304, ended: true, is_filtered_out: false };
@@ -44,7 +44,7 @@
     assert_eq!(Cursor::parse("AAA"), Err(CursorError::TooShort));
     assert_eq!(Cursor::parse(&text.replace("AQ", "AB")), Err(CursorError::BadChecksum));
     assert_eq!(Cursor::parse(&"A".repeat((8 << 20) + 1)), Err(CursorError::TooLong));
-    // With check sums that fit: format 2, and a key announced that does not come.
+    // With matching checksums: format version 2, and a key that is counted but missing.
     assert_eq!(Cursor::parse("AgA4Ysi8"), Err(CursorError::UnknownFormat));
     assert_eq!(Cursor::parse("AQFwrce8"), Err(CursorError::Malformed));
 }
--- a/crates/control/event-feed/tests/delivery.rs
+++ b/crates/control/event-feed/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! Filters, slow readers and limits, by example.
+//! Examples of delivery with filters, slow readers and limits.
 use silvercross_event_feed::{Cursor, EventContent, EventFeed, FeedEntry, Filter, Limits, Position};
 
 fn content(key: &str, version: u64, service: &str) -> EventContent {
@@ -31,7 +31,7 @@
     }
     feed.publish(content("node/1", 1, "a"));
     assert_eq!(states(&feed.read(&mut reader, 9)), ["2 a", "3 b", "5 a"]);
-    // Another reader goes on with the cursor, at another position.
+    // Another reader continues from the cursor.
     feed.publish(content("upstream/1", 6, "b"));
     feed.publish(content("upstream/1", 7, "b"));
     let cursor = feed.cursor(&reader);
@@ -49,7 +49,7 @@
     assert_eq!(feed.read(&mut reader, 9).len(), 1);
     (2..=9).for_each(|v| assert!(feed.publish(content("node/1", v, ""))));
     assert_eq!(states(&feed.read(&mut reader, 9)), ["node 5 the reader was too slow", "7 ", "8 ", "9 "]);
-    // Keys beyond the bound: those that ended go first.
+    // At the limit of keys, ended ones are forgotten first.
     feed.publish(EventContent { ended: true, ..content("node/2", 1, "") });
     feed.publish(content("item/x", 1, ""));
     assert!(feed.publish(content("item/y", 1, "")) && !feed.publish(content("item/z", 1, "")));
