--- a/crates/control/control-store/src/batch.rs
+++ b/crates/control/control-store/src/batch.rs
@@ -1,9 +1,9 @@
-//! One pass over an owner's queue: which calls go into the next append, wait for the next confirmation of the epoch, or stay
-//! in the queue.
+//! One pass over an owner's queue: which calls go into the next append, wait for the next confirmation of the
+//! epoch, or stay in the queue.
 //!
-//! It sends nothing; `protocol::replicate` does what comes of it.
+//! It sends nothing; `protocol::replicate` acts on the result.
 
-use crate::call::{Applied, Caller, QueuedCall, UncommittedCall, UnconfirmedCall};
+use crate::call::{ApplyResult, Caller, QueuedCall, UncommittedCall, UnconfirmedCall};
 use crate::key_slot::CommittedValue;
 use crate::limits::MAX_BATCH_CHANGES;
 use crate::message::{CallOutcome, Request};
@@ -11,22 +11,22 @@
 use crate::value::State;
 use std::collections::VecDeque;
 
-/// An answer that needs nobody else.
+/// An answer that doesn't depend on other nodes.
 pub(crate) struct ImmediateAnswer<V> {
     pub(crate) caller: Caller,
     pub(crate) outcome: CallOutcome<V>,
 }
 
-/// What becomes of the calls that wait at a key.
+/// The result of a pass over the calls queued at a key.
 pub(crate) struct Batch<V: State> {
-    /// Bytes of changes at most in the append, but for the last change.
+    /// Limit for the size of an append's changes, which only the last change may exceed.
     max_bytes: usize,
-    /// Whether an append is in flight: changes wait for it.
-    is_busy: bool,
+    /// Whether an append is in flight, so that changes have to wait.
+    is_append_in_flight: bool,
     mutation: Option<Mutation>,
-    /// What the changes make of the committed value; `None` as long as nothing changes it.
+    /// The committed value with the changes applied; `None` if nothing has changed it.
     pub(crate) value: Option<V>,
-    /// The changes that do. At most `MAX_BATCH_CHANGES`.
+    /// The changes in the append. At most `MAX_BATCH_CHANGES`.
     pub(crate) changes: Vec<V::Change>,
     bytes: usize,
     /// Calls to be answered with the append.
@@ -35,16 +35,16 @@
     pub(crate) unconfirmed: Vec<UnconfirmedCall<V::Change>>,
     /// Calls that stay in the queue.
     pub(crate) queue: VecDeque<QueuedCall<V::Change>>,
-    /// Answers given at once: only where a mutation is in force.
+    /// Calls to be answered at once: only under a mutation.
     pub(crate) answers: Vec<ImmediateAnswer<V>>,
 }
 
 impl<V: State> Batch<V> {
-    /// An empty one.
-    pub(crate) fn new(max_bytes: usize, is_busy: bool, mutation: Option<Mutation>) -> Self {
+    /// An empty batch.
+    pub(crate) fn new(max_bytes: usize, is_append_in_flight: bool, mutation: Option<Mutation>) -> Self {
         Batch {
             max_bytes,
-            is_busy,
+            is_append_in_flight,
             mutation,
             value: None,
             changes: Vec::new(),
@@ -60,7 +60,7 @@
         is_active(self.mutation, mutation)
     }
 
-    /// Takes the next open call of the queue.
+    /// Adds the next call of the queue.
     pub(crate) fn add(&mut self, call: QueuedCall<V::Change>, committed: &CommittedValue<V>) {
         if !matches!(call.request, Request::Change(_)) {
             if self.has_mutation(Mutation::ReadsWithoutConfirmation) {
@@ -69,25 +69,28 @@
             } else {
                 self.unconfirmed.push(UnconfirmedCall { call, rejection: None });
             }
-        } else if self.is_busy || self.changes.len() >= MAX_BATCH_CHANGES || self.bytes >= self.max_bytes {
+        } else if self.is_append_in_flight
+            || self.changes.len() >= MAX_BATCH_CHANGES
+            || self.bytes >= self.max_bytes
+        {
             self.queue.push_back(call);
         } else {
             self.apply(call, committed);
         }
     }
 
-    /// Tries a change on what those before it make of the value.
+    /// Applies a change to the value as the previous changes left it.
     fn apply(&mut self, call: QueuedCall<V::Change>, committed: &CommittedValue<V>) {
         let Request::Change(change) = &call.request else { return };
-        // A change is tried on a clone: one that is rejected may leave nothing behind.
-        let mut tried = self.value.as_ref().unwrap_or(&committed.value).clone();
-        match (tried.apply(change), self.value.is_some()) {
-            (Ok(true), _) => self.change(tried, call, Ok(true)),
+        // On a clone, so that a rejected change leaves nothing behind.
+        let mut updated = self.value.as_ref().unwrap_or(&committed.value).clone();
+        match (updated.apply(change), self.value.is_some()) {
+            (Ok(true), _) => self.push_change(updated, call, Ok(true)),
             (Ok(false), false) => self.unconfirmed.push(UnconfirmedCall { call, rejection: None }),
             (Err(rejection), _)
-                if self.has_mutation(Mutation::KeepsPartialChange) && tried != committed.value =>
+                if self.has_mutation(Mutation::KeepsPartialChange) && updated != committed.value =>
             {
-                self.change(tried, call, Err(rejection));
+                self.push_change(updated, call, Err(rejection));
             }
             (Err(rejection), false) if self.has_mutation(Mutation::RejectsWithoutConfirmation) => {
                 self.answer(&call, CallOutcome::Rejected(rejection));
@@ -101,13 +104,13 @@
             (Ok(false), true) if self.has_mutation(Mutation::AnswersFromUncommitted) => {
                 self.answer(&call, CallOutcome::Committed { revision: committed.revision, changed: false });
             }
-            // It depends on a change that is not committed yet: answered when that is.
+            // The result depends on a change that is not committed yet, so it is answered with the append.
             (applied, true) => self.uncommitted.push(UncommittedCall { call, applied }),
         }
     }
 
-    /// The change goes into the append, which makes `value` of it.
-    fn change(&mut self, value: V, call: QueuedCall<V::Change>, applied: Applied) {
+    /// Adds a change to the append, which leads to `value`.
+    fn push_change(&mut self, value: V, call: QueuedCall<V::Change>, applied: ApplyResult) {
         if let Request::Change(change) = &call.request {
             self.bytes += bitcode::encode(change).len();
             self.changes.push(change.clone());
--- a/crates/control/control-store/tests/catchup/main.rs
+++ b/crates/control/control-store/tests/catchup/main.rs
@@ -1,4 +1,5 @@
-//! How a replica that was away catches up, over links as slow as 7 Mbit/s: in what time, with how many bytes, in what chunks.
+//! How a replica that was away catches up over links of 7 Mbit/s: the time it takes, the bytes sent, and the
+//! chunk sizes.
 
 mod items;
 mod network;
@@ -8,20 +9,20 @@
 use silvercross_control_store::{Node, SNAPSHOT_CHUNK_BYTES};
 use silvercross_time::{Duration, Instant};
 
-/// Bytes of a message besides its chunk or changes, at most.
+/// Maximum size of a message in addition to its chunk or changes.
 const MAX_OVERHEAD_BYTES: usize = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Absence {
-    /// Stopped, and started on its disk.
+    /// Stopped, and restarted on its disk.
     Restart,
-    /// The owner, so; another owns meanwhile.
+    /// The same for the owner; another replica owns the key in the meantime.
     RestartOfTheOwner,
-    /// Its disk lost.
+    /// Its disk was lost.
     Wipe,
-    /// All its links cut.
+    /// All its links were cut.
     Cut,
-    /// A spare node joins for a replica that is lost.
+    /// A spare node joins in place of a lost replica.
     Join,
 }
 
@@ -32,7 +33,7 @@
     unknown: u64,
 }
 
-/// A replica is away during so many changes; `load`: one more every 50 ms while it catches up.
+/// A replica misses this many changes. With `load`, another change follows every 50 ms while it catches up.
 fn catch_up_after(absence: Absence, changes: u64, load: bool) -> Measurement {
     let mut network = Network::new(Items::filled(ITEM_COUNT), 1, SNAPSHOT_CHUNK_BYTES);
     let owner = network.owner().expect("an owner");
@@ -40,16 +41,16 @@
         Absence::RestartOfTheOwner => owner,
         _ => (owner + 1) % 3,
     };
-    leave(&mut network, absence, replica);
+    begin_absence(&mut network, absence, replica);
     network.change(changes);
     let (before, begun, unknown) = (network.traffic(replica), network.now, network.unknown);
     network.largest_message = 0;
-    let replica = come_back(&mut network, absence, replica);
+    let replica = end_absence(&mut network, absence, replica);
     let before = if absence == Absence::Join { 0 } else { before };
     let mut next_change = Instant::ZERO;
     while !has_caught_up(&network, replica) {
         assert!(network.now < begun + Duration::from_secs(60), "{absence:?} after {changes} changes");
-        assert_ne!(network.owner(), Some(replica), "it owns the key with what it has");
+        assert_ne!(network.owner(), Some(replica), "owner before it has caught up");
         if load && network.now >= next_change {
             next_change = network.now + Duration::from_millis(50);
             let item = (network.tokens % u64::from(ITEM_COUNT)) as u32;
@@ -78,7 +79,7 @@
     measurement
 }
 
-fn leave(network: &mut Network, absence: Absence, replica: usize) {
+fn begin_absence(network: &mut Network, absence: Absence, replica: usize) {
     match absence {
         Absence::Restart | Absence::RestartOfTheOwner => network.stop(replica, false),
         Absence::Wipe => network.stop(replica, true),
@@ -91,8 +92,8 @@
     }
 }
 
-/// Who is to catch up then.
-fn come_back(network: &mut Network, absence: Absence, replica: usize) -> usize {
+/// Returns the node that has to catch up.
+fn end_absence(network: &mut Network, absence: Absence, replica: usize) -> usize {
     match absence {
         Absence::Join => {
             network.stop(replica, true);
@@ -109,14 +110,14 @@
     replica
 }
 
-/// Whether a replica has what the owner has.
+/// Whether a replica has everything that the owner has.
 fn has_caught_up(network: &Network, replica: usize) -> bool {
     let owner = network.owner().filter(|owner| *owner != replica);
     let owned = owner.and_then(|owner| network.accepted(owner));
     owned.is_some_and(|owned| network.accepted(replica).is_some_and(|accepted| accepted >= owned))
 }
 
-/// What a replica has it reads out without anything from the others but its revision.
+/// A replica that has the value reads it with nothing but its revision from the other nodes.
 fn read_without_value(network: &mut Network, replica: usize) {
     let (values, bytes) = (network.values, network.traffic(replica));
     network.read(replica);
@@ -143,10 +144,10 @@
             (Absence::Join, false),
         ] {
             let measured = catch_up_after(absence, *changes, load);
-            let lacks_few = *changes <= 3_000 && !matches!(absence, Absence::Wipe | Absence::Join);
-            // What it lacks, and a tenth for what goes besides; a change is well under 64 bytes.
-            let lacks = if lacks_few { *changes as usize * 64 } else { snapshot };
-            let bytes = lacks + lacks / 10 + 64 * 1024;
+            let is_incremental = *changes <= 3_000 && !matches!(absence, Absence::Wipe | Absence::Join);
+            // What the replica lacks, and a tenth for overhead. A change is well under 64 bytes.
+            let missing_bytes = if is_incremental { *changes as usize * 64 } else { snapshot };
+            let bytes = missing_bytes + missing_bytes / 10 + 64 * 1024;
             let replacement = if absence == Absence::Join { 5_500_000 } else { 0 };
             let micros = bytes as i64 * 8_000_000 / LINK_BITS_PER_SECOND + 1_000_000 + replacement;
             let took = Duration::from_micros(micros);
@@ -161,21 +162,21 @@
 }
 
 #[test]
-fn who_was_away_catches_up_with_what_it_lacks_in_chunks() {
+fn a_returning_replica_catches_up_in_chunks() {
     check_all_absences(&[300]);
 }
 
 /// `cargo test --release -p silvercross-control-store --test catchup -- --ignored --nocapture`
 #[test]
-#[ignore = "in release: minutes otherwise"]
-fn who_was_away_for_long_catches_up_too() {
+#[ignore = "takes minutes in a debug build"]
+fn a_replica_returning_after_many_changes_catches_up() {
     check_all_absences(&[300, 3_000, 100_000]);
 }
 
-/// A wiped replica is sent a value of many chunks, and its link to the sender breaks at each, or it starts anew at one; with a
-/// change at each chunk too.
+/// A wiped replica receives a value of many chunks while its link to the sender is lost at each chunk, or it
+/// restarts at one of them, also with a change at each chunk.
 #[test]
-fn a_break_at_every_chunk_sends_nothing_twice() {
+fn a_link_lost_at_every_chunk_resends_nothing() {
     for (breaks, changes, restarts) in
         [(true, false, false), (true, true, false), (false, true, false), (true, true, true)]
     {
@@ -187,13 +188,13 @@
         let begun = network.now;
         let mut break_count = 0;
         while network.accepted(replica).is_none() {
-            assert!(network.now < begun + Duration::from_secs(20), "it ends");
-            network.play_to_next_chunk(network.now + Duration::from_millis(100));
+            assert!(network.now < begun + Duration::from_secs(20), "the repair completes");
+            network.run_to_next_chunk(network.now + Duration::from_millis(100));
             if restarts && network.chunks_arrived == 10 {
                 network.stop(replica, false);
                 network.start(replica);
-                // What was in memory alone is gone.
-                network.arrived.clear();
+                // What it had only in memory is lost.
+                network.arrived_chunks.clear();
             } else if breaks {
                 let sender = network.last_sender;
                 network.unlink(replica, sender);
@@ -207,9 +208,9 @@
         }
         network.advance(Duration::from_millis(1_100));
         let now = network.owner().and_then(|owner| network.accepted(owner));
-        assert_eq!(network.accepted(replica), now, "and has what came meanwhile");
+        assert_eq!(network.accepted(replica), now, "including the changes made meanwhile");
         assert!(!breaks || break_count >= 20, "{break_count} breaks");
-        assert_eq!(network.sent_again, 0, "chunks sent again that had arrived");
+        assert_eq!(network.resent_chunks, 0, "chunks sent again that had arrived");
         let largest = network.largest_message;
         assert!(largest <= 1024 + MAX_OVERHEAD_BYTES, "{largest} bytes at once");
     }
--- a/crates/control/control-store/tests/common/notes.rs
+++ b/crates/control/control-store/tests/common/notes.rs
@@ -1,4 +1,4 @@
-//! A value to be kept: numbered items, each with a version and content, of which the highest version wins.
+//! A value for tests: numbered items, each with a version and content, of which the highest version wins.
 
 use silvercross_control_store::{Rejection, State};
 use std::cell::Cell;
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 thread_local! {
-    /// Whether a rejected change leaves a part of itself behind. Only with a mutation that keeps it.
-    pub static KEEPS_PARTS: Cell<bool> = const { Cell::new(false) };
+    /// Whether a rejected change is partly applied. Only with a mutation that keeps such a value.
+    pub static KEEP_PARTIAL_CHANGES: Cell<bool> = const { Cell::new(false) };
 }
 
 /// Item to version and content.
@@ -17,7 +17,7 @@
 /// Item, version, content.
 pub type Change = Vec<(u8, u64, u64)>;
 
-/// A content that refers to another item: it is valid only where that one stands.
+/// A content that refers to another item: it is valid only if that item exists.
 pub fn refers_to(item: u8) -> u64 {
     (1 << 32) | u64::from(item)
 }
@@ -26,10 +26,10 @@
     fn apply_item(&mut self, item: u8, version: u64, content: u64) -> Result<bool, Rejection> {
         let rejection = |conflict| Rejection { conflict, reason: format!("item {item}, version {version}") };
         let known = self.0.get(&item).copied().unwrap_or_default();
-        let dangles = content >> 32 == 1 && !self.0.contains_key(&(content as u8));
+        let is_dangling = content >> 32 == 1 && !self.0.contains_key(&(content as u8));
         match version.cmp(&known.0) {
             _ if content == 0 => Err(rejection(false)),
-            Ordering::Greater if dangles => Err(rejection(false)),
+            Ordering::Greater if is_dangling => Err(rejection(false)),
             Ordering::Equal if known.1 != content => Err(rejection(true)),
             Ordering::Greater => {
                 self.0.insert(item, (version, content));
@@ -50,7 +50,7 @@
             match next.apply_item(*item, *version, *content) {
                 Ok(item_changed) => changed |= item_changed,
                 Err(rejection) => {
-                    if KEEPS_PARTS.get() {
+                    if KEEP_PARTIAL_CHANGES.get() {
                         *self = next;
                     }
                     return Err(rejection);
--- a/crates/control/control-store/tests/planned.rs
+++ b/crates/control/control-store/tests/planned.rs
@@ -1,5 +1,6 @@
-//! A replica is replaced in plan: it says that it stops and is replaced while it is still there. At each message and each write
-//! of that something else goes wrong: nothing that was acknowledged is lost, and the others answer again in time.
+//! A planned replacement: a replica announces that it is stopping and is replaced while it is still running.
+//! With a fault at each of its messages and writes, nothing acknowledged may be lost, and the others have to
+//! answer again in time.
 
 mod common;
 
@@ -17,7 +18,8 @@
     MANY - replacement.cluster.steps_left.take().expect("it is set")
 }
 
-/// Injects a fault at one step of a planned replacement; after how long the others answer, if they are to.
+/// Injects a fault at one step of a planned replacement. Returns how long the others take to answer, if the
+/// case applies.
 fn time_to_answer_after(
     owner_leaves: bool,
     step: usize,
@@ -29,22 +31,23 @@
     replacement.cluster.steps_left = Some(step);
     replacement.stop_gracefully();
     replacement.cluster.steps_left = None;
-    let ends = fault == Fault::LostAsLeavingStops;
-    if ends && (replacement.is_leaving_needed() || target == replacement.leaving) {
+    let has_left = fault == Fault::LostAsLeavingStops;
+    if has_left && (replacement.is_leaving_needed() || target == replacement.leaving) {
         return None;
     }
     replacement.inject(fault, target);
-    let left = |n: &usize| (fault == Fault::Nothing || *n != target) && !(ends && *n == replacement.leaving);
-    let there: Vec<usize> = (0..4).filter(left).collect();
-    let after = replacement.time_to_answer(&there).expect("no majority answers");
-    replacement.assert_nothing_lost(&there);
-    if step.is_multiple_of(16) && !ends {
+    let is_live =
+        |n: &usize| (fault == Fault::Nothing || *n != target) && !(has_left && *n == replacement.leaving);
+    let remaining: Vec<usize> = (0..4).filter(is_live).collect();
+    let after = replacement.time_to_answer(&remaining).expect("no majority answers");
+    replacement.assert_nothing_lost(&remaining);
+    if step.is_multiple_of(16) && !has_left {
         check_one_more_loss(&mut replacement, fault, target);
     }
     Some(after)
 }
 
-/// All is whole again but for what is lost, and one more may go.
+/// After everything but the permanent losses has recovered, another replica may be lost.
 fn check_one_more_loss(replacement: &mut Replacement, fault: Fault, target: usize) {
     replacement.cluster.advance_by_deadlines(Duration::from_secs(3));
     replacement.cluster.paused.clear();
@@ -53,24 +56,24 @@
         replacement.cluster.cut_links.clear();
         replacement.cluster.restart(target);
     }
-    // The leaving starts again with the disk that it had.
-    if !matches!(fault, Fault::Lost | Fault::LostAndPower) || target != replacement.leaving {
+    // The leaving replica restarts with its old disk.
+    if !matches!(fault, Fault::Lost | Fault::LostAndPowerLoss) || target != replacement.leaving {
         replacement.cluster.restart(replacement.leaving);
     }
     replacement.cluster.advance_by_deadlines(Duration::from_secs(8));
-    let lost = matches!(fault, Fault::Lost | Fault::LostAndPower).then_some(target);
-    let there: Vec<usize> = (0..4).filter(|n| Some(*n) != lost).collect();
-    let set = replacement.cluster.stores[there[0]].replica_set().clone();
+    let lost = matches!(fault, Fault::Lost | Fault::LostAndPowerLoss).then_some(target);
+    let remaining: Vec<usize> = (0..4).filter(|n| Some(*n) != lost).collect();
+    let set = replacement.cluster.stores[remaining[0]].replica_set().clone();
     assert!(
-        !set.is_joint() && there.iter().all(|n| *replacement.cluster.stores[*n].replica_set() == set),
+        !set.is_joint() && remaining.iter().all(|n| *replacement.cluster.stores[*n].replica_set() == set),
         "{set:?}"
     );
     let members: Vec<usize> = set.members.iter().map(|member| member.node.0 as usize).collect();
     assert!(
-        members.iter().all(|n| there.contains(n) && replacement.cluster.stores[*n].is_voter()),
+        members.iter().all(|n| remaining.contains(n) && replacement.cluster.stores[*n].is_voter()),
         "{set:?}, {lost:?}"
     );
-    replacement.assert_nothing_lost(&there);
+    replacement.assert_nothing_lost(&remaining);
     replacement.cluster.isolate(members[0]);
     replacement.cluster.advance_by_deadlines(Duration::from_secs(1));
     replacement.assert_nothing_lost(&members[1..]);
@@ -81,15 +84,16 @@
     Fault::Lost,
     Fault::Wiped,
     Fault::Paused,
-    Fault::LostAndPower,
+    Fault::LostAndPowerLoss,
     Fault::LostAsLeavingStops,
     Fault::Stops,
 ];
 
-/// All faults at all steps: how many, and after how long the others answer at most, by fault.
+/// Injects each fault at each step. Returns the number of cases, and the longest time to an answer for each
+/// fault.
 fn inject_everywhere(faults: &[Fault], mutation: Option<Mutation>) -> (usize, BTreeMap<Fault, Duration>) {
     let mut longest = BTreeMap::new();
-    let mut all = 0;
+    let mut count = 0;
     for owner_leaves in [false, true] {
         let steps = steps(owner_leaves, mutation);
         assert!(steps > 60, "{steps} messages and writes");
@@ -105,16 +109,16 @@
             let Some(after) = after else { continue };
             let known: &mut Duration = longest.entry(fault).or_default();
             *known = after.max(*known);
-            all += 1;
+            count += 1;
         }
     }
-    (all, longest)
+    (count, longest)
 }
 
 #[test]
 fn at_each_step_of_a_planned_replacement_one_node_may_be_lost() {
-    let (all, longest) = inject_everywhere(&FAULTS, None);
-    println!("{all} faults; the others answer after, at most: {longest:?}");
+    let (count, longest) = inject_everywhere(&FAULTS, None);
+    println!("{count} faults; the others answer after, at most: {longest:?}");
     for fault in FAULTS {
         let most = match fault {
             Fault::Nothing => Duration::ZERO,
@@ -133,8 +137,8 @@
     inject_everywhere(&[Fault::LostAsLeavingStops], Some(Mutation::StopsBeforeReplicaSetInForce));
 }
 
-/// The joining replica's disk syncs nothing, so it is never repaired. Whether the leaving may end all the same, and after how long
-/// those that are left answer when another one is lost for good.
+/// The joining replica's disk syncs nothing, so it is never repaired. Returns whether the leaving replica is
+/// still needed, and how long the remaining ones take to answer after another one is lost permanently.
 fn joining_replica_never_repaired(mutation: Option<Mutation>) -> (bool, Option<Duration>) {
     let mut replacement = Replacement::new(false, mutation);
     replacement.cluster.stalled_disks.insert(3);
@@ -146,11 +150,11 @@
     }
     let lost = (0..3).find(|n| *n != replacement.leaving).expect("another");
     replacement.cluster.isolate(lost);
-    let there: Vec<usize> =
+    let remaining: Vec<usize> =
         (0..3).filter(|n| *n != lost && (still_needed || *n != replacement.leaving)).collect();
-    let after = replacement.time_to_answer(&there);
+    let after = replacement.time_to_answer(&remaining);
     if after.is_some() {
-        replacement.assert_nothing_lost(&there);
+        replacement.assert_nothing_lost(&remaining);
     }
     (still_needed, after)
 }
@@ -174,8 +178,9 @@
     );
 }
 
-/// As the leaving is told to stop another replica is lost for good, and the joining replica syncs nothing for so long, so that the replacement
-/// is abandoned. After how long the leaving may end; those that are left then have a majority.
+/// Another replica is lost permanently as the leaving one starts to stop, and the joining replica syncs
+/// nothing for a while, so that the replacement is abandoned. Returns when the leaving replica may stop; the
+/// remaining ones must have a majority then.
 fn joining_replica_late(owner_leaves: bool, lost: usize, late: Duration) -> Duration {
     let mut replacement = Replacement::new(owner_leaves, None);
     let leaving = replacement.leaving;
@@ -189,9 +194,12 @@
     replacement.wait_while_leaving_needed(from + Duration::from_secs(20));
     let after = replacement.cluster.now - from;
     replacement.cluster.isolate(leaving);
-    let there: Vec<usize> = (0..4).filter(|n| *n != lost && *n != leaving).collect();
-    assert!(replacement.time_to_answer(&there).is_some(), "no majority once the leaving ended");
-    replacement.assert_nothing_lost(&there);
+    let remaining: Vec<usize> = (0..4).filter(|n| *n != lost && *n != leaving).collect();
+    assert!(
+        replacement.time_to_answer(&remaining).is_some(),
+        "no majority after the leaving replica stopped"
+    );
+    replacement.assert_nothing_lost(&remaining);
     after
 }
 
@@ -208,9 +216,10 @@
     }
 }
 
-/// The replacement is abandoned while another one is lost for good, and the joining replica hears of that late: it says that it is no
-/// candidate. Whether the leaving is there all the same, until those that are left have a majority.
-fn abandoned_unheard(owner_leaves: bool) -> bool {
+/// The replacement is abandoned while another replica is lost permanently, and the joining one learns that
+/// late: until then it doesn't offer itself as a candidate. Returns whether the leaving replica keeps running
+/// all the same, until the remaining ones have a majority.
+fn abandonment_not_yet_known(owner_leaves: bool) -> bool {
     let mut replacement = Replacement::new(owner_leaves, None);
     let leaving = replacement.leaving;
     let rest: Vec<usize> = (0..3).filter(|n| *n != leaving).collect();
@@ -231,19 +240,23 @@
     replacement.cluster.sync(3);
     replacement.cluster.announce_membership();
     replacement.cluster.advance_by_deadlines(Duration::from_secs(4));
-    assert!(!replacement.is_leaving_needed(), "it may end now");
+    assert!(!replacement.is_leaving_needed(), "it may stop now");
     replacement.cluster.isolate(leaving);
-    assert!(replacement.time_to_answer(&[rest[1], 3]).is_some(), "no majority once the leaving ended");
+    assert!(
+        replacement.time_to_answer(&[rest[1], 3]).is_some(),
+        "no majority after the leaving replica stopped"
+    );
     replacement.assert_nothing_lost(&[rest[1], 3]);
     still_needed
 }
 
 #[test]
 fn a_leaving_replica_stays_while_the_joining_one_has_not_heard_that_the_replacement_was_abandoned() {
-    assert_eq!([false, true].map(abandoned_unheard), [true, true]);
+    assert_eq!([false, true].map(abandonment_not_yet_known), [true, true]);
 }
 
-/// After how long the leaving may end if another one is lost for good at this step; those that are left then have a majority.
+/// Another replica is lost permanently at this step. Returns when the leaving replica may stop; the remaining
+/// ones must have a majority then.
 fn lost_before_the_leaving_one_stops(owner_leaves: bool, step: usize, lost: usize) -> Duration {
     let mut replacement = Replacement::new(owner_leaves, None);
     let leaving = replacement.leaving;
@@ -255,9 +268,12 @@
     replacement.wait_while_leaving_needed(from + Duration::from_secs(20));
     let after = replacement.cluster.now - from;
     replacement.cluster.isolate(leaving);
-    let there: Vec<usize> = (0..4).filter(|n| *n != lost && *n != leaving).collect();
-    assert!(replacement.time_to_answer(&there).is_some(), "no majority once the leaving ended");
-    replacement.assert_nothing_lost(&there);
+    let remaining: Vec<usize> = (0..4).filter(|n| *n != lost && *n != leaving).collect();
+    assert!(
+        replacement.time_to_answer(&remaining).is_some(),
+        "no majority after the leaving replica stopped"
+    );
+    replacement.assert_nothing_lost(&remaining);
     after
 }
 
@@ -277,10 +293,11 @@
     assert!(longest <= Duration::from_millis(2_500), "{longest}");
 }
 
-/// The new replica set stands at the joining replica and at one other, which alone have a change; that one is wiped and repaired while
-/// the joining replica can't be reached, but the leaving is back on its disk from the middle of the change, like the third. Whether they
-/// acknowledge anything, and whether the change is there when the joining replica is back.
-fn wiped_when_the_replacement_is_in_force(mutation: Option<Mutation>) -> (bool, bool) {
+/// Only the joining replica and one other have the new replica set and a change made under it. That other one
+/// is wiped and repaired while the joining replica is unreachable, but the leaving replica is back with its
+/// disk from the middle of the replacement, like the third one. Returns whether they acknowledge anything,
+/// and whether the change is there once the joining replica is back.
+fn wiped_after_the_replacement(mutation: Option<Mutation>) -> (bool, bool) {
     let mut replacement = Replacement::new(false, mutation);
     let leaving = replacement.leaving;
     let rest: Vec<usize> = (0..3).filter(|n| *n != leaving).collect();
@@ -290,7 +307,7 @@
         replacement.cluster.stores[3].is_voter()
             && replacement.cluster.stores[leaving].replica_set().is_joint()
     );
-    // The third misses the step to the new replica set, and goes then.
+    // The third replica misses the step to the new replica set.
     replacement.cluster.stalled_disks.insert(third);
     replacement
         .cluster
@@ -326,15 +343,15 @@
 }
 
 #[test]
-fn who_is_wiped_when_the_replacement_is_in_force_is_not_repaired_as_of_before() {
-    assert_eq!(wiped_when_the_replacement_is_in_force(None), (false, true));
+fn a_replica_wiped_after_the_replacement_is_not_repaired_under_the_joint_replica_set() {
+    assert_eq!(wiped_after_the_replacement(None), (false, true));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn a_repair_as_of_before_the_replacement_is_caught() {
+fn a_repair_under_a_superseded_replica_set_is_caught() {
     let mutation = Some(Mutation::RepairsUnderOvertakenReplicaSet);
-    assert_eq!(wiped_when_the_replacement_is_in_force(mutation), (true, false), "acknowledged and lost");
+    assert_eq!(wiped_after_the_replacement(mutation), (true, false), "acknowledged and lost");
 }
 
 #[test]
@@ -359,9 +376,9 @@
     }
 }
 
-/// One of three has the last change with the owner, and starts again on a disk from before that. Whether it finds that out,
-/// and whether the change is in force when the owner is lost then.
-fn disk_gone_back(mutation: Option<Mutation>) -> (u64, bool) {
+/// A replica has the last change together with the owner only, and restarts on a disk from before that
+/// change. Returns how often it detected that, and whether the change is in force after the owner is lost.
+fn disk_rolled_back(mutation: Option<Mutation>) -> (u64, bool) {
     let (mut cluster, owner) = Cluster::settled();
     cluster.set_mutation(mutation);
     let (x, y) = others(owner);
@@ -378,18 +395,18 @@
 }
 
 #[test]
-fn a_disk_that_went_back_is_found_out_by_the_owner_and_repaired() {
-    assert_eq!(disk_gone_back(None), (1, true));
+fn a_rolled_back_disk_is_detected_by_the_owner_and_repaired() {
+    assert_eq!(disk_rolled_back(None), (1, true));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn a_disk_that_went_back_and_votes_is_caught() {
-    assert_eq!(disk_gone_back(Some(Mutation::VotesAfterDiskRollback)), (0, false), "acknowledged and lost");
+fn voting_after_a_disk_rollback_is_caught() {
+    assert_eq!(disk_rolled_back(Some(Mutation::VotesAfterDiskRollback)), (0, false), "acknowledged and lost");
 }
 
 #[test]
-fn a_disk_that_went_back_is_as_good_as_empty_until_it_is_repaired() {
+fn a_rolled_back_disk_is_treated_as_empty_until_it_is_repaired() {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
     let before = cluster.disks[x].clone();
@@ -397,7 +414,7 @@
     cluster.cut_links.insert((y, x));
     cluster.disks[x] = before;
     for _ in 0..2 {
-        // Another start in the middle of the repair changes nothing.
+        // A restart in the middle of the repair changes nothing.
         cluster.restart(x);
         cluster.advance(Duration::from_secs(1));
         assert!(!cluster.stores[x].is_voter());
@@ -412,7 +429,7 @@
 }
 
 #[test]
-fn one_that_lags_has_what_was_acknowledged_within_a_second() {
+fn a_lagging_replica_catches_up_within_a_second() {
     let (mut cluster, owner) = Cluster::settled();
     let (x, y) = others(owner);
     cluster.cut_links.insert((owner, y));
--- a/crates/control/control-store/tests/rules/replacement.rs
+++ b/crates/control/control-store/tests/rules/replacement.rs
@@ -1,7 +1,7 @@
-//! Replacement of a replica that is unreachable, by a spare one.
+//! Replacement of an unreachable replica by a spare node.
 
 use crate::common::cluster::KEY;
-use crate::spare::{replaced, with_spare};
+use crate::spare::{after_replacement, with_spare};
 use silvercross_control_store::*;
 use silvercross_time::Duration;
 
@@ -10,7 +10,7 @@
     let (mut cluster, owner, x, y) = with_spare();
     cluster.isolate(x);
     cluster.advance(Duration::from_secs(6));
-    assert_eq!(cluster.stores[y].replica_set().version, 1, "nobody to come");
+    assert_eq!(cluster.stores[y].replica_set().version, 1, "no candidate");
     cluster.announce_candidates();
     cluster.advance(Duration::from_secs(4));
     for node in [owner, y, 3] {
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn who_is_away_for_less_or_for_some_alone_is_not_replaced() {
+fn a_replica_unreachable_briefly_or_for_a_minority_is_not_replaced() {
     let (mut cluster, owner, x, y) = with_spare();
     cluster.announce_candidates();
     cluster.isolate(x);
     cluster.advance(Duration::from_millis(3_500));
     cluster.rejoin(x);
     cluster.advance(Duration::from_secs(3));
-    // One of three sees it gone: that is not more than half.
+    // Only one of three considers it unreachable, which is no majority.
     cluster.cut_links.extend([(owner, x), (x, owner)]);
     cluster.stores[owner].set_reachable(cluster.now, Node(x as u32), false);
     cluster.stores[x].set_reachable(cluster.now, Node(owner as u32), false);
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn a_replacement_is_abandoned_if_who_leaves_is_back_or_who_joins_is_lost() {
+fn a_replacement_is_abandoned_if_the_leaving_replica_is_back_or_the_joining_one_is_lost() {
     for back in [true, false] {
         let (mut cluster, owner, x, y) = with_spare();
         cluster.isolate(x);
         cluster.announce_candidates();
-        // The newcomer hears nothing, so it is never repaired.
+        // The joining replica receives nothing, so it is never repaired.
         cluster.cut_links.extend([(owner, 3), (y, 3)]);
         cluster.advance(Duration::from_millis(4_700));
         assert!(cluster.stores[owner].replica_set().is_joint() || cluster.stores[y].replica_set().is_joint());
@@ -78,7 +78,7 @@
     cluster.isolate(x);
     cluster.announce_candidates();
     cluster.advance(Duration::from_millis(4_150));
-    assert!(cluster.stores[owner].replica_set().is_joint(), "in the middle");
+    assert!(cluster.stores[owner].replica_set().is_joint(), "replacement in progress");
     for node in [owner, y, 3] {
         cluster.restart(node);
     }
@@ -95,8 +95,8 @@
 
 #[test]
 fn a_removed_replica_that_returns_is_a_candidate_and_forwards_calls() {
-    let (mut cluster, _, x, y) = replaced(None);
-    assert!(cluster.stores[x].is_voter(), "it doesn't know yet");
+    let (mut cluster, _, x, y) = after_replacement(None);
+    assert!(cluster.stores[x].is_voter(), "it doesn't know of its removal yet");
     cluster.rejoin(x);
     cluster.advance(Duration::from_secs(4));
     assert!(cluster.stores[x].is_outside() && !cluster.stores[x].is_voter());
@@ -104,7 +104,7 @@
     cluster.advance(Duration::from_millis(700));
     assert!(cluster.is_committed(2), "{:?}", cluster.answers.get(&2));
     assert!(cluster.read(x, 3).0.contains_key(&2));
-    // And it may come again: what it had counts for nothing until it is repaired.
+    // It may join again, without its earlier state until it is repaired.
     cluster.announce_candidates();
     let gone = (0..4).find(|n| cluster.members(y).contains(&(*n as u32)) && *n != y).expect("another");
     cluster.isolate(gone);
@@ -114,13 +114,13 @@
 }
 
 #[test]
-fn a_wiped_replica_asks_who_the_replicas_are_and_goes_by_no_hint() {
-    let (mut cluster, owner, _, y) = replaced(None);
-    // Its hints still name the one that was removed, and not the newcomer.
+fn a_wiped_replica_asks_for_the_replica_set_and_does_not_vote_under_its_configured_one() {
+    let (mut cluster, owner, _, y) = after_replacement(None);
+    // Its configured replicas still include the removed one, and not the new one.
     cluster.isolate(owner);
     cluster.wipe(y);
     cluster.advance(Duration::from_secs(1));
-    assert!(!cluster.stores[y].is_voter(), "the newcomer alone is not more than half");
+    assert!(!cluster.stores[y].is_voter(), "the joining replica alone is no majority");
     cluster.rejoin(owner);
     cluster.advance(Duration::from_secs(3));
     assert!(cluster.stores[y].is_voter());
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_replacement_of_one_that_is_back_does_not_hinder_that_of_one_that_is_lost() {
+fn replacing_a_reachable_replica_does_not_prevent_replacing_a_lost_one() {
     let (mut cluster, owner, x, y) = with_spare();
     cluster.isolate(y);
     let mut replica_set = cluster.stores[owner].replica_set().clone();
--- a/crates/control/control-store/tests/simulation.rs
+++ b/crates/control/control-store/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Schedules drawn from seeds in simulated time, held against a plain model.
+//! Random schedules in simulated time, checked against a plain model.
 
 mod common;
 
@@ -38,10 +38,11 @@
     assert!(changes >= 40, "{changes} changes of the replica set");
 }
 
-/// With replicas lost for good and replaced where REPLACEMENTS is set, with disks that fill up where FULL_DISKS is.
-/// `SCHEDULES=20000 FROM=0 cargo test --release -p silvercross-control-store --test simulation -- --ignored --nocapture`
+/// With permanent losses and replacements if REPLACEMENTS is set, with full disks if FULL_DISKS is.
+/// `SCHEDULES=20000 FROM=0 cargo test --release -p silvercross-control-store --test simulation -- --ignored
+/// --nocapture`
 #[test]
-#[ignore = "as many schedules as SCHEDULES says"]
+#[ignore = "runs the number of schedules in SCHEDULES"]
 fn many_schedules_lose_nothing() {
     let number = |name: &str, or| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
     let (from, count) = (number("FROM", 0), number("SCHEDULES", 2_000));
@@ -61,7 +62,7 @@
     };
     let reports: Vec<Report> = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..threads).map(|t| scope.spawn(move || work(t))).collect();
-        workers.into_iter().flat_map(|w| w.join().expect("a schedule broke the claim")).collect()
+        workers.into_iter().flat_map(|w| w.join().expect("a schedule failed")).collect()
     });
     let sum = |get: fn(&Report) -> u64| reports.iter().map(get).sum::<u64>();
     let mut faults: BTreeMap<&str, u64> = BTreeMap::new();
@@ -105,7 +106,8 @@
     assert!(full >= 400 && committed >= 4_000, "{full} disks full, {committed} changes committed");
 }
 
-/// A snapshot that nobody wanted was offered over and over; a run of changes that came twice was not gone on from.
+/// Regressions: a snapshot that was not needed was offered repeatedly, and a replica that received the same
+/// append twice did not ask for the changes after it.
 #[test]
 fn schedules_that_once_failed_lose_nothing() {
     run(5_001_061);
