--- a/crates/balancer/facade/src/lib.rs
+++ b/crates/balancer/facade/src/lib.rs
@@ -11,7 +11,7 @@
 };
 use silvercross_core::policy;
 use silvercross_net::table::Handle;
-use silvercross_settings::Front;
+use silvercross_settings::ProxySettings;
 use std::cell::Cell;
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -38,7 +38,7 @@
 const FAR: Micros = Micros::MAX / 4;
 
 /// Makes what decides, from its settings, its seed and the time of its start.
-pub type Make = Box<dyn FnOnce(Settings, u64, Micros) -> Box<dyn Decide>>;
+pub type DeciderFactory = Box<dyn FnOnce(Settings, u64, Micros) -> Box<dyn Decide>>;
 
 /// Unix time in microseconds: read once at the start and carried on by the monotonic clock, so that a step of the
 /// system's clock moves no deadline, and yet an upstream's time of birth can be compared with it.
@@ -65,7 +65,7 @@
     }
 
     /// A clock that is read elsewhere.
-    pub fn read_by(read: fn() -> Micros) -> Self {
+    pub fn from_fn(read: fn() -> Micros) -> Self {
         Clock(Source::Read(read))
     }
 
@@ -108,7 +108,7 @@
     /// The work it may take.
     pub cost_hint: Option<Micros>,
     /// A client's repeat.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// It writes.
     pub write: bool,
 }
@@ -121,13 +121,13 @@
     /// A whole answer that says it failed; it may have run.
     Error,
     /// Sent back unseen; it never ran.
-    TurnedAway,
+    Rejected,
     /// Its last byte was never written; it never ran.
-    NotConnected,
+    NotDelivered,
     /// The connection broke after that; it may have run.
-    Broken,
+    Reset,
     /// It was never tried, for want of room here or because its request had ended meanwhile.
-    NotTried,
+    NotSent,
 }
 
 /// Something for the network to do.
@@ -167,20 +167,20 @@
         request: Handle,
     },
     /// Follow discovery's list from now on, or stop.
-    Watch(bool),
+    Subscribe(bool),
     /// Ask discovery for the whole list once.
     FetchList,
     /// Close idle connections to an upstream.
     CloseIdle(Upstream),
     /// A timer of the network's own came due.
-    Wake(W),
+    Timer(W),
     /// A line for the log.
     Note(String),
 }
 
 /// What is to be done now, and when to call [`Balancer::tick`] next if nothing happens before.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Turn<W> {
+pub struct Output<W> {
     /// In this order.
     pub steps: Vec<Step<W>>,
     /// `None`: there is nothing to wait for.
@@ -193,7 +193,7 @@
     /// Its name, the same everywhere and always.
     pub name: String,
     /// Where it is, from here.
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Its zone's name.
     pub zone: String,
     /// Its machine kind's name.
@@ -205,7 +205,7 @@
     /// Its listed size.
     pub size: f64,
     /// Its last start, Unix time in milliseconds; 0: long ago.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
 /// What discovery says of an upstream's life.
@@ -221,7 +221,7 @@
 
 /// News from discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum DiscoveryEvent {
     /// The whole list, or only what changed.
     List {
         /// The whole one.
@@ -292,7 +292,7 @@
 /// An upstream under its number. Upstreams come and go without end, so a number is used again.
 struct Known {
     name: String,
-    dial: Option<SocketAddr>,
+    address: Option<SocketAddr>,
     listed: bool,
     entry: Entry,
     /// Attempts that have not ended.
@@ -305,7 +305,7 @@
 pub struct Balancer<W> {
     module: Box<dyn Decide>,
     settings: Settings,
-    front: Front,
+    front: ProxySettings,
     clock: Clock,
     timers: BinaryHeap<Timer<W>>,
     timers_set: u64,
@@ -320,16 +320,16 @@
 
 impl<W> Balancer<W> {
     /// A facade round a fresh module, which is handed the list as it was last known here.
-    pub fn new(settings: Settings, front: Front, seed: u64, known: &[Host], clock: Clock) -> Self {
+    pub fn new(settings: Settings, front: ProxySettings, seed: u64, known: &[Host], clock: Clock) -> Self {
         let module = policy::Balancer::new(settings.clone(), seed, clock.now());
-        Balancer::deciding(Box::new(module), settings, front, known, clock)
+        Balancer::with_decider(Box::new(module), settings, front, known, clock)
     }
 
     /// A facade round whatever decides, fresh and made from the same settings.
-    pub fn deciding(
+    pub fn with_decider(
         module: Box<dyn Decide>,
         settings: Settings,
-        front: Front,
+        front: ProxySettings,
         known: &[Host],
         clock: Clock,
     ) -> Self {
@@ -352,7 +352,7 @@
         if !new.settings.list_on_request {
             // Where changes are said to come by themselves the module does not ask for them at first; here they come
             // by a watch all the same.
-            new.steps.push(Step::Watch(true));
+            new.steps.push(Step::Subscribe(true));
         }
         let entries = new.entries(now, known, true);
         new.drive(now, Event::List { kind: ListKind::StaleCopy, entries: &entries });
@@ -384,7 +384,7 @@
     }
 
     /// Whether a request is still owed an answer.
-    pub fn awaits(&self, request: Handle) -> bool {
+    pub fn is_unanswered(&self, request: Handle) -> bool {
         self.open.get(&request).is_some_and(|o| !o.over)
     }
 
@@ -439,7 +439,7 @@
 
     /// Other settings hold from now on. A class that is as it was keeps its slot; one that came or changed gets another, so
     /// that what is open ends under the class it was taken with.
-    pub fn reconfigure(&mut self, settings: Settings, front: Front) -> Turn<W> {
+    pub fn reconfigure(&mut self, settings: Settings, front: ProxySettings) -> Output<W> {
         let (now, held) = (self.now(), self.classes_held());
         let old = std::mem::take(&mut self.front.classes);
         let mut classes = self.settings.classes.clone();
@@ -487,16 +487,16 @@
     }
 
     /// A request has been taken: where does it go?
-    pub fn pick(&mut self, r: Request) -> Turn<W> {
+    pub fn pick(&mut self, r: Request) -> Output<W> {
         self.place(r, false)
     }
 
     /// The same for one whose body is still coming: its time counts from [`Balancer::whole`] on.
-    pub fn pick_coming(&mut self, r: Request) -> Turn<W> {
+    pub fn pick_incomplete(&mut self, r: Request) -> Output<W> {
         self.place(r, true)
     }
 
-    fn place(&mut self, r: Request, coming: bool) -> Turn<W> {
+    fn place(&mut self, r: Request, coming: bool) -> Output<W> {
         let now = self.now();
         let class = self.settings.classes.get(r.class as usize);
         let whole = class.map_or(0, |c| c.deadline);
@@ -521,7 +521,7 @@
                 key: r.key,
                 budget,
                 cost_hint: r.cost_hint,
-                client_retry: r.repeat,
+                client_retry: r.client_retry,
                 write: r.write,
             }),
         );
@@ -529,7 +529,7 @@
     }
 
     /// The last byte of a request that was coming is here: from now on its time counts, and that of its attempts.
-    pub fn whole(&mut self, request: Handle) -> Turn<W> {
+    pub fn body_complete(&mut self, request: Handle) -> Output<W> {
         let (now, stop_at) = (self.now(), self.stop_at);
         let Some(open) = self.open.get_mut(&request) else { return self.turn() };
         let Some((budget, timers)) = open.coming.take() else { return self.turn() };
@@ -549,7 +549,7 @@
 
     /// An attempt's answer begins to go on to the client before it is whole: it can't be replaced any more, and no limit
     /// of time cuts it.
-    pub fn begun(&mut self, attempt: Attempt) -> Turn<W> {
+    pub fn stream_started(&mut self, attempt: Attempt) -> Output<W> {
         let now = self.now();
         if let Some(open) = self.open.get_mut(&attempt.request).filter(|o| !o.over) {
             open.deadline = FAR;
@@ -563,7 +563,7 @@
     }
 
     /// An attempt has ended. Reports of attempts given up before are passed over.
-    pub fn report(&mut self, attempt: Attempt, report: Report) -> Turn<W> {
+    pub fn report(&mut self, attempt: Attempt, report: Report) -> Output<W> {
         let now = self.now();
         if report != Report::Served {
             let open = self.open.get_mut(&attempt.request);
@@ -579,12 +579,12 @@
     }
 
     /// Let time pass: do what has come due.
-    pub fn tick(&mut self, now: Micros) -> Turn<W> {
+    pub fn tick(&mut self, now: Micros) -> Output<W> {
         while self.timers.peek().is_some_and(|t| t.at <= now) {
             let Some(timer) = self.timers.pop() else { break };
             match timer.due {
                 Due::Module(token) => self.drive(now, Event::Timer { token }),
-                Due::Network(wake) => self.steps.push(Step::Wake(wake)),
+                Due::Network(wake) => self.steps.push(Step::Timer(wake)),
                 Due::Limit(attempt) => {
                     let sent =
                         self.open.get(&attempt.request).and_then(|o| o.attempts.get(attempt.number as usize));
@@ -608,7 +608,7 @@
     }
 
     /// The client has hung up on a request.
-    pub fn hung_up(&mut self, request: Handle) -> Turn<W> {
+    pub fn client_disconnected(&mut self, request: Handle) -> Output<W> {
         let now = self.now();
         if self.answered(request) {
             self.drive(now, Event::RequestGone { request: RequestId(request.number()) });
@@ -617,12 +617,12 @@
     }
 
     /// Discovery has told something.
-    pub fn news(&mut self, news: &News) -> Turn<W> {
+    pub fn discovery_event(&mut self, news: &DiscoveryEvent) -> Output<W> {
         let now = self.now();
         match news {
-            News::Broken => self.drive(now, Event::List { kind: ListKind::Broken, entries: &[] }),
-            News::Moved => self.drive(now, Event::List { kind: ListKind::Moved, entries: &[] }),
-            News::List { whole, hosts } => {
+            DiscoveryEvent::Broken => self.drive(now, Event::List { kind: ListKind::Broken, entries: &[] }),
+            DiscoveryEvent::Moved => self.drive(now, Event::List { kind: ListKind::Moved, entries: &[] }),
+            DiscoveryEvent::List { whole, hosts } => {
                 let kind = if *whole { ListKind::Snapshot } else { ListKind::Patch };
                 let entries = self.entries(now, hosts, *whole);
                 self.drive(now, Event::List { kind, entries: &entries });
@@ -633,9 +633,9 @@
 
     /// Another sidecar's word that this start of an upstream drains, ahead of the own list; or (`drains` false) that word is
     /// over, and the own list had it ready all the time. It never makes an upstream ready that its own list doesn't.
-    pub fn told_drain(&mut self, name: &str, born_ms: u64, drains: bool) -> Turn<W> {
+    pub fn peer_reported_drain(&mut self, name: &str, started_ms: u64, drains: bool) -> Output<W> {
         let now = self.now();
-        let born = (born_ms > 0).then(|| (born_ms.min(1 << 52) * 1000) as Micros);
+        let born = (started_ms > 0).then(|| (started_ms.min(1 << 52) * 1000) as Micros);
         let known = self.ids.get(name).and_then(|id| self.known.get_mut(*id as usize).map(|k| (*id, k)));
         let fits = |k: &&mut Known| {
             let state = if drains { Lifecycle::Running } else { Lifecycle::Draining };
@@ -654,7 +654,7 @@
     }
 
     /// So many sidecars send from now on, where the settings named a number.
-    pub fn senders_are(&mut self, senders: u32) -> Turn<W> {
+    pub fn set_instances(&mut self, senders: u32) -> Output<W> {
         let now = self.now();
         if senders > 0 && senders != self.settings.instances {
             self.settings.instances = senders;
@@ -666,12 +666,12 @@
     }
 
     /// How many sidecars send, by the settings in force.
-    pub fn senders(&self) -> u32 {
+    pub fn instances(&self) -> u32 {
         self.settings.instances
     }
 
     /// Have [`Step::Wake`] come at that time.
-    pub fn wake_at(&mut self, at: Micros, wake: W) {
+    pub fn set_timer(&mut self, at: Micros, wake: W) {
         self.set(at, Due::Network(wake));
     }
 
@@ -697,8 +697,8 @@
     }
 
     // --- inside ---
-    fn turn(&mut self) -> Turn<W> {
-        Turn { steps: std::mem::take(&mut self.steps), wake: self.timers.peek().map(|t| t.at) }
+    fn turn(&mut self) -> Output<W> {
+        Output { steps: std::mem::take(&mut self.steps), wake: self.timers.peek().map(|t| t.at) }
     }
 
     fn set(&mut self, at: Micros, due: Due<W>) {
@@ -786,7 +786,7 @@
                         None => self.set(now + after.max(0), Due::Module(token)),
                     }
                 }
-                Action::Subscribe(on) => self.steps.push(Step::Watch(on)),
+                Action::Subscribe(on) => self.steps.push(Step::Subscribe(on)),
                 Action::FetchList => self.steps.push(Step::FetchList),
                 Action::CloseIdle(u) => self.steps.push(Step::CloseIdle(Upstream(u.0))),
                 Action::Note(text) => self.steps.push(Step::Note(text)),
@@ -813,7 +813,7 @@
         if now >= open.deadline || attempt.number >= open.cap {
             return self.end(now, attempt, Outcome::NotSent);
         }
-        let Some(to) = self.known.get(upstream.0 as usize).and_then(|k| k.dial) else {
+        let Some(to) = self.known.get(upstream.0 as usize).and_then(|k| k.address) else {
             return self.end(now, attempt, Outcome::ConnectFailed);
         };
         if until < FAR {
@@ -830,7 +830,7 @@
         let is_free = |k: &Known| k.out == 0 && k.gone_since.is_some_and(|since| since < before);
         let fresh = Known {
             name: host.name.clone(),
-            dial: host.dial,
+            address: host.address,
             listed: false,
             entry,
             out: 0,
@@ -863,7 +863,7 @@
                     Health::Draining => Lifecycle::Draining,
                     Health::Gone => Lifecycle::Gone,
                 },
-                last_start: (h.born_ms > 0).then(|| (h.born_ms.min(1 << 52) * 1000) as Micros),
+                last_start: (h.started_ms > 0).then(|| (h.started_ms.min(1 << 52) * 1000) as Micros),
                 zone: index(&mut self.front.zones, &h.zone),
                 cell: h.cell,
                 kind: index(&mut self.front.kinds, &h.kind),
@@ -880,10 +880,10 @@
             entry.upstream = UpstreamId(id);
             let known = &mut self.known[id as usize];
             let here = h.health == Health::Ready;
-            if (known.dial != h.dial) || (known.listed && !here) {
+            if (known.address != h.address) || (known.listed && !here) {
                 self.steps.push(Step::CloseIdle(Upstream(id)));
             }
-            (known.dial, known.listed, known.entry) = (h.dial, here, entry);
+            (known.address, known.listed, known.entry) = (h.address, here, entry);
             known.gone_since = match h.health {
                 Health::Gone => known.gone_since.or(Some(now)),
                 _ => None,
@@ -908,10 +908,10 @@
     match report {
         Report::Served => Outcome::Served,
         Report::Error => Outcome::Error,
-        Report::TurnedAway => Outcome::Rejected,
-        Report::NotConnected => Outcome::ConnectFailed,
-        Report::Broken => Outcome::Reset,
-        Report::NotTried => Outcome::NotSent,
+        Report::Rejected => Outcome::Rejected,
+        Report::NotDelivered => Outcome::ConnectFailed,
+        Report::Reset => Outcome::Reset,
+        Report::NotSent => Outcome::NotSent,
     }
 }
 
--- a/crates/balancer/facade/tests/facade.rs
+++ b/crates/balancer/facade/tests/facade.rs
@@ -1,7 +1,7 @@
 //! The facade without sockets: a clock that stands where the test puts it, reports handed in, steps looked at.
 use silvercross_core::interface::Micros;
 use silvercross_facade::{
-    Attempt, Balancer, Clock, Health, Host, News, Report, Request, Step, Turn, Upstream,
+    Attempt, Balancer, Clock, DiscoveryEvent, Health, Host, Output, Report, Request, Step, Upstream,
 };
 use silvercross_net::table::{Handle, Table};
 use std::cell::Cell;
@@ -23,13 +23,13 @@
 fn host(n: u32) -> Host {
     Host {
         name: format!("s-{n}"),
-        dial: Some(([127, 0, 0, 1], 3000 + n as u16).into()),
+        address: Some(([127, 0, 0, 1], 3000 + n as u16).into()),
         zone: "a".into(),
         kind: "k".into(),
         cell: 0,
         health: Health::Ready,
         size: 1.0,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
 
@@ -61,8 +61,8 @@
     fn request(&mut self, class: u32, budget: Micros) -> Request {
         let handle = self.handles.insert_with(|_| Ok::<_, ()>(())).expect("made").expect("room");
         let (key, cost_hint, budget) = (None, None, Some(budget));
-        let (repeat, write) = (false, false);
-        Request { handle, class, tenant: 0, key, budget, cost_hint, repeat, write }
+        let (client_retry, write) = (false, false);
+        Request { handle, class, tenant: 0, key, budget, cost_hint, client_retry, write }
     }
 
     fn ask(&mut self, class: u32, budget: Micros) -> (Handle, Steps) {
@@ -73,7 +73,7 @@
     /// The same for one whose body is still coming.
     fn ask_coming(&mut self, class: u32, budget: Micros) -> (Handle, Steps) {
         let request = self.request(class, budget);
-        (request.handle, self.balancer.pick_coming(request).steps)
+        (request.handle, self.balancer.pick_incomplete(request).steps)
     }
 
     /// Let time pass, waking as often as the facade asks.
@@ -81,7 +81,7 @@
         let end = self.clock.get() + span;
         let mut steps = Vec::new();
         loop {
-            let Turn { steps: more, wake } = self.balancer.tick(self.clock.get());
+            let Output { steps: more, wake } = self.balancer.tick(self.clock.get());
             steps.extend(more);
             match wake {
                 Some(at) if at <= end => self.clock.set(at.max(self.clock.get())),
@@ -128,7 +128,7 @@
     let steps = b.report(sent[0].0, Report::Served);
     assert_eq!(steps, [Step::Serve { attempt: sent[0].0 }]);
     assert_eq!(b.balancer.unanswered(), 0);
-    assert_eq!(b.report(sent[0].0, Report::Broken), [], "an attempt ends once");
+    assert_eq!(b.report(sent[0].0, Report::Reset), [], "an attempt ends once");
     assert_eq!(answers(&b.pass(5 * S)), 0, "one final answer");
 }
 
@@ -136,10 +136,10 @@
 fn what_may_have_run_once_is_never_sent_again() {
     // A connection used before that breaks before it answers is no licence to send again.
     for (report, sent_again) in [
-        (Report::Broken, false),
+        (Report::Reset, false),
         (Report::Error, false),
-        (Report::TurnedAway, true),
-        (Report::NotConnected, true),
+        (Report::Rejected, true),
+        (Report::NotDelivered, true),
     ] {
         let mut b = Bench::new(&[host(0), host(1)]);
         let (request, steps) = b.ask(ONCE, 2 * S);
@@ -160,7 +160,7 @@
     let (request, mut steps) = b.ask(ONCE, 2 * S);
     for _ in 0..2 {
         let sent = sends(&steps);
-        steps = b.report(sent[0].0, Report::TurnedAway);
+        steps = b.report(sent[0].0, Report::Rejected);
     }
     assert!(steps.iter().any(|s| matches!(s, Step::Refuse { request: r, .. } if *r == request)), "{steps:?}");
 }
@@ -168,12 +168,12 @@
 #[test]
 fn upstreams_that_come_and_go_leave_nothing_behind() {
     let mut b = Bench::new(&[host(0)]);
-    let whole = |hosts: Vec<Host>| News::List { whole: true, hosts };
+    let whole = |hosts: Vec<Host>| DiscoveryEvent::List { whole: true, hosts };
     let mut last = None;
     for n in 1..200 {
         // Some leave by a change, some by a whole list that lacks them; all are at one address.
-        let new = Host { dial: host(0).dial, ..host(n) };
-        b.balancer.news(&whole(vec![new.clone()]));
+        let new = Host { address: host(0).address, ..host(n) };
+        b.balancer.discovery_event(&whole(vec![new.clone()]));
         let (_, steps) = b.ask(ONCE, S);
         let sent = sends(&steps)[0];
         assert_ne!(Some(sent.1), last, "under another number: connections are kept by it");
@@ -181,7 +181,7 @@
         b.report(sent.0, Report::Served);
         if n % 2 == 0 {
             let gone = Host { health: Health::Gone, ..new };
-            b.balancer.news(&News::List {
+            b.balancer.discovery_event(&DiscoveryEvent::List {
                 whole: false,
                 hosts: vec![gone.clone(), Host { name: "x".into(), ..gone }],
             });
@@ -196,10 +196,10 @@
     let mut b = Bench::new(&[host(0)]);
     let (_, steps) = b.ask(ONCE, 50 * S);
     let old = sends(&steps)[0];
-    let list = |h: Host| News::List { whole: true, hosts: vec![h] };
-    b.balancer.news(&list(host(1)));
+    let list = |h: Host| DiscoveryEvent::List { whole: true, hosts: vec![h] };
+    b.balancer.discovery_event(&list(host(1)));
     b.pass(30 * S);
-    b.balancer.news(&list(host(2)));
+    b.balancer.discovery_event(&list(host(2)));
     let (_, steps) = b.ask(ONCE, S);
     assert_ne!(sends(&steps)[0].1, old.1);
     // Its late report is of the old one.
@@ -210,7 +210,7 @@
 
 #[test]
 fn want_of_room_here_is_not_held_against_an_upstream() {
-    for (report, excluded) in [(Report::NotTried, false), (Report::NotConnected, true)] {
+    for (report, excluded) in [(Report::NotSent, false), (Report::NotDelivered, true)] {
         let mut b = Bench::new(&[host(0), host(1)]);
         b.serve_quickly(4, ONCE);
         // So long after its last answer that one failure stands for the upstream.
@@ -275,9 +275,9 @@
     let mut b = Bench::new(&[host(0)]);
     let (request, steps) = b.ask(ONCE, 2 * S);
     let attempt = sends(&steps)[0].0;
-    assert_eq!(b.balancer.hung_up(request).steps, [Step::Cancel { attempt }]);
+    assert_eq!(b.balancer.client_disconnected(request).steps, [Step::Cancel { attempt }]);
     assert_eq!(answers(&b.pass(5 * S)), 0);
-    assert_eq!(b.balancer.hung_up(request).steps, []);
+    assert_eq!(b.balancer.client_disconnected(request).steps, []);
 }
 
 #[test]
@@ -293,15 +293,18 @@
     assert!(sends(&steps).iter().all(|s| s.3 <= 500 * MS) && !sends(&steps).is_empty(), "{steps:?}");
     let steps = b.pass(520 * MS);
     assert!(steps.contains(&Step::Fail { request: old }), "{steps:?}");
-    assert_eq!((answers(&steps), b.balancer.awaits(new), b.balancer.unanswered()), (2, false, 0));
+    assert_eq!((answers(&steps), b.balancer.is_unanswered(new), b.balancer.unanswered()), (2, false, 0));
 }
 
 #[test]
 fn drains_and_moved_addresses_are_followed() {
     let mut b = Bench::new(&[host(0), host(1)]);
     let draining = Host { health: Health::Draining, ..host(0) };
-    let moved = Host { dial: Some(([127, 0, 0, 1], 4000).into()), ..host(1) };
-    let steps = b.balancer.news(&News::List { whole: false, hosts: vec![draining, moved] }).steps;
+    let moved = Host { address: Some(([127, 0, 0, 1], 4000).into()), ..host(1) };
+    let steps = b
+        .balancer
+        .discovery_event(&DiscoveryEvent::List { whole: false, hosts: vec![draining, moved] })
+        .steps;
     assert_eq!(steps, [Step::CloseIdle(Upstream(0)), Step::CloseIdle(Upstream(1))]);
     for _ in 0..6 {
         let (_, steps) = b.ask(REPEATABLE, S);
@@ -311,7 +314,7 @@
     }
     // What a whole list lacks is gone; nothing is left to send to.
     assert!(b.balancer.ready());
-    b.balancer.news(&News::List { whole: true, hosts: vec![] });
+    b.balancer.discovery_event(&DiscoveryEvent::List { whole: true, hosts: vec![] });
     assert!(!b.balancer.ready());
     let (_, steps) = b.ask(REPEATABLE, S);
     assert_eq!((sends(&steps).len(), answers(&steps)), (0, 1));
@@ -320,10 +323,10 @@
 #[test]
 fn a_broken_watch_is_asked_for_again_and_the_list_stays() {
     let mut b = Bench::new(&[host(0)]);
-    let watch = Step::Watch(true);
+    let watch = Step::Subscribe(true);
     assert!(b.pass(S).contains(&watch));
     assert_eq!(b.pass(30 * S).len(), 0, "asked once");
-    b.balancer.news(&News::Broken);
+    b.balancer.discovery_event(&DiscoveryEvent::Broken);
     assert!(b.pass(20 * S).contains(&watch));
     let (_, steps) = b.ask(REPEATABLE, S);
     assert_eq!(sends(&steps).len(), 1);
@@ -332,9 +335,9 @@
 #[test]
 fn a_list_that_is_pushed_is_watched_from_the_start() {
     let mut b = Bench::with("pushed", &[host(0)]);
-    let watch = Step::Watch(true);
+    let watch = Step::Subscribe(true);
     assert_eq!(b.pass(30 * S), std::slice::from_ref(&watch));
-    b.balancer.news(&News::Broken);
+    b.balancer.discovery_event(&DiscoveryEvent::Broken);
     assert_eq!(b.pass(30 * S), [watch]);
 }
 
@@ -344,10 +347,10 @@
     b.pass(S);
     let now = b.clock.get();
     for (at, what) in [(30, "c"), (10, "a"), (30, "d"), (20, "b")] {
-        b.balancer.wake_at(now + at * MS, what);
+        b.balancer.set_timer(now + at * MS, what);
     }
-    assert_eq!(b.pass(25 * MS), [Step::Wake("a"), Step::Wake("b")]);
-    assert_eq!(b.pass(25 * MS), [Step::Wake("c"), Step::Wake("d")]);
+    assert_eq!(b.pass(25 * MS), [Step::Timer("a"), Step::Timer("b")]);
+    assert_eq!(b.pass(25 * MS), [Step::Timer("c"), Step::Timer("d")]);
 }
 
 #[test]
@@ -359,7 +362,7 @@
         for n in 0..200u32 {
             let (_, steps) = b.ask(n % 2, S);
             let reports =
-                [Report::Served, Report::Error, Report::Broken, Report::NotConnected, Report::TurnedAway];
+                [Report::Served, Report::Error, Report::Reset, Report::NotDelivered, Report::Rejected];
             for sent in sends(&steps) {
                 if n % 7 != 0 {
                     all.extend(b.report(sent.0, reports[n as usize % 5]));
@@ -379,7 +382,7 @@
 fn settings_of(
     classes: &[(&str, &str, f64)],
     attempts: u32,
-) -> (silvercross_core::interface::Settings, silvercross_settings::Front) {
+) -> (silvercross_core::interface::Settings, silvercross_settings::ProxySettings) {
     let class = |(name, effect, deadline): &(&str, &str, f64)| {
         format!(r#"{{"name":"{name}","aim_s":0.5,"deadline_s":{deadline},"effect":"{effect}"}}"#)
     };
@@ -419,11 +422,11 @@
     let (_, steps) = b.ask(REPEATABLE, 2 * S);
     let (settings, front) = settings_of(&[("read", "repeatable", 2.0)], 1);
     b.balancer.reconfigure(settings, front);
-    let steps = b.report(sends(&steps)[0].0, Report::NotConnected);
+    let steps = b.report(sends(&steps)[0].0, Report::NotDelivered);
     assert_eq!(sends(&steps).len(), 1, "taken with four: {steps:?}");
     let read = b.balancer.class_named("read").expect("named");
     let (_, steps) = b.ask(read, 2 * S);
-    let steps = b.report(sends(&steps)[0].0, Report::NotConnected);
+    let steps = b.report(sends(&steps)[0].0, Report::NotDelivered);
     assert!(sends(&steps).is_empty(), "taken with one: {steps:?}");
 }
 
@@ -456,7 +459,7 @@
     assert_eq!(sends(&steps)[0].3, S, "the upstream is told what the client gives");
     let waited = b.pass(20 * S);
     assert!(answers(&waited) == 0 && sends(&waited).is_empty(), "it is still coming: {waited:?}");
-    b.balancer.whole(request);
+    b.balancer.body_complete(request);
     assert_eq!(answers(&b.pass(900 * MS)), 0);
     assert_eq!(answers(&b.pass(200 * MS)), 1, "now its time is up");
     assert_eq!(b.balancer.unanswered(), 0);
@@ -470,13 +473,13 @@
     let first = sends(&steps)[0].0;
     // A second copy is out as the first begins: it is called off.
     let second = sends(&b.pass(300 * MS))[0].0;
-    let steps = b.balancer.begun(first).steps;
+    let steps = b.balancer.stream_started(first).steps;
     assert!(steps.contains(&Step::Cancel { attempt: second }), "{steps:?}");
     let passed = b.pass(60 * S);
     assert!(answers(&passed) == 0 && sends(&passed).is_empty(), "{passed:?}");
     assert_eq!(b.balancer.unanswered(), 1);
     // It breaks off: there is no other answer to give.
-    let steps = b.report(first, Report::Broken);
+    let steps = b.report(first, Report::Reset);
     assert!(answers(&steps) == 0 && sends(&steps).is_empty(), "{steps:?}");
     assert_eq!((b.balancer.unanswered(), answers(&b.pass(10 * S))), (0, 0));
 }
@@ -486,7 +489,7 @@
     let mut b = Bench::new(&[host(0), host(1)]);
     let (_, steps) = b.ask(REPEATABLE, S);
     let passing = sends(&steps)[0].0;
-    b.balancer.begun(passing);
+    b.balancer.stream_started(passing);
     b.ask_coming(ONCE, S);
     let at = b.clock.get() + 2 * S;
     b.balancer.answer_by(at);
--- a/crates/balancer/gateway/src/offer.rs
+++ b/crates/balancer/gateway/src/offer.rs
@@ -1,7 +1,7 @@
 //! How much home can spare for the other side. Home's own traffic is not seen here; what is seen is how long the guests'
 //! requests take at home against what they usually take. Guests are to give way to any queue: the offer is halved at once
 //! when they turn late, and given back by a little while they are quick.
-use crate::statement::{Statement, LONGEST_HELD, MOST_SLOTS};
+use crate::statement::{Statement, MAX_SLOTS, MAX_VALIDITY};
 use silvercross_core::interface::Micros;
 
 /// Weight of an answer in how long guests take just now, and in what they usually take.
@@ -30,35 +30,35 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// The first offer of a life, and the least that is kept for finding out.
-    pub first: u32,
+    pub initial_slots: u32,
     /// The most guests at a time, whatever there is room for.
-    pub most: u32,
+    pub max_slots: u32,
     /// How long a statement holds.
-    pub holds: Micros,
+    pub validity: Micros,
 }
 
 /// How a guest's request ended at home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RemoteOutcome {
     /// Served, within its time.
     Served,
     /// Home turned it away, or had no time for it.
-    TurnedAway,
+    Rejected,
     /// It failed, or its time ran out.
     Failed,
     /// Its sender left.
-    Left,
+    Disconnected,
 }
 
 /// The offer.
 #[derive(Clone, Debug)]
 pub struct Offer {
     limits: Limits,
-    life: u64,
+    incarnation: u64,
     seq: u64,
     slots: f64,
     /// Guests at work.
-    pub at_work: u32,
+    pub in_flight: u32,
     /// Guests refused for want of room.
     pub refused: u64,
     seen: f64,
@@ -73,16 +73,19 @@
 
 impl Offer {
     /// A new life's first offer.
-    pub fn new(limits: Limits, life: u64, now: Micros) -> Self {
-        let most = limits.most.min(MOST_SLOTS);
-        let limits =
-            Limits { first: limits.first.min(most), most, holds: limits.holds.clamp(1_000, LONGEST_HELD) };
+    pub fn new(limits: Limits, incarnation: u64, now: Micros) -> Self {
+        let max_slots = limits.max_slots.min(MAX_SLOTS);
+        let limits = Limits {
+            initial_slots: limits.initial_slots.min(max_slots),
+            max_slots,
+            validity: limits.validity.clamp(1_000, MAX_VALIDITY),
+        };
         Offer {
             limits,
-            life,
+            incarnation,
             seq: 0,
-            slots: f64::from(limits.first),
-            at_work: 0,
+            slots: f64::from(limits.initial_slots),
+            in_flight: 0,
             refused: 0,
             seen: 0.0,
             usual: 0.0,
@@ -111,28 +114,28 @@
 
     /// Whether one more guest may come in; it is at work then, until [`Offer::ended`].
     pub fn admit(&mut self, now: Micros) -> bool {
-        if self.at_work >= self.slots(now) {
+        if self.in_flight >= self.slots(now) {
             self.refused += 1;
             return false;
         }
-        self.at_work += 1;
+        self.in_flight += 1;
         true
     }
 
     /// A guest is done; `left`: the time it had when it came. `took` over `expected`: its work as its sender guessed it, or the same for all of a class.
-    pub fn ended(&mut self, now: Micros, how: Ended, took: Micros, expected: f64, left: Micros) {
-        let used = f64::from(self.at_work) >= IN_USE * self.slots;
-        self.at_work = self.at_work.saturating_sub(1);
+    pub fn ended(&mut self, now: Micros, how: RemoteOutcome, took: Micros, expected: f64, left: Micros) {
+        let used = f64::from(self.in_flight) >= IN_USE * self.slots;
+        self.in_flight = self.in_flight.saturating_sub(1);
         let most = if self.seen < LEARN { f64::MAX } else { SURPRISE * self.usual };
         let slow = took as f64 > SLOW_SHARE * left as f64;
         let ratio = match how {
-            Ended::Left => return,
-            Ended::Served if slow && self.seen < LEARN => return self.halve(now),
-            Ended::Served if slow => most,
+            RemoteOutcome::Disconnected => return,
+            RemoteOutcome::Served if slow && self.seen < LEARN => return self.halve(now),
+            RemoteOutcome::Served if slow => most,
             // One that home could not serve in time took as long as counts.
-            Ended::TurnedAway | Ended::Failed if self.seen < LEARN => return self.halve(now),
-            Ended::TurnedAway | Ended::Failed => most,
-            Ended::Served => (took.max(1) as f64 / expected.max(1.0)).min(most),
+            RemoteOutcome::Rejected | RemoteOutcome::Failed if self.seen < LEARN => return self.halve(now),
+            RemoteOutcome::Rejected | RemoteOutcome::Failed => most,
+            RemoteOutcome::Served => (took.max(1) as f64 / expected.max(1.0)).min(most),
         };
         self.seen += 1.0;
         let weight = |least: f64| (1.0 / self.seen).max(least);
@@ -149,7 +152,7 @@
         } else if crowding < ROOMY && used && now >= self.grown_at + GROW_EVERY {
             self.grown_at = now;
             let more = (self.slots * GROW).max(1.0);
-            self.slots = (self.slots + more).min(f64::from(self.limits.most));
+            self.slots = (self.slots + more).min(f64::from(self.limits.max_slots));
             self.pause = PAUSE.0;
         }
     }
@@ -164,13 +167,13 @@
             self.closed_until = now + self.pause;
             self.pause = (2 * self.pause).min(PAUSE.1);
         }
-        self.slots = (self.slots / 2.0).max(f64::from(self.limits.first.min(1)));
+        self.slots = (self.slots / 2.0).max(f64::from(self.limits.initial_slots.min(1)));
     }
 
     /// What to state now to one of so many far gateways: its part.
-    pub fn state(&mut self, now: Micros, among: u32) -> Statement {
+    pub fn next_statement(&mut self, now: Micros, among: u32) -> Statement {
         self.seq += 1;
         let slots = self.slots(now).div_ceil(among.max(1));
-        Statement { life: self.life, seq: self.seq, slots, holds: self.limits.holds }
+        Statement { incarnation: self.incarnation, seq: self.seq, slots, validity: self.limits.validity }
     }
 }
--- a/crates/balancer/gateway/src/peers.rs
+++ b/crates/balancer/gateway/src/peers.rs
@@ -13,7 +13,7 @@
 
 /// Why a request is not let over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotOver {
+pub enum CrossingRefused {
     /// No far gateway has a standing offer with room.
     NoRoom,
     /// Its time left does not cover the way and the far answer.
@@ -58,11 +58,11 @@
     }
 
     /// Something was stated by a peer: by value, as the header had it.
-    pub fn heard_value(&mut self, now: Micros, peer: usize, value: &str) -> Result<(), &'static str> {
+    pub fn receive_header(&mut self, now: Micros, peer: usize, value: &str) -> Result<(), &'static str> {
         let read = Statement::read(value);
         match read {
             Ok(s) => {
-                self.heard(now, peer, s);
+                self.receive(now, peer, s);
                 Ok(())
             }
             Err(why) => {
@@ -74,29 +74,29 @@
 
     /// A statement of a peer's. Only one that is newer than what was heard counts; its time runs from now, since the clocks of
     /// two sites may be apart.
-    pub fn heard(&mut self, now: Micros, peer: usize, s: Statement) {
+    pub fn receive(&mut self, now: Micros, peer: usize, s: Statement) {
         let Some(p) = self.peers.get_mut(peer) else {
             self.ignored += 1;
             return;
         };
         let stale = match &p.heard {
-            Some((_, old)) if old.life == s.life => s.seq <= old.seq,
-            _ => p.past_life == Some(s.life),
+            Some((_, old)) if old.incarnation == s.incarnation => s.seq <= old.seq,
+            _ => p.past_life == Some(s.incarnation),
         };
         if stale {
             self.ignored += 1;
             return;
         }
-        if let Some((_, old)) = p.heard.filter(|(_, old)| old.life != s.life) {
-            p.past_life = Some(old.life);
+        if let Some((_, old)) = p.heard.filter(|(_, old)| old.incarnation != s.incarnation) {
+            p.past_life = Some(old.incarnation);
         }
         p.heard = Some((now, s));
     }
 
     /// The link to a peer has broken: what it offered went with it. What it states over a link that stands again counts.
-    pub fn broken(&mut self, peer: usize) {
+    pub fn link_lost(&mut self, peer: usize) {
         if let Some((at, s)) = self.peers.get_mut(peer).and_then(|p| p.heard.as_mut()) {
-            (*at, s.holds) = (Micros::MIN / 2, 0);
+            (*at, s.validity) = (Micros::MIN / 2, 0);
         }
     }
 
@@ -105,10 +105,10 @@
     pub fn slots(&self, now: Micros, peer: usize) -> u32 {
         let Some((at, s)) = self.peers.get(peer).and_then(|p| p.heard) else { return 0 };
         let age = now.saturating_sub(at);
-        if age < 0 || age >= s.holds {
+        if age < 0 || age >= s.validity {
             return 0;
         }
-        let fresh = (2.0 * (s.holds - age) as f64 / s.holds as f64).min(1.0);
+        let fresh = (2.0 * (s.validity - age) as f64 / s.validity as f64).min(1.0);
         (f64::from(s.slots.min(self.most)) * fresh) as u32
     }
 
@@ -126,19 +126,19 @@
     }
 
     /// What is out at a peer.
-    pub fn out(&self, peer: usize) -> u32 {
+    pub fn in_flight(&self, peer: usize) -> u32 {
         self.peers.get(peer).map_or(0, |p| p.out)
     }
 
     /// When [`Peers::has_room`] may change by itself: the next end or shrinking of an offer.
-    pub fn next(&self, now: Micros) -> Option<Micros> {
-        let of = |p: &Peer| p.heard.filter(|(at, s)| now < at.saturating_add(s.holds));
+    pub fn next_change(&self, now: Micros) -> Option<Micros> {
+        let of = |p: &Peer| p.heard.filter(|(at, s)| now < at.saturating_add(s.validity));
         let step = |(at, s): (Micros, Statement)| {
-            let half = at + s.holds / 2;
+            let half = at + s.validity / 2;
             if now < half {
                 half
             } else {
-                (now + s.holds / 20 + 1).min(at + s.holds)
+                (now + s.validity / 20 + 1).min(at + s.validity)
             }
         };
         self.peers.iter().filter_map(of).map(step).min()
@@ -146,10 +146,10 @@
 
     /// Whether a request with so much time left may go over now, to whichever peer the module picks. `work`: its size against
     /// the usual one of its class.
-    pub fn may_cross(&self, now: Micros, left: Micros, work: f64) -> Result<(), NotOver> {
+    pub fn may_cross(&self, now: Micros, left: Micros, work: f64) -> Result<(), CrossingRefused> {
         let open: Vec<usize> = (0..self.peers.len()).filter(|i| self.has_room(now, *i)).collect();
         if open.is_empty() {
-            return Err(NotOver::NoRoom);
+            return Err(CrossingRefused::NoRoom);
         }
         let needs = |i: &usize| self.peers[*i].needs(now) * work.max(0.1);
         // Nothing learnt yet: the first ones find out.
@@ -157,7 +157,7 @@
         if fits {
             Ok(())
         } else {
-            Err(NotOver::NoTime)
+            Err(CrossingRefused::NoTime)
         }
     }
 
--- a/crates/balancer/management/src/call.rs
+++ b/crates/balancer/management/src/call.rs
@@ -1,8 +1,8 @@
 //! The calls of the door: one to a connection.
-use silvercross_net::http::{self, Bad};
+use silvercross_net::http::{self, MessageError};
 
 /// A call takes no more bytes than this.
-pub const CALL_MOST: usize = 4096;
+pub const MAX_CALL_BYTES: usize = 4096;
 
 /// What an operator asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,10 +46,10 @@
 }
 
 /// The call at the front of `bytes`; `None` while its head is not whole. Its body, if it has one, says nothing.
-pub fn call(bytes: &[u8]) -> Result<Option<Call>, Bad> {
-    let mut room = http::lines();
+pub fn parse_call(bytes: &[u8]) -> Result<Option<Call>, MessageError> {
+    let mut room = http::empty_headers();
     let Some(head) = http::request_head(bytes, &mut room)? else {
-        return if bytes.len() >= CALL_MOST { Err(Bad::HeadTooLarge) } else { Ok(None) };
+        return if bytes.len() >= MAX_CALL_BYTES { Err(MessageError::HeadTooLarge) } else { Ok(None) };
     };
     let (path, query) = head.target.split_once('?').unwrap_or((head.target, ""));
     let said = |key: &str| {
@@ -71,14 +71,16 @@
                 let number = |key: &str| said(key).map(|v| v.parse::<u64>()).transpose();
                 match (number("above"), number("wait_ms")) {
                     (Ok(above), Ok(wait)) => Call::Document { name, above, wait_ms: wait.unwrap_or(0) },
-                    _ => return Err(Bad::Malformed("above, wait_ms: numbers")),
+                    _ => return Err(MessageError::Malformed("above, wait_ms: numbers")),
                 }
             }
             "POST" => {
                 let expect = match said("expect").map(|v| v.parse()) {
                     None => None,
                     Some(Ok(version)) => Some(version),
-                    Some(Err(_)) => return Err(Bad::Malformed("expect: a version, which is a number")),
+                    Some(Err(_)) => {
+                        return Err(MessageError::Malformed("expect: a version, which is a number"))
+                    }
                 };
                 Call::Put { name, expect, value: said("value").unwrap_or_default() }
             }
@@ -93,7 +95,7 @@
         ("POST", "/admin/records/found") => Call::Found,
         ("POST", "/admin/records/recover") => match said("group").map(|g| g.parse()) {
             Some(Ok(group)) => Call::Recover(group),
-            _ => return Err(Bad::Malformed("group: which one, a number")),
+            _ => return Err(MessageError::Malformed("group: which one, a number")),
         },
         (_, "/admin/health" | "/admin/stats" | "/admin/members" | "/admin/records") => Call::NotAllowed,
         (_, "/admin/records/found" | "/admin/records/recover") => Call::NotAllowed,
@@ -102,7 +104,7 @@
 }
 
 /// An answer's bytes; it is the last on its connection.
-pub fn answer(status: u16, text: &str) -> Vec<u8> {
+pub fn response(status: u16, text: &str) -> Vec<u8> {
     let allow = if status == 405 { "Allow: GET\r\n" } else { "" };
     format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n{allow}Connection: close\r\n\r\n{text}",
@@ -118,7 +120,7 @@
 
     #[test]
     fn each_call_is_told_from_the_others() {
-        let of = |line: &str| call(format!("{line} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes());
+        let of = |line: &str| parse_call(format!("{line} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes());
         assert_eq!(of("GET /admin/health"), Ok(Some(Call::Health)));
         assert_eq!(of("GET /admin/stats?all=1"), Ok(Some(Call::Stats)));
         assert_eq!(of("POST /admin/stats"), Ok(Some(Call::NotAllowed)));
@@ -140,16 +142,16 @@
     fn a_call_may_come_in_any_pieces_but_not_without_end() {
         let text = b"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n";
         for cut in 0..text.len() {
-            assert_eq!(call(&text[..cut]), Ok(None), "cut at {cut}");
+            assert_eq!(parse_call(&text[..cut]), Ok(None), "cut at {cut}");
         }
-        assert!(matches!(call(b"what?\0\r\n\r\n"), Err(Bad::Malformed(_))));
-        let long = format!("GET /admin/health HTTP/1.1\r\nX: {}", "a".repeat(CALL_MOST));
-        assert_eq!(call(long.as_bytes()), Err(Bad::HeadTooLarge));
+        assert!(matches!(parse_call(b"what?\0\r\n\r\n"), Err(MessageError::Malformed(_))));
+        let long = format!("GET /admin/health HTTP/1.1\r\nX: {}", "a".repeat(MAX_CALL_BYTES));
+        assert_eq!(parse_call(long.as_bytes()), Err(MessageError::HeadTooLarge));
     }
 
     #[test]
     fn an_answer_is_the_last_on_its_connection() {
-        let text = String::from_utf8(answer(405, "no\n")).expect("text");
+        let text = String::from_utf8(response(405, "no\n")).expect("text");
         assert!(text.starts_with("HTTP/1.1 405 Method Not Allowed\r\n"), "{text}");
         assert!(text.contains("Allow: GET\r\n") && text.contains("Connection: close\r\n"), "{text}");
         assert!(text.ends_with("Content-Length: 3\r\nAllow: GET\r\nConnection: close\r\n\r\nno\n"), "{text}");
--- a/crates/balancer/management/src/figures.rs
+++ b/crates/balancer/management/src/figures.rs
@@ -16,7 +16,7 @@
 
 /// What is counted from the start of the process on.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<OfClass>,
     changes: u64,
     relayed: u64,
@@ -37,23 +37,23 @@
 
 type Count = fn(&OfClass) -> u64;
 
-impl Figures {
+impl Metrics {
     /// All at 0, for these classes.
     pub fn new(classes: &[String]) -> Self {
-        let mut new = Figures::default();
-        new.classes_are(classes);
+        let mut new = Metrics::default();
+        new.set_classes(classes);
         new
     }
 
     /// The settings name these classes now. One that comes begins at 0, one that comes back goes on, one that is
     /// gone keeps its line.
-    pub fn classes_are(&mut self, names: &[String]) {
+    pub fn set_classes(&mut self, names: &[String]) {
         self.changes += 1;
         for c in &mut self.classes {
             c.gone = if names.contains(&c.name) { None } else { c.gone.or(Some(self.changes)) };
         }
         for name in names {
-            if self.class(name).is_some() {
+            if self.class_index(name).is_some() {
                 continue;
             }
             let fresh = OfClass { name: name.clone(), fulfilled: 0, throttled: 0, faulted: 0, gone: None };
@@ -66,13 +66,13 @@
     }
 
     /// Where a class is counted.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.name == name)
     }
 
     /// The final answer to a request of a class was handed to its client's connection: 200 is fulfilled, 429 and 503
     /// are throttled, all else is faulted.
-    pub fn answered(&mut self, class: usize, status: u16) {
+    pub fn count_response(&mut self, class: usize, status: u16) {
         let Some(c) = self.classes.get_mut(class) else { return };
         match status {
             200 => c.fulfilled += 1,
@@ -82,17 +82,17 @@
     }
 
     /// The last byte of an attempt was written to an upstream.
-    pub fn relayed(&mut self) {
+    pub fn count_relayed(&mut self) {
         self.relayed += 1;
     }
 
     /// A file was taken at SIGHUP, or turned down.
-    pub fn reread(&mut self, taken: bool) {
+    pub fn count_reload(&mut self, taken: bool) {
         *(if taken { &mut self.accepted } else { &mut self.invalid }) += 1;
     }
 
     /// All figures, one a line.
-    pub fn text(&self, gauges: &Gauges) -> String {
+    pub fn render(&self, gauges: &Gauges) -> String {
         let mut out = String::with_capacity(256 + self.classes.len() * 160);
         let counts: [(&str, Count); 3] =
             [("fulfilled", |c| c.fulfilled), ("throttled", |c| c.throttled), ("faulted", |c| c.faulted)];
@@ -128,17 +128,17 @@
         of.iter().map(|n| n.to_string()).collect()
     }
 
-    fn line(f: &Figures, line: &str) -> bool {
-        f.text(&Gauges::default()).lines().any(|l| l == line)
+    fn line(f: &Metrics, line: &str) -> bool {
+        f.render(&Gauges::default()).lines().any(|l| l == line)
     }
 
     #[test]
     fn each_answer_counts_once_by_its_status() {
-        let mut f = Figures::new(&names(&["a", "b"]));
+        let mut f = Metrics::new(&names(&["a", "b"]));
         assert!(line(&f, "svc_faulted_total{priority=\"b\"} 0"), "every class is there from the start");
-        let a = f.class("a").expect("named");
+        let a = f.class_index("a").expect("named");
         for status in [200, 200, 429, 503, 502, 400, 408] {
-            f.answered(a, status);
+            f.count_response(a, status);
         }
         for (what, n) in [("fulfilled", 2), ("throttled", 2), ("faulted", 3)] {
             assert!(line(&f, &format!("svc_{what}_total{{priority=\"a\"}} {n}")), "{what}");
@@ -148,46 +148,46 @@
 
     #[test]
     fn a_class_that_is_gone_keeps_its_line_and_goes_on_when_it_is_back() {
-        let mut f = Figures::new(&names(&["a", "b"]));
-        f.answered(f.class("b").expect("named"), 200);
-        f.classes_are(&names(&["a", "c"]));
+        let mut f = Metrics::new(&names(&["a", "b"]));
+        f.count_response(f.class_index("b").expect("named"), 200);
+        f.set_classes(&names(&["a", "c"]));
         assert!(line(&f, "svc_fulfilled_total{priority=\"b\"} 1"));
         assert!(line(&f, "svc_fulfilled_total{priority=\"c\"} 0"));
-        f.classes_are(&names(&["b"]));
-        f.answered(f.class("b").expect("named"), 200);
+        f.set_classes(&names(&["b"]));
+        f.count_response(f.class_index("b").expect("named"), 200);
         assert!(line(&f, "svc_fulfilled_total{priority=\"b\"} 2"));
     }
 
     #[test]
     fn a_thousand_changes_do_not_pile_up() {
-        let mut f = Figures::new(&names(&["stays"]));
-        f.answered(0, 200);
+        let mut f = Metrics::new(&names(&["stays"]));
+        f.count_response(0, 200);
         for n in 0..1_000 {
-            f.classes_are(&names(&["stays", &format!("c{n}")]));
+            f.set_classes(&names(&["stays", &format!("c{n}")]));
         }
         assert!(f.classes.len() <= GONE_KEPT + 2, "{}", f.classes.len());
         assert!(line(&f, "svc_fulfilled_total{priority=\"stays\"} 1"));
-        assert!(f.class("c999").is_some() && f.class("c900").is_none());
+        assert!(f.class_index("c999").is_some() && f.class_index("c900").is_none());
     }
 
     #[test]
     fn a_name_cannot_break_out_of_its_label() {
-        let f = Figures::new(&names(&["a\"} 9\nsvc_x \\"]));
+        let f = Metrics::new(&names(&["a\"} 9\nsvc_x \\"]));
         assert!(
             line(&f, r#"svc_fulfilled_total{priority="a\"} 9\nsvc_x \\"} 0"#),
             "{}",
-            f.text(&Gauges::default())
+            f.render(&Gauges::default())
         );
     }
 
     #[test]
     fn gauges_are_as_they_are_told() {
-        let mut f = Figures::new(&[]);
-        f.relayed();
-        f.reread(true);
-        f.reread(false);
-        f.reread(false);
-        let text = f.text(&Gauges { open_requests: 14, registry_entries: 8, out_of_rotation: 1 });
+        let mut f = Metrics::new(&[]);
+        f.count_relayed();
+        f.count_reload(true);
+        f.count_reload(false);
+        f.count_reload(false);
+        let text = f.render(&Gauges { open_requests: 14, registry_entries: 8, out_of_rotation: 1 });
         assert_eq!(
             text,
             "svc_relayed_total 1\nsvc_open_requests 14\nsvc_registry_entries 8\nsvc_out_of_rotation 1\n\
--- a/crates/balancer/management/src/lib.rs
+++ b/crates/balancer/management/src/lib.rs
@@ -5,5 +5,5 @@
 mod call;
 mod figures;
 
-pub use call::{answer, call, Call, CALL_MOST};
-pub use figures::{Figures, Gauges};
+pub use call::{parse_call, response, Call, MAX_CALL_BYTES};
+pub use figures::{Gauges, Metrics};
--- a/crates/balancer/net/src/buffers.rs
+++ b/crates/balancer/net/src/buffers.rs
@@ -1,13 +1,13 @@
 //! Buffers of one size, used again. Each holds one whole message: head and body at their largest.
 
 /// The largest body either side may send.
-pub const BODY: usize = 64 * 1024;
+pub const MAX_BODY: usize = 64 * 1024;
 /// The largest head.
-pub const HEAD: usize = 16 * 1024;
+pub const MAX_HEAD: usize = 16 * 1024;
 /// Room for the framing of chunks and for the lines that the sidecar adds to a head.
 const FRAMING: usize = 4 * 1024;
 /// The size of every buffer.
-pub const SIZE: usize = HEAD + BODY + FRAMING;
+pub const BUFFER_SIZE: usize = MAX_HEAD + MAX_BODY + FRAMING;
 /// Free buffers kept; more than are ever idle at once on a quiet day only hold memory.
 const KEPT: usize = 64;
 /// One in so many is kept for answers: what was taken must be answered even when nothing more can be taken.
@@ -94,13 +94,13 @@
     /// A pool that may use so many bytes.
     pub fn new(bytes: usize) -> Self {
         let mut new = Pool { free: Vec::new(), out: 0, limit: 0 };
-        new.hold(bytes);
+        new.set_limit(bytes);
         new
     }
 
     /// Keep to so many bytes from now on; what is out beyond them stays until it comes back.
-    pub fn hold(&mut self, bytes: usize) {
-        self.limit = (bytes / SIZE).max(8);
+    pub fn set_limit(&mut self, bytes: usize) {
+        self.limit = (bytes / BUFFER_SIZE).max(8);
         self.free.truncate(self.limit.saturating_sub(self.out));
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// An empty buffer for an answer that is owed; `None` at the limit.
-    pub fn take_for_answer(&mut self) -> Option<Buffer> {
+    pub fn take_for_response(&mut self) -> Option<Buffer> {
         self.take_up_to(self.limit)
     }
 
@@ -119,12 +119,12 @@
             return None;
         }
         self.out += 1;
-        let fresh = || Buffer { bytes: vec![0; SIZE].into_boxed_slice(), start: 0, end: 0 };
+        let fresh = || Buffer { bytes: vec![0; BUFFER_SIZE].into_boxed_slice(), start: 0, end: 0 };
         Some(self.free.pop().unwrap_or_else(fresh))
     }
 
     /// Take a buffer back.
-    pub fn give(&mut self, mut buffer: Buffer) {
+    pub fn put_back(&mut self, mut buffer: Buffer) {
         self.out = self.out.saturating_sub(1);
         (buffer.start, buffer.end) = (0, 0);
         if self.free.len() < KEPT {
@@ -133,7 +133,7 @@
     }
 
     /// How many are out.
-    pub fn out(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.out
     }
 }
@@ -150,7 +150,7 @@
         b.consume(2);
         assert_eq!(b.filled(), b"llo");
         let at = b.bytes.as_ptr();
-        pool.give(b);
+        pool.put_back(b);
         let b = pool.take().expect("room");
         assert!(b.is_empty());
         assert_eq!(b.bytes.as_ptr(), at);
@@ -158,22 +158,22 @@
 
     #[test]
     fn the_pool_keeps_to_its_limit() {
-        let mut pool = Pool::new(16 * SIZE);
+        let mut pool = Pool::new(16 * BUFFER_SIZE);
         let mut held: Vec<_> = (0..20).map_while(|_| pool.take()).collect();
         assert_eq!(held.len(), 14, "two are left for answers");
-        held.extend((0..20).map_while(|_| pool.take_for_answer()));
+        held.extend((0..20).map_while(|_| pool.take_for_response()));
         assert_eq!(held.len(), 16);
-        held.into_iter().for_each(|b| pool.give(b));
-        assert_eq!(pool.out(), 0);
+        held.into_iter().for_each(|b| pool.put_back(b));
+        assert_eq!(pool.in_use(), 0);
         assert!(pool.take().is_some());
     }
 
     #[test]
     fn what_is_consumed_makes_room_again() {
         let mut b = Pool::new(0).take().expect("room");
-        assert!(b.append(&[1; SIZE]));
+        assert!(b.append(&[1; BUFFER_SIZE]));
         assert!(b.is_full() && !b.append(&[2]));
-        b.consume(SIZE - 1);
+        b.consume(BUFFER_SIZE - 1);
         assert!(b.append(&[2; 9]));
         assert_eq!(b.filled(), [1, 2, 2, 2, 2, 2, 2, 2, 2, 2]);
     }
--- a/crates/balancer/net/src/http.rs
+++ b/crates/balancer/net/src/http.rs
@@ -1,12 +1,12 @@
 //! HTTP/1.1 heads, framing and answers, in both directions. Knows no service and no socket.
-use crate::buffers::{Buffer, BODY, HEAD};
+use crate::buffers::{Buffer, MAX_BODY, MAX_HEAD};
 use httparse::{Header, Status, EMPTY_HEADER};
 use std::ops::Range;
 
 /// The largest body that is carried as a stream.
-pub const LARGEST: usize = 34 << 20;
+pub const MAX_STREAMED_BODY: usize = 34 << 20;
 /// More header lines than this are too many.
-pub const HEADERS: usize = 64;
+pub const MAX_HEADERS: usize = 64;
 
 /// How large a message may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,13 +20,13 @@
 impl Default for Limits {
     /// What fits the buffers of this package, and what is carried as a stream by them.
     fn default() -> Self {
-        Limits { head: HEAD, body: LARGEST }
+        Limits { head: MAX_HEAD, body: MAX_STREAMED_BODY }
     }
 }
 
 /// What is wrong with a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum MessageError {
     /// Not to be understood; what was wrong.
     Malformed(&'static str),
     /// Its head is too large.
@@ -60,18 +60,18 @@
     }
 
     /// The value of the only line of a name: two lines could be read in two ways.
-    pub fn one(&self, name: &str) -> Result<Option<&'b str>, Bad> {
+    pub fn one(&self, name: &str) -> Result<Option<&'b str>, MessageError> {
         let mut all = self.all(name);
         let Some(value) = all.next() else { return Ok(None) };
         if all.next().is_some() {
-            return Err(Bad::Malformed("a header that may stand once stands twice"));
+            return Err(MessageError::Malformed("a header that may stand once stands twice"));
         }
-        let text = std::str::from_utf8(value).map_err(|_| Bad::Malformed("a header is not text"))?;
+        let text = std::str::from_utf8(value).map_err(|_| MessageError::Malformed("a header is not text"))?;
         Ok(Some(text.trim()))
     }
 
     /// Whether a list-valued header holds a word.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
+    pub fn has_token(&self, name: &str, word: &str) -> bool {
         self.all(name)
             .any(|v| v.split(|b| *b == b',').any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes())))
     }
@@ -92,7 +92,7 @@
         ];
         for h in self.0 {
             let named = |n: &&str| h.name.eq_ignore_ascii_case(n);
-            if !HOP.iter().any(named) && !less.iter().any(named) && !self.lists("connection", h.name) {
+            if !HOP.iter().any(named) && !less.iter().any(named) && !self.has_token("connection", h.name) {
                 for part in [h.name.as_bytes(), b": ", h.value, b"\r\n"] {
                     out.extend_from_slice(part);
                 }
@@ -100,22 +100,24 @@
         }
     }
 
-    fn framing(&self, largest: usize) -> Result<Option<Framing>, Bad> {
+    fn framing(&self, largest: usize) -> Result<Option<Framing>, MessageError> {
         let length = self.one("content-length")?;
         match self.one("transfer-encoding")? {
             // Both: two readers could see two different messages in it.
-            Some(_) if length.is_some() => Err(Bad::Malformed("both a length and a transfer coding")),
+            Some(_) if length.is_some() => {
+                Err(MessageError::Malformed("both a length and a transfer coding"))
+            }
             Some(coding) if coding.eq_ignore_ascii_case("chunked") => Ok(Some(Framing::Chunked)),
-            Some(_) => Err(Bad::Malformed("an unknown transfer coding")),
+            Some(_) => Err(MessageError::Malformed("an unknown transfer coding")),
             None => match length {
                 None => Ok(None),
                 Some(n) if n.is_empty() || !n.bytes().all(|b| b.is_ascii_digit()) => {
-                    Err(Bad::Malformed("a length that is no number"))
+                    Err(MessageError::Malformed("a length that is no number"))
                 }
                 // Digits only, so what does not fit is large.
                 Some(n) => match n.parse::<usize>() {
                     Ok(n) if n <= largest => Ok(Some(Framing::Length(n))),
-                    _ => Err(Bad::BodyTooLarge),
+                    _ => Err(MessageError::BodyTooLarge),
                 },
             },
         }
@@ -123,8 +125,8 @@
 
     fn keep_alive(&self, version: Option<u8>) -> bool {
         match version {
-            Some(0) => self.lists("connection", "keep-alive"),
-            _ => !self.lists("connection", "close"),
+            Some(0) => self.has_token("connection", "keep-alive"),
+            _ => !self.has_token("connection", "close"),
         }
     }
 }
@@ -144,18 +146,18 @@
     /// Whether the connection may carry another one.
     pub keep_alive: bool,
     /// HTTP/1.0: it understands no chunks.
-    pub old: bool,
+    pub is_http10: bool,
 }
 
 /// Room for the header lines of one head.
-pub fn lines<'b>() -> [Header<'b>; HEADERS] {
-    [EMPTY_HEADER; HEADERS]
+pub fn empty_headers<'b>() -> [Header<'b>; MAX_HEADERS] {
+    [EMPTY_HEADER; MAX_HEADERS]
 }
 
-fn head_error(e: httparse::Error) -> Bad {
+fn head_error(e: httparse::Error) -> MessageError {
     match e {
-        httparse::Error::TooManyHeaders => Bad::HeadTooLarge,
-        _ => Bad::Malformed("a malformed head"),
+        httparse::Error::TooManyHeaders => MessageError::HeadTooLarge,
+        _ => MessageError::Malformed("a malformed head"),
     }
 }
 
@@ -163,11 +165,11 @@
     parsed: Result<Status<usize>, httparse::Error>,
     bytes: &[u8],
     most: usize,
-) -> Result<Option<usize>, Bad> {
+) -> Result<Option<usize>, MessageError> {
     match parsed.map_err(head_error)? {
-        Status::Complete(n) if n > most => Err(Bad::HeadTooLarge),
+        Status::Complete(n) if n > most => Err(MessageError::HeadTooLarge),
         Status::Complete(n) => Ok(Some(n)),
-        Status::Partial if bytes.len() >= most => Err(Bad::HeadTooLarge),
+        Status::Partial if bytes.len() >= most => Err(MessageError::HeadTooLarge),
         Status::Partial => Ok(None),
     }
 }
@@ -176,7 +178,7 @@
 pub fn request_head<'h, 'b>(
     bytes: &'b [u8],
     lines: &'h mut [Header<'b>],
-) -> Result<Option<RequestHead<'h, 'b>>, Bad> {
+) -> Result<Option<RequestHead<'h, 'b>>, MessageError> {
     request_head_within(bytes, lines, Limits::default())
 }
 
@@ -185,25 +187,25 @@
     bytes: &'b [u8],
     lines: &'h mut [Header<'b>],
     limits: Limits,
-) -> Result<Option<RequestHead<'h, 'b>>, Bad> {
+) -> Result<Option<RequestHead<'h, 'b>>, MessageError> {
     let mut request = httparse::Request::new(lines);
     let Some(len) = complete(request.parse(bytes), bytes, limits.head)? else { return Ok(None) };
     let (method, target, version) = (request.method, request.path, request.version);
     let headers = Headers(request.headers);
     let framing = headers.framing(limits.body)?.unwrap_or(Framing::Length(0));
     if framing == Framing::Chunked && version == Some(0) {
-        return Err(Bad::Malformed("chunks in HTTP/1.0"));
+        return Err(MessageError::Malformed("chunks in HTTP/1.0"));
     }
     let (Some(method), Some(target)) = (method, target) else {
-        return Err(Bad::Malformed("a malformed head"));
+        return Err(MessageError::Malformed("a malformed head"));
     };
     let keep_alive = headers.keep_alive(version);
-    let old = version == Some(0);
-    Ok(Some(RequestHead { len, method, target, headers, framing, keep_alive, old }))
+    let is_http10 = version == Some(0);
+    Ok(Some(RequestHead { len, method, target, headers, framing, keep_alive, is_http10 }))
 }
 
 /// The head of an answer.
-pub struct AnswerHead<'h, 'b> {
+pub struct ResponseHead<'h, 'b> {
     /// Its bytes, the blank line included.
     pub len: usize,
     /// Its status.
@@ -217,19 +219,19 @@
 }
 
 /// The head of an answer at the start of `bytes`; `None` while it is not whole.
-pub fn answer_head<'h, 'b>(
+pub fn response_head<'h, 'b>(
     bytes: &'b [u8],
     lines: &'h mut [Header<'b>],
-) -> Result<Option<AnswerHead<'h, 'b>>, Bad> {
-    answer_head_within(bytes, lines, Limits::default())
+) -> Result<Option<ResponseHead<'h, 'b>>, MessageError> {
+    response_head_within(bytes, lines, Limits::default())
 }
 
 /// The same, within limits of the caller's.
-pub fn answer_head_within<'h, 'b>(
+pub fn response_head_within<'h, 'b>(
     bytes: &'b [u8],
     lines: &'h mut [Header<'b>],
     limits: Limits,
-) -> Result<Option<AnswerHead<'h, 'b>>, Bad> {
+) -> Result<Option<ResponseHead<'h, 'b>>, MessageError> {
     let mut answer = httparse::Response::new(lines);
     let Some(len) = complete(answer.parse(bytes), bytes, limits.head)? else { return Ok(None) };
     let (status, version) = (answer.code.unwrap_or(0), answer.version);
@@ -239,7 +241,7 @@
         _ => headers.framing(limits.body)?.unwrap_or(Framing::UntilClose),
     };
     let keep_alive = framing != Framing::UntilClose && headers.keep_alive(version);
-    Ok(Some(AnswerHead { len, status, headers, framing, keep_alive }))
+    Ok(Some(ResponseHead { len, status, headers, framing, keep_alive }))
 }
 
 /// Where a whole body lies.
@@ -261,41 +263,41 @@
 }
 
 /// Find the body that starts at `from`, 64 KiB of it at most; `None` while it is not whole. `closed`: nothing more will come.
-pub fn body(bytes: &[u8], from: usize, framing: Framing, closed: bool) -> Result<Option<Body>, Bad> {
+pub fn body(bytes: &[u8], from: usize, framing: Framing, closed: bool) -> Result<Option<Body>, MessageError> {
     let part = |end| Body { parts: std::iter::once(from..end).collect(), end };
     match framing {
-        Framing::Length(n) if n > BODY => Err(Bad::BodyTooLarge),
+        Framing::Length(n) if n > MAX_BODY => Err(MessageError::BodyTooLarge),
         Framing::Length(n) => Ok((bytes.len() - from >= n).then(|| part(from + n))),
         Framing::Chunked => chunks(bytes, from),
-        Framing::UntilClose if bytes.len() - from > BODY => Err(Bad::BodyTooLarge),
+        Framing::UntilClose if bytes.len() - from > MAX_BODY => Err(MessageError::BodyTooLarge),
         Framing::UntilClose => Ok(closed.then(|| part(bytes.len()))),
     }
 }
 
-fn chunks(bytes: &[u8], from: usize) -> Result<Option<Body>, Bad> {
+fn chunks(bytes: &[u8], from: usize) -> Result<Option<Body>, MessageError> {
     let (mut at, mut total, mut parts) = (from, 0, Vec::new());
     loop {
-        let size =
-            httparse::parse_chunk_size(&bytes[at..]).map_err(|_| Bad::Malformed("a malformed chunk"))?;
+        let size = httparse::parse_chunk_size(&bytes[at..])
+            .map_err(|_| MessageError::Malformed("a malformed chunk"))?;
         let Status::Complete((line, size)) = size else { return Ok(None) };
         at += line;
         if size == 0 {
             break;
         }
-        total += usize::try_from(size).ok().filter(|s| *s <= BODY).ok_or(Bad::BodyTooLarge)?;
-        if total > BODY {
-            return Err(Bad::BodyTooLarge);
+        total += usize::try_from(size).ok().filter(|s| *s <= MAX_BODY).ok_or(MessageError::BodyTooLarge)?;
+        if total > MAX_BODY {
+            return Err(MessageError::BodyTooLarge);
         }
         let end = at + size as usize;
         match bytes.get(end..end + 2) {
             Some(b"\r\n") => parts.push(at..end),
-            Some(_) => return Err(Bad::Malformed("a chunk without its end")),
+            Some(_) => return Err(MessageError::Malformed("a chunk without its end")),
             None => return Ok(None),
         }
         at = end + 2;
     }
     // Trailers are read over.
-    match httparse::parse_headers(&bytes[at..], &mut lines()).map_err(head_error)? {
+    match httparse::parse_headers(&bytes[at..], &mut empty_headers()).map_err(head_error)? {
         Status::Complete((n, _)) => Ok(Some(Body { parts, end: at + n })),
         Status::Partial => Ok(None),
     }
@@ -309,7 +311,7 @@
     while let Ok(Status::Complete((line, size))) =
         httparse::parse_chunk_size(bytes.get(at..).unwrap_or_default())
     {
-        let Some(size) = usize::try_from(size).ok().filter(|s| (1..=BODY).contains(s)) else { break };
+        let Some(size) = usize::try_from(size).ok().filter(|s| (1..=MAX_BODY).contains(s)) else { break };
         let data = at + line..at + line + size;
         if bytes.get(data.end..data.end + 2) != Some(b"\r\n") {
             break;
@@ -328,7 +330,7 @@
 }
 
 /// So many whole chunks are merged while more are awaited.
-pub const MANY_CHUNKS: usize = 64;
+pub const MIN_CHUNKS_TO_MERGE: usize = 64;
 
 /// What goes with a status in an answer.
 pub fn reason(status: u16) -> &'static str {
@@ -350,7 +352,7 @@
 
 /// Append an answer; `false`, and nothing appended, if it does not fit. `lines` are further header lines.
 #[must_use]
-pub fn write_answer(out: &mut Buffer, status: u16, lines: &[u8], parts: &[&[u8]], close: bool) -> bool {
+pub fn write_response(out: &mut Buffer, status: u16, lines: &[u8], parts: &[&[u8]], close: bool) -> bool {
     let length: usize = parts.iter().map(|p| p.len()).sum();
     let mut head =
         format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", reason(status)).into_bytes();
@@ -369,8 +371,8 @@
 mod tests {
     use super::*;
 
-    fn framing_of(head: &str) -> Result<Option<Framing>, Bad> {
-        request_head(head.as_bytes(), &mut lines()).map(|h| h.map(|h| h.framing))
+    fn framing_of(head: &str) -> Result<Option<Framing>, MessageError> {
+        request_head(head.as_bytes(), &mut empty_headers()).map(|h| h.map(|h| h.framing))
     }
 
     #[test]
@@ -387,40 +389,43 @@
             "Content-Length:\r\n",
             "Transfer-Encoding: gzip\r\n",
         ] {
-            assert!(matches!(get(bad), Err(Bad::Malformed(_))), "{bad}");
+            assert!(matches!(get(bad), Err(MessageError::Malformed(_))), "{bad}");
         }
-        assert_eq!(get(&format!("Content-Length: {}\r\n", LARGEST + 1)), Err(Bad::BodyTooLarge));
-        assert_eq!(get("Content-Length: 99999999999999999999999\r\n"), Err(Bad::BodyTooLarge));
+        assert_eq!(
+            get(&format!("Content-Length: {}\r\n", MAX_STREAMED_BODY + 1)),
+            Err(MessageError::BodyTooLarge)
+        );
+        assert_eq!(get("Content-Length: 99999999999999999999999\r\n"), Err(MessageError::BodyTooLarge));
     }
 
     #[test]
     fn a_head_may_come_in_parts_but_not_without_end() {
         assert_eq!(framing_of("GET / HTTP/1.1\r\nHost: a\r\n"), Ok(None));
-        let long = format!("GET / HTTP/1.1\r\nX-Long: {}", "a".repeat(HEAD));
-        assert_eq!(framing_of(&long), Err(Bad::HeadTooLarge));
-        assert_eq!(framing_of(&format!("{long}\r\n\r\n")), Err(Bad::HeadTooLarge));
-        let many = format!("GET / HTTP/1.1\r\n{}\r\n", "X: 1\r\n".repeat(HEADERS + 1));
-        assert_eq!(framing_of(&many), Err(Bad::HeadTooLarge));
-        assert!(matches!(framing_of("G\0T / HTTP/1.1\r\n\r\n"), Err(Bad::Malformed(_))));
+        let long = format!("GET / HTTP/1.1\r\nX-Long: {}", "a".repeat(MAX_HEAD));
+        assert_eq!(framing_of(&long), Err(MessageError::HeadTooLarge));
+        assert_eq!(framing_of(&format!("{long}\r\n\r\n")), Err(MessageError::HeadTooLarge));
+        let many = format!("GET / HTTP/1.1\r\n{}\r\n", "X: 1\r\n".repeat(MAX_HEADERS + 1));
+        assert_eq!(framing_of(&many), Err(MessageError::HeadTooLarge));
+        assert!(matches!(framing_of("G\0T / HTTP/1.1\r\n\r\n"), Err(MessageError::Malformed(_))));
     }
 
     #[test]
     fn other_limits_hold_where_they_are_given() {
-        let limits = Limits { head: HEAD + 4096, body: 2 * LARGEST };
+        let limits = Limits { head: MAX_HEAD + 4096, body: 2 * MAX_STREAMED_BODY };
         let most = limits.head - "GET / HTTP/1.1\r\nX: \r\n\r\n".len();
         let read = |text: &str| {
-            let mut room = [EMPTY_HEADER; HEADERS + 8];
+            let mut room = [EMPTY_HEADER; MAX_HEADERS + 8];
             request_head_within(text.as_bytes(), &mut room, limits).map(|h| h.map(|h| h.framing))
         };
         let of = |n: usize| format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "a".repeat(n));
         assert_eq!(read(&of(most)), Ok(Some(Framing::Length(0))));
-        assert_eq!(read(&of(most + 1)), Err(Bad::HeadTooLarge));
+        assert_eq!(read(&of(most + 1)), Err(MessageError::HeadTooLarge));
         let lined = |n: usize| format!("GET / HTTP/1.1\r\n{}\r\n", "X: 1\r\n".repeat(n));
-        assert_eq!(read(&lined(HEADERS + 8)), Ok(Some(Framing::Length(0))));
-        assert_eq!(read(&lined(HEADERS + 9)), Err(Bad::HeadTooLarge));
+        assert_eq!(read(&lined(MAX_HEADERS + 8)), Ok(Some(Framing::Length(0))));
+        assert_eq!(read(&lined(MAX_HEADERS + 9)), Err(MessageError::HeadTooLarge));
         let stated = |n: usize| format!("GET / HTTP/1.1\r\nContent-Length: {n}\r\n\r\n");
-        assert_eq!(read(&stated(2 * LARGEST)), Ok(Some(Framing::Length(2 * LARGEST))));
-        assert_eq!(read(&stated(2 * LARGEST + 1)), Err(Bad::BodyTooLarge));
+        assert_eq!(read(&stated(2 * MAX_STREAMED_BODY)), Ok(Some(Framing::Length(2 * MAX_STREAMED_BODY))));
+        assert_eq!(read(&stated(2 * MAX_STREAMED_BODY + 1)), Err(MessageError::BodyTooLarge));
     }
 
     #[test]
@@ -436,7 +441,7 @@
 
     #[test]
     fn what_is_larger_than_a_buffer_is_not_found_whole() {
-        assert_eq!(body(b"", 0, Framing::Length(BODY + 1), false), Err(Bad::BodyTooLarge));
+        assert_eq!(body(b"", 0, Framing::Length(MAX_BODY + 1), false), Err(MessageError::BodyTooLarge));
     }
 
     #[test]
@@ -450,7 +455,7 @@
         }
         assert!(body(b"3\r\nabcd\r\n", 0, Framing::Chunked, false).is_err());
         assert!(body(b"xyz\r\n", 0, Framing::Chunked, false).is_err());
-        assert_eq!(body(b"ffffffffff\r\n", 0, Framing::Chunked, false), Err(Bad::BodyTooLarge));
+        assert_eq!(body(b"ffffffffff\r\n", 0, Framing::Chunked, false), Err(MessageError::BodyTooLarge));
     }
 
     #[test]
@@ -476,8 +481,8 @@
     #[test]
     fn a_body_without_length_ends_with_the_connection() {
         let text = b"HTTP/1.1 200 OK\r\n\r\nabc";
-        let mut room = lines();
-        let head = answer_head(text, &mut room).expect("well-formed").expect("whole");
+        let mut room = empty_headers();
+        let head = response_head(text, &mut room).expect("well-formed").expect("whole");
         assert_eq!((head.framing, head.keep_alive), (Framing::UntilClose, false));
         assert_eq!(body(text, head.len, head.framing, false), Ok(None));
         assert_eq!(body(text, head.len, head.framing, true).map(|b| b.map(|b| b.end)), Ok(Some(text.len())));
@@ -486,7 +491,7 @@
     #[test]
     fn what_concerns_one_hop_is_not_forwarded() {
         let text = b"GET / HTTP/1.1\r\nA: 1\r\nConnection: close, B\r\nB: 2\r\nTE: x\r\nC: 3\r\n\r\n";
-        let mut room = lines();
+        let mut room = empty_headers();
         let head = request_head(text, &mut room).expect("well-formed").expect("whole");
         let mut out = Vec::new();
         head.headers.forward(&mut out, &["c"]);
--- a/crates/balancer/net/src/stream.rs
+++ b/crates/balancer/net/src/stream.rs
@@ -1,7 +1,7 @@
 //! Bodies too large for a buffer, carried from one connection's buffer to another's: taken out of their framing as they
 //! come, put into the next one.
-use crate::buffers::{Buffer, HEAD};
-use crate::http::{self, Bad, Framing};
+use crate::buffers::{Buffer, MAX_HEAD};
+use crate::http::{self, Framing, MessageError};
 use httparse::Status;
 
 /// A chunk's size line, extensions included, is no longer.
@@ -54,7 +54,7 @@
     }
 
     /// The other end closed in order: whether that ends the body.
-    pub fn ends_here(&mut self) -> bool {
+    pub fn ends_at_close(&mut self) -> bool {
         if self.part == Part::UntilClose {
             self.part = Part::Done;
         }
@@ -63,7 +63,7 @@
 
     /// What stands at the front of `bytes`: so many bytes of framing, then so many of body. `None`: more has to come
     /// first.
-    fn front(&mut self, bytes: &[u8]) -> Result<Option<(usize, usize)>, Bad> {
+    fn front(&mut self, bytes: &[u8]) -> Result<Option<(usize, usize)>, MessageError> {
         let mut skipped = 0;
         loop {
             let rest = &bytes[skipped..];
@@ -78,7 +78,7 @@
                     Ok(Status::Complete((line, size))) => {
                         skipped += line;
                         let size = usize::try_from(size).ok().filter(|n| *n <= self.left);
-                        self.part = match size.ok_or(Bad::BodyTooLarge)? {
+                        self.part = match size.ok_or(MessageError::BodyTooLarge)? {
                             0 => Part::Trailers,
                             n => Part::Chunk(n),
                         };
@@ -86,26 +86,26 @@
                     Ok(Status::Partial) if rest.len() < SIZE_LINE => {
                         return Ok((skipped > 0).then_some((skipped, 0)))
                     }
-                    _ => return Err(Bad::Malformed("a malformed chunk")),
+                    _ => return Err(MessageError::Malformed("a malformed chunk")),
                 },
                 Part::ChunkEnd => match rest.get(..2) {
                     Some(b"\r\n") => {
                         skipped += 2;
                         self.part = Part::Size;
                     }
-                    Some(_) => return Err(Bad::Malformed("a chunk without its end")),
+                    Some(_) => return Err(MessageError::Malformed("a chunk without its end")),
                     None => return Ok((skipped > 0).then_some((skipped, 0))),
                 },
                 // Trailers are read over.
-                Part::Trailers => match httparse::parse_headers(rest, &mut http::lines()) {
+                Part::Trailers => match httparse::parse_headers(rest, &mut http::empty_headers()) {
                     Ok(Status::Complete((n, _))) => {
                         skipped += n;
                         self.part = Part::Done;
                     }
-                    Ok(Status::Partial) if rest.len() < HEAD => {
+                    Ok(Status::Partial) if rest.len() < MAX_HEAD => {
                         return Ok((skipped > 0).then_some((skipped, 0)))
                     }
-                    _ => return Err(Bad::Malformed("malformed trailers")),
+                    _ => return Err(MessageError::Malformed("malformed trailers")),
                 },
             }
         }
@@ -113,7 +113,7 @@
 
     /// Read on from the front of `bytes`: so many bytes of framing to pass over, then so many of body, both taken as read.
     /// `None`: more has to come first.
-    pub fn next(&mut self, bytes: &[u8]) -> Result<Option<(usize, usize)>, Bad> {
+    pub fn next(&mut self, bytes: &[u8]) -> Result<Option<(usize, usize)>, MessageError> {
         let found = self.front(bytes)?;
         if let Some((_, n)) = found {
             self.took(n)?;
@@ -122,8 +122,8 @@
     }
 
     /// So many bytes of body were taken.
-    fn took(&mut self, n: usize) -> Result<(), Bad> {
-        self.left = self.left.checked_sub(n).ok_or(Bad::BodyTooLarge)?;
+    fn took(&mut self, n: usize) -> Result<(), MessageError> {
+        self.left = self.left.checked_sub(n).ok_or(MessageError::BodyTooLarge)?;
         self.part = match self.part {
             Part::Bytes(m) if m == n => Part::Done,
             Part::Bytes(m) => Part::Bytes(m - n),
@@ -137,13 +137,13 @@
 
 /// Carry what has come of a body from one buffer to another, as far as that has room beyond `spare`; in chunks if `chunked`, the
 /// last one included once all has come. Returns how many bytes of body went over.
-pub fn carry(
+pub fn copy_body(
     from: &mut Buffer,
     body: &mut Decoder,
     to: &mut Buffer,
     chunked: bool,
     spare: usize,
-) -> Result<usize, Bad> {
+) -> Result<usize, MessageError> {
     let mut carried = 0;
     let was_done = body.is_done();
     while !body.is_done() {
@@ -177,7 +177,7 @@
 
 /// The end of a body in chunks that ended with its connection.
 #[must_use]
-pub fn last_chunk(to: &mut Buffer) -> bool {
+pub fn write_last_chunk(to: &mut Buffer) -> bool {
     to.append(LAST)
 }
 
@@ -189,13 +189,18 @@
     const MOST: usize = 1 << 20;
 
     /// Carry `text` over in pieces of `cut` bytes through buffers; the bytes that came out, and whether all had come.
-    fn carried(text: &[u8], framing: Framing, cut: usize, chunked: bool) -> Result<(Vec<u8>, bool), Bad> {
+    fn carried(
+        text: &[u8],
+        framing: Framing,
+        cut: usize,
+        chunked: bool,
+    ) -> Result<(Vec<u8>, bool), MessageError> {
         let mut pool = Pool::new(0);
         let (mut from, mut to) = (pool.take().expect("room"), pool.take().expect("room"));
         let (mut body, mut out) = (Decoder::new(framing, MOST), Vec::new());
         for piece in text.chunks(cut) {
             assert!(from.append(piece));
-            carry(&mut from, &mut body, &mut to, chunked, 0)?;
+            copy_body(&mut from, &mut body, &mut to, chunked, 0)?;
             out.extend_from_slice(to.filled());
             to.consume(to.filled().len());
         }
@@ -224,9 +229,9 @@
         let (mut from, mut to) = (pool.take().expect("room"), pool.take().expect("room"));
         assert!(from.append(b"abGET"));
         let mut body = Decoder::new(Framing::Length(2), MOST);
-        assert_eq!(carry(&mut from, &mut body, &mut to, true, 0), Ok(2));
+        assert_eq!(copy_body(&mut from, &mut body, &mut to, true, 0), Ok(2));
         assert_eq!((from.filled(), to.filled()), (&b"GET"[..], &b"2\r\nab\r\n0\r\n\r\n"[..]));
-        assert_eq!(carry(&mut from, &mut body, &mut to, true, 0), Ok(0), "it ends once");
+        assert_eq!(copy_body(&mut from, &mut body, &mut to, true, 0), Ok(0), "it ends once");
         assert_eq!(to.filled().len(), 12);
     }
 
@@ -237,10 +242,10 @@
         {
             assert!(carried(text.as_bytes(), Framing::Chunked, 1, false).is_err(), "{text:?}");
         }
-        assert_eq!(carried(b"ffffffff\r\n", Framing::Chunked, 99, false), Err(Bad::BodyTooLarge));
+        assert_eq!(carried(b"ffffffff\r\n", Framing::Chunked, 99, false), Err(MessageError::BodyTooLarge));
         let many: Vec<u8> = b"9000\r\n".iter().copied().chain([b'x'; 0x9000]).chain(*b"\r\n").collect();
         let all: Vec<u8> = std::iter::repeat_n(many, 40).flatten().collect();
-        assert_eq!(carried(&all, Framing::Chunked, 40_000, false), Err(Bad::BodyTooLarge));
+        assert_eq!(carried(&all, Framing::Chunked, 40_000, false), Err(MessageError::BodyTooLarge));
         let endless = format!("1;{}", "x".repeat(2 * SIZE_LINE));
         assert!(carried(endless.as_bytes(), Framing::Chunked, 64, false).is_err());
     }
@@ -251,11 +256,11 @@
         let (mut from, mut to) = (pool.take().expect("room"), pool.take().expect("room"));
         assert!(from.append(&[b'x'; 50_000]) && to.append(&[b'y'; 60_000]));
         let mut body = Decoder::new(Framing::Length(50_000), MOST);
-        let first = carry(&mut from, &mut body, &mut to, false, 100).expect("well-formed");
+        let first = copy_body(&mut from, &mut body, &mut to, false, 100).expect("well-formed");
         assert!(first > 0 && first < 50_000 && to.room().len() == 100, "{first}");
-        assert_eq!(carry(&mut from, &mut body, &mut to, false, 100), Ok(0));
+        assert_eq!(copy_body(&mut from, &mut body, &mut to, false, 100), Ok(0));
         to.consume(60_000);
-        assert_eq!(carry(&mut from, &mut body, &mut to, false, 100), Ok(50_000 - first));
+        assert_eq!(copy_body(&mut from, &mut body, &mut to, false, 100), Ok(50_000 - first));
         assert!(body.is_done() && from.is_empty());
     }
 }
--- a/crates/balancer/net/src/table.rs
+++ b/crates/balancer/net/src/table.rs
@@ -10,7 +10,7 @@
 
 impl Handle {
     /// How many entries a table may hold, so that a handle fits in 52 bits, the width of a request's id.
-    pub const MOST: usize = 1 << 20;
+    pub const MAX_ENTRIES: usize = 1 << 20;
 
     /// As one number, below 2^52.
     pub fn number(self) -> u64 {
@@ -39,7 +39,7 @@
 impl<T> Table<T> {
     /// Add an entry made from its own handle; `None` when the table is full.
     pub fn insert_with<E>(&mut self, make: impl FnOnce(Handle) -> Result<T, E>) -> Result<Option<Handle>, E> {
-        if self.slab.len() >= Handle::MOST {
+        if self.slab.len() >= Handle::MAX_ENTRIES {
             return Ok(None);
         }
         let slot = self.slab.vacant_entry();
--- a/crates/balancer/settings/src/lib.rs
+++ b/crates/balancer/settings/src/lib.rs
@@ -8,7 +8,7 @@
 
 /// The names behind the settings' indices, and what only a front on sockets needs. The core never sees these.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Front {
+pub struct ProxySettings {
     /// The classes' names, in order.
     pub classes: Vec<String>,
     /// The tenants' names, in order.
@@ -18,7 +18,7 @@
     /// The machine kinds' names, in order.
     pub kinds: Vec<String>,
     /// Upstreams close a connection that has stood idle for this long; `None`: not stated.
-    pub idle_close: Option<Micros>,
+    pub upstream_idle_timeout: Option<Micros>,
 }
 
 /// Seconds, as the settings and the bench's wire have them, as whole microseconds.
@@ -180,7 +180,7 @@
 /// Check a settings object, and against the one in force where there is one: what is wrong, by its key.
 pub fn check(value: &serde_json::Value, in_force: Option<&serde_json::Value>) -> Result<(), String> {
     if let Some(in_force) = in_force {
-        lacks(value, in_force, "settings")?;
+        check_keys_present(value, in_force, "settings")?;
     }
     let text =
         |c: &serde_json::Value, key: &str| c.get(key).and_then(|v| v.as_str()).unwrap_or("").to_string();
@@ -233,12 +233,16 @@
 
 /// Every key that stands in the object in force has to stand in the new one too; in a list of objects, every key that all
 /// of them have.
-pub fn lacks(value: &serde_json::Value, in_force: &serde_json::Value, at: &str) -> Result<(), String> {
+pub fn check_keys_present(
+    value: &serde_json::Value,
+    in_force: &serde_json::Value,
+    at: &str,
+) -> Result<(), String> {
     use serde_json::Value::{Array, Object};
     match (in_force, value) {
         (Object(old), Object(new)) => old.iter().try_for_each(|(key, was)| {
             let at = format!("{at}.{key}");
-            new.get(key).ok_or(format!("{at}: it is missing")).and_then(|is| lacks(is, was, &at))
+            new.get(key).ok_or(format!("{at}: it is missing")).and_then(|is| check_keys_present(is, was, &at))
         }),
         (Object(_), _) => Err(format!("{at}: it is no object")),
         (Array(old), Array(new)) => {
@@ -262,15 +266,15 @@
 }
 
 /// Read the settings object as part of a larger JSON document, with the names that a front on sockets needs.
-pub fn read_value(value: serde_json::Value) -> Result<(Settings, Front), String> {
+pub fn read_value(value: serde_json::Value) -> Result<(Settings, ProxySettings), String> {
     let info: Info = serde_json::from_value(value).map_err(|e| format!("settings: {e}"))?;
     let named = |v: &[serde_json::Value]| v.iter().map(|n| n.as_str().unwrap_or("").to_string()).collect();
-    let front = Front {
+    let front = ProxySettings {
         classes: info.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: info.tenants.iter().map(|t| t.name.clone()).collect(),
         zones: named(&info.areas),
         kinds: named(&info.shapes),
-        idle_close: (info.limits.idle_close_s > 0.0).then(|| seconds(info.limits.idle_close_s)),
+        upstream_idle_timeout: (info.limits.idle_close_s > 0.0).then(|| seconds(info.limits.idle_close_s)),
     };
     Ok((core_settings(&info)?, front))
 }
--- a/crates/daemon/mesh/src/client_listener/attempt_result.rs
+++ b/crates/daemon/mesh/src/client_listener/attempt_result.rs
@@ -44,11 +44,11 @@
     let received = match outcome {
         ExchangeOutcome::NotSent => {
             let result = AttemptResult::without_response(false, "no connection");
-            return EvaluatedAttempt { report: Report::NotConnected, result };
+            return EvaluatedAttempt { report: Report::NotDelivered, result };
         }
         ExchangeOutcome::ResponseLost => {
             let result = AttemptResult::without_response(true, "broken");
-            return EvaluatedAttempt { report: Report::Broken, result };
+            return EvaluatedAttempt { report: Report::Reset, result };
         }
         ExchangeOutcome::Response(received) => received,
     };
@@ -62,7 +62,7 @@
             reached_upstream: true,
             ..AttemptResult::without_response(false, "not delivered")
         };
-        return EvaluatedAttempt { report: Report::TurnedAway, result };
+        return EvaluatedAttempt { report: Report::Rejected, result };
     }
     let (report, description) = match response.status {
         500.. => (Report::Error, "error"),
@@ -76,11 +76,11 @@
 /// What a gate's own status means; `None`: it can't be decoded.
 fn evaluate_gate_status(status: Option<GateStatus>) -> EvaluatedAttempt {
     let (report, may_have_run, description) = match status {
-        Some(GateStatus::Unavailable) => (Report::NotConnected, false, "unavailable"),
-        Some(GateStatus::Overloaded(_)) => (Report::TurnedAway, false, "overloaded"),
-        Some(GateStatus::Draining) => (Report::TurnedAway, false, "draining"),
+        Some(GateStatus::Unavailable) => (Report::NotDelivered, false, "unavailable"),
+        Some(GateStatus::Overloaded(_)) => (Report::Rejected, false, "overloaded"),
+        Some(GateStatus::Draining) => (Report::Rejected, false, "draining"),
         Some(GateStatus::MayHaveRun | GateStatus::NeverReceived) | None => {
-            (Report::Broken, true, "begun, no response")
+            (Report::Reset, true, "begun, no response")
         }
     };
     let mut result = AttemptResult::without_response(may_have_run, description);
--- a/crates/daemon/mesh/src/client_listener/client_response.rs
+++ b/crates/daemon/mesh/src/client_listener/client_response.rs
@@ -10,7 +10,7 @@
     RequestHead, Response, ResponseStart,
 };
 use silvercross_facade::{Attempt, Report};
-use silvercross_net::http::{Bad, Framing};
+use silvercross_net::http::{Framing, MessageError};
 use silvercross_time::Duration;
 use std::rc::Rc;
 use std::time::Duration as StdDuration;
@@ -121,7 +121,7 @@
         let Some(remainder) = self.remainder else { return true };
         let is_complete = remainder.forward(&node_state.pool, to, framing).await;
         if let Some(forwarded) = self.forwarded_attempt {
-            let report = if is_complete { Report::Served } else { Report::Broken };
+            let report = if is_complete { Report::Served } else { Report::Reset };
             forwarded.request.service_balancer.report(forwarded.attempt, report);
         }
         is_complete
@@ -142,7 +142,7 @@
         ReadError::Closed | ReadError::Interrupted => return false,
         ReadError::TimedOut => ClientResponse::own(408, "the request did not come whole in time"),
         ReadError::BodyBudgetExhausted => ClientResponse::not_run(503, "too many bodies are held here", None),
-        ReadError::Invalid(Bad::Malformed(what)) => ClientResponse::own(400, what),
+        ReadError::Invalid(MessageError::Malformed(what)) => ClientResponse::own(400, what),
         ReadError::Invalid(bad) => ClientResponse::own(error_status(&bad), "larger than the limits allow"),
     };
     let bytes = encode_response(response.status, &response.lines, &response.body, true, false);
--- a/crates/daemon/mesh/src/control/listener.rs
+++ b/crates/daemon/mesh/src/control/listener.rs
@@ -5,7 +5,7 @@
 use crate::node_state::{ConnectionKind, NodeState};
 use crate::wire::{self, Connection, PeerKind, ReadError, RequestHead};
 use silvercross_mesh_config::MAX_BODY_BYTES;
-use silvercross_net::http::Bad;
+use silvercross_net::http::MessageError;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -119,7 +119,7 @@
 
 /// A call that can't be read: say why. What still comes of it is read away, else the close would reset the connection and cost the
 /// answer.
-async fn answer_unreadable(connection: &mut Connection, bad: &Bad) -> Next {
+async fn answer_unreadable(connection: &mut Connection, bad: &MessageError) -> Next {
     let bytes = wire::encode_response(wire::error_status(bad), b"", b"", true, false);
     if connection.write(&bytes).await.is_ok() {
         connection.close_gracefully(DRAIN_TIMEOUT).await;
--- a/crates/daemon/mesh/src/members_command/client.rs
+++ b/crates/daemon/mesh/src/members_command/client.rs
@@ -43,8 +43,8 @@
     stream.write_all(request.as_bytes()).await?;
     let mut bytes = Vec::new();
     stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut bytes).await?;
-    let mut room = http::lines();
-    let head = http::answer_head(&bytes, &mut room).ok().flatten().context("no answer")?;
+    let mut room = http::empty_headers();
+    let head = http::response_head(&bytes, &mut room).ok().flatten().context("no answer")?;
     let location = head.headers.one("location").ok().flatten().map(str::to_string);
     let body = serde_json::from_slice(bytes.get(head.len..).unwrap_or_default());
     Ok(Response { status: head.status, location, body: body.unwrap_or(Value::Null) })
--- a/crates/daemon/mesh/src/service_balancer/balancer.rs
+++ b/crates/daemon/mesh/src/service_balancer/balancer.rs
@@ -1,7 +1,9 @@
 //! One service's module and the requests that are open at it.
 use super::event::RequestEvent;
 use super::settings::{ModuleSettings, ServiceSettings};
-use silvercross_facade::{Attempt, Balancer, Clock, Host, News, Report, Request, Step, Turn, Upstream};
+use silvercross_facade::{
+    Attempt, Balancer, Clock, DiscoveryEvent, Host, Output, Report, Request, Step, Upstream,
+};
 use silvercross_net::table::{Handle, Table as Slots};
 use silvercross_time::{Duration, Instant};
 use std::cell::RefCell;
@@ -83,7 +85,7 @@
     }
 
     /// Call the module, and hand its steps to the requests that they concern.
-    fn with_module(&self, act: impl FnOnce(&mut Balancer<()>) -> Turn<()>) {
+    fn with_module(&self, act: impl FnOnce(&mut Balancer<()>) -> Output<()>) {
         let mut inner = self.inner.borrow_mut();
         let turn = act(&mut inner.balancer);
         for step in turn.steps {
@@ -119,12 +121,12 @@
 
     /// These are the upstreams now.
     pub(crate) fn set_upstreams(&self, hosts: Vec<Host>) {
-        self.with_module(|balancer| balancer.news(&News::List { whole: true, hosts }));
+        self.with_module(|balancer| balancer.discovery_event(&DiscoveryEvent::List { whole: true, hosts }));
     }
 
     /// These upstreams begin anew, as if never met.
     pub(crate) fn reset_upstreams(&self, hosts: Vec<Host>) {
-        self.with_module(|balancer| balancer.news(&News::List { whole: false, hosts }));
+        self.with_module(|balancer| balancer.discovery_event(&DiscoveryEvent::List { whole: false, hosts }));
     }
 
     /// Whether any upstream is listed.
@@ -176,7 +178,7 @@
                 key: None,
                 budget: Some(time_left.as_micros()),
                 cost_hint: None,
-                repeat: false,
+                client_retry: false,
                 write: false,
             })
         });
@@ -194,7 +196,7 @@
 
     /// An attempt's response begins to be forwarded before it is complete.
     pub(crate) fn begun(&self, attempt: Attempt) {
-        self.with_module(|balancer| balancer.begun(attempt));
+        self.with_module(|balancer| balancer.stream_started(attempt));
     }
 
     /// An attempt has ended.
@@ -206,7 +208,7 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         let handle = self.handle;
-        self.service_balancer.with_module(|balancer| balancer.hung_up(handle));
+        self.service_balancer.with_module(|balancer| balancer.client_disconnected(handle));
         self.service_balancer.inner.borrow_mut().open.remove(handle);
     }
 }
--- a/crates/daemon/mesh/src/service_balancer/settings.rs
+++ b/crates/daemon/mesh/src/service_balancer/settings.rs
@@ -3,7 +3,7 @@
 use super::upstream_host::UPSTREAM_KIND;
 use silvercross_core::interface::{Class, Effect, Prices, Settings};
 use silvercross_mesh_config::{Route, RouteKind, RoutingTable};
-use silvercross_settings::Front;
+use silvercross_settings::ProxySettings;
 use silvercross_time::Duration;
 
 /// A connection to another sidecar is up within this, or the attempt has failed.
@@ -56,7 +56,7 @@
 /// The module's settings and the names that its facade translates.
 pub(super) struct ModuleSettings {
     pub(super) settings: Settings,
-    pub(super) front: Front,
+    pub(super) front: ProxySettings,
 }
 
 impl ServiceSettings<'_> {
@@ -100,12 +100,12 @@
             retry_ratio: Some(self.retry_ratio),
             max_saved_retries: Some(self.max_saved_retries),
         };
-        let front = Front {
+        let front = ProxySettings {
             classes: routes().map(|route| route.name.clone()).collect(),
             tenants: Vec::new(),
             zones: self.zones.to_vec(),
             kinds: vec![UPSTREAM_KIND.to_string()],
-            idle_close: None,
+            upstream_idle_timeout: None,
         };
         ModuleSettings { settings, front }
     }
--- a/crates/daemon/mesh/src/service_balancer/upstream_host.rs
+++ b/crates/daemon/mesh/src/service_balancer/upstream_host.rs
@@ -6,23 +6,23 @@
 pub(super) const UPSTREAM_KIND: &str = "station";
 
 /// An upstream for the module. `gate`: where its sidecar takes requests; `slots`: how many it works on at a time;
-/// `born_ms`: tells this incarnation from those before it.
+/// `started_ms`: tells this incarnation from those before it.
 pub(crate) fn upstream_host(
     name: &str,
     gate: SocketAddr,
     zone: &str,
     health: Health,
     slots: u32,
-    born_ms: u64,
+    started_ms: u64,
 ) -> Host {
     Host {
         name: name.to_string(),
-        dial: Some(gate),
+        address: Some(gate),
         zone: zone.to_string(),
         kind: UPSTREAM_KIND.to_string(),
         cell: 0,
         health,
         size: f64::from(slots.max(1)),
-        born_ms,
+        started_ms,
     }
 }
--- a/crates/daemon/mesh/src/tests/support/sidecar.rs
+++ b/crates/daemon/mesh/src/tests/support/sidecar.rs
@@ -85,7 +85,7 @@
     let text = settings_text(ip, outbound, inbound, upstream);
     let mut settings = settings::parse(&text).expect("settings");
     (settings.memory_bytes, settings.max_descriptors) = (options.memory_bytes, options.descriptors);
-    let clock = silvercross_facade::Clock::read_by(now);
+    let clock = silvercross_facade::Clock::from_fn(now);
     let membership = isolated_membership(ip, inbound.port(), Instant::from_micros(clock.now()));
     let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
     let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
--- a/crates/daemon/mesh/src/wire/error.rs
+++ b/crates/daemon/mesh/src/wire/error.rs
@@ -1,5 +1,5 @@
 //! Why a message could not be read from a connection.
-use silvercross_net::http::Bad;
+use silvercross_net::http::MessageError;
 use std::fmt;
 use std::io;
 
@@ -11,7 +11,7 @@
     /// It ended, or broke, within a message.
     Interrupted,
     /// What was received is not a message within the limits.
-    Invalid(Bad),
+    Invalid(MessageError),
     /// The message was not complete in time.
     TimedOut,
     /// The memory for buffered bodies is in use.
@@ -46,8 +46,8 @@
     }
 }
 
-impl From<Bad> for ReadError {
-    fn from(bad: Bad) -> Self {
+impl From<MessageError> for ReadError {
+    fn from(bad: MessageError) -> Self {
         ReadError::Invalid(bad)
     }
 }
--- a/crates/daemon/mesh/src/wire/reading.rs
+++ b/crates/daemon/mesh/src/wire/reading.rs
@@ -4,7 +4,7 @@
 use super::{Connection, ReadError, MAX_BUFFERED_BODY_BYTES};
 use crate::body_budget::BodyReservation;
 use bytes::{Buf, Bytes};
-use silvercross_net::http::{Bad, Framing, Limits};
+use silvercross_net::http::{Framing, Limits, MessageError};
 use silvercross_net::stream::Decoder;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -94,7 +94,7 @@
         let mut body = Vec::new();
         if let Framing::Length(length) = framing {
             if length > max_bytes {
-                return Err(ReadError::Invalid(Bad::BodyTooLarge));
+                return Err(ReadError::Invalid(MessageError::BodyTooLarge));
             }
             body.reserve_exact(length);
         }
@@ -102,7 +102,7 @@
             if self.decode_received(&mut decoder, &mut body)? {
                 continue;
             }
-            if self.receive().await? == 0 && !decoder.ends_here() {
+            if self.receive().await? == 0 && !decoder.ends_at_close() {
                 return Err(ReadError::Interrupted);
             }
         }
@@ -137,7 +137,7 @@
             if bytes.len() >= MAX_BUFFERED_BODY_BYTES {
                 return Ok(BodyPrefix { bytes, is_complete: false });
             }
-            if self.receive().await? == 0 && !decoder.ends_here() {
+            if self.receive().await? == 0 && !decoder.ends_at_close() {
                 return Err(ReadError::Interrupted);
             }
         }
@@ -162,7 +162,7 @@
             if decoder.is_done() {
                 return Ok(None);
             }
-            if self.receive().await? == 0 && !decoder.ends_here() {
+            if self.receive().await? == 0 && !decoder.ends_at_close() {
                 return Err(ReadError::Interrupted);
             }
         }
--- a/crates/daemon/mesh/src/wire/request_head.rs
+++ b/crates/daemon/mesh/src/wire/request_head.rs
@@ -3,7 +3,7 @@
 use super::limits::MAX_PARSED_HEADER_LINES;
 use super::ReadError;
 use httparse::EMPTY_HEADER;
-use silvercross_net::http::{self, Bad, Framing, Limits};
+use silvercross_net::http::{self, Framing, Limits, MessageError};
 use silvercross_time::Duration;
 
 /// What a request that states no timeout is given.
@@ -81,8 +81,8 @@
     let mut forwarded_lines = Vec::with_capacity(256);
     headers.forward(&mut forwarded_lines, &NOT_FORWARDED);
     let host = headers.one("host")?;
-    if host.is_none() && !parsed.old {
-        return Err(ReadError::Invalid(Bad::Malformed("no Host line")));
+    if host.is_none() && !parsed.is_http10 {
+        return Err(ReadError::Invalid(MessageError::Malformed("no Host line")));
     }
     let head = RequestHead {
         method: parsed.method.to_string(),
@@ -97,14 +97,14 @@
         forwarded_lines,
         framing: parsed.framing,
         keep_alive: parsed.keep_alive,
-        expects_continue: headers.lists("expect", "100-continue"),
-        is_http_10: parsed.old,
+        expects_continue: headers.has_token("expect", "100-continue"),
+        is_http_10: parsed.is_http10,
     };
     Ok(Some(ParsedRequestHead { length: parsed.len, head }))
 }
 
-fn parse_timeout(milliseconds: &str) -> Result<Duration, Bad> {
+fn parse_timeout(milliseconds: &str) -> Result<Duration, MessageError> {
     let milliseconds = milliseconds.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0);
-    let milliseconds = milliseconds.ok_or(Bad::Malformed("Deadline-Ms is no number"))?;
+    let milliseconds = milliseconds.ok_or(MessageError::Malformed("Deadline-Ms is no number"))?;
     Ok(Duration::from_micros((milliseconds.min(MAX_TIMEOUT_MS) * 1e3) as i64))
 }
--- a/crates/daemon/mesh/src/wire/response.rs
+++ b/crates/daemon/mesh/src/wire/response.rs
@@ -62,7 +62,7 @@
 ) -> Result<Option<ParsedResponseHead>, ReadError> {
     let mut header_slots = [EMPTY_HEADER; MAX_PARSED_HEADER_LINES];
     let header_slots = &mut header_slots[..peer.head_limits().lines];
-    let Some(parsed) = http::answer_head_within(bytes, header_slots, limits)? else { return Ok(None) };
+    let Some(parsed) = http::response_head_within(bytes, header_slots, limits)? else { return Ok(None) };
     let headers = &parsed.headers;
     let mut forwarded_lines = Vec::with_capacity(256);
     headers.forward(&mut forwarded_lines, &[GATE_STATUS, GATE_INCARNATION]);
--- a/crates/daemon/mesh/src/wire/writing.rs
+++ b/crates/daemon/mesh/src/wire/writing.rs
@@ -2,7 +2,7 @@
 //!
 //! `silvercross_net::http` encodes responses too, for the sidecar of today: into a fixed buffer, with the length ahead of
 //! the other headers and other reason phrases. Clients see those bytes, so the two encoders stay apart; parsing is shared.
-use silvercross_net::http::{Bad, Framing};
+use silvercross_net::http::{Framing, MessageError};
 use std::io;
 use tokio::io::AsyncWriteExt;
 
@@ -135,12 +135,12 @@
 }
 
 /// The status that tells a sender what is wrong with its message.
-pub(crate) fn error_status(bad: &Bad) -> u16 {
+pub(crate) fn error_status(bad: &MessageError) -> u16 {
     match bad {
-        Bad::HeadTooLarge => 431,
-        Bad::BodyTooLarge => 413,
-        Bad::TooManyAhead => 429,
-        Bad::IdInUse => 409,
-        Bad::Malformed(_) => 400,
+        MessageError::HeadTooLarge => 431,
+        MessageError::BodyTooLarge => 413,
+        MessageError::TooManyAhead => 429,
+        MessageError::IdInUse => 409,
+        MessageError::Malformed(_) => 400,
     }
 }
--- a/crates/daemon/sidecar/src/event_loop.rs
+++ b/crates/daemon/sidecar/src/event_loop.rs
@@ -31,11 +31,11 @@
 use records_side::Holding;
 use silvercross_core::interface::Micros;
 use silvercross_core::interface::Settings;
-use silvercross_facade::{Attempt, Balancer, Step, Turn};
+use silvercross_facade::{Attempt, Balancer, Output, Step};
 use silvercross_net::buffers::Pool;
 use silvercross_net::registry::{Interest, Registry, Watched};
 use silvercross_net::table::{Handle, Table};
-use silvercross_settings::Front;
+use silvercross_settings::ProxySettings;
 use slog::{error, info, warn, Logger};
 use std::collections::{HashSet, VecDeque};
 use std::io::{self, Read};
@@ -124,7 +124,7 @@
     /// Where discovery is now.
     pub discovery: SocketAddr,
     /// Other settings, the names behind them, and what the loop keeps to by them.
-    pub settings: Option<(Settings, Front, Bounds)>,
+    pub settings: Option<(Settings, ProxySettings, Bounds)>,
 }
 
 /// Reads the configuration file again: all of it good, or one plain line. What it returns is in force from then on.
@@ -246,7 +246,7 @@
             holding: records.map(|r| Holding::new(r, &registry)).transpose()?,
             ordered: Vec::new(),
             stirred: false,
-            fleet: peers.map(|p| Fleet::new(p, &registry, balancer.senders())).transpose()?,
+            fleet: peers.map(|p| Fleet::new(p, &registry, balancer.instances())).transpose()?,
             view: None,
             view_told: Paced::default(),
             members_told: Paced::default(),
@@ -285,7 +285,7 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::new();
         let now = self.balancer.now();
-        self.balancer.wake_at(now + SWEEP, Wake::Sweep);
+        self.balancer.set_timer(now + SWEEP, Wake::Sweep);
         // A gateway that has heard no offer yet takes nobody in.
         self.guarded(None, Self::ask_peers);
         self.look_beside();
@@ -376,7 +376,7 @@
             Some(Connection::Application(c)) => match c.state {
                 State::Waiting(request) => {
                     c.close = true;
-                    let turn = self.balancer.hung_up(request);
+                    let turn = self.balancer.client_disconnected(request);
                     self.absorb(turn);
                     self.answer_call(request, 502, b"", &[b"failed\n"]);
                 }
@@ -387,7 +387,7 @@
                 Work::Busy(attempt, stage) => {
                     let report = AttemptError { stage, cause: Cause::Closed }.report();
                     self.finish_attempt(handle, attempt, report, false);
-                    if !self.balancer.awaits(attempt.request) {
+                    if !self.balancer.is_unanswered(attempt.request) {
                         // It panicked between the decision and the answer.
                         self.answer_call(attempt.request, 502, b"", &[b"failed\n"]);
                     }
@@ -413,7 +413,7 @@
         self.do_steps();
     }
 
-    fn absorb(&mut self, turn: Turn<Wake>) {
+    fn absorb(&mut self, turn: Output<Wake>) {
         self.steps.extend(turn.steps);
     }
 
@@ -435,12 +435,12 @@
                     self.counts.failed += 1;
                     self.fail(request);
                 }
-                Step::Watch(on) => self.watch(on),
+                Step::Subscribe(on) => self.watch(on),
                 Step::FetchList => self.call_discovery(Purpose::Call),
                 Step::CloseIdle(upstream) => {
                     self.connections.idle_to(upstream).into_iter().for_each(|h| self.close_upstream(h));
                 }
-                Step::Wake(wake) => self.woken(wake),
+                Step::Timer(wake) => self.woken(wake),
                 Step::Note(text) => info!(self.log, "note"; "text" => text),
             }
         }
@@ -464,7 +464,7 @@
                 let Some(c) = self.connections.application(handle) else { return };
                 match c.stalled_at {
                     Some(at) if at <= now => self.stalled(handle),
-                    Some(at) => self.balancer.wake_at(at, wake),
+                    Some(at) => self.balancer.set_timer(at, wake),
                     None => {}
                 }
             }
@@ -474,7 +474,7 @@
                 let Some(c) = self.connections.discovery(handle) else { return };
                 match c.silent_at {
                     at if at <= now => self.discovery_broken(handle, "silence"),
-                    at => self.balancer.wake_at(at, wake),
+                    at => self.balancer.set_timer(at, wake),
                 }
             }
             Wake::Fleet => self.fleet_woken(),
@@ -488,7 +488,7 @@
                     if self.heir {
                         self.guarded(None, Self::hand_over);
                     }
-                    self.balancer.wake_at(stop.look_again(now), Wake::Stopping);
+                    self.balancer.set_timer(stop.look_again(now), Wake::Stopping);
                 }
             }
         }
@@ -515,7 +515,7 @@
         if self.sweeps.is_multiple_of(SUMMARY) {
             self.summary("summary");
         }
-        self.balancer.wake_at(now + SWEEP, Wake::Sweep);
+        self.balancer.set_timer(now + SWEEP, Wake::Sweep);
     }
 
     fn summary(&self, what: &'static str) {
@@ -524,7 +524,7 @@
             "failed" => c.failed, "client_gone" => c.gone, "bad_requests" => c.bad, "attempts" => c.attempts,
             "attempts_failed" => c.attempts_failed, "connects" => c.connected, "panics" => c.panics,
             "connections" => self.connections.len(), "from_application" => self.connections.applications,
-            "buffers" => self.pool.out(), "open" => self.balancer.unanswered(), "upstreams" => self.balancer.upstreams(),
+            "buffers" => self.pool.in_use(), "open" => self.balancer.unanswered(), "upstreams" => self.balancer.upstreams(),
             "list_seq" => self.seq);
     }
 
@@ -536,13 +536,13 @@
         drain(self.reloads.get());
         // Stopping, too: for as long as connections stay open their clients go by the new settings.
         let new = (self.reread)();
-        self.door.figures.reread(new.is_ok());
+        self.door.figures.count_reload(new.is_ok());
         let new = match new {
             Ok(new) => new,
             Err(why) => return warn!(self.log, "the configuration stays as it was"; "why" => why),
         };
         if let Some((settings, front, bounds)) = new.settings {
-            self.door.figures.classes_are(&front.classes);
+            self.door.figures.set_classes(&front.classes);
             let turn = self.balancer.reconfigure(settings, front);
             self.absorb(turn);
             self.fleet_reconfigured();
@@ -575,7 +575,7 @@
         self.guarded(None, Self::leave_fleet);
         self.heir = self.seat.as_ref().is_some_and(Seat::has_successor);
         self.balancer.answer_by(stop.answer_by());
-        self.balancer.wake_at(stop.look_again(now), Wake::Stopping);
+        self.balancer.set_timer(stop.look_again(now), Wake::Stopping);
         if self.heir {
             // New connections go to the successor; those that are open end with their next answer, or when idle.
             return self.hand_over();
@@ -620,7 +620,7 @@
         if paired != self.paired {
             self.paired = paired;
             info!(self.log, "beside another process"; "paired" => paired);
-            self.pool.hold(self.bounds.buffer_bytes / if paired { 2 } else { 1 });
+            self.pool.set_limit(self.bounds.buffer_bytes / if paired { 2 } else { 1 });
         }
         // What the other holds is a moment old: what either may open meanwhile stays free.
         let held = beside.map(|said| said.map_or(all, |s| s.held) + all / BESIDE);
--- a/crates/daemon/sidecar/src/event_loop/applications.rs
+++ b/crates/daemon/sidecar/src/event_loop/applications.rs
@@ -7,8 +7,8 @@
 use crate::wire::upstream::{Cause, Stage, Work};
 use silvercross_core::interface::Micros;
 use silvercross_facade::Request as Placed;
-use silvercross_gateway::offer::Ended;
-use silvercross_net::http::{self, Bad, Framing};
+use silvercross_gateway::offer::RemoteOutcome;
+use silvercross_net::http::{self, Framing, MessageError};
 use silvercross_net::registry::Interest;
 use silvercross_net::table::Handle;
 use slog::{debug, warn};
@@ -88,7 +88,7 @@
     pub(super) fn warn_limit(&mut self, what: &'static str) {
         if let Some(before) = self.at_limit.pass(self.balancer.now()) {
             warn!(self.log, "at a limit"; "what" => what, "times" => before + 1,
-                "connections" => self.connections.len(), "buffers" => self.pool.out());
+                "connections" => self.connections.len(), "buffers" => self.pool.in_use());
         }
     }
 
@@ -130,11 +130,11 @@
         let by = c.send_by.unwrap_or(0) + Self::time_for(c.received);
         if by > self.balancer.now() {
             c.stalled_at = Some(by);
-            return self.balancer.wake_at(by, Wake::Stall(handle));
+            return self.balancer.set_timer(by, Wake::Stall(handle));
         }
         self.counts.bad += 1;
         c.close = true;
-        c.input.take().into_iter().for_each(|b| self.pool.give(b));
+        c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
         self.answer(handle, 408, b"", &[b"the request did not come in time\n"]);
     }
 
@@ -197,13 +197,13 @@
         debug!(self.log, "client gone"; "request" => request.number());
         if let Some(r) = self.requests.get_mut(request) {
             r.client = None;
-            r.bytes.take().into_iter().for_each(|b| self.pool.give(b));
+            r.bytes.take().into_iter().for_each(|b| self.pool.put_back(b));
         }
         self.close_application(handle);
-        self.guest_ended(request, Ended::Left);
+        self.guest_ended(request, RemoteOutcome::Disconnected);
         let sent = self.requests.get(request).is_some_and(|r| !r.attempts.is_empty());
         self.give_held(request, sent);
-        let turn = self.balancer.hung_up(request);
+        let turn = self.balancer.client_disconnected(request);
         self.absorb(turn);
         self.forget_if_done(request);
     }
@@ -247,7 +247,7 @@
                     if c.turned_away {
                         self.counts.refused += 1;
                         c.close = true;
-                        c.input.take().into_iter().for_each(|b| self.pool.give(b));
+                        c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
                         self.answer(handle, 503, b"", &[b"at the limit of connections\n"]);
                     } else {
                         // With a part of the body here its sender has had its word, or did not wait for it.
@@ -301,24 +301,24 @@
 
     /// Place a call. `large`: its body is passed on as it comes, and is framed like this; `end` is that of its head.
     pub(super) fn take_call(&mut self, handle: Handle, mut call: Call, end: usize, large: Option<Framing>) {
-        let counted = self.door.figures.class(&call.class);
+        let counted = self.door.figures.class_index(&call.class);
         if let Some(c) = self.connections.application(handle) {
             c.counted = counted;
         }
         let Some(class) = self.balancer.class_named(&call.class) else {
-            return self.refuse_bad(handle, Bad::Malformed("an unknown service class"));
+            return self.refuse_bad(handle, MessageError::Malformed("an unknown service class"));
         };
         if self.balancer.is_keyed(class) && !call.has_key {
             // Without it a repeat would run twice.
-            return self.refuse_bad(handle, Bad::Malformed("no idempotency key"));
+            return self.refuse_bad(handle, MessageError::Malformed("no idempotency key"));
         }
         if self.ids.contains(call.id.as_str()) {
             // The other one goes on: whoever borrows an id gets no part in it.
-            return self.refuse_bad(handle, Bad::IdInUse);
+            return self.refuse_bad(handle, MessageError::IdInUse);
         }
         let Some(c) = self.connections.application(handle) else { return };
         if c.ahead > AHEAD {
-            return self.refuse_bad(handle, Bad::TooManyAhead);
+            return self.refuse_bad(handle, MessageError::TooManyAhead);
         }
         let waited = c.ahead_since.map_or(0, |since| self.balancer.now() - since);
         // Its client's time has run while it waited for its turn.
@@ -334,7 +334,7 @@
         let Some(c) = self.connections.application(handle) else { return };
         let Some(mut input) = c.input.take() else {
             self.give_back(guest);
-            return self.pool.give(bytes);
+            return self.pool.put_back(bytes);
         };
         let (mut fits, mut upload) = (true, None);
         match large {
@@ -350,8 +350,8 @@
                 match self.begin_upload(&mut input, &call, framing, &mut bytes) {
                     Ok(begun) => upload = Some(begun),
                     Err(bad) => {
-                        self.pool.give(bytes);
-                        self.pool.give(input);
+                        self.pool.put_back(bytes);
+                        self.pool.put_back(input);
                         self.give_back(guest);
                         return self.refuse_bad(handle, bad);
                     }
@@ -360,8 +360,8 @@
         }
         let coming = upload.as_ref().is_some_and(|u| !u.body.is_done());
         let Some(c) = self.connections.application(handle) else {
-            self.pool.give(input);
-            return self.pool.give(bytes);
+            self.pool.put_back(input);
+            return self.pool.put_back(bytes);
         };
         let input = c.input.insert(input);
         c.old = call.old;
@@ -378,9 +378,9 @@
         }
         c.tidy(&mut self.pool);
         if !fits {
-            self.pool.give(bytes);
+            self.pool.put_back(bytes);
             self.give_back(guest);
-            return self.refuse_bad(handle, Bad::HeadTooLarge);
+            return self.refuse_bad(handle, MessageError::HeadTooLarge);
         }
         let id = call.id.clone().into_boxed_str();
         let taken = Request {
@@ -417,11 +417,11 @@
             key: call.key,
             budget: left,
             cost_hint: call.cost_hint,
-            repeat: call.repeat,
+            client_retry: call.repeat,
             write: call.write,
         };
         if coming {
-            let turn = self.balancer.pick_coming(placed);
+            let turn = self.balancer.pick_incomplete(placed);
             return self.absorb(turn);
         }
         let Some(placed) = self.hold_first(request, placed, &call.class, &call.head) else { return };
@@ -429,20 +429,20 @@
         self.absorb(turn);
     }
 
-    pub(super) fn refuse_bad(&mut self, handle: Handle, bad: Bad) {
+    pub(super) fn refuse_bad(&mut self, handle: Handle, bad: MessageError) {
         self.counts.bad += 1;
         let (status, why) = match bad {
-            Bad::Malformed(why) => (400, why),
-            Bad::HeadTooLarge => (431, "the head is too large"),
-            Bad::BodyTooLarge => (413, "the body is too large"),
-            Bad::IdInUse => (409, "a request with this correlation id is open"),
-            Bad::TooManyAhead => (429, "too many requests ahead of their answers"),
+            MessageError::Malformed(why) => (400, why),
+            MessageError::HeadTooLarge => (431, "the head is too large"),
+            MessageError::BodyTooLarge => (413, "the body is too large"),
+            MessageError::IdInUse => (409, "a request with this correlation id is open"),
+            MessageError::TooManyAhead => (429, "too many requests ahead of their answers"),
         };
         debug!(self.log, "bad request"; "status" => status, "why" => why);
         if let Some(c) = self.connections.application(handle) {
             // Where the next request would begin is not known.
             c.close = true;
-            c.input.take().into_iter().for_each(|b| self.pool.give(b));
+            c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
         }
         self.answer(handle, status, b"", &[why.as_bytes(), b"\n"]);
     }
@@ -461,7 +461,7 @@
     /// A guest that was let in came to nothing.
     fn give_back(&mut self, guest: Option<Guest>) {
         if let (Some(Gate::In(i)), Some(g)) = (self.gate.as_mut(), guest) {
-            i.offer.ended(g.began, Ended::Left, 0, g.expected, g.left);
+            i.offer.ended(g.began, RemoteOutcome::Disconnected, 0, g.expected, g.left);
         }
     }
 
@@ -473,7 +473,7 @@
         if self.gate.is_none() {
             return self.answer_call(request, 503, lines.as_bytes(), &[b"refused\n"]);
         }
-        self.guest_ended(request, Ended::TurnedAway);
+        self.guest_ended(request, RemoteOutcome::Rejected);
         self.not_served(request, lines);
     }
 
@@ -484,7 +484,7 @@
         if self.gate.is_none() {
             return self.answer_call(request, 502, b"", &[b"failed\n"]);
         }
-        self.guest_ended(request, Ended::Failed);
+        self.guest_ended(request, RemoteOutcome::Failed);
         self.not_served(request, "");
     }
 
@@ -505,7 +505,7 @@
         let Some(r) = self.requests.get_mut(request) else { return };
         let coming = r.is_coming();
         r.upload = None;
-        r.bytes.take().into_iter().for_each(|b| self.pool.give(b));
+        r.bytes.take().into_iter().for_each(|b| self.pool.put_back(b));
         let client = r.client.take();
         self.forget_if_done(request);
         let Some(client) = client else { return };
@@ -517,7 +517,7 @@
             if coming {
                 // Where the next request would begin is not known.
                 c.close = true;
-                c.input.take().into_iter().for_each(|b| self.pool.give(b));
+                c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
             }
         }
         self.answer(client, status, lines, parts);
@@ -531,16 +531,16 @@
         let Some(c) = self.connections.application(handle) else { return };
         // This is where a request has its final answer.
         if let Some(class) = c.counted.take() {
-            self.door.figures.answered(class, status);
+            self.door.figures.count_response(class, status);
         }
         c.close |= ends;
-        let Some(mut output) = c.output.take().or_else(|| self.pool.take_for_answer()) else {
+        let Some(mut output) = c.output.take().or_else(|| self.pool.take_for_response()) else {
             self.warn_limit("buffers");
             return self.close_application(handle);
         };
         // An answer too long with its header lines goes out without them.
-        let written = http::write_answer(&mut output, status, lines, parts, c.close)
-            || http::write_answer(&mut output, status, b"", parts, c.close);
+        let written = http::write_response(&mut output, status, lines, parts, c.close)
+            || http::write_response(&mut output, status, b"", parts, c.close);
         c.output = Some(output);
         (c.state, c.since, c.used) = (State::Answering, now, true);
         (c.stalled_at, c.send_by) = (None, None);
@@ -573,7 +573,7 @@
 
     pub(super) fn linger(&mut self, handle: Handle) {
         let Some(c) = self.connections.application(handle) else { return };
-        c.input.take().into_iter().for_each(|b| self.pool.give(b));
+        c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
         match c.linger() {
             Ok(()) => {
                 c.stalled_at = None;
@@ -587,12 +587,12 @@
         let at = self.balancer.now() + span;
         let Some(c) = self.connections.application(handle).filter(|c| c.stalled_at.is_none()) else { return };
         c.stalled_at = Some(at);
-        self.balancer.wake_at(at, Wake::Stall(handle));
+        self.balancer.set_timer(at, Wake::Stall(handle));
     }
 
     pub(super) fn close_application(&mut self, handle: Handle) {
         if let Some(Connection::Application(mut c)) = self.connections.remove(handle) {
-            c.input.take().into_iter().chain(c.output.take()).for_each(|b| self.pool.give(b));
+            c.input.take().into_iter().chain(c.output.take()).for_each(|b| self.pool.put_back(b));
             self.listen_again();
         }
     }
--- a/crates/daemon/sidecar/src/event_loop/discovery_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/discovery_side.rs
@@ -3,7 +3,7 @@
 use crate::memory::connections::Connection;
 use crate::wire::discovery::{self, Purpose};
 use crate::wire::upstream::Cause;
-use silvercross_facade::News;
+use silvercross_facade::DiscoveryEvent;
 use silvercross_net::registry::Interest;
 use silvercross_net::table::Handle;
 use slog::{debug, warn};
@@ -32,15 +32,15 @@
         });
         match made {
             Ok(Some(handle)) => {
-                self.balancer.wake_at(now + discovery::SILENCE, Wake::Silence(handle));
+                self.balancer.set_timer(now + discovery::SILENCE, Wake::Silence(handle));
                 if purpose == Purpose::Watch {
                     self.watch = Some(handle);
                 }
             }
-            Ok(None) => self.tell(&News::Broken),
+            Ok(None) => self.tell(&DiscoveryEvent::Broken),
             Err(e) => {
                 warn!(self.log, "discovery cannot be reached"; "why" => ?e);
-                self.tell(&News::Broken);
+                self.tell(&DiscoveryEvent::Broken);
             }
         }
     }
@@ -52,7 +52,7 @@
         for handle in self.connections.to_discovery() {
             self.connections.remove(handle);
         }
-        self.tell(&News::Moved);
+        self.tell(&DiscoveryEvent::Moved);
     }
 
     pub(super) fn discovery_ready(&mut self, handle: Handle) {
@@ -68,7 +68,7 @@
         let (told, fault) = c.read(now);
         let has_told = !told.is_empty();
         for mut t in told {
-            let entries = if let News::List { hosts, .. } = &t.news { hosts.len() } else { 0 };
+            let entries = if let DiscoveryEvent::List { hosts, .. } = &t.news { hosts.len() } else { 0 };
             debug!(self.log, "list"; "seq" => t.seq, "entries" => entries);
             self.seq = t.seq;
             self.told = true;
@@ -93,11 +93,11 @@
         if self.watch == Some(handle) {
             self.watch = None;
         }
-        self.tell(&News::Broken);
+        self.tell(&DiscoveryEvent::Broken);
     }
 
-    pub(super) fn tell(&mut self, news: &News) {
-        let turn = self.balancer.news(news);
+    pub(super) fn tell(&mut self, news: &DiscoveryEvent) {
+        let turn = self.balancer.discovery_event(news);
         self.absorb(turn);
     }
 }
--- a/crates/daemon/sidecar/src/event_loop/fleet_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/fleet_side.rs
@@ -5,7 +5,7 @@
 use crate::lifecycle::fleet::{Folder, Peers};
 use crate::wire::fleet::{Conn, Got};
 use silvercross_core::interface::Micros;
-use silvercross_facade::{Health, News};
+use silvercross_facade::{DiscoveryEvent, Health};
 use silvercross_net::registry::{Interest, Registry, Watched};
 use silvercross_swim::{Event, Members, State};
 use slog::{debug, info, warn};
@@ -200,7 +200,7 @@
         let wake = fleet.members.next_deadline().min(smaller).max(now + 1_000);
         if wake < fleet.due || fleet.due <= now {
             fleet.due = wake;
-            self.balancer.wake_at(wake, Wake::Fleet);
+            self.balancer.set_timer(wake, Wake::Fleet);
         }
     }
 
@@ -235,7 +235,7 @@
             }
             Event::Drain(d) => {
                 info!(self.log, "another sidecar says that an upstream drains"; "host" => &d.host, "seq" => d.seq);
-                let turn = self.balancer.told_drain(&d.host, d.born_ms, true);
+                let turn = self.balancer.peer_reported_drain(&d.host, d.born_ms, true);
                 self.absorb(turn);
             }
             Event::Refuted(state) => {
@@ -256,11 +256,11 @@
     fn mind_senders(&mut self, now: Micros) {
         let Some(fleet) = &mut self.fleet else { return };
         let Some((n, at)) = fleet.smaller else { return };
-        if n < self.balancer.senders() && now < at {
+        if n < self.balancer.instances() && now < at {
             return;
         }
         fleet.smaller = None;
-        let turn = self.balancer.senders_are(n);
+        let turn = self.balancer.set_instances(n);
         self.absorb(turn);
     }
 
@@ -268,7 +268,7 @@
     pub(super) fn fleet_reconfigured(&mut self) {
         let now = self.balancer.now();
         if let Some(fleet) = &mut self.fleet {
-            fleet.configured = self.balancer.senders();
+            fleet.configured = self.balancer.instances();
             if let Some(n) = fleet.members.senders() {
                 fleet.smaller = Some((n as u32, now + AGED * fleet.period));
             }
@@ -276,18 +276,18 @@
     }
 
     /// The own list has come. What others said that is newer than it is laid over it; what is older is over.
-    pub(super) fn list_for_fleet(&mut self, seq: u64, news: &mut News) {
-        let News::List { whole, hosts } = news else { return };
+    pub(super) fn list_for_fleet(&mut self, seq: u64, news: &mut DiscoveryEvent) {
+        let DiscoveryEvent::List { whole, hosts } = news else { return };
         let Some(fleet) = &mut self.fleet else { return };
-        let entries = hosts.iter().map(|h| (h.name.as_str(), h.born_ms, h.health == Health::Draining));
+        let entries = hosts.iter().map(|h| (h.name.as_str(), h.started_ms, h.health == Health::Draining));
         let over = fleet.members.list_is(seq, *whole, entries);
         for h in hosts.iter_mut().filter(|h| h.health == Health::Ready) {
-            if fleet.members.drains(&h.name, h.born_ms) || self.ordered.contains(&h.name) {
+            if fleet.members.drains(&h.name, h.started_ms) || self.ordered.contains(&h.name) {
                 h.health = Health::Draining;
             }
         }
         for d in over.iter().filter(|d| !hosts.iter().any(|h| h.name == d.host)) {
-            let turn = self.balancer.told_drain(&d.host, d.born_ms, false);
+            let turn = self.balancer.peer_reported_drain(&d.host, d.born_ms, false);
             self.absorb(turn);
         }
     }
@@ -327,7 +327,7 @@
         let told = serde_json::json!({
             "id": me.id.to_string(), "name": me.name, "at": me.at.to_string(), "incarnation": me.incarnation.0,
             "view": m.view().name(), "live": live, "failed": failed, "senders": m.senders(),
-            "senders_in_force": self.balancer.senders(), "senders_configured": fleet.configured,
+            "senders_in_force": self.balancer.instances(), "senders_configured": fleet.configured,
             "digest": format!("{:016x}", m.digest()), "doubt": m.local_health_multiplier(),
             "drains": m.drained().collect::<Vec<_>>(), "others": others, "figures": figures,
         });
--- a/crates/daemon/sidecar/src/event_loop/gateway_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/gateway_side.rs
@@ -9,10 +9,10 @@
 use crate::wire::application::Call;
 use crate::wire::peer;
 use silvercross_core::interface::Micros;
-use silvercross_facade::{Health, Host, News, Report};
+use silvercross_facade::{DiscoveryEvent, Health, Host, Report};
 use silvercross_gateway::hops::{self, Hops};
-use silvercross_gateway::offer::{Ended, Offer};
-use silvercross_gateway::peers::{NotOver, Peers};
+use silvercross_gateway::offer::{Offer, RemoteOutcome};
+use silvercross_gateway::peers::{CrossingRefused, Peers};
 use silvercross_gateway::statement;
 use silvercross_net::registry::Interest;
 use silvercross_net::table::Handle;
@@ -69,14 +69,14 @@
     pub fn hosts(&self, open: &[bool]) -> Vec<Host> {
         let host = |(i, at): (usize, &SocketAddr)| Host {
             name: format!("peer-{i}"),
-            dial: Some(*at),
+            address: Some(*at),
             zone: self.far.clone(),
             kind: "gateway".into(),
             // A cell of its own: a key's group never takes in two of them.
             cell: 1_000_000 + i as u32,
             health: if open.get(i).copied().unwrap_or(false) { Health::Ready } else { Health::Draining },
             size: 1.0,
-            born_ms: 0,
+            started_ms: 0,
         };
         self.at.iter().enumerate().map(host).collect()
     }
@@ -91,19 +91,19 @@
     ) -> Result<Option<Guest>, &'static str> {
         let now = self.balancer.now();
         let Some(gate) = self.gate.as_mut() else { return Ok(None) };
-        let mark = Hops::read(call.hops.as_deref()).map_err(hops::Refused::reason)?;
+        let mark = Hops::read(call.hops.as_deref()).map_err(hops::HopError::reason)?;
         let (left, expected) = (left.unwrap_or(Micros::MAX), call.cost_hint.map_or(0.0, |h| h as f64));
         let (mark, guest) = match gate {
             Gate::Out(o) => {
-                let mark = mark.leave(&o.home).map_err(hops::Refused::reason)?;
+                let mark = mark.leave(&o.home).map_err(hops::HopError::reason)?;
                 o.peers.may_cross(now, left, 1.0).map_err(|why| match why {
-                    NotOver::NoRoom => "the other side has no room",
-                    NotOver::NoTime => "there is no time left for the way",
+                    CrossingRefused::NoRoom => "the other side has no room",
+                    CrossingRefused::NoTime => "there is no time left for the way",
                 })?;
                 (mark, None)
             }
             Gate::In(i) => {
-                mark.arrive(&i.home).map_err(hops::Refused::reason)?;
+                mark.arrive(&i.home).map_err(hops::HopError::reason)?;
                 if !i.offer.admit(now) {
                     return Err("this side has no room");
                 }
@@ -116,7 +116,7 @@
     }
 
     /// A call that came in has its final answer, or its sender is gone.
-    pub(super) fn guest_ended(&mut self, request: Handle, how: Ended) {
+    pub(super) fn guest_ended(&mut self, request: Handle, how: RemoteOutcome) {
         let now = self.balancer.now();
         let guest = self.requests.get_mut(request).and_then(|r| r.guest.take());
         if let (Some(Gate::In(i)), Some(g)) = (self.gate.as_mut(), guest) {
@@ -132,7 +132,7 @@
                 if stopping {
                     i.offer.drain();
                 }
-                format!("{}: {}\r\n", statement::HEADER, i.offer.state(now, i.among).value())
+                format!("{}: {}\r\n", statement::HEADER, i.offer.next_statement(now, i.among).value())
             }
             _ => String::new(),
         }
@@ -174,8 +174,8 @@
         let (now, peer) = (self.balancer.now(), self.peer_at(to));
         let (Some(Gate::Out(o)), Some(peer)) = (self.gate.as_mut(), peer) else { return };
         o.peers.ended(now, peer, (report == Some(Report::Served)).then_some(took as f64));
-        if matches!(report, Some(Report::NotConnected | Report::Broken)) {
-            o.peers.broken(peer);
+        if matches!(report, Some(Report::NotDelivered | Report::Reset)) {
+            o.peers.link_lost(peer);
         }
         if let Some(value) = offer {
             self.heard(peer, value);
@@ -186,7 +186,7 @@
     fn heard(&mut self, peer: usize, value: &str) {
         let now = self.balancer.now();
         let Some(Gate::Out(o)) = self.gate.as_mut() else { return };
-        if let Err(why) = o.peers.heard_value(now, peer, value) {
+        if let Err(why) = o.peers.receive_header(now, peer, value) {
             if let Some(before) = o.paced.pass(now) {
                 warn!(self.log, "a far gateway's statement was ignored"; "peer" => peer, "why" => why,
                     "times" => before + 1, "ignored" => o.peers.ignored);
@@ -205,7 +205,7 @@
         let hosts = changed.then(|| o.hosts(&open));
         if let Some(hosts) = hosts {
             info!(self.log, "far gateways with room"; "open" => open.iter().filter(|o| **o).count(), "of" => open.len());
-            self.tell(&News::List { whole: true, hosts });
+            self.tell(&DiscoveryEvent::List { whole: true, hosts });
         }
         // A planned restart has its own way with the door.
         if self.stop.is_none() {
@@ -288,7 +288,7 @@
     /// The connection on which a far gateway is asked has ended: what it offered went with the link.
     fn peer_lost(&mut self, peer: usize) {
         let Some(Gate::Out(o)) = self.gate.as_mut() else { return };
-        o.peers.broken(peer);
+        o.peers.link_lost(peer);
         let handle = o.asks[peer].take();
         handle.into_iter().for_each(|h| drop(self.connections.remove(h)));
     }
--- a/crates/daemon/sidecar/src/event_loop/operators.rs
+++ b/crates/daemon/sidecar/src/event_loop/operators.rs
@@ -4,8 +4,8 @@
 use crate::wire::operator::{Conn, Heard};
 use silvercross_core::interface::Micros;
 use silvercross_idempotency_store::Command;
-use silvercross_management::{answer, Call, Figures, Gauges};
-use silvercross_net::http::Bad;
+use silvercross_management::{response, Call, Gauges, Metrics};
+use silvercross_net::http::MessageError;
 use silvercross_net::registry::{Interest, Registry, Watched};
 use slog::debug;
 use std::io;
@@ -24,14 +24,14 @@
     listener: Option<Watched<TcpListener>>,
     seats: [Option<Conn>; SEATS],
     /// What the process has done.
-    pub figures: Figures,
+    pub figures: Metrics,
 }
 
 impl Door {
     /// With no listener there are figures all the same, and nobody to ask for them.
     pub fn new(listener: Option<TcpListener>, registry: &Registry, classes: &[String]) -> io::Result<Self> {
         let listener = listener.map(|l| registry.watch(l, DOOR, Interest::Read)).transpose()?;
-        Ok(Door { listener, seats: Default::default(), figures: Figures::new(classes) })
+        Ok(Door { listener, seats: Default::default(), figures: Metrics::new(classes) })
     }
 
     /// Whether a readiness is the door's: the listener's, or a seat's.
@@ -116,7 +116,7 @@
     }
 
     /// Answer a call, or (`None`) begin what it orders.
-    fn ordered_or_told(&mut self, seat: usize, call: Result<Call, Bad>) -> Option<Vec<u8>> {
+    fn ordered_or_told(&mut self, seat: usize, call: Result<Call, MessageError>) -> Option<Vec<u8>> {
         match call {
             Ok(Call::Found) => Some(self.found_records()),
             Ok(Call::Recover(group)) => Some(self.recover_records(group)),
@@ -129,29 +129,31 @@
         }
     }
 
-    fn told(&self, call: Result<Call, Bad>) -> Vec<u8> {
+    fn told(&self, call: Result<Call, MessageError>) -> Vec<u8> {
         match call {
-            Ok(Call::Health) if self.can_serve() => answer(200, "ready\n"),
-            Ok(Call::Health) => answer(503, if self.stop.is_some() { "stopping\n" } else { "not ready\n" }),
-            Ok(Call::Stats) => answer(
+            Ok(Call::Health) if self.can_serve() => response(200, "ready\n"),
+            Ok(Call::Health) => response(503, if self.stop.is_some() { "stopping\n" } else { "not ready\n" }),
+            Ok(Call::Stats) => response(
                 200,
-                &(self.door.figures.text(&self.gauges()) + &self.fleet_figures() + &self.records_figures()),
+                &(self.door.figures.render(&self.gauges()) + &self.fleet_figures() + &self.records_figures()),
             ),
             Ok(Call::Members) => match self.fleet_told() {
-                Some(told) => answer(200, &told),
-                None => answer(404, "this sidecar is in no fleet: it was started without --fleet\n"),
+                Some(told) => response(200, &told),
+                None => response(404, "this sidecar is in no fleet: it was started without --fleet\n"),
             },
             Ok(Call::Records) => match self.records_told() {
-                Some(told) => answer(200, &told),
-                None => answer(404, NO_RECORDS),
+                Some(told) => response(200, &told),
+                None => response(404, NO_RECORDS),
             },
             Ok(Call::NotFound) => {
-                answer(404, "here are /admin/health, /admin/stats, /admin/members and /admin/records\n")
+                response(404, "here are /admin/health, /admin/stats, /admin/members and /admin/records\n")
             }
-            Ok(_) => answer(405, "not by this method\n"),
-            Err(Bad::HeadTooLarge | Bad::BodyTooLarge) => answer(431, "the call is too large\n"),
-            Err(Bad::Malformed(why)) => answer(400, &format!("{why}\n")),
-            Err(Bad::IdInUse | Bad::TooManyAhead) => answer(400, "not a call\n"),
+            Ok(_) => response(405, "not by this method\n"),
+            Err(MessageError::HeadTooLarge | MessageError::BodyTooLarge) => {
+                response(431, "the call is too large\n")
+            }
+            Err(MessageError::Malformed(why)) => response(400, &format!("{why}\n")),
+            Err(MessageError::IdInUse | MessageError::TooManyAhead) => response(400, "not a call\n"),
         }
     }
 
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -12,7 +12,7 @@
 use silvercross_idempotency_store::command::BYTES_MOST;
 use silvercross_idempotency_store::placement::Place;
 use silvercross_idempotency_store::{Answer, Command, Outcome, Records, Said, Take, Want, Why};
-use silvercross_management::answer;
+use silvercross_management::response;
 use silvercross_net::registry::{Interest, Registry, Watched};
 use silvercross_net::table::Handle;
 use silvercross_raft::Node;
@@ -259,7 +259,7 @@
         let wake = h.records.wake().min(h.places_at).min(links).max(now + 1_000);
         if wake < h.due || h.due <= now {
             h.due = wake;
-            self.balancer.wake_at(wake, Wake::Records);
+            self.balancer.set_timer(wake, Wake::Records);
         }
     }
 
@@ -388,7 +388,7 @@
                 let safe = self.balancer.repeat_window(placed).map(|w| (w as f64 / 1e3 * SAFE) as u64);
                 if waits && there {
                     held.phase = Phase::Waiting;
-                    return self.balancer.wake_at(now + AGAIN, Wake::Retake(request));
+                    return self.balancer.set_timer(now + AGAIN, Wake::Retake(request));
                 }
                 held.phase = Phase::Free;
                 if there && passed_ms.zip(safe).is_some_and(|(passed, safe)| passed < safe) {
@@ -440,7 +440,7 @@
         let Some(mut placed) = held.placed.take() else { return };
         let waited = now - held.since;
         placed.budget = placed.budget.map(|b| (b - waited).max(0)).or(Some((held.until - now).max(0)));
-        placed.repeat |= repeat;
+        placed.client_retry |= repeat;
         let turn = self.balancer.pick(placed);
         self.absorb(turn);
     }
@@ -466,7 +466,7 @@
         let command = Command::Hold { key: held.key.clone(), window_ms, answer };
         let id = h.records.ask_of(now, &held.key.clone(), command.clone(), now + GIVE);
         h.asks.insert(id, Waits::Hold(request));
-        self.balancer.wake_at(until.max(now + 1_000), Wake::Unheld(request));
+        self.balancer.set_timer(until.max(now + 1_000), Wake::Unheld(request));
         self.stirred = true;
     }
 
@@ -516,13 +516,13 @@
         let new: Vec<&String> = names.iter().filter(|n| !self.ordered.contains(*n)).collect();
         for name in new {
             info!(self.log, "an operator ordered a drain"; "host" => name);
-            let turn = self.balancer.told_drain(name, u64::MAX, true);
+            let turn = self.balancer.peer_reported_drain(name, u64::MAX, true);
             self.absorb(turn);
         }
         let over: Vec<String> = self.ordered.iter().filter(|n| !names.contains(*n)).cloned().collect();
         for name in over {
             info!(self.log, "an operator ended a drain"; "host" => &name);
-            let turn = self.balancer.told_drain(&name, u64::MAX, false);
+            let turn = self.balancer.peer_reported_drain(&name, u64::MAX, false);
             self.absorb(turn);
         }
         self.ordered = names;
@@ -531,9 +531,9 @@
     /// An operator's order that takes its time: the seat is answered when it is done.
     pub(super) fn order(&mut self, seat: usize, command: Command) -> Option<Vec<u8>> {
         let now = self.balancer.now();
-        let Some(h) = &mut self.holding else { return Some(answer(404, NO_RECORDS)) };
+        let Some(h) = &mut self.holding else { return Some(response(404, NO_RECORDS)) };
         if let Err(why) = command.check() {
-            return Some(answer(400, &format!("{why}\n")));
+            return Some(response(400, &format!("{why}\n")));
         }
         let name = match &command {
             Command::Put { name, .. } | Command::Get { name } | Command::Drain { name, .. } => name.clone(),
@@ -581,24 +581,24 @@
         if let (Some(h), Ok(Outcome::Document(version, _))) = (&mut self.holding, &outcome) {
             let waits = |a: &(String, u64, Micros)| *version <= a.1 && now + LOOK < a.2;
             if h.awaited.get(&seat).is_some_and(waits) {
-                return self.balancer.wake_at(now + LOOK, Wake::Look(seat));
+                return self.balancer.set_timer(now + LOOK, Wake::Look(seat));
             }
             h.awaited.remove(&seat);
         }
         let bytes = match outcome {
-            Ok(Outcome::Done(version)) => answer(200, &format!("{{\"version\":{version}}}\n")),
-            Ok(Outcome::Document(0, _)) => answer(404, "{\"version\":0}\n"),
+            Ok(Outcome::Done(version)) => response(200, &format!("{{\"version\":{version}}}\n")),
+            Ok(Outcome::Document(0, _)) => response(404, "{\"version\":0}\n"),
             Ok(Outcome::Document(version, bytes)) => {
                 let value = String::from_utf8_lossy(&bytes.unwrap_or_default()).into_owned();
-                answer(200, &(serde_json::json!({"version": version, "value": value}).to_string() + "\n"))
+                response(200, &(serde_json::json!({"version": version, "value": value}).to_string() + "\n"))
             }
-            Ok(Outcome::Other(version)) => answer(409, &format!("{{\"version\":{version}}}\n")),
-            Ok(Outcome::Full) => answer(507, "there is no room\n"),
-            Ok(_) => answer(400, "not done\n"),
+            Ok(Outcome::Other(version)) => response(409, &format!("{{\"version\":{version}}}\n")),
+            Ok(Outcome::Full) => response(507, "there is no room\n"),
+            Ok(_) => response(400, "not done\n"),
             Err(Why::Nobody { sent: false }) => {
-                answer(503, "most holders can't be asked; nothing was done\n")
+                response(503, "most holders can't be asked; nothing was done\n")
             }
-            Err(_) => answer(504, "it may have been done, or may yet be\n"),
+            Err(_) => response(504, "it may have been done, or may yet be\n"),
         };
         self.operator_answered(seat, bytes);
     }
@@ -606,13 +606,13 @@
     /// Found the records here.
     pub(super) fn found_records(&mut self) -> Vec<u8> {
         let now = self.balancer.now();
-        let Some(h) = &mut self.holding else { return answer(404, NO_RECORDS) };
+        let Some(h) = &mut self.holding else { return response(404, NO_RECORDS) };
         let told = match h.records.found(now) {
             Ok(epoch) => {
                 info!(self.log, "the records were founded here"; "epoch" => epoch.0);
-                answer(200, &format!("{{\"epoch\":{}}}\n", epoch.0))
+                response(200, &format!("{{\"epoch\":{}}}\n", epoch.0))
             }
-            Err(why) => answer(409, &format!("{why}\n")),
+            Err(why) => response(409, &format!("{why}\n")),
         };
         self.mind_records();
         told
@@ -621,15 +621,15 @@
     /// Begin a new epoch of a group here.
     pub(super) fn recover_records(&mut self, group: u32) -> Vec<u8> {
         let now = self.balancer.now();
-        let Some(h) = &mut self.holding else { return answer(404, NO_RECORDS) };
+        let Some(h) = &mut self.holding else { return response(404, NO_RECORDS) };
         let told = match h.records.recover(now, group) {
             Ok((epoch, index, term)) => {
                 warn!(self.log, "a new epoch of the records begins here, by an operator's order"; "group" => group,
                     "epoch" => epoch.0, "from" => index, "term" => term);
                 let text = format!("{{\"epoch\":{},\"from\":{index},\"term\":{term}}}\n", epoch.0);
-                answer(200, &text)
+                response(200, &text)
             }
-            Err(why) => answer(409, &format!("{why}\n")),
+            Err(why) => response(409, &format!("{why}\n")),
         };
         self.mind_records();
         told
--- a/crates/daemon/sidecar/src/event_loop/streams.rs
+++ b/crates/daemon/sidecar/src/event_loop/streams.rs
@@ -7,11 +7,11 @@
 use crate::wire::upstream::{AttemptError, Begun, Cause, Passing, Stage, Work, TIME_LINE};
 use silvercross_core::interface::Micros;
 use silvercross_facade::{Attempt, Report};
-use silvercross_gateway::offer::Ended;
-use silvercross_net::buffers::{Buffer, HEAD};
-use silvercross_net::http::{Bad, Framing, LARGEST};
+use silvercross_gateway::offer::RemoteOutcome;
+use silvercross_net::buffers::{Buffer, MAX_HEAD};
+use silvercross_net::http::{Framing, MessageError, MAX_STREAMED_BODY};
 use silvercross_net::registry::Interest;
-use silvercross_net::stream::{carry, last_chunk, Decoder};
+use silvercross_net::stream::{copy_body, write_last_chunk, Decoder};
 use silvercross_net::table::Handle;
 use slog::debug;
 use std::io::{self, Read};
@@ -37,13 +37,13 @@
         call: &Call,
         framing: Framing,
         bytes: &mut Buffer,
-    ) -> Result<Upload, Bad> {
-        if call.head.len() + TIME_LINE > HEAD || !bytes.append(&call.head) {
-            return Err(Bad::HeadTooLarge);
+    ) -> Result<Upload, MessageError> {
+        if call.head.len() + TIME_LINE > MAX_HEAD || !bytes.append(&call.head) {
+            return Err(MessageError::HeadTooLarge);
         }
         let chunked = framing == Framing::Chunked;
-        let mut body = Decoder::new(framing, LARGEST);
-        carry(input, &mut body, bytes, chunked, TIME_LINE)?;
+        let mut body = Decoder::new(framing, MAX_STREAMED_BODY);
+        copy_body(input, &mut body, bytes, chunked, TIME_LINE)?;
         Ok(Upload { body, chunked, by: None, moved: self.balancer.now() })
     }
 
@@ -54,7 +54,7 @@
         let (client, Some(upload)) = (r.client, r.upload.as_mut()) else { return false };
         if upload.by.is_some_and(|by| by != attempt.number) {
             // What it would need went to another one, and is held no more.
-            self.finish_attempt(handle, attempt, Report::NotTried, false);
+            self.finish_attempt(handle, attempt, Report::NotSent, false);
             return false;
         }
         let Some(client) = client else { return false };
@@ -68,7 +68,7 @@
             self.give_input(client, input);
             return false;
         };
-        let carried = carry(&mut input, &mut upload.body, &mut out, upload.chunked, 0);
+        let carried = copy_body(&mut input, &mut upload.body, &mut out, upload.chunked, 0);
         let (given, done) = (!out.is_empty(), upload.body.is_done());
         if given {
             (upload.by, upload.moved) = (Some(attempt.number), now);
@@ -88,7 +88,7 @@
 
     /// Give a client's input back to its connection, which reads on if there is room.
     fn give_input(&mut self, client: Handle, input: Buffer) {
-        let Some(a) = self.connections.application(client) else { return self.pool.give(input) };
+        let Some(a) = self.connections.application(client) else { return self.pool.put_back(input) };
         let full = input.is_full();
         a.input = Some(input);
         a.tidy(&mut self.pool);
@@ -105,7 +105,7 @@
                 a.ahead += 1;
             }
         }
-        let turn = self.balancer.whole(request);
+        let turn = self.balancer.body_complete(request);
         self.absorb(turn);
     }
 
@@ -122,16 +122,16 @@
     }
 
     /// A body can't be read further: the request never was whole, and nobody runs it.
-    fn upload_spoilt(&mut self, client: Handle, request: Handle, bad: Bad) {
+    fn upload_spoilt(&mut self, client: Handle, request: Handle, bad: MessageError) {
         debug!(self.log, "a body broke off"; "why" => ?bad);
         self.counts.bad += 1;
-        let turn = self.balancer.hung_up(request);
+        let turn = self.balancer.client_disconnected(request);
         self.absorb(turn);
         if let Some(a) = self.connections.application(client) {
             a.close = true;
         }
         let (status, why): (u16, &[u8]) = match bad {
-            Bad::BodyTooLarge => (413, b"the body is too large\n"),
+            MessageError::BodyTooLarge => (413, b"the body is too large\n"),
             _ => (400, b"a malformed body\n"),
         };
         self.answer_call(request, status, b"", &[why]);
@@ -153,24 +153,25 @@
         debug!(self.log, "a body stands still"; "received" => a.received);
         self.counts.bad += 1;
         a.close = true;
-        let turn = self.balancer.hung_up(request);
+        let turn = self.balancer.client_disconnected(request);
         self.absorb(turn);
         self.answer_call(request, 408, b"", &[b"the request did not come in time\n"]);
     }
 
     /// A large answer has begun: it goes on to the client from here on.
     pub(super) fn begun(&mut self, handle: Handle, attempt: Attempt, begun: Begun) {
-        let too_large = AttemptError { stage: Stage::Reading, cause: Cause::Answer(Bad::BodyTooLarge) };
+        let too_large =
+            AttemptError { stage: Stage::Reading, cause: Cause::Answer(MessageError::BodyTooLarge) };
         let client = self.requests.get(attempt.request).filter(|r| !r.is_coming()).and_then(|r| r.client);
-        let Some(client) = client.filter(|_| self.balancer.awaits(attempt.request)) else {
+        let Some(client) = client.filter(|_| self.balancer.is_unanswered(attempt.request)) else {
             return self.attempt_failed(handle, attempt, too_large);
         };
-        let Some(mut output) = self.pool.take_for_answer() else {
+        let Some(mut output) = self.pool.take_for_response() else {
             self.warn_limit("buffers");
             return self.attempt_failed(handle, attempt, too_large);
         };
         let stopping = self.stop.is_some();
-        let Some(a) = self.connections.application(client) else { return self.pool.give(output) };
+        let Some(a) = self.connections.application(client) else { return self.pool.put_back(output) };
         let chunked = !matches!(begun.framing, Framing::Length(_)) && !a.old;
         let unframed = a.old && !matches!(begun.framing, Framing::Length(_));
         a.close |= stopping || unframed;
@@ -183,7 +184,7 @@
         let head = format!("HTTP/1.1 200 OK\r\n{framing}{close}");
         let fits = output.append(head.as_bytes()) && output.append(&begun.lines) && output.append(b"\r\n");
         if !fits {
-            self.pool.give(output);
+            self.pool.put_back(output);
             return self.attempt_failed(handle, attempt, too_large);
         }
         a.state = State::Passing(attempt.request, handle);
@@ -192,13 +193,13 @@
         let Some(c) = self.connections.upstream(handle) else { return };
         c.work = Work::Busy(attempt, Stage::Passing);
         c.buffer.iter_mut().for_each(|b| b.consume(begun.head));
-        let (body, keep_alive) = (Decoder::new(begun.framing, LARGEST), begun.keep_alive);
+        let (body, keep_alive) = (Decoder::new(begun.framing, MAX_STREAMED_BODY), begun.keep_alive);
         c.passing = Some(Passing { client, body, chunked, keep_alive });
         if let Some(r) = self.requests.get_mut(attempt.request) {
             // There is no other answer to give, so no other attempt.
-            r.bytes.take().into_iter().for_each(|b| self.pool.give(b));
+            r.bytes.take().into_iter().for_each(|b| self.pool.put_back(b));
         }
-        let turn = self.balancer.begun(attempt);
+        let turn = self.balancer.stream_started(attempt);
         self.absorb(turn);
         // An answer that goes on as it comes is not held.
         self.give_held(attempt.request, true);
@@ -215,16 +216,16 @@
             let (Some(mut passing), Some(mut from)) = (c.passing.take(), c.buffer.take()) else { return };
             let client = passing.client;
             let to = self.connections.application(client).and_then(|a| a.output.take());
-            let carried = match to.or_else(|| self.pool.take_for_answer()) {
+            let carried = match to.or_else(|| self.pool.take_for_response()) {
                 Some(mut to) => {
-                    let carried = carry(&mut from, &mut passing.body, &mut to, passing.chunked, 0);
+                    let carried = copy_body(&mut from, &mut passing.body, &mut to, passing.chunked, 0);
                     match self.connections.application(client) {
                         Some(a) => a.output = Some(to),
-                        None => self.pool.give(to),
+                        None => self.pool.put_back(to),
                     }
                     carried
                 }
-                None => Err(Bad::BodyTooLarge),
+                None => Err(MessageError::BodyTooLarge),
             };
             let (done, has_more) = (passing.body.is_done(), !from.is_empty());
             if let Some(c) = self.connections.upstream(handle) {
@@ -277,14 +278,14 @@
             }
             Err(e) => Cause::Socket(e),
             Ok(_) => {
-                let ended = c.passing.as_mut().is_some_and(|p| p.body.ends_here());
+                let ended = c.passing.as_mut().is_some_and(|p| p.body.ends_at_close());
                 let (client, chunked) = c.passing.as_ref().map_or((handle, false), |p| (p.client, p.chunked));
                 if ended {
                     let a = self.connections.application(client);
-                    let output = a.and_then(|a| a.output.take()).or_else(|| self.pool.take_for_answer());
+                    let output = a.and_then(|a| a.output.take()).or_else(|| self.pool.take_for_response());
                     if let Some(mut output) = output {
                         // All before it has been taken by the client, so there is room.
-                        let _ = chunked && last_chunk(&mut output);
+                        let _ = chunked && write_last_chunk(&mut output);
                         if let Some(a) = self.connections.application(client) {
                             a.output = Some(output);
                         }
@@ -328,7 +329,7 @@
         let now = self.balancer.now();
         self.counts.served += 1;
         self.stop.iter_mut().for_each(|s| s.note_activity(now));
-        self.guest_ended(attempt.request, Ended::Served);
+        self.guest_ended(attempt.request, RemoteOutcome::Served);
         let clean = |c: &mut crate::wire::upstream::Conn| {
             let passing = c.passing.take()?;
             let rest = c.buffer.as_ref().is_some_and(|b| !b.is_empty());
@@ -348,7 +349,7 @@
         self.wind_up(handle, attempt, keep);
         let Some(a) = self.connections.application(client) else { return };
         if let Some(class) = a.counted.take() {
-            self.door.figures.answered(class, 200);
+            self.door.figures.count_response(class, 200);
         }
         (a.state, a.since, a.stalled_at) = (State::Answering, now, None);
         self.flush(client);
@@ -357,7 +358,7 @@
     /// An answer that was being passed on breaks off: its client must not take it for a whole one.
     pub(super) fn broken_off(&mut self, handle: Handle, attempt: Attempt, cause: Cause) {
         self.counts.failed += 1;
-        self.guest_ended(attempt.request, Ended::Failed);
+        self.guest_ended(attempt.request, RemoteOutcome::Failed);
         let client = self.connections.upstream(handle).and_then(|c| c.passing.take()).map(|p| p.client);
         if let Some(r) = self.requests.get_mut(attempt.request) {
             r.client = None;
@@ -370,7 +371,7 @@
     pub(super) fn cut_off(&mut self, client: Handle) {
         if let Some(a) = self.connections.application(client) {
             if let Some(class) = a.counted.take() {
-                self.door.figures.answered(class, 502);
+                self.door.figures.count_response(class, 502);
             }
             // An orderly end would pass for the end of an answer that has no length.
             let _ = socket2::SockRef::from(a.socket.get()).set_linger(Some(Duration::ZERO));
--- a/crates/daemon/sidecar/src/event_loop/tests.rs
+++ b/crates/daemon/sidecar/src/event_loop/tests.rs
@@ -15,13 +15,13 @@
     let (settings, front) = silvercross_settings::read_value(value).expect("settings");
     let host = Host {
         name: "s".into(),
-        dial: upstream.local_addr().ok(),
+        address: upstream.local_addr().ok(),
         zone: "a".into(),
         kind: "k".into(),
         cell: 0,
         health: Health::Ready,
         size: 1.0,
-        born_ms: 0,
+        started_ms: 0,
     };
     let bounds = Bounds {
         descriptors: 64,
@@ -100,21 +100,21 @@
         l.accept();
     }
     let new = l.connections.from_applications().into_iter().find(|h| !before.contains(h)).expect("accepted");
-    let out = l.pool.out();
+    let out = l.pool.in_use();
     other.set_nonblocking(true).expect("set");
     while matches!(other.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock) {
         l.ready(new);
     }
     let c = l.connections.application(new).expect("open");
     assert!(c.is_idle() && c.stalled_at.is_none());
-    assert_eq!(l.pool.out(), out, "it holds no buffer");
+    assert_eq!(l.pool.in_use(), out, "it holds no buffer");
 }
 
 #[test]
 fn without_buffers_a_request_is_refused_not_dropped() {
     let (mut l, _client, _upstream) = with_a_request();
     let mut late = TcpStream::connect(l.listen_at).expect("accepted");
-    let hoard: Vec<_> = std::iter::from_fn(|| l.pool.take_for_answer()).collect();
+    let hoard: Vec<_> = std::iter::from_fn(|| l.pool.take_for_response()).collect();
     late.write_all(b"GET /api HTTP/1.1\r\n\r\n").expect("written");
     let before = l.connections.applications;
     while l.connections.applications == before {
@@ -125,7 +125,7 @@
         l.ready(handle);
     }
     assert!(answer(&mut late).starts_with("HTTP/1.1 503 "));
-    hoard.into_iter().for_each(|b| l.pool.give(b));
+    hoard.into_iter().for_each(|b| l.pool.put_back(b));
 }
 
 /// Another client's request, and the connection that its attempt goes out on.
--- a/crates/daemon/sidecar/src/event_loop/upstreams.rs
+++ b/crates/daemon/sidecar/src/event_loop/upstreams.rs
@@ -4,8 +4,8 @@
 use crate::wire::upstream::{self, Answer, AttemptError, Cause, Progress, Stage, Work};
 use silvercross_core::interface::Micros;
 use silvercross_facade::{Attempt, Report, Step, Upstream};
-use silvercross_gateway::offer::Ended;
-use silvercross_net::http::Bad;
+use silvercross_gateway::offer::RemoteOutcome;
+use silvercross_net::http::MessageError;
 use silvercross_net::registry::Interest;
 use silvercross_net::table::Handle;
 use slog::debug;
@@ -29,21 +29,21 @@
     pub(super) fn send(&mut self, attempt: Attempt, upstream: Upstream, to: SocketAddr, limit: Micros) {
         self.counts.attempts += 1;
         let Some(r) = self.requests.get_mut(attempt.request) else {
-            return self.report(attempt, Report::NotTried);
+            return self.report(attempt, Report::NotSent);
         };
         r.attempts.resize(attempt.number as usize + 1, None);
         let more = r.is_coming();
         // What has gone past its buffer is held no more, and can't be sent again.
         if r.bytes.is_none() || r.upload.as_ref().is_some_and(|u| u.by.is_some()) {
-            return self.report(attempt, Report::NotTried);
+            return self.report(attempt, Report::NotSent);
         }
         if !self.peer_sent(to) {
-            return self.report(attempt, Report::TurnedAway);
+            return self.report(attempt, Report::Rejected);
         }
         let Some(bytes) =
             self.requests.get(attempt.request).and_then(|r| r.bytes.as_ref().map(|b| (b, r.head)))
         else {
-            return self.report(attempt, Report::NotTried);
+            return self.report(attempt, Report::NotSent);
         };
         let (head, body) = bytes.0.filled().split_at(bytes.1);
         let Some(buffer) = upstream::compose(&mut self.pool, head, body, limit) else {
@@ -54,14 +54,14 @@
         let handle = match kept.map_or_else(|| self.connect(upstream, to), Ok) {
             Ok(handle) => handle,
             Err(cause) => {
-                self.pool.give(buffer);
+                self.pool.put_back(buffer);
                 return self.not_begun(attempt, upstream, to, cause);
             }
         };
         let now = self.balancer.now();
         let held = self.hold_until > now;
         let Some(c) = self.connections.upstream(handle) else {
-            self.pool.give(buffer);
+            self.pool.put_back(buffer);
             return self.not_begun(attempt, upstream, to, Cause::NoRoom);
         };
         c.sent_at = now;
@@ -75,7 +75,7 @@
         }
         if !reused {
             let at = self.balancer.now() + self.bounds.connect_limit;
-            self.balancer.wake_at(at, Wake::Connect(handle));
+            self.balancer.set_timer(at, Wake::Connect(handle));
         }
         self.upstream_ready(handle);
     }
@@ -176,20 +176,20 @@
         let unsent = matches!(c.work, Work::Busy(_, Stage::Connecting | Stage::Writing));
         let done = c.advance();
         if unsent && !c.more && matches!(c.work, Work::Busy(_, Stage::Waiting | Stage::Reading)) {
-            self.door.figures.relayed();
+            self.door.figures.count_relayed();
         }
         match done {
             Ok(Progress::Blocked) => {
                 if !had_begun && matches!(c.work, Work::Busy(_, Stage::Reading)) {
                     c.since = self.balancer.now();
-                    self.balancer.wake_at(c.since + self.bounds.whole_limit, Wake::Half(handle));
+                    self.balancer.set_timer(c.since + self.bounds.whole_limit, Wake::Half(handle));
                 }
             }
             // However often it is looked at, one timer.
             Ok(Progress::Held) if std::mem::replace(&mut c.timed, true) => {}
             Ok(Progress::Held) => {
                 let at = self.balancer.now() + HOLD;
-                self.balancer.wake_at(at, Wake::Release(handle, attempt));
+                self.balancer.set_timer(at, Wake::Release(handle, attempt));
             }
             Ok(Progress::Answered(answer)) => self.answered(handle, attempt, answer),
             Ok(Progress::Begun(begun)) => self.begun(handle, attempt, begun),
@@ -232,13 +232,13 @@
             let Some(c) = self.connections.upstream(handle) else { return };
             let (by, reading) = (Self::half_by(c, limit), matches!(c.work, Work::Busy(_, Stage::Reading)));
             if reading && by > now {
-                self.balancer.wake_at(by, Wake::Half(handle));
+                self.balancer.set_timer(by, Wake::Half(handle));
             }
             return;
         }
         self.upstream_ready(handle);
         if let Some(attempt) = late(self) {
-            let cause = Cause::Answer(Bad::Malformed("an answer that does not end"));
+            let cause = Cause::Answer(MessageError::Malformed("an answer that does not end"));
             self.attempt_failed(handle, attempt, AttemptError { stage: Stage::Reading, cause });
         }
     }
@@ -267,14 +267,14 @@
                 let parts: Vec<&[u8]> =
                     answer.parts.iter().filter_map(|p| buffer.filled().get(p.clone())).collect();
                 self.counts.served += 1;
-                self.guest_ended(attempt.request, Ended::Served);
+                self.guest_ended(attempt.request, RemoteOutcome::Served);
                 let mut lines = answer.lines;
                 lines.extend_from_slice(self.gate_lines().as_bytes());
                 match self.is_to_be_held(attempt.request) {
                     true => self.hold_answer(attempt.request, lines, &parts),
                     false => self.answer_call(attempt.request, 200, &lines, &parts),
                 }
-                self.pool.give(buffer);
+                self.pool.put_back(buffer);
             }
         }
         self.absorb(turn);
@@ -286,7 +286,7 @@
         if error.stage != Stage::Connecting && matches!(error.cause, Cause::Socket(_) | Cause::Closed) {
             self.hold_until = self.balancer.now() + HOLD_FOR;
         }
-        if matches!(error.report(), Report::Broken | Report::Error) {
+        if matches!(error.report(), Report::Reset | Report::Error) {
             self.may_have_run(attempt);
         }
         let upstream = self.connections.upstream(handle).map(|c| c.upstream.0);
@@ -337,7 +337,7 @@
         self.forget_if_done(attempt.request);
         let now = self.balancer.now();
         let Some(c) = self.connections.upstream(handle) else { return };
-        c.buffer.take().into_iter().for_each(|b| self.pool.give(b));
+        c.buffer.take().into_iter().for_each(|b| self.pool.put_back(b));
         (c.work, c.since) = (Work::Idle, now);
         let upstream = c.upstream;
         if !(keep && self.stop.is_none() && self.connections.keep_idle(handle, upstream)) {
@@ -364,7 +364,7 @@
 
     pub(super) fn close_upstream(&mut self, handle: Handle) {
         if let Some(Connection::Upstream(mut c)) = self.connections.remove(handle) {
-            c.buffer.take().into_iter().for_each(|b| self.pool.give(b));
+            c.buffer.take().into_iter().for_each(|b| self.pool.put_back(b));
             self.listen_again();
         }
     }
--- a/crates/daemon/sidecar/src/lifecycle/config.rs
+++ b/crates/daemon/sidecar/src/lifecycle/config.rs
@@ -2,8 +2,8 @@
 use crate::wire::discovery;
 use serde::Deserialize;
 use silvercross_core::interface::Settings;
-use silvercross_facade::{Host, News};
-use silvercross_settings::Front;
+use silvercross_facade::{DiscoveryEvent, Host};
+use silvercross_settings::ProxySettings;
 use std::net::SocketAddr;
 
 /// All that a sidecar is told at its start.
@@ -29,7 +29,7 @@
     /// The module's settings.
     pub settings: Settings,
     /// The names behind them.
-    pub front: Front,
+    pub front: ProxySettings,
     /// The whole file, against which the next one is held.
     pub file: serde_json::Value,
 }
@@ -89,7 +89,7 @@
         .try_for_each(|key| Err(format!("{key}: it is missing")))?;
     for key in ["settings", "limits"] {
         if let (Some(new), Some(old)) = (new.get(key), in_force.get(key)) {
-            silvercross_settings::lacks(new, old, key)?;
+            silvercross_settings::check_keys_present(new, old, key)?;
         }
     }
     Ok(())
@@ -112,8 +112,8 @@
             let told = discovery::read_list(list.to_string().as_bytes())
                 .map_err(|e| one_line(&format!("known: {e}")))?;
             match told.news {
-                News::List { hosts, .. } => (hosts, told.seq),
-                News::Broken | News::Moved => (Vec::new(), 0),
+                DiscoveryEvent::List { hosts, .. } => (hosts, told.seq),
+                DiscoveryEvent::Broken | DiscoveryEvent::Moved => (Vec::new(), 0),
             }
         }
     };
@@ -178,7 +178,7 @@
             (c.seed, c.memory_mb, c.sockets, c.seq, c.known.len()),
             (0x8c1f30d27a5be964, 192, 1024, 41, 1)
         );
-        assert_eq!(c.front.idle_close, Some(60_000_000));
+        assert_eq!(c.front.upstream_idle_timeout, Some(60_000_000));
     }
 
     #[test]
--- a/crates/daemon/sidecar/src/lifecycle/gateway.rs
+++ b/crates/daemon/sidecar/src/lifecycle/gateway.rs
@@ -167,7 +167,8 @@
     let bounds = bounds(&c);
     let balancer = Balancer::new(c.settings, c.front.clone(), c.seed, &c.known, Clock::system());
     let l = &file.link;
-    let limits = Limits { first: l.first, most: l.most, holds: Micros::from(l.holds_ms) * 1000 };
+    let limits =
+        Limits { initial_slots: l.first, max_slots: l.most, validity: Micros::from(l.holds_ms) * 1000 };
     // A life's number is its start: no two of one gateway are alike.
     let offer = Offer::new(limits, balancer.now() as u64, balancer.now());
     let gate = Gate::In(Inward { home: file.site.clone(), offer, among: l.peers.len() as u32 });
--- a/crates/daemon/sidecar/src/lifecycle/start.rs
+++ b/crates/daemon/sidecar/src/lifecycle/start.rs
@@ -6,7 +6,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use silvercross_core::interface::Micros;
 use silvercross_core::interface::Settings;
-use silvercross_facade::{Balancer, Clock, Make};
+use silvercross_facade::{Balancer, Clock, DeciderFactory};
 use silvercross_net::registry::Registry;
 use slog::{error, info, warn};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -31,7 +31,11 @@
 
 /// The same with something else in the module's place, where the two are compared, or with another disk under the records, where
 /// disks are broken on purpose.
-pub fn run_deciding(make: Option<Make>, fleet: Option<&Path>, disk: Option<OpenDisk>) -> Result<(), String> {
+pub fn run_deciding(
+    make: Option<DeciderFactory>,
+    fleet: Option<&Path>,
+    disk: Option<OpenDisk>,
+) -> Result<(), String> {
     let var = |name: &str| std::env::var(name).ok();
     let level = logging::level(var("SILVERCROSS_LOG").as_deref())?;
     let config = config::read(var)?;
@@ -79,7 +83,7 @@
         None => Balancer::new(settings, config.front, seed, &config.known, clock),
         Some(make) => {
             let other = make(settings.clone(), seed, clock.now());
-            Balancer::deciding(other, settings, config.front, &config.known, clock)
+            Balancer::with_decider(other, settings, config.front, &config.known, clock)
         }
     };
     let made = EventLoop::new(Parts {
@@ -120,7 +124,7 @@
         buffer_bytes: (config.memory_mb as f64 * 1e6 * BUFFER_SHARE) as usize,
         connect_limit: config.settings.connect_timeout,
         whole_limit: whole_limit(&config.settings),
-        idle_close: config.front.idle_close,
+        idle_close: config.front.upstream_idle_timeout,
     }
 }
 
--- a/crates/daemon/sidecar/src/memory/connections.rs
+++ b/crates/daemon/sidecar/src/memory/connections.rs
@@ -48,7 +48,7 @@
 
     /// Keep to so many descriptors from now on; what is open beyond them goes as it ends.
     pub fn hold(&mut self, descriptors: usize) {
-        self.most = descriptors.saturating_sub(RESERVE).clamp(16, Handle::MOST);
+        self.most = descriptors.saturating_sub(RESERVE).clamp(16, Handle::MAX_ENTRIES);
     }
 
     /// Whether more than the part for upstreams and discovery is taken.
--- a/crates/daemon/sidecar/src/wire/application.rs
+++ b/crates/daemon/sidecar/src/wire/application.rs
@@ -3,7 +3,7 @@
 use silvercross_core::interface::Micros;
 use silvercross_gateway::hops;
 use silvercross_net::buffers::{Buffer, Pool};
-use silvercross_net::http::{self, Bad, Framing};
+use silvercross_net::http::{self, Framing, MessageError};
 use silvercross_net::registry::{Interest, Watched};
 use silvercross_net::table::Handle;
 use silvercross_settings::digest;
@@ -153,7 +153,7 @@
     /// Give an empty buffer back: an idle connection holds none.
     pub fn tidy(&mut self, pool: &mut Pool) {
         if self.input.as_ref().is_some_and(Buffer::is_empty) {
-            self.input.take().into_iter().for_each(|b| pool.give(b));
+            self.input.take().into_iter().for_each(|b| pool.put_back(b));
             (self.ahead_since, self.ahead) = (None, 0);
         }
     }
@@ -172,7 +172,7 @@
                 Err(e) => return Err(e),
             }
         }
-        self.output.take().into_iter().for_each(|b| pool.give(b));
+        self.output.take().into_iter().for_each(|b| pool.put_back(b));
         Ok(true)
     }
 
@@ -260,17 +260,17 @@
 const LARGEST: f64 = 1e10;
 
 /// Read the request at the front of `bytes`.
-pub fn front(bytes: &[u8]) -> Result<Front, Bad> {
-    let mut room = http::lines();
+pub fn front(bytes: &[u8]) -> Result<Front, MessageError> {
+    let mut room = http::empty_headers();
     // A line end or two before a request is passed over, as HTTP asks.
     let Some(head) = http::request_head(bytes, &mut room)? else { return Ok(Front::Partial(false)) };
-    let expects = head.headers.lists("expect", "100-continue") && bytes.len() == head.len;
+    let expects = head.headers.has_token("expect", "100-continue") && bytes.len() == head.len;
     let path = http::origin_form(head.target).split('?').next().unwrap_or("");
     let is_call = matches!(head.method, "GET" | "POST") && (path == "/api" || path.starts_with("/api/"));
     let body = match http::body(bytes, head.len, head.framing, false) {
         Ok(Some(body)) => body,
         Ok(None) => return Ok(Front::Partial(expects)),
-        Err(Bad::BodyTooLarge) if is_call => return large(bytes),
+        Err(MessageError::BodyTooLarge) if is_call => return large(bytes),
         Err(bad) => return Err(bad),
     };
     let end = body.end;
@@ -288,42 +288,42 @@
 }
 
 /// The call at the front of `bytes` that does not fit into one buffer with its body.
-pub fn large(bytes: &[u8]) -> Result<Front, Bad> {
-    let mut room = http::lines();
-    let head = http::request_head(bytes, &mut room)?.ok_or(Bad::HeadTooLarge)?;
+pub fn large(bytes: &[u8]) -> Result<Front, MessageError> {
+    let mut room = http::empty_headers();
+    let head = http::request_head(bytes, &mut room)?.ok_or(MessageError::HeadTooLarge)?;
     Ok(Front::Large(Box::new(call(&head, None)?), head.len, head.framing, head.keep_alive))
 }
 
 /// Save room in an input whose request is not whole, where its body comes in chunks.
 pub fn tighten(input: &mut Buffer) {
-    let mut room = http::lines();
+    let mut room = http::empty_headers();
     let chunked = match http::request_head(input.filled(), &mut room) {
         Ok(Some(head)) if head.framing == Framing::Chunked => head.len,
         _ => return,
     };
-    http::merge_chunks(input, chunked, if input.is_full() { 2 } else { http::MANY_CHUNKS });
+    http::merge_chunks(input, chunked, if input.is_full() { 2 } else { http::MIN_CHUNKS_TO_MERGE });
 }
 
 /// `body`: where it lies; `None`: it is passed on as it comes.
-fn call(head: &http::RequestHead<'_, '_>, body: Option<http::Body>) -> Result<Call, Bad> {
+fn call(head: &http::RequestHead<'_, '_>, body: Option<http::Body>) -> Result<Call, MessageError> {
     let h = &head.headers;
     let number = |name: &str| match h.one(name)? {
         None => Ok(None),
         Some(text) => match text.parse::<f64>() {
             Ok(x) if (0.0..=LARGEST).contains(&x) => Ok(Some(x)),
-            _ => Err(Bad::Malformed("a header that is no number")),
+            _ => Err(MessageError::Malformed("a header that is no number")),
         },
     };
-    let id = h.one(ID)?.filter(|id| !id.is_empty()).ok_or(Bad::Malformed("no correlation id"))?;
-    if END_TO_END.iter().any(|name| h.lists("connection", name)) {
+    let id = h.one(ID)?.filter(|id| !id.is_empty()).ok_or(MessageError::Malformed("no correlation id"))?;
+    if END_TO_END.iter().any(|name| h.has_token("connection", name)) {
         // It would not be passed on, and what it guards against would happen: an effect without its key, say.
-        return Err(Bad::Malformed("a header that concerns both ends is named in Connection"));
+        return Err(MessageError::Malformed("a header that concerns both ends is named in Connection"));
     }
-    let class = h.one(CLASS)?.ok_or(Bad::Malformed("no service class"))?.to_string();
+    let class = h.one(CLASS)?.ok_or(MessageError::Malformed("no service class"))?.to_string();
     let repeat = match h.one(REPEAT)? {
         None | Some("0") => false,
         Some("1") => true,
-        Some(_) => return Err(Bad::Malformed("a repeat mark that is neither 0 nor 1")),
+        Some(_) => return Err(MessageError::Malformed("a repeat mark that is neither 0 nor 1")),
     };
     let facts = h.one(FACTS)?.unwrap_or("");
     let mut forwarded =
@@ -353,8 +353,8 @@
         repeat,
         hops: h.one(hops::HEADER)?.map(str::to_string),
         write: facts.split(',').any(|f| f.trim() == "update=1"),
-        old: head.old,
-        expects: h.lists("expect", "100-continue"),
+        old: head.is_http10,
+        expects: h.has_token("expect", "100-continue"),
         head: forwarded,
         body,
     })
@@ -415,7 +415,7 @@
             ("X-Session-Key: k", "X-Service-Class: other"),
         ] {
             let text = format!("{}\r\n", POST.replace(from, to));
-            assert!(matches!(front(text.as_bytes()), Err(Bad::Malformed(_))), "{to}");
+            assert!(matches!(front(text.as_bytes()), Err(MessageError::Malformed(_))), "{to}");
         }
     }
 
--- a/crates/daemon/sidecar/src/wire/batches.rs
+++ b/crates/daemon/sidecar/src/wire/batches.rs
@@ -187,9 +187,9 @@
                 Err(e) => return Err(e),
             }
         }
-        let mut lines = http::lines();
-        let bad = |b: http::Bad| io::Error::other(format!("{b:?}"));
-        match http::answer_head(&self.input, &mut lines).map_err(bad)? {
+        let mut lines = http::empty_headers();
+        let bad = |b: http::MessageError| io::Error::other(format!("{b:?}"));
+        match http::response_head(&self.input, &mut lines).map_err(bad)? {
             None => Ok(false),
             Some(head) if head.status == 204 && self.input.len() == head.len => {
                 self.input.clear();
--- a/crates/daemon/sidecar/src/wire/discovery.rs
+++ b/crates/daemon/sidecar/src/wire/discovery.rs
@@ -2,7 +2,7 @@
 use httparse::Status;
 use serde::Deserialize;
 use silvercross_core::interface::Micros;
-use silvercross_facade::{Health, Host, News};
+use silvercross_facade::{DiscoveryEvent, Health, Host};
 use silvercross_net::http;
 use silvercross_net::registry::Watched;
 use std::io::{self, Read, Write};
@@ -29,7 +29,7 @@
     /// The list's version.
     pub seq: u64,
     /// What is new.
-    pub news: News,
+    pub news: DiscoveryEvent,
 }
 
 /// Why nothing more will come.
@@ -79,9 +79,9 @@
             let rest = &self.raw[at..];
             match self.part {
                 Part::Head => {
-                    let mut room = http::lines();
+                    let mut room = http::empty_headers();
                     let head =
-                        http::answer_head(rest, &mut room).map_err(|e| malformed(&format!("{e:?}")))?;
+                        http::response_head(rest, &mut room).map_err(|e| malformed(&format!("{e:?}")))?;
                     let Some(head) = head else { break };
                     if head.status != 200 {
                         return Err(Fault::Status(head.status));
@@ -301,8 +301,8 @@
             "gone" => Health::Gone,
             other => return Err(format!("list: unknown health {other:?}")),
         };
-        let dial = l.dial.parse().ok();
-        if dial.is_none() && health == Health::Ready {
+        let address = l.dial.parse().ok();
+        if address.is_none() && health == Health::Ready {
             return Err(format!("list: {:?} is no address", l.dial));
         }
         if l.host.is_empty() {
@@ -310,10 +310,10 @@
         }
         let size = if l.share.is_finite() && l.share > 0.0 { l.share } else { 1.0 };
         let (zone, kind) = (l.site, l.class);
-        Ok(Host { name: l.host, dial, zone, kind, cell: l.block, health, size, born_ms: l.born_ms })
+        Ok(Host { name: l.host, address, zone, kind, cell: l.block, health, size, started_ms: l.born_ms })
     };
     let hosts = list.hosts.into_iter().map(host).collect::<Result<_, _>>()?;
-    Ok(Told { seq: list.seq, news: News::List { whole: list.whole, hosts } })
+    Ok(Told { seq: list.seq, news: DiscoveryEvent::List { whole: list.whole, hosts } })
 }
 
 #[cfg(test)]
@@ -343,9 +343,9 @@
     #[test]
     fn a_list_is_read_with_what_it_adds() {
         let told = read_list(LINE.as_bytes()).expect("well-formed");
-        let News::List { whole, hosts } = told.news else { panic!("no list") };
+        let DiscoveryEvent::List { whole, hosts } = told.news else { panic!("no list") };
         assert_eq!((told.seq, whole, hosts.len()), (43, false, 1));
-        assert_eq!((hosts[0].health, hosts[0].born_ms, hosts[0].cell), (Health::Draining, 7, 3));
+        assert_eq!((hosts[0].health, hosts[0].started_ms, hosts[0].cell), (Health::Draining, 7, 3));
     }
 
     #[test]
--- a/crates/daemon/sidecar/src/wire/fleet.rs
+++ b/crates/daemon/sidecar/src/wire/fleet.rs
@@ -145,10 +145,10 @@
         if self.input.is_empty() {
             return Ok(Got::Nothing);
         }
-        let bad = |b: http::Bad| io::Error::other(format!("{b:?}"));
-        let mut lines = http::lines();
+        let bad = |b: http::MessageError| io::Error::other(format!("{b:?}"));
+        let mut lines = http::empty_headers();
         let (len, framing) = if self.asks {
-            match http::answer_head(&self.input, &mut lines).map_err(bad)? {
+            match http::response_head(&self.input, &mut lines).map_err(bad)? {
                 None => return Ok(Got::Nothing),
                 Some(head) if head.status != 200 => return Ok(Got::Ended),
                 Some(head) => (head.len, head.framing),
--- a/crates/daemon/sidecar/src/wire/operator.rs
+++ b/crates/daemon/sidecar/src/wire/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' side: one call read, one answer written, in small buffers of its own.
 use silvercross_core::interface::Micros;
-use silvercross_management::{call, Call, CALL_MOST};
-use silvercross_net::http::Bad;
+use silvercross_management::{parse_call, Call, MAX_CALL_BYTES};
+use silvercross_net::http::MessageError;
 use silvercross_net::registry::{Interest, Watched};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -24,7 +24,7 @@
     /// It waits for the socket.
     Nothing,
     /// A call, which is owed an answer.
-    Call(Result<Call, Bad>),
+    Call(Result<Call, MessageError>),
     /// It is over.
     Ended,
 }
@@ -49,9 +49,9 @@
                 Ok(0) => return Heard::Ended,
                 Ok(_) if self.answered => {}
                 Ok(n) => {
-                    let room = CALL_MOST - self.input.len();
+                    let room = MAX_CALL_BYTES - self.input.len();
                     self.input.extend_from_slice(&piece[..n.min(room)]);
-                    match call(&self.input) {
+                    match parse_call(&self.input) {
                         Ok(None) => {}
                         Ok(Some(call)) => return Heard::Call(Ok(call)),
                         Err(bad) => return Heard::Call(Err(bad)),
--- a/crates/daemon/sidecar/src/wire/peer.rs
+++ b/crates/daemon/sidecar/src/wire/peer.rs
@@ -64,9 +64,9 @@
                 return Err(io::Error::other("an answer too long for an offer"));
             }
         }
-        let mut lines = http::lines();
-        let bad = |b: http::Bad| io::Error::other(format!("{b:?}"));
-        let Some(head) = http::answer_head(&self.input, &mut lines).map_err(bad)? else { return Ok(None) };
+        let mut lines = http::empty_headers();
+        let bad = |b: http::MessageError| io::Error::other(format!("{b:?}"));
+        let Some(head) = http::response_head(&self.input, &mut lines).map_err(bad)? else { return Ok(None) };
         let value = head.headers.one(statement::HEADER).map_err(bad)?.map(str::to_string);
         let Some(body) = http::body(&self.input, head.len, head.framing, false).map_err(bad)? else {
             return Ok(None);
--- a/crates/daemon/sidecar/src/wire/upstream.rs
+++ b/crates/daemon/sidecar/src/wire/upstream.rs
@@ -4,7 +4,7 @@
 use silvercross_facade::{Attempt, Report, Upstream};
 use silvercross_gateway::statement;
 use silvercross_net::buffers::{Buffer, Pool};
-use silvercross_net::http::{self, Bad, Framing};
+use silvercross_net::http::{self, Framing, MessageError};
 use silvercross_net::registry::{Interest, Watched};
 use silvercross_net::stream::Decoder;
 use silvercross_net::table::Handle;
@@ -37,7 +37,7 @@
     /// The other end closed the connection.
     Closed,
     /// The answer cannot be understood, or is larger than allowed.
-    Answer(Bad),
+    Answer(MessageError),
     /// There was no buffer or no descriptor left for it.
     NoRoom,
 }
@@ -57,10 +57,10 @@
     pub fn report(&self) -> Report {
         match (self.stage, &self.cause) {
             // The want was here: it tells nothing of the upstream, and must not exclude it.
-            (Stage::Connecting, Cause::NoRoom) => Report::NotTried,
-            (Stage::Connecting | Stage::Writing, _) => Report::NotConnected,
+            (Stage::Connecting, Cause::NoRoom) => Report::NotSent,
+            (Stage::Connecting | Stage::Writing, _) => Report::NotDelivered,
             (_, Cause::Answer(_)) => Report::Error,
-            _ => Report::Broken,
+            _ => Report::Reset,
         }
     }
 }
@@ -222,7 +222,7 @@
         loop {
             let room = buffer.room();
             if room.is_empty() {
-                return Err(Cause::Answer(Bad::BodyTooLarge));
+                return Err(Cause::Answer(MessageError::BodyTooLarge));
             }
             let n = match self.socket.get().read(room) {
                 Ok(n) => n,
@@ -243,9 +243,9 @@
                     answer.keep_alive &= !self.more;
                     return Ok(Progress::Answered(answer));
                 }
-                Err(Bad::BodyTooLarge) if !self.more => {
+                Err(MessageError::BodyTooLarge) if !self.more => {
                     let begun = large_answer(buffer.filled()).map_err(Cause::Answer)?;
-                    return begun.map(Progress::Begun).ok_or(Cause::Answer(Bad::BodyTooLarge));
+                    return begun.map(Progress::Begun).ok_or(Cause::Answer(MessageError::BodyTooLarge));
                 }
                 Err(bad) => return Err(Cause::Answer(bad)),
             }
@@ -256,7 +256,7 @@
             if buffer.is_full() {
                 // The framing of its chunks alone fills a buffer.
                 let begun = large_answer(buffer.filled()).map_err(Cause::Answer)?;
-                return begun.map(Progress::Begun).ok_or(Cause::Answer(Bad::BodyTooLarge));
+                return begun.map(Progress::Begun).ok_or(Cause::Answer(MessageError::BodyTooLarge));
             }
         }
     }
@@ -289,42 +289,42 @@
     if buffer.append(head) && buffer.append(last.as_bytes()) && buffer.append(body) {
         return Some(buffer);
     }
-    pool.give(buffer);
+    pool.put_back(buffer);
     None
 }
 
 /// Save room in an answer that is not whole, where its body comes in chunks.
 fn tighten(buffer: &mut Buffer) {
-    let mut room = http::lines();
-    let chunked = match http::answer_head(buffer.filled(), &mut room) {
+    let mut room = http::empty_headers();
+    let chunked = match http::response_head(buffer.filled(), &mut room) {
         Ok(Some(head)) if head.framing == http::Framing::Chunked => head.len,
         _ => return,
     };
-    http::merge_chunks(buffer, chunked, if buffer.is_full() { 2 } else { http::MANY_CHUNKS });
+    http::merge_chunks(buffer, chunked, if buffer.is_full() { 2 } else { http::MIN_CHUNKS_TO_MERGE });
 }
 
 /// More interim answers than this ahead of one are no answer.
 const INTERIM: u32 = 16;
 
 /// Interim answers (1xx) say nothing here.
-fn skip_interim(buffer: &mut Buffer, skipped: &mut u32) -> Result<(), Bad> {
+fn skip_interim(buffer: &mut Buffer, skipped: &mut u32) -> Result<(), MessageError> {
     loop {
-        let len = match http::answer_head(buffer.filled(), &mut http::lines())? {
+        let len = match http::response_head(buffer.filled(), &mut http::empty_headers())? {
             Some(head) if (100..200).contains(&head.status) => head.len,
             _ => return Ok(()),
         };
         buffer.consume(len);
         *skipped += 1;
         if *skipped > INTERIM {
-            return Err(Bad::Malformed("interim answers without end"));
+            return Err(MessageError::Malformed("interim answers without end"));
         }
     }
 }
 
 /// The answer that `bytes` hold; `None` while it is not whole.
-pub fn read_answer(bytes: &[u8], closed: bool) -> Result<Option<Answer>, Bad> {
-    let mut room = http::lines();
-    let Some(head) = http::answer_head(bytes, &mut room)? else { return Ok(None) };
+pub fn read_answer(bytes: &[u8], closed: bool) -> Result<Option<Answer>, MessageError> {
+    let mut room = http::empty_headers();
+    let Some(head) = http::response_head(bytes, &mut room)? else { return Ok(None) };
     // One without a length is whole when its connection ends in order. What a reset leaves of it never comes here: a
     // read that fails is no end.
     let Some(body) = http::body(bytes, head.len, head.framing, closed)? else { return Ok(None) };
@@ -334,7 +334,7 @@
     let report = match head.status {
         200 => Report::Served,
         // Only with the header is it known that it never ran.
-        503 | 504 if unseen => Report::TurnedAway,
+        503 | 504 if unseen => Report::Rejected,
         _ => Report::Error,
     };
     let mut lines = Vec::new();
@@ -345,9 +345,9 @@
 }
 
 /// The head of an answer that is passed on as it comes; `None` for one that is not.
-fn large_answer(bytes: &[u8]) -> Result<Option<Begun>, Bad> {
-    let mut room = http::lines();
-    let Some(head) = http::answer_head(bytes, &mut room)?.filter(|h| h.status == 200) else {
+fn large_answer(bytes: &[u8]) -> Result<Option<Begun>, MessageError> {
+    let mut room = http::empty_headers();
+    let Some(head) = http::response_head(bytes, &mut room)?.filter(|h| h.status == 200) else {
         return Ok(None);
     };
     let mut lines = Vec::new();
@@ -367,8 +367,8 @@
     fn turned_away_needs_its_header() {
         let text =
             |status: &str, more: &str| format!("HTTP/1.1 {status} X\r\n{more}Content-Length: 0\r\n\r\n");
-        assert_eq!(report_of(&text("503", "X-Unprocessed: 1\r\n")), Some(Report::TurnedAway));
-        assert_eq!(report_of(&text("504", "x-unprocessed: 1\r\n")), Some(Report::TurnedAway));
+        assert_eq!(report_of(&text("503", "X-Unprocessed: 1\r\n")), Some(Report::Rejected));
+        assert_eq!(report_of(&text("504", "x-unprocessed: 1\r\n")), Some(Report::Rejected));
         assert_eq!(report_of(&text("503", "")), Some(Report::Error));
         assert_eq!(report_of(&text("503", "X-Unprocessed: 0\r\n")), Some(Report::Error));
         assert_eq!(report_of(&text("500", "X-Unprocessed: 1\r\n")), Some(Report::Error));
@@ -421,12 +421,12 @@
     fn how_far_it_had_come_tells_whether_it_may_have_run() {
         let report = |stage, cause| AttemptError { stage, cause }.report();
         for stage in [Stage::Connecting, Stage::Writing] {
-            assert_eq!(report(stage, Cause::Closed), Report::NotConnected);
+            assert_eq!(report(stage, Cause::Closed), Report::NotDelivered);
         }
-        assert_eq!(report(Stage::Connecting, Cause::NoRoom), Report::NotTried);
+        assert_eq!(report(Stage::Connecting, Cause::NoRoom), Report::NotSent);
         for stage in [Stage::Waiting, Stage::Reading] {
-            assert_eq!(report(stage, Cause::Closed), Report::Broken);
-            assert_eq!(report(stage, Cause::Answer(Bad::BodyTooLarge)), Report::Error);
+            assert_eq!(report(stage, Cause::Closed), Report::Reset);
+            assert_eq!(report(stage, Cause::Answer(MessageError::BodyTooLarge)), Report::Error);
         }
     }
 
--- a/crates/testing/emulator/src/script.rs
+++ b/crates/testing/emulator/src/script.rs
@@ -3,7 +3,7 @@
 use crate::figure_names::{is_name, Declared};
 use serde::Deserialize;
 use silvercross_core::interface::{Class, DedupGroup, Effect, Micros, Prices, Settings};
-use silvercross_settings::{seconds, Front};
+use silvercross_settings::{seconds, ProxySettings};
 
 /// The most servers, sidecars, and requests of one run: tables and memory are sized by them.
 pub const MOST_SERVERS: usize = 4_000;
@@ -794,7 +794,7 @@
     }
 
     /// What sidecar `me` at `site` is handed, as a real one would read it from its file.
-    pub fn settings(&self, me: usize, site: u32) -> (Settings, Front) {
+    pub fn settings(&self, me: usize, site: u32) -> (Settings, ProxySettings) {
         let o = &self.sidecar;
         let class = |k: &ClassSpec| Class {
             latency_target: ms(k.aim_ms),
@@ -849,12 +849,12 @@
             clients_mark_retries: true,
             key_affinity: false,
         };
-        let front = Front {
+        let front = ProxySettings {
             classes: self.classes.iter().map(|c| c.name.clone()).collect(),
             tenants: Vec::new(),
             zones: self.sites.iter().map(|s| s.name.clone()).collect(),
             kinds: self.machine_kinds().into_iter().map(|k| k.name).collect(),
-            idle_close: Some(seconds(o.idle_close_s)),
+            upstream_idle_timeout: Some(seconds(o.idle_close_s)),
         };
         (settings, front)
     }
