--- a/crates/testing/emulator/src/virtual_time.rs
+++ b/crates/testing/emulator/src/virtual_time.rs
@@ -10,9 +10,11 @@
 use crate::world::{Answer, Event, World};
 use crate::Policy;
 use silvercross_core::interface::{Decide, Micros, Settings};
-use silvercross_facade::{self as facade, Balancer, Clock, Host, News, Report, Request, Step, Turn};
+use silvercross_facade::{
+    self as facade, Balancer, Clock, DiscoveryEvent, Host, Output, Report, Request, Step,
+};
 use silvercross_gateway::hops::Hops;
-use silvercross_gateway::offer::{Ended, Limits, Offer};
+use silvercross_gateway::offer::{Limits, Offer, RemoteOutcome};
 use silvercross_gateway::peers::Peers;
 use silvercross_gateway::statement::Statement;
 use silvercross_net::table::Handle;
@@ -362,13 +364,13 @@
             let far = if (target - servers).is_multiple_of(2) { (home + 1) % sites.len() } else { home };
             Host {
                 name: format!("g-{}", target - servers),
-                dial: Some(address(target)),
+                address: Some(address(target)),
                 zone: sites[far].name.clone(),
                 kind: "gateway".into(),
                 cell: 1_000_000 + number as u32,
                 health: facade::Health::Ready,
                 size: 1.0,
-                born_ms: 0,
+                started_ms: 0,
             }
         };
         let host = |l: &Listed| {
@@ -377,13 +379,13 @@
             } else {
                 Host {
                     name: format!("s-{}", l.server),
-                    dial: Some(address(l.server)),
+                    address: Some(address(l.server)),
                     zone: sites[self.world.site(l.server)].name.clone(),
                     kind: kinds[self.world.kind(l.server)].name.clone(),
                     cell: self.world.cell(l.server) as u32,
                     health: health_of(l.health),
                     size: 1.0,
-                    born_ms: l.born.map_or(0, |b| ((EPOCH + b) / 1000) as u64),
+                    started_ms: l.born.map_or(0, |b| ((EPOCH + b) / 1000) as u64),
                 }
             }
         };
@@ -405,7 +407,7 @@
         let seed = mix(self.world.seed ^ mix(i as u64) ^ (u64::from(s.starts) << 48));
         let module = (self.make)(settings.clone(), seed, EPOCH + self.now);
         let mut facade =
-            Balancer::deciding(module, settings, front, &known, Clock::manual(self.clock.clone()));
+            Balancer::with_decider(module, settings, front, &known, Clock::manual(self.clock.clone()));
         s.tick_at = Micros::MAX;
         s.seq = self.world.known_seq();
         let turn = facade.tick(EPOCH + self.now);
@@ -441,7 +443,7 @@
         }
     }
 
-    fn absorb(&mut self, sidecar: usize, turn: Turn<()>) {
+    fn absorb(&mut self, sidecar: usize, turn: Output<()>) {
         self.steps.extend(turn.steps.into_iter().map(|s| (sidecar, s)));
         let Some(wake) = turn.wake.map(|w| (w - EPOCH).max(self.now)) else { return };
         let s = &mut self.sidecars[sidecar];
@@ -453,7 +455,7 @@
     }
 
     /// Hand something to a sidecar's facade, if it runs.
-    fn tell(&mut self, sidecar: usize, what: impl FnOnce(&mut Balancer<()>) -> Turn<()>) {
+    fn tell(&mut self, sidecar: usize, what: impl FnOnce(&mut Balancer<()>) -> Output<()>) {
         if let Some(f) = self.sidecars[sidecar].facade.as_mut() {
             let turn = what(f);
             self.absorb(sidecar, turn);
@@ -477,9 +479,9 @@
                     self.answered(request.number() as usize, Fate::Refused, retry_after);
                 }
                 Step::Fail { request } => self.answered(request.number() as usize, Fate::Failed, None),
-                Step::Watch(on) => self.watch(sidecar, on, true),
+                Step::Subscribe(on) => self.watch(sidecar, on, true),
                 Step::FetchList => self.watch(sidecar, true, false),
-                Step::CloseIdle(_) | Step::Wake(()) | Step::Note(_) => {}
+                Step::CloseIdle(_) | Step::Timer(()) | Step::Note(_) => {}
             }
         }
     }
@@ -510,7 +512,7 @@
         self.world.list.hang_up(asker);
         self.sidecars[a.sidecar].asker = None;
         self.world.checker.contact(self.now, a.sidecar, false);
-        self.tell(a.sidecar, |f| f.news(&News::Broken));
+        self.tell(a.sidecar, |f| f.discovery_event(&DiscoveryEvent::Broken));
     }
 
     fn happen(&mut self, what: What) {
@@ -524,13 +526,13 @@
             }
             What::Reach(job) => self.reach(job),
             What::Back(job, answer) => self.back(job, answer),
-            What::NoConnection(job) => self.ended(job, Report::NotConnected),
-            What::Reset(job) => self.ended(job, Report::Broken),
+            What::NoConnection(job) => self.ended(job, Report::NotDelivered),
+            What::Reset(job) => self.ended(job, Report::Reset),
             What::State(half) => self.state(half),
-            What::Heard(half, peer, life, seq, slots, holds) => {
+            What::Heard(half, peer, incarnation, seq, slots, validity) => {
                 let now = self.now;
                 if let Half::Out { peers, .. } = &mut self.halves[half] {
-                    peers.heard(now, peer, Statement { life, seq, slots, holds });
+                    peers.receive(now, peer, Statement { incarnation, seq, slots, validity });
                 }
                 self.tell_room(half);
             }
@@ -631,7 +633,7 @@
             self.world.checker.told(self.now, sidecar, l.server);
         }
         let hosts = self.hosts(&entries);
-        self.tell(sidecar, |f| f.news(&News::List { whole, hosts }));
+        self.tell(sidecar, |f| f.discovery_event(&DiscoveryEvent::List { whole, hosts }));
     }
 
     fn ask(&mut self, ask: usize) {
@@ -651,7 +653,7 @@
             key: Some(mix(a.key)),
             budget: Some(left),
             cost_hint: a.hint,
-            repeat: self.tries_of[ask] > 0,
+            client_retry: self.tries_of[ask] > 0,
             write: class.effect != EffectSpec::Repeatable,
         };
         let half = a.impatient.then(|| a.at + ms(class.deadline_ms) / 2).filter(|at| *at > self.now);
@@ -683,7 +685,7 @@
         self.tries[t].over = true;
         self.sidecars[sidecar].open.remove(&t);
         self.tally.fates[self.tries[t].ask] = Fate::GaveUp;
-        self.tell(sidecar, |f| f.hung_up(Handle::from_number(t as u64)));
+        self.tell(sidecar, |f| f.client_disconnected(Handle::from_number(t as u64)));
     }
 
     /// A client has its final answer for a try.
@@ -743,7 +745,7 @@
                     stage: Stage::Over,
                     delay,
                 });
-                return self.tell(sidecar, |f| f.report(attempt, Report::TurnedAway));
+                return self.tell(sidecar, |f| f.report(attempt, Report::Rejected));
             }
             peers.sent(peer / 2);
             self.tell_room(half.expect("a half"));
@@ -829,7 +831,7 @@
         let report = match answer {
             a if a == Answer::Served as u8 => Report::Served,
             a if a == Answer::Error as u8 => Report::Error,
-            _ => Report::TurnedAway,
+            _ => Report::Rejected,
         };
         self.hear_with(job);
         self.ended(job, report);
@@ -843,7 +845,7 @@
         }
         self.jobs[job].stage = Stage::Over;
         self.peer_ended(job, report);
-        if report == Report::TurnedAway || report == Report::NotConnected {
+        if report == Report::Rejected || report == Report::NotDelivered {
             // The others of it that are out, or ended otherwise, may have run all the same.
             let others =
                 self.tries[j.of].jobs.iter().any(|o| *o != job && self.jobs[*o].stage != Stage::Over);
@@ -860,7 +862,7 @@
             return;
         }
         self.jobs[job].stage = Stage::Over;
-        self.peer_ended(job, Report::Broken);
+        self.peer_ended(job, Report::Reset);
         if self.lives[j.server] == j.life {
             self.hold(j.server, -1);
         }
@@ -895,7 +897,7 @@
         if half.is_multiple_of(2) {
             return Half::Out { peers: Peers::new(n, spec.most), told: vec![false; n], aged_at: Micros::MAX };
         }
-        let limits = Limits { first: spec.first, most: spec.most, holds: ms(spec.holds_ms) };
+        let limits = Limits { initial_slots: spec.first, max_slots: spec.most, validity: ms(spec.holds_ms) };
         let life = mix(self.world.seed ^ self.now as u64 ^ mix(half as u64));
         self.at(self.now + 1_000, What::State(half));
         Half::In { offer: Offer::new(limits, life, self.now) }
@@ -936,7 +938,7 @@
         let now = self.now;
         let Half::Out { peers, told, aged_at } = &mut self.halves[half] else { return };
         let open: Vec<bool> = (0..told.len()).map(|p| peers.has_room(now, p)).collect();
-        let next = peers.next(now).filter(|at| at < aged_at);
+        let next = peers.next_change(now).filter(|at| at < aged_at);
         *aged_at = next.unwrap_or(*aged_at);
         let changed = open != *told;
         told.clone_from(&open);
@@ -954,7 +956,7 @@
             let health = |g: usize| if open[g] { Health::Ready } else { Health::Draining };
             let hosts = self.peer_hosts(half, health);
             let sidecar = self.world.script.sidecars() + half;
-            self.tell(sidecar, |f| f.news(&News::List { whole: true, hosts }));
+            self.tell(sidecar, |f| f.discovery_event(&DiscoveryEvent::List { whole: true, hosts }));
         }
     }
 
@@ -974,13 +976,16 @@
         }
         let among = self.far_gateways(half);
         let Half::In { offer } = &mut self.halves[half] else { return };
-        let s = offer.state(self.now, among);
+        let s = offer.next_statement(self.now, among);
         let (servers, home) = (self.world.servers.len(), self.world.sidecar_site(sidecar));
         for g in 0..self.world.script.gateways() {
             let target = servers + 2 * g;
             if self.world.site(target) != home && self.world.reaches(sidecar, target) {
                 let delay = self.world.delay(sidecar, target, unit(self.world.seed ^ s.seq, g as u64));
-                self.at(self.now + delay, What::Heard(2 * g, half / 2, s.life, s.seq, s.slots, s.holds));
+                self.at(
+                    self.now + delay,
+                    What::Heard(2 * g, half / 2, s.incarnation, s.seq, s.slots, s.validity),
+                );
             }
         }
         let every = self.world.script.gateway.as_ref().map_or(300.0, |g| g.state_ms);
@@ -997,9 +1002,9 @@
         let Some(half) = from else { return };
         let among = self.far_gateways(inward);
         let Half::In { offer } = &mut self.halves[inward] else { return };
-        let (s, now) = (offer.state(self.now, among), self.now);
+        let (s, now) = (offer.next_statement(self.now, among), self.now);
         if let Half::Out { peers, .. } = &mut self.halves[half] {
-            peers.heard(now, inward / 2, s);
+            peers.receive(now, inward / 2, s);
         }
         self.tell_room(half);
     }
@@ -1016,8 +1021,8 @@
         let Half::Out { peers, .. } = &mut self.halves[half] else { return };
         let peer = (j.server - self.world.servers.len()) / 2;
         peers.ended(now, peer, took);
-        if matches!(report, Report::NotConnected) || (report == Report::Broken && j.stage == Stage::Stuck) {
-            peers.broken(peer);
+        if matches!(report, Report::NotDelivered) || (report == Report::Reset && j.stage == Stage::Stuck) {
+            peers.link_lost(peer);
         }
         self.tell_room(half);
     }
@@ -1058,7 +1063,7 @@
             key: Some(mix(a.key)),
             budget: Some(left),
             cost_hint: a.hint,
-            repeat: false,
+            client_retry: false,
             write: class.effect != EffectSpec::Repeatable,
         };
         self.tries.push(Try {
@@ -1078,7 +1083,7 @@
     }
 
     /// What a gateway's inward half learns of a guest that is done.
-    fn guest_ended(&mut self, t: usize, how: Ended) {
+    fn guest_ended(&mut self, t: usize, how: RemoteOutcome) {
         let (took, expected) = (self.now - self.tries[t].began, self.world.asks[self.tries[t].ask].expected);
         let left = self.tries[t].deadline - self.tries[t].began;
         let half = self.half_of(self.tries[t].sidecar);
@@ -1095,13 +1100,13 @@
         self.sidecars[sidecar].open.remove(&t);
         self.carried.remove(&parent);
         let how = match fate {
-            Fate::Served(_) => Ended::Served,
-            Fate::Refused => Ended::TurnedAway,
-            _ => Ended::Failed,
+            Fate::Served(_) => RemoteOutcome::Served,
+            Fate::Refused => RemoteOutcome::Rejected,
+            _ => RemoteOutcome::Failed,
         };
         self.guest_ended(t, how);
         let answer = match how {
-            Ended::Served => Answer::Served,
+            RemoteOutcome::Served => Answer::Served,
             // Only what cannot have run anywhere may be sent again anywhere.
             _ if !self.tries[t].may_have_run => Answer::Full,
             _ => Answer::Error,
@@ -1127,8 +1132,8 @@
         }
         let sidecar = self.tries[t].sidecar;
         self.sidecars[sidecar].open.remove(&t);
-        self.guest_ended(t, Ended::Left);
-        self.tell(sidecar, |f| f.hung_up(Handle::from_number(t as u64)));
+        self.guest_ended(t, RemoteOutcome::Disconnected);
+        self.tell(sidecar, |f| f.client_disconnected(Handle::from_number(t as u64)));
     }
 }
 
--- a/crates/tools/scenario-runner/src/commands.rs
+++ b/crates/tools/scenario-runner/src/commands.rs
@@ -297,7 +297,7 @@
     if let Some(file) = gateway {
         return silvercross_sidecar::lifecycle::gateway::run(file).map(|()| true);
     }
-    let make = (policy != Policy::Module).then(|| -> silvercross_facade::Make {
+    let make = (policy != Policy::Module).then(|| -> silvercross_facade::DeciderFactory {
         Box::new(move |settings, seed, now| policy.make(settings, seed, now))
     });
     silvercross_sidecar::lifecycle::run_deciding(make, None, Some(crate::records::disk::open)).map(|()| true)
--- a/crates/tools/scenario-runner/src/load/stations.rs
+++ b/crates/tools/scenario-runner/src/load/stations.rs
@@ -80,7 +80,7 @@
             };
             let mut good = !ended;
             while good {
-                let mut lines = http::lines();
+                let mut lines = http::empty_headers();
                 let whole = match http::request_head(input, &mut lines) {
                     Ok(Some(head)) => http::body(input, head.len, head.framing, false),
                     Ok(None) => break,
@@ -254,8 +254,8 @@
                     Err(e) => break e.kind() != io::ErrorKind::WouldBlock,
                 }
             };
-            let mut lines = http::lines();
-            let whole = match http::answer_head(&caller.input, &mut lines) {
+            let mut lines = http::empty_headers();
+            let whole = match http::response_head(&caller.input, &mut lines) {
                 Ok(Some(head)) => {
                     let end = http::body(&caller.input, head.len, head.framing, ended)
                         .ok()
--- a/crates/tools/scenario-runner/src/sockets/wire.rs
+++ b/crates/tools/scenario-runner/src/sockets/wire.rs
@@ -1,5 +1,5 @@
 //! A stream with what has come and what is to go: the stand-ins' side of HTTP/1.1, on the framing of `silvercross_net`.
-use silvercross_net::http::{self, Bad};
+use silvercross_net::http::{self, MessageError};
 use silvercross_net::pending::write_pending;
 use silvercross_net::registry::Watched;
 use std::io::{self, Read};
@@ -36,7 +36,7 @@
     pub keep_alive: bool,
 }
 
-fn told(bad: Bad) -> io::Error {
+fn told(bad: MessageError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, format!("{bad:?}"))
 }
 
@@ -82,7 +82,7 @@
 
     /// The next whole request.
     pub fn request(&mut self) -> io::Result<Option<Asked>> {
-        let mut lines = http::lines();
+        let mut lines = http::empty_headers();
         let Some(head) = http::request_head(&self.input, &mut lines).map_err(told)? else { return Ok(None) };
         let id = head.headers.one("x-correlation-id").map_err(told)?.unwrap_or("").to_string();
         let target = head.target.to_string();
@@ -94,8 +94,8 @@
 
     /// The next whole answer.
     pub fn answer(&mut self, closed: bool) -> io::Result<Option<Answered>> {
-        let mut lines = http::lines();
-        let Some(head) = http::answer_head(&self.input, &mut lines).map_err(told)? else { return Ok(None) };
+        let mut lines = http::empty_headers();
+        let Some(head) = http::response_head(&self.input, &mut lines).map_err(told)? else { return Ok(None) };
         let seconds = head.headers.one("retry-after").map_err(told)?.and_then(|v| v.parse::<f64>().ok());
         let retry_after = seconds.map(silvercross_settings::seconds);
         let (status, keep_alive) = (head.status, head.keep_alive);
--- a/crates/tools/testbed/src/http_connection.rs
+++ b/crates/tools/testbed/src/http_connection.rs
@@ -1,5 +1,5 @@
 //! HTTP/1.1 on one connection, as the stand-ins speak it: messages complete, heads and framing read by `silvercross-net`.
-use silvercross_net::http::{self, Bad, Framing, Headers};
+use silvercross_net::http::{self, Framing, Headers, MessageError};
 use silvercross_net::stream::Decoder;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -70,7 +70,7 @@
     message: M,
 }
 
-fn invalid(cause: Bad) -> io::Error {
+fn invalid(cause: MessageError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, format!("{cause:?}"))
 }
 
@@ -79,7 +79,7 @@
 }
 
 fn request_head(bytes: &[u8]) -> io::Result<Option<Head<Request>>> {
-    let mut lines = http::lines();
+    let mut lines = http::empty_headers();
     let Some(head) = http::request_head(bytes, &mut lines).map_err(invalid)? else { return Ok(None) };
     let headers = &head.headers;
     let message = Request {
@@ -96,8 +96,8 @@
 }
 
 fn response_head(bytes: &[u8]) -> io::Result<Option<Head<Response>>> {
-    let mut lines = http::lines();
-    let Some(head) = http::answer_head(bytes, &mut lines).map_err(invalid)? else { return Ok(None) };
+    let mut lines = http::empty_headers();
+    let Some(head) = http::response_head(bytes, &mut lines).map_err(invalid)? else { return Ok(None) };
     let headers = &head.headers;
     let message = Response {
         status: head.status,
@@ -170,7 +170,7 @@
             }
             self.buffered.drain(..at);
             at = 0;
-            if self.fill().await? == 0 && !decoder.ends_here() {
+            if self.fill().await? == 0 && !decoder.ends_at_close() {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
