--- a/crates/control/mesh-membership/src/freshness_requests.rs
+++ b/crates/control/mesh-membership/src/freshness_requests.rs
@@ -59,8 +59,8 @@
         let Some(request) = self.check.in_flight.take_if(|request| request.number == number) else { return };
         let too_many = revisions.as_ref().is_some_and(|revisions| revisions.len() > MAX_CONTROL_ENTRIES);
         self.metrics.rejected_items += u64::from(too_many);
-        // After a slow read, because of many keys or a missing majority, the next one is delayed by as long as it
-        // took, up to the retry delay.
+        // After a slow read, because of many keys or a missing majority, the next one is delayed by the time
+        // that it took, up to the retry delay.
         let pause = (now - request.sent_at).min(FRESHNESS_RETRY_DELAY);
         self.check.next_read_at = self.check.next_read_at.max(now + pause);
         let revisions = revisions.filter(|_| !too_many);
--- a/crates/control/mesh-membership/src/message.rs
+++ b/crates/control/mesh-membership/src/message.rs
@@ -82,7 +82,7 @@
         /// Newer control entries.
         entries: Vec<ControlEntry>,
     },
-    /// All records, or a chunk of them, for a node that knows nothing yet.
+    /// Everything known, or a chunk of it, for a node that knows nothing yet.
     Snapshot {
         /// Records of the nodes that are not gone.
         records: Vec<NodeRecord<T>>,
