--- a/crates/control/mesh-membership/src/events.rs
+++ b/crates/control/mesh-membership/src/events.rs
@@ -61,7 +61,7 @@
     }
 
     /// Reports that part of a message arrived over a link, which shows that the other side is alive.
-    pub fn partial_message_received(&mut self, now: Instant, from: Node) {
+    pub fn chunk_received(&mut self, now: Instant, from: Node) {
         self.note_time(now);
         if let Some(link) = self.links.up.get_mut(&from) {
             link.heard_at = now;
--- a/crates/control/mesh-membership/tests/entry_exchange.rs
+++ b/crates/control/mesh-membership/tests/entry_exchange.rs
@@ -177,7 +177,7 @@
     // While parts of the reply arrive, the request is not repeated.
     for _ in 0..8 {
         now += step;
-        membership.partial_message_received(now, PARENT);
+        membership.chunk_received(now, PARENT);
         membership.tick(now);
         assert!(requested_from(&membership.take_effects()).is_empty());
     }
--- a/crates/control/mesh-membership/tests/single_node.rs
+++ b/crates/control/mesh-membership/tests/single_node.rs
@@ -24,7 +24,7 @@
     let mut now = START;
     for _ in 0..8 {
         now += step;
-        membership.partial_message_received(now, PARENT);
+        membership.chunk_received(now, PARENT);
         membership.tick(now);
     }
     assert!(membership.linked_nodes().contains(&PARENT));
--- a/crates/daemon/mesh/src/peers/links.rs
+++ b/crates/daemon/mesh/src/peers/links.rs
@@ -237,9 +237,7 @@
         while let Some(incoming) = reader.next_incoming(MAX_FRAME_BYTES).await {
             match incoming {
                 // Over a thin link a large frame may take longer than a silent link is kept.
-                Incoming::Chunk => {
-                    peers.membership.borrow_mut().partial_message_received(node_state.now(), node)
-                }
+                Incoming::Chunk => peers.membership.borrow_mut().chunk_received(node_state.now(), node),
                 Incoming::Frame(frame) => {
                     if !peers.receive(&node_state, node, *frame) {
                         break;
