--- a/crates/balancer/facade/src/lib.rs
+++ b/crates/balancer/facade/src/lib.rs
@@ -1,9 +1,10 @@
-//! The decision module behind a blocking-style facade, for every front: sidecar, emulator, and what comes. Network code calls [`Balancer::pick`], [`Balancer::report`]
-//! and [`Balancer::tick`], does the steps they return, and never sees an event or an action.
+//! Facade of the decision module for the programs that do the network I/O, such as the sidecar and the emulator. They
+//! call [`Balancer::pick`], [`Balancer::report`] and [`Balancer::tick`] and carry out the steps that these return; the
+//! module's events and actions stay internal.
 //!
-//! The facade owns the module, the clock, the one heap of timers (the network's own included), the numbers under
-//! which the module knows upstreams, and what is open. It decides nothing; it holds the module to the protocol:
-//! one final answer for each request, none later than its deadline, and nothing sent after it.
+//! The facade owns the module, the clock, one heap of timers (the caller's own included), the ids under which the
+//! module knows upstreams, and the open requests. It makes no decisions. It enforces the protocol on the module: one
+//! final answer for each request, none after its deadline, and no attempt after the answer.
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 use silvercross_core::interface::{
     Action, Decide, DedupGroup, Effect, Ended, Entry, Event, Lifecycle, ListKind, Micros, NewRequest,
@@ -19,29 +20,30 @@
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// How long past its deadline a request still open is failed by the facade itself: the module answers at the
-/// deadline, this only guards against a request that nothing is out for and nobody remembers.
-const BACKSTOP: Micros = 5_000;
-/// The answer to a request whose time is up goes out so long before that, so that it is there in time when the core is
-/// shared and the loop comes to run late; but this share of its time at the most.
-const MARGIN: Micros = 10_000;
-const MARGIN_SHARE: Micros = 10;
-/// The number of an upstream that is gone is used again when no request can be open any more that was sent there, and
-/// so long after that: news of the old one may still cross.
-const REUSE_AFTER: Micros = 10_000_000;
-/// No request is waited for longer than this, or its class's deadline where that is longer, whatever its client says.
-const LONGEST_BUDGET: Micros = 60_000_000;
-/// The most zones or machine kinds that may turn up in lists: the module keeps a record for each.
-const NAMES: usize = 4096;
+/// Delay after its deadline at which the facade fails a request that is still open. The module answers by the deadline;
+/// this guards against a request that has no attempt in flight and that the module has lost.
+const BACKSTOP_DELAY: Micros = 5_000;
+/// A request that runs out of time is answered this long before the client's deadline, so that the answer arrives in
+/// time even if the event loop runs late on a shared core.
+const ANSWER_MARGIN: Micros = 10_000;
+/// The margin is at most the budget divided by this.
+const MARGIN_DIVISOR: Micros = 10;
+/// The id of a gone upstream is reused once no request that was sent there can be open, plus this delay, since list
+/// updates about the old upstream may still arrive.
+const ID_REUSE_DELAY: Micros = 10_000_000;
+/// Maximum budget of a request, whatever its client states; the deadline of its class applies where that is longer.
+const MAX_BUDGET: Micros = 60_000_000;
+/// Maximum number of zones and of machine kinds in lists, since the module keeps state for each.
+const MAX_NAMES: usize = 4096;
 
 /// No time limit.
-const FAR: Micros = Micros::MAX / 4;
+const NO_LIMIT: Micros = Micros::MAX / 4;
 
-/// Makes what decides, from its settings, its seed and the time of its start.
+/// Creates a decider from its settings, its seed and the time of its start.
 pub type DeciderFactory = Box<dyn FnOnce(Settings, u64, Micros) -> Box<dyn Decide>>;
 
-/// Unix time in microseconds: read once at the start and carried on by the monotonic clock, so that a step of the
-/// system's clock moves no deadline, and yet an upstream's time of birth can be compared with it.
+/// Unix time in microseconds. It is read once at the start and advanced by the monotonic clock, so that a step of the
+/// system clock moves no deadline, while the start times of upstreams remain comparable with it.
 #[derive(Clone)]
 pub struct Clock(Source);
 
@@ -53,23 +55,23 @@
 }
 
 impl Clock {
-    /// The machine's clock.
+    /// The system clock.
     pub fn system() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
         Clock(Source::System { unix, started: Instant::now() })
     }
 
-    /// A clock that stands at what the cell says.
+    /// A clock that shows the value of the cell.
     pub fn manual(at: Rc<Cell<Micros>>) -> Self {
         Clock(Source::Manual(at))
     }
 
-    /// A clock that is read elsewhere.
+    /// A clock that is read by calling `read`.
     pub fn from_fn(read: fn() -> Micros) -> Self {
         Clock(Source::Read(read))
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         match &self.0 {
             Source::Read(read) => read(),
@@ -79,7 +81,7 @@
     }
 }
 
-/// An upstream, as the network knows it.
+/// Id of an upstream, as the caller knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Upstream(pub u32);
 
@@ -88,193 +90,195 @@
 pub struct Attempt {
     /// Its request.
     pub request: Handle,
-    /// Its number among the request's attempts, from 0.
+    /// Its index among the request's attempts, from 0.
     pub number: u32,
 }
 
-/// A request to be placed.
+/// A request to be sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The network's handle of it.
+    /// The caller's handle of it.
     pub handle: Handle,
-    /// Its class (index).
+    /// Index of its class.
     pub class: u32,
-    /// Its tenant (index).
+    /// Index of its tenant.
     pub tenant: u32,
-    /// A digest of its subject.
+    /// Hash of the key that it concerns.
     pub key: Option<u64>,
-    /// Time until its client stops waiting; `None`: its class's deadline.
+    /// Time until its client stops waiting; `None`: the deadline of its class.
     pub budget: Option<Micros>,
-    /// The work it may take.
+    /// Its expected processing time on a standard core.
     pub cost_hint: Option<Micros>,
-    /// A client's repeat.
+    /// Marked by the client as a retry.
     pub client_retry: bool,
-    /// It writes.
+    /// It is a write.
     pub write: bool,
 }
 
-/// How an attempt ended, as the network saw it. That its limit passed is the facade's to see.
+/// How an attempt ended, as the caller observed it. Timeouts are detected by the facade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// A whole answer: served.
+    /// A complete, successful response.
     Served,
-    /// A whole answer that says it failed; it may have run.
+    /// A complete error response; the request may have been executed.
     Error,
-    /// Sent back unseen; it never ran.
+    /// Rejected by the upstream without being processed.
     Rejected,
-    /// Its last byte was never written; it never ran.
+    /// The request was not sent to its last byte, and so was not executed.
     NotDelivered,
-    /// The connection broke after that; it may have run.
+    /// The connection broke after the last byte was sent; the request may have been executed.
     Reset,
-    /// It was never tried, for want of room here or because its request had ended meanwhile.
+    /// The attempt was not made, because a local limit was reached or the request had ended.
     NotSent,
 }
 
-/// Something for the network to do.
+/// Something for the caller to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step<W> {
     /// Begin an attempt.
     Send {
-        /// Which one.
+        /// The attempt.
         attempt: Attempt,
-        /// Where to.
+        /// The destination.
         upstream: Upstream,
-        /// Where that is now.
+        /// Its current address.
         to: SocketAddr,
-        /// How long it will be waited for.
+        /// Time limit of the attempt.
         limit: Micros,
     },
-    /// Stop waiting for an attempt and close its connection.
+    /// Cancel an attempt and close its connection.
     Cancel {
-        /// Which one.
+        /// The attempt.
         attempt: Attempt,
     },
-    /// Final answer: pass on what this attempt brought.
+    /// Final answer: pass on the response to this attempt.
     Serve {
-        /// Which one.
+        /// The attempt.
         attempt: Attempt,
     },
-    /// Final answer: no, and a new try does no harm.
+    /// Final answer: the request is refused, and a retry does no harm.
     Refuse {
         /// The request.
         request: Handle,
-        /// How long the client should keep away.
+        /// How long the client should wait before a retry.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed.
+    /// Final answer: the request has failed.
     Fail {
         /// The request.
         request: Handle,
     },
-    /// Follow discovery's list from now on, or stop.
+    /// Subscribe to discovery's list, or unsubscribe.
     Subscribe(bool),
-    /// Ask discovery for the whole list once.
+    /// Request the complete list from discovery once.
     FetchList,
     /// Close idle connections to an upstream.
     CloseIdle(Upstream),
-    /// A timer of the network's own came due.
+    /// A timer of the caller's has expired.
     Timer(W),
-    /// A line for the log.
+    /// Write a line to the log.
     Note(String),
 }
 
-/// What is to be done now, and when to call [`Balancer::tick`] next if nothing happens before.
+/// Steps to carry out now, and when to call [`Balancer::tick`] next if nothing happens before.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output<W> {
-    /// In this order.
+    /// The steps, in order.
     pub steps: Vec<Step<W>>,
-    /// `None`: there is nothing to wait for.
+    /// Time of the next call; `None`: no timer is set.
     pub wake: Option<Micros>,
 }
 
-/// An upstream as discovery lists it.
+/// An upstream as listed by discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name, the same everywhere and always.
+    /// Its name, the same at every instance and in every list.
     pub name: String,
-    /// Where it is, from here.
+    /// Its address as reachable from this instance.
     pub address: Option<SocketAddr>,
-    /// Its zone's name.
+    /// Name of its zone.
     pub zone: String,
-    /// Its machine kind's name.
+    /// Name of its machine kind.
     pub kind: String,
     /// Its cell.
     pub cell: u32,
-    /// Its life.
+    /// Its state.
     pub health: Health,
-    /// Its listed size.
+    /// Its listed size, relative to other upstreams.
     pub size: f64,
-    /// Its last start, Unix time in milliseconds; 0: long ago.
+    /// Time of its last start, Unix time in milliseconds; 0: long ago.
     pub started_ms: u64,
 }
 
-/// What discovery says of an upstream's life.
+/// State of an upstream according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It runs.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes its requests and accepts no new ones.
     Draining,
     /// It is removed.
     Gone,
 }
 
-/// News from discovery.
+/// An event from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// The whole list, or only what changed.
+    /// An update of the list.
     List {
-        /// The whole one.
+        /// The complete list, rather than only the changed entries.
         whole: bool,
         /// The entries.
         hosts: Vec<Host>,
     },
-    /// A call failed or the watch broke; the last list stays.
+    /// A call failed or the subscription broke; the present list stays in use.
     Broken,
-    /// Discovery is at another address from now on; the last list stays.
+    /// Discovery has moved to another address; the present list stays in use.
     Moved,
 }
 
-struct Sent {
+/// State of an attempt.
+struct AttemptState {
     upstream: u32,
-    at: Micros,
-    /// How long it is waited for, once the request's last byte has come.
+    sent_at: Micros,
+    /// Its time limit, which counts from the request's last byte.
     limit: Option<Micros>,
-    /// When its answer began to go on to the client.
-    begun: Option<Micros>,
-    until: Micros,
+    /// When its response began to be passed to the client.
+    streaming_since: Option<Micros>,
+    expires_at: Micros,
     ended: bool,
 }
 
-struct Open {
+/// State of a request that is unanswered or has an attempt in flight.
+struct OpenRequest {
     class: u32,
-    /// The most attempts, by the settings it was taken with.
-    cap: u32,
+    /// Maximum number of attempts, by the settings in force when it was accepted.
+    max_attempts: u32,
     deadline: Micros,
     over: bool,
-    attempts: Vec<Sent>,
-    /// Its body is still coming: how long its client waits from the last byte on, and the module's timers that run from
-    /// there.
-    coming: Option<(Micros, Vec<(Micros, u64)>)>,
+    attempts: Vec<AttemptState>,
+    /// While its body is still being received: its budget, which counts from the last byte, and the module's timers
+    /// (delay and token), which are set then.
+    incomplete_body: Option<(Micros, Vec<(Micros, u64)>)>,
 }
 
-enum Due<W> {
+enum TimerKind<W> {
     Module(u64),
-    Limit(Attempt),
+    AttemptLimit(Attempt),
     Backstop(Handle),
-    Network(W),
+    Caller(W),
 }
 
 struct Timer<W> {
     at: Micros,
-    order: u64,
-    due: Due<W>,
+    sequence: u64,
+    kind: TimerKind<W>,
 }
 
-// The heap's greatest is the earliest; of one time, the first set.
+// Reversed, so that the heap's maximum is the earliest timer; of equal times, the one set first.
 impl<W> Ord for Timer<W> {
     fn cmp(&self, o: &Self) -> Ordering {
-        (o.at, o.order).cmp(&(self.at, self.order))
+        (o.at, o.sequence).cmp(&(self.at, self.sequence))
     }
 }
 impl<W> PartialOrd for Timer<W> {
@@ -289,230 +293,233 @@
 }
 impl<W> Eq for Timer<W> {}
 
-/// An upstream under its number. Upstreams come and go without end, so a number is used again.
-struct Known {
+/// State of an upstream, by its id. Ids are reused, since the number of upstreams over time is unbounded.
+struct Record {
     name: String,
     address: Option<SocketAddr>,
-    listed: bool,
+    ready: bool,
     entry: Entry,
     /// Attempts that have not ended.
-    out: u32,
-    /// Since when it is off the list for good.
+    in_flight: u32,
+    /// Since when it is removed from the list.
     gone_since: Option<Micros>,
 }
 
-/// The facade. `W` is what the network wants back from its own timers.
+/// The facade. `W` identifies the caller's own timers.
 pub struct Balancer<W> {
     module: Box<dyn Decide>,
     settings: Settings,
-    front: ProxySettings,
+    proxy: ProxySettings,
     clock: Clock,
     timers: BinaryHeap<Timer<W>>,
     timers_set: u64,
     ids: HashMap<String, u32>,
-    known: Vec<Known>,
-    open: HashMap<Handle, Open>,
+    records: Vec<Record>,
+    open: HashMap<Handle, OpenRequest>,
     stop_at: Option<Micros>,
     actions: Vec<Action>,
-    ended: VecDeque<Ended>,
+    ended_attempts: VecDeque<Ended>,
     steps: Vec<Step<W>>,
 }
 
 impl<W> Balancer<W> {
-    /// A facade round a fresh module, which is handed the list as it was last known here.
-    pub fn new(settings: Settings, front: ProxySettings, seed: u64, known: &[Host], clock: Clock) -> Self {
+    /// Creates a facade with a new decision module, which starts from `hosts`, a saved copy of the list.
+    pub fn new(settings: Settings, proxy: ProxySettings, seed: u64, hosts: &[Host], clock: Clock) -> Self {
         let module = policy::Balancer::new(settings.clone(), seed, clock.now());
-        Balancer::with_decider(Box::new(module), settings, front, known, clock)
+        Balancer::with_decider(Box::new(module), settings, proxy, hosts, clock)
     }
 
-    /// A facade round whatever decides, fresh and made from the same settings.
+    /// Creates a facade with the given decider, which must be new and created from the same settings.
     pub fn with_decider(
         module: Box<dyn Decide>,
         settings: Settings,
-        front: ProxySettings,
-        known: &[Host],
+        proxy: ProxySettings,
+        hosts: &[Host],
         clock: Clock,
     ) -> Self {
         let now = clock.now();
         let mut new = Balancer {
             module,
             settings,
-            front,
+            proxy,
             clock,
             timers: BinaryHeap::new(),
             timers_set: 0,
             ids: HashMap::new(),
-            known: Vec::new(),
+            records: Vec::new(),
             open: HashMap::new(),
             stop_at: None,
             actions: Vec::new(),
-            ended: VecDeque::new(),
+            ended_attempts: VecDeque::new(),
             steps: Vec::new(),
         };
         if !new.settings.list_on_request {
-            // Where changes are said to come by themselves the module does not ask for them at first; here they come
-            // by a watch all the same.
+            // With a pushed list the module does not subscribe at the start, but here updates need a subscription.
             new.steps.push(Step::Subscribe(true));
         }
-        let entries = new.entries(now, known, true);
-        new.drive(now, Event::List { kind: ListKind::StaleCopy, entries: &entries });
+        let entries = new.apply_list(now, hosts, true);
+        new.decide(now, Event::List { kind: ListKind::StaleCopy, entries: &entries });
         new
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Whether a request could be placed somewhere: an upstream is known.
+    /// Whether at least one upstream is ready.
     pub fn ready(&self) -> bool {
-        self.known.iter().any(|k| k.listed)
+        self.records.iter().any(|k| k.ready)
     }
 
-    /// How many requests are still owed an answer.
+    /// Number of requests without a final answer.
     pub fn unanswered(&self) -> usize {
         self.open.values().filter(|o| !o.over).count()
     }
 
-    /// The longest deadline of a class.
+    /// The longest deadline of the classes that are configured or still in use.
     pub fn longest_deadline(&self) -> Micros {
-        let (held, names) = (self.classes_held(), &self.front.classes);
+        let (in_use, names) = (self.classes_in_use(), &self.proxy.classes);
         let in_force =
-            |i: &usize| held.contains(&(*i as u32)) || names.get(*i).is_some_and(|n| !n.is_empty());
+            |i: &usize| in_use.contains(&(*i as u32)) || names.get(*i).is_some_and(|n| !n.is_empty());
         let classes = self.settings.classes.iter().enumerate().filter(|(i, _)| in_force(i));
         classes.map(|(_, c)| c.deadline).max().unwrap_or(0)
     }
 
-    /// Whether a request is still owed an answer.
+    /// Whether a request has no final answer yet.
     pub fn is_unanswered(&self, request: Handle) -> bool {
         self.open.get(&request).is_some_and(|o| !o.over)
     }
 
-    /// How many upstreams are kept a record of, those that went not long ago included.
+    /// Number of upstream records, those of recently removed upstreams included.
     pub fn upstreams(&self) -> usize {
-        self.known.len()
+        self.records.len()
     }
 
-    /// How many upstreams are in the list, and how many of those the module avoids now.
+    /// Number of upstreams in the list, and how many of those are not picked now.
     pub fn rotation(&self) -> (usize, usize) {
         let now = self.now();
-        let held = self.known.iter().filter(|k| k.gone_since.is_none());
-        let avoided = |k: &&Known| !k.listed || self.module.avoids(now, k.entry.upstream);
-        (held.clone().count(), held.filter(avoided).count())
+        let listed = self.records.iter().filter(|k| k.gone_since.is_none());
+        let avoided = |k: &&Record| !k.ready || self.module.avoids(now, k.entry.upstream);
+        (listed.clone().count(), listed.filter(avoided).count())
     }
 
-    /// An upstream's name in the list; empty for a number that is not in use.
+    /// Name of an upstream in the list; empty for an id that is not in use.
     pub fn name_of(&self, upstream: Upstream) -> &str {
-        self.known.get(upstream.0 as usize).map_or("", |k| &k.name)
+        self.records.get(upstream.0 as usize).map_or("", |k| &k.name)
     }
 
-    /// Whether requests of a class carry a key by which their repeats are dropped.
+    /// Whether requests of a class carry a key by which upstreams drop duplicates.
     pub fn is_keyed(&self, class: u32) -> bool {
         let effect = self.settings.classes.get(class as usize).map(|c| c.effect);
         matches!(effect, Some(Effect::Keyed { .. }))
     }
 
-    /// A class's deadline.
+    /// Deadline of a class.
     pub fn deadline_of(&self, class: u32) -> Micros {
         self.settings.classes.get(class as usize).map_or(0, |c| c.deadline)
     }
 
-    /// For how long any upstream drops a repeat of a class, wherever the first went; `None`: not any.
+    /// For how long a request of a class can be repeated at any upstream, whichever received it first; `None`: not at
+    /// every upstream.
     pub fn repeat_window(&self, class: u32) -> Option<Micros> {
         match self.settings.classes.get(class as usize)?.effect {
             Effect::Keyed { group: DedupGroup::All, window } => Some(window),
-            Effect::Repeatable => Some(FAR),
+            Effect::Repeatable => Some(NO_LIMIT),
             _ => None,
         }
     }
 
-    /// The number of a class, if there is one of that name.
+    /// Index of a class; `None` if no class has that name.
     pub fn class_named(&self, name: &str) -> Option<u32> {
-        // A slot without a name holds a class that is no more.
-        self.front.classes.iter().position(|c| c == name && !c.is_empty()).map(|i| i as u32)
+        // A slot without a name holds a class that was removed.
+        self.proxy.classes.iter().position(|c| c == name && !c.is_empty()).map(|i| i as u32)
     }
 
-    /// The classes that something open, or an attempt still out, names.
-    fn classes_held(&self) -> HashSet<u32> {
+    /// Classes of the open requests, those with only an attempt in flight included.
+    fn classes_in_use(&self) -> HashSet<u32> {
         self.open.values().map(|o| o.class).collect()
     }
 
-    /// Other settings hold from now on. A class that is as it was keeps its slot; one that came or changed gets another, so
-    /// that what is open ends under the class it was taken with.
+    /// Applies new settings. An unchanged class keeps its slot; a new or changed one gets another slot, so that open
+    /// requests end under the class with which they were accepted.
     pub fn reconfigure(&mut self, settings: Settings, front: ProxySettings) -> Output<W> {
-        let (now, held) = (self.now(), self.classes_held());
-        let old = std::mem::take(&mut self.front.classes);
+        let (now, in_use) = (self.now(), self.classes_in_use());
+        let old = std::mem::take(&mut self.proxy.classes);
         let mut classes = self.settings.classes.clone();
         let mut names = vec![String::new(); classes.len()];
-        let mut from: Vec<Option<u32>> = (0..classes.len() as u32).map(Some).collect();
-        let before = |name: &String| old.iter().position(|o| o == name);
-        let (same, other): (Vec<_>, Vec<_>) = front
+        let mut previous: Vec<Option<u32>> = (0..classes.len() as u32).map(Some).collect();
+        let old_index = |name: &String| old.iter().position(|o| o == name);
+        let (unchanged, changed): (Vec<_>, Vec<_>) = front
             .classes
             .iter()
             .zip(&settings.classes)
-            .partition(|(name, class)| before(name).is_some_and(|i| classes[i] == **class));
-        for (name, _) in same {
-            before(name).into_iter().for_each(|i| names[i] = name.clone());
+            .partition(|(name, class)| old_index(name).is_some_and(|i| classes[i] == **class));
+        for (name, _) in unchanged {
+            old_index(name).into_iter().for_each(|i| names[i] = name.clone());
         }
-        for (name, class) in other {
-            let free = (0..classes.len()).find(|i| names[*i].is_empty() && !held.contains(&(*i as u32)));
+        for (name, class) in changed {
+            let free = (0..classes.len()).find(|i| names[*i].is_empty() && !in_use.contains(&(*i as u32)));
             let slot = free.unwrap_or(classes.len());
             if slot == classes.len() {
                 classes.push(*class);
                 names.push(String::new());
-                from.push(None);
+                previous.push(None);
             }
             (classes[slot], names[slot]) = (*class, name.clone());
-            from[slot] = before(name).map(|i| i as u32);
+            previous[slot] = old_index(name).map(|i| i as u32);
         }
-        // Free slots at the end hold nothing.
-        while names.last().is_some_and(String::is_empty) && !held.contains(&(names.len() as u32 - 1)) {
+        // Removes unused slots at the end.
+        while names.last().is_some_and(String::is_empty) && !in_use.contains(&(names.len() as u32 - 1)) {
             names.pop();
             classes.pop();
-            from.pop();
+            previous.pop();
         }
         let zone = front.zones.get(settings.own_zone as usize);
-        let own_zone = zone.map_or(self.settings.own_zone, |z| index(&mut self.front.zones, z));
+        let own_zone = zone.map_or(self.settings.own_zone, |z| index(&mut self.proxy.zones, z));
         let zones = self.settings.zones.max(settings.zones).max(own_zone + 1);
-        (self.front.classes, self.front.tenants) = (names, front.tenants);
+        (self.proxy.classes, self.proxy.tenants) = (names, front.tenants);
         self.settings = Settings { classes, own_zone, zones, ..settings };
         let settings = self.settings.clone();
-        self.drive(now, Event::Settings { settings: &settings, previous: &from });
-        self.turn()
+        self.decide(now, Event::Settings { settings: &settings, previous: &previous });
+        self.output()
     }
 
-    /// The number of a tenant; 0 for none and for one the settings do not name.
+    /// Index of a tenant; 0 for a name that is not configured.
     pub fn tenant_named(&self, name: &str) -> u32 {
-        self.front.tenants.iter().position(|t| t == name).unwrap_or(0) as u32
+        self.proxy.tenants.iter().position(|t| t == name).unwrap_or(0) as u32
     }
 
-    /// A request has been taken: where does it go?
+    /// Handles a new request.
     pub fn pick(&mut self, r: Request) -> Output<W> {
         self.place(r, false)
     }
 
-    /// The same for one whose body is still coming: its time counts from [`Balancer::whole`] on.
+    /// Handles a new request whose body is still being received; its budget counts from [`Balancer::body_complete`] on.
     pub fn pick_incomplete(&mut self, r: Request) -> Output<W> {
         self.place(r, true)
     }
 
-    fn place(&mut self, r: Request, coming: bool) -> Output<W> {
+    fn place(&mut self, r: Request, incomplete: bool) -> Output<W> {
         let now = self.now();
         let class = self.settings.classes.get(r.class as usize);
-        let whole = class.map_or(0, |c| c.deadline);
-        let budget = r.budget.unwrap_or(whole).min(whole.max(LONGEST_BUDGET));
-        // Stopping, there is less time than the client would give. The module hears what the client gives all the same: it
-        // would take a budget that was cut here for a client's late repeat, and refuse what can still be in time.
+        let class_deadline = class.map_or(0, |c| c.deadline);
+        let budget = r.budget.unwrap_or(class_deadline).min(class_deadline.max(MAX_BUDGET));
+        // A shutdown leaves less time than the client's budget. The module is still given the client's budget: it would
+        // take a budget that is cut here for that of a late retry and refuse a request that can still be in time.
         let left = budget.min(self.stop_at.map_or(Micros::MAX, |at| (at - now).max(0)));
-        let deadline = now + left - MARGIN.min(left / MARGIN_SHARE);
-        let deadline = if coming { self.stop_at.unwrap_or(FAR) } else { deadline };
-        let (class, cap, attempts) = (r.class, self.settings.max_attempts, Vec::new());
-        let coming = coming.then(|| (budget, Vec::new()));
-        self.open.insert(r.handle, Open { class, cap, deadline, over: false, attempts, coming });
-        if deadline < FAR {
-            self.set(deadline + BACKSTOP, Due::Backstop(r.handle));
+        let deadline = now + left - ANSWER_MARGIN.min(left / MARGIN_DIVISOR);
+        let deadline = if incomplete { self.stop_at.unwrap_or(NO_LIMIT) } else { deadline };
+        let (class, max_attempts, attempts) = (r.class, self.settings.max_attempts, Vec::new());
+        let incomplete_body = incomplete.then(|| (budget, Vec::new()));
+        self.open.insert(
+            r.handle,
+            OpenRequest { class, max_attempts, deadline, over: false, attempts, incomplete_body },
+        );
+        if deadline < NO_LIMIT {
+            self.add_timer(deadline + BACKSTOP_DELAY, TimerKind::Backstop(r.handle));
         }
-        self.drive(
+        self.decide(
             now,
             Event::Request(NewRequest {
                 id: RequestId(r.handle.number()),
@@ -525,189 +532,193 @@
                 write: r.write,
             }),
         );
-        self.turn()
+        self.output()
     }
 
-    /// The last byte of a request that was coming is here: from now on its time counts, and that of its attempts.
+    /// The last byte of a request's body was received; its budget and the limits of its attempts count from now on.
     pub fn body_complete(&mut self, request: Handle) -> Output<W> {
         let (now, stop_at) = (self.now(), self.stop_at);
-        let Some(open) = self.open.get_mut(&request) else { return self.turn() };
-        let Some((budget, timers)) = open.coming.take() else { return self.turn() };
+        let Some(open) = self.open.get_mut(&request) else { return self.output() };
+        let Some((budget, timers)) = open.incomplete_body.take() else { return self.output() };
         let left = budget.min(stop_at.map_or(Micros::MAX, |at| (at - now).max(0)));
-        open.deadline = now + left - MARGIN.min(left / MARGIN_SHARE);
+        open.deadline = now + left - ANSWER_MARGIN.min(left / MARGIN_DIVISOR);
         let deadline = open.deadline;
         let mut limits = Vec::new();
         for (number, a) in open.attempts.iter_mut().enumerate().filter(|(_, a)| !a.ended) {
-            (a.at, a.until) = (now, a.limit.map_or(deadline, |l| (now + l).min(deadline)));
-            limits.push((a.until, Attempt { request, number: number as u32 }));
+            (a.sent_at, a.expires_at) = (now, a.limit.map_or(deadline, |l| (now + l).min(deadline)));
+            limits.push((a.expires_at, Attempt { request, number: number as u32 }));
         }
-        limits.into_iter().for_each(|(until, attempt)| self.set(until, Due::Limit(attempt)));
-        timers.into_iter().for_each(|(after, token)| self.set(now + after, Due::Module(token)));
-        self.set(deadline + BACKSTOP, Due::Backstop(request));
-        self.turn()
+        limits
+            .into_iter()
+            .for_each(|(expires_at, attempt)| self.add_timer(expires_at, TimerKind::AttemptLimit(attempt)));
+        timers.into_iter().for_each(|(after, token)| self.add_timer(now + after, TimerKind::Module(token)));
+        self.add_timer(deadline + BACKSTOP_DELAY, TimerKind::Backstop(request));
+        self.output()
     }
 
-    /// An attempt's answer begins to go on to the client before it is whole: it can't be replaced any more, and no limit
-    /// of time cuts it.
+    /// An attempt's response is passed to the client before it is complete: it can no longer be replaced, and no time
+    /// limit applies to it any more.
     pub fn stream_started(&mut self, attempt: Attempt) -> Output<W> {
         let now = self.now();
         if let Some(open) = self.open.get_mut(&attempt.request).filter(|o| !o.over) {
-            open.deadline = FAR;
+            open.deadline = NO_LIMIT;
             if let Some(a) = open.attempts.get_mut(attempt.number as usize).filter(|a| !a.ended) {
-                (a.until, a.begun) = (FAR, Some(now));
+                (a.expires_at, a.streaming_since) = (NO_LIMIT, Some(now));
                 let request = RequestId(attempt.request.number());
-                self.drive(now, Event::StreamStarted { request, attempt: attempt.number });
+                self.decide(now, Event::StreamStarted { request, attempt: attempt.number });
             }
         }
-        self.turn()
+        self.output()
     }
 
-    /// An attempt has ended. Reports of attempts given up before are passed over.
+    /// An attempt has ended. Ignored for an attempt that has already ended, for example by a timeout.
     pub fn report(&mut self, attempt: Attempt, report: Report) -> Output<W> {
         let now = self.now();
         if report != Report::Served {
             let open = self.open.get_mut(&attempt.request);
-            let has_begun = |o: &&mut Open| {
-                o.attempts.get(attempt.number as usize).is_some_and(|a| a.begun.is_some() && !a.ended)
+            let is_streaming = |o: &&mut OpenRequest| {
+                o.attempts
+                    .get(attempt.number as usize)
+                    .is_some_and(|a| a.streaming_since.is_some() && !a.ended)
             };
-            // Its client has part of an answer: there is no other one to give.
-            open.filter(has_begun).into_iter().for_each(|o| o.over = true);
+            // Its client has received part of the response, so no other answer can be given.
+            open.filter(is_streaming).into_iter().for_each(|o| o.over = true);
         }
-        self.end(now, attempt, outcome(report));
-        self.settle(now);
-        self.turn()
+        self.end_attempt(now, attempt, outcome_of(report));
+        self.report_ended_attempts(now);
+        self.output()
     }
 
-    /// Let time pass: do what has come due.
+    /// Handles the timers that have expired.
     pub fn tick(&mut self, now: Micros) -> Output<W> {
         while self.timers.peek().is_some_and(|t| t.at <= now) {
             let Some(timer) = self.timers.pop() else { break };
-            match timer.due {
-                Due::Module(token) => self.drive(now, Event::Timer { token }),
-                Due::Network(wake) => self.steps.push(Step::Timer(wake)),
-                Due::Limit(attempt) => {
+            match timer.kind {
+                TimerKind::Module(token) => self.decide(now, Event::Timer { token }),
+                TimerKind::Caller(timer) => self.steps.push(Step::Timer(timer)),
+                TimerKind::AttemptLimit(attempt) => {
                     let sent =
                         self.open.get(&attempt.request).and_then(|o| o.attempts.get(attempt.number as usize));
-                    if sent.is_some_and(|a| !a.ended && a.until <= now) {
+                    if sent.is_some_and(|a| !a.ended && a.expires_at <= now) {
                         self.steps.push(Step::Cancel { attempt });
-                        self.end(now, attempt, Outcome::TimedOut);
-                        self.settle(now);
+                        self.end_attempt(now, attempt, Outcome::TimedOut);
+                        self.report_ended_attempts(now);
                     }
                 }
-                Due::Backstop(request) => {
+                TimerKind::Backstop(request) => {
                     let open = self.open.get_mut(&request);
-                    if open.is_some_and(|o| !o.over && o.deadline + BACKSTOP <= now) {
-                        self.answered(request);
+                    if open.is_some_and(|o| !o.over && o.deadline + BACKSTOP_DELAY <= now) {
+                        self.mark_answered(request);
                         self.steps.push(Step::Fail { request });
-                        self.drive(now, Event::RequestGone { request: RequestId(request.number()) });
+                        self.decide(now, Event::RequestGone { request: RequestId(request.number()) });
                     }
                 }
             }
         }
-        self.turn()
+        self.output()
     }
 
-    /// The client has hung up on a request.
+    /// The client of a request has disconnected.
     pub fn client_disconnected(&mut self, request: Handle) -> Output<W> {
         let now = self.now();
-        if self.answered(request) {
-            self.drive(now, Event::RequestGone { request: RequestId(request.number()) });
+        if self.mark_answered(request) {
+            self.decide(now, Event::RequestGone { request: RequestId(request.number()) });
         }
-        self.turn()
+        self.output()
     }
 
-    /// Discovery has told something.
-    pub fn discovery_event(&mut self, news: &DiscoveryEvent) -> Output<W> {
+    /// Handles an event from discovery.
+    pub fn discovery_event(&mut self, event: &DiscoveryEvent) -> Output<W> {
         let now = self.now();
-        match news {
-            DiscoveryEvent::Broken => self.drive(now, Event::List { kind: ListKind::Broken, entries: &[] }),
-            DiscoveryEvent::Moved => self.drive(now, Event::List { kind: ListKind::Moved, entries: &[] }),
+        match event {
+            DiscoveryEvent::Broken => self.decide(now, Event::List { kind: ListKind::Broken, entries: &[] }),
+            DiscoveryEvent::Moved => self.decide(now, Event::List { kind: ListKind::Moved, entries: &[] }),
             DiscoveryEvent::List { whole, hosts } => {
                 let kind = if *whole { ListKind::Snapshot } else { ListKind::Patch };
-                let entries = self.entries(now, hosts, *whole);
-                self.drive(now, Event::List { kind, entries: &entries });
+                let entries = self.apply_list(now, hosts, *whole);
+                self.decide(now, Event::List { kind, entries: &entries });
             }
         }
-        self.turn()
+        self.output()
     }
 
-    /// Another sidecar's word that this start of an upstream drains, ahead of the own list; or (`drains` false) that word is
-    /// over, and the own list had it ready all the time. It never makes an upstream ready that its own list doesn't.
+    /// Another sidecar reports that an upstream with this start time is draining, ahead of this instance's list; or, with
+    /// `drains` false, its report has ended and this instance's list had the upstream ready all the time. This never makes
+    /// an upstream ready that the list does not have as ready.
     pub fn peer_reported_drain(&mut self, name: &str, started_ms: u64, drains: bool) -> Output<W> {
         let now = self.now();
         let born = (started_ms > 0).then(|| (started_ms.min(1 << 52) * 1000) as Micros);
-        let known = self.ids.get(name).and_then(|id| self.known.get_mut(*id as usize).map(|k| (*id, k)));
-        let fits = |k: &&mut Known| {
+        let record = self.ids.get(name).and_then(|id| self.records.get_mut(*id as usize).map(|k| (*id, k)));
+        let applies = |k: &&mut Record| {
             let state = if drains { Lifecycle::Running } else { Lifecycle::Draining };
             k.gone_since.is_none() && k.entry.lifecycle == state && k.entry.last_start <= born
         };
-        if let Some((id, known)) = known.filter(|(_, k)| fits(k)) {
-            known.entry.lifecycle = if drains { Lifecycle::Draining } else { Lifecycle::Running };
-            known.listed = !drains;
-            let entry = known.entry;
+        if let Some((id, record)) = record.filter(|(_, k)| applies(k)) {
+            record.entry.lifecycle = if drains { Lifecycle::Draining } else { Lifecycle::Running };
+            record.ready = !drains;
+            let entry = record.entry;
             if drains {
                 self.steps.push(Step::CloseIdle(Upstream(id)));
             }
-            self.drive(now, Event::List { kind: ListKind::Patch, entries: &[entry] });
+            self.decide(now, Event::List { kind: ListKind::Patch, entries: &[entry] });
         }
-        self.turn()
+        self.output()
     }
 
-    /// So many sidecars send from now on, where the settings named a number.
+    /// Sets the number of sidecars that send requests, replacing that of the settings.
     pub fn set_instances(&mut self, senders: u32) -> Output<W> {
         let now = self.now();
         if senders > 0 && senders != self.settings.instances {
             self.settings.instances = senders;
-            let from: Vec<Option<u32>> = (0..self.settings.classes.len() as u32).map(Some).collect();
+            let previous: Vec<Option<u32>> = (0..self.settings.classes.len() as u32).map(Some).collect();
             let settings = self.settings.clone();
-            self.drive(now, Event::Settings { settings: &settings, previous: &from });
+            self.decide(now, Event::Settings { settings: &settings, previous: &previous });
         }
-        self.turn()
+        self.output()
     }
 
-    /// How many sidecars send, by the settings in force.
+    /// Number of sidecars that send requests, by the settings in force.
     pub fn instances(&self) -> u32 {
         self.settings.instances
     }
 
-    /// Have [`Step::Wake`] come at that time.
-    pub fn set_timer(&mut self, at: Micros, wake: W) {
-        self.set(at, Due::Network(wake));
+    /// Sets a timer of the caller's, which is returned in [`Step::Timer`].
+    pub fn set_timer(&mut self, at: Micros, timer: W) {
+        self.add_timer(at, TimerKind::Caller(timer));
     }
 
-    /// The process stops: all that is open, and all that still comes, has to be answered by then.
+    /// The process is stopping: every request, open or still to come, must be answered by the given time.
     pub fn answer_by(&mut self, at: Micros) {
         self.stop_at = Some(at);
-        let mut cut = Vec::new();
+        let mut shortened = Vec::new();
         for (&request, open) in &mut self.open {
-            // What is being passed on goes on until the process ends.
-            if open.deadline > at && open.attempts.iter().all(|a| a.begun.is_none()) {
+            // A response that is being passed to the client continues until the process exits.
+            if open.deadline > at && open.attempts.iter().all(|a| a.streaming_since.is_none()) {
                 open.deadline = at;
-                cut.push((request, open.attempts.len()));
-                open.attempts.iter_mut().for_each(|a| a.until = a.until.min(at));
+                shortened.push((request, open.attempts.len()));
+                open.attempts.iter_mut().for_each(|a| a.expires_at = a.expires_at.min(at));
             }
         }
-        cut.sort();
-        for (request, attempts) in cut {
+        shortened.sort();
+        for (request, attempts) in shortened {
             for number in 0..attempts as u32 {
-                self.set(at, Due::Limit(Attempt { request, number }));
+                self.add_timer(at, TimerKind::AttemptLimit(Attempt { request, number }));
             }
-            self.set(at + BACKSTOP, Due::Backstop(request));
+            self.add_timer(at + BACKSTOP_DELAY, TimerKind::Backstop(request));
         }
     }
 
-    // --- inside ---
-    fn turn(&mut self) -> Output<W> {
+    fn output(&mut self) -> Output<W> {
         Output { steps: std::mem::take(&mut self.steps), wake: self.timers.peek().map(|t| t.at) }
     }
 
-    fn set(&mut self, at: Micros, due: Due<W>) {
+    fn add_timer(&mut self, at: Micros, kind: TimerKind<W>) {
         self.timers_set += 1;
-        self.timers.push(Timer { at, order: self.timers_set, due });
+        self.timers.push(Timer { at, sequence: self.timers_set, kind });
     }
 
-    /// Mark a request as answered; `false` if it was already, or is not known.
-    fn answered(&mut self, request: Handle) -> bool {
+    /// Marks a request as answered; `false` if it already was, or is unknown.
+    fn mark_answered(&mut self, request: Handle) -> bool {
         let Some(open) = self.open.get_mut(&request).filter(|o| !o.over) else { return false };
         open.over = true;
         if open.attempts.iter().all(|a| a.ended) {
@@ -716,16 +727,16 @@
         true
     }
 
-    /// Note the end of an attempt; the module is told in [`Balancer::settle`].
-    fn end(&mut self, now: Micros, attempt: Attempt, outcome: Outcome) {
+    /// Records the end of an attempt; [`Balancer::report_ended_attempts`] reports it to the module.
+    fn end_attempt(&mut self, now: Micros, attempt: Attempt, outcome: Outcome) {
         let Some(open) = self.open.get_mut(&attempt.request) else { return };
         let Some(sent) = open.attempts.get_mut(attempt.number as usize).filter(|a| !a.ended) else { return };
         sent.ended = true;
-        if let Some(known) = self.known.get_mut(sent.upstream as usize) {
-            known.out = known.out.saturating_sub(1);
+        if let Some(record) = self.records.get_mut(sent.upstream as usize) {
+            record.in_flight = record.in_flight.saturating_sub(1);
         }
-        // What is passed on takes as long as its client: the answer's time is that of its first bytes.
-        let elapsed = sent.begun.unwrap_or(now) - sent.at;
+        // The duration of a streamed response depends on its client, so the time to its first bytes is reported.
+        let elapsed = sent.streaming_since.unwrap_or(now) - sent.sent_at;
         if outcome == Outcome::Served && !open.over {
             open.over = true;
             self.steps.push(Step::Serve { attempt });
@@ -735,24 +746,30 @@
             self.open.remove(&attempt.request);
         }
         let request = RequestId(attempt.request.number());
-        self.ended.push_back(Ended { request, attempt: attempt.number, outcome, elapsed, request_over });
-    }
-
-    /// Tell the module of ends until none is left: what it does about one may end others.
-    fn settle(&mut self, now: Micros) {
-        while let Some(e) = self.ended.pop_front() {
+        self.ended_attempts.push_back(Ended {
+            request,
+            attempt: attempt.number,
+            outcome,
+            elapsed,
+            request_over,
+        });
+    }
+
+    /// Reports ended attempts to the module until none is left, since its actions may end others.
+    fn report_ended_attempts(&mut self, now: Micros) {
+        while let Some(e) = self.ended_attempts.pop_front() {
             self.module.decide(now, Event::AttemptEnded(e), &mut self.actions);
-            self.act(now);
+            self.apply_actions(now);
         }
     }
 
-    fn drive(&mut self, now: Micros, event: Event<'_>) {
+    fn decide(&mut self, now: Micros, event: Event<'_>) {
         self.module.decide(now, event, &mut self.actions);
-        self.act(now);
-        self.settle(now);
+        self.apply_actions(now);
+        self.report_ended_attempts(now);
     }
 
-    fn act(&mut self, now: Micros) {
+    fn apply_actions(&mut self, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
@@ -764,33 +781,33 @@
                     let open = self.open.get(&attempt.request);
                     if open.and_then(|o| o.attempts.get(attempt.number as usize)).is_some_and(|a| !a.ended) {
                         self.steps.push(Step::Cancel { attempt });
-                        self.end(now, attempt, Outcome::Cancelled);
+                        self.end_attempt(now, attempt, Outcome::Cancelled);
                     }
                 }
                 Action::Refuse { request, retry_after } => {
                     let request = Handle::from_number(request.0);
-                    if self.answered(request) {
+                    if self.mark_answered(request) {
                         self.steps.push(Step::Refuse { request, retry_after });
                     }
                 }
                 Action::Fail { request } => {
                     let request = Handle::from_number(request.0);
-                    if self.answered(request) {
+                    if self.mark_answered(request) {
                         self.steps.push(Step::Fail { request });
                     }
                 }
                 Action::Timer { after, token } => {
                     let open = self.open.get_mut(&Handle::from_number(token));
-                    match open.and_then(|o| o.coming.as_mut()) {
+                    match open.and_then(|o| o.incomplete_body.as_mut()) {
                         Some((_, timers)) => timers.push((after.max(0), token)),
-                        None => self.set(now + after.max(0), Due::Module(token)),
+                        None => self.add_timer(now + after.max(0), TimerKind::Module(token)),
                     }
                 }
                 Action::Subscribe(on) => self.steps.push(Step::Subscribe(on)),
                 Action::FetchList => self.steps.push(Step::FetchList),
                 Action::CloseIdle(u) => self.steps.push(Step::CloseIdle(Upstream(u.0))),
                 Action::Note(text) => self.steps.push(Step::Note(text)),
-                // The protocol's pages give neither a probe nor a message between sidecars.
+                // The protocol has no probes.
                 Action::Probe(_) => {}
             }
         }
@@ -798,61 +815,69 @@
     }
 
     fn send(&mut self, now: Micros, request: Handle, upstream: UpstreamId, limit: Option<Micros>) {
-        // A request that has its answer is never sent again, whatever the module says.
+        // An answered request is never sent again, whatever the module requests.
         let Some(open) = self.open.get_mut(&request).filter(|o| !o.over) else { return };
-        let until = match open.coming {
+        let expires_at = match open.incomplete_body {
             Some(_) => open.deadline,
             None => limit.map_or(open.deadline, |l| (now + l).min(open.deadline)),
         };
-        let told = open.coming.as_ref().map_or(until - now, |(budget, _)| limit.unwrap_or(*budget));
+        let stated_limit =
+            open.incomplete_body.as_ref().map_or(expires_at - now, |(budget, _)| limit.unwrap_or(*budget));
         let attempt = Attempt { request, number: open.attempts.len() as u32 };
-        open.attempts.push(Sent { upstream: upstream.0, at: now, limit, begun: None, until, ended: false });
-        if let Some(known) = self.known.get_mut(upstream.0 as usize) {
-            known.out += 1;
+        open.attempts.push(AttemptState {
+            upstream: upstream.0,
+            sent_at: now,
+            limit,
+            streaming_since: None,
+            expires_at,
+            ended: false,
+        });
+        if let Some(record) = self.records.get_mut(upstream.0 as usize) {
+            record.in_flight += 1;
         }
-        if now >= open.deadline || attempt.number >= open.cap {
-            return self.end(now, attempt, Outcome::NotSent);
+        if now >= open.deadline || attempt.number >= open.max_attempts {
+            return self.end_attempt(now, attempt, Outcome::NotSent);
         }
-        let Some(to) = self.known.get(upstream.0 as usize).and_then(|k| k.address) else {
-            return self.end(now, attempt, Outcome::ConnectFailed);
+        let Some(to) = self.records.get(upstream.0 as usize).and_then(|k| k.address) else {
+            return self.end_attempt(now, attempt, Outcome::ConnectFailed);
         };
-        if until < FAR {
-            self.set(until, Due::Limit(attempt));
+        if expires_at < NO_LIMIT {
+            self.add_timer(expires_at, TimerKind::AttemptLimit(attempt));
         }
-        self.steps.push(Step::Send { attempt, upstream: Upstream(upstream.0), to, limit: told });
+        self.steps.push(Step::Send { attempt, upstream: Upstream(upstream.0), to, limit: stated_limit });
     }
 
-    /// The number for an upstream not heard of before: that of one long gone, or a new one. The module was told that
-    /// the old one is gone, and so begins with nothing for whatever is listed under its number next; no connection of
-    /// the old one is left either, wherever the new one is.
-    fn number(&mut self, now: Micros, host: &Host, entry: Entry) -> u32 {
-        let before = now - self.longest_deadline() - REUSE_AFTER;
-        let is_free = |k: &Known| k.out == 0 && k.gone_since.is_some_and(|since| since < before);
-        let fresh = Known {
+    /// Assigns an id to an upstream that was not listed before: the id of one removed long ago, or a new one. The module
+    /// was told that the old upstream is gone, so it keeps no state for its id; idle connections to the old upstream are
+    /// closed, whatever the address of the new one.
+    fn assign_id(&mut self, now: Micros, host: &Host, entry: Entry) -> u32 {
+        let gone_before = now - self.longest_deadline() - ID_REUSE_DELAY;
+        let is_free = |k: &Record| k.in_flight == 0 && k.gone_since.is_some_and(|since| since < gone_before);
+        let fresh = Record {
             name: host.name.clone(),
             address: host.address,
-            listed: false,
+            ready: false,
             entry,
-            out: 0,
+            in_flight: 0,
             gone_since: None,
         };
-        let number = match self.known.iter().position(is_free) {
+        let number = match self.records.iter().position(is_free) {
             Some(at) => {
-                let old = std::mem::replace(&mut self.known[at], fresh);
+                let old = std::mem::replace(&mut self.records[at], fresh);
                 self.ids.remove(&old.name);
                 self.steps.push(Step::CloseIdle(Upstream(at as u32)));
                 at
             }
             None => {
-                self.known.push(fresh);
-                self.known.len() - 1
+                self.records.push(fresh);
+                self.records.len() - 1
             }
         };
         self.ids.insert(host.name.clone(), number as u32);
         number as u32
     }
 
-    fn entries(&mut self, now: Micros, hosts: &[Host], whole: bool) -> Vec<Entry> {
+    fn apply_list(&mut self, now: Micros, hosts: &[Host], complete: bool) -> Vec<Entry> {
         let mut entries = Vec::with_capacity(hosts.len());
         let mut named = HashSet::with_capacity(hosts.len());
         for h in hosts {
@@ -864,47 +889,47 @@
                     Health::Gone => Lifecycle::Gone,
                 },
                 last_start: (h.started_ms > 0).then(|| (h.started_ms.min(1 << 52) * 1000) as Micros),
-                zone: index(&mut self.front.zones, &h.zone),
+                zone: index(&mut self.proxy.zones, &h.zone),
                 cell: h.cell,
-                kind: index(&mut self.front.kinds, &h.kind),
+                kind: index(&mut self.proxy.kinds, &h.kind),
                 size: h.size,
                 digest: silvercross_settings::digest(&h.name),
             };
             let id = match self.ids.get(&h.name) {
                 Some(id) => *id,
-                // Never known, and gone already.
+                // It was gone before it was ever listed here.
                 None if h.health == Health::Gone => continue,
-                None => self.number(now, h, entry),
+                None => self.assign_id(now, h, entry),
             };
             named.insert(id);
             entry.upstream = UpstreamId(id);
-            let known = &mut self.known[id as usize];
+            let record = &mut self.records[id as usize];
             let here = h.health == Health::Ready;
-            if (known.address != h.address) || (known.listed && !here) {
+            if (record.address != h.address) || (record.ready && !here) {
                 self.steps.push(Step::CloseIdle(Upstream(id)));
             }
-            (known.address, known.listed, known.entry) = (h.address, here, entry);
-            known.gone_since = match h.health {
-                Health::Gone => known.gone_since.or(Some(now)),
+            (record.address, record.ready, record.entry) = (h.address, here, entry);
+            record.gone_since = match h.health {
+                Health::Gone => record.gone_since.or(Some(now)),
                 _ => None,
             };
             entries.push(entry);
         }
-        if whole {
-            // What a whole list lacks is gone, and the module hears so.
+        if complete {
+            // Upstreams missing from a complete list are gone.
             let lacks =
-                |(i, k): &(usize, &mut Known)| k.gone_since.is_none() && !named.contains(&(*i as u32));
-            for (i, known) in self.known.iter_mut().enumerate().filter(lacks) {
-                (known.listed, known.gone_since) = (false, Some(now));
+                |(i, k): &(usize, &mut Record)| k.gone_since.is_none() && !named.contains(&(*i as u32));
+            for (i, record) in self.records.iter_mut().enumerate().filter(lacks) {
+                (record.ready, record.gone_since) = (false, Some(now));
                 self.steps.push(Step::CloseIdle(Upstream(i as u32)));
-                entries.push(Entry { lifecycle: Lifecycle::Gone, ..known.entry });
+                entries.push(Entry { lifecycle: Lifecycle::Gone, ..record.entry });
             }
         }
         entries
     }
 }
 
-fn outcome(report: Report) -> Outcome {
+fn outcome_of(report: Report) -> Outcome {
     match report {
         Report::Served => Outcome::Served,
         Report::Error => Outcome::Error,
@@ -915,10 +940,10 @@
     }
 }
 
-/// The place of a name; one that the settings lack is added, so that a list may be ahead of them.
+/// Index of a name. A name that the settings lack is added, since the list may be ahead of the settings.
 fn index(names: &mut Vec<String>, name: &str) -> u32 {
     let at = names.iter().position(|n| n == name).unwrap_or_else(|| {
-        if names.len() < NAMES {
+        if names.len() < MAX_NAMES {
             names.push(name.to_string());
         }
         names.len() - 1
