--- a/crates/balancer/settings/src/lib.rs
+++ b/crates/balancer/settings/src/lib.rs
@@ -1,38 +1,38 @@
-//! The settings object that a deployment hands each instance, turned into the core's words. Unknown keys are
-//! skipped. Both fronts read it here, so that they cannot come to read it differently.
+//! Reads the settings object that a deployment passes to each instance and converts it into the core's settings. Unknown
+//! keys are ignored. All programs that run the balancer read it here, so that they interpret it alike.
 #![forbid(unsafe_code)]
 pub mod migrate;
 
 use serde::Deserialize;
 use silvercross_core::interface::{Class, DedupGroup, Effect, Micros, Prices, Settings, Tenant};
 
-/// The names behind the settings' indices, and what only a front on sockets needs. The core never sees these.
+/// The names behind the indices in the settings, and what only a program with sockets needs. The core does not use these.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxySettings {
-    /// The classes' names, in order.
+    /// Names of the classes, in order.
     pub classes: Vec<String>,
-    /// The tenants' names, in order.
+    /// Names of the tenants, in order.
     pub tenants: Vec<String>,
-    /// The zones' names, in order.
+    /// Names of the zones, in order.
     pub zones: Vec<String>,
-    /// The machine kinds' names, in order.
+    /// Names of the machine kinds, in order.
     pub kinds: Vec<String>,
-    /// Upstreams close a connection that has stood idle for this long; `None`: not stated.
+    /// Upstreams close a connection that has been idle for this long; `None`: not stated.
     pub upstream_idle_timeout: Option<Micros>,
 }
 
-/// Seconds, as the settings and the bench's wire have them, as whole microseconds.
+/// Converts seconds, the unit of the settings and of the benchmark's protocol, to whole microseconds.
 pub fn seconds(s: f64) -> Micros {
     (s * 1e6).round().clamp(-9e15, 9e15) as Micros
 }
 
-/// The digest of a request's subject, FNV-1a: the same at every instance and in every run.
+/// FNV-1a hash of a key or a name, the same at every instance and in every run.
 pub fn digest(key: &str) -> u64 {
     key.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
 }
 
 #[derive(Deserialize)]
-struct Info {
+struct RawSettings {
     #[serde(default = "one_u32")]
     balancers: u32,
     #[serde(default)]
@@ -43,29 +43,29 @@
     areas: Vec<serde_json::Value>,
     #[serde(default)]
     shapes: Vec<serde_json::Value>,
-    classes: Vec<InfoClass>,
+    classes: Vec<RawClass>,
     #[serde(default)]
-    tenants: Vec<InfoTenant>,
+    tenants: Vec<RawTenant>,
     #[serde(default = "one")]
     over_share_worth: f64,
     #[serde(default)]
     counted_by: String,
     #[serde(default)]
-    clients: InfoClients,
+    clients: RawClients,
     #[serde(default)]
     discovery: String,
     #[serde(default)]
-    family_info: InfoFamily,
+    family_info: RawFamilyInfo,
     #[serde(default)]
-    goal: InfoGoal,
-    limits: InfoLimits,
-    rules: InfoRules,
+    goal: RawGoal,
+    limits: RawLimits,
+    rules: RawRules,
     #[serde(default)]
-    prices: InfoPrices,
+    prices: RawPrices,
 }
 
 #[derive(Deserialize)]
-struct InfoClass {
+struct RawClass {
     #[serde(default)]
     name: String,
     aim_s: f64,
@@ -86,7 +86,7 @@
 }
 
 #[derive(Deserialize)]
-struct InfoTenant {
+struct RawTenant {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -96,31 +96,31 @@
 }
 
 #[derive(Deserialize, Default)]
-struct InfoClients {
+struct RawClients {
     #[serde(default)]
     marks_retry: bool,
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct InfoGoal {
+struct RawGoal {
     whole: f64,
 }
 
-impl Default for InfoGoal {
+impl Default for RawGoal {
     fn default() -> Self {
-        InfoGoal { whole: 1.0 }
+        RawGoal { whole: 1.0 }
     }
 }
 
 #[derive(Deserialize, Default)]
-struct InfoFamily {
+struct RawFamilyInfo {
     #[serde(default)]
     warm_keys: bool,
 }
 
 #[derive(Deserialize)]
-struct InfoLimits {
+struct RawLimits {
     #[serde(default = "one_u32")]
     attempts_cap: u32,
     #[serde(default)]
@@ -140,7 +140,7 @@
 }
 
 #[derive(Deserialize)]
-struct InfoRules {
+struct RawRules {
     #[serde(default = "one")]
     cold_from: f64,
     #[serde(default)]
@@ -157,7 +157,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct InfoPrices {
+struct RawPrices {
     cross_zone: f64,
     late_fail: f64,
     probe: f64,
@@ -177,29 +177,29 @@
     1
 }
 
-/// Check a settings object, and against the one in force where there is one: what is wrong, by its key.
+/// Checks a settings object, also against the one in force if there is one. The error names the key.
 pub fn check(value: &serde_json::Value, in_force: Option<&serde_json::Value>) -> Result<(), String> {
     if let Some(in_force) = in_force {
         check_keys_present(value, in_force, "settings")?;
     }
-    let text =
+    let text_of =
         |c: &serde_json::Value, key: &str| c.get(key).and_then(|v| v.as_str()).unwrap_or("").to_string();
     let classes = value.get("classes").and_then(|c| c.as_array()).filter(|c| !c.is_empty());
-    let classes = classes.ok_or("settings.classes: no class of requests")?;
+    let classes = classes.ok_or("settings.classes: there must be at least one class")?;
     let mut names = std::collections::HashSet::new();
     for (i, c) in classes.iter().enumerate() {
         let key = format!("settings.classes[{i}]");
-        let name = text(c, "name");
+        let name = text_of(c, "name");
         if name.is_empty() {
-            return Err(format!("{key}.name: a class has a name"));
+            return Err(format!("{key}.name: must not be empty"));
         }
         if !names.insert(name.clone()) {
-            return Err(format!("{key}.name: {name:?} stands twice"));
+            return Err(format!("{key}.name: {name:?} is used twice"));
         }
         for part in ["aim_s", "deadline_s"] {
             positive(c.get(part)).map_err(|why| format!("{key}.{part}: {why}"))?;
         }
-        if text(c, "effect") == "by_key" {
+        if text_of(c, "effect") == "by_key" {
             if let Some(ttl) = c.get("key_ttl_s") {
                 positive(Some(ttl)).map_err(|why| format!("{key}.key_ttl_s: {why}"))?;
             }
@@ -207,12 +207,12 @@
     }
     if let Some(warm) = value.get("family_info").and_then(|f| f.get("warm_keys")) {
         if !warm.is_boolean() {
-            return Err(format!("settings.family_info.warm_keys: {warm} is neither true nor false"));
+            return Err(format!("settings.family_info.warm_keys: {warm} is not a boolean"));
         }
     }
     if let Some(whole) = value.get("goal").and_then(|g| g.get("whole")) {
         if !whole.as_f64().is_some_and(|w| (0.0..=1.0).contains(&w)) {
-            return Err(format!("settings.goal.whole: {whole} is not from 0 to 1"));
+            return Err(format!("settings.goal.whole: {whole} is not between 0 and 1"));
         }
     }
     if let Some(how) = value.get("discovery").filter(|how| *how != "pushed" && *how != "on_request") {
@@ -227,11 +227,11 @@
 fn positive(value: Option<&serde_json::Value>) -> Result<(), String> {
     match value.and_then(|v| v.as_f64()) {
         Some(x) if x.is_finite() && x > 0.0 => Ok(()),
-        _ => Err(format!("{} is no positive number", value.map_or("nothing".into(), |v| v.to_string()))),
+        _ => Err(format!("{} is not a positive number", value.map_or("nothing".into(), |v| v.to_string()))),
     }
 }
 
-/// Every key that stands in the object in force has to stand in the new one too; in a list of objects, every key that all
+/// Checks that every key of the object in force is also present in the new one; for a list of objects, every key that all
 /// of them have.
 pub fn check_keys_present(
     value: &serde_json::Value,
@@ -242,9 +242,9 @@
     match (in_force, value) {
         (Object(old), Object(new)) => old.iter().try_for_each(|(key, was)| {
             let at = format!("{at}.{key}");
-            new.get(key).ok_or(format!("{at}: it is missing")).and_then(|is| check_keys_present(is, was, &at))
+            new.get(key).ok_or(format!("{at}: is missing")).and_then(|is| check_keys_present(is, was, &at))
         }),
-        (Object(_), _) => Err(format!("{at}: it is no object")),
+        (Object(_), _) => Err(format!("{at}: is not an object")),
         (Array(old), Array(new)) => {
             let Some((first, rest)) = old.split_first() else { return Ok(()) };
             let Object(first) = first else { return Ok(()) };
@@ -252,74 +252,79 @@
             let common: Vec<_> = first.keys().filter(common).collect();
             new.iter().enumerate().try_for_each(|(i, is)| {
                 let missing = common.iter().find(|key| is.get(key.as_str()).is_none());
-                missing.map_or(Ok(()), |key| Err(format!("{at}[{i}].{key}: it is missing")))
+                missing.map_or(Ok(()), |key| Err(format!("{at}[{i}].{key}: is missing")))
             })
         }
-        (Array(_), _) => Err(format!("{at}: it is no list")),
+        (Array(_), _) => Err(format!("{at}: is not a list")),
         _ => Ok(()),
     }
 }
 
-/// Read the settings object from its text.
+/// Parses the settings object from JSON text.
 pub fn read(text: &str) -> Result<Settings, String> {
     core_settings(&serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?)
 }
 
-/// Read the settings object as part of a larger JSON document, with the names that a front on sockets needs.
+/// Reads the settings object as part of a larger JSON document, together with what a program with sockets needs.
 pub fn read_value(value: serde_json::Value) -> Result<(Settings, ProxySettings), String> {
-    let info: Info = serde_json::from_value(value).map_err(|e| format!("settings: {e}"))?;
-    let named = |v: &[serde_json::Value]| v.iter().map(|n| n.as_str().unwrap_or("").to_string()).collect();
-    let front = ProxySettings {
-        classes: info.classes.iter().map(|c| c.name.clone()).collect(),
-        tenants: info.tenants.iter().map(|t| t.name.clone()).collect(),
-        zones: named(&info.areas),
-        kinds: named(&info.shapes),
-        upstream_idle_timeout: (info.limits.idle_close_s > 0.0).then(|| seconds(info.limits.idle_close_s)),
+    let raw: RawSettings = serde_json::from_value(value).map_err(|e| format!("settings: {e}"))?;
+    let names_of = |v: &[serde_json::Value]| v.iter().map(|n| n.as_str().unwrap_or("").to_string()).collect();
+    let proxy = ProxySettings {
+        classes: raw.classes.iter().map(|c| c.name.clone()).collect(),
+        tenants: raw.tenants.iter().map(|t| t.name.clone()).collect(),
+        zones: names_of(&raw.areas),
+        kinds: names_of(&raw.shapes),
+        upstream_idle_timeout: (raw.limits.idle_close_s > 0.0).then(|| seconds(raw.limits.idle_close_s)),
     };
-    Ok((core_settings(&info)?, front))
+    Ok((core_settings(&raw)?, proxy))
 }
 
-fn core_settings(info: &Info) -> Result<Settings, String> {
-    let classes = info.classes.iter().map(class).collect::<Result<Vec<_>, _>>()?;
-    let (l, r, p) = (&info.limits, &info.rules, &info.prices);
+fn core_settings(raw: &RawSettings) -> Result<Settings, String> {
+    let classes = raw.classes.iter().map(class).collect::<Result<Vec<_>, _>>()?;
+    let (limits, rules, prices) = (&raw.limits, &raw.rules, &raw.prices);
     Ok(Settings {
-        instances: info.balancers.max(1),
-        instance_index: info.me,
-        own_zone: info.my_zone,
-        zones: (info.areas.len() as u32).max(info.my_zone + 1),
+        instances: raw.balancers.max(1),
+        instance_index: raw.me,
+        own_zone: raw.my_zone,
+        zones: (raw.areas.len() as u32).max(raw.my_zone + 1),
         classes,
-        tenants: info
+        tenants: raw
             .tenants
             .iter()
             .map(|t| Tenant { share: t.share, allowance_per_s: t.allowance_per_s })
             .collect(),
-        over_share_value: info.over_share_worth,
-        value_per_work: info.counted_by == "work",
-        total_value_weight: info.goal.whole,
-        prices: Prices { cross_zone: p.cross_zone, waste: p.waste, late_fail: p.late_fail, probe: p.probe },
-        list_on_request: info.discovery == "on_request",
-        max_list_age: seconds(r.must_ask_in_s),
-        drain_grace: seconds(r.drain_grace_s),
-        initial_capacity: r.cold_from,
-        warm_up_time: seconds(r.warm_within_s),
-        overload_multiple: r.fall_multiple,
-        overload_window: seconds(r.fall_s),
+        over_share_value: raw.over_share_worth,
+        value_per_work: raw.counted_by == "work",
+        total_value_weight: raw.goal.whole,
+        prices: Prices {
+            cross_zone: prices.cross_zone,
+            waste: prices.waste,
+            late_fail: prices.late_fail,
+            probe: prices.probe,
+        },
+        list_on_request: raw.discovery == "on_request",
+        max_list_age: seconds(rules.must_ask_in_s),
+        drain_grace: seconds(rules.drain_grace_s),
+        initial_capacity: rules.cold_from,
+        warm_up_time: seconds(rules.warm_within_s),
+        overload_multiple: rules.fall_multiple,
+        overload_window: seconds(rules.fall_s),
         cold_rate: None,
         cold_senders: 0,
         retry_ratio: None,
         max_saved_retries: None,
-        max_attempts: l.attempts_cap,
-        connect_timeout: seconds(l.connect_timeout_s),
-        may_cancel: l.may_cancel,
-        may_hedge: l.second_copies,
-        probes: l.probes,
-        max_retry_after: l.retry_after.then(|| seconds(l.max_retry_after_s)),
-        clients_mark_retries: info.clients.marks_retry,
-        key_affinity: info.family_info.warm_keys,
+        max_attempts: limits.attempts_cap,
+        connect_timeout: seconds(limits.connect_timeout_s),
+        may_cancel: limits.may_cancel,
+        may_hedge: limits.second_copies,
+        probes: limits.probes,
+        max_retry_after: limits.retry_after.then(|| seconds(limits.max_retry_after_s)),
+        clients_mark_retries: raw.clients.marks_retry,
+        key_affinity: raw.family_info.warm_keys,
     })
 }
 
-fn class(c: &InfoClass) -> Result<Class, String> {
+fn class(c: &RawClass) -> Result<Class, String> {
     let group = match c.dedup_scope.as_str() {
         "all" | "" => DedupGroup::All,
         "zone" => DedupGroup::Zone,
@@ -350,26 +355,26 @@
     use super::*;
     use serde_json::{json, Value};
 
-    fn good() -> Value {
+    fn valid() -> Value {
         json!({"areas": ["a"], "rules": {"cold_from": 0.3}, "limits": {"attempts_cap": 3}, "classes": [
             {"name": "a", "aim_s": 0.5, "deadline_s": 2.0, "effect": "repeatable"},
             {"name": "b", "aim_s": 0.5, "deadline_s": 2.0, "effect": "by_key", "key_ttl_s": 30.0}]})
     }
 
     fn changed(path: &str, to: Option<Value>) -> Value {
-        let mut value = good();
+        let mut value = valid();
         let (parent, key) = path.rsplit_once('/').expect("a path");
         let parent = value.pointer_mut(parent).expect("there");
         match (to, parent) {
             (Some(to), parent) => parent[key] = to,
             (None, Value::Object(o)) => drop(o.remove(key)),
-            (None, _) => unreachable!("only keys are taken away"),
+            (None, _) => unreachable!("only keys are removed"),
         }
         value
     }
 
     #[test]
-    fn each_fault_is_told_by_its_key() {
+    fn each_error_names_its_key() {
         let cases = [
             ("/classes", Some(json!([])), "settings.classes:"),
             ("/classes", Some(json!({})), "settings.classes:"),
@@ -393,22 +398,22 @@
             ("/family_info", Some(json!({"warm_keys": "yes"})), "settings.family_info.warm_keys:"),
         ];
         for (path, to, key) in cases {
-            let why = check(&changed(path, to.clone()), Some(&good())).expect_err(path);
+            let why = check(&changed(path, to.clone()), Some(&valid())).expect_err(path);
             assert!(why.starts_with(key), "{path} {to:?}: {why}");
         }
-        assert_eq!(check(&good(), Some(&good())), Ok(()));
-        assert_eq!(check(&good(), None), Ok(()));
+        assert_eq!(check(&valid(), Some(&valid())), Ok(()));
+        assert_eq!(check(&valid(), None), Ok(()));
     }
 
     #[test]
-    fn what_is_not_stated_is_as_before() {
+    fn optional_keys_have_defaults() {
         let stated =
-            |info: Value| read_value(changed("/family_info", Some(info))).expect("good").0.key_affinity;
-        assert!(!read_value(good()).expect("good").0.key_affinity);
+            |raw: Value| read_value(changed("/family_info", Some(raw))).expect("good").0.key_affinity;
+        assert!(!read_value(valid()).expect("good").0.key_affinity);
         assert_eq!(
-            read_value(good()).expect("good").0.total_value_weight,
+            read_value(valid()).expect("good").0.total_value_weight,
             1.0,
-            "all of the result, unless stated"
+            "the total value alone, unless stated"
         );
         assert!(
             !stated(json!({})) && !stated(json!({"warm_keys": false})) && stated(json!({"warm_keys": true}))
@@ -416,8 +421,8 @@
     }
 
     #[test]
-    fn a_key_that_only_some_classes_had_may_be_missing_in_a_new_one() {
+    fn a_key_that_only_some_classes_have_may_be_missing_in_a_new_one() {
         let class = json!({"name": "c", "aim_s": 1, "deadline_s": 3, "effect": "once"});
-        assert_eq!(check(&changed("/classes", Some(json!([class]))), Some(&good())), Ok(()));
+        assert_eq!(check(&changed("/classes", Some(json!([class]))), Some(&valid())), Ok(()));
     }
 }
--- a/crates/balancer/settings/src/migrate.rs
+++ b/crates/balancer/settings/src/migrate.rs
@@ -1,13 +1,13 @@
-//! Turns a configuration for the old shape of deployment into its counterpart for the new one: the list comes by itself, a pool
-//! of sidecars stands before the upstreams, listed sizes move with load. It says what it changed and what it could not carry
-//! over, and decides nothing that a file does not say.
+//! Migrates a configuration file from the old kind of deployment to the new one, where the list is pushed, a pool of
+//! sidecars is in front of the upstreams, and listed sizes change with load. It reports what it changed and what it could
+//! not carry over, and makes no choices that the file does not state.
 use serde_json::{json, Map, Value};
 
-/// The keys that a configuration has.
-const FILE: &[&str] =
+/// Keys of a configuration file.
+const FILE_KEYS: &[&str] =
     &["name", "listen", "discovery", "management", "admin", "seed", "limits", "known", "settings"];
-/// The keys that the platform's settings object has; those that no decision reads are carried all the same.
-const SETTINGS: &[&str] = &[
+/// Keys of the platform's settings object. Those that this program does not use are carried over too.
+const SETTINGS_KEYS: &[&str] = &[
     "areas",
     "balancers",
     "classes",
@@ -32,59 +32,59 @@
     "weights",
 ];
 
-fn known_only(object: &Map<String, Value>, at: &str, known: &[&str]) -> Result<(), String> {
-    let odd = object.keys().find(|key| !known.contains(&key.as_str()));
-    odd.map_or(Ok(()), |key| Err(format!("{at}{key}: it is not known here: mend its name, or take it out")))
+fn check_known_keys(object: &Map<String, Value>, at: &str, known: &[&str]) -> Result<(), String> {
+    let unknown = object.keys().find(|key| !known.contains(&key.as_str()));
+    unknown.map_or(Ok(()), |key| Err(format!("{at}{key}: unknown key: correct its name or remove it")))
 }
 
-/// What the old file cannot tell of the new deployment.
+/// What the old file does not state about the new deployment.
 #[derive(Clone, Debug, Default)]
 pub struct Target {
-    /// How many sidecars the pool has.
+    /// Number of sidecars in the pool.
     pub sidecars: Option<u32>,
-    /// This sidecar's number among them, from 0.
+    /// Index of this sidecar among them, from 0.
     pub number: Option<u32>,
-    /// Where the front reaches this sidecar.
+    /// Address at which this sidecar is reached.
     pub listen: Option<String>,
-    /// Where the list of upstreams comes from.
+    /// Address from which the list of upstreams is fetched.
     pub discovery: Option<String>,
-    /// The zones, this sidecar's first.
+    /// The zones, that of this sidecar first.
     pub zones: Vec<String>,
-    /// Upstreams do less work for a subject that they met lately; `None`: as the old file says.
+    /// Upstreams do less work for keys that they served recently; `None`: as in the old file.
     pub warm_keys: Option<bool>,
 }
 
-/// A new file, and what its operator should know.
+/// A migrated file, with notes for its operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Migrated {
     /// The new configuration.
     pub file: Value,
-    /// Each key that was changed, with what it was and is.
+    /// Each changed key, with its old and new value.
     pub changed: Vec<String>,
-    /// Each key that could not be carried over, with why, and what to do.
+    /// Each key that could not be carried over or needs a review, with the reason and what to do.
     pub left: Vec<String>,
 }
 
-/// The counterpart of an old configuration; the error names the key and its mend.
+/// Migrates an old configuration. The error names the key and its correction.
 pub fn migrate(old: &Value, target: &Target) -> Result<Migrated, String> {
-    let mut file = old.as_object().ok_or("the file: it is no JSON object")?.clone();
-    let settings = file.get("settings").ok_or("settings: it is missing")?;
+    let mut file = old.as_object().ok_or("the file: is not a JSON object")?.clone();
+    let settings = file.get("settings").ok_or("settings: is missing")?;
     crate::check(settings, None)?;
-    let mut settings = settings.as_object().ok_or("settings: it is no object")?.clone();
-    // A key that nobody knows is a slip of the pen, or of a newer form than this program's: no counterpart can be given.
-    known_only(&file, "", FILE)?;
-    known_only(&settings, "settings.", SETTINGS)?;
+    let mut settings = settings.as_object().ok_or("settings: is not an object")?.clone();
+    // An unknown key is a typing error or belongs to a newer version than this program, so it can't be migrated.
+    check_known_keys(&file, "", FILE_KEYS)?;
+    check_known_keys(&settings, "settings.", SETTINGS_KEYS)?;
     let (mut changed, mut left) = (Vec::new(), Vec::new());
     if settings.get("discovery").and_then(Value::as_str) == Some("pushed") {
-        return Err("settings.discovery: it is \"pushed\" already: this file has the new shape".into());
+        return Err("settings.discovery: is \"pushed\" already: this file has been migrated".into());
     }
-    let numbers = |settings: &Map<String, Value>, key: &str| settings.get(key).and_then(Value::as_u64);
-    let sidecars = target.sidecars.map(u64::from).or(numbers(&settings, "balancers"));
-    let number = target.number.map(u64::from).or(numbers(&settings, "me"));
+    let number_at = |settings: &Map<String, Value>, key: &str| settings.get(key).and_then(Value::as_u64);
+    let sidecars = target.sidecars.map(u64::from).or(number_at(&settings, "balancers"));
+    let number = target.number.map(u64::from).or(number_at(&settings, "me"));
     if let (Some(of), Some(me)) = (sidecars, number) {
         if me >= of {
             return Err(format!(
-                "settings.me: {me} is not below the {of} sidecars: give --number and --sidecars"
+                "settings.me: {me} is not less than the number of sidecars, {of}: give --number and --sidecars"
             ));
         }
     }
@@ -105,55 +105,56 @@
     match target.sidecars {
         Some(n) => set(&mut settings, "settings.", "balancers", json!(n)),
         None => left.push(
-            "settings.balancers: how many sidecars the pool has is not in the file; as it was (--sidecars)"
+            "settings.balancers: the file does not state the number of sidecars in the pool; unchanged (--sidecars)"
                 .into(),
         ),
     }
     match target.number {
         Some(n) => set(&mut settings, "settings.", "me", json!(n)),
         None => left.push(
-            "settings.me: a number beside one client says nothing of the pool; as it was (--number)".into(),
+            "settings.me: the old index says nothing about the place in the pool; unchanged (--number)"
+                .into(),
         ),
     }
     if target.zones.is_empty() {
-        left.push("settings.areas: the new deployment's zones are not in the file; as they were (--zone, own one first)".into());
+        left.push("settings.areas: the file does not state the zones of the new deployment; unchanged (--zone, own zone first)".into());
     } else {
         set(&mut settings, "settings.", "areas", json!(target.zones));
         set(&mut settings, "settings.", "my_zone", json!(0));
     }
     if settings.get("rules").and_then(|r| r.get("must_ask_in_s")).is_some() {
-        left.push(
-            "settings.rules.must_ask_in_s: nothing is asked for where the list is pushed; kept, not used"
-                .into(),
-        );
+        left.push("settings.rules.must_ask_in_s: has no effect where the list is pushed; kept".into());
     }
     let prices = settings.get("prices").and_then(|p| p.get("cross_zone"));
     if prices.is_none() {
-        left.push("settings.prices.cross_zone: the old file has no price for crossings: add it, or crossings are free".into());
+        left.push(
+            "settings.prices.cross_zone: is missing: add it, or attempts in another zone cost nothing".into(),
+        );
     }
     if settings.get("tenants").and_then(Value::as_array).is_none_or(Vec::is_empty) {
-        left.push("settings.tenants: the old file names none: add them with their shares".into());
+        left.push("settings.tenants: there are none: add them with their shares".into());
     }
-    left.push("settings.classes: carried as they are; aims, deadlines and effects are the old deployment's: compare each".into());
+    left.push("settings.classes: unchanged; check the latency targets, deadlines and effects, which are those of the old deployment".into());
     file.insert("settings".into(), Value::Object(settings));
     match &target.listen {
         Some(at) => set(&mut file, "", "listen", json!(at)),
         None if file.get("listen").and_then(Value::as_str).is_some_and(is_loopback) => left.push(
-            "listen: a loopback address is reached by one client process alone; the front needs another (--listen)".into(),
+            "listen: a loopback address is not reachable from other machines; give another (--listen)".into(),
         ),
         None => {}
     }
     match &target.discovery {
         Some(at) => set(&mut file, "", "discovery", json!(at)),
         None => left.push(
-            "discovery: the new deployment's address is not in the file; as it was (--discovery)".into(),
+            "discovery: the file does not state the address in the new deployment; unchanged (--discovery)"
+                .into(),
         ),
     }
-    // Upstreams of another fleet would get the first requests, and their names bring nothing.
+    // Otherwise the first requests would be sent to the upstreams of the old deployment.
     let empty = json!({"seq": 0, "whole": true, "hosts": []});
     let hosts = file.get("known").and_then(|k| k.get("hosts")).and_then(Value::as_array).map_or(0, Vec::len);
     if hosts > 0 {
-        left.push(format!("known: its {hosts} upstreams are the old deployment's; emptied: healthz says no until the list has come"));
+        left.push(format!("known: its {hosts} upstreams belong to the old deployment; emptied: /healthz reports not ready until the list is received"));
     }
     set(&mut file, "", "known", empty);
     let file = Value::Object(file);
@@ -182,7 +183,7 @@
     }
 
     #[test]
-    fn the_counterpart_is_of_the_new_shape_and_keeps_the_rest() {
+    fn a_migrated_file_has_the_new_values_and_keeps_the_rest() {
         let target = Target {
             sidecars: Some(22),
             number: Some(7),
@@ -222,7 +223,7 @@
     }
 
     #[test]
-    fn what_the_file_cannot_tell_is_listed_and_left_as_it_was() {
+    fn keys_that_the_file_cannot_determine_are_reported_and_unchanged() {
         let new = migrate(&old(), &Target::default()).expect("good");
         for key in ["listen", "discovery", "settings.areas", "settings.me", "settings.balancers"] {
             assert!(new.left.iter().any(|l| l.starts_with(&format!("{key}:"))), "{key}: {:?}", new.left);
@@ -233,22 +234,21 @@
     }
 
     #[test]
-    fn what_is_wrong_is_told_by_its_key() {
-        let told = |change: &dyn Fn(&mut Value), target: &Target| {
+    fn each_error_names_its_key() {
+        let error_of = |change: &dyn Fn(&mut Value), target: &Target| {
             let mut file = old();
             change(&mut file);
             migrate(&file, target).expect_err("refused")
         };
         let none = Target::default();
-        assert!(
-            told(&|f| f["settings"]["discovery"] = json!("pushed"), &none).starts_with("settings.discovery:")
-        );
-        assert!(told(&|f| f["settings"]["classes"] = json!([]), &none).starts_with("settings.classes:"));
-        assert!(told(&|f| f["lissten"] = json!("x"), &none).starts_with("lissten:"));
-        assert!(told(&|f| f["settings"]["wieghts"] = json!("x"), &none).starts_with("settings.wieghts:"));
-        assert!(told(&|f| *f = json!([]), &none).starts_with("the file:"));
-        assert!(told(&|f| *f = json!({}), &none).starts_with("settings:"));
+        assert!(error_of(&|f| f["settings"]["discovery"] = json!("pushed"), &none)
+            .starts_with("settings.discovery:"));
+        assert!(error_of(&|f| f["settings"]["classes"] = json!([]), &none).starts_with("settings.classes:"));
+        assert!(error_of(&|f| f["lissten"] = json!("x"), &none).starts_with("lissten:"));
+        assert!(error_of(&|f| f["settings"]["wieghts"] = json!("x"), &none).starts_with("settings.wieghts:"));
+        assert!(error_of(&|f| *f = json!([]), &none).starts_with("the file:"));
+        assert!(error_of(&|f| *f = json!({}), &none).starts_with("settings:"));
         let few = Target { sidecars: Some(1), ..Target::default() };
-        assert!(told(&|_| {}, &few).starts_with("settings.me:"));
+        assert!(error_of(&|_| {}, &few).starts_with("settings.me:"));
     }
 }
