--- a/crates/balancer/net/src/http.rs
+++ b/crates/balancer/net/src/http.rs
@@ -1,52 +1,52 @@
-//! HTTP/1.1 heads, framing and answers, in both directions. Knows no service and no socket.
+//! HTTP/1.1 heads, framing and responses, for both directions. Independent of services and sockets.
 use crate::buffers::{Buffer, MAX_BODY, MAX_HEAD};
 use httparse::{Header, Status, EMPTY_HEADER};
 use std::ops::Range;
 
-/// The largest body that is carried as a stream.
+/// Maximum bytes of a body that is streamed.
 pub const MAX_STREAMED_BODY: usize = 34 << 20;
-/// More header lines than this are too many.
+/// Maximum number of header lines.
 pub const MAX_HEADERS: usize = 64;
 
-/// How large a message may be.
+/// Size limits of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of its head, the blank line included. How many lines it may have is told by the room given for them.
+    /// Bytes of its head, the blank line included. The number of header lines is limited by the slots passed for them.
     pub head: usize,
-    /// Bytes of its body, where it states a length.
+    /// Bytes of its body, if it states a length.
     pub body: usize,
 }
 
 impl Default for Limits {
-    /// What fits the buffers of this package, and what is carried as a stream by them.
+    /// The maximum sizes of a head in a buffer of this package and of a streamed body.
     fn default() -> Self {
         Limits { head: MAX_HEAD, body: MAX_STREAMED_BODY }
     }
 }
 
-/// What is wrong with a message.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// Not to be understood; what was wrong.
+    /// It can't be parsed; what is wrong.
     Malformed(&'static str),
     /// Its head is too large.
     HeadTooLarge,
     /// Its body is too large.
     BodyTooLarge,
-    /// Its correlation id is that of a request that is open.
+    /// Its correlation id is that of an open request.
     IdInUse,
-    /// Its sender is too many requests ahead of the answers.
+    /// Its sender has pipelined too many requests.
     TooManyAhead,
 }
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// It has so many bytes.
+    /// It has this many bytes.
     Length(usize),
-    /// It comes in chunks.
+    /// It is sent in chunks.
     Chunked,
-    /// It ends with the connection (answers only).
+    /// It ends when the connection closes (responses only).
     UntilClose,
 }
 
@@ -54,12 +54,12 @@
 pub struct Headers<'h, 'b>(&'h [Header<'b>]);
 
 impl<'b> Headers<'_, 'b> {
-    /// The values of all lines of a name.
+    /// The values of all lines with a name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'b [u8]> + 'a {
         self.0.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
     }
 
-    /// The value of the only line of a name: two lines could be read in two ways.
+    /// The value of the only line with a name. Several lines are an error, since they are ambiguous.
     pub fn one(&self, name: &str) -> Result<Option<&'b str>, MessageError> {
         let mut all = self.all(name);
         let Some(value) = all.next() else { return Ok(None) };
@@ -70,15 +70,15 @@
         Ok(Some(text.trim()))
     }
 
-    /// Whether a list-valued header holds a word.
+    /// Whether a list-valued header contains a token.
     pub fn has_token(&self, name: &str, word: &str) -> bool {
         self.all(name)
             .any(|v| v.split(|b| *b == b',').any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes())))
     }
 
-    /// Append the lines that concern both ends, less those in `less`.
-    pub fn forward(&self, out: &mut Vec<u8>, less: &[&str]) {
-        const HOP: [&str; 10] = [
+    /// Appends the end-to-end header lines, except those in `excluded`.
+    pub fn forward(&self, out: &mut Vec<u8>, excluded: &[&str]) {
+        const HOP_BY_HOP: [&str; 10] = [
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -92,7 +92,10 @@
         ];
         for h in self.0 {
             let named = |n: &&str| h.name.eq_ignore_ascii_case(n);
-            if !HOP.iter().any(named) && !less.iter().any(named) && !self.has_token("connection", h.name) {
+            if !HOP_BY_HOP.iter().any(named)
+                && !excluded.iter().any(named)
+                && !self.has_token("connection", h.name)
+            {
                 for part in [h.name.as_bytes(), b": ", h.value, b"\r\n"] {
                     out.extend_from_slice(part);
                 }
@@ -100,10 +103,10 @@
         }
     }
 
-    fn framing(&self, largest: usize) -> Result<Option<Framing>, MessageError> {
+    fn framing(&self, max_body: usize) -> Result<Option<Framing>, MessageError> {
         let length = self.one("content-length")?;
         match self.one("transfer-encoding")? {
-            // Both: two readers could see two different messages in it.
+            // Two readers could interpret it as two different messages (request smuggling).
             Some(_) if length.is_some() => {
                 Err(MessageError::Malformed("both a length and a transfer coding"))
             }
@@ -114,9 +117,9 @@
                 Some(n) if n.is_empty() || !n.bytes().all(|b| b.is_ascii_digit()) => {
                     Err(MessageError::Malformed("a length that is no number"))
                 }
-                // Digits only, so what does not fit is large.
+                // It has only digits, so a number that can't be parsed is too large.
                 Some(n) => match n.parse::<usize>() {
-                    Ok(n) if n <= largest => Ok(Some(Framing::Length(n))),
+                    Ok(n) if n <= max_body => Ok(Some(Framing::Length(n))),
                     _ => Err(MessageError::BodyTooLarge),
                 },
             },
@@ -143,13 +146,13 @@
     pub headers: Headers<'h, 'b>,
     /// How its body is framed.
     pub framing: Framing,
-    /// Whether the connection may carry another one.
+    /// Whether the connection may carry another request.
     pub keep_alive: bool,
-    /// HTTP/1.0: it understands no chunks.
+    /// The client uses HTTP/1.0 and does not support chunks.
     pub is_http10: bool,
 }
 
-/// Room for the header lines of one head.
+/// Slots for the header lines of a head.
 pub fn empty_headers<'b>() -> [Header<'b>; MAX_HEADERS] {
     [EMPTY_HEADER; MAX_HEADERS]
 }
@@ -161,35 +164,35 @@
     }
 }
 
-fn complete(
+fn head_length(
     parsed: Result<Status<usize>, httparse::Error>,
     bytes: &[u8],
-    most: usize,
+    max_head: usize,
 ) -> Result<Option<usize>, MessageError> {
     match parsed.map_err(head_error)? {
-        Status::Complete(n) if n > most => Err(MessageError::HeadTooLarge),
+        Status::Complete(n) if n > max_head => Err(MessageError::HeadTooLarge),
         Status::Complete(n) => Ok(Some(n)),
-        Status::Partial if bytes.len() >= most => Err(MessageError::HeadTooLarge),
+        Status::Partial if bytes.len() >= max_head => Err(MessageError::HeadTooLarge),
         Status::Partial => Ok(None),
     }
 }
 
-/// The head of a request at the start of `bytes`; `None` while it is not whole.
+/// Parses the head of a request at the start of `bytes`; `None` while it is incomplete.
 pub fn request_head<'h, 'b>(
     bytes: &'b [u8],
-    lines: &'h mut [Header<'b>],
+    header_slots: &'h mut [Header<'b>],
 ) -> Result<Option<RequestHead<'h, 'b>>, MessageError> {
-    request_head_within(bytes, lines, Limits::default())
+    request_head_within(bytes, header_slots, Limits::default())
 }
 
-/// The same, within limits of the caller's.
+/// Parses the head of a request as [`request_head`] does, within the given limits.
 pub fn request_head_within<'h, 'b>(
     bytes: &'b [u8],
-    lines: &'h mut [Header<'b>],
+    header_slots: &'h mut [Header<'b>],
     limits: Limits,
 ) -> Result<Option<RequestHead<'h, 'b>>, MessageError> {
-    let mut request = httparse::Request::new(lines);
-    let Some(len) = complete(request.parse(bytes), bytes, limits.head)? else { return Ok(None) };
+    let mut request = httparse::Request::new(header_slots);
+    let Some(len) = head_length(request.parse(bytes), bytes, limits.head)? else { return Ok(None) };
     let (method, target, version) = (request.method, request.path, request.version);
     let headers = Headers(request.headers);
     let framing = headers.framing(limits.body)?.unwrap_or(Framing::Length(0));
@@ -204,7 +207,7 @@
     Ok(Some(RequestHead { len, method, target, headers, framing, keep_alive, is_http10 }))
 }
 
-/// The head of an answer.
+/// The head of a response.
 pub struct ResponseHead<'h, 'b> {
     /// Its bytes, the blank line included.
     pub len: usize,
@@ -218,24 +221,24 @@
     pub keep_alive: bool,
 }
 
-/// The head of an answer at the start of `bytes`; `None` while it is not whole.
+/// Parses the head of a response at the start of `bytes`; `None` while it is incomplete.
 pub fn response_head<'h, 'b>(
     bytes: &'b [u8],
-    lines: &'h mut [Header<'b>],
+    header_slots: &'h mut [Header<'b>],
 ) -> Result<Option<ResponseHead<'h, 'b>>, MessageError> {
-    response_head_within(bytes, lines, Limits::default())
+    response_head_within(bytes, header_slots, Limits::default())
 }
 
-/// The same, within limits of the caller's.
+/// Parses the head of a response as [`response_head`] does, within the given limits.
 pub fn response_head_within<'h, 'b>(
     bytes: &'b [u8],
-    lines: &'h mut [Header<'b>],
+    header_slots: &'h mut [Header<'b>],
     limits: Limits,
 ) -> Result<Option<ResponseHead<'h, 'b>>, MessageError> {
-    let mut answer = httparse::Response::new(lines);
-    let Some(len) = complete(answer.parse(bytes), bytes, limits.head)? else { return Ok(None) };
-    let (status, version) = (answer.code.unwrap_or(0), answer.version);
-    let headers = Headers(answer.headers);
+    let mut response = httparse::Response::new(header_slots);
+    let Some(len) = head_length(response.parse(bytes), bytes, limits.head)? else { return Ok(None) };
+    let (status, version) = (response.code.unwrap_or(0), response.version);
+    let headers = Headers(response.headers);
     let framing = match status {
         100..=199 | 204 | 304 => Framing::Length(0),
         _ => headers.framing(limits.body)?.unwrap_or(Framing::UntilClose),
@@ -244,16 +247,16 @@
     Ok(Some(ResponseHead { len, status, headers, framing, keep_alive }))
 }
 
-/// Where a whole body lies.
+/// The position of a complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Body {
     /// Its parts, in order.
     pub parts: Vec<Range<usize>>,
-    /// Where the message ends.
+    /// End of the message.
     pub end: usize,
 }
 
-/// Path and query of a target that names its origin too.
+/// Path and query of a request target, which may be in absolute form.
 pub fn origin_form(target: &str) -> &str {
     let Some((scheme, rest)) = target.split_once("://") else { return target };
     if !scheme.eq_ignore_ascii_case("http") {
@@ -262,19 +265,20 @@
     rest.find('/').map_or("/", |at| &rest[at..])
 }
 
-/// Find the body that starts at `from`, 64 KiB of it at most; `None` while it is not whole. `closed`: nothing more will come.
+/// Finds the body that starts at `from`, of at most [`MAX_BODY`] bytes; `None` while it is incomplete. `closed`: no more
+/// bytes will be received.
 pub fn body(bytes: &[u8], from: usize, framing: Framing, closed: bool) -> Result<Option<Body>, MessageError> {
     let part = |end| Body { parts: std::iter::once(from..end).collect(), end };
     match framing {
         Framing::Length(n) if n > MAX_BODY => Err(MessageError::BodyTooLarge),
         Framing::Length(n) => Ok((bytes.len() - from >= n).then(|| part(from + n))),
-        Framing::Chunked => chunks(bytes, from),
+        Framing::Chunked => find_chunks(bytes, from),
         Framing::UntilClose if bytes.len() - from > MAX_BODY => Err(MessageError::BodyTooLarge),
         Framing::UntilClose => Ok(closed.then(|| part(bytes.len()))),
     }
 }
 
-fn chunks(bytes: &[u8], from: usize) -> Result<Option<Body>, MessageError> {
+fn find_chunks(bytes: &[u8], from: usize) -> Result<Option<Body>, MessageError> {
     let (mut at, mut total, mut parts) = (from, 0, Vec::new());
     loop {
         let size = httparse::parse_chunk_size(&bytes[at..])
@@ -296,16 +300,16 @@
         }
         at = end + 2;
     }
-    // Trailers are read over.
+    // Trailers are skipped.
     match httparse::parse_headers(&bytes[at..], &mut empty_headers()).map_err(head_error)? {
         Status::Complete((n, _)) => Ok(Some(Body { parts, end: at + n })),
         Status::Partial => Ok(None),
     }
 }
 
-/// Make one chunk of the whole ones that start at `from`, if there are so many: a body in very many small chunks then
-/// takes little more room than its bytes, and is not read over from its start with each that comes.
-pub fn merge_chunks(buffer: &mut Buffer, from: usize, least: usize) {
+/// Merges the complete chunks that start at `from` into one, if there are at least `min_chunks`. A body in very many small
+/// chunks then takes little more space than its bytes and is not parsed again from its start for each chunk.
+pub fn merge_chunks(buffer: &mut Buffer, from: usize, min_chunks: usize) {
     let bytes = buffer.filled();
     let (mut at, mut total, mut parts) = (from, 0, Vec::new());
     while let Ok(Status::Complete((line, size))) =
@@ -320,7 +324,7 @@
         at = data.end + 2;
         parts.push(data);
     }
-    if parts.len() >= least.max(2) {
+    if parts.len() >= min_chunks.max(2) {
         let mut merged = format!("{total:x}\r\n").into_bytes();
         parts.into_iter().for_each(|p| merged.extend_from_slice(&bytes[p]));
         merged.extend_from_slice(b"\r\n");
@@ -329,10 +333,10 @@
     }
 }
 
-/// So many whole chunks are merged while more are awaited.
+/// Number of complete chunks from which they are merged while more are expected.
 pub const MIN_CHUNKS_TO_MERGE: usize = 64;
 
-/// What goes with a status in an answer.
+/// The reason phrase of a status.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -350,7 +354,7 @@
     }
 }
 
-/// Append an answer; `false`, and nothing appended, if it does not fit. `lines` are further header lines.
+/// Appends a response; if it does not fit, appends nothing and returns `false`. `lines` are further header lines.
 #[must_use]
 pub fn write_response(out: &mut Buffer, status: u16, lines: &[u8], parts: &[&[u8]], close: bool) -> bool {
     let length: usize = parts.iter().map(|p| p.len()).sum();
@@ -399,7 +403,7 @@
     }
 
     #[test]
-    fn a_head_may_come_in_parts_but_not_without_end() {
+    fn a_head_may_be_incomplete_but_not_too_large() {
         assert_eq!(framing_of("GET / HTTP/1.1\r\nHost: a\r\n"), Ok(None));
         let long = format!("GET / HTTP/1.1\r\nX-Long: {}", "a".repeat(MAX_HEAD));
         assert_eq!(framing_of(&long), Err(MessageError::HeadTooLarge));
@@ -410,7 +414,7 @@
     }
 
     #[test]
-    fn other_limits_hold_where_they_are_given() {
+    fn given_limits_apply() {
         let limits = Limits { head: MAX_HEAD + 4096, body: 2 * MAX_STREAMED_BODY };
         let most = limits.head - "GET / HTTP/1.1\r\nX: \r\n\r\n".len();
         let read = |text: &str| {
@@ -429,7 +433,7 @@
     }
 
     #[test]
-    fn a_target_may_name_its_origin() {
+    fn a_target_may_be_in_absolute_form() {
         let cases = [
             ("/api?x=1", "/api?x=1"),
             ("http://a:1/api?x=1", "/api?x=1"),
@@ -440,12 +444,12 @@
     }
 
     #[test]
-    fn what_is_larger_than_a_buffer_is_not_found_whole() {
+    fn a_body_larger_than_a_buffer_is_an_error() {
         assert_eq!(body(b"", 0, Framing::Length(MAX_BODY + 1), false), Err(MessageError::BodyTooLarge));
     }
 
     #[test]
-    fn chunks_are_found_whole_at_any_cut() {
+    fn chunks_are_found_once_they_are_complete() {
         let text = b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\nGET";
         let whole = body(text, 0, Framing::Chunked, false).expect("well-formed").expect("whole");
         let read: Vec<u8> = whole.parts.iter().flat_map(|p| text[p.clone()].to_vec()).collect();
@@ -459,11 +463,11 @@
     }
 
     #[test]
-    fn merged_chunks_hold_the_same_bytes_in_less_room() {
+    fn merged_chunks_hold_the_same_bytes_in_less_space() {
         let mut buffer = crate::buffers::Pool::new(0).take().expect("room");
         assert!(buffer.append(b"HEAD1\r\na\r\n1\r\nb\r\n2;x\r\ncd\r\n3\r\nef"));
         merge_chunks(&mut buffer, 4, 4);
-        assert_eq!(buffer.filled().len(), 4 + 6 + 6 + 9 + 5, "three are not four");
+        assert_eq!(buffer.filled().len(), 4 + 6 + 6 + 9 + 5, "three chunks are fewer than four");
         merge_chunks(&mut buffer, 4, 3);
         assert_eq!(buffer.filled(), b"HEAD4\r\nabcd\r\n3\r\nef");
         merge_chunks(&mut buffer, 4, 2);
@@ -471,7 +475,7 @@
         let whole = body(buffer.filled(), 4, Framing::Chunked, false).expect("well-formed").expect("whole");
         let read: Vec<u8> = whole.parts.iter().flat_map(|p| buffer.filled()[p.clone()].to_vec()).collect();
         assert_eq!(read, b"abcdefg");
-        // What is malformed is left for the reader to find.
+        // Malformed chunks are left for the parser to report.
         let mut buffer = crate::buffers::Pool::new(0).take().expect("room");
         assert!(buffer.append(b"1\r\na\r\n1\r\nbX1\r\n"));
         merge_chunks(&mut buffer, 0, 2);
@@ -481,18 +485,18 @@
     #[test]
     fn a_body_without_length_ends_with_the_connection() {
         let text = b"HTTP/1.1 200 OK\r\n\r\nabc";
-        let mut room = empty_headers();
-        let head = response_head(text, &mut room).expect("well-formed").expect("whole");
+        let mut slots = empty_headers();
+        let head = response_head(text, &mut slots).expect("well-formed").expect("whole");
         assert_eq!((head.framing, head.keep_alive), (Framing::UntilClose, false));
         assert_eq!(body(text, head.len, head.framing, false), Ok(None));
         assert_eq!(body(text, head.len, head.framing, true).map(|b| b.map(|b| b.end)), Ok(Some(text.len())));
     }
 
     #[test]
-    fn what_concerns_one_hop_is_not_forwarded() {
+    fn hop_by_hop_headers_are_not_forwarded() {
         let text = b"GET / HTTP/1.1\r\nA: 1\r\nConnection: close, B\r\nB: 2\r\nTE: x\r\nC: 3\r\n\r\n";
-        let mut room = empty_headers();
-        let head = request_head(text, &mut room).expect("well-formed").expect("whole");
+        let mut slots = empty_headers();
+        let head = request_head(text, &mut slots).expect("well-formed").expect("whole");
         let mut out = Vec::new();
         head.headers.forward(&mut out, &["c"]);
         assert_eq!(out, b"A: 1\r\n");
--- a/crates/balancer/net/src/lib.rs
+++ b/crates/balancer/net/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every part of silvercross on sockets shares, and no part of it decides: which sockets are watched
-//! ([`registry`], the one file with `unsafe`), tables whose handles go stale ([`table`]), buffers of one size
-//! ([`buffers`]) and HTTP/1.1 heads and framing ([`http`]). Knows no service, no request and no upstream; the sidecar and
-//! the emulator's sockets are built on it.
+//! Networking code that the programs with sockets share: polling ([`registry`], the only file with `unsafe`), writing
+//! without blocking ([`pending`]), tables with generational handles ([`table`]), buffers of a fixed size ([`buffers`]),
+//! HTTP/1.1 heads and framing ([`http`]) and streamed bodies ([`stream`]). It makes no decisions and knows no services,
+//! requests or upstreams.
 #![deny(unsafe_code)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
--- a/crates/balancer/net/src/pending.rs
+++ b/crates/balancer/net/src/pending.rs
@@ -1,15 +1,13 @@
-//! Bytes that wait for a stream to take them.
-//!
-//! Knows no message; what is queued is the caller's, and so is its bound.
+//! Non-blocking writes of queued bytes. The caller owns the queue and bounds it.
 use crate::registry::{Interest, Watched};
 use std::io::{self, Write};
 use std::net::TcpStream;
 
-/// Write as much of `pending` as the stream takes now, and watch the stream accordingly: for reading alone once all is written,
-/// for both while something is left.
+/// Writes as much of `pending` as the stream accepts now and sets the stream's interest: reading alone once everything is
+/// written, reading and writing otherwise.
 ///
 /// # Errors
-/// What the stream returns; that it is not connected yet, or can take no more now, is none.
+/// Any error of the stream, except that it is not connected yet or would block.
 pub fn write_pending(stream: &mut Watched<TcpStream>, pending: &mut Vec<u8>) -> io::Result<()> {
     while !pending.is_empty() {
         match stream.get().write(pending) {
--- a/crates/balancer/net/src/registry.rs
+++ b/crates/balancer/net/src/registry.rs
@@ -1,5 +1,5 @@
-//! Which sockets the poller watches. The one file with `unsafe`: polling v3 asks its caller to promise that a
-//! source is taken off the poller before it is closed, and [`Watched`] is that promise: it owns both ends of it.
+//! Registration of sockets with the poller. The only file with `unsafe`: polling v3 requires its caller to remove a source
+//! from the poller before the source is closed. [`Watched`] guarantees this, since it owns the source and the registration.
 #![allow(unsafe_code)]
 
 use polling::{Event, Events, PollMode, Poller};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The poller, shared by all it watches.
+/// The poller, shared by the sockets that it watches.
 #[derive(Clone)]
 pub struct Registry {
     poller: Arc<Poller>,
@@ -19,11 +19,11 @@
 pub enum Interest {
     /// Errors and hang-ups only.
     Nothing,
-    /// Bytes to read.
+    /// Readable.
     Read,
-    /// Room to write.
+    /// Writable.
     Write,
-    /// Both.
+    /// Readable or writable.
     Both,
 }
 
@@ -39,12 +39,12 @@
 }
 
 impl Registry {
-    /// A poller that watches nothing yet.
+    /// Creates a poller that watches no socket.
     pub fn new() -> io::Result<Self> {
         Ok(Registry { poller: Arc::new(Poller::new()?) })
     }
 
-    /// Wait for readiness, at most for `limit`; an interrupted wait is an empty one.
+    /// Waits for events, at most for `limit`; an interrupted wait returns none.
     pub fn wait(&self, events: &mut Events, limit: Option<Duration>) -> io::Result<()> {
         events.clear();
         match self.poller.wait(events, limit) {
@@ -53,21 +53,21 @@
         }
     }
 
-    /// Watch `source` under `key` for as long as the returned value lives.
+    /// Watches `source` under `key` until the returned value is dropped.
     pub fn watch<S: AsFd + AsRawFd>(
         &self,
         source: S,
         key: usize,
         interest: Interest,
     ) -> io::Result<Watched<S>> {
-        // SAFETY: the source moves into `Watched`, which never hands it out by value and takes it off the poller in
+        // SAFETY: the source moves into `Watched`, which never returns it by value and removes it from the poller in
         // its `drop`, before its field (and with it the descriptor) is dropped.
         unsafe { self.poller.add_with_mode(&source, interest.event(key), PollMode::Level)? };
         Ok(Watched { poller: self.poller.clone(), key, interest, source })
     }
 }
 
-/// A watched socket. Dropping it ends the watch, then closes the socket.
+/// A watched socket. Dropping it removes it from the poller, then closes it.
 pub struct Watched<S: AsFd> {
     poller: Arc<Poller>,
     key: usize,
@@ -81,7 +81,7 @@
         &self.source
     }
 
-    /// Watch for something else from now on; costs a system call only when it changes.
+    /// Changes the interest; makes a system call only if it differs.
     pub fn set(&mut self, interest: Interest) -> io::Result<()> {
         if self.interest != interest {
             self.poller.modify_with_mode(&self.source, interest.event(self.key), PollMode::Level)?;
@@ -93,7 +93,7 @@
 
 impl<S: AsFd> Drop for Watched<S> {
     fn drop(&mut self) {
-        // It fails only for a source that is not on the poller, and then there is nothing to undo.
+        // Fails only if the source is not registered, in which case there is nothing to undo.
         let _ = self.poller.delete(&self.source);
     }
 }
--- a/crates/balancer/net/src/table.rs
+++ b/crates/balancer/net/src/table.rs
@@ -1,7 +1,7 @@
-//! A slab whose handles go stale: a handle of something removed never finds what took its place.
+//! A slab with generational handles: the handle of a removed entry never finds the entry that took its place.
 use slab::Slab;
 
-/// Names one entry of a [`Table`] for as long as that entry lives.
+/// Identifies an entry of a [`Table`] until the entry is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Handle {
     index: u32,
@@ -9,24 +9,24 @@
 }
 
 impl Handle {
-    /// How many entries a table may hold, so that a handle fits in 52 bits, the width of a request's id.
+    /// Maximum number of entries of a table, so that a handle fits in 52 bits, the width of a request's id.
     pub const MAX_ENTRIES: usize = 1 << 20;
 
-    /// As one number, below 2^52.
+    /// The handle as a number less than 2^52.
     pub fn number(self) -> u64 {
         u64::from(self.generation) << 20 | u64::from(self.index)
     }
 
-    /// Back from [`Handle::number`].
+    /// The handle for a number from [`Handle::number`].
     pub fn from_number(n: u64) -> Self {
         Handle { index: (n & 0xf_ffff) as u32, generation: (n >> 20) as u32 }
     }
 }
 
-/// Entries under handles.
+/// A table of entries by handle.
 pub struct Table<T> {
     slab: Slab<(u32, T)>,
-    /// Never used twice for one index before it wraps, some four thousand million entries later.
+    /// Generation of the latest entry; repeats only after 2^32 entries.
     generation: u32,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl<T> Table<T> {
-    /// Add an entry made from its own handle; `None` when the table is full.
+    /// Adds an entry that is created from its own handle; `None` if the table is full.
     pub fn insert_with<E>(&mut self, make: impl FnOnce(Handle) -> Result<T, E>) -> Result<Option<Handle>, E> {
         if self.slab.len() >= Handle::MAX_ENTRIES {
             return Ok(None);
@@ -60,18 +60,18 @@
         self.slab.get(h.index as usize).filter(|e| e.0 == h.generation).map(|e| &e.1)
     }
 
-    /// Take the entry out; its handle is stale from now on.
+    /// Removes the entry; its handle is stale from then on.
     pub fn remove(&mut self, h: Handle) -> Option<T> {
         self.get(h)?;
         self.slab.try_remove(h.index as usize).map(|e| e.1)
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.slab.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.slab.is_empty()
     }
@@ -96,7 +96,7 @@
         let a = add(&mut t, 'a');
         assert_eq!(t.remove(a), Some('a'));
         let b = add(&mut t, 'b');
-        assert_eq!(a.index, b.index, "the slot is used again, or the test shows nothing");
+        assert_eq!(a.index, b.index, "the test needs the slot to be reused");
         assert_eq!(t.get(a), None);
         assert_eq!(t.get_mut(a), None);
         assert_eq!(t.remove(a), None);
@@ -104,7 +104,7 @@
     }
 
     #[test]
-    fn a_handle_survives_its_number() {
+    fn a_handle_is_restored_from_its_number() {
         let mut t = Table::default();
         let (a, b) = (add(&mut t, 'a'), add(&mut t, 'b'));
         for h in [a, b] {
@@ -115,7 +115,7 @@
     }
 
     #[test]
-    fn an_entry_that_could_not_be_made_leaves_no_trace() {
+    fn a_failed_insertion_adds_no_entry() {
         let mut t: Table<char> = Table::default();
         assert_eq!(t.insert_with(|_| Err("no")), Err("no"));
         assert!(t.is_empty());
