--- a/crates/balancer/gateway/src/offer.rs
+++ b/crates/balancer/gateway/src/offer.rs
@@ -1,69 +1,75 @@
-//! How much home can spare for the other side. Home's own traffic is not seen here; what is seen is how long the guests'
-//! requests take at home against what they usually take. Guests are to give way to any queue: the offer is halved at once
-//! when they turn late, and given back by a little while they are quick.
+//! How many requests of the other site the local site can accept. The local traffic is not visible here; the input is how long
+//! remote requests take at the local site compared with their usual time. Remote requests give way to any queue: the offer
+//! is halved at once when they become slow and grows in small steps while they are fast.
 use crate::statement::{Statement, MAX_SLOTS, MAX_VALIDITY};
 use silvercross_core::interface::Micros;
 
-/// Weight of an answer in how long guests take just now, and in what they usually take.
-const FAST: f64 = 0.04;
-const SLOW: f64 = 0.002;
-/// One guest tells of no more than so many times the usual: work has a heavy tail, and a single one is no queue.
-const SURPRISE: f64 = 4.0;
-/// Guests that take so many times the usual are in home's way; under the second there is room for more.
-const CROWDED: f64 = 1.6;
-const ROOMY: f64 = 1.25;
-/// Not halved again before the last halving can have shown.
-const HALVE_EVERY: Micros = 500_000;
-/// Grows by this share, one at least, in such steps, while so much of it is in use.
-const GROW: f64 = 0.1;
-const GROW_EVERY: Micros = 200_000;
-const IN_USE: f64 = 0.6;
-/// A guest that took more than this share of the time it had left found a queue, whatever is usual: what is usual may have been
-/// learnt from queues.
+/// Weight of a response in the moving average of the recent duration ratio.
+const RECENT_WEIGHT: f64 = 0.04;
+/// Weight of a response in the moving average of the usual duration ratio.
+const USUAL_WEIGHT: f64 = 0.002;
+/// A response counts as at most this multiple of the usual ratio: work has a heavy tail, and a single slow request does not
+/// indicate a queue.
+const MAX_RATIO: f64 = 4.0;
+/// The offer is halved if the recent ratio exceeds this multiple of the usual one.
+const SHRINK_ABOVE: f64 = 1.6;
+/// The offer may grow if the recent ratio is below this multiple of the usual one.
+const GROW_BELOW: f64 = 1.25;
+/// Minimum time between two halvings, so that the first one can take effect.
+const HALVE_INTERVAL: Micros = 500_000;
+/// Share by which the offer grows in one step, at least by one slot.
+const GROWTH: f64 = 0.1;
+/// Minimum time between two steps of growth.
+const GROW_INTERVAL: Micros = 200_000;
+/// The offer grows only while at least this share of it is in use.
+const MIN_USE: f64 = 0.6;
+/// A remote request that took more than this share of its remaining time counts as queued, whatever the usual ratio is, since
+/// that may have been measured under a queue.
 const SLOW_SHARE: f64 = 0.33;
-/// Crowded with a single guest, home takes none at all for so long, twice as long each time.
+/// Shortest and longest time without any slot after a halving below two slots; it doubles each time.
 const PAUSE: (Micros, Micros) = (1_000_000, 8_000_000);
-/// What the first answers say is not yet "usual": so many are simply averaged.
-const LEARN: f64 = 20.0;
+/// Number of responses before the usual ratio is used.
+const MIN_SEEN: f64 = 20.0;
 
-/// What an inward half keeps to.
+/// Limits of the offer.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The first offer of a life, and the least that is kept for finding out.
+    /// Slots offered after a start. Unless it is 0, at least one slot remains except during a pause, so that a recovery is
+    /// noticed.
     pub initial_slots: u32,
-    /// The most guests at a time, whatever there is room for.
+    /// Maximum number of slots.
     pub max_slots: u32,
-    /// How long a statement holds.
+    /// How long a statement is valid.
     pub validity: Micros,
 }
 
-/// How a guest's request ended at home.
+/// How a remote request ended at the local site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RemoteOutcome {
-    /// Served, within its time.
+    /// Served in time.
     Served,
-    /// Home turned it away, or had no time for it.
+    /// Rejected by the local site, or there was not enough time for it.
     Rejected,
-    /// It failed, or its time ran out.
+    /// It failed or timed out.
     Failed,
-    /// Its sender left.
+    /// Its sender disconnected.
     Disconnected,
 }
 
-/// The offer.
+/// The current offer.
 #[derive(Clone, Debug)]
 pub struct Offer {
     limits: Limits,
     incarnation: u64,
     seq: u64,
     slots: f64,
-    /// Guests at work.
+    /// Remote requests in flight.
     pub in_flight: u32,
-    /// Guests refused for want of room.
+    /// Number of remote requests refused because no slot was free.
     pub refused: u64,
     seen: f64,
     usual: f64,
-    lately: f64,
+    recent: f64,
     halved_at: Micros,
     grown_at: Micros,
     pause: Micros,
@@ -72,7 +78,7 @@
 }
 
 impl Offer {
-    /// A new life's first offer.
+    /// Creates the first offer of an incarnation.
     pub fn new(limits: Limits, incarnation: u64, now: Micros) -> Self {
         let max_slots = limits.max_slots.min(MAX_SLOTS);
         let limits = Limits {
@@ -89,8 +95,8 @@
             refused: 0,
             seen: 0.0,
             usual: 0.0,
-            lately: 0.0,
-            halved_at: now - HALVE_EVERY,
+            recent: 0.0,
+            halved_at: now - HALVE_INTERVAL,
             grown_at: now,
             pause: PAUSE.0,
             closed_until: now,
@@ -98,7 +104,7 @@
         }
     }
 
-    /// How many guests may be at work now.
+    /// Current maximum number of remote requests in flight.
     pub fn slots(&self, now: Micros) -> u32 {
         if self.draining || now < self.closed_until {
             0
@@ -107,12 +113,12 @@
         }
     }
 
-    /// Nothing new from the link from now on.
+    /// Accepts no further remote requests.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether one more guest may come in; it is at work then, until [`Offer::ended`].
+    /// Whether another remote request is accepted; if so, it is in flight until [`Offer::ended`].
     pub fn admit(&mut self, now: Micros) -> bool {
         if self.in_flight >= self.slots(now) {
             self.refused += 1;
@@ -122,55 +128,66 @@
         true
     }
 
-    /// A guest is done; `left`: the time it had when it came. `took` over `expected`: its work as its sender guessed it, or the same for all of a class.
-    pub fn ended(&mut self, now: Micros, how: RemoteOutcome, took: Micros, expected: f64, left: Micros) {
-        let used = f64::from(self.in_flight) >= IN_USE * self.slots;
+    /// A remote request has ended. `budget`: the time that it had left on arrival. `expected`: its duration as estimated by its
+    /// sender, or a value that is the same for its class.
+    pub fn ended(
+        &mut self,
+        now: Micros,
+        outcome: RemoteOutcome,
+        took: Micros,
+        expected: f64,
+        budget: Micros,
+    ) {
+        let is_used = f64::from(self.in_flight) >= MIN_USE * self.slots;
         self.in_flight = self.in_flight.saturating_sub(1);
-        let most = if self.seen < LEARN { f64::MAX } else { SURPRISE * self.usual };
-        let slow = took as f64 > SLOW_SHARE * left as f64;
-        let ratio = match how {
+        let max_ratio = if self.seen < MIN_SEEN { f64::MAX } else { MAX_RATIO * self.usual };
+        let is_slow = took as f64 > SLOW_SHARE * budget as f64;
+        let ratio = match outcome {
             RemoteOutcome::Disconnected => return,
-            RemoteOutcome::Served if slow && self.seen < LEARN => return self.halve(now),
-            RemoteOutcome::Served if slow => most,
-            // One that home could not serve in time took as long as counts.
-            RemoteOutcome::Rejected | RemoteOutcome::Failed if self.seen < LEARN => return self.halve(now),
-            RemoteOutcome::Rejected | RemoteOutcome::Failed => most,
-            RemoteOutcome::Served => (took.max(1) as f64 / expected.max(1.0)).min(most),
+            RemoteOutcome::Served if is_slow && self.seen < MIN_SEEN => return self.halve(now),
+            RemoteOutcome::Served if is_slow => max_ratio,
+            // A request that was not served in time counts with the maximum ratio.
+            RemoteOutcome::Rejected | RemoteOutcome::Failed if self.seen < MIN_SEEN => {
+                return self.halve(now)
+            }
+            RemoteOutcome::Rejected | RemoteOutcome::Failed => max_ratio,
+            RemoteOutcome::Served => (took.max(1) as f64 / expected.max(1.0)).min(max_ratio),
         };
         self.seen += 1.0;
-        let weight = |least: f64| (1.0 / self.seen).max(least);
-        let (fast, slow) = (weight(FAST), weight(SLOW));
-        self.lately += (ratio - self.lately) * fast;
-        // Falls quickly and rises slowly: a long queue must not become what is usual.
-        self.usual += (ratio - self.usual) * if ratio < self.usual { slow * 2.0 } else { slow };
-        if self.seen < LEARN {
+        let weight = |min: f64| (1.0 / self.seen).max(min);
+        let (recent_weight, usual_weight) = (weight(RECENT_WEIGHT), weight(USUAL_WEIGHT));
+        self.recent += (ratio - self.recent) * recent_weight;
+        // Decreases faster than it increases, so that a long queue does not become the usual state.
+        self.usual +=
+            (ratio - self.usual) * if ratio < self.usual { usual_weight * 2.0 } else { usual_weight };
+        if self.seen < MIN_SEEN {
             return;
         }
-        let crowding = self.lately / self.usual.max(1e-9);
-        if crowding > CROWDED {
+        let slowdown = self.recent / self.usual.max(1e-9);
+        if slowdown > SHRINK_ABOVE {
             self.halve(now);
-        } else if crowding < ROOMY && used && now >= self.grown_at + GROW_EVERY {
+        } else if slowdown < GROW_BELOW && is_used && now >= self.grown_at + GROW_INTERVAL {
             self.grown_at = now;
-            let more = (self.slots * GROW).max(1.0);
-            self.slots = (self.slots + more).min(f64::from(self.limits.max_slots));
+            let step = (self.slots * GROWTH).max(1.0);
+            self.slots = (self.slots + step).min(f64::from(self.limits.max_slots));
             self.pause = PAUSE.0;
         }
     }
 
     fn halve(&mut self, now: Micros) {
-        if now < self.halved_at + HALVE_EVERY {
+        if now < self.halved_at + HALVE_INTERVAL {
             return;
         }
-        (self.halved_at, self.grown_at) = (now, now + HALVE_EVERY);
+        (self.halved_at, self.grown_at) = (now, now + HALVE_INTERVAL);
         if self.slots < 2.0 {
-            // Even one is too many: what home can do is all its own for a while, and then one finds out.
+            // A single slot is already too much: none is offered for a while, then one to find out whether there is capacity again.
             self.closed_until = now + self.pause;
             self.pause = (2 * self.pause).min(PAUSE.1);
         }
         self.slots = (self.slots / 2.0).max(f64::from(self.limits.initial_slots.min(1)));
     }
 
-    /// What to state now to one of so many far gateways: its part.
+    /// The next statement, for one of `among` remote gateways, which share the slots.
     pub fn next_statement(&mut self, now: Micros, among: u32) -> Statement {
         self.seq += 1;
         let slots = self.slots(now).div_ceil(among.max(1));
--- a/crates/balancer/gateway/tests/decisions.rs
+++ b/crates/balancer/gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Hops, statements, offers and peers: by cases, under arbitrary text, and under arbitrary orders of events.
+//! Tests of hops, statements, offers and peers with examples, arbitrary text and arbitrary orders of events.
 use proptest::prelude::*;
 use silvercross_core::interface::Micros;
 use silvercross_gateway::hops::{HopError, Hops};
@@ -11,15 +11,15 @@
 const LIMITS: Limits = Limits { initial_slots: 4, max_slots: 100, validity: 1_500 * MS };
 
 #[test]
-fn nothing_crosses_twice_and_nothing_comes_back() {
+fn a_request_crosses_once_and_does_not_return() {
     let none = Hops::read(None).expect("no mark");
-    let over = none.leave("a").expect("may leave");
-    assert_eq!(over.value(), "a");
+    let crossed = none.leave("a").expect("may leave");
+    assert_eq!(crossed.value(), "a");
     let cases = [
-        (over.leave("b").err(), Some(HopError::CrossedAlready)),
-        (over.leave("a").err(), Some(HopError::CrossedAlready)),
-        (over.arrive("b").err(), None),
-        (over.arrive("a").err(), Some(HopError::Loop)),
+        (crossed.leave("b").err(), Some(HopError::CrossedAlready)),
+        (crossed.leave("a").err(), Some(HopError::CrossedAlready)),
+        (crossed.arrive("b").err(), None),
+        (crossed.arrive("a").err(), Some(HopError::Loop)),
         (none.arrive("b").err(), Some(HopError::Missing)),
         (Hops::read(Some("a,b")).expect("readable").arrive("c").err(), Some(HopError::CrossedAlready)),
         (Hops::read(Some("a,,b")).err(), Some(HopError::Malformed)),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_statement_is_read_as_written_and_nothing_else_is() {
+fn only_valid_statements_are_parsed() {
     let s = Statement { incarnation: 0xabc, seq: 7, slots: 40, validity: 1_500 * MS };
     assert_eq!(Statement::read(&s.value()), Ok(s));
     assert_eq!(Statement::read(&(s.value() + ";later=1")), Ok(s));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_offer_is_given_slowly_and_withdrawn_fast() {
+fn an_offer_grows_slowly_and_shrinks_fast() {
     let mut offer = Offer::new(LIMITS, 1, 0);
     let mut now = 0;
     let mut serve = |offer: &mut Offer, n: usize, took: Micros| {
@@ -68,8 +68,8 @@
     let after_a_second = offer.slots(S);
     assert!((5..=9).contains(&after_a_second), "{after_a_second}");
     serve(&mut offer, 2_000, 50 * MS);
-    assert_eq!(offer.slots(21 * S), 100, "all that the settings allow");
-    // Home turns slow: within a second of it, guests are down to a half and less.
+    assert_eq!(offer.slots(21 * S), 100, "the maximum");
+    // The local site becomes slow: the offer is at most half after a second.
     serve(&mut offer, 100, 200 * MS);
     assert!(offer.slots(22 * S) <= 50, "{}", offer.slots(22 * S));
     serve(&mut offer, 400, 200 * MS);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_offer_made_where_home_is_overloaded_from_the_start_does_not_grow() {
+fn an_offer_of_a_site_that_is_overloaded_from_the_start_does_not_grow() {
     let mut offer = Offer::new(LIMITS, 1, 0);
     for n in 0..2_000 {
         let now = n * 20 * MS;
@@ -93,30 +93,30 @@
 }
 
 #[test]
-fn an_offer_counts_by_life_and_sequence_and_ages_from_its_arrival() {
-    let said = |incarnation, seq, slots| Statement { incarnation, seq, slots, validity: 1_000 * MS };
+fn statements_are_ordered_by_incarnation_and_sequence_and_age_from_their_receipt() {
+    let statement = |incarnation, seq, slots| Statement { incarnation, seq, slots, validity: 1_000 * MS };
     let mut peers = Peers::new(2, 50);
     assert_eq!(peers.may_cross(0, S, 1.0), Err(CrossingRefused::NoRoom));
-    peers.receive(0, 0, said(1, 5, 40));
+    peers.receive(0, 0, statement(1, 5, 40));
     assert_eq!([peers.slots(0, 0), peers.slots(500 * MS, 0), peers.slots(1_000 * MS, 0)], [40, 40, 0]);
     assert!((1..40).contains(&peers.slots(900 * MS, 0)), "aged");
-    peers.receive(100 * MS, 0, said(1, 4, 90));
-    assert_eq!((peers.slots(100 * MS, 0), peers.ignored), (40, 1), "an older one");
-    peers.receive(200 * MS, 0, said(2, 1, 90));
-    assert_eq!(peers.slots(200 * MS, 0), 50, "a new life, held to our own bound");
-    peers.receive(300 * MS, 0, said(1, 99, 7));
-    assert_eq!((peers.slots(300 * MS, 0), peers.ignored), (50, 2), "the old life is over");
+    peers.receive(100 * MS, 0, statement(1, 4, 90));
+    assert_eq!((peers.slots(100 * MS, 0), peers.ignored), (40, 1), "an older statement");
+    peers.receive(200 * MS, 0, statement(2, 1, 90));
+    assert_eq!(peers.slots(200 * MS, 0), 50, "a new incarnation, limited by the own maximum");
+    peers.receive(300 * MS, 0, statement(1, 99, 7));
+    assert_eq!((peers.slots(300 * MS, 0), peers.ignored), (50, 2), "the previous incarnation is over");
     peers.link_lost(0);
-    assert_eq!(peers.slots(300 * MS, 0), 0, "the link took it along");
-    peers.receive(400 * MS, 0, said(2, 2, 10));
+    assert_eq!(peers.slots(300 * MS, 0), 0, "the offer ends with the link");
+    peers.receive(400 * MS, 0, statement(2, 2, 10));
     assert_eq!(peers.slots(400 * MS, 0), 10);
     assert!(peers.receive_header(0, 0, "life=1;seq=1;slots=-5;for_ms=10").is_err());
-    peers.receive(0, 7, said(1, 1, 1));
-    assert_eq!(peers.ignored, 4, "malformed, and of nobody");
+    peers.receive(0, 7, statement(1, 1, 1));
+    assert_eq!(peers.ignored, 4, "malformed, and of an unknown peer");
 }
 
 #[test]
-fn what_cannot_be_answered_in_time_does_not_go_over() {
+fn a_request_that_cannot_be_answered_in_time_does_not_cross() {
     let mut peers = Peers::new(1, 50);
     peers.receive(0, 0, Statement { incarnation: 1, seq: 1, slots: 10, validity: S });
     for _ in 0..50 {
@@ -127,7 +127,7 @@
     assert_eq!(peers.may_cross(0, 60 * MS, 1.0), Err(CrossingRefused::NoTime));
     assert_eq!(peers.may_cross(0, 100 * MS, 3.0), Err(CrossingRefused::NoTime), "three times the work");
     assert!(peers.is_open(0, 100 * MS) && !peers.is_open(0, 60 * MS));
-    // What was learnt of a stall fades: somebody has to find out that it is over.
+    // The estimate decays, so that the end of a stall is noticed.
     peers.receive(4 * S, 0, Statement { incarnation: 1, seq: 2, slots: 10, validity: S });
     assert!(peers.is_open(4 * S, 60 * MS));
 }
@@ -136,7 +136,7 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn no_text_is_trusted_or_panics(text in ".{0,80}") {
+    fn arbitrary_text_causes_no_panic_and_no_value_out_of_bounds(text in ".{0,80}") {
         if let Ok(s) = Statement::read(&text) {
             prop_assert!(s.slots <= 100_000 && (0..=10_000 * MS).contains(&s.validity));
         }
@@ -147,27 +147,27 @@
     }
 
     #[test]
-    fn what_looks_like_a_statement_neither(life in any::<i128>(), seq in any::<i128>(), slots in any::<i128>(), for_ms in any::<i128>()) {
+    fn text_like_a_statement_causes_no_panic_and_no_value_out_of_bounds(life in any::<i128>(), seq in any::<i128>(), slots in any::<i128>(), for_ms in any::<i128>()) {
         let text = format!("life={life};seq={seq};slots={slots};for_ms={for_ms}");
         if let Ok(s) = Statement::read(&text) {
             prop_assert!(s.slots <= 100_000 && (0..=10_000 * MS).contains(&s.validity));
         }
     }
 
-    /// Whatever order things happen in: guests never exceed the bound, what is out at a peer never exceeds what stood when it
-    /// was sent, and counts come back to nothing.
+    /// In any order of events, remote requests never exceed the maximum, requests in flight at a peer never exceed its offer
+    /// at the time of sending, and the counts match the events.
     #[test]
     fn no_order_of_events_exceeds_a_bound(events in proptest::collection::vec((0u8..9, 0usize..3, 0i64..400), 1..300)) {
         let (mut offer, mut peers, mut now) = (Offer::new(LIMITS, 9, 0), Peers::new(3, 30), 0);
-        let (mut guests, mut out, mut seq) = (0u32, [0u32; 3], 0);
+        let (mut remote, mut out, mut seq) = (0u32, [0u32; 3], 0);
         for (what, i, wait) in events {
             now += wait * MS;
             match what {
-                0 | 1 => guests += u32::from(offer.admit(now)),
-                2 if guests > 0 => {
-                    guests -= 1;
-                    let how = [RemoteOutcome::Served, RemoteOutcome::Rejected, RemoteOutcome::Disconnected][i];
-                    offer.ended(now, how, (wait + 1) * MS, 40_000.0, S);
+                0 | 1 => remote += u32::from(offer.admit(now)),
+                2 if remote > 0 => {
+                    remote -= 1;
+                    let outcome = [RemoteOutcome::Served, RemoteOutcome::Rejected, RemoteOutcome::Disconnected][i];
+                    offer.ended(now, outcome, (wait + 1) * MS, 40_000.0, S);
                 }
                 3 => {
                     seq += 1;
@@ -187,7 +187,7 @@
                 8 => drop(peers.next_change(now)),
                 _ => {}
             }
-            prop_assert!(offer.slots(now) <= 100 && offer.in_flight == guests && guests <= 100);
+            prop_assert!(offer.slots(now) <= 100 && offer.in_flight == remote && remote <= 100);
             prop_assert_eq!(peers.in_flight(i), out[i]);
             prop_assert!(peers.next_change(now).is_none_or(|at| at > now));
         }
