--- a/crates/balancer/gateway/src/offer.rs
+++ b/crates/balancer/gateway/src/offer.rs
@@ -29,7 +29,7 @@
 /// Shortest and longest time without any slot after a halving below two slots; it doubles each time.
 const PAUSE: (Micros, Micros) = (1_000_000, 8_000_000);
 /// Number of responses before the usual ratio is used.
-const MIN_SEEN: f64 = 20.0;
+const SAMPLES: f64 = 20.0;
 
 /// Limits of the offer.
 #[derive(Clone, Copy, Debug)]
@@ -140,16 +140,14 @@
     ) {
         let is_used = f64::from(self.in_flight) >= MIN_USE * self.slots;
         self.in_flight = self.in_flight.saturating_sub(1);
-        let max_ratio = if self.seen < MIN_SEEN { f64::MAX } else { MAX_RATIO * self.usual };
+        let max_ratio = if self.seen < SAMPLES { f64::MAX } else { MAX_RATIO * self.usual };
         let is_slow = took as f64 > SLOW_SHARE * budget as f64;
         let ratio = match outcome {
             RemoteOutcome::Disconnected => return,
-            RemoteOutcome::Served if is_slow && self.seen < MIN_SEEN => return self.halve(now),
+            RemoteOutcome::Served if is_slow && self.seen < SAMPLES => return self.halve(now),
             RemoteOutcome::Served if is_slow => max_ratio,
             // A request that was not served in time counts with the maximum ratio.
-            RemoteOutcome::Rejected | RemoteOutcome::Failed if self.seen < MIN_SEEN => {
-                return self.halve(now)
-            }
+            RemoteOutcome::Rejected | RemoteOutcome::Failed if self.seen < SAMPLES => return self.halve(now),
             RemoteOutcome::Rejected | RemoteOutcome::Failed => max_ratio,
             RemoteOutcome::Served => (took.max(1) as f64 / expected.max(1.0)).min(max_ratio),
         };
@@ -160,7 +158,7 @@
         // Decreases faster than it increases, so that a long queue does not become the usual state.
         self.usual +=
             (ratio - self.usual) * if ratio < self.usual { usual_weight * 2.0 } else { usual_weight };
-        if self.seen < MIN_SEEN {
+        if self.seen < SAMPLES {
             return;
         }
         let slowdown = self.recent / self.usual.max(1e-9);
