--- a/crates/balancer/management/src/call.rs
+++ b/crates/balancer/management/src/call.rs
@@ -1,63 +1,64 @@
-//! The calls of the door: one to a connection.
+//! The calls of the management endpoint, one per connection.
 use silvercross_net::http::{self, MessageError};
 
-/// A call takes no more bytes than this.
+/// Maximum bytes of a call.
 pub const MAX_CALL_BYTES: usize = 4096;
 
-/// What an operator asks.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Whether this process is ready to serve.
     Health,
-    /// The figures.
+    /// The metrics.
     Stats,
-    /// Who is in the fleet.
+    /// The members of the fleet.
     Members,
-    /// What this process holds for others, and knows of who holds.
+    /// The records that this process holds for others, and what it knows of the holders.
     Records,
-    /// Found the records here.
+    /// Found the records at this process.
     Found,
-    /// Begin a new epoch of a group from what this process holds.
+    /// Begin a new epoch of a group from the records that this process holds.
     Recover(u32),
-    /// An upstream drains in the whole fleet, or (`false`) no longer.
+    /// Drain an upstream in the whole fleet (`true`), or end its drain (`false`).
     Drain(String, bool),
-    /// A document; and once it is at a later version than `above`, or `wait_ms` are over, where they are given.
+    /// Read a document. If `above` and `wait_ms` are given, wait until its version is greater than `above` or `wait_ms` have
+    /// passed.
     Document {
         /// Its name.
         name: String,
-        /// The version that is known.
+        /// The version that the caller knows.
         above: Option<u64>,
-        /// How long to wait for a later one, in milliseconds.
+        /// How long to wait for a later version, in milliseconds.
         wait_ms: u64,
     },
-    /// A document is to be this, if it is at that version.
+    /// Write a document if its version is the expected one.
     Put {
         /// Its name.
         name: String,
-        /// Its version; 0: there is none; `None`: whichever.
+        /// The expected version; 0: the document does not exist; `None`: any.
         expect: Option<u64>,
         /// Its content.
         value: String,
     },
-    /// Something that is not here.
+    /// An unknown path.
     NotFound,
-    /// Something that is here, by another method.
+    /// A known path with a method that it does not support.
     NotAllowed,
 }
 
-/// The call at the front of `bytes`; `None` while its head is not whole. Its body, if it has one, says nothing.
+/// Parses the call at the start of `bytes`; `None` while its head is incomplete. A body is ignored.
 pub fn parse_call(bytes: &[u8]) -> Result<Option<Call>, MessageError> {
-    let mut room = http::empty_headers();
-    let Some(head) = http::request_head(bytes, &mut room)? else {
+    let mut slots = http::empty_headers();
+    let Some(head) = http::request_head(bytes, &mut slots)? else {
         return if bytes.len() >= MAX_CALL_BYTES { Err(MessageError::HeadTooLarge) } else { Ok(None) };
     };
     let (path, query) = head.target.split_once('?').unwrap_or((head.target, ""));
-    let said = |key: &str| {
+    let query_value = |key: &str| {
         let pairs = query.split('&').filter_map(|p| p.split_once('='));
         pairs.filter(|(k, _)| *k == key).map(|(_, v)| v.to_string()).next()
     };
     let name =
-        |path: &str, under: &str| path.strip_prefix(under).filter(|n| !n.is_empty()).map(str::to_string);
+        |path: &str, prefix: &str| path.strip_prefix(prefix).filter(|n| !n.is_empty()).map(str::to_string);
     if let Some(name) = name(path, "/admin/drains/") {
         return Ok(Some(match head.method {
             "POST" => Call::Drain(name, true),
@@ -68,21 +69,21 @@
     if let Some(name) = name(path, "/admin/documents/") {
         return Ok(Some(match head.method {
             "GET" => {
-                let number = |key: &str| said(key).map(|v| v.parse::<u64>()).transpose();
+                let number = |key: &str| query_value(key).map(|v| v.parse::<u64>()).transpose();
                 match (number("above"), number("wait_ms")) {
                     (Ok(above), Ok(wait)) => Call::Document { name, above, wait_ms: wait.unwrap_or(0) },
                     _ => return Err(MessageError::Malformed("above, wait_ms: numbers")),
                 }
             }
             "POST" => {
-                let expect = match said("expect").map(|v| v.parse()) {
+                let expect = match query_value("expect").map(|v| v.parse()) {
                     None => None,
                     Some(Ok(version)) => Some(version),
                     Some(Err(_)) => {
                         return Err(MessageError::Malformed("expect: a version, which is a number"))
                     }
                 };
-                Call::Put { name, expect, value: said("value").unwrap_or_default() }
+                Call::Put { name, expect, value: query_value("value").unwrap_or_default() }
             }
             _ => Call::NotAllowed,
         }));
@@ -93,7 +94,7 @@
         ("GET", "/admin/members") => Call::Members,
         ("GET", "/admin/records") => Call::Records,
         ("POST", "/admin/records/found") => Call::Found,
-        ("POST", "/admin/records/recover") => match said("group").map(|g| g.parse()) {
+        ("POST", "/admin/records/recover") => match query_value("group").map(|g| g.parse()) {
             Some(Ok(group)) => Call::Recover(group),
             _ => return Err(MessageError::Malformed("group: which one, a number")),
         },
@@ -103,7 +104,7 @@
     }))
 }
 
-/// An answer's bytes; it is the last on its connection.
+/// Encodes a response, which is the last one on its connection.
 pub fn response(status: u16, text: &str) -> Vec<u8> {
     let allow = if status == 405 { "Allow: GET\r\n" } else { "" };
     format!(
@@ -119,7 +120,7 @@
     use super::*;
 
     #[test]
-    fn each_call_is_told_from_the_others() {
+    fn each_call_is_parsed() {
         let of = |line: &str| parse_call(format!("{line} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes());
         assert_eq!(of("GET /admin/health"), Ok(Some(Call::Health)));
         assert_eq!(of("GET /admin/stats?all=1"), Ok(Some(Call::Stats)));
@@ -139,7 +140,7 @@
     }
 
     #[test]
-    fn a_call_may_come_in_any_pieces_but_not_without_end() {
+    fn a_call_may_be_incomplete_but_not_too_large() {
         let text = b"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n";
         for cut in 0..text.len() {
             assert_eq!(parse_call(&text[..cut]), Ok(None), "cut at {cut}");
@@ -150,7 +151,7 @@
     }
 
     #[test]
-    fn an_answer_is_the_last_on_its_connection() {
+    fn a_response_is_the_last_on_its_connection() {
         let text = String::from_utf8(response(405, "no\n")).expect("text");
         assert!(text.starts_with("HTTP/1.1 405 Method Not Allowed\r\n"), "{text}");
         assert!(text.contains("Allow: GET\r\n") && text.contains("Connection: close\r\n"), "{text}");
--- a/crates/balancer/management/src/figures.rs
+++ b/crates/balancer/management/src/figures.rs
@@ -1,77 +1,84 @@
-//! The figures: each has its one definition here.
+//! The metrics, each of which is defined here.
 use std::fmt::Write;
 
-/// Classes that are gone are kept while they count; past so many the one that has been gone for longest makes room.
-const GONE_KEPT: usize = 64;
+/// Maximum number of removed classes whose counters are kept; beyond it the one that was removed first is replaced.
+const MAX_REMOVED: usize = 64;
 
 #[derive(Debug)]
-struct OfClass {
+struct ClassCounters {
     name: String,
     fulfilled: u64,
     throttled: u64,
     faulted: u64,
-    /// The change of settings that dropped it.
-    gone: Option<u64>,
+    /// Index of the change of settings that removed it.
+    removed_by: Option<u64>,
 }
 
-/// What is counted from the start of the process on.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    classes: Vec<OfClass>,
+    classes: Vec<ClassCounters>,
     changes: u64,
     relayed: u64,
     accepted: u64,
     invalid: u64,
 }
 
-/// What is read at the moment of the call.
+/// Gauges, read at the time of the call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken whose final answer is not out.
+    /// Accepted requests without a final answer.
     pub open_requests: usize,
-    /// Upstreams in the list, those that drain included.
+    /// Upstreams in the list, draining ones included.
     pub registry_entries: usize,
-    /// Those of them that would not be picked now, for their failures or their drain.
+    /// Those of them that are not picked now, because of failures or a drain.
     pub out_of_rotation: usize,
 }
 
-type Count = fn(&OfClass) -> u64;
+type Count = fn(&ClassCounters) -> u64;
 
 impl Metrics {
-    /// All at 0, for these classes.
+    /// Creates metrics for these classes, with all counters at 0.
     pub fn new(classes: &[String]) -> Self {
         let mut new = Metrics::default();
         new.set_classes(classes);
         new
     }
 
-    /// The settings name these classes now. One that comes begins at 0, one that comes back goes on, one that is
-    /// gone keeps its line.
+    /// Sets the configured classes. A new class starts at 0, a class that is configured again continues its counters, and a
+    /// removed class keeps its line.
     pub fn set_classes(&mut self, names: &[String]) {
         self.changes += 1;
         for c in &mut self.classes {
-            c.gone = if names.contains(&c.name) { None } else { c.gone.or(Some(self.changes)) };
+            c.removed_by = if names.contains(&c.name) { None } else { c.removed_by.or(Some(self.changes)) };
         }
         for name in names {
             if self.class_index(name).is_some() {
                 continue;
             }
-            let fresh = OfClass { name: name.clone(), fulfilled: 0, throttled: 0, faulted: 0, gone: None };
-            let gone = self.classes.iter().enumerate().filter_map(|(i, c)| c.gone.map(|since| (since, i)));
-            match gone.clone().min().filter(|_| gone.count() >= GONE_KEPT) {
-                Some((_, i)) => self.classes[i] = fresh,
-                None => self.classes.push(fresh),
+            let new_class = ClassCounters {
+                name: name.clone(),
+                fulfilled: 0,
+                throttled: 0,
+                faulted: 0,
+                removed_by: None,
+            };
+            let removed =
+                self.classes.iter().enumerate().filter_map(|(i, c)| c.removed_by.map(|since| (since, i)));
+            match removed.clone().min().filter(|_| removed.count() >= MAX_REMOVED) {
+                Some((_, i)) => self.classes[i] = new_class,
+                None => self.classes.push(new_class),
             }
         }
     }
 
-    /// Where a class is counted.
+    /// Index of the counters of a class.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.name == name)
     }
 
-    /// The final answer to a request of a class was handed to its client's connection: 200 is fulfilled, 429 and 503
-    /// are throttled, all else is faulted.
+    /// Counts the final answer to a request, when it is passed to the client's connection: 200 as fulfilled, 429 and 503 as
+    /// throttled, any other status as faulted.
     pub fn count_response(&mut self, class: usize, status: u16) {
         let Some(c) = self.classes.get_mut(class) else { return };
         match status {
@@ -81,17 +88,17 @@
         }
     }
 
-    /// The last byte of an attempt was written to an upstream.
+    /// Counts an attempt whose last byte was written to an upstream.
     pub fn count_relayed(&mut self) {
         self.relayed += 1;
     }
 
-    /// A file was taken at SIGHUP, or turned down.
-    pub fn count_reload(&mut self, taken: bool) {
-        *(if taken { &mut self.accepted } else { &mut self.invalid }) += 1;
+    /// Counts a reload of the configuration at SIGHUP, which was accepted or was invalid.
+    pub fn count_reload(&mut self, accepted: bool) {
+        *(if accepted { &mut self.accepted } else { &mut self.invalid }) += 1;
     }
 
-    /// All figures, one a line.
+    /// All metrics, one per line.
     pub fn render(&self, gauges: &Gauges) -> String {
         let mut out = String::with_capacity(256 + self.classes.len() * 160);
         let counts: [(&str, Count); 3] =
@@ -101,7 +108,7 @@
                 let _ = writeln!(out, "svc_{what}_total{{priority=\"{}\"}} {}", escaped(&c.name), count(c));
             }
         }
-        for (what, figure) in [
+        for (what, value) in [
             ("relayed_total", self.relayed),
             ("open_requests", gauges.open_requests as u64),
             ("registry_entries", gauges.registry_entries as u64),
@@ -109,13 +116,13 @@
             ("cfg_accepted_total", self.accepted),
             ("cfg_invalid_total", self.invalid),
         ] {
-            let _ = writeln!(out, "svc_{what} {figure}");
+            let _ = writeln!(out, "svc_{what} {value}");
         }
         out
     }
 }
 
-/// A label's value in quotes.
+/// Escapes the value of a label.
 fn escaped(name: &str) -> String {
     name.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
@@ -128,60 +135,60 @@
         of.iter().map(|n| n.to_string()).collect()
     }
 
-    fn line(f: &Metrics, line: &str) -> bool {
+    fn has_line(f: &Metrics, line: &str) -> bool {
         f.render(&Gauges::default()).lines().any(|l| l == line)
     }
 
     #[test]
-    fn each_answer_counts_once_by_its_status() {
+    fn each_answer_is_counted_once_by_its_status() {
         let mut f = Metrics::new(&names(&["a", "b"]));
-        assert!(line(&f, "svc_faulted_total{priority=\"b\"} 0"), "every class is there from the start");
+        assert!(has_line(&f, "svc_faulted_total{priority=\"b\"} 0"), "every class is listed from the start");
         let a = f.class_index("a").expect("named");
         for status in [200, 200, 429, 503, 502, 400, 408] {
             f.count_response(a, status);
         }
         for (what, n) in [("fulfilled", 2), ("throttled", 2), ("faulted", 3)] {
-            assert!(line(&f, &format!("svc_{what}_total{{priority=\"a\"}} {n}")), "{what}");
-            assert!(line(&f, &format!("svc_{what}_total{{priority=\"b\"}} 0")), "{what}");
+            assert!(has_line(&f, &format!("svc_{what}_total{{priority=\"a\"}} {n}")), "{what}");
+            assert!(has_line(&f, &format!("svc_{what}_total{{priority=\"b\"}} 0")), "{what}");
         }
     }
 
     #[test]
-    fn a_class_that_is_gone_keeps_its_line_and_goes_on_when_it_is_back() {
+    fn a_removed_class_keeps_its_line_and_continues_when_it_is_configured_again() {
         let mut f = Metrics::new(&names(&["a", "b"]));
         f.count_response(f.class_index("b").expect("named"), 200);
         f.set_classes(&names(&["a", "c"]));
-        assert!(line(&f, "svc_fulfilled_total{priority=\"b\"} 1"));
-        assert!(line(&f, "svc_fulfilled_total{priority=\"c\"} 0"));
+        assert!(has_line(&f, "svc_fulfilled_total{priority=\"b\"} 1"));
+        assert!(has_line(&f, "svc_fulfilled_total{priority=\"c\"} 0"));
         f.set_classes(&names(&["b"]));
         f.count_response(f.class_index("b").expect("named"), 200);
-        assert!(line(&f, "svc_fulfilled_total{priority=\"b\"} 2"));
+        assert!(has_line(&f, "svc_fulfilled_total{priority=\"b\"} 2"));
     }
 
     #[test]
-    fn a_thousand_changes_do_not_pile_up() {
+    fn the_number_of_removed_classes_is_bounded() {
         let mut f = Metrics::new(&names(&["stays"]));
         f.count_response(0, 200);
         for n in 0..1_000 {
             f.set_classes(&names(&["stays", &format!("c{n}")]));
         }
-        assert!(f.classes.len() <= GONE_KEPT + 2, "{}", f.classes.len());
-        assert!(line(&f, "svc_fulfilled_total{priority=\"stays\"} 1"));
+        assert!(f.classes.len() <= MAX_REMOVED + 2, "{}", f.classes.len());
+        assert!(has_line(&f, "svc_fulfilled_total{priority=\"stays\"} 1"));
         assert!(f.class_index("c999").is_some() && f.class_index("c900").is_none());
     }
 
     #[test]
-    fn a_name_cannot_break_out_of_its_label() {
+    fn names_are_escaped_in_labels() {
         let f = Metrics::new(&names(&["a\"} 9\nsvc_x \\"]));
         assert!(
-            line(&f, r#"svc_fulfilled_total{priority="a\"} 9\nsvc_x \\"} 0"#),
+            has_line(&f, r#"svc_fulfilled_total{priority="a\"} 9\nsvc_x \\"} 0"#),
             "{}",
             f.render(&Gauges::default())
         );
     }
 
     #[test]
-    fn gauges_are_as_they_are_told() {
+    fn gauges_are_rendered_as_given() {
         let mut f = Metrics::new(&[]);
         f.count_relayed();
         f.count_reload(true);
--- a/crates/balancer/management/src/lib.rs
+++ b/crates/balancer/management/src/lib.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a process over its door, and the figures it reports there. No I/O and no clock.
+//! The calls of a process's management endpoint and the metrics that it reports there. No I/O and no clock.
 #![forbid(unsafe_code)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 
--- a/crates/balancer/time/src/duration.rs
+++ b/crates/balancer/time/src/duration.rs
@@ -10,22 +10,22 @@
 pub struct Duration(i64);
 
 impl Duration {
-    /// No time at all.
+    /// A span of zero length.
     pub const ZERO: Duration = Duration(0);
-    /// The longest span that can be held, for "never".
+    /// The maximum span; used for "never".
     pub const MAX: Duration = Duration(i64::MAX);
 
-    /// A span of so many microseconds.
+    /// A span of this many microseconds.
     pub const fn from_micros(micros: i64) -> Duration {
         Duration(micros)
     }
 
-    /// A span of so many milliseconds.
+    /// A span of this many milliseconds.
     pub const fn from_millis(millis: i64) -> Duration {
         Duration(millis * MICROS_PER_MILLI)
     }
 
-    /// A span of so many seconds.
+    /// A span of this many seconds.
     pub const fn from_secs(seconds: i64) -> Duration {
         Duration(seconds * MICROS_PER_SECOND)
     }
@@ -40,22 +40,22 @@
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// The same span for timers of the standard library; a negative one is none.
+    /// Converts the span to the standard library's type; a negative one becomes zero.
     pub fn to_std(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0.max(0) as u64)
     }
 
-    /// Whether the span is shorter than nothing.
+    /// Whether the span is negative.
     pub const fn is_negative(self) -> bool {
         self.0 < 0
     }
 
-    /// The sum, held at the bounds of the type.
+    /// The sum, saturating at the bounds of the type.
     pub const fn saturating_add(self, other: Duration) -> Duration {
         Duration(self.0.saturating_add(other.0))
     }
 
-    /// The product, held at the bounds of the type.
+    /// The product, saturating at the bounds of the type.
     pub const fn saturating_mul(self, factor: i64) -> Duration {
         Duration(self.0.saturating_mul(factor))
     }
--- a/crates/balancer/time/src/instant.rs
+++ b/crates/balancer/time/src/instant.rs
@@ -1,38 +1,38 @@
-//! A moment on a monotonic clock.
+//! A point in time on a monotonic clock.
 use crate::Duration;
 use bitcode::{Decode, Encode};
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
-/// A moment on the caller's monotonic clock, in whole microseconds since that clock's own beginning. Instants of two
-/// processes can't be compared.
+/// A point in time on the caller's monotonic clock, in whole microseconds since the origin of that clock. Instants of
+/// different processes can't be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Instant(i64);
 
 impl Instant {
-    /// The clock's beginning.
+    /// The origin of the clock.
     pub const ZERO: Instant = Instant(0);
-    /// Later than every other instant, for "never".
+    /// The latest instant; used for "never".
     pub const MAX: Instant = Instant(i64::MAX);
-    /// Earlier than every other instant, for "long ago".
+    /// The earliest instant; used for "long ago".
     pub const MIN: Instant = Instant(i64::MIN);
 
-    /// The moment so many microseconds after the clock's beginning.
+    /// The instant this many microseconds after the origin of the clock.
     pub const fn from_micros(micros: i64) -> Instant {
         Instant(micros)
     }
 
-    /// Microseconds since the clock's beginning.
+    /// Microseconds since the origin of the clock.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 
-    /// The later moment, held at the bounds of the type.
+    /// The instant `span` later, saturating at the bounds of the type.
     pub const fn saturating_add(self, span: Duration) -> Instant {
         Instant(self.0.saturating_add(span.as_micros()))
     }
 
-    /// The time since an earlier moment, held at the bounds of the type; negative if that one is later.
+    /// The time since another instant, saturating at the bounds of the type; negative if that one is later.
     pub const fn saturating_since(self, earlier: Instant) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/balancer/time/src/lib.rs
+++ b/crates/balancer/time/src/lib.rs
@@ -1,9 +1,9 @@
-//! Time as the deciders see it: an [`Instant`] on the caller's monotonic clock and a signed [`Duration`], both in whole
+//! Time for code without I/O: an [`Instant`] on the caller's monotonic clock and a signed [`Duration`], both in whole
 //! microseconds.
 //!
-//! No clock is read here: the caller passes the present instant into every call, so that one test can step a decider
-//! through hours. Both types are encoded exactly as the integer they hold, so they may stand in stored data and in
-//! messages between nodes.
+//! No clock is read here: the caller passes the current instant to every call, so that a test can simulate hours. Both
+//! types are encoded exactly as the integer that they hold, so they can be used in stored data and in messages between
+//! nodes.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
