--- a/crates/balancer/management/src/call.rs
+++ b/crates/balancer/management/src/call.rs
@@ -13,7 +13,7 @@
     Stats,
     /// The members of the fleet.
     Members,
-    /// The records that this process holds for others, and what it knows of the holders.
+    /// The records that this process holds for others, and what it knows of the other processes that hold them.
     Records,
     /// Found the records at this process.
     Found,
