--- a/crates/control/swim/src/config.rs
+++ b/crates/control/swim/src/config.rs
@@ -11,7 +11,7 @@
     /// The protocol period, in microseconds: 10 ms to 60 s.
     pub period: Micros,
     /// A failed member is forgotten after this, in microseconds, by those who see most of the fleet.
-    pub forget: Micros,
+    pub forget_after: Micros,
     /// How the member is broken on purpose, to show that the checker sees it; without the feature `mutants` nothing heeds it.
     pub mutant: Option<Mutant>,
 }
@@ -26,22 +26,22 @@
     /// Who it is follows from its name.
     IdentityByName,
     /// Nobody else is asked to probe.
-    NoIndirect,
+    NoIndirectProbes,
     /// Its local health multiplier stays 0.
-    NoDoubt,
+    NoLocalHealth,
     /// Drains heard from others are forgotten in time.
     DrainsExpire,
     /// Only the living count as sending.
-    Halved,
+    FailedNotCounted,
 }
 
 impl Config {
-    pub(crate) fn is_broken(&self, by: Mutant) -> bool {
+    pub(crate) fn has_mutant(&self, by: Mutant) -> bool {
         cfg!(feature = "mutants") && self.mutant == Some(by)
     }
 
     /// How long an acknowledgement is waited for before others are asked to probe.
-    pub fn direct(&self) -> Micros {
+    pub fn ping_timeout(&self) -> Micros {
         self.period * 3 / 10
     }
 }
--- a/crates/control/swim/src/drains.rs
+++ b/crates/control/swim/src/drains.rs
@@ -29,7 +29,7 @@
 
 impl Drains {
     /// One heard from another member; whether it is new here and says more than the own list.
-    pub fn hear(&mut self, d: &Drain) -> bool {
+    pub fn add_reported(&mut self, d: &Drain) -> bool {
         if d.host.len() > MAX_HOST_BYTES || d.seq <= self.list {
             return false;
         }
@@ -41,7 +41,7 @@
     }
 
     /// One that the own list says; whether it is gossiped.
-    pub fn own(&mut self, d: &Drain) -> bool {
+    pub fn add_own(&mut self, d: &Drain) -> bool {
         if d.host.len() > MAX_HOST_BYTES || self.own.get(&d.host).is_some_and(|h| h.born_ms == d.born_ms) {
             return false;
         }
@@ -50,7 +50,7 @@
     }
 
     /// The own list no longer says that this one drains.
-    pub fn own_over(&mut self, host: &str) {
+    pub fn remove_own(&mut self, host: &str) {
         self.own.remove(host);
     }
 
@@ -64,7 +64,7 @@
 
     /// The own list has come to this version: what others reported up to it is in it, or over.
     /// Returned are those that are over by it.
-    pub fn list_is(&mut self, seq: u64, whole: bool) -> Vec<Drain> {
+    pub fn set_list_version(&mut self, seq: u64, whole: bool) -> Vec<Drain> {
         self.list = seq;
         if whole {
             self.own.clear();
@@ -75,12 +75,12 @@
     }
 
     /// What [`crate::Mutant::DrainsExpire`] does.
-    pub(crate) fn expire(&mut self) {
+    pub(crate) fn clear_reported(&mut self) {
         self.held.clear();
     }
 
     /// Whether another member reported that this start of an upstream drains.
-    pub fn holds(&self, host: &str, born_ms: u64) -> bool {
+    pub fn is_draining(&self, host: &str, born_ms: u64) -> bool {
         self.held.get(host).is_some_and(|d| d.born_ms >= born_ms)
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// How many were heard from others and hold.
-    pub fn heard(&self) -> usize {
+    pub fn reported_count(&self) -> usize {
         self.held.len()
     }
 }
--- a/crates/control/swim/src/limits.rs
+++ b/crates/control/swim/src/limits.rs
@@ -33,7 +33,7 @@
 /// The local health multiplier is no higher (Lifeguard's S).
 pub const MAX_LOCAL_HEALTH_MULTIPLIER: u32 = 8;
 /// Whoever was heard of so many periods ago at most surely runs: two of one name are two.
-pub const FIRST_HAND_PERIODS: Micros = 2;
+pub const RECENT_CONTACT_PERIODS: Micros = 2;
 /// A wait longer than meant by this part of a period was no wait: the process was stopped or starved.
 pub const PAUSE_DIVISOR: Micros = 2;
 /// A digest that differs in so many messages running asks for an exchange.
--- a/crates/control/swim/src/members/conflicts.rs
+++ b/crates/control/swim/src/members/conflicts.rs
@@ -2,7 +2,7 @@
 use super::event::Event;
 use super::state::Members;
 use crate::identity::Identity;
-use crate::limits::FIRST_HAND_PERIODS;
+use crate::limits::RECENT_CONTACT_PERIODS;
 use crate::table::MemberRecord;
 use crate::time::Micros;
 use crate::updates::MembershipUpdate;
@@ -28,7 +28,7 @@
         if record.incarnation >= self.me.incarnation {
             self.me.incarnation = self.me.incarnation.above(record.incarnation);
             self.updates.add(MembershipUpdate::Alive(self.me.clone()));
-            self.events.push_back(Event::Twin { same_identity: true, other: record.at });
+            self.events.push_back(Event::DuplicateMember { same_identity: true, other: record.at });
             // It may be that no update reaches it: others hold its address to be this one's from now on.
             self.send(record.at, Message::Gossip, Some(self.me.id));
         }
@@ -41,7 +41,7 @@
         if member.record.name != self.me.name || !member.state.is_live() || self.leaving || self.stood_down {
             return;
         }
-        let lately = member.heard.is_some_and(|at| at + FIRST_HAND_PERIODS * self.config.period > now);
+        let lately = member.heard_at.is_some_and(|at| at + RECENT_CONTACT_PERIODS * self.config.period > now);
         let (other, at) = ((member.record.born_ms, member.record.id), member.record.at);
         if !lately {
             return;
@@ -49,7 +49,7 @@
         if other < (self.me.born_ms, self.me.id) {
             self.stand_down(false, at);
         } else if self.name_conflicts.insert(member.record.name.clone(), id) != Some(id) {
-            self.events.push_back(Event::Twin { same_identity: false, other: at });
+            self.events.push_back(Event::DuplicateMember { same_identity: false, other: at });
         }
     }
 
--- a/crates/control/swim/src/members/event.rs
+++ b/crates/control/swim/src/members/event.rs
@@ -33,7 +33,7 @@
         other: SocketAddr,
     },
     /// The other process of this identity or name has to stand down, not this one.
-    Twin {
+    DuplicateMember {
         /// Whether the identity is the same too.
         same_identity: bool,
         /// Where that one is.
@@ -41,7 +41,7 @@
     },
 }
 
-/// A full exchange to begin: send [`Exchange::bytes`] there, and give what comes back to [`crate::Members::exchanged`].
+/// A full exchange to begin: send [`Exchange::bytes`] there, and give what comes back to [`crate::Members::handle_exchange_response`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exchange {
     /// Where.
--- a/crates/control/swim/src/members/exchange.rs
+++ b/crates/control/swim/src/members/exchange.rs
@@ -13,11 +13,11 @@
         let mut members = vec![(self.me.clone(), if self.leaving { State::Left } else { State::Alive })];
         members.extend(self.table.all().map(|s| (s.record.clone(), s.state)));
         let drains = self.drains.all().cloned().collect();
-        self.config.fleet.exchange(&FullState { from, members, drains })
+        self.config.fleet.encode_exchange(&FullState { from, members, drains })
     }
 
     /// Another one began an exchange: what it sent, and what to answer. The error says why it is not taken.
-    pub fn exchange(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<u8>, DecodeError> {
+    pub fn handle_exchange(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<u8>, DecodeError> {
         self.merge(now, bytes)?;
         if self.stood_down {
             return Err(DecodeError::Foreign);
@@ -28,16 +28,16 @@
     }
 
     /// What came back of an exchange that this member began.
-    pub fn exchanged(&mut self, now: Micros, bytes: &[u8]) -> Result<(), DecodeError> {
+    pub fn handle_exchange_response(&mut self, now: Micros, bytes: &[u8]) -> Result<(), DecodeError> {
         self.merge(now, bytes)
     }
 
     pub(super) fn merge(&mut self, now: Micros, bytes: &[u8]) -> Result<(), DecodeError> {
         self.metrics.exchanged_bytes += bytes.len() as u64;
-        let all = self.config.fleet.read_exchange(bytes).inspect_err(|bad| match bad {
-            DecodeError::Foreign => self.metrics.strange += 1,
-            DecodeError::Corrupt => self.metrics.spoilt += 1,
-            DecodeError::Version(_) => self.metrics.version += 1,
+        let all = self.config.fleet.decode_exchange(bytes).inspect_err(|bad| match bad {
+            DecodeError::Foreign => self.metrics.foreign += 1,
+            DecodeError::Corrupt => self.metrics.corrupt += 1,
+            DecodeError::Version(_) => self.metrics.unsupported_version += 1,
         })?;
         if self.stood_down {
             return Ok(());
--- a/crates/control/swim/src/members/gossip.rs
+++ b/crates/control/swim/src/members/gossip.rs
@@ -20,7 +20,7 @@
         // A few draws, then a walk: in a fleet most are there.
         for _ in 0..most * 4 {
             let place = self.rng.next_u32() as usize % self.table.len();
-            let Some(s) = self.table.at(place) else { continue };
+            let Some(s) = self.table.by_index(place) else { continue };
             let id = s.record.id;
             if s.state.is_live() && Some(id) != but && !chosen.iter().any(|c| c.0 == id) {
                 chosen.push((id, s.record.at));
@@ -62,13 +62,13 @@
     /// Queue a datagram, filled with updates; those about `first` go first.
     pub(super) fn send(&mut self, to: SocketAddr, message: Message, first: Option<Identity>) {
         if self.datagrams.len() >= MAX_QUEUED_DATAGRAMS {
-            self.metrics.unsent += 1;
+            self.metrics.send_queue_full += 1;
             return;
         }
         let from = self.next_sender();
         let fleet = self.table.live() + 1;
         let updates = self.updates.take(MAX_DATAGRAM_BYTES - PACKET_OVERHEAD_BYTES, fleet, first);
-        let bytes = self.config.fleet.packet(&Packet { from, message, updates });
+        let bytes = self.config.fleet.encode_packet(&Packet { from, message, updates });
         self.metrics.sent += 1;
         self.metrics.sent_bytes += bytes.len() as u64;
         self.datagrams.push_back((to, bytes));
--- a/crates/control/swim/src/members/probes.rs
+++ b/crates/control/swim/src/members/probes.rs
@@ -14,7 +14,7 @@
 impl Members {
     /// The own probe: answered, due to be asked of others, or failed.
     pub(super) fn check_probe(&mut self, now: Micros) {
-        if self.config.is_broken(Mutant::NoDoubt) {
+        if self.config.has_mutant(Mutant::NoLocalHealth) {
             self.local_health_multiplier = 0;
         }
         let Some(p) = &self.probe else { return };
@@ -51,8 +51,8 @@
 
     /// The probed member has not answered in time: others are asked by ping-req.
     fn request_indirect_probes(&mut self, number: u64, target: Identity, target_at: SocketAddr) {
-        self.metrics.late += 1;
-        let asked = if self.config.is_broken(Mutant::NoIndirect) { 0 } else { INDIRECT_PROBES };
+        self.metrics.late_probes += 1;
+        let asked = if self.config.has_mutant(Mutant::NoIndirectProbes) { 0 } else { INDIRECT_PROBES };
         let mut helpers = self.random_live_members(asked, Some(target));
         // Whoever was heard last can surely be asked: it may be the only one.
         let last =
@@ -111,7 +111,7 @@
             let number = self.next_probe_number();
             self.metrics.probes += 1;
             let (direct, probe_interval) = (
-                self.config.direct() * Micros::from(1 + self.local_health_multiplier),
+                self.config.ping_timeout() * Micros::from(1 + self.local_health_multiplier),
                 self.probe_interval(),
             );
             self.probe = Some(Probe {
--- a/crates/control/swim/src/members/receive.rs
+++ b/crates/control/swim/src/members/receive.rs
@@ -16,20 +16,20 @@
 impl Members {
     /// The own list has come to this version, and says this of its upstreams: each name, last start, and whether it drains.
     /// Returned are other members' reports that it supersedes.
-    pub fn list_is<'a>(
+    pub fn update_endpoint_list<'a>(
         &mut self,
         seq: u64,
         whole: bool,
         entries: impl Iterator<Item = (&'a str, u64, bool)>,
     ) -> Vec<Drain> {
-        let over = self.drains.list_is(seq, whole);
+        let over = self.drains.set_list_version(seq, whole);
         for (host, born_ms, draining) in entries {
             if !draining {
-                self.drains.own_over(host);
+                self.drains.remove_own(host);
                 continue;
             }
             let drain = Drain { host: host.to_string(), born_ms, seq };
-            if self.drains.own(&drain) && !self.stood_down {
+            if self.drains.add_own(&drain) && !self.stood_down {
                 self.updates.add(MembershipUpdate::Drain(drain));
             }
         }
@@ -37,13 +37,13 @@
     }
 
     /// A datagram has come.
-    pub fn datagram(&mut self, now: Micros, bytes: &[u8]) {
-        self.metrics.came_bytes += bytes.len() as u64;
-        let packet = match self.config.fleet.read_packet(bytes) {
+    pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) {
+        self.metrics.received_bytes += bytes.len() as u64;
+        let packet = match self.config.fleet.decode_packet(bytes) {
             Ok(packet) => packet,
-            Err(DecodeError::Foreign) => return self.metrics.strange += 1,
-            Err(DecodeError::Corrupt) => return self.metrics.spoilt += 1,
-            Err(DecodeError::Version(_)) => return self.metrics.version += 1,
+            Err(DecodeError::Foreign) => return self.metrics.foreign += 1,
+            Err(DecodeError::Corrupt) => return self.metrics.corrupt += 1,
+            Err(DecodeError::Version(_)) => return self.metrics.unsupported_version += 1,
         };
         if self.stood_down {
             return;
@@ -55,10 +55,10 @@
         // What passed the check and is new counts, by its sender: one that talks without end is heard only so far.
         let (period, talks) = (self.config.period, self.table.get_mut(packet.from.id));
         if talks.is_some_and(|s| s.exceeds_message_limit(now, period)) {
-            self.metrics.flood += 1;
+            self.metrics.rate_limited += 1;
             return;
         }
-        self.metrics.taken += 1;
+        self.metrics.accepted += 1;
         for update in packet.updates {
             self.handle_update(now, update, packet.from.id, false);
         }
@@ -79,10 +79,10 @@
             // same start, brings its record along.
             return from.incarnation > member.record.incarnation;
         }
-        if !member.window.pass(from.number) {
+        if !member.window.accept(from.number) {
             return false;
         }
-        member.heard = Some(now);
+        member.heard_at = Some(now);
         self.last_heard = Some(from.id);
         true
     }
@@ -112,7 +112,7 @@
                     own_number: mine,
                     origin_number: probe,
                     at,
-                    nack_at: now + self.config.direct(),
+                    nack_at: now + self.config.ping_timeout(),
                     until: now + self.config.period * Micros::from(1 + MAX_LOCAL_HEALTH_MULTIPLIER),
                     nacked: false,
                 });
@@ -153,7 +153,7 @@
     }
 
     pub(super) fn refute(&mut self, state: State, seen: Incarnation) {
-        if self.leaving || self.stood_down || self.config.is_broken(Mutant::NoRefutation) {
+        if self.leaving || self.stood_down || self.config.has_mutant(Mutant::NoRefutation) {
             return;
         }
         if seen.start_number() > self.me.incarnation.start_number() {
--- a/crates/control/swim/src/members/reports.rs
+++ b/crates/control/swim/src/members/reports.rs
@@ -47,7 +47,7 @@
                 self.report(now, Subject::Known { id, incarnation }, State::Left, id, whole)
             }
             MembershipUpdate::Drain(drain) => {
-                if self.drains.hear(&drain) {
+                if self.drains.add_reported(&drain) {
                     self.updates.add(MembershipUpdate::Drain(drain.clone()));
                     self.events.push_back(Event::Drain(drain));
                 }
@@ -73,7 +73,7 @@
         };
         let (old, old_state) = (member.record.clone(), member.state);
         let mut state = state;
-        let had_time = member.suspicion.as_ref().is_some_and(|s| s.had_its_least(now));
+        let had_time = member.suspicion.as_ref().is_some_and(|s| s.min_timeout_elapsed(now));
         if state == State::Failed && old_state.is_live() && (whole || !had_time) {
             // Whoever says so may have been cut off itself, and held all others failed: here it gets its time to refute.
             state = State::Suspect;
@@ -86,7 +86,7 @@
         }
         let record = match about {
             Subject::Record(record) if is_valid(&record) => record,
-            Subject::Record(_) => return self.metrics.turned_away += 1,
+            Subject::Record(_) => return self.metrics.rejected_members += 1,
             Subject::Known { .. } => MemberRecord { incarnation, ..old.clone() },
         };
         if old_state == State::Suspect && state == State::Alive {
@@ -132,7 +132,7 @@
     /// A member that was not known is added, and probed from now on.
     pub(super) fn add_member(&mut self, now: Micros, record: MemberRecord, state: State, by: Identity) {
         if self.table.len() >= MAX_MEMBERS || !is_valid(&record) {
-            self.metrics.turned_away += 1;
+            self.metrics.rejected_members += 1;
             return;
         }
         let (id, name) = (record.id, record.name.clone());
@@ -141,7 +141,7 @@
             record,
             state: State::Alive,
             since: now,
-            heard: None,
+            heard_at: None,
             reported_by: by,
             suspicion: None,
             window: ReplayWindow::default(),
@@ -169,7 +169,7 @@
         member.suspicion = Some(suspicion);
         // Whoever has heard it lately tells it at once, and some of the others: it may be that only few reach it.
         let lately = 2 * fleet as Micros * self.config.period;
-        let heard = member.heard.is_some_and(|at| at + lately > now);
+        let heard = member.heard_at.is_some_and(|at| at + lately > now);
         let at = member.record.at;
         if (heard && fleet <= 64) || (self.rng.next_u32() as usize % fleet) < 8 {
             let number = self.next_probe_number();
--- a/crates/control/swim/src/members/state.rs
+++ b/crates/control/swim/src/members/state.rs
@@ -114,9 +114,9 @@
     /// A member that knows nobody yet, but whom to ask.
     pub fn new(config: Config, start: Start, now: Micros) -> Self {
         let mut rng = Pcg32::seed_from_u64(start.seed ^ start.id.0.rotate_left(29));
-        let start_number = if config.is_broken(Mutant::IncarnationNotKept) { 1 } else { start.start_number };
+        let start_number = if config.has_mutant(Mutant::IncarnationNotKept) { 1 } else { start.start_number };
         let by_name = || Identity(start.name.bytes().fold(7, |h: u64, b| h.wrapping_mul(31) + u64::from(b)));
-        let id = if config.is_broken(Mutant::IdentityByName) { by_name() } else { start.id };
+        let id = if config.has_mutant(Mutant::IdentityByName) { by_name() } else { start.id };
         let incarnation = Incarnation::at_start(start_number);
         let me = MemberRecord {
             id,
@@ -202,7 +202,7 @@
 
     /// How many sidecars send; `None`: the settings' number holds.
     pub fn senders(&self) -> Option<usize> {
-        if self.config.is_broken(Mutant::Halved) {
+        if self.config.has_mutant(Mutant::FailedNotCounted) {
             return Some(self.table.live() + 1);
         }
         self.view().senders(self.table.live() + 1, self.table.failed())
@@ -219,18 +219,18 @@
     }
 
     /// Whether another member reported that this start of an upstream drains.
-    pub fn drains(&self, host: &str, born_ms: u64) -> bool {
-        self.drains.holds(host, born_ms)
+    pub fn is_draining(&self, host: &str, born_ms: u64) -> bool {
+        self.drains.is_draining(host, born_ms)
     }
 
     /// The upstreams that are known to drain, by the own list or another member's report.
-    pub fn drained(&self) -> impl Iterator<Item = &str> {
+    pub fn draining_hosts(&self) -> impl Iterator<Item = &str> {
         self.drains.all().map(|d| d.host.as_str())
     }
 
     /// How many drains heard from others hold.
-    pub fn drains_heard(&self) -> usize {
-        self.drains.heard()
+    pub fn reported_drains(&self) -> usize {
+        self.drains.reported_count()
     }
 
     /// The next datagram to send.
@@ -271,7 +271,7 @@
     }
 
     pub(super) fn suspicion_deadline(&self, id: Identity) -> Option<Micros> {
-        self.table.get(id).and_then(|s| s.suspicion.as_ref()).map(Suspicion::ends)
+        self.table.get(id).and_then(|s| s.suspicion.as_ref()).map(Suspicion::deadline)
     }
 
     pub(super) fn notify_view_change(&mut self) {
--- a/crates/control/swim/src/members/timer.rs
+++ b/crates/control/swim/src/members/timer.rs
@@ -20,7 +20,7 @@
         // One that leaves has no time that it could be late for.
         let late =
             if self.leaving || self.stood_down { 0 } else { now - self.last_tick.max(self.planned_tick) };
-        if late > self.config.period / PAUSE_DIVISOR && !self.config.is_broken(Mutant::NoDoubt) {
+        if late > self.config.period / PAUSE_DIVISOR && !self.config.has_mutant(Mutant::NoLocalHealth) {
             self.handle_pause(now, late);
         }
         self.last_tick = now;
@@ -43,8 +43,8 @@
                 self.ask_seed();
             }
             if now >= self.next_drains {
-                if self.config.is_broken(Mutant::DrainsExpire) {
-                    self.drains.expire();
+                if self.config.has_mutant(Mutant::DrainsExpire) {
+                    self.drains.clear_reported();
                 }
                 self.next_drains = now + DRAIN_RESEND_PERIODS * self.config.period;
                 let all: Vec<Drain> = self.drains.all().cloned().collect();
@@ -66,14 +66,14 @@
 
     /// This process was stopped, or had no processor: what did not come meanwhile could not, so no time has passed for others.
     pub(super) fn handle_pause(&mut self, now: Micros, by: Micros) {
-        self.metrics.overslept += 1;
+        self.metrics.pauses += 1;
         self.local_health_multiplier = (self.local_health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
         self.probe = None;
         self.relayed_probes.clear();
         let not_alive = self.table.not_alive().to_vec();
         for id in not_alive {
             let suspicion = self.table.get_mut(id).and_then(|s| s.suspicion.as_mut());
-            suspicion.into_iter().for_each(|s| s.put_off(by));
+            suspicion.into_iter().for_each(|s| s.postpone(by));
         }
         self.next_probe = self.next_probe.max(now + self.config.period);
     }
@@ -87,8 +87,8 @@
     pub(super) fn forget_members(&mut self, now: Micros) {
         let may = View::may_forget(self.table.live() + 1, self.table.failed());
         let old = |s: &Member| match s.state {
-            State::Left => s.since + self.config.forget <= now,
-            State::Failed => may && s.since + self.config.forget <= now,
+            State::Left => s.since + self.config.forget_after <= now,
+            State::Failed => may && s.since + self.config.forget_after <= now,
             _ => false,
         };
         let gone: Vec<Identity> = self
--- a/crates/control/swim/src/metrics.rs
+++ b/crates/control/swim/src/metrics.rs
@@ -8,27 +8,27 @@
     /// Their bytes.
     pub sent_bytes: u64,
     /// Datagrams that were understood.
-    pub taken: u64,
+    pub accepted: u64,
     /// Bytes of all that came.
-    pub came_bytes: u64,
+    pub received_bytes: u64,
     /// Too short, without our mark, or with another fleet's.
-    pub strange: u64,
+    pub foreign: u64,
     /// Of our fleet, and not as they were sent.
-    pub spoilt: u64,
+    pub corrupt: u64,
     /// Of a version that is not spoken here.
-    pub version: u64,
+    pub unsupported_version: u64,
     /// Seen before, too old to tell, or of a process that has been replaced.
     pub replayed: u64,
     /// Dropped before they were looked at, past what a member reads in a period.
-    pub flood: u64,
+    pub rate_limited: u64,
     /// Not sent, since too many waited.
-    pub unsent: u64,
+    pub send_queue_full: u64,
     /// Members not taken in, since the table was full or the record invalid.
-    pub turned_away: u64,
+    pub rejected_members: u64,
     /// Probes made.
     pub probes: u64,
     /// Of them, those without a direct answer in time.
-    pub late: u64,
+    pub late_probes: u64,
     /// Suspicions begun here by an own probe.
     pub suspected: u64,
     /// Suspicions of others that ended by a newer incarnation of theirs.
@@ -38,7 +38,7 @@
     /// Own refutations.
     pub refutations: u64,
     /// Times this process found that it had not been running.
-    pub overslept: u64,
+    pub pauses: u64,
     /// Full exchanges begun here.
     pub exchanges: u64,
     /// Bytes of full exchanges, both ways, both sides.
--- a/crates/control/swim/src/replay_window.rs
+++ b/crates/control/swim/src/replay_window.rs
@@ -10,7 +10,7 @@
 
 impl ReplayWindow {
     /// Whether this number is new; it is seen from then on.
-    pub fn pass(&mut self, number: u64) -> bool {
+    pub fn accept(&mut self, number: u64) -> bool {
         if number > self.newest {
             let by = number - self.newest;
             self.seen = if by >= 64 { 0 } else { self.seen << by } | 1;
--- a/crates/control/swim/src/suspicion.rs
+++ b/crates/control/swim/src/suspicion.rs
@@ -17,7 +17,7 @@
 impl Suspicion {
     /// Begun now by `by`, in a fleet of so many.
     pub fn begin(now: Micros, by: Identity, fleet: usize, period: Micros) -> Self {
-        let least = least(fleet, period);
+        let least = min_timeout(fleet, period);
         // With too few others to confirm it, nobody is waited for.
         let needed = SUSPICION_CONFIRMATIONS.min(fleet.saturating_sub(2));
         let longest = if needed == 0 { least } else { (least as f64 * SUSPICION_BETA) as Micros };
@@ -34,7 +34,7 @@
     }
 
     /// When it ends as a failure.
-    pub fn ends(&self) -> Micros {
+    pub fn deadline(&self) -> Micros {
         if self.needed == 0 {
             return self.began + self.least;
         }
@@ -45,17 +45,17 @@
     }
 
     /// Whether it has lasted so long that another member's report of a failure is believed.
-    pub fn had_its_least(&self, now: Micros) -> bool {
+    pub fn min_timeout_elapsed(&self, now: Micros) -> bool {
         now >= self.began + self.least
     }
 
     /// The process was not there for so long: the suspected one could not be heard.
-    pub fn put_off(&mut self, by: Micros) {
+    pub fn postpone(&mut self, by: Micros) {
         self.began += by;
     }
 }
 
 /// The least time of a suspicion in a fleet of so many.
-pub fn least(fleet: usize, period: Micros) -> Micros {
+pub fn min_timeout(fleet: usize, period: Micros) -> Micros {
     (SUSPICION_ALPHA * (fleet.max(1) as f64).log10().max(1.0) * period as f64) as Micros
 }
--- a/crates/control/swim/src/table.rs
+++ b/crates/control/swim/src/table.rs
@@ -69,7 +69,7 @@
     /// Since when.
     pub since: Micros,
     /// When it was last heard of by a message of its own.
-    pub heard: Option<Micros>,
+    pub heard_at: Option<Micros>,
     /// Who reported its state.
     pub reported_by: Identity,
     /// While it is suspected.
@@ -119,7 +119,7 @@
     }
 
     /// One by its place.
-    pub fn at(&self, place: usize) -> Option<&Member> {
+    pub fn by_index(&self, place: usize) -> Option<&Member> {
         self.members.get(place)
     }
 
--- a/crates/control/swim/src/wire.rs
+++ b/crates/control/swim/src/wire.rs
@@ -39,7 +39,7 @@
         Fleet { tag: h.finish(), key }
     }
 
-    fn check(&self, kind: u8, bytes: &[u8]) -> u64 {
+    fn checksum(&self, kind: u8, bytes: &[u8]) -> u64 {
         let mut h = SipHasher24::new_with_keys(self.key.0 ^ self.tag, self.key.1);
         h.write_u8(kind);
         h.write(bytes);
@@ -47,7 +47,7 @@
     }
 
     /// Bytes as they go out. `kind` keeps datagrams and exchanges apart.
-    fn seal<T: Serialize>(&self, kind: u8, what: &T) -> Vec<u8> {
+    fn encode<T: Serialize>(&self, kind: u8, what: &T) -> Vec<u8> {
         let mut out = Vec::with_capacity(256);
         out.extend_from_slice(&MAGIC);
         out.push(VERSION);
@@ -56,24 +56,24 @@
         // Coding into a growing vector has nothing to fail on.
         let mut out = postcard::to_extend(what, out).unwrap_or_default();
         if out.len() >= HEADER_BYTES {
-            let check = self.check(kind, &out[HEADER_BYTES..]).to_le_bytes();
-            out[12..HEADER_BYTES].copy_from_slice(&check);
+            let checksum = self.checksum(kind, &out[HEADER_BYTES..]).to_le_bytes();
+            out[12..HEADER_BYTES].copy_from_slice(&checksum);
         }
         out
     }
 
-    fn open<T: for<'a> Deserialize<'a>>(&self, kind: u8, bytes: &[u8]) -> Result<T, DecodeError> {
+    fn decode<T: for<'a> Deserialize<'a>>(&self, kind: u8, bytes: &[u8]) -> Result<T, DecodeError> {
         let word = |at: usize| -> Option<u64> {
             bytes.get(at..at + 8).and_then(|b| Some(u64::from_le_bytes(b.try_into().ok()?)))
         };
-        let (Some(tag), Some(check)) = (word(4), word(12)) else { return Err(DecodeError::Foreign) };
+        let (Some(tag), Some(checksum)) = (word(4), word(12)) else { return Err(DecodeError::Foreign) };
         if bytes[..3] != MAGIC || tag != self.tag {
             return Err(DecodeError::Foreign);
         }
         if bytes[3] != VERSION {
             return Err(DecodeError::Version(bytes[3]));
         }
-        if check != self.check(kind, &bytes[HEADER_BYTES..]) {
+        if checksum != self.checksum(kind, &bytes[HEADER_BYTES..]) {
             return Err(DecodeError::Corrupt);
         }
         // What a later version added behind it is passed over.
@@ -81,44 +81,44 @@
     }
 
     /// A datagram.
-    pub fn packet(&self, packet: &Packet) -> Vec<u8> {
-        self.seal(b'd', packet)
+    pub fn encode_packet(&self, packet: &Packet) -> Vec<u8> {
+        self.encode(b'd', packet)
     }
 
     /// Read a datagram.
-    pub fn read_packet(&self, bytes: &[u8]) -> Result<Packet, DecodeError> {
+    pub fn decode_packet(&self, bytes: &[u8]) -> Result<Packet, DecodeError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::Foreign);
         }
-        self.open(b'd', bytes)
+        self.decode(b'd', bytes)
     }
 
     /// One side of an exchange.
-    pub fn exchange(&self, all: &FullState) -> Vec<u8> {
-        self.seal(b'x', all)
+    pub fn encode_exchange(&self, all: &FullState) -> Vec<u8> {
+        self.encode(b'x', all)
     }
 
     /// Read one side of an exchange.
-    pub fn read_exchange(&self, bytes: &[u8]) -> Result<FullState, DecodeError> {
+    pub fn decode_exchange(&self, bytes: &[u8]) -> Result<FullState, DecodeError> {
         if bytes.len() > MAX_EXCHANGE_BYTES {
             return Err(DecodeError::Foreign);
         }
-        self.open(b'x', bytes)
+        self.decode(b'x', bytes)
     }
 }
 
 impl Fleet {
     /// What members say to each other beside membership, as bytes.
-    pub fn batch<T: Serialize>(&self, what: &T) -> Vec<u8> {
-        self.seal(b'b', what)
+    pub fn encode_batch<T: Serialize>(&self, what: &T) -> Vec<u8> {
+        self.encode(b'b', what)
     }
 
     /// Read such bytes.
-    pub fn read_batch<T: for<'a> Deserialize<'a>>(&self, bytes: &[u8]) -> Result<T, DecodeError> {
+    pub fn decode_batch<T: for<'a> Deserialize<'a>>(&self, bytes: &[u8]) -> Result<T, DecodeError> {
         if bytes.len() > MAX_EXCHANGE_BYTES {
             return Err(DecodeError::Foreign);
         }
-        self.open(b'b', bytes)
+        self.decode(b'b', bytes)
     }
 }
 
--- a/crates/control/swim/tests/suspicion.rs
+++ b/crates/control/swim/tests/suspicion.rs
@@ -9,19 +9,19 @@
 fn it_shrinks_with_independent_suspicions_to_its_least_and_no_further() {
     let id = |n| Identity(n);
     let mut s = Suspicion::begin(0, id(1), 12, 1_000_000);
-    let mut last = s.ends();
-    assert_eq!(last, (least(12, 1_000_000) as f64 * SUSPICION_BETA) as Micros);
+    let mut last = s.deadline();
+    assert_eq!(last, (min_timeout(12, 1_000_000) as f64 * SUSPICION_BETA) as Micros);
     assert!(!s.confirm(id(1)), "the first one again is no confirmation");
     for n in 2..5 {
         assert!(s.confirm(id(n)));
-        assert!(s.ends() < last);
-        last = s.ends();
+        assert!(s.deadline() < last);
+        last = s.deadline();
     }
-    assert_eq!(last, least(12, 1_000_000));
+    assert_eq!(last, min_timeout(12, 1_000_000));
     assert!(!s.confirm(id(9)), "more count no more");
 }
 
 #[test]
 fn two_have_nobody_to_wait_for() {
-    assert_eq!(Suspicion::begin(5, Identity(1), 2, 10).ends(), 5 + least(2, 10));
+    assert_eq!(Suspicion::begin(5, Identity(1), 2, 10).deadline(), 5 + min_timeout(2, 10));
 }
--- a/crates/control/swim/tests/wire_bytes.rs
+++ b/crates/control/swim/tests/wire_bytes.rs
@@ -67,18 +67,18 @@
     for (name, message) in messages {
         let updates = if matches!(message, Message::Gossip) { updates.clone() } else { Vec::new() };
         let packet = Packet { from: from(), message, updates };
-        let bytes = fleet.packet(&packet);
-        assert_eq!(fleet.read_packet(&bytes), Ok(packet), "{name}");
+        let bytes = fleet.encode_packet(&packet);
+        assert_eq!(fleet.decode_packet(&bytes), Ok(packet), "{name}");
         add(&mut lines, &format!("datagram/{name}"), &bytes);
     }
     let states = [State::Alive, State::Suspect, State::Failed, State::Left];
     let members = states.map(|state| (record("[::1]:9002"), state)).to_vec();
     let all = FullState { from: from(), members, drains: vec![drain()] };
-    let bytes = fleet.exchange(&all);
-    assert_eq!(fleet.read_exchange(&bytes), Ok(all));
+    let bytes = fleet.encode_exchange(&all);
+    assert_eq!(fleet.decode_exchange(&bytes), Ok(all));
     add(&mut lines, "exchange", &bytes);
-    let bytes = fleet.batch(&(7u32, "said".to_string()));
-    assert_eq!(fleet.read_batch(&bytes), Ok((7u32, "said".to_string())));
+    let bytes = fleet.encode_batch(&(7u32, "said".to_string()));
+    assert_eq!(fleet.decode_batch(&bytes), Ok((7u32, "said".to_string())));
     add(&mut lines, "batch", &bytes);
     assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
 }
--- a/crates/daemon/sidecar/src/event_loop/fleet_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/fleet_side.rs
@@ -103,7 +103,7 @@
         let mut bytes = [0; DATAGRAM];
         for _ in 0..A_TURN {
             match fleet.datagrams.get().recv_from(&mut bytes) {
-                Ok((n, _)) => fleet.members.datagram(now, &bytes[..n]),
+                Ok((n, _)) => fleet.members.handle_datagram(now, &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 // What an earlier datagram met at its end, told here: that end is gone, and probes will show it.
                 Err(_) => {}
@@ -142,12 +142,12 @@
             Got::Nothing | Got::Batch(_) => true,
             Got::Ended => false,
             Got::Body(body) if conn.is_asking() => {
-                if let Err(bad) = fleet.members.exchanged(now, &body) {
+                if let Err(bad) = fleet.members.handle_exchange_response(now, &body) {
                     debug!(self.log, "an exchange was not taken"; "why" => ?bad);
                 }
                 false
             }
-            Got::Body(body) => match fleet.members.exchange(now, &body) {
+            Got::Body(body) => match fleet.members.handle_exchange(now, &body) {
                 Ok(answer) => conn.answer(200, &answer) != Got::Ended,
                 Err(bad) => {
                     debug!(self.log, "an exchange was not answered"; "why" => ?bad);
@@ -245,7 +245,7 @@
                 warn!(self.log, "this process stands down from the fleet and serves on"; "same_identity" => same_identity,
                     "other" => other.to_string(), "why" => "another process has its identity or its name");
             }
-            Event::Twin { same_identity, other } => {
+            Event::DuplicateMember { same_identity, other } => {
                 warn!(self.log, "another process has this member's identity or name, and has to stand down";
                     "same_identity" => same_identity, "other" => other.to_string());
             }
@@ -280,9 +280,9 @@
         let News::List { whole, hosts } = news else { return };
         let Some(fleet) = &mut self.fleet else { return };
         let entries = hosts.iter().map(|h| (h.name.as_str(), h.born_ms, h.health == Health::Draining));
-        let over = fleet.members.list_is(seq, *whole, entries);
+        let over = fleet.members.update_endpoint_list(seq, *whole, entries);
         for h in hosts.iter_mut().filter(|h| h.health == Health::Ready) {
-            if fleet.members.drains(&h.name, h.born_ms) || self.ordered.contains(&h.name) {
+            if fleet.members.is_draining(&h.name, h.born_ms) || self.ordered.contains(&h.name) {
                 h.health = Health::Draining;
             }
         }
@@ -311,16 +311,18 @@
                 serde_json::json!({
                     "id": s.record.id.to_string(), "name": s.record.name, "zone": s.record.zone, "at": s.record.at.to_string(),
                     "state": s.state.name(), "incarnation": s.record.incarnation.0, "since_s": (now - s.since) as f64 / 1e6,
-                    "heard_s": s.heard.map(|h| (now - h) as f64 / 1e6), "by": s.reported_by.to_string(),
+                    "heard_s": s.heard_at.map(|h| (now - h) as f64 / 1e6), "by": s.reported_by.to_string(),
                 })
             })
             .collect();
         let f = &m.metrics;
         let figures = serde_json::json!({
-            "sent": f.sent, "sent_bytes": f.sent_bytes, "taken": f.taken, "came_bytes": f.came_bytes, "strange": f.strange,
-            "spoilt": f.spoilt, "version": f.version, "replayed": f.replayed, "flood": f.flood, "unsent": f.unsent,
-            "turned_away": f.turned_away, "probes": f.probes, "late": f.late, "suspected": f.suspected,
-            "refuted": f.refuted, "failed": f.failed, "refutations": f.refutations, "overslept": f.overslept,
+            "sent": f.sent, "sent_bytes": f.sent_bytes, "taken": f.accepted, "came_bytes": f.received_bytes,
+            "strange": f.foreign, "spoilt": f.corrupt, "version": f.unsupported_version,
+            "replayed": f.replayed, "flood": f.rate_limited, "unsent": f.send_queue_full,
+            "turned_away": f.rejected_members, "probes": f.probes, "late": f.late_probes,
+            "suspected": f.suspected, "refuted": f.refuted, "failed": f.failed, "refutations": f.refutations,
+            "overslept": f.pauses,
             "exchanges": f.exchanges, "exchanged_bytes": f.exchanged_bytes,
         });
         let me = m.me();
@@ -329,7 +331,7 @@
             "view": m.view().name(), "live": live, "failed": failed, "senders": m.senders(),
             "senders_in_force": self.balancer.senders(), "senders_configured": fleet.configured,
             "digest": format!("{:016x}", m.digest()), "doubt": m.local_health_multiplier(),
-            "drains": m.drained().collect::<Vec<_>>(), "others": others, "figures": figures,
+            "drains": m.draining_hosts().collect::<Vec<_>>(), "others": others, "figures": figures,
         });
         Some(told.to_string() + "\n")
     }
@@ -344,22 +346,22 @@
             out += &format!("svc_members{{state=\"{}\"}} {n}\n", state.name());
         }
         let dropped = [
-            ("strange", f.strange),
-            ("spoilt", f.spoilt),
-            ("version", f.version),
+            ("strange", f.foreign),
+            ("spoilt", f.corrupt),
+            ("version", f.unsupported_version),
             ("replayed", f.replayed),
-            ("flood", f.flood),
+            ("flood", f.rate_limited),
         ];
         for (why, n) in dropped {
             out += &format!("svc_members_dropped_total{{reason=\"{why}\"}} {n}\n");
         }
         for (what, n) in [
-            ("probes_late_total", f.late),
+            ("probes_late_total", f.late_probes),
             ("suspicions_total", f.suspected),
             ("refuted_total", f.refuted),
             ("sent_bytes_total", f.sent_bytes + f.exchanged_bytes),
             ("doubt", u64::from(m.local_health_multiplier())),
-            ("drains_heard", m.drains_heard() as u64),
+            ("drains_heard", m.reported_drains() as u64),
         ] {
             out += &format!("svc_members_{what} {n}\n");
         }
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -147,13 +147,13 @@
         let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return };
         let Some(Some(link)) = h.links.get_mut(seat) else { return };
         let (from, to) = (fleet.members.me().id, link.to);
-        link.advance(now, &mut |said: Vec<Said>| fleet.members.fleet().batch(&(from, to, said)));
+        link.advance(now, &mut |said: Vec<Said>| fleet.members.fleet().encode_batch(&(from, to, said)));
     }
 
     /// A batch has come from another member.
     pub(super) fn batch_came(&mut self, now: Micros, bytes: &[u8]) -> bool {
         let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return false };
-        let batch: Result<(Identity, Identity, Vec<Said>), _> = fleet.members.fleet().read_batch(bytes);
+        let batch: Result<(Identity, Identity, Vec<Said>), _> = fleet.members.fleet().decode_batch(bytes);
         let Ok((from, to, said)) = batch else { return false };
         if to == fleet.members.me().id {
             said.into_iter().for_each(|s| h.records.said(now, from.0, s));
--- a/crates/daemon/sidecar/src/lifecycle/fleet.rs
+++ b/crates/daemon/sidecar/src/lifecycle/fleet.rs
@@ -324,7 +324,7 @@
     let period = (file.period_ms * 1e3) as Micros;
     let identity = u128::from_str_radix(&file.identity, 16).unwrap_or(0);
     let fleet = Fleet::new(&file.name, identity);
-    let config = Config { fleet, period, forget: (file.forget_s * 1e6) as Micros, mutant: None };
+    let config = Config { fleet, period, forget_after: (file.forget_s * 1e6) as Micros, mutant: None };
     let members = Members::new(config, start, now);
     Ok(Peers { members, datagrams, listener, folder, at, period, records, anew })
 }
--- a/crates/tools/scenario-runner/src/fleet/sim.rs
+++ b/crates/tools/scenario-runner/src/fleet/sim.rs
@@ -106,9 +106,9 @@
     let left = MembershipUpdate::Left { id: Identity(n + 2), incarnation: Incarnation(9 << 32) };
     let packet = Packet { from, message: Message::Gossip, updates: vec![left] };
     match kind {
-        Kind::Foreign => Fleet::new("another", 7).packet(&packet),
+        Kind::Foreign => Fleet::new("another", 7).encode_packet(&packet),
         Kind::Versions => {
-            let mut bytes = ours.packet(&packet);
+            let mut bytes = ours.encode_packet(&packet);
             bytes[3] = 2 + (n % 200) as u8;
             bytes
         }
@@ -127,7 +127,7 @@
         let config = Config {
             fleet: Fleet::new(&script.name, u128::from(seed)),
             period,
-            forget: (script.fleet.forget * period as f64) as Micros,
+            forget_after: (script.fleet.forget * period as f64) as Micros,
             mutant,
         };
         let mut sim = Sim {
@@ -231,7 +231,7 @@
         self.detected.remove(&self.procs[number].members.me().id);
         self.history
             .record(Instant::from_micros(self.now), EventKind::Started { process: number, machine, fresh });
-        self.procs[number].members.list_is(self.seq.min(1), true, std::iter::empty());
+        self.procs[number].members.update_endpoint_list(self.seq.min(1), true, std::iter::empty());
         self.pump(number);
     }
 
@@ -315,7 +315,7 @@
                         p.waiting.push_back(bytes);
                     }
                 } else if p.running {
-                    p.members.datagram(now, &bytes);
+                    p.members.handle_datagram(now, &bytes);
                     self.pump(number);
                 }
             }
@@ -325,7 +325,7 @@
                 if !p.running || p.paused {
                     return;
                 }
-                let answer = p.members.exchange(now, &bytes);
+                let answer = p.members.handle_exchange(now, &bytes);
                 let machine = p.machine;
                 self.pump(number);
                 let back = self.links.of(machine, from);
@@ -336,7 +336,7 @@
             Do::Answer { to, bytes } => {
                 let p = &mut self.procs[to];
                 if p.running && !p.paused {
-                    let _ = p.members.exchanged(now, &bytes);
+                    let _ = p.members.handle_exchange_response(now, &bytes);
                     self.pump(to);
                 }
             }
@@ -385,7 +385,7 @@
         let waiting = std::mem::take(&mut p.waiting);
         self.pump(number);
         for bytes in waiting {
-            self.procs[number].members.datagram(now, &bytes);
+            self.procs[number].members.handle_datagram(now, &bytes);
         }
         self.history.record(Instant::from_micros(now), EventKind::Recovered { process: number });
         self.pump(number);
@@ -504,7 +504,11 @@
         let (seq, hosts) = (self.seq, self.drained.clone());
         for m in self.script.machines(&fault.who) {
             for n in self.running_on(m) {
-                self.procs[n].members.list_is(seq, true, hosts.iter().map(|h| (h.as_str(), 7, true)));
+                self.procs[n].members.update_endpoint_list(
+                    seq,
+                    true,
+                    hosts.iter().map(|h| (h.as_str(), 7, true)),
+                );
                 self.procs[n].listed.clone_from(&hosts);
                 self.pump(n);
             }
@@ -552,7 +556,7 @@
                 members: m.others().map(seen).collect(),
                 draining: drained
                     .iter()
-                    .filter(|h| m.drains(h, 7) || p.listed.contains(h))
+                    .filter(|h| m.is_draining(h, 7) || p.listed.contains(h))
                     .cloned()
                     .collect(),
             };
@@ -575,15 +579,15 @@
         put("bytes_per_s", (sum(|f| f.sent_bytes) + sum(|f| f.exchanged_bytes)) / per / seconds);
         put("bytes_per_period", (sum(|f| f.sent_bytes) + sum(|f| f.exchanged_bytes)) / per / periods);
         put("exchanges", sum(|f| f.exchanges));
-        put("probes_late", sum(|f| f.late));
+        put("probes_late", sum(|f| f.late_probes));
         put("suspicions", sum(|f| f.suspected));
         put("refuted", sum(|f| f.refuted));
         put("refutations", sum(|f| f.refutations));
-        put("strange", sum(|f| f.strange));
-        put("spoilt", sum(|f| f.spoilt));
-        put("version", sum(|f| f.version));
+        put("strange", sum(|f| f.foreign));
+        put("spoilt", sum(|f| f.corrupt));
+        put("version", sum(|f| f.unsupported_version));
         put("replayed", sum(|f| f.replayed));
-        put("flood", sum(|f| f.flood));
+        put("flood", sum(|f| f.rate_limited));
         put("false_failures", self.false_failed as f64);
         let found: Vec<f64> = self
             .detected
--- a/crates/tools/scenario-runner/tests/mutants.rs
+++ b/crates/tools/scenario-runner/tests/mutants.rs
@@ -14,7 +14,7 @@
         (Mutant::NoRefutation, "members-partition", "not_found"),
         (Mutant::IdentityByName, "members-restart", "reborn"),
         (Mutant::DrainsExpire, "members-drain-dark", "drain_lost"),
-        (Mutant::Halved, "members-partition", "halved"),
+        (Mutant::FailedNotCounted, "members-partition", "halved"),
     ] {
         let script = script(name);
         let (sound, _) = sim::play_broken(&script, script.seed, None);
@@ -54,7 +54,7 @@
         f.figures.get("suspicions").copied().unwrap_or(0.0)
     };
     assert_eq!(suspicions(None), 0.0);
-    assert!(suspicions(Some(Mutant::NoIndirect)) >= 2.0);
+    assert!(suspicions(Some(Mutant::NoIndirectProbes)) >= 2.0);
 }
 
 /// A third of the fleet is late for as long as the script lasts: the late ones accuse the healthy, and each accusation has to be
@@ -68,6 +68,6 @@
         let (f, _) = sim::play_broken(&script, script.seed, mutant);
         f.figures.get("suspicions").copied().unwrap_or(0.0)
     };
-    let (sound, broken) = (accusations(None), accusations(Some(Mutant::NoDoubt)));
+    let (sound, broken) = (accusations(None), accusations(Some(Mutant::NoLocalHealth)));
     assert!(broken > 1.5 * sound, "{sound} with doubt, {broken} without");
 }
