--- a/crates/control/swim/src/config.rs
+++ b/crates/control/swim/src/config.rs
@@ -1,37 +1,38 @@
-//! The configuration of a member. All times follow from one figure, the protocol period, as in SWIM; the factors are in
+//! The configuration of a member. All timeouts derive from the protocol period, as in SWIM; the factors are in
 //! [`crate::limits`].
 use crate::time::Micros;
 use crate::wire::Fleet;
 
-/// What a member is configured with.
+/// Configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its fleet, distinguished from others by [`crate::wire::Fleet::new`].
+    /// The fleet that the member belongs to; datagrams of other fleets are rejected.
     pub fleet: Fleet,
     /// The protocol period, in microseconds: 10 ms to 60 s.
     pub period: Micros,
-    /// A failed member is forgotten after this, in microseconds, by those who see most of the fleet.
+    /// How long a failed or departed member stays in the table, in microseconds. Failed members are removed only by members
+    /// that see a majority of the fleet.
     pub forget_after: Micros,
-    /// How the member is broken on purpose, to show that the checker sees it; without the feature `mutants` nothing heeds it.
+    /// Injected defect, to verify that the checker detects it; ignored without the feature `mutants`.
     pub mutant: Option<Mutant>,
 }
 
-/// Ways to break a member on purpose, each caught by a script (`crates/tools/scenario-runner/tests/fleet.rs`).
+/// Injected defects, each detected by a scenario (`crates/tools/scenario-runner/tests/mutants.rs`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// It does not refute what is said of it.
+    /// Suspicions of this member are not refuted.
     NoRefutation,
-    /// Its start is not counted: it says what it said before.
+    /// Every start uses the incarnations of the first one.
     IncarnationNotKept,
-    /// Who it is follows from its name.
+    /// The identity is derived from the name.
     IdentityByName,
-    /// Nobody else is asked to probe.
+    /// No ping-req is sent.
     NoIndirectProbes,
-    /// Its local health multiplier stays 0.
+    /// The local health multiplier stays 0, and pauses of the process are not detected.
     NoLocalHealth,
-    /// Drains heard from others are forgotten in time.
+    /// Reported drains expire.
     DrainsExpire,
-    /// Only the living count as sending.
+    /// Failed members are left out of the number of senders.
     FailedNotCounted,
 }
 
@@ -40,7 +41,7 @@
         cfg!(feature = "mutants") && self.mutant == Some(by)
     }
 
-    /// How long an acknowledgement is waited for before others are asked to probe.
+    /// How long to wait for the ack of a direct ping before sending ping-reqs.
     pub fn ping_timeout(&self) -> Micros {
         self.period * 3 / 10
     }
--- a/crates/control/swim/src/identity.rs
+++ b/crates/control/swim/src/identity.rs
@@ -1,9 +1,9 @@
-//! What a member is, apart from what it is called and where it is. An identity is drawn at the first start and kept in the
-//! member's folder: name and address may come back, an identity whose folder was lost never does.
+//! Member identities and incarnations. An identity is generated at the first start and stored in the member's data folder. Names
+//! and addresses may be reused; an identity whose folder was lost is never used again.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A member's identity: 64 bits, drawn once, never 0.
+/// Identity of a member: 64 random bits, generated once, never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity(pub u64);
 
@@ -13,16 +13,16 @@
     }
 }
 
-/// A text that is no [`Identity`]: write 16 hexadecimal digits, not all 0.
+/// Parse error of [`Identity`]: expected 16 hexadecimal digits, not all 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidIdentity {
-    /// What was read.
+    /// The rejected text.
     pub text: String,
 }
 
 impl fmt::Display for InvalidIdentity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is no identity: 16 hexadecimal digits, not all 0", self.text)
+        write!(f, "invalid identity {:?}: expected 16 hexadecimal digits, not all 0", self.text)
     }
 }
 
@@ -38,25 +38,25 @@
     }
 }
 
-/// How new a member's record is (SWIM, 4.2). The upper half counts the starts of the process from its folder, the
-/// lower half its refutations since: what a process says is newer than all that any start before it said, without anything
-/// being written when it refutes.
+/// Incarnation number of a member (SWIM, 4.2). The upper 32 bits count the starts of the process from its folder, the lower 32
+/// bits the refutations since that start. Incarnations of a later start are greater than all earlier ones, so a refutation
+/// needs no write to disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The first of a start of the process, counted from 1.
+    /// The first incarnation of a start of the process; starts are numbered from 1.
     pub fn at_start(start_number: u32) -> Self {
         Incarnation(u64::from(start_number) << 32)
     }
 
-    /// Which start of the process it belongs to.
+    /// Number of the start that this incarnation belongs to.
     pub fn start_number(self) -> u32 {
         (self.0 >> 32) as u32
     }
 
-    /// One that is newer than `seen`, within the same start. A lower half that is used up stays at its end: four thousand
-    /// million refutations are no fleet's.
+    /// An incarnation of the same start whose refutation count is greater than that of `self` and `seen`. The count saturates
+    /// at its maximum, so it never overflows into the next start.
     pub fn above(self, seen: Incarnation) -> Self {
         let low = (self.0.max(seen.0) & 0xffff_ffff).saturating_add(1).min(0xffff_ffff);
         Incarnation((self.0 & !0xffff_ffff) | low)
--- a/crates/control/swim/src/lib.rs
+++ b/crates/control/swim/src/lib.rs
@@ -1,7 +1,8 @@
-//! Who is in the fleet: each member's view of the others, by SWIM (Das, Gupta, Motivala 2002) with Lifeguard's
-//! local health multiplier (Dadgar, Phillips, Currey 2017). Datagrams, exchanges and time go in; datagrams, exchanges to begin
-//! and events come out. No I/O, no clock, no chance but the seed's. It must not know of requests, sockets or discovery; what a sidecar does
-//! with a view is in [`view`], in one place. Go on reading at [`members`], then [`table`].
+//! Group membership and failure detection: SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips,
+//! Currey 2017). Datagrams, full-state exchanges and the current time are inputs; datagrams, exchanges to start and events are
+//! outputs. The package does no I/O, reads no clock and takes all randomness from a seed. It does not depend on requests,
+//! sockets or discovery. What a sidecar derives from the membership as a whole is defined in [`view`]. Start reading at
+//! [`members`], then [`table`].
 #![deny(missing_docs, unreachable_pub)]
 #![forbid(unsafe_code)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
--- a/crates/control/swim/src/limits.rs
+++ b/crates/control/swim/src/limits.rs
@@ -1,47 +1,47 @@
-//! Bounds and factors of the protocol, each a constant. Times are counts of protocol periods ([`crate::Config::period`]), as in
-//! SWIM. No state, no rules: those are in the files that use them.
+//! Limits and factors of the protocol. Times are given in protocol periods ([`crate::Config::period`]), as in SWIM.
 use crate::time::Micros;
 
-/// Members of a fleet that are known at once, left and failed ones included; at it a new one is not taken in, and counted.
+/// Maximum size of the member table, departed and failed members included; further members are rejected and counted.
 pub const MAX_MEMBERS: usize = 2_048;
-/// A member's name is no longer, in bytes.
+/// Maximum length of a member's name and of its zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Drains that are held at once; at it the oldest by its list's version makes room.
+/// Maximum number of reported drains, and of local ones; the one with the oldest list version is evicted.
 pub const MAX_DRAINS: usize = 4_096;
-/// Membership updates that still have to be sent; at it the one sent most often makes room.
+/// Maximum length of the update queue; the update sent most often is evicted.
 pub const MAX_QUEUED_UPDATES: usize = 4_096;
-/// Probes made on behalf of others at once; at it another's is not made.
+/// Maximum number of concurrent probes on behalf of other members; further ping-reqs are ignored.
 pub const MAX_RELAYED_PROBES: usize = 64;
-/// Datagrams that wait to be sent; at it a further one is dropped, as a network would.
+/// Maximum number of datagrams waiting to be sent; further ones are dropped.
 pub const MAX_QUEUED_DATAGRAMS: usize = 256;
-/// Messages of one member that are heard in a period; a healthy one sends a tenth of that to all others together.
+/// Maximum number of messages accepted from one member in a period; a healthy member sends about a tenth of that in total.
 pub const MAX_MESSAGES_PER_PERIOD: u32 = 256;
-/// Members asked to probe another one (SWIM's k).
+/// Number of members that a ping-req is sent to (SWIM's k).
 pub const INDIRECT_PROBES: usize = 3;
-/// Members that get gossip in one round.
+/// Number of members that receive gossip in one round.
 pub const GOSSIP_FANOUT: usize = 3;
-/// Rounds of gossip in a period, while an update is queued.
+/// Gossip rounds in a period while updates are queued.
 pub const GOSSIP_ROUNDS_PER_PERIOD: Micros = 5;
-/// An update is sent so often for each doubling of the fleet (SWIM's lambda).
+/// Number of transmissions of an update for each doubling of the fleet (SWIM's lambda).
 pub const RETRANSMIT_MULTIPLIER: u32 = 4;
-/// Least time of a suspicion, in periods, for each tenfold of the fleet (Lifeguard's alpha).
+/// Minimum suspicion timeout in periods, multiplied by the decimal logarithm of the fleet size, at least 1 (Lifeguard's
+/// alpha).
 pub const SUSPICION_ALPHA: f64 = 4.0;
-/// Longest time of a suspicion, in least times (Lifeguard's beta).
+/// Maximum suspicion timeout as a multiple of the minimum (Lifeguard's beta).
 pub const SUSPICION_BETA: f64 = 6.0;
-/// Independent suspicions that bring a suspicion down to its least time (Lifeguard's K).
+/// Independent confirmations that reduce a suspicion timeout to its minimum (Lifeguard's K).
 pub const SUSPICION_CONFIRMATIONS: usize = 3;
-/// The local health multiplier is no higher (Lifeguard's S).
+/// Maximum of the local health multiplier (Lifeguard's S).
 pub const MAX_LOCAL_HEALTH_MULTIPLIER: u32 = 8;
-/// Whoever was heard of so many periods ago at most surely runs: two of one name are two.
+/// A member that sent a message within so many periods is running; if it has this member's name, the name is used twice.
 pub const RECENT_CONTACT_PERIODS: Micros = 2;
-/// A wait longer than meant by this part of a period was no wait: the process was stopped or starved.
+/// A tick that is late by more than the period divided by this means that the process was stopped or starved of CPU.
 pub const PAUSE_DIVISOR: Micros = 2;
-/// A digest that differs in so many messages running asks for an exchange.
+/// Consecutive digest mismatches before a full-state exchange is started.
 pub const DIGEST_MISMATCHES: u32 = 8;
-/// A drain is sent again after so many periods, for as long as it is held.
+/// Interval at which known drains are gossiped again, in periods.
 pub const DRAIN_RESEND_PERIODS: Micros = 10;
-/// Seeds are asked again after so many periods while nobody else is known to live.
+/// Interval between exchanges with seeds while no other live member is known, in periods.
 pub const SEED_RETRY_PERIODS: Micros = 2;
 
-/// And after so many otherwise, where nobody is known to live at their address.
+/// Interval between exchanges with seeds whose address belongs to no live member, otherwise, in periods.
 pub const SEED_REFRESH_PERIODS: Micros = 20;
--- a/crates/control/swim/src/members.rs
+++ b/crates/control/swim/src/members.rs
@@ -1,7 +1,7 @@
-//! One member of the fleet, by role: `state` (what it holds), `timer` (what is due), `probes`, `receive`, `reports`, `conflicts`,
-//! `gossip` and `exchange`. One probe a period; without a direct answer others are asked ([`crate::limits::INDIRECT_PROBES`]);
-//! without any the member is suspected, and fails unless it refutes in time. Each wait grows with the local health multiplier
-//! (Lifeguard, 3.1).
+//! The protocol of one member: `state` (fields and accessors), `timer` (timeouts), `probes`, `receive`, `reports`, `conflicts`,
+//! `gossip` and `exchange`. One member is probed in each protocol period. Without an ack a ping-req goes to other members
+//! ([`crate::limits::INDIRECT_PROBES`]); without any ack the member is suspected, and it is declared failed unless it refutes the
+//! suspicion in time. Probe timeouts grow with the local health multiplier (Lifeguard, 3.1).
 mod conflicts;
 mod event;
 mod exchange;
--- a/crates/control/swim/src/metrics.rs
+++ b/crates/control/swim/src/metrics.rs
@@ -1,46 +1,46 @@
-//! Counters of one member, shown by the sidecar and summed by the scenario runner. Go on reading at [`crate::members`].
+//! Counters of one member, exposed by the sidecar and summed by the scenario runner.
 
-/// Counts from the start of the process on.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that were understood.
+    /// Datagrams accepted and processed.
     pub accepted: u64,
-    /// Bytes of all that came.
+    /// Bytes of all datagrams received.
     pub received_bytes: u64,
-    /// Too short, without our mark, or with another fleet's.
+    /// Messages that are too short or too long, lack the magic bytes, or belong to another fleet.
     pub foreign: u64,
-    /// Of our fleet, and not as they were sent.
+    /// Messages of this fleet with a wrong checksum or an invalid encoding.
     pub corrupt: u64,
-    /// Of a version that is not spoken here.
+    /// Messages of an unsupported protocol version.
     pub unsupported_version: u64,
-    /// Seen before, too old to tell, or of a process that has been replaced.
+    /// Datagrams that are duplicates, older than the replay window, or from a process that was replaced.
     pub replayed: u64,
-    /// Dropped before they were looked at, past what a member reads in a period.
+    /// Datagrams dropped because their sender exceeded the message limit of a period.
     pub rate_limited: u64,
-    /// Not sent, since too many waited.
+    /// Datagrams dropped because the send queue was full.
     pub send_queue_full: u64,
-    /// Members not taken in, since the table was full or the record invalid.
+    /// Member records rejected because the table was full or the record invalid.
     pub rejected_members: u64,
-    /// Probes made.
+    /// Probes sent.
     pub probes: u64,
-    /// Of them, those without a direct answer in time.
+    /// Probes without a direct ack in time.
     pub late_probes: u64,
-    /// Suspicions begun here by an own probe.
+    /// Suspicions started by a failed probe of this member.
     pub suspected: u64,
-    /// Suspicions of others that ended by a newer incarnation of theirs.
+    /// Suspicions of other members that ended with a refutation.
     pub refuted: u64,
-    /// Suspicions of others that ended as failures here.
+    /// Suspicions of other members that timed out here.
     pub failed: u64,
-    /// Own refutations.
+    /// Refutations by this member.
     pub refutations: u64,
-    /// Times this process found that it had not been running.
+    /// Pauses of this process that were detected.
     pub pauses: u64,
-    /// Full exchanges begun here.
+    /// Full-state exchanges started by this member.
     pub exchanges: u64,
-    /// Bytes of full exchanges, both ways, both sides.
+    /// Bytes of full-state exchanges, sent and received, started here or elsewhere.
     pub exchanged_bytes: u64,
 }
--- a/crates/control/swim/src/replay_window.rs
+++ b/crates/control/swim/src/replay_window.rs
@@ -1,7 +1,7 @@
-//! Tells a sender's new messages from replayed ones, by their numbers, as the anti-replay window of IPsec does (RFC 4303,
-//! section 3.4.3).
+//! Replay detection by message numbers, with a sliding window as in IPsec (RFC 4303, section 3.4.3).
 
-/// Which of a process's last messages have come: 64 behind the newest are told apart, older ones are taken for replayed.
+/// The message numbers received from one process. It tracks the newest number and the 63 before it; older numbers count as
+/// replayed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplayWindow {
     newest: u64,
@@ -9,11 +9,11 @@
 }
 
 impl ReplayWindow {
-    /// Whether this number is new; it is seen from then on.
+    /// Records a message number. Returns whether it is new.
     pub fn accept(&mut self, number: u64) -> bool {
         if number > self.newest {
-            let by = number - self.newest;
-            self.seen = if by >= 64 { 0 } else { self.seen << by } | 1;
+            let shift = number - self.newest;
+            self.seen = if shift >= 64 { 0 } else { self.seen << shift } | 1;
             self.newest = number;
             return true;
         }
--- a/crates/control/swim/src/suspicion.rs
+++ b/crates/control/swim/src/suspicion.rs
@@ -1,61 +1,65 @@
-//! How long a suspected member has to refute (Lifeguard, 3.2): long at first, shorter with each member that suspects it by
-//! itself, never shorter than the least.
+//! The time that a suspected member has to refute the suspicion (Lifeguard, 3.2). It starts at a maximum and shrinks to a minimum
+//! with each member that confirms the suspicion independently.
 use crate::identity::Identity;
 use crate::limits::{SUSPICION_ALPHA, SUSPICION_BETA, SUSPICION_CONFIRMATIONS};
 use crate::time::Micros;
 
-/// A suspicion that has begun.
+/// A suspicion in progress.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    began: Micros,
-    least: Micros,
-    longest: Micros,
-    needed: usize,
-    by: Vec<Identity>,
+    started_at: Micros,
+    min_timeout: Micros,
+    max_timeout: Micros,
+    confirmations_needed: usize,
+    suspected_by: Vec<Identity>,
 }
 
 impl Suspicion {
-    /// Begun now by `by`, in a fleet of so many.
+    /// Starts a suspicion reported by `by` in a fleet of `fleet` members.
     pub fn begin(now: Micros, by: Identity, fleet: usize, period: Micros) -> Self {
-        let least = min_timeout(fleet, period);
-        // With too few others to confirm it, nobody is waited for.
-        let needed = SUSPICION_CONFIRMATIONS.min(fleet.saturating_sub(2));
-        let longest = if needed == 0 { least } else { (least as f64 * SUSPICION_BETA) as Micros };
-        Suspicion { began: now, least, longest, needed, by: vec![by] }
+        let min_timeout = min_timeout(fleet, period);
+        // Without other members that could confirm it, the minimum applies at once.
+        let confirmations_needed = SUSPICION_CONFIRMATIONS.min(fleet.saturating_sub(2));
+        let max_timeout = if confirmations_needed == 0 {
+            min_timeout
+        } else {
+            (min_timeout as f64 * SUSPICION_BETA) as Micros
+        };
+        Suspicion { started_at: now, min_timeout, max_timeout, confirmations_needed, suspected_by: vec![by] }
     }
 
-    /// Another one suspects it too; whether that was new, and counts.
+    /// Records a confirmation. Returns whether it comes from a new member and shortens the timeout.
     pub fn confirm(&mut self, by: Identity) -> bool {
-        let new = self.by.len() <= self.needed && !self.by.contains(&by);
+        let new = self.suspected_by.len() <= self.confirmations_needed && !self.suspected_by.contains(&by);
         if new {
-            self.by.push(by);
+            self.suspected_by.push(by);
         }
         new
     }
 
-    /// When it ends as a failure.
+    /// When the member is declared failed.
     pub fn deadline(&self) -> Micros {
-        if self.needed == 0 {
-            return self.began + self.least;
+        if self.confirmations_needed == 0 {
+            return self.started_at + self.min_timeout;
         }
-        let confirmed = (self.by.len() - 1) as f64;
-        let part = (confirmed + 1.0).ln() / (self.needed as f64 + 1.0).ln();
-        let probe_interval = self.longest as f64 - (self.longest - self.least) as f64 * part;
-        self.began + (probe_interval as Micros).max(self.least)
+        let confirmed = (self.suspected_by.len() - 1) as f64;
+        let reduction = (confirmed + 1.0).ln() / (self.confirmations_needed as f64 + 1.0).ln();
+        let timeout = self.max_timeout as f64 - (self.max_timeout - self.min_timeout) as f64 * reduction;
+        self.started_at + (timeout as Micros).max(self.min_timeout)
     }
 
-    /// Whether it has lasted so long that another member's report of a failure is believed.
+    /// Whether the minimum timeout is over, after which a failure reported by another member is accepted.
     pub fn min_timeout_elapsed(&self, now: Micros) -> bool {
-        now >= self.began + self.least
+        now >= self.started_at + self.min_timeout
     }
 
-    /// The process was not there for so long: the suspected one could not be heard.
+    /// Postpones the deadline by a pause of this process, during which no refutation could be received.
     pub fn postpone(&mut self, by: Micros) {
-        self.began += by;
+        self.started_at += by;
     }
 }
 
-/// The least time of a suspicion in a fleet of so many.
+/// Minimum suspicion timeout in a fleet of `fleet` members.
 pub fn min_timeout(fleet: usize, period: Micros) -> Micros {
     (SUSPICION_ALPHA * (fleet.max(1) as f64).log10().max(1.0) * period as f64) as Micros
 }
--- a/crates/control/swim/src/table.rs
+++ b/crates/control/swim/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of members: what is known of each, and which of two reports about one holds.
+//! The table of known members with their records, states and counters.
 use crate::identity::{Identity, Incarnation};
 use crate::limits::MAX_MESSAGES_PER_PERIOD;
 use crate::replay_window::ReplayWindow;
@@ -8,47 +8,47 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What a member says of itself.
+/// The record that a member announces of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Who it is.
+    /// Identity of the member.
     pub id: Identity,
-    /// How new this is.
+    /// Incarnation of the record.
     pub incarnation: Incarnation,
-    /// Drawn at the start of the process: tells two processes with one identity apart.
+    /// Random number of the process, which distinguishes two processes with the same identity.
     pub nonce: u64,
-    /// When its identity was drawn, Unix time in milliseconds.
+    /// When the identity was generated, Unix time in milliseconds.
     pub born_ms: u64,
-    /// It is not where its folder last was.
+    /// Whether the address differs from the one last stored in the data folder.
     pub moved: bool,
-    /// What it is called, [`crate::limits::MAX_NAME_BYTES`] bytes at most.
+    /// Name, at most [`crate::limits::MAX_NAME_BYTES`] bytes.
     pub name: String,
-    /// Its zone, [`crate::limits::MAX_NAME_BYTES`] bytes at most.
+    /// Zone, at most [`crate::limits::MAX_NAME_BYTES`] bytes.
     pub zone: String,
-    /// Where it takes datagrams and exchanges.
+    /// Address for datagrams and exchanges.
     pub at: SocketAddr,
 }
 
-/// How a member is. Of two reports with one incarnation the later in this order holds (SWIM, 4.2).
+/// State of a member. Of two reports with the same incarnation, the one that is later in this order overrides (SWIM, 4.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It answers, or has just come.
+    /// It answers probes, or has just joined.
     Alive,
-    /// Somebody got no answer; it has time to refute.
+    /// A probe failed; the member may still refute the suspicion.
     Suspect,
-    /// It did not refute in time. A newer incarnation of it is alive all the same.
+    /// It did not refute the suspicion in time. A newer incarnation makes it alive again.
     Failed,
-    /// It said itself that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
 impl State {
-    /// Whether it counts as there.
+    /// Whether the member counts as live.
     pub fn is_live(self) -> bool {
         self <= State::Suspect
     }
 
-    /// As it is shown.
+    /// The name used in output.
     pub fn name(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -59,29 +59,29 @@
     }
 }
 
-/// A member as it is known here.
+/// An entry of the member table.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its record.
+    /// The latest record of the member.
     pub record: MemberRecord,
-    /// How it is.
+    /// Current state.
     pub state: State,
-    /// Since when.
+    /// When the state last changed.
     pub since: Micros,
-    /// When it was last heard of by a message of its own.
+    /// When a message from the member itself was last received.
     pub heard_at: Option<Micros>,
-    /// Who reported its state.
+    /// The member that reported the state.
     pub reported_by: Identity,
-    /// While it is suspected.
+    /// The suspicion, while the state is [`State::Suspect`].
     pub suspicion: Option<Suspicion>,
-    /// The messages of its present process that have come.
+    /// Replay window for messages of its current process.
     pub window: ReplayWindow,
-    /// Since when its messages are counted, and how many have come.
+    /// Start of the current rate-limit window and the number of messages received in it.
     pub message_count: (Micros, u32),
 }
 
 impl Member {
-    /// One more message of it has come: whether that is past [`MAX_MESSAGES_PER_PERIOD`] in a period.
+    /// Counts a message. Returns whether it exceeds [`MAX_MESSAGES_PER_PERIOD`].
     pub fn exceeds_message_limit(&mut self, now: Micros, period: Micros) -> bool {
         if now >= self.message_count.0 + period {
             self.message_count = (now, 0);
@@ -91,7 +91,7 @@
     }
 }
 
-/// All members but this one.
+/// All known members except this one.
 #[derive(Debug, Default)]
 pub struct Table {
     members: Vec<Member>,
@@ -99,11 +99,11 @@
     digest: u64,
     live: usize,
     failed: usize,
-    /// Positions of those that are suspect or failed: few, and looked through at each turn.
+    /// Members that are suspect, failed or left; a short list, scanned in each tick.
     not_alive: Vec<Identity>,
 }
 
-/// One member's part in the digest of the living.
+/// Contribution of one member to the digest of live members.
 pub fn digest_of(record: &MemberRecord) -> u64 {
     let mut x = record.id.0 ^ record.incarnation.0.rotate_left(17) ^ 0x9e37_79b9_7f4a_7c15;
     // The finaliser of splitmix64 (Steele, Lea, Flood 2014).
@@ -113,57 +113,57 @@
 }
 
 impl Table {
-    /// Everyone known.
+    /// All entries.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// One by its place.
-    pub fn by_index(&self, place: usize) -> Option<&Member> {
-        self.members.get(place)
+    /// The entry at an index; indices change when members are removed.
+    pub fn by_index(&self, index: usize) -> Option<&Member> {
+        self.members.get(index)
     }
 
-    /// One by its identity.
+    /// The entry of a member.
     pub fn get(&self, id: Identity) -> Option<&Member> {
         self.index.get(&id).and_then(|i| self.members.get(*i))
     }
 
-    /// One by its identity; its state is changed by [`Table::set`] alone.
+    /// The entry of a member for changes. Change record and state only with [`Table::set`], which maintains the counts.
     pub fn get_mut(&mut self, id: Identity) -> Option<&mut Member> {
         self.index.get(&id).and_then(|i| self.members.get_mut(*i))
     }
 
-    /// How many are known.
+    /// Number of known members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether nobody else is known.
+    /// Whether no other member is known.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// How many count as there.
+    /// Number of live members.
     pub fn live(&self) -> usize {
         self.live
     }
 
-    /// How many are held failed.
+    /// Number of failed members.
     pub fn failed(&self) -> usize {
         self.failed
     }
 
-    /// The living and their incarnations in one word, the same wherever they are the same.
+    /// Digest of the live members and their incarnations, independent of their order.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Who is suspect, failed or left.
+    /// Members that are suspect, failed or left.
     pub fn not_alive(&self) -> &[Identity] {
         &self.not_alive
     }
 
-    /// Take one in.
+    /// Adds a member that is not in the table.
     pub fn add(&mut self, member: Member) {
         let id = member.record.id;
         self.count(&member, true);
@@ -171,7 +171,7 @@
         self.members.push(member);
     }
 
-    /// Another report holds from now on. The record's identity has to be known.
+    /// Sets record and state of a known member.
     pub fn set(&mut self, record: MemberRecord, state: State, now: Micros, reported_by: Identity) {
         let Some(i) = self.index.get(&record.id).copied() else { return };
         let old = self.members[i].clone();
@@ -187,7 +187,7 @@
             member.suspicion = None;
         }
         if member.record.nonce != record.nonce {
-            // Another process: its messages count from the start.
+            // A new process numbers its messages from the start.
             member.window = ReplayWindow::default();
         }
         (member.record, member.state) = (record, state);
@@ -195,23 +195,23 @@
         self.count(&new, true);
     }
 
-    /// Forget one.
+    /// Removes a member.
     pub fn remove(&mut self, id: Identity) {
         let Some(i) = self.index.remove(&id) else { return };
-        let gone = self.members.swap_remove(i);
-        self.count(&gone, false);
+        let removed = self.members.swap_remove(i);
+        self.count(&removed, false);
         if let Some(moved) = self.members.get(i) {
             self.index.insert(moved.record.id, i);
         }
     }
 
-    fn count(&mut self, member: &Member, there: bool) {
+    fn count(&mut self, member: &Member, present: bool) {
         let id = member.record.id;
-        self.not_alive.retain(|t| *t != id);
-        if there && member.state != State::Alive {
+        self.not_alive.retain(|other| *other != id);
+        if present && member.state != State::Alive {
             self.not_alive.push(id);
         }
-        let step = |n: usize| if there { n + 1 } else { n - 1 };
+        let step = |n: usize| if present { n + 1 } else { n - 1 };
         if member.state.is_live() {
             self.digest ^= digest_of(&member.record);
             self.live = step(self.live);
--- a/crates/control/swim/src/time.rs
+++ b/crates/control/swim/src/time.rs
@@ -1,4 +1,4 @@
-//! The unit of time in this package. It must not know of a clock: the caller says what time it is.
+//! The unit of time in this package. The current time is always passed in by the caller.
 
-/// Microseconds, of a clock that only goes forward.
+/// Microseconds, as a point on a monotonic clock or as a duration.
 pub type Micros = i64;
--- a/crates/control/swim/src/updates.rs
+++ b/crates/control/swim/src/updates.rs
@@ -1,5 +1,5 @@
-//! The queue of membership updates for gossip piggyback: each is sent a bounded number of times, the least sent first (SWIM, 4.1).
-//! It must not know to whom a datagram goes; go on reading at `members/gossip.rs`.
+//! The queue of membership updates for infection-style dissemination: each update is piggybacked a bounded number of times, the
+//! least sent first (SWIM, 4.1). Recipients are selected in `members/gossip.rs`.
 use crate::drains::Drain;
 use crate::identity::{Identity, Incarnation};
 use crate::limits::{MAX_QUEUED_UPDATES, RETRANSMIT_MULTIPLIER};
@@ -9,39 +9,39 @@
 /// A membership update, piggybacked on other messages (SWIM, 4.1).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipUpdate {
-    /// A member's record, as it announces it.
+    /// A member is alive, with its record.
     Alive(MemberRecord),
-    /// Somebody got no answer from it.
+    /// A member did not answer a probe.
     Suspect {
-        /// Whom.
+        /// The suspected member.
         id: Identity,
-        /// At which of its incarnations.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Who got none.
+        /// The member that suspects it.
         by: Identity,
     },
-    /// It did not refute in time (SWIM's confirm).
+    /// A member did not refute a suspicion in time (SWIM's confirm).
     Confirm {
-        /// Who.
+        /// The failed member.
         id: Identity,
-        /// At which of its incarnations.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// By whose clock.
+        /// The member whose suspicion timed out.
         by: Identity,
     },
-    /// It says that it leaves.
+    /// A member announced that it leaves.
     Left {
-        /// Who.
+        /// The leaving member.
         id: Identity,
-        /// At which of its incarnations.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// An upstream drains.
+    /// An upstream is draining.
     Drain(Drain),
 }
 
 impl MembershipUpdate {
-    /// Whether this replaces an older update.
+    /// Whether this update supersedes a queued one: both are about the same member, or the same upstream.
     fn replaces(&self, old: &MembershipUpdate) -> bool {
         match (self.about(), old.about()) {
             (Some(a), Some(b)) => a == b,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Which member it is about.
+    /// The member that the update is about.
     pub fn about(&self) -> Option<Identity> {
         match self {
             MembershipUpdate::Alive(record) => Some(record.id),
@@ -71,55 +71,55 @@
     bytes: usize,
 }
 
-/// The updates that are still sent.
+/// Updates that have not reached their transmission limit.
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
     queued: Vec<QueuedUpdate>,
 }
 
-/// How often an update is sent in a fleet of so many members.
+/// Number of transmissions of an update in a fleet of `fleet` members.
 pub fn retransmit_limit(fleet: usize) -> u32 {
     RETRANSMIT_MULTIPLIER * (usize::BITS - fleet.max(1).leading_zeros())
 }
 
 impl UpdateQueue {
-    /// Send this from now on, in place of what it replaces.
+    /// Queues an update in place of those that it supersedes.
     pub fn add(&mut self, update: MembershipUpdate) {
-        self.queued.retain(|h| !update.replaces(&h.update));
+        self.queued.retain(|q| !update.replaces(&q.update));
         if self.queued.len() >= MAX_QUEUED_UPDATES {
-            let most = self.queued.iter().enumerate().max_by_key(|(_, h)| h.sent_count).map(|(i, _)| i);
-            most.into_iter().for_each(|i| drop(self.queued.swap_remove(i)));
+            let most_sent = self.queued.iter().enumerate().max_by_key(|(_, q)| q.sent_count).map(|(i, _)| i);
+            most_sent.into_iter().for_each(|i| drop(self.queued.swap_remove(i)));
         }
         let bytes = postcard::to_stdvec(&update).map_or(usize::MAX, |b| b.len());
         self.queued.push(QueuedUpdate { update, sent_count: 0, bytes });
     }
 
-    /// Drop all updates about a member.
+    /// Removes all updates about a member.
     pub fn drop_about(&mut self, id: Identity) {
-        self.queued.retain(|h| h.update.about() != Some(id));
+        self.queued.retain(|q| q.update.about() != Some(id));
     }
 
-    /// Whether nothing is left to send.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty()
     }
 
-    /// The least sent ones that fit into so many bytes; each counts as sent once more. `first` goes first if it is there.
+    /// Returns the least sent updates that fit into `room` bytes and counts each as sent. Updates about `first` take precedence.
     pub fn take(&mut self, mut room: usize, fleet: usize, first: Option<Identity>) -> Vec<MembershipUpdate> {
         if self.queued.is_empty() {
             return Vec::new();
         }
-        self.queued.sort_by_key(|h| (first.is_none() || h.update.about() != first, h.sent_count));
+        self.queued.sort_by_key(|q| (first.is_none() || q.update.about() != first, q.sent_count));
         let mut taken = Vec::new();
-        for h in &mut self.queued {
-            if h.bytes <= room {
-                room -= h.bytes;
-                h.sent_count += 1;
-                taken.push(h.update.clone());
+        for q in &mut self.queued {
+            if q.bytes <= room {
+                room -= q.bytes;
+                q.sent_count += 1;
+                taken.push(q.update.clone());
             }
         }
-        let most = retransmit_limit(fleet);
-        self.queued.retain(|h| h.sent_count < most);
+        let limit = retransmit_limit(fleet);
+        self.queued.retain(|q| q.sent_count < limit);
         taken
     }
 }
--- a/crates/control/swim/src/view.rs
+++ b/crates/control/swim/src/view.rs
@@ -1,34 +1,34 @@
-//! What a member sees of its fleet as a whole, and what a sidecar does by it: the one place.
+//! A member's view of the fleet as a whole, and what a sidecar derives from it.
 use serde::{Deserialize, Serialize};
 
 /// A view of the fleet.
 ///
-/// | view | when | requests | drains reported by others | live size | failed ones forgotten |
+/// | view | condition | requests | drains reported by others | number of senders | failed members removed |
 /// | --- | --- | --- | --- | --- | --- |
-/// | whole | nobody is held failed | served | heeded | all that are there | - |
-/// | part | somebody is held failed | served | heeded | the failed count as still sending | after `forget`, by those who see more than half |
-/// | alone | others are known, and none is there | served | those heard still hold | as part | never |
-/// | single | nobody else was ever known | served | none | the settings' | - |
-/// | out | it stood down for another process of its name or identity | served | those heard still hold | as it last was | never |
+/// | whole | no member is failed | served | applied | all live members | - |
+/// | part | some members are failed | served | applied | live and failed members | after `forget_after`, by members that see a majority |
+/// | alone | all other known members are failed | served | known ones still hold | live and failed members | never |
+/// | single | no other member is known | served | none | configured number | - |
+/// | out | stood down for another process with its name or identity | served | known ones still hold | the last one | never |
 ///
-/// Serving never depends on the view: every sidecar keeps the four rules by itself.
+/// Requests are served in every view: each sidecar enforces the four rules of the service by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum View {
-    /// Nobody is held failed.
+    /// No member is failed.
     Whole,
-    /// Somebody is.
+    /// Some members are failed.
     Part,
-    /// All others are.
+    /// All other known members are failed.
     Alone,
-    /// Nobody else is known.
+    /// No other member is known.
     Single,
-    /// It has stood down.
+    /// This member has stood down.
     Out,
 }
 
 impl View {
-    /// By who is there besides this member.
+    /// The view of a member that sees so many live and failed others.
     pub fn of(live_others: usize, failed: usize) -> View {
         match (live_others, failed) {
             (0, 0) => View::Single,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// As it is shown.
+    /// The name used in output.
     pub fn name(self) -> &'static str {
         match self {
             View::Whole => "whole",
@@ -49,13 +49,14 @@
         }
     }
 
-    /// Whether failed ones may be forgotten here in time: only by those who see more than half of all they know.
+    /// Whether failed members may be removed here: only if the live members are more than half of the known ones, so that a
+    /// minority partition forgets nobody.
     pub fn may_forget(live_with_me: usize, failed: usize) -> bool {
         live_with_me > failed
     }
 
-    /// How many sidecars send, for parts of budgets that all share. Whoever is held failed may be cut off and go on sending:
-    /// until it is forgotten it counts. `None`: the settings' number holds.
+    /// Number of sidecars that send requests, by which shared budgets are divided. A failed member may be partitioned and still
+    /// sending, so it counts until it is removed. `None`: the configured number applies.
     pub fn senders(self, live_with_me: usize, failed: usize) -> Option<usize> {
         match self {
             View::Single | View::Out => None,
--- a/crates/control/swim/src/wire.rs
+++ b/crates/control/swim/src/wire.rs
@@ -1,7 +1,8 @@
-//! Datagrams and exchanges as bytes. A datagram is four bytes of mark and version, eight that tell the fleet, eight of a
-//! keyed check (SipHash-2-4, Aumasson and Bernstein 2012) over all behind them, then postcard's coding of [`Packet`]. What is
-//! short, foreign, corrupt or of another version is told apart by [`DecodeError`] and changes nothing. The check keeps foreign and corrupt bytes
-//! out; it is no secrecy, and no proof against whoever knows the fleet's identity.
+//! Encoding of datagrams and exchanges. The header has three magic bytes, the version byte, eight bytes of fleet tag and eight
+//! bytes of keyed checksum over the body (SipHash-2-4, Aumasson and Bernstein 2012); the body of a datagram is a [`Packet`] in
+//! postcard encoding. Messages that are short, foreign, corrupt or of another version are rejected with a [`DecodeError`] and
+//! change no state. The checksum rejects foreign and corrupt bytes. It provides neither secrecy nor authentication against
+//! anyone who knows the fleet's identity.
 use crate::drains::Drain;
 use crate::identity::{Identity, Incarnation};
 use crate::table::{MemberRecord, State};
@@ -11,18 +12,18 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-/// A datagram is no longer, so that it is not cut on its way.
+/// Maximum length of a datagram, small enough to avoid IP fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// An exchange is no longer.
+/// Maximum length of one side of an exchange.
 pub const MAX_EXCHANGE_BYTES: usize = 1024 * 1024;
-/// The version spoken here. What a later one adds at the end of a packet is passed over; what changes more counts up.
+/// Protocol version. Fields that a later build appends to a packet are ignored; any other change increments the version.
 pub const VERSION: u8 = 1;
 const MAGIC: [u8; 3] = *b"sxm";
 const HEADER_BYTES: usize = 20;
-/// Bytes of a packet besides its updates, at most.
+/// Maximum encoded length of a packet without its updates.
 pub const PACKET_OVERHEAD_BYTES: usize = 120;
 
-/// A fleet: its name and its identity, which operators draw and write into each member's file.
+/// A fleet, from its name and its identity, a random number that operators set in each member's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fleet {
     tag: u64,
@@ -30,31 +31,31 @@
 }
 
 impl Fleet {
-    /// By its name and identity. Two fleets differ if either does.
+    /// A fleet differs from another one if name or identity differs.
     pub fn new(name: &str, identity: u128) -> Self {
         let key = (identity as u64, (identity >> 64) as u64);
-        let mut h = SipHasher24::new_with_keys(key.0, key.1);
-        h.write(b"silvercross fleet ");
-        h.write(name.as_bytes());
-        Fleet { tag: h.finish(), key }
+        let mut hasher = SipHasher24::new_with_keys(key.0, key.1);
+        hasher.write(b"silvercross fleet ");
+        hasher.write(name.as_bytes());
+        Fleet { tag: hasher.finish(), key }
     }
 
     fn checksum(&self, kind: u8, bytes: &[u8]) -> u64 {
-        let mut h = SipHasher24::new_with_keys(self.key.0 ^ self.tag, self.key.1);
-        h.write_u8(kind);
-        h.write(bytes);
-        h.finish()
+        let mut hasher = SipHasher24::new_with_keys(self.key.0 ^ self.tag, self.key.1);
+        hasher.write_u8(kind);
+        hasher.write(bytes);
+        hasher.finish()
     }
 
-    /// Bytes as they go out. `kind` keeps datagrams and exchanges apart.
-    fn encode<T: Serialize>(&self, kind: u8, what: &T) -> Vec<u8> {
+    /// Encodes a message with its header. `kind` enters the checksum, so that a datagram is not accepted as an exchange.
+    fn encode<T: Serialize>(&self, kind: u8, message: &T) -> Vec<u8> {
         let mut out = Vec::with_capacity(256);
         out.extend_from_slice(&MAGIC);
         out.push(VERSION);
         out.extend_from_slice(&self.tag.to_le_bytes());
         out.extend_from_slice(&[0; 8]);
-        // Coding into a growing vector has nothing to fail on.
-        let mut out = postcard::to_extend(what, out).unwrap_or_default();
+        // Encoding into a growing vector can't fail.
+        let mut out = postcard::to_extend(message, out).unwrap_or_default();
         if out.len() >= HEADER_BYTES {
             let checksum = self.checksum(kind, &out[HEADER_BYTES..]).to_le_bytes();
             out[12..HEADER_BYTES].copy_from_slice(&checksum);
@@ -63,10 +64,12 @@
     }
 
     fn decode<T: for<'a> Deserialize<'a>>(&self, kind: u8, bytes: &[u8]) -> Result<T, DecodeError> {
-        let word = |at: usize| -> Option<u64> {
+        let read_u64 = |at: usize| -> Option<u64> {
             bytes.get(at..at + 8).and_then(|b| Some(u64::from_le_bytes(b.try_into().ok()?)))
         };
-        let (Some(tag), Some(checksum)) = (word(4), word(12)) else { return Err(DecodeError::Foreign) };
+        let (Some(tag), Some(checksum)) = (read_u64(4), read_u64(12)) else {
+            return Err(DecodeError::Foreign);
+        };
         if bytes[..3] != MAGIC || tag != self.tag {
             return Err(DecodeError::Foreign);
         }
@@ -76,16 +79,16 @@
         if checksum != self.checksum(kind, &bytes[HEADER_BYTES..]) {
             return Err(DecodeError::Corrupt);
         }
-        // What a later version added behind it is passed over.
+        // Fields appended by a later build are ignored.
         postcard::take_from_bytes(&bytes[HEADER_BYTES..]).map(|(t, _)| t).map_err(|_| DecodeError::Corrupt)
     }
 
-    /// A datagram.
+    /// Encodes a datagram.
     pub fn encode_packet(&self, packet: &Packet) -> Vec<u8> {
         self.encode(b'd', packet)
     }
 
-    /// Read a datagram.
+    /// Decodes a datagram.
     pub fn decode_packet(&self, bytes: &[u8]) -> Result<Packet, DecodeError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::Foreign);
@@ -93,12 +96,12 @@
         self.decode(b'd', bytes)
     }
 
-    /// One side of an exchange.
-    pub fn encode_exchange(&self, all: &FullState) -> Vec<u8> {
-        self.encode(b'x', all)
+    /// Encodes one side of an exchange.
+    pub fn encode_exchange(&self, state: &FullState) -> Vec<u8> {
+        self.encode(b'x', state)
     }
 
-    /// Read one side of an exchange.
+    /// Decodes one side of an exchange.
     pub fn decode_exchange(&self, bytes: &[u8]) -> Result<FullState, DecodeError> {
         if bytes.len() > MAX_EXCHANGE_BYTES {
             return Err(DecodeError::Foreign);
@@ -108,12 +111,12 @@
 }
 
 impl Fleet {
-    /// What members say to each other beside membership, as bytes.
-    pub fn encode_batch<T: Serialize>(&self, what: &T) -> Vec<u8> {
-        self.encode(b'b', what)
+    /// Encodes messages between members that are not about membership.
+    pub fn encode_batch<T: Serialize>(&self, message: &T) -> Vec<u8> {
+        self.encode(b'b', message)
     }
 
-    /// Read such bytes.
+    /// Decodes messages encoded by [`Fleet::encode_batch`].
     pub fn decode_batch<T: for<'a> Deserialize<'a>>(&self, bytes: &[u8]) -> Result<T, DecodeError> {
         if bytes.len() > MAX_EXCHANGE_BYTES {
             return Err(DecodeError::Foreign);
@@ -122,94 +125,94 @@
     }
 }
 
-/// Why bytes were not taken.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Not ours, or another fleet's.
+    /// Too short, too long, without the magic bytes, or of another fleet.
     Foreign,
-    /// Of a version not spoken here.
+    /// Unsupported protocol version.
     Version(u8),
-    /// Not as it was sent.
+    /// Wrong checksum or invalid encoding.
     Corrupt,
 }
 
-/// Who sends.
+/// The sender of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Who.
+    /// Identity of the sender.
     pub id: Identity,
-    /// At which of its incarnations.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Which process of it.
+    /// Nonce of the sending process.
     pub nonce: u64,
-    /// Counts this process's messages.
+    /// Message number, increasing within the process.
     pub number: u64,
 }
 
-/// A datagram's content.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Who sends it.
+    /// The sender.
     pub from: Sender,
-    /// What it asks or answers.
+    /// The message.
     pub message: Message,
-    /// What it carries along.
+    /// Piggybacked membership updates.
     pub updates: Vec<MembershipUpdate>,
 }
 
-/// What a datagram asks or answers.
+/// Message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Are you there?
+    /// Direct probe.
     Ping {
-        /// The probe's number at whoever made it.
+        /// Probe number of the sender.
         probe: u64,
-        /// Who is meant: at its address there may be another by now.
+        /// The probed member; its address may have been taken over by another one.
         to: Identity,
-        /// Where the answer goes.
+        /// Address that the answer is sent to.
         at: SocketAddr,
-        /// What the sender holds the other one to be, if not alive (Lifeguard's buddy system).
+        /// State of the target as known to the sender, if not alive (Lifeguard's buddy system).
         held: Option<(State, Incarnation)>,
-        /// The sender's living ones in one word.
+        /// Digest of the sender's live members.
         digest: u64,
     },
-    /// I am.
+    /// Answer to a ping.
     Ack {
-        /// The probe's number.
+        /// Number of the answered probe.
         probe: u64,
-        /// The sender's living ones in one word.
+        /// Digest of the sender's live members.
         digest: u64,
     },
-    /// Ask that one for me.
+    /// Request for an indirect probe.
     PingReq {
-        /// The probe's number at whoever asks.
+        /// Probe number of the requesting member.
         probe: u64,
-        /// Whom.
+        /// The member to probe.
         target: Identity,
-        /// Where.
+        /// Address of the member to probe.
         target_at: SocketAddr,
-        /// Where the answer goes.
+        /// Address that the answer is sent to.
         at: SocketAddr,
-        /// What the sender holds the target to be, if not alive.
+        /// State of the target as known to the sender, if not alive.
         held: Option<(State, Incarnation)>,
     },
-    /// It has not answered me so far (Lifeguard, 3.1): the asker's own links work.
+    /// The target of a ping-req has not answered yet (Lifeguard, 3.1); it shows that the requester's own links work.
     Nack {
-        /// The probe's number at whoever asked.
+        /// Probe number of the requesting member, from its ping-req.
         probe: u64,
     },
-    /// Only updates.
+    /// Only piggybacked updates.
     Gossip,
 }
 
 /// One side of a full exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FullState {
-    /// Who sends it.
+    /// The sender.
     pub from: Sender,
-    /// Itself, and all that it knows, with their states.
+    /// The sender and all members it knows, with their states.
     pub members: Vec<(MemberRecord, State)>,
-    /// The drains it can tell.
+    /// The drains known to the sender.
     pub drains: Vec<Drain>,
 }
 
