--- a/crates/control/swim/src/members/conflicts.rs
+++ b/crates/control/swim/src/members/conflicts.rs
@@ -1,4 +1,5 @@
-//! Two processes of one identity or of one name: which of them stands down. Both sides go by the same rule.
+//! Conflicts between two processes with the same identity or the same name. Both apply the same rule to decide which of them
+//! stands down.
 use super::event::Event;
 use super::state::Members;
 use crate::identity::Identity;
@@ -11,8 +12,8 @@
 use std::net::SocketAddr;
 
 impl Members {
-    /// Another process speaks as this identity. The later start stays; of two alike the one that has not moved; then the one
-    /// with the smaller nonce. Both go by the same rule, so one of them stays.
+    /// Another process uses this identity. The later start stays; of equal starts the one that has not moved, then the one with
+    /// the smaller nonce. Both processes apply this order, so exactly one stays.
     pub(super) fn resolve_identity_conflict(&mut self, record: &MemberRecord) {
         if self.stood_down {
             return;
@@ -22,28 +23,29 @@
             return self.stand_down(true, record.at);
         }
         if record.incarnation.start_number() < self.me.incarnation.start_number() {
-            // What an earlier start of this one said, still on its way. Its process, if there is one, hears of this one.
+            // A delayed message of an earlier start. If its process still runs, it will learn of this one and stand down.
             return;
         }
         if record.incarnation >= self.me.incarnation {
             self.me.incarnation = self.me.incarnation.above(record.incarnation);
             self.updates.add(MembershipUpdate::Alive(self.me.clone()));
             self.events.push_back(Event::DuplicateMember { same_identity: true, other: record.at });
-            // It may be that no update reaches it: others hold its address to be this one's from now on.
+            // Send the update directly: other members now associate the identity with this address, so gossip may not reach it.
             self.send(record.at, Message::Gossip, Some(self.me.id));
         }
     }
 
-    /// Two identities of one name: the one drawn first stays, once both have been heard. A name whose folder was lost comes
-    /// back under another identity, and the old one is silent then.
+    /// Two identities have the same name: the one generated first stays. It counts only if the other member was heard from
+    /// recently, since a member whose folder was lost returns under its name with a new identity while the old one is silent.
     pub(super) fn resolve_name_conflict(&mut self, now: Micros, id: Identity) {
         let Some(member) = self.table.get(id) else { return };
         if member.record.name != self.me.name || !member.state.is_live() || self.leaving || self.stood_down {
             return;
         }
-        let lately = member.heard_at.is_some_and(|at| at + RECENT_CONTACT_PERIODS * self.config.period > now);
+        let recently_heard =
+            member.heard_at.is_some_and(|at| at + RECENT_CONTACT_PERIODS * self.config.period > now);
         let (other, at) = ((member.record.born_ms, member.record.id), member.record.at);
-        if !lately {
+        if !recently_heard {
             return;
         }
         if other < (self.me.born_ms, self.me.id) {
@@ -58,7 +60,7 @@
             return;
         }
         if !same_identity {
-            // Under this identity nobody else speaks: it says itself that it is gone.
+            // No other process uses this identity, so this one announces that it leaves.
             self.announce_leave();
         }
         self.stood_down = true;
--- a/crates/control/swim/src/members/event.rs
+++ b/crates/control/swim/src/members/event.rs
@@ -1,38 +1,38 @@
-//! What a member reports to whoever runs it: changes of state, and exchanges to begin.
+//! Outputs of a member to its caller: events, and full-state exchanges to start.
 use crate::drains::Drain;
 use crate::identity::Identity;
 use crate::table::State;
 use crate::view::View;
 use std::net::SocketAddr;
 
-/// An event for whoever runs the member.
+/// An event for the caller that runs the member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The view, or the number of those that send, is another one.
+    /// The view or the number of senders changed.
     View(View),
-    /// A member is in another state.
+    /// The state of a member changed, or a new member was added.
     Changed {
-        /// Who.
+        /// Identity of the member.
         id: Identity,
-        /// What it is called.
+        /// Name of the member.
         name: String,
-        /// How it is now.
+        /// New state.
         state: State,
-        /// By whom that was reported.
+        /// The member that reported it.
         by: Identity,
     },
-    /// Another member says that an upstream drains.
+    /// Another member reported that an upstream is draining.
     Drain(Drain),
-    /// This member refuted what was said of it.
+    /// This member refuted a report that it is in this state.
     Refuted(State),
-    /// It stands down: there is another process of its identity, or of its name.
+    /// This member stands down, because another process has its identity or its name.
     StoodDown {
         /// Whether the identity is the same too.
         same_identity: bool,
         /// Where that one is.
         other: SocketAddr,
     },
-    /// The other process of this identity or name has to stand down, not this one.
+    /// Another process has this member's identity or name and has to stand down.
     DuplicateMember {
         /// Whether the identity is the same too.
         same_identity: bool,
@@ -41,11 +41,12 @@
     },
 }
 
-/// A full exchange to begin: send [`Exchange::bytes`] there, and give what comes back to [`crate::Members::handle_exchange_response`].
+/// A full-state exchange to start: send [`Exchange::bytes`] and pass the response to
+/// [`crate::Members::handle_exchange_response`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exchange {
-    /// Where.
+    /// Address of the other member.
     pub to: SocketAddr,
-    /// What.
+    /// The request.
     pub bytes: Vec<u8>,
 }
--- a/crates/control/swim/src/members/gossip.rs
+++ b/crates/control/swim/src/members/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams go out: to whom, and with which piggybacked updates (SWIM, 4.1).
+//! Sending datagrams: selection of recipients and piggybacked updates (SWIM, 4.1).
 use super::state::Members;
 use crate::identity::Identity;
 use crate::limits::{GOSSIP_FANOUT, MAX_QUEUED_DATAGRAMS};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 impl Members {
-    /// Some of the living, by chance, but for one.
+    /// Up to `most` random live members, excluding `but`.
     pub(super) fn random_live_members(
         &mut self,
         most: usize,
@@ -17,10 +17,10 @@
         if self.table.is_empty() || most == 0 {
             return chosen;
         }
-        // A few draws, then a walk: in a fleet most are there.
+        // Random draws first, since most members are live; if none of them hits, the first live one in the table.
         for _ in 0..most * 4 {
-            let place = self.rng.next_u32() as usize % self.table.len();
-            let Some(s) = self.table.by_index(place) else { continue };
+            let index = self.rng.next_u32() as usize % self.table.len();
+            let Some(s) = self.table.by_index(index) else { continue };
             let id = s.record.id;
             if s.state.is_live() && Some(id) != but && !chosen.iter().any(|c| c.0 == id) {
                 chosen.push((id, s.record.at));
@@ -30,13 +30,13 @@
             }
         }
         if chosen.is_empty() {
-            let there = self.table.all().find(|s| s.state.is_live() && Some(s.record.id) != but);
-            chosen.extend(there.map(|s| (s.record.id, s.record.at)));
+            let any_live = self.table.all().find(|s| s.state.is_live() && Some(s.record.id) != but);
+            chosen.extend(any_live.map(|s| (s.record.id, s.record.at)));
         }
         chosen
     }
 
-    /// One round of gossip.
+    /// Sends one round of gossip.
     pub(super) fn gossip(&mut self) {
         if self.updates.is_empty() {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Queue a datagram, filled with updates; those about `first` go first.
+    /// Queues a datagram and fills it with updates, those about `first` first.
     pub(super) fn send(&mut self, to: SocketAddr, message: Message, first: Option<Identity>) {
         if self.datagrams.len() >= MAX_QUEUED_DATAGRAMS {
             self.metrics.send_queue_full += 1;
@@ -74,8 +74,8 @@
         self.datagrams.push_back((to, bytes));
     }
 
-    /// The seeds at whose address nobody is known to live are asked in turn: at the start, and ever after, but seldom. Two
-    /// parts of a fleet that came back at other addresses may each have found some, and not the other part.
+    /// Starts an exchange with the next seed whose address belongs to no live member. This goes on at a low rate after the start,
+    /// because two parts of a fleet that restarted at new addresses may know nothing of each other.
     pub(super) fn ask_seed(&mut self) {
         for _ in 0..self.seeds.len() {
             let at = self.seeds[self.next_seed % self.seeds.len()];
--- a/crates/control/swim/src/members/probes.rs
+++ b/crates/control/swim/src/members/probes.rs
@@ -1,5 +1,5 @@
-//! Direct and indirect probes: one a period, in a round-robin over a shuffled order (SWIM, 4.3); without a direct answer others are
-//! asked by ping-req, and their nacks tell a fault of the own links (Lifeguard, 3.1).
+//! Direct and indirect probes: one member in each period, round-robin over a shuffled order (SWIM, 4.3). Without a direct ack,
+//! ping-reqs are sent to other members; missing nacks indicate a fault of this member's own links (Lifeguard, 3.1).
 use super::reports::Subject;
 use super::state::{Members, Probe};
 use crate::config::Mutant;
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 impl Members {
-    /// The own probe: answered, due to be asked of others, or failed.
+    /// Checks the pending probe: it is answered, its direct ack is overdue, or it has failed.
     pub(super) fn check_probe(&mut self, now: Micros) {
         if self.config.has_mutant(Mutant::NoLocalHealth) {
             self.local_health_multiplier = 0;
@@ -34,7 +34,7 @@
         if now < p.until {
             return;
         }
-        // Helpers that said nothing at all: it may be this member's own links (Lifeguard, 3.1).
+        // Without a nack from some helper the fault may be in this member's own links (Lifeguard, 3.1).
         let missed = p.asked.saturating_sub(p.nacks);
         self.probe = None;
         self.local_health_multiplier =
@@ -49,12 +49,12 @@
         }
     }
 
-    /// The probed member has not answered in time: others are asked by ping-req.
+    /// Sends ping-reqs for the probed member, whose direct ack is overdue.
     fn request_indirect_probes(&mut self, number: u64, target: Identity, target_at: SocketAddr) {
         self.metrics.late_probes += 1;
         let asked = if self.config.has_mutant(Mutant::NoIndirectProbes) { 0 } else { INDIRECT_PROBES };
         let mut helpers = self.random_live_members(asked, Some(target));
-        // Whoever was heard last can surely be asked: it may be the only one.
+        // Always include the sender of the last accepted message: it may be the only reachable member.
         let last =
             self.last_heard.filter(|id| asked > 0 && *id != target && !helpers.iter().any(|h| h.0 == *id));
         let last = last.and_then(|id| self.table.get(id)).filter(|s| s.state.is_live());
@@ -71,7 +71,7 @@
         };
         if let Some(p) = self.probe.as_mut() {
             p.asked = helpers.len().max(1) as u32;
-            // With nobody to ask none is missed.
+            // Without helpers no nack is missed.
             p.nacks = if helpers.is_empty() { 1 } else { 0 };
         }
         for (_, at) in helpers {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Probes made for others: a nack where the answer is late, and an end.
+    /// Sends nacks for overdue indirect probes and drops expired ones.
     pub(super) fn check_relayed_probes(&mut self, now: Micros) {
         let mut nacks = Vec::new();
         self.relayed_probes.retain_mut(|r| {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// One of the failed is asked in each period: whoever was cut off is found again by whichever side comes first.
+    /// Pings a random failed member in each period, so that both sides of a healed partition find each other again.
     pub(super) fn ping_failed_member(&mut self) {
         let failed: Vec<Identity> = self
             .table
--- a/crates/control/swim/src/members/receive.rs
+++ b/crates/control/swim/src/members/receive.rs
@@ -1,5 +1,5 @@
-//! Datagrams and the own endpoint list come in: replay check, rate limit, ping, ack, ping-req, nack, and the refutation of what is
-//! reported of this member (SWIM, 4.2). What a report changes in the table is in `reports.rs`.
+//! Inputs of a member: datagrams and the local endpoint list. Replay check, rate limit, ping, ack, ping-req, nack, and refutation
+//! of reports about this member (SWIM, 4.2). Changes of the member table are in `reports.rs`.
 use super::event::Event;
 use super::state::{Members, RelayedProbe};
 use crate::config::Mutant;
@@ -14,15 +14,15 @@
 use std::net::SocketAddr;
 
 impl Members {
-    /// The own list has come to this version, and says this of its upstreams: each name, last start, and whether it drains.
-    /// Returned are other members' reports that it supersedes.
+    /// Updates the local endpoint list to a version, with each upstream's name, last start and whether it is draining; `whole`
+    /// means that the list was replaced and not patched. Returns the reports of other members that it supersedes.
     pub fn update_endpoint_list<'a>(
         &mut self,
         seq: u64,
         whole: bool,
         entries: impl Iterator<Item = (&'a str, u64, bool)>,
     ) -> Vec<Drain> {
-        let over = self.drains.set_list_version(seq, whole);
+        let superseded = self.drains.set_list_version(seq, whole);
         for (host, born_ms, draining) in entries {
             if !draining {
                 self.drains.remove_own(host);
@@ -33,10 +33,10 @@
                 self.updates.add(MembershipUpdate::Drain(drain));
             }
         }
-        over
+        superseded
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) {
         self.metrics.received_bytes += bytes.len() as u64;
         let packet = match self.config.fleet.decode_packet(bytes) {
@@ -52,9 +52,10 @@
             self.metrics.replayed += 1;
             return;
         }
-        // What passed the check and is new counts, by its sender: one that talks without end is heard only so far.
-        let (period, talks) = (self.config.period, self.table.get_mut(packet.from.id));
-        if talks.is_some_and(|s| s.exceeds_message_limit(now, period)) {
+        // Messages that pass the checksum and the replay check count towards their sender's limit, which bounds the load that
+        // one member can cause.
+        let (period, member) = (self.config.period, self.table.get_mut(packet.from.id));
+        if member.is_some_and(|m| m.exceeds_message_limit(now, period)) {
             self.metrics.rate_limited += 1;
             return;
         }
@@ -66,17 +67,18 @@
         self.notify_view_change();
     }
 
-    /// Whether a sender's message counts: of the present process of a member, and not seen before. One that is not known
-    /// is let through: it is asked for its record by an exchange.
+    /// Whether to accept a message: it is from the current process of a member and not a replay. Messages of unknown members
+    /// are accepted; their record is then requested with an exchange.
     pub(super) fn admit(&mut self, now: Micros, from: &Sender) -> bool {
         if from.id == self.me.id {
-            // The echo of an own message, or a duplicate's: its record tells which, and comes as an update.
+            // Either an echo of this process's own message or a message of another process with this identity. The latter is
+            // resolved when its record arrives as an update.
             return from.nonce != self.me.nonce;
         }
         let Some(member) = self.table.get_mut(from.id) else { return true };
         if member.record.nonce != from.nonce {
-            // A process that was replaced speaks no more; one with a newer incarnation, be it from a restored folder that counts the
-            // same start, brings its record along.
+            // Messages of a replaced process are rejected. One with a newer incarnation is accepted, also if a restored folder
+            // gave it the same start number; its record arrives as an update.
             return from.incarnation > member.record.incarnation;
         }
         if !member.window.accept(from.number) {
@@ -97,7 +99,7 @@
                 self.send(at, ack, me);
             }
             Message::Ping { at, .. } => {
-                // Whoever was here before is gone. The one who looks for it may know a fleet that this one does not.
+                // The ping is for a member that had this address before. Its sender may know members that this one does not.
                 if self.table.get(from.id).is_none_or(|s| !s.state.is_live()) {
                     self.queue_exchange(at);
                 }
@@ -107,9 +109,9 @@
                 if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
                     return;
                 }
-                let mine = self.next_probe_number();
+                let own_number = self.next_probe_number();
                 self.relayed_probes.push(RelayedProbe {
-                    own_number: mine,
+                    own_number,
                     origin_number: probe,
                     at,
                     nack_at: now + self.config.ping_timeout(),
@@ -117,7 +119,7 @@
                     nacked: false,
                 });
                 let held = held.or_else(|| self.held_state(target));
-                let ping = self.ping(mine, target, held);
+                let ping = self.ping(own_number, target, held);
                 self.send(target_at, ping, Some(target));
             }
             Message::Nack { probe } => {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// An acknowledgement of the own probe, or of one made for another member, which gets it.
+    /// Handles an ack of this member's probe, or of an indirect probe, whose ack is forwarded to the requesting member.
     fn handle_ack(&mut self, sender: Identity, probe: u64, digest: u64) {
         if let Some(i) = self.relayed_probes.iter().position(|r| r.own_number == probe) {
             let r = self.relayed_probes.swap_remove(i);
@@ -144,7 +146,7 @@
         at.into_iter().for_each(|at| self.compare_digests(sender, at, digest));
     }
 
-    /// What another one holds this member to be: refuted at once if it is worse than alive.
+    /// Refutes at once if another member's state of this one is not alive.
     pub(super) fn refute_if_needed(&mut self, held: Option<(State, Incarnation)>) {
         match held {
             Some((state, i)) if state != State::Alive && i >= self.me.incarnation => self.refute(state, i),
@@ -157,7 +159,7 @@
             return;
         }
         if seen.start_number() > self.me.incarnation.start_number() {
-            // A later start of this identity: this process comes from an older folder, or from a copy of it.
+            // A later start of this identity exists: this process runs on an older state of the data folder, or on a copy.
             let other = self.me.at;
             return self.stand_down(true, other);
         }
@@ -171,7 +173,8 @@
         self.events.push_back(Event::Refuted(state));
     }
 
-    /// Another one's living differ from this one's for longer than gossip needs: an exchange settles it.
+    /// Starts an exchange when other members' digests keep differing for longer than gossip needs to converge, or at once with a
+    /// member that is not known as live.
     pub(super) fn compare_digests(&mut self, id: Identity, at: SocketAddr, digest: u64) {
         let unknown = self.table.get(id).is_none_or(|s| !s.state.is_live());
         if digest == self.digest() && !unknown {
@@ -179,10 +182,10 @@
             return;
         }
         self.digest_mismatches += 1;
-        let patience = DIGEST_MISMATCHES + (self.rng.next_u32() % DIGEST_MISMATCHES);
+        let threshold = DIGEST_MISMATCHES + (self.rng.next_u32() % DIGEST_MISMATCHES);
         if unknown
-            || (self.digest_mismatches > patience && self.updates.is_empty())
-            || self.digest_mismatches > 4 * patience
+            || (self.digest_mismatches > threshold && self.updates.is_empty())
+            || self.digest_mismatches > 4 * threshold
         {
             self.digest_mismatches = 0;
             self.queue_exchange(at);
--- a/crates/control/swim/src/members/reports.rs
+++ b/crates/control/swim/src/members/reports.rs
@@ -1,5 +1,5 @@
-//! Reports about other members against what is known: alive, suspect, failed, left; suspicions begin, are confirmed and end
-//! (SWIM, 4.2; Lifeguard, 3.2). How reports are encoded and sent is not known here.
+//! Applying reports about members (alive, suspect, failed, left) to the table, and starting, confirming and expiring suspicions
+//! (SWIM, 4.2; Lifeguard, 3.2). Encoding and sending are in other files.
 use super::event::Event;
 use super::state::Members;
 use crate::identity::{Identity, Incarnation};
@@ -11,21 +11,21 @@
 use crate::updates::MembershipUpdate;
 use rand_core::RngCore;
 
-/// Whom a report is about.
+/// The subject of a report.
 pub(super) enum Subject {
-    /// By its own record: the member need not be known.
+    /// Given by record: the member may be unknown.
     Record(MemberRecord),
-    /// By identity alone: the report counts only where the member is known.
+    /// Given by identity alone: the report is ignored if the member is unknown.
     Known {
-        /// Who.
+        /// Identity of the member.
         id: Identity,
-        /// At which of its incarnations.
+        /// Incarnation that the report is about.
         incarnation: Incarnation,
     },
 }
 
 impl Members {
-    /// One report about a member against what is known. `whole`: it came with an exchange, not by gossip.
+    /// Applies one update. `whole`: it came with a full-state exchange, not by gossip.
     pub(super) fn handle_update(
         &mut self,
         now: Micros,
@@ -55,7 +55,8 @@
         }
     }
 
-    /// A report of a state: of two the newer incarnation holds, and of two with one incarnation the later in [`State`]'s order.
+    /// Applies a reported state: a newer incarnation overrides an older one, and within one incarnation the later in [`State`]'s
+    /// order overrides.
     pub(super) fn report(&mut self, now: Micros, about: Subject, state: State, by: Identity, whole: bool) {
         let (id, incarnation) = match &about {
             Subject::Record(record) => (record.id, record.incarnation),
@@ -65,7 +66,7 @@
             return self.report_about_self(about, state);
         }
         let Some(member) = self.table.get(id) else {
-            // Of one that is not known only its own record tells where it is.
+            // An unknown member can only be added by its record, which has its address.
             if let Subject::Record(record) = about {
                 self.add_member(now, record, state, by);
             }
@@ -73,9 +74,10 @@
         };
         let (old, old_state) = (member.record.clone(), member.state);
         let mut state = state;
-        let had_time = member.suspicion.as_ref().is_some_and(|s| s.min_timeout_elapsed(now));
-        if state == State::Failed && old_state.is_live() && (whole || !had_time) {
-            // Whoever says so may have been cut off itself, and held all others failed: here it gets its time to refute.
+        let min_timeout_elapsed = member.suspicion.as_ref().is_some_and(|s| s.min_timeout_elapsed(now));
+        if state == State::Failed && old_state.is_live() && (whole || !min_timeout_elapsed) {
+            // The reporter may have been partitioned and have declared all others failed, so the member first gets its time to
+            // refute.
             state = State::Suspect;
         }
         if (incarnation, state) <= (old.incarnation, old_state) {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Of this member itself: another process's record is a conflict, and whatever is worse than alive is refuted.
+    /// Applies a report about this member: the record of another process is a conflict, any other state is refuted.
     fn report_about_self(&mut self, about: Subject, state: State) {
         match about {
             Subject::Record(record) if record.nonce != self.me.nonce => {
@@ -119,17 +121,17 @@
         }
     }
 
-    /// Write a state into the table, with an event if it is another one.
+    /// Updates the table, with an event if the state changes.
     pub(super) fn change(&mut self, now: Micros, record: MemberRecord, state: State, by: Identity) {
         let (id, name) = (record.id, record.name.clone());
-        let before = self.table.get(id).map(|s| s.state);
+        let old_state = self.table.get(id).map(|s| s.state);
         self.table.set(record, state, now, by);
-        if before != Some(state) {
+        if old_state != Some(state) {
             self.events.push_back(Event::Changed { id, name, state, by });
         }
     }
 
-    /// A member that was not known is added, and probed from now on.
+    /// Adds an unknown member to the table and to the probe order.
     pub(super) fn add_member(&mut self, now: Micros, record: MemberRecord, state: State, by: Identity) {
         if self.table.len() >= MAX_MEMBERS || !is_valid(&record) {
             self.metrics.rejected_members += 1;
@@ -147,11 +149,11 @@
             window: ReplayWindow::default(),
             message_count: (now, 0),
         });
-        // A place of chance in the order: nobody is always the last to be probed.
-        let place = self.rng.next_u32() as usize % (self.probe_order.len() + 1);
+        // Insert at a random position (SWIM, 4.3), so that new members are not always probed last.
+        let index = self.rng.next_u32() as usize % (self.probe_order.len() + 1);
         self.probe_order.push(id);
         let last = self.probe_order.len() - 1;
-        self.probe_order.swap(place, last);
+        self.probe_order.swap(index, last);
         self.events.push_back(Event::Changed { id, name, state: State::Alive, by });
         if state == State::Suspect {
             if let Some(incarnation) = self.table.get(id).map(|s| s.record.incarnation) {
@@ -161,38 +163,38 @@
         self.resolve_name_conflict(now, id);
     }
 
-    /// The suspected member gets its time to refute, and is pinged at once by some.
+    /// Starts a suspicion; some members ping the suspected one at once, so that it learns of the suspicion.
     pub(super) fn begin_suspicion(&mut self, now: Micros, id: Identity, by: Identity) {
         let fleet = self.table.live() + 1;
         let suspicion = Suspicion::begin(now, by, fleet, self.config.period);
         let Some(member) = self.table.get_mut(id) else { return };
         member.suspicion = Some(suspicion);
-        // Whoever has heard it lately tells it at once, and some of the others: it may be that only few reach it.
-        let lately = 2 * fleet as Micros * self.config.period;
-        let heard = member.heard_at.is_some_and(|at| at + lately > now);
+        // Members that heard from it recently ping it, and a few random others, since only some may be able to reach it.
+        let recently = 2 * fleet as Micros * self.config.period;
+        let recently_heard = member.heard_at.is_some_and(|at| at + recently > now);
         let at = member.record.at;
-        if (heard && fleet <= 64) || (self.rng.next_u32() as usize % fleet) < 8 {
+        if (recently_heard && fleet <= 64) || (self.rng.next_u32() as usize % fleet) < 8 {
             let number = self.next_probe_number();
             let ping = self.ping(number, id, self.held_state(id));
             self.send(at, ping, Some(id));
         }
     }
 
-    /// Another member suspects it independently (Lifeguard, 3.2).
+    /// Records an independent suspicion by another member (Lifeguard, 3.2).
     pub(super) fn confirm(&mut self, id: Identity, by: Identity) {
         let Some(member) = self.table.get_mut(id) else { return };
         let incarnation = member.record.incarnation;
         if member.suspicion.as_mut().is_some_and(|s| s.confirm(by)) {
-            // Others shall count it too.
+            // Gossip it, so that other members count it too.
             self.updates.add(MembershipUpdate::Suspect { id, incarnation, by });
         }
     }
 
-    /// Suspicions whose time is over end as failures.
+    /// Declares members failed whose suspicion has timed out.
     pub(super) fn expire_suspicions(&mut self, now: Micros) {
-        let over = |id: &Identity| self.suspicion_deadline(*id).is_some_and(|at| at <= now);
-        let over: Vec<Identity> = self.table.not_alive().iter().copied().filter(over).collect();
-        for id in over {
+        let timed_out = |id: &Identity| self.suspicion_deadline(*id).is_some_and(|at| at <= now);
+        let timed_out: Vec<Identity> = self.table.not_alive().iter().copied().filter(timed_out).collect();
+        for id in timed_out {
             let Some(record) = self.table.get(id).map(|s| s.record.clone()) else { continue };
             self.metrics.failed += 1;
             let me = self.me.id;
--- a/crates/control/swim/src/members/state.rs
+++ b/crates/control/swim/src/members/state.rs
@@ -1,5 +1,5 @@
-//! What a member holds, how it starts, and what can be read and polled from it. Fields are changed by the files beside this one.
-//! No protocol rule is here; go on reading at `timer.rs` and `receive.rs`.
+//! The fields of a member, its constructor, accessors and poll functions. The protocol is in the other files of this module, which
+//! change the fields; continue with `timer.rs` and `receive.rs`.
 use super::event::{Event, Exchange};
 use crate::config::{Config, Mutant};
 use crate::drains::Drains;
@@ -16,50 +16,50 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What a member is started with.
+/// Parameters of a start.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// Its identity, from its folder or just drawn.
+    /// Identity of the member, loaded from its data folder or newly generated.
     pub id: Identity,
-    /// Which start of it this is, from 1, kept in its folder before anything is said.
+    /// Number of this start, from 1; stored durably before the first message is sent.
     pub start_number: u32,
-    /// When its identity was drawn, Unix time in milliseconds.
+    /// When the identity was generated, Unix time in milliseconds.
     pub born_ms: u64,
-    /// It is not where its folder last was.
+    /// Whether the address differs from the one last stored in the data folder.
     pub moved: bool,
-    /// What it is called.
+    /// Name of the member.
     pub name: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// Where others reach it.
+    /// Address that others reach it at.
     pub at: SocketAddr,
-    /// Whom to ask first: the file's, and those in the folder.
+    /// Members to contact first: the configured ones and those stored in the data folder.
     pub seeds: Vec<SocketAddr>,
-    /// For all that is drawn.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// The own probe of this period, while its answer is waited for.
+/// This member's probe in the current period, while its ack is pending.
 #[derive(Debug)]
 pub(super) struct Probe {
     pub(super) number: u64,
     pub(super) target: Identity,
-    /// When others are asked.
+    /// When to send ping-reqs.
     pub(super) indirect_at: Micros,
-    /// When it has failed.
+    /// When the probe has failed.
     pub(super) until: Micros,
-    /// How many members were asked to probe, at least 1 once any were looked for.
+    /// Number of members that a ping-req was sent to; set to 1 if there were none, so that 0 means not sent yet.
     pub(super) asked: u32,
     pub(super) nacks: u32,
     pub(super) answered: bool,
 }
 
-/// A probe made for another member, which asked for it by ping-req.
+/// An indirect probe on behalf of another member, which sent a ping-req.
 #[derive(Debug)]
 pub(super) struct RelayedProbe {
-    /// The number of the ping sent from here.
+    /// Probe number of the ping sent by this member.
     pub(super) own_number: u64,
-    /// The number of the probe at the member that asked.
+    /// Probe number at the requesting member.
     pub(super) origin_number: u64,
     pub(super) at: SocketAddr,
     pub(super) nack_at: Micros,
@@ -74,7 +74,7 @@
     pub(super) leaving: bool,
     pub(super) stood_down: bool,
     pub(super) table: Table,
-    /// Shuffled at each end of the round-robin.
+    /// Order of the round-robin, shuffled after each pass.
     pub(super) probe_order: Vec<Identity>,
     pub(super) next_in_order: usize,
     pub(super) seeds: Vec<SocketAddr>,
@@ -83,9 +83,9 @@
     pub(super) relayed_probes: Vec<RelayedProbe>,
     pub(super) updates: UpdateQueue,
     pub(super) drains: Drains,
-    /// Lifeguard, 3.1: 0 while the own links and scheduling are sound.
+    /// Lifeguard, 3.1: 0 while this member's links and scheduling are healthy.
     pub(super) local_health_multiplier: u32,
-    /// Messages running whose digest differed from the own.
+    /// Consecutive messages whose digest differed from this member's.
     pub(super) digest_mismatches: u32,
     pub(super) last_message_number: u64,
     pub(super) last_probe_number: u64,
@@ -94,24 +94,24 @@
     pub(super) next_seeds: Micros,
     pub(super) next_drains: Micros,
     pub(super) last_tick: Micros,
-    /// When the last tick asked for the next one.
+    /// The deadline that the last tick asked for.
     pub(super) planned_tick: Micros,
-    /// Who was heard of last, by a message of its own.
+    /// Sender of the last accepted message.
     pub(super) last_heard: Option<Identity>,
-    /// What the last view event was made from.
+    /// View and number of senders at the last view event.
     pub(super) last_view: Option<(View, Option<usize>)>,
     pub(super) datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
     pub(super) exchanges: VecDeque<SocketAddr>,
     pub(super) events: VecDeque<Event>,
-    /// Conflicts of a name that were reported, by identity.
+    /// Name conflicts already reported: name and identity of the other member.
     pub(super) name_conflicts: BTreeMap<String, Identity>,
     pub(super) rng: Pcg32,
-    /// What has been counted.
+    /// Counters.
     pub metrics: Metrics,
 }
 
 impl Members {
-    /// A member that knows nobody yet, but whom to ask.
+    /// Creates a member that knows only its seeds.
     pub fn new(config: Config, start: Start, now: Micros) -> Self {
         let mut rng = Pcg32::seed_from_u64(start.seed ^ start.id.0.rotate_left(29));
         let start_number = if config.has_mutant(Mutant::IncarnationNotKept) { 1 } else { start.start_number };
@@ -167,7 +167,7 @@
         new
     }
 
-    /// The fleet, for what else its members say to each other.
+    /// The fleet, to encode other messages between members.
     pub fn fleet(&self) -> &crate::wire::Fleet {
         &self.config.fleet
     }
@@ -177,17 +177,17 @@
         &self.me
     }
 
-    /// All others that are known.
+    /// All other known members.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.table.all()
     }
 
-    /// One of the others.
+    /// Another member, if known.
     pub fn other(&self, id: Identity) -> Option<&Member> {
         self.table.get(id)
     }
 
-    /// The view as a whole.
+    /// The view of the fleet.
     pub fn view(&self) -> View {
         match self.stood_down {
             true => View::Out,
@@ -195,12 +195,12 @@
         }
     }
 
-    /// How many there are with this one; how many are held failed.
+    /// Number of live members including this one, and number of failed members.
     pub fn size(&self) -> (usize, usize) {
         (self.table.live() + 1, self.table.failed())
     }
 
-    /// How many sidecars send; `None`: the settings' number holds.
+    /// Number of sidecars that send requests, see [`View::senders`].
     pub fn senders(&self) -> Option<usize> {
         if self.config.has_mutant(Mutant::FailedNotCounted) {
             return Some(self.table.live() + 1);
@@ -208,7 +208,7 @@
         self.view().senders(self.table.live() + 1, self.table.failed())
     }
 
-    /// The living in one word: the same at all that hold the same ones to live, at the same incarnations.
+    /// Digest of the live members and their incarnations, this one included; equal where these are equal.
     pub fn digest(&self) -> u64 {
         self.table.digest() ^ digest_of(&self.me)
     }
@@ -218,17 +218,17 @@
         self.local_health_multiplier
     }
 
-    /// Whether another member reported that this start of an upstream drains.
+    /// Whether another member reported this start of the upstream, or a later one, as draining.
     pub fn is_draining(&self, host: &str, born_ms: u64) -> bool {
         self.drains.is_draining(host, born_ms)
     }
 
-    /// The upstreams that are known to drain, by the own list or another member's report.
+    /// Names of draining upstreams, from the local endpoint list and from other members' reports.
     pub fn draining_hosts(&self) -> impl Iterator<Item = &str> {
         self.drains.all().map(|d| d.host.as_str())
     }
 
-    /// How many drains heard from others hold.
+    /// Number of drains reported by other members that still hold.
     pub fn reported_drains(&self) -> usize {
         self.drains.reported_count()
     }
@@ -238,7 +238,7 @@
         self.datagrams.pop_front()
     }
 
-    /// The next exchange to begin.
+    /// The next full-state exchange to start.
     pub fn poll_exchange(&mut self) -> Option<Exchange> {
         let to = self.exchanges.pop_front()?;
         let bytes = self.encode_full_state();
@@ -255,7 +255,7 @@
     /// When [`Members::tick`] is due.
     pub fn next_deadline(&self) -> Micros {
         if self.leaving || self.stood_down {
-            // Only the own leave is left to gossip.
+            // Only this member's leave remains to be gossiped.
             return if self.leaving && !self.updates.is_empty() { self.next_round } else { Micros::MAX / 4 };
         }
         let mut at = self.next_probe.min(self.next_seeds);
--- a/crates/control/swim/src/members/timer.rs
+++ b/crates/control/swim/src/members/timer.rs
@@ -1,5 +1,5 @@
-//! What is due by time: the protocol period, gossip rounds, seeds, resent drains, forgotten members, and the pause of an own process.
-//! The probe itself is in `probes.rs`.
+//! Timed work: the protocol period, gossip rounds, contacting seeds, resending drains, removing members, and detecting pauses of
+//! this process. Probes are in `probes.rs`.
 use super::state::Members;
 use crate::config::Mutant;
 use crate::drains::Drain;
@@ -15,9 +15,9 @@
 use rand_core::RngCore;
 
 impl Members {
-    /// Do what is due. It may be called at any time.
+    /// Does all work that is due. It may be called at any time.
     pub fn tick(&mut self, now: Micros) {
-        // One that leaves has no time that it could be late for.
+        // A member that is leaving has no deadline to be late for.
         let late =
             if self.leaving || self.stood_down { 0 } else { now - self.last_tick.max(self.planned_tick) };
         if late > self.config.period / PAUSE_DIVISOR && !self.config.has_mutant(Mutant::NoLocalHealth) {
@@ -37,9 +37,9 @@
             if now >= self.next_seeds {
                 let alone = self.table.live() == 0;
                 let after = if alone { SEED_RETRY_PERIODS } else { SEED_REFRESH_PERIODS };
-                // Spread, so that those who started together don't ask together.
-                let spread = (self.rng.next_u64() % (after * self.config.period / 4).max(1) as u64) as Micros;
-                self.next_seeds = now + after * self.config.period + spread;
+                // Jitter, so that members started together don't contact seeds together.
+                let jitter = (self.rng.next_u64() % (after * self.config.period / 4).max(1) as u64) as Micros;
+                self.next_seeds = now + after * self.config.period + jitter;
                 self.ask_seed();
             }
             if now >= self.next_drains {
@@ -64,7 +64,8 @@
         self.planned_tick = self.next_deadline();
     }
 
-    /// This process was stopped, or had no processor: what did not come meanwhile could not, so no time has passed for others.
+    /// This process was stopped or starved of CPU. It could not receive anything meanwhile, so the pause does not count against
+    /// other members: the probe is dropped and suspicions are extended.
     pub(super) fn handle_pause(&mut self, now: Micros, by: Micros) {
         self.metrics.pauses += 1;
         self.local_health_multiplier = (self.local_health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
@@ -78,34 +79,35 @@
         self.next_probe = self.next_probe.max(now + self.config.period);
     }
 
-    /// A probe's period, longer with the local health multiplier (Lifeguard, 3.1).
+    /// The protocol period scaled by the local health multiplier (Lifeguard, 3.1).
     pub(super) fn probe_interval(&self) -> Micros {
         self.config.period * Micros::from(1 + self.local_health_multiplier)
     }
 
-    /// Those that left, and those that failed, are forgotten in time; the latter only by who sees most of the fleet.
+    /// Removes departed and failed members after [`crate::Config::forget_after`]; failed ones only if this member sees a majority
+    /// of the fleet.
     pub(super) fn forget_members(&mut self, now: Micros) {
-        let may = View::may_forget(self.table.live() + 1, self.table.failed());
-        let old = |s: &Member| match s.state {
-            State::Left => s.since + self.config.forget_after <= now,
-            State::Failed => may && s.since + self.config.forget_after <= now,
+        let sees_majority = View::may_forget(self.table.live() + 1, self.table.failed());
+        let expired = |m: &Member| match m.state {
+            State::Left => m.since + self.config.forget_after <= now,
+            State::Failed => sees_majority && m.since + self.config.forget_after <= now,
             _ => false,
         };
-        let gone: Vec<Identity> = self
+        let removed: Vec<Identity> = self
             .table
             .not_alive()
             .iter()
             .copied()
-            .filter(|id| self.table.get(*id).is_some_and(old))
+            .filter(|id| self.table.get(*id).is_some_and(expired))
             .collect();
-        for id in gone {
+        for id in removed {
             self.table.remove(id);
-            self.probe_order.retain(|o| *o != id);
+            self.probe_order.retain(|other| *other != id);
             self.updates.drop_about(id);
         }
     }
 
-    /// This process ends by its own will: it says so to some at once, and they to the others.
+    /// Leaves the fleet: the leave is gossiped to some members at once, which pass it on.
     pub fn leave(&mut self) {
         if !self.stood_down && !self.leaving {
             self.announce_leave();
--- a/crates/control/swim/src/view.rs
+++ b/crates/control/swim/src/view.rs
@@ -56,7 +56,8 @@
     }
 
     /// Number of sidecars that send requests, by which shared budgets are divided. A failed member may be partitioned and still
-    /// sending, so it counts until it is removed. `None`: the configured number applies.
+    /// sending, so it counts until it is removed. `None`: the number in
+    /// force stays, at first the configured one.
     pub fn senders(self, live_with_me: usize, failed: usize) -> Option<usize> {
         match self {
             View::Single | View::Out => None,
--- a/crates/control/swim/tests/view.rs
+++ b/crates/control/swim/tests/view.rs
@@ -1,9 +1,9 @@
-//! Each view of a fleet, and what follows from it.
+//! The views of a fleet, and the number of senders in each.
 
 use silvercross_swim::view::*;
 
 #[test]
-fn each_view_and_what_is_done_by_it() {
+fn each_view_and_its_number_of_senders() {
     let cases = [
         ((0, 0), View::Single, None),
         ((8, 0), View::Whole, Some(9)),
@@ -13,7 +13,7 @@
     ];
     for ((live, failed), view, senders) in cases {
         assert_eq!(View::of(live, failed), view);
-        assert_eq!(view.senders(live + 1, failed), senders, "a partition never lowers the count");
+        assert_eq!(view.senders(live + 1, failed), senders, "a partition never lowers the number of senders");
     }
     assert!(View::may_forget(5, 4) && !View::may_forget(4, 5) && !View::may_forget(4, 4));
     assert_eq!(View::Out.senders(4, 2), None);
--- a/crates/control/swim/tests/wire_bytes.rs
+++ b/crates/control/swim/tests/wire_bytes.rs
@@ -1,5 +1,4 @@
-//! The bytes of every datagram and exchange between members of a fleet, held fixed: members of different builds talk to
-//! each other.
+//! Compares the encoding of every datagram and exchange with recorded bytes, since members of different builds communicate.
 
 use silvercross_swim::drains::Drain;
 use silvercross_swim::identity::{Identity, Incarnation};
@@ -13,10 +12,10 @@
 
 fn add(lines: &mut String, name: &str, bytes: &[u8]) {
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    writeln!(lines, "{name} {hex}").expect("a string grows");
+    writeln!(lines, "{name} {hex}").expect("written to a string");
 }
 
-fn from() -> Sender {
+fn sender() -> Sender {
     Sender { id: Identity(7), incarnation: Incarnation(1 << 32), nonce: 1 << 50, number: 300 }
 }
 
@@ -38,7 +37,7 @@
 }
 
 #[test]
-fn datagrams_and_exchanges_have_the_bytes_they_always_had() {
+fn datagrams_and_exchanges_match_the_recorded_bytes() {
     let fleet = Fleet::new("fleet-a", 0x0011_2233_4455_6677_8899_aabb_ccdd_eeff);
     let v4 = "127.0.0.1:9001".parse().expect("an address");
     let v6 = "[::1]:9002".parse().expect("an address");
@@ -66,19 +65,19 @@
     let mut lines = String::new();
     for (name, message) in messages {
         let updates = if matches!(message, Message::Gossip) { updates.clone() } else { Vec::new() };
-        let packet = Packet { from: from(), message, updates };
+        let packet = Packet { from: sender(), message, updates };
         let bytes = fleet.encode_packet(&packet);
         assert_eq!(fleet.decode_packet(&bytes), Ok(packet), "{name}");
         add(&mut lines, &format!("datagram/{name}"), &bytes);
     }
     let states = [State::Alive, State::Suspect, State::Failed, State::Left];
     let members = states.map(|state| (record("[::1]:9002"), state)).to_vec();
-    let all = FullState { from: from(), members, drains: vec![drain()] };
-    let bytes = fleet.encode_exchange(&all);
-    assert_eq!(fleet.decode_exchange(&bytes), Ok(all));
+    let full_state = FullState { from: sender(), members, drains: vec![drain()] };
+    let bytes = fleet.encode_exchange(&full_state);
+    assert_eq!(fleet.decode_exchange(&bytes), Ok(full_state));
     add(&mut lines, "exchange", &bytes);
     let bytes = fleet.encode_batch(&(7u32, "said".to_string()));
     assert_eq!(fleet.decode_batch(&bytes), Ok((7u32, "said".to_string())));
     add(&mut lines, "batch", &bytes);
-    assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
+    assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
 }
