--- a/crates/control/swim/src/members/conflicts.rs
+++ b/crates/control/swim/src/members/conflicts.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Two identities have the same name: the one generated first stays. It counts only if the other member was heard from
-    /// recently, since a member whose folder was lost returns under its name with a new identity while the old one is silent.
+    /// Two identities have the same name: the one generated first stays. The conflict counts only if the other member was heard
+    /// from recently, since a member whose folder was lost returns under its name with a new identity while the old one is silent.
     pub(super) fn resolve_name_conflict(&mut self, now: Micros, id: Identity) {
         let Some(member) = self.table.get(id) else { return };
         if member.record.name != self.me.name || !member.state.is_live() || self.leaving || self.stood_down {
--- a/crates/control/swim/src/members/event.rs
+++ b/crates/control/swim/src/members/event.rs
@@ -29,14 +29,14 @@
     StoodDown {
         /// Whether the identity is the same too.
         same_identity: bool,
-        /// Where that one is.
+        /// Address of the other process.
         other: SocketAddr,
     },
     /// Another process has this member's identity or name and has to stand down.
     DuplicateMember {
         /// Whether the identity is the same too.
         same_identity: bool,
-        /// Where that one is.
+        /// Address of the other process.
         other: SocketAddr,
     },
 }
--- a/crates/control/swim/src/members/receive.rs
+++ b/crates/control/swim/src/members/receive.rs
@@ -109,9 +109,9 @@
                 if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
                     return;
                 }
-                let own_number = self.next_probe_number();
+                let ping_number = self.next_probe_number();
                 self.relayed_probes.push(RelayedProbe {
-                    own_number,
+                    own_number: ping_number,
                     origin_number: probe,
                     at,
                     nack_at: now + self.config.ping_timeout(),
@@ -119,7 +119,7 @@
                     nacked: false,
                 });
                 let held = held.or_else(|| self.held_state(target));
-                let ping = self.ping(own_number, target, held);
+                let ping = self.ping(ping_number, target, held);
                 self.send(target_at, ping, Some(target));
             }
             Message::Nack { probe } => {
--- a/crates/control/swim/src/members/state.rs
+++ b/crates/control/swim/src/members/state.rs
@@ -1,5 +1,5 @@
-//! The fields of a member, its constructor, accessors and poll functions. The protocol is in the other files of this module, which
-//! change the fields; continue with `timer.rs` and `receive.rs`.
+//! The fields of a member, its constructor, accessors and poll functions. The protocol is in the other files of this module;
+//! continue with `timer.rs` and `receive.rs`.
 use super::event::{Event, Exchange};
 use crate::config::{Config, Mutant};
 use crate::drains::Drains;
--- a/crates/control/swim/src/wire.rs
+++ b/crates/control/swim/src/wire.rs
@@ -31,7 +31,7 @@
 }
 
 impl Fleet {
-    /// A fleet differs from another one if name or identity differs.
+    /// The fleet with this name and identity. Two fleets are the same only if both are equal.
     pub fn new(name: &str, identity: u128) -> Self {
         let key = (identity as u64, (identity >> 64) as u64);
         let mut hasher = SipHasher24::new_with_keys(key.0, key.1);
@@ -64,12 +64,10 @@
     }
 
     fn decode<T: for<'a> Deserialize<'a>>(&self, kind: u8, bytes: &[u8]) -> Result<T, DecodeError> {
-        let read_u64 = |at: usize| -> Option<u64> {
+        let u64_at = |at: usize| -> Option<u64> {
             bytes.get(at..at + 8).and_then(|b| Some(u64::from_le_bytes(b.try_into().ok()?)))
         };
-        let (Some(tag), Some(checksum)) = (read_u64(4), read_u64(12)) else {
-            return Err(DecodeError::Foreign);
-        };
+        let (Some(tag), Some(checksum)) = (u64_at(4), u64_at(12)) else { return Err(DecodeError::Foreign) };
         if bytes[..3] != MAGIC || tag != self.tag {
             return Err(DecodeError::Foreign);
         }
@@ -205,7 +203,7 @@
     Gossip,
 }
 
-/// One side of a full exchange.
+/// One side of a full-state exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FullState {
     /// The sender.
