--- a/crates/control/idempotency-store/src/client.rs
+++ b/crates/control/idempotency-store/src/client.rs
@@ -1,27 +1,27 @@
 //! Who asks the records: it finds who leads each group, asks again elsewhere when nothing comes, and knows what it was told.
 //! Each ask is done once at most, whatever is sent how often: it has a number in a session that the log knows.
 use crate::command::{Command, Outcome};
-use crate::said::{Card, Epoch, Said};
+use crate::message::{Epoch, GroupInfo, StoreMessage};
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Asks that are open in one process, at most.
-pub const OPEN: usize = 1_024;
+pub const MAX_OPEN_REQUESTS: usize = 1_024;
 
 /// Why an ask has no outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum SubmitError {
     /// No group is known, or nobody who leads it answers: it was not done, unless it was sent and `sent` says so.
-    Nobody {
+    Unavailable {
         /// It was sent to somebody, and may yet be done.
         sent: bool,
     },
     /// Its time was up; it may yet be done.
-    Late,
+    Timeout,
     /// The session ended; it may have been done.
-    Unknown,
+    SessionEnded,
     /// Too many are open.
-    Full,
+    TooManyOpen,
 }
 
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Group {
-    card: Option<Card>,
+    card: Option<GroupInfo>,
     /// Where to ask next when nobody is known to lead.
     turn: usize,
     session: Option<u64>,
@@ -50,10 +50,10 @@
 
 impl Group {
     /// Who leads is known: what went to others goes there at once; what that one has had goes again in its time.
-    fn ask_soon(&mut self, now: Micros, patience: Micros) {
+    fn ask_soon(&mut self, now: Micros, retry_after: Micros) {
         let Some(leader) = self.card.as_ref().and_then(|c| c.leader) else { return };
         // Two that point at each other are not asked in circles.
-        let soon = now + patience / 8;
+        let soon = now + retry_after / 8;
         for o in self.open.values_mut().filter(|o| o.to.is_some_and(|t| t != leader)) {
             o.again_at = o.again_at.min(soon);
         }
@@ -67,23 +67,23 @@
     me: u64,
     groups: Vec<Group>,
     /// Nothing came for so long: another is asked.
-    patience: Micros,
+    retry_after: Micros,
     next: u64,
-    out: VecDeque<(u64, Said)>,
-    done: VecDeque<(u64, Result<Outcome, Why>)>,
+    out: VecDeque<(u64, StoreMessage)>,
+    done: VecDeque<(u64, Result<Outcome, SubmitError>)>,
 }
 
 impl Client {
-    /// For so many groups; asks go elsewhere after `patience` without an answer, in microseconds.
-    pub fn new(me: u64, groups: u32, patience: Micros) -> Self {
+    /// For so many groups; asks go elsewhere after `retry_after` without an answer, in microseconds.
+    pub fn new(me: u64, groups: u32, retry_after: Micros) -> Self {
         let groups = (0..groups).map(|_| Group::default()).collect();
-        Client { me, groups, patience, next: 0, out: VecDeque::new(), done: VecDeque::new() }
+        Client { me, groups, retry_after, next: 0, out: VecDeque::new(), done: VecDeque::new() }
     }
 
     /// What is known of a group has come; news holds if it is later.
-    pub fn known(&mut self, now: Micros, card: &Card) {
+    pub fn update_group_info(&mut self, now: Micros, card: &GroupInfo) {
         let Some(g) = self.groups.get_mut(card.group as usize) else { return };
-        let rank = |c: &Card| (c.epoch.count(), c.term, c.changed, c.leader.is_some());
+        let rank = |c: &GroupInfo| (c.epoch.count(), c.term, c.changed, c.leader.is_some());
         match &g.card {
             Some(old) if old.epoch == card.epoch && rank(card) <= rank(old) => {}
             Some(old) if old.epoch != card.epoch && card.epoch.count() <= old.epoch.count() => {}
@@ -91,7 +91,7 @@
                 let moved = old.leader != card.leader && card.leader.is_some();
                 g.card = Some(card.clone());
                 if moved {
-                    g.ask_soon(now, self.patience);
+                    g.ask_soon(now, self.retry_after);
                 }
             }
             _ => {
@@ -103,29 +103,29 @@
     }
 
     /// What is known of a group.
-    pub fn card(&self, group: u32) -> Option<&Card> {
+    pub fn group_info(&self, group: u32) -> Option<&GroupInfo> {
         self.groups.get(group as usize)?.card.as_ref()
     }
 
     /// Since when a group has answered nothing that was asked of it.
-    pub fn silent(&self, group: u32) -> Option<Micros> {
+    pub fn unresponsive_since(&self, group: u32) -> Option<Micros> {
         self.groups.get(group as usize)?.silent
     }
 
     /// Ask; answered by [`Client::poll_done`] under the number returned, by `until` at the latest.
-    pub fn ask(&mut self, now: Micros, group: u32, command: Command, until: Micros) -> u64 {
+    pub fn submit(&mut self, now: Micros, group: u32, command: Command, until: Micros) -> u64 {
         self.next += 1;
         let id = self.next;
         let open: usize = self.groups.iter().map(|g| g.open.len()).sum();
         let Some(g) = self.groups.get_mut(group as usize).filter(|g| g.card.is_some()) else {
-            self.done.push_back((id, Err(Why::Nobody { sent: false })));
+            self.done.push_back((id, Err(SubmitError::Unavailable { sent: false })));
             return id;
         };
         let why = match () {
-            () if open >= OPEN => Some(Why::Full),
+            () if open >= MAX_OPEN_REQUESTS => Some(SubmitError::TooManyOpen),
             // While nobody answers, one ask at a time finds out whether that is over: all others are told at once.
-            () if g.silent.is_some_and(|s| now >= s + 2 * self.patience) && !g.open.is_empty() => {
-                Some(Why::Nobody { sent: false })
+            () if g.silent.is_some_and(|s| now >= s + 2 * self.retry_after) && !g.open.is_empty() => {
+                Some(SubmitError::Unavailable { sent: false })
             }
             () => None,
         };
@@ -140,14 +140,14 @@
     }
 
     /// An ask is not waited for any more.
-    pub fn give_up(&mut self, id: u64) {
+    pub fn cancel(&mut self, id: u64) {
         for g in &mut self.groups {
             g.open.retain(|_, o| o.id != id);
         }
     }
 
     /// A holder said what came of an ask.
-    pub fn told(
+    pub fn handle_outcome(
         &mut self,
         now: Micros,
         group: u32,
@@ -180,12 +180,12 @@
     }
 
     /// Somebody does not lead, and may know who does.
-    pub fn not_here(&mut self, now: Micros, from: u64, group: u32, leader: Option<u64>) {
+    pub fn redirect(&mut self, now: Micros, from: u64, group: u32, leader: Option<u64>) {
         let Some(g) = self.groups.get_mut(group as usize) else { return };
         let Some(card) = &mut g.card else { return };
         if card.leader == Some(from) || card.leader.is_none() {
             card.leader = leader.filter(|l| *l != from);
-            g.ask_soon(now, self.patience);
+            g.ask_soon(now, self.retry_after);
         }
         self.go_on(now);
     }
@@ -197,7 +197,7 @@
         let (sent, open): (BTreeMap<_, _>, BTreeMap<_, _>) =
             std::mem::take(&mut g.open).into_iter().partition(|(_, o)| o.to.is_some());
         g.open = open;
-        self.done.extend(sent.into_values().map(|o| (o.id, Err(Why::Unknown))));
+        self.done.extend(sent.into_values().map(|o| (o.id, Err(SubmitError::SessionEnded))));
         self.go_on(now);
     }
 
@@ -208,7 +208,11 @@
             for number in late {
                 if let Some(o) = g.open.remove(&number) {
                     g.silent.get_or_insert(now);
-                    let why = if o.to.is_some() { Why::Late } else { Why::Nobody { sent: false } };
+                    let why = if o.to.is_some() {
+                        SubmitError::Timeout
+                    } else {
+                        SubmitError::Unavailable { sent: false }
+                    };
                     self.done.push_back((o.id, Err(why)));
                 }
             }
@@ -218,7 +222,7 @@
 
     /// Send what is due.
     fn go_on(&mut self, now: Micros) {
-        let patience = self.patience;
+        let retry_after = self.retry_after;
         for (n, g) in self.groups.iter_mut().enumerate() {
             let Some(card) = &mut g.card else { continue };
             if g.open.is_empty() {
@@ -244,35 +248,43 @@
             let Some(session) = g.session else {
                 if g.opening.is_none_or(|o| now >= o.1) {
                     let number = g.opening.map_or(u64::MAX - g.next, |o| o.0);
-                    g.opening = Some((number, now + patience, to));
-                    let ask =
-                        Said::Ask { group, epoch, session: 0, number, below: 0, command: Command::Open };
+                    g.opening = Some((number, now + retry_after, to));
+                    let ask = StoreMessage::Ask {
+                        group,
+                        epoch,
+                        session: 0,
+                        number,
+                        below: 0,
+                        command: Command::Open,
+                    };
                     self.out.push_back((to, ask));
                 }
                 continue;
             };
             let below = g.open.keys().next().copied().unwrap_or(g.next + 1);
             for (number, o) in g.open.iter_mut().filter(|(_, o)| now >= o.again_at) {
-                (o.again_at, o.to) = (now + patience, Some(to));
+                (o.again_at, o.to) = (now + retry_after, Some(to));
                 let command = o.command.clone();
-                self.out
-                    .push_back((to, Said::Ask { group, epoch, session, number: *number, below, command }));
+                self.out.push_back((
+                    to,
+                    StoreMessage::Ask { group, epoch, session, number: *number, below, command },
+                ));
             }
         }
     }
 
     /// The next thing to say, and to whom.
-    pub fn poll_send(&mut self) -> Option<(u64, Said)> {
+    pub fn poll_send(&mut self) -> Option<(u64, StoreMessage)> {
         self.out.pop_front()
     }
 
     /// The next ask that is over: its number, and what came of it.
-    pub fn poll_done(&mut self) -> Option<(u64, Result<Outcome, Why>)> {
+    pub fn poll_done(&mut self) -> Option<(u64, Result<Outcome, SubmitError>)> {
         self.done.pop_front()
     }
 
     /// When [`Client::tick`] is due.
-    pub fn wake(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let opens = self.groups.iter().flat_map(|g| {
             let waits = g.session.is_some();
             g.open.values().map(move |o| if waits { o.until.min(o.again_at) } else { o.until })
--- a/crates/control/idempotency-store/src/command.rs
+++ b/crates/control/idempotency-store/src/command.rs
@@ -2,20 +2,20 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest key or name, in bytes.
-pub const KEY_MOST: usize = 512;
+pub const MAX_KEY_BYTES: usize = 512;
 /// The longest body that is held whole, and the longest document, in bytes.
-pub const BYTES_MOST: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// The longest window, in milliseconds: a day.
-pub const WINDOW_MOST: u64 = 86_400_000;
+pub const MAX_WINDOW_MS: u64 = 86_400_000;
 
 /// An answer that is held.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct StoredResponse {
     /// Its status.
     pub status: u16,
     /// Its header lines that belong to the content, each ended by CR LF.
     pub lines: Vec<u8>,
-    /// Its body; `None`: it was longer than [`BYTES_MOST`], and only its outcome is held.
+    /// Its body; `None`: it was longer than [`MAX_VALUE_BYTES`], and only its outcome is held.
     pub body: Option<Vec<u8>>,
 }
 
@@ -38,7 +38,7 @@
         /// As in `Take`.
         window_ms: u64,
         /// The answer.
-        answer: Answer,
+        answer: StoredResponse,
     },
     /// It ended without an answer, from whoever took it.
     Give {
@@ -72,7 +72,7 @@
 
 impl Command {
     /// Whether it keeps to the bounds; else which one it breaks.
-    pub fn check(&self) -> Result<(), &'static str> {
+    pub fn validate(&self) -> Result<(), &'static str> {
         let (name, bytes, window) = match self {
             Command::Open => return Ok(()),
             Command::Take { key, window_ms } => (key, 0, *window_ms),
@@ -84,9 +84,9 @@
             Command::Put { name, bytes, .. } => (name, bytes.as_ref().map_or(0, Vec::len), 1),
         };
         match () {
-            () if name.is_empty() || name.len() > KEY_MOST => Err("a key or name has 1 to 512 bytes"),
-            () if bytes > BYTES_MOST => Err("65536 bytes at most are held under one key"),
-            () if window == 0 || window > WINDOW_MOST => Err("a window is 1 ms to a day"),
+            () if name.is_empty() || name.len() > MAX_KEY_BYTES => Err("a key or name has 1 to 512 bytes"),
+            () if bytes > MAX_VALUE_BYTES => Err("65536 bytes at most are held under one key"),
+            () if window == 0 || window > MAX_WINDOW_MS => Err("a window is 1 ms to a day"),
             () => Ok(()),
         }
     }
@@ -94,11 +94,11 @@
 
 /// What a take found.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Take {
+pub enum TakeOutcome {
     /// Nothing: it is the asker's now.
     Yours,
     /// Its answer.
-    Held(Answer),
+    Held(StoredResponse),
     /// Somebody took it, and no answer is held.
     Busy {
         /// Whose take it is.
@@ -117,7 +117,7 @@
     /// A session.
     Session(u64),
     /// Of `Take`.
-    Take(Take),
+    Take(TakeOutcome),
     /// Done, and what it was about is at this version.
     Done(u64),
     /// A document: its version, and its content; version 0: there is none.
--- a/crates/control/idempotency-store/src/lib.rs
+++ b/crates/control/idempotency-store/src/lib.rs
@@ -6,18 +6,18 @@
 
 pub mod client;
 pub mod command;
-pub mod holder;
+pub mod group_replica;
 pub mod machine;
+pub mod message;
 pub mod placement;
 pub mod records;
-pub mod said;
 
-pub use client::{Client, Why};
-pub use command::{Answer, Command, Outcome, Take};
-pub use holder::Holder;
-pub use machine::Machine;
-pub use records::{Config, Records, Want};
-pub use said::{Card, Epoch, Said};
+pub use client::{Client, SubmitError};
+pub use command::{Command, Outcome, StoredResponse, TakeOutcome};
+pub use group_replica::GroupReplica;
+pub use machine::StateMachine;
+pub use message::{Epoch, GroupInfo, StoreMessage};
+pub use records::{Config, Effect, Records};
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
--- a/crates/control/idempotency-store/src/machine.rs
+++ b/crates/control/idempotency-store/src/machine.rs
@@ -1,29 +1,29 @@
 //! The state machine: equal logs make equal states, whatever the machine, the order of arrival or the clock. Time is the log's
 //! own. Records end with their window at the first entry behind it; sessions when they have not been used for long.
-use crate::command::{Answer, Command, Outcome, Take};
+use crate::command::{Command, Outcome, StoredResponse, TakeOutcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Records at a time.
-pub const RECORDS: usize = 100_000;
+pub const MAX_RECORDS: usize = 100_000;
 /// Documents and drains at a time, each.
-pub const DOCUMENTS: usize = 10_000;
+pub const MAX_DOCUMENTS: usize = 10_000;
 /// Bytes of keys, answers and documents, together.
-pub const BYTES: usize = 64 * 1024 * 1024;
+pub const MAX_STATE_BYTES: usize = 64 * 1024 * 1024;
 /// Sessions at a time; the one that was used longest ago gives way.
-pub const SESSIONS: usize = 4_096;
+pub const MAX_SESSIONS: usize = 4_096;
 /// Outcomes that one session keeps for repeats.
-pub const OUTCOMES: usize = 1_024;
+pub const MAX_SESSION_OUTCOMES: usize = 1_024;
 /// A session that was not used for so long is over, in milliseconds of the log's time.
-pub const SESSION_MS: u64 = 600_000;
+pub const SESSION_TIMEOUT_MS: u64 = 600_000;
 /// The version of the snapshot's coding.
-pub const VERSION: u8 = 1;
+pub const SNAPSHOT_VERSION: u8 = 1;
 
 /// What is known of a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum State {
     Taken { at_ms: u64, over: bool },
-    Held(Answer),
+    Held(StoredResponse),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 impl Record {
     fn bytes(&self) -> usize {
         match &self.state {
-            State::Held(a) => 64 + a.lines.len() + a.body.as_ref().map_or(0, Vec::len),
+            State::Held(r) => 64 + r.lines.len() + r.body.as_ref().map_or(0, Vec::len),
             State::Taken { .. } => 64,
         }
     }
@@ -52,11 +52,11 @@
 }
 
 /// What a session keeps of a take that found an answer.
-const FOUND: Outcome = Outcome::Take(Take::Busy { by: 0, passed_ms: None, over: true });
+const FOUND: Outcome = Outcome::Take(TakeOutcome::Busy { by: 0, passed_ms: None, over: true });
 
 /// One log's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Machine {
+pub struct StateMachine {
     now_ms: u64,
     records: BTreeMap<String, Record>,
     ends: BTreeSet<(u64, String)>,
@@ -74,7 +74,7 @@
 
 /// A command as it stands in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Logged {
+pub struct SessionCommand {
     /// Which process asks.
     pub by: u64,
     /// Its session; 0: to open one.
@@ -87,13 +87,13 @@
     pub command: Command,
 }
 
-impl Machine {
+impl StateMachine {
     /// Apply one entry, at the log's time; `office_ms`: the log's time when the leader took office that made the entry.
-    pub fn apply(&mut self, index: u64, at_ms: u64, office_ms: u64, logged: Logged) -> Outcome {
-        self.time_is(at_ms);
-        let Logged { by, session, number, below, command } = logged;
+    pub fn apply(&mut self, index: u64, at_ms: u64, office_ms: u64, logged: SessionCommand) -> Outcome {
+        self.advance_time(at_ms);
+        let SessionCommand { by, session, number, below, command } = logged;
         if command == Command::Open {
-            if self.sessions.len() >= SESSIONS {
+            if self.sessions.len() >= MAX_SESSIONS {
                 let oldest = self.sessions.iter().map(|(id, s)| (s.used_ms, *id)).min();
                 oldest.into_iter().for_each(|(_, id)| drop(self.sessions.remove(&id)));
             }
@@ -101,7 +101,7 @@
             return Outcome::Session(index);
         }
         let Some(s) =
-            self.sessions.get_mut(&session).filter(|s| s.by == by && s.used_ms + SESSION_MS > at_ms)
+            self.sessions.get_mut(&session).filter(|s| s.by == by && s.used_ms + SESSION_TIMEOUT_MS > at_ms)
         else {
             return Outcome::NoSession;
         };
@@ -116,14 +116,14 @@
                 _ => None,
             };
             return match held {
-                Some(Record { state: State::Held(answer), .. }) => Outcome::Take(Take::Held(answer.clone())),
+                Some(Record { state: State::Held(r), .. }) => Outcome::Take(TakeOutcome::Held(r.clone())),
                 _ => known,
             };
         }
-        if number < s.below || s.outcomes.len() >= OUTCOMES {
+        if number < s.below || s.outcomes.len() >= MAX_SESSION_OUTCOMES {
             return Outcome::NoSession;
         }
-        let outcome = if command.check().is_ok() {
+        let outcome = if command.validate().is_ok() {
             self.carry_out(at_ms, office_ms, by, command)
         } else {
             Outcome::Bad
@@ -131,7 +131,7 @@
         // A repeat of a take that found something never takes: the first one may have been told, and nobody would know of it. An
         // answer is not kept twice: a repeat finds it where it is held, or is told that the key was not free.
         let kept = match &outcome {
-            Outcome::Take(Take::Held(_)) => Some(FOUND),
+            Outcome::Take(TakeOutcome::Held(_)) => Some(FOUND),
             Outcome::Document(..) => None,
             other => Some(other.clone()),
         };
@@ -142,16 +142,16 @@
     }
 
     /// Time has come so far: what has ended is gone.
-    pub fn time_is(&mut self, at_ms: u64) {
+    pub fn advance_time(&mut self, at_ms: u64) {
         self.now_ms = self.now_ms.max(at_ms);
         while let Some((until, key)) = self.ends.first().filter(|e| e.0 <= self.now_ms).cloned() {
             self.ends.remove(&(until, key.clone()));
             self.forget(&key);
         }
         // Looked through seldom: one that is over is not used any more whether or not it is still here.
-        if self.now_ms >= self.swept_ms + SESSION_MS / 10 {
+        if self.now_ms >= self.swept_ms + SESSION_TIMEOUT_MS / 10 {
             let now_ms = self.now_ms;
-            self.sessions.retain(|_, s| s.used_ms + SESSION_MS > now_ms);
+            self.sessions.retain(|_, s| s.used_ms + SESSION_TIMEOUT_MS > now_ms);
             self.swept_ms = now_ms;
         }
     }
@@ -171,21 +171,21 @@
     }
 
     fn carry_out(&mut self, at_ms: u64, office_ms: u64, by: u64, command: Command) -> Outcome {
-        let room = |more: usize| self.bytes + more <= BYTES;
+        let room = |more: usize| self.bytes + more <= MAX_STATE_BYTES;
         match command {
             Command::Open => Outcome::Bad,
             Command::Take { key, window_ms } => match self.records.get(&key) {
-                Some(Record { state: State::Held(answer), .. }) => Outcome::Take(Take::Held(answer.clone())),
+                Some(Record { state: State::Held(r), .. }) => Outcome::Take(TakeOutcome::Held(r.clone())),
                 Some(Record { by, state: State::Taken { at_ms: then, over }, .. }) => {
                     // Between two leaders the log's time stands still: what an earlier one noted may be older than it seems.
                     let passed_ms = (*then > office_ms).then(|| at_ms - then);
-                    Outcome::Take(Take::Busy { by: *by, passed_ms, over: *over })
+                    Outcome::Take(TakeOutcome::Busy { by: *by, passed_ms, over: *over })
                 }
-                None if self.records.len() >= RECORDS || !room(key.len() + 64) => Outcome::Full,
+                None if self.records.len() >= MAX_RECORDS || !room(key.len() + 64) => Outcome::Full,
                 None => {
                     let state = State::Taken { at_ms, over: false };
                     self.keep(key, Record { by, until_ms: at_ms + window_ms, state });
-                    Outcome::Take(Take::Yours)
+                    Outcome::Take(TakeOutcome::Yours)
                 }
             },
             Command::Hold { key, window_ms, answer } => match self.records.get(&key) {
@@ -215,7 +215,7 @@
             },
             Command::Drain { name, on: true } => {
                 if !self.drains.contains_key(&name)
-                    && (self.drains.len() >= DOCUMENTS || !room(name.len() + 64))
+                    && (self.drains.len() >= MAX_DOCUMENTS || !room(name.len() + 64))
                 {
                     return Outcome::Full;
                 }
@@ -243,7 +243,8 @@
                     return Outcome::Other(held);
                 }
                 if new > old
-                    && (self.bytes - old + new > BYTES || held == 0 && self.documents.len() >= DOCUMENTS)
+                    && (self.bytes - old + new > MAX_STATE_BYTES
+                        || held == 0 && self.documents.len() >= MAX_DOCUMENTS)
                 {
                     return Outcome::Full;
                 }
@@ -281,14 +282,14 @@
     /// The whole state as bytes.
     pub fn snapshot(&self) -> Vec<u8> {
         // Coding into a growing vector has nothing to fail on.
-        postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
+        postcard::to_extend(self, vec![SNAPSHOT_VERSION]).unwrap_or_default()
     }
 
     /// From such bytes; `None`: they are no snapshot of this version.
     pub fn restore(bytes: &[u8]) -> Option<Self> {
         match bytes {
-            [] => Some(Machine::default()),
-            [VERSION, rest @ ..] => postcard::from_bytes(rest).ok(),
+            [] => Some(StateMachine::default()),
+            [SNAPSHOT_VERSION, rest @ ..] => postcard::from_bytes(rest).ok(),
             _ => None,
         }
     }
@@ -296,7 +297,7 @@
     /// A snapshot without its sessions: broken on purpose.
     #[cfg(feature = "mutants")]
     pub fn snapshot_without_sessions(&self) -> Vec<u8> {
-        let without = Machine { sessions: BTreeMap::new(), ..self.clone() };
+        let without = StateMachine { sessions: BTreeMap::new(), ..self.clone() };
         // As a machine that never cared for sessions: each number is taken as new.
         let mut without = without;
         for (id, s) in &self.sessions {
--- a/crates/control/idempotency-store/src/said.rs
+++ b/crates/control/idempotency-store/src/message.rs
@@ -21,7 +21,7 @@
 
 /// What is known of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct GroupInfo {
     /// Which group.
     pub group: u32,
     /// Which epoch of it.
@@ -40,7 +40,7 @@
 
 /// What is said.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
+pub enum StoreMessage {
     /// From one holder to another.
     Replica(Envelope),
     /// To a holder: do this.
@@ -58,7 +58,7 @@
         /// What.
         command: Command,
     },
-    /// From a holder: so it was done. Said once it is committed.
+    /// From a holder: so it was done. StoreMessage once it is committed.
     Told {
         /// Which group.
         group: u32,
@@ -90,5 +90,5 @@
     /// What do you know of the groups?
     Who,
     /// This; and the upstreams that drain by operators' orders, with the version of that list.
-    Known(Vec<Card>, u64, Vec<String>),
+    Known(Vec<GroupInfo>, u64, Vec<String>),
 }
--- a/crates/control/idempotency-store/src/records.rs
+++ b/crates/control/idempotency-store/src/records.rs
@@ -1,11 +1,11 @@
 //! All of it for one process: its copies of groups, its asking, what it knows of who holds what. Messages, time, the list of
 //! members and completed writes go in; messages, writes and outcomes come out.
-use crate::client::{Client, Why};
+use crate::client::{Client, SubmitError};
 use crate::command::{Command, Outcome};
-use crate::holder::{Holder, Waiter, SNAPSHOT_EVERY};
-use crate::machine::Machine;
-use crate::placement::{self, Facts, Place};
-use crate::said::{Card, Epoch, Said};
+use crate::group_replica::{GroupReplica, Waiter, SNAPSHOT_INTERVAL_ENTRIES};
+use crate::machine::StateMachine;
+use crate::message::{Epoch, GroupInfo, StoreMessage};
+use crate::placement::{self, MemberStatus, PlacementInput};
 use crate::{group_of, Micros};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The group that holds operators' drains.
-pub const DRAINS: u32 = 0;
+pub const DRAINS_GROUP: u32 = 0;
 /// A later list of drains is told on to so many at once.
 const TELL: usize = 3;
 
@@ -26,11 +26,11 @@
     /// How many groups the keys are spread over.
     pub groups: u32,
     /// Voters wanted in each: 3 or 5.
-    pub holders: usize,
+    pub target_voters: usize,
     /// A holder that is not there for so long is replaced; four times that while more than a third of the fleet is not there.
     pub replace_after: Micros,
     /// Nothing came for so long: another holder is asked.
-    pub patience: Micros,
+    pub retry_after: Micros,
     /// Entries between snapshots.
     pub snapshot_every: usize,
     /// Of each replica.
@@ -40,45 +40,45 @@
     /// Snapshots forget the sessions; heeded only with the feature `mutants`.
     pub forget_sessions: bool,
     /// An ask is answered before its entry is committed; heeded only with the feature `mutants`.
-    pub mark_early: bool,
+    pub respond_before_commit: bool,
 }
 
 impl Config {
     /// One that suits machines on one network, for so many groups and holders.
-    pub fn new(groups: u32, holders: usize, seed: u64) -> Self {
+    pub fn new(groups: u32, target_voters: usize, seed: u64) -> Self {
         Config {
             groups,
-            holders,
+            target_voters,
             replace_after: 30_000_000,
-            patience: 150_000,
-            snapshot_every: SNAPSHOT_EVERY,
+            retry_after: 150_000,
+            snapshot_every: SNAPSHOT_INTERVAL_ENTRIES,
             replica: silvercross_raft::Config::default(),
             seed,
             forget_sessions: false,
-            mark_early: false,
+            respond_before_commit: false,
         }
     }
 }
 
 /// Something to be done outside.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Effect {
     /// Say something to a process.
-    Send(u64, Said),
+    Send(u64, StoreMessage),
     /// Make something durable for a group's copy.
     Write(u32, Epoch, Write),
     /// An ask is over.
-    Done(u64, Result<Outcome, Why>),
+    Completed(u64, Result<Outcome, SubmitError>),
     /// A copy ended; its folder is never used again.
     Ended(u32, Ended),
     /// Operators' drains have changed, as far as this process knows.
-    Drains,
+    DrainsChanged,
 }
 
-struct Copy {
+struct LocalReplica {
     epoch: Epoch,
-    holder: Holder,
-    told_end: bool,
+    replica: GroupReplica,
+    end_reported: bool,
 }
 
 /// One process's part in the records.
@@ -86,29 +86,29 @@
     config: Config,
     me: u64,
     rng: Pcg32,
-    copies: BTreeMap<u32, Copy>,
+    replicas: BTreeMap<u32, LocalReplica>,
     client: Client,
-    places: Vec<Place>,
+    places: Vec<MemberStatus>,
     /// Since when each is not there.
     away: BTreeMap<Node, Micros>,
     who_at: Micros,
-    out: VecDeque<Want>,
+    out: VecDeque<Effect>,
     /// Whose copies ended, by their own word: they are gone though their process is there.
     over: BTreeSet<(u32, Node)>,
     /// Operators' drains, with the version of that list.
     drains: (u64, Vec<String>),
     /// Epochs of equal count that others speak of: two foundings.
-    pub foreign: u64,
+    pub foreign_epochs: u64,
 }
 
 impl Records {
     /// At a process's start, with what its folder kept of each group.
     pub fn new(config: Config, me: u64, kept: Vec<(u32, Epoch, PersistentState)>, now: Micros) -> Self {
-        let client = Client::new(me, config.groups, config.patience);
+        let client = Client::new(me, config.groups, config.retry_after);
         let mut new = Records {
             rng: Pcg32::seed_from_u64(config.seed ^ me),
             me,
-            copies: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             client,
             places: Vec::new(),
             away: BTreeMap::new(),
@@ -116,7 +116,7 @@
             out: VecDeque::new(),
             over: BTreeSet::new(),
             drains: (0, Vec::new()),
-            foreign: 0,
+            foreign_epochs: 0,
             config,
         };
         for (group, epoch, durable) in kept {
@@ -136,14 +136,14 @@
         new
     }
 
-    fn hold(&mut self, group: u32, epoch: Epoch, replica: Replica) {
+    fn hold(&mut self, group: u32, epoch: Epoch, raft: Replica) {
         #[allow(unused_mut)]
-        let mut holder = Holder::new(replica, self.config.snapshot_every);
+        let mut replica = GroupReplica::new(raft, self.config.snapshot_every);
         #[cfg(feature = "mutants")]
         if self.config.forget_sessions {
-            holder.forget_sessions();
+            replica.forget_sessions();
         }
-        self.copies.insert(group, Copy { epoch, holder, told_end: false });
+        self.replicas.insert(group, LocalReplica { epoch, replica, end_reported: false });
     }
 
     // --- what can be asked ---
@@ -159,8 +159,8 @@
     }
 
     /// How many voters each is to have.
-    pub fn holders(&self) -> usize {
-        self.config.holders
+    pub fn target_voters(&self) -> usize {
+        self.config.target_voters
     }
 
     /// Which group holds a key.
@@ -169,14 +169,15 @@
     }
 
     /// This process's copy of a group.
-    pub fn copy(&self, group: u32) -> Option<(Epoch, &Holder)> {
-        self.copies.get(&group).map(|c| (c.epoch, &c.holder))
+    pub fn replica(&self, group: u32) -> Option<(Epoch, &GroupReplica)> {
+        self.replicas.get(&group).map(|c| (c.epoch, &c.replica))
     }
 
     /// What is known of a group.
-    pub fn card(&self, group: u32) -> Option<Card> {
-        let own = self.copies.get(&group).filter(|c| c.holder.ended().is_none()).map(|c| own_card(group, c));
-        let heard = self.client.card(group).cloned();
+    pub fn group_info(&self, group: u32) -> Option<GroupInfo> {
+        let own =
+            self.replicas.get(&group).filter(|c| c.replica.ended().is_none()).map(|c| own_card(group, c));
+        let heard = self.client.group_info(group).cloned();
         match (own, heard) {
             (Some(own), Some(heard)) if heard.epoch == own.epoch && heard.term > own.term => Some(heard),
             (Some(own), Some(heard)) if heard.epoch.count() <= own.epoch.count() => Some(own),
@@ -186,17 +187,17 @@
     }
 
     /// Whether a group holds as many copies as are wanted, as far as is known: only then is anything marked.
-    pub fn is_full(&self, group: u32) -> bool {
-        self.card(group).is_some_and(|c| c.voters.len() >= self.config.holders)
+    pub fn is_fully_replicated(&self, group: u32) -> bool {
+        self.group_info(group).is_some_and(|c| c.voters.len() >= self.config.target_voters)
     }
 
     /// Since when a group has answered nothing.
-    pub fn silent(&self, group: u32) -> Option<Micros> {
-        self.client.silent(group)
+    pub fn unresponsive_since(&self, group: u32) -> Option<Micros> {
+        self.client.unresponsive_since(group)
     }
 
     /// Whether a member is there, by this process's own list.
-    pub fn is_there(&self, id: u64) -> bool {
+    pub fn is_live(&self, id: u64) -> bool {
         id == self.me || self.places.iter().any(|p| p.node == Node(id) && p.alive)
     }
 
@@ -206,22 +207,22 @@
     }
 
     /// When [`Records::tick`] is due.
-    pub fn wake(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let copies = self
-            .copies
+            .replicas
             .values()
-            .map(|c| c.holder.replica.next_deadline().as_micros())
+            .map(|c| c.replica.raft.next_deadline().as_micros())
             .min()
             .unwrap_or(Micros::MAX);
-        copies.min(self.client.wake()).min(self.who_at)
+        copies.min(self.client.next_deadline()).min(self.who_at)
     }
 
     // --- operators' acts ---
 
     /// Found the records: a copy of each group here, others are added. Refused where any are known: two foundings are two
     /// logs.
-    pub fn found(&mut self, now: Micros) -> Result<Epoch, &'static str> {
-        if (0..self.config.groups).any(|g| self.card(g).is_some()) || !self.copies.is_empty() {
+    pub fn bootstrap(&mut self, now: Micros) -> Result<Epoch, &'static str> {
+        if (0..self.config.groups).any(|g| self.group_info(g).is_some()) || !self.replicas.is_empty() {
             return Err("records were founded already");
         }
         let epoch = Epoch(0).next(self.rng.next_u64());
@@ -242,17 +243,17 @@
     /// Begin a new epoch of a group from this process's copy, because most of its holders are lost for good. What only they
     /// held is lost. The place and term that it goes on from.
     pub fn recover(&mut self, now: Micros, group: u32) -> Result<(Epoch, Index, u64), &'static str> {
-        let copy = self.copies.get(&group).ok_or("this process holds no copy of that group")?;
-        if copy.holder.ended().is_some() {
+        let copy = self.replicas.get(&group).ok_or("this process holds no copy of that group")?;
+        if copy.replica.ended().is_some() {
             return Err("this process's copy ended: what it holds is not to be trusted");
         }
-        let (epoch, replica) = (copy.epoch, &copy.holder.replica);
-        let mut machine = copy.holder.machine.clone();
+        let (epoch, replica) = (copy.epoch, &copy.replica.raft);
+        let mut machine = copy.replica.machine.clone();
         // What was not known to be committed here may have been: it counts.
         for index in replica.applied_index() + 1..=replica.log().last_index() {
             let Some(entry) = replica.log().get(index) else { break };
             if let Payload::Command(bytes) = &entry.payload {
-                if let Ok(line) = postcard::from_bytes::<crate::holder::Line>(bytes) {
+                if let Ok(line) = postcard::from_bytes::<crate::group_replica::CommandEntry>(bytes) {
                     machine.apply(index, entry.at_ms, line.office_ms, line.logged);
                 }
             }
@@ -275,14 +276,14 @@
     }
 
     /// This process will stop: what it leads goes to others.
-    pub fn leave(&mut self, now: Micros) {
-        for copy in self.copies.values_mut() {
-            let progress = copy.holder.replica.progress();
-            let group = copy.holder.replica.group();
+    pub fn transfer_leadership(&mut self, now: Micros) {
+        for copy in self.replicas.values_mut() {
+            let progress = copy.replica.raft.progress();
+            let group = copy.replica.raft.group();
             let best = progress
                 .and_then(|p| p.iter().filter(|(n, _)| group.is_voter(**n)).max_by_key(|(_, p)| p.matched));
             if let Some(to) = best.map(|(n, _)| *n) {
-                copy.holder.replica.transfer(Instant::from_micros(now), to);
+                copy.replica.raft.transfer(Instant::from_micros(now), to);
             }
         }
         self.go_on(now);
@@ -292,8 +293,8 @@
 
     /// Let time pass.
     pub fn tick(&mut self, now: Micros) {
-        for copy in self.copies.values_mut() {
-            copy.holder.replica.tick(Instant::from_micros(now));
+        for copy in self.replicas.values_mut() {
+            copy.replica.raft.tick(Instant::from_micros(now));
         }
         self.client.tick(now);
         if now >= self.who_at {
@@ -304,7 +305,7 @@
     }
 
     /// Members are these, by this process's own list.
-    pub fn members(&mut self, now: Micros, places: Vec<Place>) {
+    pub fn update_members(&mut self, now: Micros, places: Vec<MemberStatus>) {
         for p in &places {
             if p.alive {
                 self.away.remove(&p.node);
@@ -312,8 +313,8 @@
                 self.away.entry(p.node).or_insert(now);
             }
         }
-        for copy in self.copies.values() {
-            for v in copy.holder.replica.group().all().filter(|v| v.0 != self.me) {
+        for copy in self.replicas.values() {
+            for v in copy.replica.raft.group().all().filter(|v| v.0 != self.me) {
                 if !places.iter().any(|p| p.node == v) {
                     self.away.entry(v).or_insert(now);
                 }
@@ -321,7 +322,7 @@
         }
         let held = |n: &Node| {
             places.iter().any(|p| p.node == *n)
-                || self.copies.values().any(|c| c.holder.replica.group().all().any(|v| v == *n))
+                || self.replicas.values().any(|c| c.replica.raft.group().all().any(|v| v == *n))
         };
         let away = std::mem::take(&mut self.away);
         self.away = away.into_iter().filter(|(n, _)| held(n)).collect();
@@ -331,52 +332,52 @@
     }
 
     /// A process says something.
-    pub fn said(&mut self, now: Micros, from: u64, what: Said) {
+    pub fn handle_message(&mut self, now: Micros, from: u64, what: StoreMessage) {
         match what {
-            Said::Replica(e) => self.envelope(now, from, e),
-            Said::Ask { group, epoch, session, number, below, command } => {
+            StoreMessage::Replica(e) => self.envelope(now, from, e),
+            StoreMessage::Ask { group, epoch, session, number, below, command } => {
                 let waiter = Waiter { by: from, session, number };
-                let copy = self.copies.get_mut(&group).filter(|c| c.epoch == epoch);
-                let asked = copy.map(|c| c.holder.ask(now, waiter, below, command));
-                let early = cfg!(feature = "mutants") && self.config.mark_early;
+                let copy = self.replicas.get_mut(&group).filter(|c| c.epoch == epoch);
+                let asked = copy.map(|c| c.replica.submit(now, waiter, below, command));
+                let early = cfg!(feature = "mutants") && self.config.respond_before_commit;
                 match asked {
                     Some(Ok(())) if early => {
                         let outcome = Outcome::Done(0);
-                        self.say(from, Said::Told { group, epoch, session, number, outcome });
+                        self.say(from, StoreMessage::Told { group, epoch, session, number, outcome });
                     }
                     Some(Ok(())) | Some(Err(RaftError::Full)) => {}
                     Some(Err(RaftError::NotLeader(l))) => {
-                        self.say(from, Said::NotHere { group, number, leader: l.map(|n| n.0) })
+                        self.say(from, StoreMessage::NotHere { group, number, leader: l.map(|n| n.0) })
                     }
-                    Some(Err(_)) => self.say(from, Said::NotHere { group, number, leader: None }),
+                    Some(Err(_)) => self.say(from, StoreMessage::NotHere { group, number, leader: None }),
                     None => {
-                        self.say(from, Said::NotHere { group, number, leader: None });
+                        self.say(from, StoreMessage::NotHere { group, number, leader: None });
                         let known = self.all_known();
                         self.say(from, known);
                     }
                 }
             }
-            Said::Told { group, epoch, session, number, outcome } => {
-                self.client.told(now, group, epoch, session, number, outcome)
+            StoreMessage::Told { group, epoch, session, number, outcome } => {
+                self.client.handle_outcome(now, group, epoch, session, number, outcome)
             }
-            Said::NotHere { group, leader, .. } => self.client.not_here(now, from, group, leader),
-            Said::Over { group, epoch } => {
-                if self.copies.get(&group).is_some_and(|c| c.epoch == epoch) {
+            StoreMessage::NotHere { group, leader, .. } => self.client.redirect(now, from, group, leader),
+            StoreMessage::Over { group, epoch } => {
+                if self.replicas.get(&group).is_some_and(|c| c.epoch == epoch) {
                     self.over.insert((group, Node(from)));
                 }
             }
-            Said::Who => {
+            StoreMessage::Who => {
                 let known = self.all_known();
                 self.say(from, known);
             }
-            Said::Known(cards, version, names) => {
+            StoreMessage::Known(cards, version, names) => {
                 self.drains_are(version, names);
                 for card in cards.into_iter().filter(|c| c.group < self.config.groups) {
-                    let held = self.card(card.group).map(|c| c.epoch);
+                    let held = self.group_info(card.group).map(|c| c.epoch);
                     if held.is_some_and(|e| e != card.epoch && e.count() == card.epoch.count()) {
-                        self.foreign += 1;
+                        self.foreign_epochs += 1;
                     }
-                    self.client.known(now, &card);
+                    self.client.update_group_info(now, &card);
                 }
             }
         }
@@ -388,8 +389,8 @@
             return;
         }
         let epoch = Epoch(e.epoch);
-        let known = self.card(e.group).map(|c| c.epoch);
-        let held = self.copies.get(&e.group).map(|c| c.epoch);
+        let known = self.group_info(e.group).map(|c| c.epoch);
+        let held = self.replicas.get(&e.group).map(|c| c.epoch);
         if held != Some(epoch) {
             let leads = matches!(e.message, Message::AppendEntries { .. } | Message::InstallSnapshot { .. });
             let newer = held.is_none_or(|h| epoch.count() > h.count());
@@ -408,54 +409,54 @@
             );
             self.hold(e.group, epoch, replica);
         }
-        if let Some(copy) = self.copies.get_mut(&e.group) {
-            if copy.holder.ended().is_some() {
-                let over = Said::Over { group: e.group, epoch };
+        if let Some(copy) = self.replicas.get_mut(&e.group) {
+            if copy.replica.ended().is_some() {
+                let over = StoreMessage::Over { group: e.group, epoch };
                 return self.say(from, over);
             }
-            copy.holder.replica.handle_message(Instant::from_micros(now), e.from, e.writes, e.message);
+            copy.replica.raft.handle_message(Instant::from_micros(now), e.from, e.writes, e.message);
         }
     }
 
     /// A write and all before it are durable.
     pub fn written(&mut self, now: Micros, group: u32, epoch: Epoch, number: u64) {
-        if let Some(copy) = self.copies.get_mut(&group).filter(|c| c.epoch == epoch) {
-            copy.holder.replica.written(Instant::from_micros(now), number);
+        if let Some(copy) = self.replicas.get_mut(&group).filter(|c| c.epoch == epoch) {
+            copy.replica.raft.written(Instant::from_micros(now), number);
         }
         self.go_on(now);
     }
 
     /// A write failed.
     pub fn write_failed(&mut self, now: Micros, group: u32, epoch: Epoch) {
-        if let Some(copy) = self.copies.get_mut(&group).filter(|c| c.epoch == epoch) {
-            copy.holder.replica.write_failed();
+        if let Some(copy) = self.replicas.get_mut(&group).filter(|c| c.epoch == epoch) {
+            copy.replica.raft.write_failed();
         }
         self.go_on(now);
     }
 
     /// Ask for something that belongs to a key or name.
-    pub fn ask_of(&mut self, now: Micros, key: &str, command: Command, until: Micros) -> u64 {
+    pub fn submit_for_key(&mut self, now: Micros, key: &str, command: Command, until: Micros) -> u64 {
         let group = match command {
-            Command::Drain { .. } => DRAINS,
+            Command::Drain { .. } => DRAINS_GROUP,
             _ => self.group_of(key),
         };
-        self.ask(now, group, command, until)
+        self.submit(now, group, command, until)
     }
 
-    /// Ask for something of a group; [`Want::Done`] comes by `until` at the latest.
-    pub fn ask(&mut self, now: Micros, group: u32, command: Command, until: Micros) -> u64 {
-        let id = self.client.ask(now, group, command, until);
+    /// Ask for something of a group; [`Effect::Completed`] comes by `until` at the latest.
+    pub fn submit(&mut self, now: Micros, group: u32, command: Command, until: Micros) -> u64 {
+        let id = self.client.submit(now, group, command, until);
         self.go_on(now);
         id
     }
 
     /// An ask is not waited for any more.
-    pub fn give_up(&mut self, id: u64) {
-        self.client.give_up(id);
+    pub fn cancel(&mut self, id: u64) {
+        self.client.cancel(id);
     }
 
     /// The next thing to do.
-    pub fn poll(&mut self) -> Option<Want> {
+    pub fn poll_effect(&mut self) -> Option<Effect> {
         self.out.pop_front()
     }
 
@@ -467,7 +468,7 @@
             return;
         }
         self.drains = (version, names);
-        self.out.push_back(Want::Drains);
+        self.out.push_back(Effect::DrainsChanged);
         for _ in 0..TELL {
             if let Some(to) = self.somebody() {
                 let known = self.all_known();
@@ -476,41 +477,43 @@
         }
     }
 
-    fn all_known(&self) -> Said {
-        Said::Known(self.cards(), self.drains.0, self.drains.1.clone())
+    fn all_known(&self) -> StoreMessage {
+        StoreMessage::Known(self.cards(), self.drains.0, self.drains.1.clone())
     }
 
     /// Somebody who is there, by chance.
     fn somebody(&mut self) -> Option<u64> {
-        let there = |p: &&Place| p.alive && p.node.0 != self.me;
+        let there = |p: &&MemberStatus| p.alive && p.node.0 != self.me;
         let alive: Vec<u64> = self.places.iter().filter(there).map(|p| p.node.0).collect();
         (!alive.is_empty()).then(|| alive[(self.rng.next_u64() % alive.len() as u64) as usize])
     }
 
-    fn say(&mut self, to: u64, what: Said) {
-        self.out.push_back(Want::Send(to, what));
+    fn say(&mut self, to: u64, what: StoreMessage) {
+        self.out.push_back(Effect::Send(to, what));
     }
 
-    fn cards(&self) -> Vec<Card> {
-        (0..self.config.groups).filter_map(|g| self.card(g)).collect()
+    fn cards(&self) -> Vec<GroupInfo> {
+        (0..self.config.groups).filter_map(|g| self.group_info(g)).collect()
     }
 
     /// Somebody, by chance, is asked what it knows: often while a group is not known, seldom else.
     fn ask_around(&mut self, now: Micros) {
-        let dark =
-            |g: u32| self.card(g).is_none_or(|c| c.leader.is_none()) || self.client.silent(g).is_some();
+        let dark = |g: u32| {
+            self.group_info(g).is_none_or(|c| c.leader.is_none())
+                || self.client.unresponsive_since(g).is_some()
+        };
         let often = (0..self.config.groups).any(dark);
         let beat = self.config.replica.heartbeat_interval.as_micros();
         self.who_at = now + if often { beat } else { 20 * beat };
         if let Some(to) = self.somebody() {
-            self.say(to, Said::Who);
+            self.say(to, StoreMessage::Who);
         }
     }
 
     /// Who is to hold copies, where this process leads; and whom its copies hold to be gone.
     fn mind_places(&mut self, now: Micros) {
         // Many at once look like a partition or a release; those that have been gone for long were not at once.
-        let lately = |p: &&Place| {
+        let lately = |p: &&MemberStatus| {
             self.away.get(&p.node).is_some_and(|since| now < since + 4 * self.config.replace_after)
         };
         let away = self.places.iter().filter(|p| !p.alive).filter(lately).count();
@@ -518,9 +521,9 @@
         let after = self.config.replace_after * if many { 4 } else { 1 };
         let gone: Vec<Node> =
             self.away.iter().filter(|(_, since)| now >= **since + after).map(|(n, _)| *n).collect();
-        let me = Node(self.me);
-        for (number, copy) in &mut self.copies {
-            let replica = &mut copy.holder.replica;
+        let leader = Node(self.me);
+        for (number, copy) in &mut self.replicas {
+            let replica = &mut copy.replica.raft;
             let theirs: Vec<Node> =
                 replica.group().voters.iter().filter(|v| gone.contains(v)).copied().collect();
             replica.set_gone_voters(theirs.clone());
@@ -545,17 +548,17 @@
             for (_, node) in self.over.iter().filter(|(g, _)| g == number) {
                 counts.insert(*node, group.voters.len());
             }
-            let gone_by_word = |p: &&Place| !self.over.contains(&(*number, p.node));
-            let places: Vec<Place> = self.places.iter().filter(gone_by_word).cloned().collect();
-            let facts = Facts {
-                number: *number,
-                holders: self.config.holders,
-                places: &places,
-                gone: &counts,
+            let gone_by_word = |p: &&MemberStatus| !self.over.contains(&(*number, p.node));
+            let places: Vec<MemberStatus> = self.places.iter().filter(gone_by_word).cloned().collect();
+            let input = PlacementInput {
+                group_id: *number,
+                target_voters: self.config.target_voters,
+                members: &places,
+                gone_reports: &counts,
                 caught_up: &caught_up,
-                me,
+                leader,
             };
-            if let Some(next) = placement::next(group, &facts) {
+            if let Some(next) = placement::next_group(group, &input) {
                 // Refused: it is tried again.
                 let _ = replica.change_group(Instant::from_micros(now), next);
             }
@@ -567,64 +570,64 @@
         let (mut cards, mut drained) = (Vec::new(), None);
         // Applying may lead to more that is to be said, and what the own client says to this process is said here: in rounds
         // that end, since each ask is proposed once.
-        for (number, copy) in &mut self.copies {
+        for (number, copy) in &mut self.replicas {
             let group = *number;
-            copy.holder.replica.flush(Instant::from_micros(now));
-            for (waiter, outcome) in copy.holder.apply() {
+            copy.replica.raft.flush(Instant::from_micros(now));
+            for (waiter, outcome) in copy.replica.apply() {
                 let Waiter { by, session, number } = waiter;
-                let told = Said::Told { group, epoch: copy.epoch, session, number, outcome };
-                self.out.push_back(Want::Send(by, told));
+                let told = StoreMessage::Told { group, epoch: copy.epoch, session, number, outcome };
+                self.out.push_back(Effect::Send(by, told));
             }
-            if group == DRAINS {
-                let (version, names) = copy.holder.machine.drains();
+            if group == DRAINS_GROUP {
+                let (version, names) = copy.replica.machine.drains();
                 if version > self.drains.0 {
                     drained = Some((version, names.map(str::to_string).collect::<Vec<_>>()));
                 }
             }
-            while let Some((to, writes, message)) = copy.holder.replica.poll_send() {
+            while let Some((to, writes, message)) = copy.replica.raft.poll_send() {
                 let envelope = Envelope { group, epoch: copy.epoch.0, from: me, to, writes, message };
-                self.out.push_back(Want::Send(to.0, Said::Replica(envelope)));
+                self.out.push_back(Effect::Send(to.0, StoreMessage::Replica(envelope)));
             }
-            if let Some(write) = copy.holder.replica.poll_write() {
-                self.out.push_back(Want::Write(group, copy.epoch, write));
+            if let Some(write) = copy.replica.raft.poll_write() {
+                self.out.push_back(Effect::Write(group, copy.epoch, write));
             }
-            if let Some(why) = copy.holder.ended().filter(|_| !copy.told_end) {
-                copy.told_end = true;
-                self.out.push_back(Want::Ended(group, why));
+            if let Some(why) = copy.replica.ended().filter(|_| !copy.end_reported) {
+                copy.end_reported = true;
+                self.out.push_back(Effect::Ended(group, why));
             }
-            if copy.holder.ended().is_none() && !copy.holder.replica.group().voters.is_empty() {
+            if copy.replica.ended().is_none() && !copy.replica.raft.group().voters.is_empty() {
                 cards.push(own_card(group, copy));
             }
         }
-        cards.iter().for_each(|c| self.client.known(now, c));
+        cards.iter().for_each(|c| self.client.update_group_info(now, c));
         drained.into_iter().for_each(|(version, names)| self.drains_are(version, names));
         while let Some((to, said)) = self.client.poll_send() {
-            self.out.push_back(Want::Send(to, said));
+            self.out.push_back(Effect::Send(to, said));
         }
         while let Some((id, outcome)) = self.client.poll_done() {
-            self.out.push_back(Want::Done(id, outcome));
+            self.out.push_back(Effect::Completed(id, outcome));
         }
         // What this process says to itself.
-        let (own, others): (VecDeque<Want>, VecDeque<Want>) = std::mem::take(&mut self.out)
+        let (own, others): (VecDeque<Effect>, VecDeque<Effect>) = std::mem::take(&mut self.out)
             .into_iter()
-            .partition(|w| matches!(w, Want::Send(to, _) if *to == self.me));
+            .partition(|w| matches!(w, Effect::Send(to, _) if *to == self.me));
         self.out = others;
         for want in own {
-            if let Want::Send(_, said) = want {
-                self.said(now, self.me, said);
+            if let Effect::Send(_, said) = want {
+                self.handle_message(now, self.me, said);
             }
         }
     }
 
     /// The state of a group as this process's copy has it, which may be behind.
-    pub fn machine(&self, group: u32) -> Option<&Machine> {
-        self.copies.get(&group).map(|c| &c.holder.machine)
+    pub fn machine(&self, group: u32) -> Option<&StateMachine> {
+        self.replicas.get(&group).map(|c| &c.replica.machine)
     }
 }
 
-fn own_card(group: u32, copy: &Copy) -> Card {
-    let replica = &copy.holder.replica;
-    Card {
+fn own_card(group: u32, copy: &LocalReplica) -> GroupInfo {
+    let replica = &copy.replica.raft;
+    GroupInfo {
         group,
         epoch: copy.epoch,
         changed: replica.log().group_index(),
--- a/crates/control/idempotency-store/tests/machine.rs
+++ b/crates/control/idempotency-store/tests/machine.rs
@@ -1,13 +1,15 @@
 //! The state machine by hand: takes, windows, sessions, documents, bounds; snapshots; who is to hold.
-use silvercross_idempotency_store::command::BYTES_MOST;
-use silvercross_idempotency_store::machine::{Logged, Machine, OUTCOMES, SESSION_MS};
-use silvercross_idempotency_store::placement::{next, Facts, Place};
-use silvercross_idempotency_store::{group_of, Answer, Command, Outcome, Take};
+use silvercross_idempotency_store::command::MAX_VALUE_BYTES;
+use silvercross_idempotency_store::machine::{
+    SessionCommand, StateMachine, MAX_SESSION_OUTCOMES, SESSION_TIMEOUT_MS,
+};
+use silvercross_idempotency_store::placement::{next_group, MemberStatus, PlacementInput};
+use silvercross_idempotency_store::{group_of, Command, Outcome, StoredResponse, TakeOutcome};
 use silvercross_raft::{Group, Node};
 use std::collections::BTreeMap;
 
 struct Log {
-    machine: Machine,
+    machine: StateMachine,
     index: u64,
     at_ms: u64,
     office_ms: u64,
@@ -16,7 +18,7 @@
 
 impl Log {
     fn new() -> Self {
-        Log { machine: Machine::default(), index: 1, at_ms: 100, office_ms: 50, number: 0 }
+        Log { machine: StateMachine::default(), index: 1, at_ms: 100, office_ms: 50, number: 0 }
     }
     fn open(&mut self, by: u64) -> u64 {
         match self.say(by, 0, 0, Command::Open) {
@@ -26,7 +28,7 @@
     }
     fn say(&mut self, by: u64, session: u64, number: u64, command: Command) -> Outcome {
         self.index += 1;
-        let logged = Logged { by, session, number, below: 0, command };
+        let logged = SessionCommand { by, session, number, below: 0, command };
         self.machine.apply(self.index, self.at_ms, self.office_ms, logged)
     }
     fn next(&mut self, by: u64, session: u64, command: Command) -> Outcome {
@@ -42,8 +44,8 @@
 fn hold(key: &str, body: &str) -> Command {
     Command::Hold { key: key.into(), window_ms: 1_000, answer: answer(body) }
 }
-fn answer(body: &str) -> Answer {
-    Answer { status: 200, lines: Vec::new(), body: Some(body.into()) }
+fn answer(body: &str) -> StoredResponse {
+    StoredResponse { status: 200, lines: Vec::new(), body: Some(body.into()) }
 }
 fn put(name: &str, expect: Option<u64>, value: &str) -> Command {
     Command::Put { name: name.into(), expect, bytes: Some(value.into()) }
@@ -53,9 +55,9 @@
 fn a_key_is_taken_once_and_its_answer_is_everybodys_until_its_window_ends() {
     let mut l = Log::new();
     let (a, b) = (l.open(1), l.open(2));
-    assert_eq!(l.next(1, a, take("k")), Outcome::Take(Take::Yours));
+    assert_eq!(l.next(1, a, take("k")), Outcome::Take(TakeOutcome::Yours));
     l.at_ms = 400;
-    let busy = |passed_ms, over| Outcome::Take(Take::Busy { by: 1, passed_ms, over });
+    let busy = |passed_ms, over| Outcome::Take(TakeOutcome::Busy { by: 1, passed_ms, over });
     assert_eq!(l.next(2, b, take("k")), busy(Some(300), false));
     // Not the second one's to hold or to give back.
     assert_eq!(l.next(2, b, hold("k", "x")), Outcome::NotYours);
@@ -67,13 +69,13 @@
     assert_eq!(l.next(1, a, hold("k", "done")), Outcome::Done(0));
     // Its window counts from the answer on.
     l.at_ms = 1_899;
-    assert_eq!(l.next(2, b, take("k")), Outcome::Take(Take::Held(answer("done"))));
+    assert_eq!(l.next(2, b, take("k")), Outcome::Take(TakeOutcome::Held(answer("done"))));
     l.at_ms = 1_900;
-    assert_eq!(l.next(2, b, take("k")), Outcome::Take(Take::Yours));
+    assert_eq!(l.next(2, b, take("k")), Outcome::Take(TakeOutcome::Yours));
     let over = Command::Give { key: "k".into(), may_have_run: true };
     assert_eq!(l.next(2, b, over), Outcome::Done(0));
     l.office_ms = 50;
-    let found = Outcome::Take(Take::Busy { by: 2, passed_ms: Some(0), over: true });
+    let found = Outcome::Take(TakeOutcome::Busy { by: 2, passed_ms: Some(0), over: true });
     assert_eq!(l.next(1, a, take("k")), found);
 }
 
@@ -81,18 +83,18 @@
 fn a_repeat_of_a_take_that_found_something_never_takes() {
     let mut l = Log::new();
     let (a, b) = (l.open(1), l.open(2));
-    assert_eq!(l.say(1, a, 1, take("k")), Outcome::Take(Take::Yours));
+    assert_eq!(l.say(1, a, 1, take("k")), Outcome::Take(TakeOutcome::Yours));
     let busy = l.say(2, b, 1, take("k"));
     assert_eq!(l.say(1, a, 2, Command::Give { key: "k".into(), may_have_run: false }), Outcome::Done(0));
     assert_eq!(l.say(2, b, 1, take("k")), busy);
-    assert_eq!(l.say(1, a, 3, take("k")), Outcome::Take(Take::Yours));
+    assert_eq!(l.say(1, a, 3, take("k")), Outcome::Take(TakeOutcome::Yours));
     assert_eq!(l.say(1, a, 4, hold("k", "x")), Outcome::Done(0));
     for _ in 0..2 {
-        assert_eq!(l.say(2, b, 2, take("k")), Outcome::Take(Take::Held(answer("x"))));
+        assert_eq!(l.say(2, b, 2, take("k")), Outcome::Take(TakeOutcome::Held(answer("x"))));
     }
     l.at_ms += 1_000;
-    assert!(matches!(l.say(2, b, 2, take("k")), Outcome::Take(Take::Busy { over: true, .. })));
-    assert_eq!(l.say(1, a, 5, take("k")), Outcome::Take(Take::Yours), "nobody has taken it");
+    assert!(matches!(l.say(2, b, 2, take("k")), Outcome::Take(TakeOutcome::Busy { over: true, .. })));
+    assert_eq!(l.say(1, a, 5, take("k")), Outcome::Take(TakeOutcome::Yours), "nobody has taken it");
 }
 
 #[test]
@@ -101,16 +103,16 @@
     let a = l.open(1);
     let first = l.say(1, a, 7, put("d", Some(0), "x"));
     assert_eq!(first, Outcome::Done(1));
-    l.machine = Machine::restore(&l.machine.snapshot()).expect("a snapshot of this version");
+    l.machine = StateMachine::restore(&l.machine.snapshot()).expect("a snapshot of this version");
     assert_eq!(l.say(1, a, 7, put("d", Some(0), "x")), first);
     assert_eq!(l.say(1, a, 8, put("d", Some(0), "y")), Outcome::Other(1));
     // Another one's session, one that is over, and too many without an answer taken: nobody knows.
     assert_eq!(l.say(2, a, 9, put("d", None, "y")), Outcome::NoSession);
-    for n in 0..OUTCOMES as u64 {
+    for n in 0..MAX_SESSION_OUTCOMES as u64 {
         l.say(1, a, 10 + n, put("d", Some(0), "y"));
     }
     assert_eq!(l.say(1, a, 5_000, put("d", None, "z")), Outcome::NoSession);
-    l.at_ms += SESSION_MS;
+    l.at_ms += SESSION_TIMEOUT_MS;
     assert_eq!(l.say(1, a, 5_001, put("d", None, "z")), Outcome::NoSession);
     assert_eq!(l.machine.document("d"), Some((1, b"x".as_slice())));
 }
@@ -121,7 +123,7 @@
     let mut l = Log::new();
     let a = l.open(1);
     assert_eq!(l.say(1, a, 7, put("d", None, "x")), Outcome::Done(1));
-    l.machine = Machine::restore(&l.machine.snapshot_without_sessions()).expect("a snapshot");
+    l.machine = StateMachine::restore(&l.machine.snapshot_without_sessions()).expect("a snapshot");
     assert_eq!(l.say(1, a, 7, put("d", None, "x")), Outcome::Done(2), "the whole one says version 1 again");
 }
 
@@ -133,24 +135,26 @@
         (take(""), Outcome::Bad),
         (take(&"k".repeat(513)), Outcome::Bad),
         (Command::Take { key: "k".into(), window_ms: 0 }, Outcome::Bad),
-        (put("d", None, &"x".repeat(BYTES_MOST + 1)), Outcome::Bad),
+        (put("d", None, &"x".repeat(MAX_VALUE_BYTES + 1)), Outcome::Bad),
     ] {
         assert_eq!(l.next(1, a, command.clone()), outcome, "{command:?}");
     }
     let empty = l.machine.size().3;
     let mut held = 0;
     for n in 0..2_000 {
-        let full = l.next(1, a, put(&format!("d{n}"), None, &"x".repeat(BYTES_MOST))) == Outcome::Full;
+        let full = l.next(1, a, put(&format!("d{n}"), None, &"x".repeat(MAX_VALUE_BYTES))) == Outcome::Full;
         held += usize::from(!full);
         // What is told is forgotten, as askers do.
-        let logged = Logged { by: 1, session: a, number: l.number, below: l.number, command: take("t") };
+        let logged =
+            SessionCommand { by: 1, session: a, number: l.number, below: l.number, command: take("t") };
         l.machine.apply(1, l.at_ms, 1, logged);
     }
     assert!(held < 1_100, "64 MiB hold {held} documents of 64 KiB");
     for n in 0..2_000 {
         let gone = Command::Put { name: format!("d{n}"), expect: None, bytes: None };
         l.next(1, a, gone);
-        let logged = Logged { by: 1, session: a, number: l.number, below: l.number, command: take("t") };
+        let logged =
+            SessionCommand { by: 1, session: a, number: l.number, below: l.number, command: take("t") };
         l.machine.apply(1, l.at_ms, 1, logged);
     }
     assert_eq!(l.machine.size().3, empty, "all that was held is given back");
@@ -175,10 +179,10 @@
 
 #[test]
 fn no_other_versions_snapshot_is_read() {
-    let mut bytes = Machine::default().snapshot();
+    let mut bytes = StateMachine::default().snapshot();
     bytes[0] += 1;
-    assert!(Machine::restore(&bytes).is_none());
-    assert!(Machine::restore(&[]).is_some_and(|m| m == Machine::default()));
+    assert!(StateMachine::restore(&bytes).is_none());
+    assert!(StateMachine::restore(&[]).is_some_and(|m| m == StateMachine::default()));
 }
 
 #[test]
@@ -192,13 +196,20 @@
 
 #[test]
 fn holders_come_one_at_a_time_from_other_zones_and_go_only_when_most_say_so() {
-    let place = |n: u64, alive| Place { node: Node(n), zone: format!("z{}", n % 3), alive };
-    let places: Vec<Place> = (1..=9).map(|n| place(n, true)).collect();
-    let step = |group: &Group, gone: &[(u64, usize)], caught_up: &[u64], places: &[Place]| {
+    let place = |n: u64, alive| MemberStatus { node: Node(n), zone: format!("z{}", n % 3), alive };
+    let places: Vec<MemberStatus> = (1..=9).map(|n| place(n, true)).collect();
+    let step = |group: &Group, gone: &[(u64, usize)], caught_up: &[u64], members: &[MemberStatus]| {
         let gone: BTreeMap<Node, usize> = gone.iter().map(|(n, c)| (Node(*n), *c)).collect();
         let caught_up: Vec<Node> = caught_up.iter().map(|n| Node(*n)).collect();
-        let facts = Facts { number: 0, holders: 3, places, gone: &gone, caught_up: &caught_up, me: Node(1) };
-        next(group, &facts)
+        let input = PlacementInput {
+            group_id: 0,
+            target_voters: 3,
+            members,
+            gone_reports: &gone,
+            caught_up: &caught_up,
+            leader: Node(1),
+        };
+        next_group(group, &input)
     };
     let nodes = |v: &[u64]| v.iter().map(|n| Node(*n)).collect::<Vec<_>>();
     let mut group = Group::of(nodes(&[1]));
@@ -223,8 +234,8 @@
     let three = step(&four, &[(other, 3)], &[], &places).expect("the one that is gone leaves");
     assert!(three.voters.len() == 3 && !three.is_voter(Node(other)));
     // With nobody to take the place it stays, and a learner that died is let go.
-    let few: Vec<Place> = places.iter().filter(|p| group.is_voter(p.node)).cloned().collect();
+    let few: Vec<MemberStatus> = places.iter().filter(|p| group.is_voter(p.node)).cloned().collect();
     assert_eq!(step(&group, &[(other, 2)], &[], &few), None);
-    let dead: Vec<Place> = places.iter().map(|p| place(p.node.0, p.node.0 != new)).collect();
+    let dead: Vec<MemberStatus> = places.iter().map(|p| place(p.node.0, p.node.0 != new)).collect();
     assert_eq!(step(&learns, &[(other, 2)], &[], &dead).map(|g| g.learners.len()), Some(0));
 }
--- a/crates/control/idempotency-store/tests/wire_bytes.rs
+++ b/crates/control/idempotency-store/tests/wire_bytes.rs
@@ -2,9 +2,11 @@
 //! talk to each other and read each other's disks.
 
 use serde::{de::DeserializeOwned, Serialize};
-use silvercross_idempotency_store::holder::Line;
-use silvercross_idempotency_store::machine::{Logged, Machine};
-use silvercross_idempotency_store::{Answer, Card, Command, Epoch, Outcome, Said, Take};
+use silvercross_idempotency_store::group_replica::CommandEntry;
+use silvercross_idempotency_store::machine::{SessionCommand, StateMachine};
+use silvercross_idempotency_store::{
+    Command, Epoch, GroupInfo, Outcome, StoreMessage, StoredResponse, TakeOutcome,
+};
 use silvercross_raft::{Entry, Envelope, Group, HardState, Message, Node, Payload, Snapshot};
 use std::fmt::{Debug, Write};
 
@@ -23,8 +25,12 @@
     writeln!(lines, "{name} {hex}").expect("a string grows");
 }
 
-fn answer(body: Option<&[u8]>) -> Answer {
-    Answer { status: 201, lines: b"content-type: text/plain\r\n".to_vec(), body: body.map(<[u8]>::to_vec) }
+fn answer(body: Option<&[u8]>) -> StoredResponse {
+    StoredResponse {
+        status: 201,
+        lines: b"content-type: text/plain\r\n".to_vec(),
+        body: body.map(<[u8]>::to_vec),
+    }
 }
 
 fn commands() -> Vec<(&'static str, Command)> {
@@ -44,9 +50,9 @@
 fn outcomes() -> Vec<(&'static str, Outcome)> {
     vec![
         ("session", Outcome::Session(9)),
-        ("take-yours", Outcome::Take(Take::Yours)),
-        ("take-held", Outcome::Take(Take::Held(answer(None)))),
-        ("take-busy", Outcome::Take(Take::Busy { by: 4, passed_ms: Some(700), over: true })),
+        ("take-yours", Outcome::Take(TakeOutcome::Yours)),
+        ("take-held", Outcome::Take(TakeOutcome::Held(answer(None)))),
+        ("take-busy", Outcome::Take(TakeOutcome::Busy { by: 4, passed_ms: Some(700), over: true })),
         ("done", Outcome::Done(300)),
         ("document", Outcome::Document(2, Some(vec![1]))),
         ("other", Outcome::Other(5)),
@@ -103,15 +109,22 @@
     ]
 }
 
-fn said() -> Vec<(&'static str, Said)> {
+fn said() -> Vec<(&'static str, StoreMessage)> {
     let (group, epoch) = (2, Epoch(1 << 40 | 77));
-    let card =
-        Card { group, epoch, changed: 9, voters: vec![1, 300], learners: vec![5], term: 3, leader: Some(1) };
+    let card = GroupInfo {
+        group,
+        epoch,
+        changed: 9,
+        voters: vec![1, 300],
+        learners: vec![5],
+        term: 3,
+        leader: Some(1),
+    };
     vec![
-        ("not-here", Said::NotHere { group, number: 8, leader: Some(1) }),
-        ("over", Said::Over { group, epoch }),
-        ("who", Said::Who),
-        ("known", Said::Known(vec![card], 12, vec!["upstream-1".to_string()])),
+        ("not-here", StoreMessage::NotHere { group, number: 8, leader: Some(1) }),
+        ("over", StoreMessage::Over { group, epoch }),
+        ("who", StoreMessage::Who),
+        ("known", StoreMessage::Known(vec![card], 12, vec!["upstream-1".to_string()])),
     ]
 }
 
@@ -122,14 +135,14 @@
     for (name, message) in messages() {
         let envelope =
             Envelope { group: 2, epoch: epoch.0, from: Node(1), to: Node(300), writes: 17, message };
-        add(&mut lines, &format!("said/replica-{name}"), Said::Replica(envelope));
+        add(&mut lines, &format!("said/replica-{name}"), StoreMessage::Replica(envelope));
     }
     for (name, command) in commands() {
-        let said = Said::Ask { group: 2, epoch, session: 11, number: 8, below: 6, command };
+        let said = StoreMessage::Ask { group: 2, epoch, session: 11, number: 8, below: 6, command };
         add(&mut lines, &format!("said/ask-{name}"), said);
     }
     for (name, outcome) in outcomes() {
-        let said = Said::Told { group: 2, epoch, session: 11, number: 8, outcome };
+        let said = StoreMessage::Told { group: 2, epoch, session: 11, number: 8, outcome };
         add(&mut lines, &format!("said/told-{name}"), said);
     }
     for (name, said) in said() {
@@ -142,15 +155,15 @@
     let snapshot = Snapshot { index: 400, term: 2, at_ms: 70_000, group: group(), data: vec![1, 2, 3] };
     add(&mut lines, "disk/snapshot", snapshot);
 
-    let mut machine = Machine::default();
+    let mut machine = StateMachine::default();
     for (i, (name, command)) in commands().into_iter().enumerate() {
         let (number, session) = (i as u64, u64::from(i > 0));
-        let logged = Logged { by: 4, session, number, below: 0, command };
-        add(&mut lines, &format!("log/{name}"), Line { office_ms: 500, logged: logged.clone() });
+        let logged = SessionCommand { by: 4, session, number, below: 0, command };
+        add(&mut lines, &format!("log/{name}"), CommandEntry { office_ms: 500, logged: logged.clone() });
         machine.apply(number + 1, 1_000 + number, 500, logged);
     }
     let kept = machine.snapshot();
-    assert_eq!(Machine::restore(&kept).as_ref(), Some(&machine));
+    assert_eq!(StateMachine::restore(&kept).as_ref(), Some(&machine));
     add_bytes(&mut lines, "disk/machine", &kept);
     assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
 }
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -9,9 +9,11 @@
 use crate::wire::batches::Link;
 use silvercross_core::interface::Micros;
 use silvercross_facade::Request as Placed;
-use silvercross_idempotency_store::command::BYTES_MOST;
-use silvercross_idempotency_store::placement::Place;
-use silvercross_idempotency_store::{Answer, Command, Outcome, Records, Said, Take, Want, Why};
+use silvercross_idempotency_store::command::MAX_VALUE_BYTES;
+use silvercross_idempotency_store::placement::MemberStatus;
+use silvercross_idempotency_store::{
+    Command, Effect, Outcome, Records, StoreMessage, StoredResponse, SubmitError, TakeOutcome,
+};
 use silvercross_management::answer;
 use silvercross_net::registry::{Interest, Registry, Watched};
 use silvercross_net::table::Handle;
@@ -147,16 +149,19 @@
         let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return };
         let Some(Some(link)) = h.links.get_mut(seat) else { return };
         let (from, to) = (fleet.members.me().id, link.to);
-        link.advance(now, &mut |said: Vec<Said>| fleet.members.fleet().encode_batch(&(from, to, said)));
+        link.advance(now, &mut |said: Vec<StoreMessage>| {
+            fleet.members.fleet().encode_batch(&(from, to, said))
+        });
     }
 
     /// A batch has come from another member.
     pub(super) fn batch_came(&mut self, now: Micros, bytes: &[u8]) -> bool {
         let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return false };
-        let batch: Result<(Identity, Identity, Vec<Said>), _> = fleet.members.fleet().decode_batch(bytes);
+        let batch: Result<(Identity, Identity, Vec<StoreMessage>), _> =
+            fleet.members.fleet().decode_batch(bytes);
         let Ok((from, to, said)) = batch else { return false };
         if to == fleet.members.me().id {
-            said.into_iter().for_each(|s| h.records.said(now, from.0, s));
+            said.into_iter().for_each(|s| h.records.handle_message(now, from.0, s));
         }
         true
     }
@@ -167,31 +172,31 @@
         let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return };
         if now >= h.places_at {
             h.places_at = now + PLACES;
-            let place = |s: &silvercross_swim::table::Member| Place {
+            let place = |s: &silvercross_swim::table::Member| MemberStatus {
                 node: Node(s.record.id.0),
                 zone: s.record.zone.clone(),
                 alive: matches!(s.state, State::Alive | State::Suspect),
             };
-            let own = Place {
+            let own = MemberStatus {
                 node: Node(fleet.members.me().id.0),
                 zone: fleet.members.me().zone.clone(),
                 alive: true,
             };
             let places = fleet.members.others().map(place).chain([own]).collect();
-            h.records.members(now, places);
+            h.records.update_members(now, places);
         }
         h.records.tick(now);
         let mut done = Vec::new();
         let mut drains = false;
-        while let Some(want) = h.records.poll() {
+        while let Some(want) = h.records.poll_effect() {
             match want {
-                Want::Send(to, said) => {
+                Effect::Send(to, said) => {
                     let seat = h.link(Identity(to), now);
                     if let Some(link) = &mut h.links[seat] {
                         link.say(said);
                     }
                 }
-                Want::Write(group, epoch, write) => {
+                Effect::Write(group, epoch, write) => {
                     h.counts.writes += 1;
                     let number = write.number;
                     match &h.store {
@@ -204,15 +209,15 @@
                         }
                     }
                 }
-                Want::Done(id, outcome) => done.push((id, outcome)),
-                Want::Ended(group, why) => {
+                Effect::Completed(id, outcome) => done.push((id, outcome)),
+                Effect::Ended(group, why) => {
                     error!(self.log, "a copy of the records has ended, and this member holds it no more";
                         "group" => group, "why" => ?why, "mend" => "restart it: it will be somebody new");
                     if let Some(Err(e)) = h.store.as_ref().map(Store::give_up) {
                         error!(self.log, "its store can't be put aside"; "error" => e.to_string());
                     }
                 }
-                Want::Drains => drains = true,
+                Effect::DrainsChanged => drains = true,
             }
         }
         let ready: Vec<usize> = (0..LINKS).filter(|i| h.links[*i].is_some()).collect();
@@ -256,7 +261,7 @@
         let Some(h) = &mut self.holding else { return };
         let retry = h.links.iter().flatten().any(|l| !l.is_idle());
         let links = if retry { now + AGAIN } else { Micros::MAX };
-        let wake = h.records.wake().min(h.places_at).min(links).max(now + 1_000);
+        let wake = h.records.next_deadline().min(h.places_at).min(links).max(now + 1_000);
         if wake < h.due || h.due <= now {
             h.due = wake;
             self.balancer.wake_at(wake, Wake::Records);
@@ -275,7 +280,7 @@
     pub(super) fn leave_records(&mut self) {
         let now = self.balancer.now();
         if let Some(h) = &mut self.holding {
-            h.records.leave(now);
+            h.records.transfer_leadership(now);
         }
         self.mind_records();
     }
@@ -331,12 +336,12 @@
         let window_ms = h.classes[held.class].window_ms;
         let wait = h.ask.min((held.until - now) / 2);
         let command = Command::Take { key: held.key.clone(), window_ms };
-        let id = h.records.ask_of(now, &held.key.clone(), command, now + wait.max(1_000));
+        let id = h.records.submit_for_key(now, &held.key.clone(), command, now + wait.max(1_000));
         h.asks.insert(id, Waits::Take(request));
         self.stirred = true;
     }
 
-    fn ask_done(&mut self, now: Micros, id: u64, outcome: Result<Outcome, Why>) {
+    fn ask_done(&mut self, now: Micros, id: u64, outcome: Result<Outcome, SubmitError>) {
         let Some(waits) = self.holding.as_mut().and_then(|h| h.asks.remove(&id)) else { return };
         match waits {
             Waits::Nobody => {}
@@ -355,24 +360,24 @@
         self.do_steps();
     }
 
-    fn took(&mut self, now: Micros, request: Handle, outcome: Result<Outcome, Why>) {
+    fn took(&mut self, now: Micros, request: Handle, outcome: Result<Outcome, SubmitError>) {
         let Some(h) = &mut self.holding else { return };
         let Some(r) = self.requests.get_mut(request) else { return };
         let there = r.client.is_some();
         let Some(held) = r.held.as_mut() else { return };
         let class = &h.classes[held.class];
         match outcome {
-            Ok(Outcome::Take(Take::Yours)) if there => {
+            Ok(Outcome::Take(TakeOutcome::Yours)) if there => {
                 held.phase = Phase::Taken;
                 self.place_held(now, request, false);
             }
-            Ok(Outcome::Take(Take::Yours)) => {
+            Ok(Outcome::Take(TakeOutcome::Yours)) => {
                 // Its client has left meanwhile, and nothing was sent.
                 held.phase = Phase::Taken;
                 self.give_held(request, false);
                 self.forget_if_done(request);
             }
-            Ok(Outcome::Take(Take::Held(a))) => {
+            Ok(Outcome::Take(TakeOutcome::Held(a))) => {
                 held.phase = Phase::Free;
                 h.counts.from_records += 1;
                 let mut lines = a.lines;
@@ -381,9 +386,9 @@
                 self.counts.served += 1;
                 self.answer_call(request, a.status, &lines, &[&a.body.unwrap_or_default()]);
             }
-            Ok(Outcome::Take(Take::Busy { by, passed_ms, over })) => {
+            Ok(Outcome::Take(TakeOutcome::Busy { by, passed_ms, over })) => {
                 h.counts.busy += 1;
-                let waits = !over && h.records.is_there(by) && now + 2 * AGAIN + MARGIN < held.until;
+                let waits = !over && h.records.is_live(by) && now + 2 * AGAIN + MARGIN < held.until;
                 let placed = held.placed.as_ref().map_or(0, |p| p.class);
                 let safe = self.balancer.repeat_window(placed).map(|w| (w as f64 / 1e3 * SAFE) as u64);
                 if waits && there {
@@ -406,7 +411,10 @@
                 );
             }
             _ => {
-                let sent = !matches!(outcome, Err(Why::Nobody { sent: false } | Why::Full));
+                let sent = !matches!(
+                    outcome,
+                    Err(SubmitError::Unavailable { sent: false } | SubmitError::TooManyOpen)
+                );
                 let (key, refuses) = (held.key.clone(), class.without == Without::Refuse);
                 held.phase = Phase::Free;
                 if sent {
@@ -457,14 +465,14 @@
         let Some(h) = &mut self.holding else { return };
         let Some(held) = self.requests.get_mut(request).and_then(|r| r.held.as_mut()) else { return };
         let body: Vec<u8> = parts.concat();
-        let fits = body.len() <= BYTES_MOST && lines.len() <= BYTES_MOST;
-        let answer = Answer { status: 200, lines: lines.clone(), body: fits.then(|| body.clone()) };
+        let fits = body.len() <= MAX_VALUE_BYTES && lines.len() <= MAX_VALUE_BYTES;
+        let answer = StoredResponse { status: 200, lines: lines.clone(), body: fits.then(|| body.clone()) };
         (held.answer, held.phase) = (Some((lines, body)), Phase::Holding);
         let window_ms = h.classes[held.class].window_ms;
         // Its answer is held for whoever asks again, though this client be told without the mark.
         let until = now + h.ask.min(held.until - MARGIN - now);
         let command = Command::Hold { key: held.key.clone(), window_ms, answer };
-        let id = h.records.ask_of(now, &held.key.clone(), command.clone(), now + GIVE);
+        let id = h.records.submit_for_key(now, &held.key.clone(), command.clone(), now + GIVE);
         h.asks.insert(id, Waits::Hold(request));
         self.balancer.wake_at(until.max(now + 1_000), Wake::Unheld(request));
         self.stirred = true;
@@ -476,14 +484,14 @@
         let Some(held) = self.requests.get_mut(request).and_then(|r| r.held.as_mut()) else { return };
         let Some((mut lines, body)) = held.answer.take() else { return };
         held.phase = Phase::Free;
-        let marked = marked && h.records.is_full(h.records.group_of(&held.key));
+        let marked = marked && h.records.is_fully_replicated(h.records.group_of(&held.key));
         match marked {
             true => h.counts.marked += 1,
             false => h.counts.unmarked += 1,
         }
         if marked {
             let mark: &[u8] =
-                if body.len() <= BYTES_MOST { b"X-Held: 1\r\n" } else { b"X-Held: outcome\r\n" };
+                if body.len() <= MAX_VALUE_BYTES { b"X-Held: 1\r\n" } else { b"X-Held: outcome\r\n" };
             lines.extend_from_slice(mark);
         }
         self.answer_call(request, 200, &lines, &[&body]);
@@ -502,7 +510,7 @@
 
     fn ask_for_nobody(&mut self, now: Micros, key: String, may_have_run: bool) {
         let Some(h) = &mut self.holding else { return };
-        let id = h.records.ask_of(now, &key.clone(), Command::Give { key, may_have_run }, now + GIVE);
+        let id = h.records.submit_for_key(now, &key.clone(), Command::Give { key, may_have_run }, now + GIVE);
         h.asks.insert(id, Waits::Nobody);
         self.stirred = true;
     }
@@ -532,7 +540,7 @@
     pub(super) fn order(&mut self, seat: usize, command: Command) -> Option<Vec<u8>> {
         let now = self.balancer.now();
         let Some(h) = &mut self.holding else { return Some(answer(404, NO_RECORDS)) };
-        if let Err(why) = command.check() {
+        if let Err(why) = command.validate() {
             return Some(answer(400, &format!("{why}\n")));
         }
         let name = match &command {
@@ -542,7 +550,7 @@
         if !matches!(command, Command::Get { .. }) {
             h.awaited.remove(&seat);
         }
-        let id = h.records.ask_of(now, &name, command, now + ORDER);
+        let id = h.records.submit_for_key(now, &name, command, now + ORDER);
         h.asks.retain(|_, w| !matches!(w, Waits::Operator(s) if *s == seat));
         h.asks.insert(id, Waits::Operator(seat));
         self.stirred = true;
@@ -576,7 +584,7 @@
         }
     }
 
-    fn operator_told(&mut self, seat: usize, outcome: Result<Outcome, Why>) {
+    fn operator_told(&mut self, seat: usize, outcome: Result<Outcome, SubmitError>) {
         let now = self.balancer.now();
         if let (Some(h), Ok(Outcome::Document(version, _))) = (&mut self.holding, &outcome) {
             let waits = |a: &(String, u64, Micros)| *version <= a.1 && now + LOOK < a.2;
@@ -595,7 +603,7 @@
             Ok(Outcome::Other(version)) => answer(409, &format!("{{\"version\":{version}}}\n")),
             Ok(Outcome::Full) => answer(507, "there is no room\n"),
             Ok(_) => answer(400, "not done\n"),
-            Err(Why::Nobody { sent: false }) => {
+            Err(SubmitError::Unavailable { sent: false }) => {
                 answer(503, "most holders can't be asked; nothing was done\n")
             }
             Err(_) => answer(504, "it may have been done, or may yet be\n"),
@@ -607,7 +615,7 @@
     pub(super) fn found_records(&mut self) -> Vec<u8> {
         let now = self.balancer.now();
         let Some(h) = &mut self.holding else { return answer(404, NO_RECORDS) };
-        let told = match h.records.found(now) {
+        let told = match h.records.bootstrap(now) {
             Ok(epoch) => {
                 info!(self.log, "the records were founded here"; "epoch" => epoch.0);
                 answer(200, &format!("{{\"epoch\":{}}}\n", epoch.0))
@@ -642,15 +650,15 @@
         let groups: Vec<serde_json::Value> = (0..h.records.groups())
             .map(|g| {
                 let hex = |n: &u64| format!("{n:016x}");
-                let card = h.records.card(g).map(|c| {
+                let card = h.records.group_info(g).map(|c| {
                     serde_json::json!({
                         "epoch": c.epoch.0, "term": c.term, "leader": c.leader.as_ref().map(hex),
                         "voters": c.voters.iter().map(hex).collect::<Vec<_>>(),
                         "learners": c.learners.iter().map(hex).collect::<Vec<_>>(),
                     })
                 });
-                let copy = h.records.copy(g).map(|(epoch, copy)| {
-                    let r = &copy.replica;
+                let copy = h.records.replica(g).map(|(epoch, copy)| {
+                    let r = &copy.raft;
                     let (records, documents, sessions, bytes) = copy.machine.size();
                     let far = r.progress().map(|p| {
                         let line = |(n, p): (&Node, &silvercross_raft::Progress)| {
@@ -667,12 +675,12 @@
                     })
                 });
                 serde_json::json!({"group": g, "known": card, "copy": copy,
-                    "silent_s": h.records.silent(g).map(|s| (now - s) as f64 / 1e6)})
+                    "silent_s": h.records.unresponsive_since(g).map(|s| (now - s) as f64 / 1e6)})
             })
             .collect();
         let told = serde_json::json!({
-            "id": format!("{:016x}", h.records.me()), "holders": h.records.holders(), "groups": groups,
-            "drains": h.records.drains(), "disk": h.store.is_some(), "foreign": h.records.foreign,
+            "id": format!("{:016x}", h.records.me()), "holders": h.records.target_voters(), "groups": groups,
+            "drains": h.records.drains(), "disk": h.store.is_some(), "foreign": h.records.foreign_epochs,
             "figures": {
                 "marked": h.counts.marked, "unmarked": h.counts.unmarked, "from_records": h.counts.from_records,
                 "busy": h.counts.busy, "failed": h.counts.failed, "refused": h.counts.refused, "writes": h.counts.writes,
@@ -700,8 +708,8 @@
             out += &format!("svc_records_{what} {n}\n");
         }
         for g in 0..h.records.groups() {
-            let leads = h.records.copy(g).is_some_and(|(_, c)| c.replica.is_leader());
-            let full = h.records.is_full(g);
+            let leads = h.records.replica(g).is_some_and(|(_, c)| c.raft.is_leader());
+            let full = h.records.is_fully_replicated(g);
             out += &format!("svc_records_leads{{group=\"{g}\"}} {}\n", u8::from(leads));
             out += &format!("svc_records_full{{group=\"{g}\"}} {}\n", u8::from(full));
         }
--- a/crates/daemon/sidecar/src/lifecycle/fleet.rs
+++ b/crates/daemon/sidecar/src/lifecycle/fleet.rs
@@ -2,7 +2,7 @@
 //! it exists: no listener, no datagram, no disk, no thread.
 use super::store::{self, OpenDisk, Store};
 use serde::{Deserialize, Serialize};
-use silvercross_idempotency_store::command::WINDOW_MOST;
+use silvercross_idempotency_store::command::MAX_WINDOW_MS;
 use silvercross_idempotency_store::Records;
 use silvercross_swim::wire::Fleet;
 use silvercross_swim::{Config, Identity, Members, Micros, Start};
@@ -139,7 +139,7 @@
     60.0
 }
 fn snapshot_every() -> usize {
-    silvercross_idempotency_store::holder::SNAPSHOT_EVERY
+    silvercross_idempotency_store::group_replica::SNAPSHOT_INTERVAL_ENTRIES
 }
 
 fn second() -> f64 {
@@ -267,7 +267,7 @@
             if c.name.is_empty() || r.classes.iter().filter(|o| o.name == c.name).count() > 1 {
                 return fault("records.class.name", "the name of a class, each once");
             }
-            if !(0.001..=WINDOW_MOST as f64 / 1e3).contains(&c.window_s) {
+            if !(0.001..=MAX_WINDOW_MS as f64 / 1e3).contains(&c.window_s) {
                 return fault("records.class.window_s", "0.001 to 86400 seconds");
             }
         }
@@ -378,7 +378,7 @@
     config.replica.election_timeout = silvercross_time::Duration::from_micros(election_timeout);
     config.replica.heartbeat_interval =
         silvercross_time::Duration::from_micros((election_timeout / 5).max(10_000));
-    config.patience = (election_timeout / 4).max(20_000);
+    config.retry_after = (election_timeout / 4).max(20_000);
     let class = |c: &ClassFile| HeldClass {
         name: c.name.clone(),
         window_ms: (c.window_s * 1e3) as u64,
--- a/crates/daemon/sidecar/src/wire/batches.rs
+++ b/crates/daemon/sidecar/src/wire/batches.rs
@@ -1,7 +1,7 @@
 //! What one member says to another beside membership: batches, each one HTTP/1.1 call on a connection that stays. One is under
 //! way at a time; what comes meanwhile goes with the next, and what is too much is lost, as it may be.
 use silvercross_core::interface::Micros;
-use silvercross_idempotency_store::Said;
+use silvercross_idempotency_store::StoreMessage;
 use silvercross_net::http;
 use silvercross_net::registry::{Interest, Watched};
 use silvercross_swim::Identity;
@@ -27,7 +27,7 @@
     /// Which peer.
     pub to: Identity,
     socket: Option<Watched<TcpStream>>,
-    queue: VecDeque<(usize, Said)>,
+    queue: VecDeque<(usize, StoreMessage)>,
     /// When the call under way began, or the last one ended.
     pub since: Micros,
     /// When a connection may be tried.
@@ -41,10 +41,10 @@
 }
 
 /// About how many bytes something takes.
-fn size(said: &Said) -> usize {
+fn size(said: &StoreMessage) -> usize {
     match said {
-        Said::Replica(e) => 32 + e.message.bytes(),
-        Said::Ask { .. } | Said::Told { .. } => 512,
+        StoreMessage::Replica(e) => 32 + e.message.bytes(),
+        StoreMessage::Ask { .. } | StoreMessage::Told { .. } => 512,
         _ => 256,
     }
 }
@@ -67,7 +67,7 @@
     }
 
     /// Have something said.
-    pub fn say(&mut self, said: Said) {
+    pub fn say(&mut self, said: StoreMessage) {
         if self.queue.len() >= QUEUE {
             self.queue.pop_front();
             self.lost += 1;
@@ -113,13 +113,13 @@
     }
 
     /// Go on as far as the socket allows; `seal` makes bytes of what is to be said.
-    pub fn advance(&mut self, now: Micros, seal: &mut dyn FnMut(Vec<Said>) -> Vec<u8>) {
+    pub fn advance(&mut self, now: Micros, seal: &mut dyn FnMut(Vec<StoreMessage>) -> Vec<u8>) {
         if self.step(now, seal).is_err() {
             self.fail(now);
         }
     }
 
-    fn step(&mut self, now: Micros, seal: &mut dyn FnMut(Vec<Said>) -> Vec<u8>) -> io::Result<()> {
+    fn step(&mut self, now: Micros, seal: &mut dyn FnMut(Vec<StoreMessage>) -> Vec<u8>) -> io::Result<()> {
         loop {
             if self.socket.is_none() {
                 return Ok(());
--- a/crates/daemon/sidecar/tests/old_store.rs
+++ b/crates/daemon/sidecar/tests/old_store.rs
@@ -1,7 +1,7 @@
 //! A store of records that the sidecar of version 0.1.0 wrote (`data/records-store-0.1.0`): it is read, written to and read
 //! again.
-use silvercross_idempotency_store::holder::Line;
-use silvercross_idempotency_store::machine::Machine;
+use silvercross_idempotency_store::group_replica::CommandEntry;
+use silvercross_idempotency_store::machine::StateMachine;
 use silvercross_idempotency_store::Epoch;
 use silvercross_raft::{Entry, Payload, PersistentState, Write};
 use silvercross_sidecar::lifecycle::store::{Kept, Store, FILE};
@@ -40,11 +40,11 @@
     lines
 }
 
-fn applied(durable: &PersistentState) -> Machine {
-    let mut machine = Machine::restore(&durable.snapshot.data).expect("a snapshot of this version");
+fn applied(durable: &PersistentState) -> StateMachine {
+    let mut machine = StateMachine::restore(&durable.snapshot.data).expect("a snapshot of this version");
     for (i, entry) in durable.entries.iter().enumerate() {
         if let Payload::Command(bytes) = &entry.payload {
-            let line: Line = postcard::from_bytes(bytes).expect("a command");
+            let line: CommandEntry = postcard::from_bytes(bytes).expect("a command");
             machine.apply(durable.snapshot.index + 1 + i as u64, entry.at_ms, line.office_ms, line.logged);
         }
     }
--- a/crates/tools/scenario-runner/src/records/sim.rs
+++ b/crates/tools/scenario-runner/src/records/sim.rs
@@ -7,8 +7,10 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use silvercross_history_checker::{Answer as Says, EventKind, History, Invocation};
-use silvercross_idempotency_store::placement::Place;
-use silvercross_idempotency_store::{Answer, Command, Config, Epoch, Outcome, Records, Said, Take, Want};
+use silvercross_idempotency_store::placement::MemberStatus;
+use silvercross_idempotency_store::{
+    Command, Config, Effect, Epoch, Outcome, Records, StoreMessage, StoredResponse, TakeOutcome,
+};
 use silvercross_raft::{Mutation, Node, PersistentState, Write};
 use silvercross_time::{Duration, Instant};
 use std::cmp::Reverse;
@@ -38,7 +40,7 @@
 
 enum Do {
     Tick(usize),
-    Said { to: u64, from: u64, what: Said },
+    Said { to: u64, from: u64, what: StoreMessage },
     Synced { process: usize, group: u32, epoch: Epoch, number: u64, fails: bool },
     Client(usize),
     Members,
@@ -123,8 +125,8 @@
         figures.insert(n.to_string(), v);
     };
     let sum = |f: fn(&silvercross_raft::Metrics) -> u64| -> f64 {
-        let copies = sim.procs.iter().flat_map(|p| (0..holding.groups).filter_map(|g| p.records.copy(g)));
-        copies.map(|(_, h)| f(&h.replica.metrics)).sum::<u64>() as f64
+        let copies = sim.procs.iter().flat_map(|p| (0..holding.groups).filter_map(|g| p.records.replica(g)));
+        copies.map(|(_, h)| f(&h.raft.metrics)).sum::<u64>() as f64
     };
     put("elections", sum(|f| f.campaigns));
     put("led", sum(|f| f.terms_led));
@@ -203,7 +205,7 @@
         let mut c =
             Config::new(self.holding.groups, self.holding.holders, self.seed ^ (machine as u64) << 32);
         c.replace_after = (self.holding.replace_after * self.period as f64) as Micros;
-        c.patience = self.period;
+        c.retry_after = self.period;
         c.snapshot_every = self.holding.snapshot_every;
         c.replica.election_timeout =
             Duration::from_micros((self.holding.election * self.period as f64) as Micros);
@@ -212,7 +214,7 @@
         match self.broken {
             Some(Broken::Replica(m)) => c.replica.mutation = Some(m),
             Some(Broken::Sessions) => c.forget_sessions = true,
-            Some(Broken::EarlyMark) => c.mark_early = true,
+            Some(Broken::EarlyMark) => c.respond_before_commit = true,
             None => {}
         }
         c
@@ -247,13 +249,13 @@
     }
 
     fn pump(&mut self, number: usize) {
-        while let Some(want) = self.procs[number].records.poll() {
+        while let Some(want) = self.procs[number].records.poll_effect() {
             let (machine, from) = (self.procs[number].machine, self.procs[number].id);
             match want {
-                Want::Send(to, what) => {
+                Effect::Send(to, what) => {
                     let Some(there) = self.of_id(to).map(|n| self.procs[n].machine) else { continue };
                     let bytes = match &what {
-                        Said::Replica(e) => e.message.bytes(),
+                        StoreMessage::Replica(e) => e.message.bytes(),
                         _ => 128,
                     };
                     for copy in self.links.carry(machine, there, bytes, self.period, &mut self.rng) {
@@ -264,7 +266,7 @@
                         }
                     }
                 }
-                Want::Write(group, epoch, write) => {
+                Effect::Write(group, epoch, write) => {
                     let disk = self.disks[machine].clone();
                     let wait = 200 + self.chance(SYNC) as Micros + (disk.slow_ms * 1e3) as Micros;
                     let p = &mut self.procs[number];
@@ -274,17 +276,17 @@
                     let fails = disk.fails || disk.full;
                     self.put(at, Do::Synced { process: number, group, epoch, number: number_of, fails });
                 }
-                Want::Done(id, outcome) => self.done(number, id, outcome.ok()),
-                Want::Ended(..) => {
+                Effect::Completed(id, outcome) => self.done(number, id, outcome.ok()),
+                Effect::Ended(..) => {
                     self.ended += 1;
                     // The program serves on without a copy; some time later somebody restarts it, as somebody new.
                     let wait = 20 + self.chance(200) as Micros;
                     self.put(self.now + wait * self.period, Do::Gone(number));
                 }
-                Want::Drains => {}
+                Effect::DrainsChanged => {}
             }
         }
-        let wake = self.procs[number].records.wake().max(self.now + 100);
+        let wake = self.procs[number].records.next_deadline().max(self.now + 100);
         let p = &mut self.procs[number];
         if p.running && !p.paused && p.planned.is_none_or(|at| at > wake || at <= self.now) {
             p.planned = Some(wake);
@@ -303,7 +305,7 @@
             self.rounds += 1;
             if !founded && at >= -((self.script.fleet.gather - 5.0).max(0.0) * self.period as f64) as Micros {
                 founded = true;
-                let _ = self.procs[0].records.found(self.now);
+                let _ = self.procs[0].records.bootstrap(self.now);
                 self.pump(0);
             }
             let Some(what) = self.events.remove(&order) else { continue };
@@ -340,7 +342,7 @@
                     }
                     return;
                 }
-                p.records.said(now, from, what);
+                p.records.handle_message(now, from, what);
                 self.pump(n);
             }
             Do::Synced { process, group, epoch, number, fails } => {
@@ -475,8 +477,8 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |p: &&Proc| p.running && p.records.copy(0).is_some_and(|(_, h)| h.replica.is_leader());
-        let term = |p: &&Proc| p.records.copy(0).map(|(_, h)| h.replica.term());
+        let leads = |p: &&Proc| p.running && p.records.replica(0).is_some_and(|(_, h)| h.raft.is_leader());
+        let term = |p: &&Proc| p.records.replica(0).map(|(_, h)| h.raft.term());
         self.procs.iter().filter(leads).max_by_key(term).map(|p| p.machine)
     }
 
@@ -497,7 +499,7 @@
                 }
                 (Kind::Restart, Some(n)) => {
                     let now = self.now;
-                    self.procs[n].records.leave(now);
+                    self.procs[n].records.transfer_leadership(now);
                     self.pump(n);
                     self.kill(n, false);
                     self.start(m);
@@ -567,14 +569,14 @@
             }
             let away = (AWAY * self.period as f64) as Micros;
             let machines: BTreeMap<u64, usize> = self.procs.iter().map(|p| (p.id, p.machine)).collect();
-            let place = |(id, at): (&u64, &Micros)| Place {
+            let place = |(id, at): (&u64, &Micros)| MemberStatus {
                 node: Node(*id),
                 zone: format!("z{}", machines.get(id).copied().unwrap_or(0) % 3),
                 alive: now - at < away,
             };
             let places = self.procs[n].heard.iter().map(place).collect();
             let p = &mut self.procs[n];
-            p.records.members(now, places);
+            p.records.update_members(now, places);
             // Its own timers bring the rest about.
             p.records.tick(now);
             self.pump(n);
@@ -615,7 +617,7 @@
                 );
                 self.values += 1;
                 let body = self.values.to_le_bytes().to_vec();
-                let answer = Answer { status: 200, lines: Vec::new(), body: Some(body) };
+                let answer = StoredResponse { status: 200, lines: Vec::new(), body: Some(body) };
                 call = Invocation::Complete(by, self.values);
                 command = Command::Hold { key: k.clone(), window_ms: 3_600_000, answer };
             }
@@ -652,7 +654,7 @@
         let now = self.now;
         let until = now + (PATIENCE * self.period as f64) as Micros;
         let records = &mut self.procs[n].records;
-        let id = records.ask(now, records.group_of(&key), command, until);
+        let id = records.submit(now, records.group_of(&key), command, until);
         self.clients[c].open = Some((n, id, now, key, call));
         self.pump(n);
     }
@@ -679,7 +681,10 @@
             }
             (_, Some(Outcome::Done(_))) => {
                 if let Invocation::Complete(_, v) = call {
-                    if self.procs[process].records.is_full(self.procs[process].records.group_of(&key)) {
+                    if self.procs[process]
+                        .records
+                        .is_fully_replicated(self.procs[process].records.group_of(&key))
+                    {
                         self.marked.insert(key.clone(), v);
                         self.history.record(
                             Instant::from_micros(self.now),
@@ -697,16 +702,16 @@
                 }
                 Some(Says::Value(value))
             }
-            (_, Some(Outcome::Take(Take::Yours))) => {
+            (_, Some(Outcome::Take(TakeOutcome::Yours))) => {
                 self.clients[c].took = Some((process, key.clone()));
                 Some(Says::Claimed)
             }
-            (_, Some(Outcome::Take(Take::Busy { by: whose, .. }))) => {
+            (_, Some(Outcome::Take(TakeOutcome::Busy { by: whose, .. }))) => {
                 // Its own take, of another client's try: as much in the way as anybody's.
                 let _ = (whose, by);
                 Some(Says::InProgress)
             }
-            (_, Some(Outcome::Take(Take::Held(a)))) => {
+            (_, Some(Outcome::Take(TakeOutcome::Held(a)))) => {
                 let v = a.body.map_or(0, |b| number(&b));
                 if self.marked.contains_key(&key) {
                     self.history.record(
