--- a/crates/control/idempotency-store/src/command.rs
+++ b/crates/control/idempotency-store/src/command.rs
@@ -1,69 +1,69 @@
-//! What can be asked of the records, and what comes of it.
+//! The commands of the store and their outcomes.
 use serde::{Deserialize, Serialize};
 
-/// The longest key or name, in bytes.
+/// Maximum length of a key or name, in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
-/// The longest body that is held whole, and the longest document, in bytes.
+/// Maximum length of a stored response body, of its header lines, and of a document, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// The longest window, in milliseconds: a day.
+/// Maximum lifetime of a key, in milliseconds: one day.
 pub const MAX_WINDOW_MS: u64 = 86_400_000;
 
-/// An answer that is held.
+/// A stored response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its header lines that belong to the content, each ended by CR LF.
+    /// Header lines that describe the content, each terminated by CR LF.
     pub lines: Vec<u8>,
-    /// Its body; `None`: it was longer than [`MAX_VALUE_BYTES`], and only its outcome is held.
+    /// Body; `None` if it was longer than [`MAX_VALUE_BYTES`], so that only status and header lines are stored.
     pub body: Option<Vec<u8>>,
 }
 
-/// Something to be done, once.
+/// A command, applied at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Begin to ask under a number of one's own; the outcome is a session (D 6.3).
+    /// Opens a client session, within which commands are numbered (Raft dissertation, 6.3).
     Open,
-    /// A keyed request is about to be sent for the first time.
+    /// Claims a key before its request is first sent.
     Take {
         /// Class and key.
         key: String,
-        /// How long the record stands, in milliseconds of the log's time, counted anew when its answer is held.
+        /// Lifetime of the record in milliseconds of log time; it starts again when the response is stored.
         window_ms: u64,
     },
-    /// Its answer, from whoever took it.
+    /// Stores the response of a key; only by the client that claimed it.
     Hold {
         /// Class and key.
         key: String,
-        /// As in `Take`.
+        /// Lifetime of the record, as in `Take`.
         window_ms: u64,
-        /// The answer.
+        /// The response.
         answer: StoredResponse,
     },
-    /// It ended without an answer, from whoever took it.
+    /// Ends a claim without a response; only by the client that made it.
     Give {
         /// Class and key.
         key: String,
-        /// Whether it may have run.
+        /// Whether the request may have been executed. If not, the key is released.
         may_have_run: bool,
     },
-    /// An upstream drains, or no longer, by an operator's order.
+    /// Starts or ends a drain of an upstream, ordered by an operator.
     Drain {
-        /// The upstream's name.
+        /// Name of the upstream.
         name: String,
-        /// It does.
+        /// Whether it is to drain.
         on: bool,
     },
-    /// A document.
+    /// Writes or removes a document.
     Put {
         /// Its name.
         name: String,
-        /// Only if this is its version; 0: only if there is none; `None`: whatever there is.
+        /// Expected version: 0 requires that the document does not exist, `None` accepts any state.
         expect: Option<u64>,
-        /// Its content; `None`: it is removed.
+        /// New content; `None` removes the document.
         bytes: Option<Vec<u8>>,
     },
-    /// What a document is, in the order of all else.
+    /// Reads a document, linearizably.
     Get {
         /// Its name.
         name: String,
@@ -71,7 +71,7 @@
 }
 
 impl Command {
-    /// Whether it keeps to the bounds; else which one it breaks.
+    /// Checks the limits. The error names the one that is exceeded.
     pub fn validate(&self) -> Result<(), &'static str> {
         let (name, bytes, window) = match self {
             Command::Open => return Ok(()),
@@ -85,51 +85,51 @@
         };
         match () {
             () if name.is_empty() || name.len() > MAX_KEY_BYTES => Err("a key or name has 1 to 512 bytes"),
-            () if bytes > MAX_VALUE_BYTES => Err("65536 bytes at most are held under one key"),
-            () if window == 0 || window > MAX_WINDOW_MS => Err("a window is 1 ms to a day"),
+            () if bytes > MAX_VALUE_BYTES => Err("a value must not exceed 65536 bytes"),
+            () if window == 0 || window > MAX_WINDOW_MS => Err("a window must be between 1 ms and one day"),
             () => Ok(()),
         }
     }
 }
 
-/// What a take found.
+/// Outcome of [`Command::Take`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TakeOutcome {
-    /// Nothing: it is the asker's now.
+    /// The key was free and is now claimed by the client.
     Yours,
-    /// Its answer.
+    /// The key has this stored response.
     Held(StoredResponse),
-    /// Somebody took it, and no answer is held.
+    /// The key is claimed, without a stored response.
     Busy {
-        /// Whose take it is.
+        /// The process that claimed it.
         by: u64,
-        /// The longest time that can have passed since, in milliseconds, but for the drift of clocks; `None`: another leader
-        /// noted it, and nobody knows.
+        /// Upper bound of the time since the claim in milliseconds, except for clock drift; `None` if the claim was logged
+        /// by an earlier leader, so that its age is unknown.
         passed_ms: Option<u64>,
-        /// Whoever took it has said that it ended, and may have run.
+        /// The claim has ended without a response, and the request may have been executed.
         over: bool,
     },
 }
 
-/// What came of a command.
+/// Outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// A session.
+    /// The session that was opened.
     Session(u64),
-    /// Of `Take`.
+    /// Outcome of `Take`.
     Take(TakeOutcome),
-    /// Done, and what it was about is at this version.
+    /// Done; the resulting version of the document or of the drains, 0 for a key.
     Done(u64),
-    /// A document: its version, and its content; version 0: there is none.
+    /// Version and content of a document; version 0 if it does not exist.
     Document(u64, Option<Vec<u8>>),
-    /// Not done: what is there is at another version, which is this one.
+    /// Not done: the document is at this version, not at the expected one.
     Other(u64),
-    /// Not done: the record is not the asker's, or its window is over.
+    /// Not done: the key is not claimed by this client, or its record has expired or has a response already.
     NotYours,
-    /// Not done: there is no room.
+    /// Not done: the store is full.
     Full,
-    /// Not done, now or ever: the session is over, and whether the command was done before is not known.
+    /// Not done: the session is over or full. Whether the command was applied earlier is unknown.
     NoSession,
-    /// Not done: a bound was passed.
+    /// Not done: the command exceeds a limit.
     Bad,
 }
--- a/crates/control/idempotency-store/src/group_replica.rs
+++ b/crates/control/idempotency-store/src/group_replica.rs
@@ -1,4 +1,4 @@
-//! A process's copy of one group: the replica, the state its log makes, and who waits for which entry.
+//! A process's replica of one group: the Raft replica, the state machine, and the clients that wait for entries.
 use crate::command::Outcome;
 use crate::machine::{SessionCommand, StateMachine};
 use crate::Micros;
@@ -7,48 +7,48 @@
 use silvercross_time::Instant;
 use std::collections::BTreeMap;
 
-/// Entries behind the last snapshot before the next one is made.
+/// Log entries after the last snapshot before the next one is taken.
 pub const SNAPSHOT_INTERVAL_ENTRIES: usize = 8_192;
-/// Bytes of entries behind it, likewise.
+/// Bytes of log entries after the last snapshot before the next one is taken.
 pub const SNAPSHOT_INTERVAL_BYTES: usize = 16 * 1024 * 1024;
 
-/// Who waits.
+/// A client that waits for an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiter {
-    /// Which process.
+    /// Process of the client.
     pub by: u64,
-    /// Its session.
+    /// Session of the client.
     pub session: u64,
-    /// Its number.
+    /// Number of the command in the session.
     pub number: u64,
 }
 
-/// An entry's command, with when the leader that made it took office, by the log's time.
+/// Content of a log entry: a command, with the log time at which the leader that appended it was elected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandEntry {
-    /// When the leader took office.
+    /// Log time of the leader's election.
     pub office_ms: u64,
-    /// What is to be done.
+    /// The command.
     pub logged: SessionCommand,
 }
 
-/// One copy of one group.
+/// A replica of one group.
 #[derive(Clone, Debug)]
 pub struct GroupReplica {
-    /// The log.
+    /// The Raft replica.
     pub raft: Replica,
-    /// The state it made.
+    /// The state machine.
     pub machine: StateMachine,
     waiting: BTreeMap<Index, (Term, Waiter)>,
-    /// Reads that wait for the word of most voters: who asked, and for which document.
+    /// Reads that wait for confirmation by a majority of the voters: client and document name.
     reads: BTreeMap<u64, (Waiter, String)>,
-    bytes: usize,
+    bytes_since_snapshot: usize,
     snapshot_every: usize,
     sessions_kept: bool,
 }
 
 impl GroupReplica {
-    /// Round a replica, as it starts.
+    /// Wraps a Raft replica that has just started.
     pub fn new(raft: Replica, snapshot_every: usize) -> Self {
         let (waiting, reads) = (BTreeMap::new(), BTreeMap::new());
         GroupReplica {
@@ -56,19 +56,19 @@
             machine: StateMachine::default(),
             waiting,
             reads,
-            bytes: 0,
+            bytes_since_snapshot: 0,
             snapshot_every,
             sessions_kept: true,
         }
     }
 
-    /// Snapshots forget the sessions: broken on purpose.
+    /// Injected defect: snapshots omit the outcomes of sessions.
     #[cfg(feature = "mutants")]
     pub fn forget_sessions(&mut self) {
         self.sessions_kept = false;
     }
 
-    /// Put a command into the log, if this copy leads; it waits for its entry.
+    /// Proposes a command, if this replica is the leader, and registers the client for its outcome.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -77,60 +77,62 @@
         command: crate::Command,
     ) -> Result<(), RaftError> {
         if let crate::Command::Get { name } = command {
-            // Nothing of it is written: most voters say that this one still leads, and then what it has applied is the answer (D 6.4).
+            // A read is not logged: once a majority of the voters confirms that this replica still leads, the applied state is
+            // the answer (Raft dissertation, 6.4).
             let read = self.raft.read()?;
             self.reads.insert(read, (waiter, name));
             return Ok(());
         }
         let office_ms = self.raft.term_began_ms().unwrap_or(0);
         let Waiter { by, session, number } = waiter;
-        let line = CommandEntry {
+        let content = CommandEntry {
             office_ms: office_ms.max(1),
             logged: SessionCommand { by, session, number, below, command },
         };
-        let bytes = postcard::to_allocvec(&line).unwrap_or_default();
+        let bytes = postcard::to_allocvec(&content).unwrap_or_default();
         let (index, term) = self.raft.propose(Instant::from_micros(now), bytes)?;
         self.waiting.insert(index, (term, waiter));
         Ok(())
     }
 
-    /// Apply what is committed; who is told what.
+    /// Applies committed entries and takes a snapshot if due. Returns the outcomes for waiting clients.
     pub fn apply(&mut self) -> Vec<(Waiter, Outcome)> {
-        let mut told = Vec::new();
+        let mut outcomes = Vec::new();
         while let Some(next) = self.raft.poll_apply() {
             match next {
                 Apply::Restore(snapshot) => match StateMachine::restore(&snapshot.data) {
-                    Some(machine) => (self.machine, self.bytes) = (machine, 0),
-                    // Another version's state: what it says can't be known here, so this copy ends.
+                    Some(machine) => (self.machine, self.bytes_since_snapshot) = (machine, 0),
+                    // The snapshot has another version and can't be decoded: the replica ends.
                     None => self.raft.write_failed(),
                 },
                 Apply::Entry(index, entry) => {
                     let waiter = self.waiting.remove(&index).filter(|w| w.0 == entry.term);
                     let outcome = self.apply_entry(index, entry);
-                    told.extend(outcome.and_then(|o| Some((waiter?.1, o))));
+                    outcomes.extend(outcome.and_then(|o| Some((waiter?.1, o))));
                 }
             }
         }
-        while let Some((read, place)) = self.raft.poll_read() {
-            let Some((waiter, name)) = self.reads.remove(&read).filter(|_| place.is_some()) else { continue };
+        while let Some((read, index)) = self.raft.poll_read() {
+            let Some((waiter, name)) = self.reads.remove(&read).filter(|_| index.is_some()) else { continue };
             let (version, bytes) =
                 self.machine.document(&name).map_or((0, None), |(v, b)| (v, Some(b.to_vec())));
-            told.push((waiter, Outcome::Document(version, bytes)));
+            outcomes.push((waiter, Outcome::Document(version, bytes)));
         }
         if !self.raft.is_leader() {
             self.reads.clear();
-            // Their entries may still be committed or not: whoever waits asks again elsewhere.
+            // The pending entries may or may not be committed: the clients retry with the new leader.
             self.waiting.clear();
         }
-        // A snapshot costs as much as the state is large: it waits for as many entries, so that each one's part stays the same.
+        // The cost of a snapshot grows with the state. Waiting for at least as many entries keeps the cost per entry constant.
         let (records, documents, _, bytes) = self.machine.size();
         let entries = self.snapshot_every.max(records + documents);
-        if self.raft.log().len() >= entries || self.bytes >= SNAPSHOT_INTERVAL_BYTES.max(bytes) {
-            self.bytes = 0;
+        if self.raft.log().len() >= entries || self.bytes_since_snapshot >= SNAPSHOT_INTERVAL_BYTES.max(bytes)
+        {
+            self.bytes_since_snapshot = 0;
             let data = self.snapshot();
             self.raft.compact(data);
         }
-        told
+        outcomes
     }
 
     fn snapshot(&self) -> Vec<u8> {
@@ -143,20 +145,20 @@
     }
 
     fn apply_entry(&mut self, index: Index, entry: Entry) -> Option<Outcome> {
-        self.bytes += entry.bytes();
+        self.bytes_since_snapshot += entry.bytes();
         let Payload::Command(bytes) = entry.payload else {
             self.machine.advance_time(entry.at_ms);
             return None;
         };
-        // A line that a later version wrote and this one can't read would make the states differ: this copy ends.
-        let Ok(line) = postcard::from_bytes::<CommandEntry>(&bytes) else {
+        // Skipping an entry of a later version would make the states diverge: the replica ends.
+        let Ok(content) = postcard::from_bytes::<CommandEntry>(&bytes) else {
             self.raft.write_failed();
             return None;
         };
-        Some(self.machine.apply(index, entry.at_ms, line.office_ms, line.logged))
+        Some(self.machine.apply(index, entry.at_ms, content.office_ms, content.logged))
     }
 
-    /// Why this copy does nothing any more.
+    /// Why this replica has ended, if it has.
     pub fn ended(&self) -> Option<Ended> {
         self.raft.ended()
     }
--- a/crates/control/idempotency-store/src/machine.rs
+++ b/crates/control/idempotency-store/src/machine.rs
@@ -1,25 +1,25 @@
-//! The state machine: equal logs make equal states, whatever the machine, the order of arrival or the clock. Time is the log's
-//! own. Records end with their window at the first entry behind it; sessions when they have not been used for long.
+//! The state machine of a group. It is deterministic: equal logs produce equal states. Time is taken from the log. A record
+//! expires with the first entry after its window, a session when it has not been used for a while.
 use crate::command::{Command, Outcome, StoredResponse, TakeOutcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Records at a time.
+/// Maximum number of key records.
 pub const MAX_RECORDS: usize = 100_000;
-/// Documents and drains at a time, each.
+/// Maximum number of documents, and of drains.
 pub const MAX_DOCUMENTS: usize = 10_000;
-/// Bytes of keys, answers and documents, together.
+/// Maximum size of keys, responses, documents and drains together, in bytes.
 pub const MAX_STATE_BYTES: usize = 64 * 1024 * 1024;
-/// Sessions at a time; the one that was used longest ago gives way.
+/// Maximum number of sessions; the least recently used one is evicted.
 pub const MAX_SESSIONS: usize = 4_096;
-/// Outcomes that one session keeps for repeats.
+/// Maximum number of outcomes that a session keeps for retries.
 pub const MAX_SESSION_OUTCOMES: usize = 1_024;
-/// A session that was not used for so long is over, in milliseconds of the log's time.
+/// Idle time after which a session expires, in milliseconds of log time.
 pub const SESSION_TIMEOUT_MS: u64 = 600_000;
-/// The version of the snapshot's coding.
+/// Version of the snapshot encoding.
 pub const SNAPSHOT_VERSION: u8 = 1;
 
-/// What is known of a keyed request.
+/// State of a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum State {
     Taken { at_ms: u64, over: bool },
@@ -46,15 +46,15 @@
 struct Session {
     by: u64,
     used_ms: u64,
-    /// Numbers below it are answered and forgotten.
+    /// The client has the outcomes of all numbers below this one; they are dropped.
     below: u64,
     outcomes: BTreeMap<u64, Outcome>,
 }
 
-/// What a session keeps of a take that found an answer.
-const FOUND: Outcome = Outcome::Take(TakeOutcome::Busy { by: 0, passed_ms: None, over: true });
+/// What a session keeps in place of the outcome of a take that found a stored response.
+const RESPONSE_FOUND: Outcome = Outcome::Take(TakeOutcome::Busy { by: 0, passed_ms: None, over: true });
 
-/// One log's state.
+/// The state of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateMachine {
     now_ms: u64,
@@ -62,33 +62,33 @@
     ends: BTreeSet<(u64, String)>,
     documents: BTreeMap<String, (u64, Vec<u8>)>,
     drains: BTreeMap<String, u64>,
-    /// The version of the last change of them.
+    /// Version of the last change of `drains`.
     drained: u64,
-    /// Counts changes of documents and drains: a version is never given twice.
+    /// Counts changes of documents and drains, so that a version is never reused.
     version: u64,
     sessions: BTreeMap<u64, Session>,
-    /// When sessions were last looked through.
+    /// When expired sessions were last removed.
     swept_ms: u64,
     bytes: usize,
 }
 
-/// A command as it stands in the log.
+/// A command with its client and its number in the client's session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionCommand {
-    /// Which process asks.
+    /// Process of the client.
     pub by: u64,
-    /// Its session; 0: to open one.
+    /// Session of the client; 0 to open one.
     pub session: u64,
-    /// Its number in the session.
+    /// Number of the command in the session.
     pub number: u64,
-    /// It has the outcomes of all numbers below this one.
+    /// The client has the outcomes of all numbers below this one.
     pub below: u64,
-    /// What it asks.
+    /// The command.
     pub command: Command,
 }
 
 impl StateMachine {
-    /// Apply one entry, at the log's time; `office_ms`: the log's time when the leader took office that made the entry.
+    /// Applies one entry at log time `at_ms`; `office_ms` is the log time at which the leader that appended it was elected.
     pub fn apply(&mut self, index: u64, at_ms: u64, office_ms: u64, logged: SessionCommand) -> Outcome {
         self.advance_time(at_ms);
         let SessionCommand { by, session, number, below, command } = logged;
@@ -111,7 +111,7 @@
             s.outcomes = s.outcomes.split_off(&below);
         }
         if let Some(known) = s.outcomes.get(&number).cloned() {
-            let held = match (&command, known == FOUND) {
+            let held = match (&command, known == RESPONSE_FOUND) {
                 (Command::Take { key, .. }, true) => self.records.get(key),
                 _ => None,
             };
@@ -124,14 +124,15 @@
             return Outcome::NoSession;
         }
         let outcome = if command.validate().is_ok() {
-            self.carry_out(at_ms, office_ms, by, command)
+            self.execute(at_ms, office_ms, by, command)
         } else {
             Outcome::Bad
         };
-        // A repeat of a take that found something never takes: the first one may have been told, and nobody would know of it. An
-        // answer is not kept twice: a repeat finds it where it is held, or is told that the key was not free.
+        // A retried take that was refused must not claim the key: its client may already have acted on the refusal, and the claim
+        // would have no owner. A stored response is not copied into the session: a retry finds it in the key's record, or is told
+        // that the key was not free.
         let kept = match &outcome {
-            Outcome::Take(TakeOutcome::Held(_)) => Some(FOUND),
+            Outcome::Take(TakeOutcome::Held(_)) => Some(RESPONSE_FOUND),
             Outcome::Document(..) => None,
             other => Some(other.clone()),
         };
@@ -141,14 +142,14 @@
         outcome
     }
 
-    /// Time has come so far: what has ended is gone.
+    /// Advances log time and removes expired records and sessions.
     pub fn advance_time(&mut self, at_ms: u64) {
         self.now_ms = self.now_ms.max(at_ms);
         while let Some((until, key)) = self.ends.first().filter(|e| e.0 <= self.now_ms).cloned() {
             self.ends.remove(&(until, key.clone()));
-            self.forget(&key);
+            self.remove_record(&key);
         }
-        // Looked through seldom: one that is over is not used any more whether or not it is still here.
+        // A periodic sweep is enough, since expired sessions are refused also before their removal.
         if self.now_ms >= self.swept_ms + SESSION_TIMEOUT_MS / 10 {
             let now_ms = self.now_ms;
             self.sessions.retain(|_, s| s.used_ms + SESSION_TIMEOUT_MS > now_ms);
@@ -156,45 +157,45 @@
         }
     }
 
-    fn forget(&mut self, key: &str) {
+    fn remove_record(&mut self, key: &str) {
         if let Some(r) = self.records.remove(key) {
             self.ends.remove(&(r.until_ms, key.to_string()));
             self.bytes -= key.len() + r.bytes();
         }
     }
 
-    fn keep(&mut self, key: String, record: Record) {
-        self.forget(&key);
+    fn insert_record(&mut self, key: String, record: Record) {
+        self.remove_record(&key);
         self.bytes += key.len() + record.bytes();
         self.ends.insert((record.until_ms, key.clone()));
         self.records.insert(key, record);
     }
 
-    fn carry_out(&mut self, at_ms: u64, office_ms: u64, by: u64, command: Command) -> Outcome {
-        let room = |more: usize| self.bytes + more <= MAX_STATE_BYTES;
+    fn execute(&mut self, at_ms: u64, office_ms: u64, by: u64, command: Command) -> Outcome {
+        let has_room = |more: usize| self.bytes + more <= MAX_STATE_BYTES;
         match command {
             Command::Open => Outcome::Bad,
             Command::Take { key, window_ms } => match self.records.get(&key) {
                 Some(Record { state: State::Held(r), .. }) => Outcome::Take(TakeOutcome::Held(r.clone())),
                 Some(Record { by, state: State::Taken { at_ms: then, over }, .. }) => {
-                    // Between two leaders the log's time stands still: what an earlier one noted may be older than it seems.
+                    // Log time stands still between two leaders, so the age of a claim logged by an earlier leader is unknown.
                     let passed_ms = (*then > office_ms).then(|| at_ms - then);
                     Outcome::Take(TakeOutcome::Busy { by: *by, passed_ms, over: *over })
                 }
-                None if self.records.len() >= MAX_RECORDS || !room(key.len() + 64) => Outcome::Full,
+                None if self.records.len() >= MAX_RECORDS || !has_room(key.len() + 64) => Outcome::Full,
                 None => {
                     let state = State::Taken { at_ms, over: false };
-                    self.keep(key, Record { by, until_ms: at_ms + window_ms, state });
+                    self.insert_record(key, Record { by, until_ms: at_ms + window_ms, state });
                     Outcome::Take(TakeOutcome::Yours)
                 }
             },
             Command::Hold { key, window_ms, answer } => match self.records.get(&key) {
                 Some(r) if r.by == by && matches!(r.state, State::Taken { .. }) => {
                     let record = Record { by, until_ms: at_ms + window_ms, state: State::Held(answer) };
-                    if !room(record.bytes()) {
+                    if !has_room(record.bytes()) {
                         return Outcome::Full;
                     }
-                    self.keep(key, record);
+                    self.insert_record(key, record);
                     Outcome::Done(0)
                 }
                 _ => Outcome::NotYours,
@@ -206,7 +207,7 @@
                         Outcome::Done(0)
                     }
                     State::Taken { .. } => {
-                        self.forget(&key);
+                        self.remove_record(&key);
                         Outcome::Done(0)
                     }
                     State::Held(_) => Outcome::NotYours,
@@ -215,7 +216,7 @@
             },
             Command::Drain { name, on: true } => {
                 if !self.drains.contains_key(&name)
-                    && (self.drains.len() >= MAX_DOCUMENTS || !room(name.len() + 64))
+                    && (self.drains.len() >= MAX_DOCUMENTS || !has_room(name.len() + 64))
                 {
                     return Outcome::Full;
                 }
@@ -264,28 +265,28 @@
         }
     }
 
-    /// A document: its version and content.
+    /// Version and content of a document.
     pub fn document(&self, name: &str) -> Option<(u64, &[u8])> {
         self.documents.get(name).map(|(v, b)| (*v, b.as_slice()))
     }
 
-    /// Upstreams that drain by an operator's order, and the version of the last change of them.
+    /// Version of the last change of the operators' drains, and the draining upstreams.
     pub fn drains(&self) -> (u64, impl Iterator<Item = &str>) {
         (self.drained, self.drains.keys().map(String::as_str))
     }
 
-    /// How many records, documents and sessions, and how many bytes.
+    /// Number of records, documents and sessions, and size in bytes.
     pub fn size(&self) -> (usize, usize, usize, usize) {
         (self.records.len(), self.documents.len(), self.sessions.len(), self.bytes)
     }
 
-    /// The whole state as bytes.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Vec<u8> {
-        // Coding into a growing vector has nothing to fail on.
+        // Encoding into a growing vector can't fail.
         postcard::to_extend(self, vec![SNAPSHOT_VERSION]).unwrap_or_default()
     }
 
-    /// From such bytes; `None`: they are no snapshot of this version.
+    /// Decodes a snapshot; `None` if it is not of this version. Empty bytes are the initial state.
     pub fn restore(bytes: &[u8]) -> Option<Self> {
         match bytes {
             [] => Some(StateMachine::default()),
@@ -294,11 +295,11 @@
         }
     }
 
-    /// A snapshot without its sessions: broken on purpose.
+    /// Injected defect: a snapshot without the outcomes of sessions.
     #[cfg(feature = "mutants")]
     pub fn snapshot_without_sessions(&self) -> Vec<u8> {
         let without = StateMachine { sessions: BTreeMap::new(), ..self.clone() };
-        // As a machine that never cared for sessions: each number is taken as new.
+        // The sessions themselves stay, so that each retried number is taken as new.
         let mut without = without;
         for (id, s) in &self.sessions {
             without.sessions.insert(*id, Session { outcomes: BTreeMap::new(), below: 0, ..s.clone() });
--- a/crates/control/idempotency-store/src/message.rs
+++ b/crates/control/idempotency-store/src/message.rs
@@ -1,94 +1,95 @@
-//! What processes say to each other about records.
+//! Messages between the processes of a fleet about the store.
 use crate::command::{Command, Outcome};
 use serde::{Deserialize, Serialize};
 use silvercross_raft::Envelope;
 
-/// Which founding or recovery of the records: the upper 24 bits count, the lower 40 are drawn. A greater count holds.
+/// Epoch of a group, new with each bootstrap or recovery of the store: the upper 24 bits are a counter, the lower 40 are random.
+/// The epoch with the greater counter is in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The next one, with chance of its own.
-    pub fn next(self, chance: u64) -> Epoch {
-        Epoch(((self.0 >> 40) + 1) << 40 | chance & ((1 << 40) - 1))
+    /// The next epoch, with new random bits.
+    pub fn next(self, random: u64) -> Epoch {
+        Epoch(((self.0 >> 40) + 1) << 40 | random & ((1 << 40) - 1))
     }
 
-    /// How many foundings and recoveries there were.
+    /// Number of bootstraps and recoveries up to this epoch.
     pub fn count(self) -> u64 {
         self.0 >> 40
     }
 }
 
-/// What is known of a group.
+/// Epoch, voters and leader of a group, as far as known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupInfo {
-    /// Which group.
+    /// The group.
     pub group: u32,
-    /// Which epoch of it.
+    /// Its epoch.
     pub epoch: Epoch,
-    /// The place of the last change of its holders that is known.
+    /// Log index of its last known change of voters or learners.
     pub changed: u64,
     /// Its voters.
     pub voters: Vec<u64>,
-    /// Who is to become one.
+    /// Its learners, which are to become voters.
     pub learners: Vec<u64>,
-    /// The latest term heard of, and who leads in it.
+    /// The latest known term.
     pub term: u64,
-    /// Who leads.
+    /// The leader of that term, if known.
     pub leader: Option<u64>,
 }
 
-/// What is said.
+/// A message about the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreMessage {
-    /// From one holder to another.
+    /// A Raft message between replicas of a group.
     Replica(Envelope),
-    /// To a holder: do this.
+    /// A command for the leader of a group.
     Ask {
         /// Which group.
         group: u32,
         /// Which epoch of it.
         epoch: Epoch,
-        /// The asker's session; 0: none yet.
+        /// Session of the client; 0 if none is open yet.
         session: u64,
-        /// Its number in it.
+        /// Number of the command in the session.
         number: u64,
-        /// Outcomes of all numbers below are there.
+        /// The client has the outcomes of all numbers below this one.
         below: u64,
-        /// What.
+        /// The command.
         command: Command,
     },
-    /// From a holder: so it was done. StoreMessage once it is committed.
+    /// The outcome of a command, sent once its entry is committed.
     Told {
         /// Which group.
         group: u32,
         /// Which epoch of it.
         epoch: Epoch,
-        /// The asker's session.
+        /// Session of the client.
         session: u64,
-        /// Its number.
+        /// Number of the command.
         number: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: Outcome,
     },
-    /// From a process that can't: ask there, if anywhere.
+    /// The process is not the leader and redirects the client.
     NotHere {
         /// Which group.
         group: u32,
-        /// The asker's number.
+        /// Number of the command.
         number: u64,
-        /// Who leads, as far as it knows.
+        /// The leader, if known.
         leader: Option<u64>,
     },
-    /// My copy of that group ended, and never comes back under this identity.
+    /// The sender's replica of a group has ended and never returns under this identity.
     Over {
         /// Which group.
         group: u32,
         /// Which epoch of it.
         epoch: Epoch,
     },
-    /// What do you know of the groups?
+    /// Request for [`StoreMessage::Known`].
     Who,
-    /// This; and the upstreams that drain by operators' orders, with the version of that list.
+    /// The groups known to the sender, the version of the list of drains ordered by operators, and that list.
     Known(Vec<GroupInfo>, u64, Vec<String>),
 }
--- a/crates/control/idempotency-store/src/placement.rs
+++ b/crates/control/idempotency-store/src/placement.rs
@@ -1,31 +1,31 @@
-//! Who is to hold copies of a group: the next single step from the group as it is, as its leader takes it through the log. A
-//! step is taken by the group's agreement, one at a time, and never in haste.
+//! Placement of the replicas of a group: the next single-server change of its configuration, which the leader proposes through
+//! the log. Changes are made one at a time.
 use silvercross_raft::{Group, Node};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// What the leader knows of a member.
+/// A member of the fleet as seen by the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Which one.
+    /// The member.
     pub node: Node,
     /// Its zone.
     pub zone: String,
-    /// It is there, by the leader's own list.
+    /// Whether it is live in the leader's member list.
     pub alive: bool,
 }
 
-/// What the leader knows, and what is wanted.
+/// Input of a placement decision.
 #[derive(Clone, Debug)]
 pub struct PlacementInput<'a> {
-    /// The number of the group, so that groups spread over members.
+    /// Number of the group; it enters the choice of members, so that groups are spread over the fleet.
     pub group_id: u32,
-    /// How many voters are wanted.
+    /// Target number of voters.
     pub target_voters: usize,
-    /// All members that the leader knows of.
+    /// All members known to the leader.
     pub members: &'a [MemberStatus],
-    /// For each voter, how many voters hold it to be gone for good.
+    /// For each voter, the number of voters that report it as gone.
     pub gone_reports: &'a BTreeMap<Node, usize>,
     /// Learners that have caught up.
     pub caught_up: &'a [Node],
@@ -33,16 +33,16 @@
     pub leader: Node,
 }
 
-/// The next step, if one is to be taken.
+/// The next configuration of the group, if a change is needed.
 pub fn next_group(group: &Group, input: &PlacementInput<'_>) -> Option<Group> {
     let alive = |n: &Node| input.members.iter().any(|p| p.node == *n && p.alive);
-    // A voter is gone when most of the others say so, each by its own list. One that came in its place knows it the shortest,
-    // and is not waited for.
-    let most = group.voters.len().saturating_sub(1) / 2 + 1;
+    // A voter is gone when a majority of the other voters report it, each by its own member list. Not all of them need to agree:
+    // a voter added as its replacement has not known it for long enough.
+    let majority = group.voters.len().saturating_sub(1) / 2 + 1;
     let gone: Vec<Node> = group
         .voters
         .iter()
-        .filter(|v| **v != input.leader && input.gone_reports.get(v).is_some_and(|n| *n >= most))
+        .filter(|v| **v != input.leader && input.gone_reports.get(v).is_some_and(|n| *n >= majority))
         .copied()
         .collect();
     let without =
@@ -60,8 +60,7 @@
         }
         return Some(Group { voters: group.voters.clone(), learners: without(&group.learners, ready) });
     }
-    // One that is gone leaves once the others are as many as wanted, or when nobody is there to take its place and the
-    // group is larger than wanted.
+    // A gone voter is removed only while the remaining ones reach the target, so its replacement is added first.
     if let Some(&node) = gone.first() {
         if live >= input.target_voters {
             return Some(Group { voters: without(&group.voters, node), learners: group.learners.clone() });
@@ -69,13 +68,13 @@
     }
     if live < input.target_voters && group.learners.is_empty() {
         let zones = |zone: &str| {
-            let there = |v: &&Node| input.members.iter().any(|p| p.node == **v && p.zone == zone);
-            group.voters.iter().filter(|v| !gone.contains(v)).filter(there).count()
+            let in_zone = |v: &&Node| input.members.iter().any(|p| p.node == **v && p.zone == zone);
+            group.voters.iter().filter(|v| !gone.contains(v)).filter(in_zone).count()
         };
         let weight = |p: &MemberStatus| {
-            let mut h = SipHasher13::new_with_keys(u64::from(input.group_id), 0x686f_6c64_6572_7300);
-            h.write_u64(p.node.0);
-            h.finish()
+            let mut hasher = SipHasher13::new_with_keys(u64::from(input.group_id), 0x686f_6c64_6572_7300);
+            hasher.write_u64(p.node.0);
+            hasher.finish()
         };
         let free =
             input.members.iter().filter(|p| p.alive && !group.is_voter(p.node) && p.node != input.leader);
--- a/crates/control/idempotency-store/tests/wire_bytes.rs
+++ b/crates/control/idempotency-store/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes of everything that replicas of the store say to each other, log and keep, held fixed: processes of different builds
-//! talk to each other and read each other's disks.
+//! Compares the encoding of all messages, log entries and persisted state of the store with recorded bytes, since processes of
+//! different builds communicate and read each other's disks.
 
 use serde::{de::DeserializeOwned, Serialize};
 use silvercross_idempotency_store::group_replica::CommandEntry;
@@ -22,7 +22,7 @@
 
 fn add_bytes(lines: &mut String, name: &str, bytes: &[u8]) {
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    writeln!(lines, "{name} {hex}").expect("a string grows");
+    writeln!(lines, "{name} {hex}").expect("written to a string");
 }
 
 fn answer(body: Option<&[u8]>) -> StoredResponse {
@@ -72,7 +72,7 @@
     vec![entry(Payload::Nothing), entry(Payload::Change(group())), entry(Payload::Command(vec![0, 255]))]
 }
 
-/// What replicas of a log say.
+/// Raft messages between replicas of a group.
 fn messages() -> Vec<(&'static str, Message)> {
     let (term, last, last_term, round) = (3, 400, 2, 9);
     vec![
@@ -109,9 +109,9 @@
     ]
 }
 
-fn said() -> Vec<(&'static str, StoreMessage)> {
+fn other_messages() -> Vec<(&'static str, StoreMessage)> {
     let (group, epoch) = (2, Epoch(1 << 40 | 77));
-    let card = GroupInfo {
+    let info = GroupInfo {
         group,
         epoch,
         changed: 9,
@@ -124,12 +124,12 @@
         ("not-here", StoreMessage::NotHere { group, number: 8, leader: Some(1) }),
         ("over", StoreMessage::Over { group, epoch }),
         ("who", StoreMessage::Who),
-        ("known", StoreMessage::Known(vec![card], 12, vec!["upstream-1".to_string()])),
+        ("known", StoreMessage::Known(vec![info], 12, vec!["upstream-1".to_string()])),
     ]
 }
 
 #[test]
-fn what_is_said_logged_and_kept_has_the_bytes_it_always_had() {
+fn messages_log_entries_and_persisted_state_match_the_recorded_bytes() {
     let mut lines = String::new();
     let epoch = Epoch(1 << 40 | 77);
     for (name, message) in messages() {
@@ -138,15 +138,15 @@
         add(&mut lines, &format!("said/replica-{name}"), StoreMessage::Replica(envelope));
     }
     for (name, command) in commands() {
-        let said = StoreMessage::Ask { group: 2, epoch, session: 11, number: 8, below: 6, command };
-        add(&mut lines, &format!("said/ask-{name}"), said);
+        let message = StoreMessage::Ask { group: 2, epoch, session: 11, number: 8, below: 6, command };
+        add(&mut lines, &format!("said/ask-{name}"), message);
     }
     for (name, outcome) in outcomes() {
-        let said = StoreMessage::Told { group: 2, epoch, session: 11, number: 8, outcome };
-        add(&mut lines, &format!("said/told-{name}"), said);
+        let message = StoreMessage::Told { group: 2, epoch, session: 11, number: 8, outcome };
+        add(&mut lines, &format!("said/told-{name}"), message);
     }
-    for (name, said) in said() {
-        add(&mut lines, &format!("said/{name}"), said);
+    for (name, message) in other_messages() {
+        add(&mut lines, &format!("said/{name}"), message);
     }
     for (i, entry) in entries().into_iter().enumerate() {
         add(&mut lines, &format!("disk/entry-{i}"), entry);
@@ -162,8 +162,8 @@
         add(&mut lines, &format!("log/{name}"), CommandEntry { office_ms: 500, logged: logged.clone() });
         machine.apply(number + 1, 1_000 + number, 500, logged);
     }
-    let kept = machine.snapshot();
-    assert_eq!(StateMachine::restore(&kept).as_ref(), Some(&machine));
-    add_bytes(&mut lines, "disk/machine", &kept);
-    assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
+    let snapshot_bytes = machine.snapshot();
+    assert_eq!(StateMachine::restore(&snapshot_bytes).as_ref(), Some(&machine));
+    add_bytes(&mut lines, "disk/machine", &snapshot_bytes);
+    assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
 }
