--- a/crates/control/idempotency-store/src/client.rs
+++ b/crates/control/idempotency-store/src/client.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Maximum number of pending commands in one process.
-pub const MAX_OPEN_REQUESTS: usize = 1_024;
+pub const MAX_PENDING_COMMANDS: usize = 1_024;
 
 /// Why a command has no outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// The session ended; the command may have been applied.
     SessionEnded,
     /// Too many commands are pending.
-    TooManyOpen,
+    TooManyPending,
 }
 
 #[derive(Clone, Debug)]
@@ -124,7 +124,7 @@
             return id;
         };
         let error = match () {
-            () if pending >= MAX_OPEN_REQUESTS => Some(SubmitError::TooManyOpen),
+            () if pending >= MAX_PENDING_COMMANDS => Some(SubmitError::TooManyPending),
             // While the group does not respond, one command at a time probes it and all others fail immediately.
             () if g.unresponsive_since.is_some_and(|s| now >= s + 2 * self.retry_after)
                 && !g.pending.is_empty() =>
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -413,7 +413,7 @@
             _ => {
                 let sent = !matches!(
                     outcome,
-                    Err(SubmitError::Unavailable { sent: false } | SubmitError::TooManyOpen)
+                    Err(SubmitError::Unavailable { sent: false } | SubmitError::TooManyPending)
                 );
                 let (key, refuses) = (held.key.clone(), class.without == Without::Refuse);
                 held.phase = Phase::Free;
