--- a/crates/control/idempotency-store/src/message.rs
+++ b/crates/control/idempotency-store/src/message.rs
@@ -46,9 +46,9 @@
     Replica(Envelope),
     /// A command for the leader of a group.
     Ask {
-        /// Which group.
+        /// The group.
         group: u32,
-        /// Which epoch of it.
+        /// Its epoch.
         epoch: Epoch,
         /// Session of the client; 0 if none is open yet.
         session: u64,
@@ -61,9 +61,9 @@
     },
     /// The outcome of a command, sent once its entry is committed.
     Told {
-        /// Which group.
+        /// The group.
         group: u32,
-        /// Which epoch of it.
+        /// Its epoch.
         epoch: Epoch,
         /// Session of the client.
         session: u64,
@@ -74,7 +74,7 @@
     },
     /// The process is not the leader and redirects the client.
     NotHere {
-        /// Which group.
+        /// The group.
         group: u32,
         /// Number of the command.
         number: u64,
@@ -83,9 +83,9 @@
     },
     /// The sender's replica of a group has ended and never returns under this identity.
     Over {
-        /// Which group.
+        /// The group.
         group: u32,
-        /// Which epoch of it.
+        /// Its epoch.
         epoch: Epoch,
     },
     /// Request for [`StoreMessage::Known`].
--- a/crates/control/idempotency-store/src/records.rs
+++ b/crates/control/idempotency-store/src/records.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Whether a group is known to have its target number of voters; only then are requests marked as held.
+    /// Whether a group is known to have its target number of voters; only then are responses marked as held.
     pub fn is_fully_replicated(&self, group: u32) -> bool {
         self.group_info(group).is_some_and(|c| c.voters.len() >= self.config.target_voters)
     }
@@ -253,7 +253,7 @@
         }
         let (epoch, replica) = (local.epoch, &local.replica.raft);
         let mut machine = local.replica.machine.clone();
-        // Entries after the commit index may have been committed by the lost majority, so they are applied too.
+        // Entries not known to be committed here may have been committed by the lost majority, so the whole log is applied.
         for index in replica.applied_index() + 1..=replica.log().last_index() {
             let Some(entry) = replica.log().get(index) else { break };
             if let Payload::Command(bytes) = &entry.payload {
--- a/crates/control/swim/src/members/conflicts.rs
+++ b/crates/control/swim/src/members/conflicts.rs
@@ -30,7 +30,8 @@
             self.me.incarnation = self.me.incarnation.above(record.incarnation);
             self.updates.add(MembershipUpdate::Alive(self.me.clone()));
             self.events.push_back(Event::DuplicateMember { same_identity: true, other: record.at });
-            // Send the update directly: other members now associate the identity with this address, so gossip may not reach it.
+            // Send the update directly: other members now associate the identity with this address, so that gossip may not reach
+            // the other process.
             self.send(record.at, Message::Gossip, Some(self.me.id));
         }
     }
