--- a/crates/daemon/mesh/src/upstream_gate.rs
+++ b/crates/daemon/mesh/src/upstream_gate.rs
@@ -1,8 +1,9 @@
-//! The gate: the one way to the upstream on this machine, for clients of this sidecar and for other sidecars.
+//! The gate: the only path to the upstream on this machine, for this sidecar's own clients and for other sidecars.
 //!
-//! What is let through is `silvercross-admission`'s decision; here it is carried out on sockets, and it is known for certain
-//! whether a byte was written. Knows no route and no other upstream. Read on in `upstream_gate/delivery.rs`, for requests of
-//! other sidecars in `upstream_gate/listener.rs`.
+//! `silvercross-admission` decides which requests are admitted. The gate carries the decisions out on sockets and
+//! records whether the first byte of a request may have been written. It handles no routes and no other upstreams.
+//!
+//! Start reading in `upstream_gate/delivery.rs`, and for requests of other sidecars in `upstream_gate/listener.rs`.
 mod admission;
 mod attempt_queries;
 mod counting;
--- a/crates/daemon/mesh/src/upstream_gate/admission.rs
+++ b/crates/daemon/mesh/src/upstream_gate/admission.rs
@@ -1,4 +1,4 @@
-//! A request's admission: asked for, waited for, and returned when the request ends.
+//! Admission of requests: asks the controller, waits for its decision and reports the end of the request.
 use super::counting::count_rejection;
 use super::delivery_request::Delivery;
 use super::limits::PENDING_TIME_DIVISOR;
@@ -9,10 +9,10 @@
 use silvercross_time::Duration;
 use std::rc::Rc;
 
-/// An admitted request; its place is returned when this is dropped, however the request ends.
+/// An admitted request. Dropping it reports the end of the request to the controller, however the request ends.
 pub(super) struct AdmittedRequest {
     node_state: Rc<NodeState>,
-    /// The request's number at the controller.
+    /// The number under which the controller knows the request.
     pub(super) number: u64,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A pending request; dropped before its decision it has been given up by its origin.
+/// A pending request. If it is dropped before its decision, its origin has abandoned it.
 struct PendingRequest<'p> {
     node_state: &'p NodeState,
     number: u64,
@@ -40,15 +40,15 @@
     }
 }
 
-/// For how long a request may be pending here.
+/// Returns how long a request may be pending at the gate.
 pub(super) fn max_pending_time(latency_target: Duration) -> Duration {
     latency_target / PENDING_TIME_DIVISOR
 }
 
-/// Ask for a request's admission, and wait for it where it is pending.
+/// Asks for a request's admission, and waits for the decision if the request is pending.
 ///
 /// # Errors
-/// The status for the origin.
+/// The status to return to the origin.
 pub(super) async fn admit(
     node_state: &Rc<NodeState>,
     delivery: &Delivery<'_>,
--- a/crates/daemon/mesh/src/upstream_gate/attempt_queries.rs
+++ b/crates/daemon/mesh/src/upstream_gate/attempt_queries.rs
@@ -1,4 +1,4 @@
-//! Answers an origin that asks what became of its attempt.
+//! Answers an origin that asks for the outcome of its attempt.
 use super::responses::{encode_for_origin, incarnation_line, status_response};
 use crate::forwarding_headers::GateStatus;
 use crate::node_state::NodeState;
@@ -6,8 +6,8 @@
 use crate::wire::{Connection, RequestHead};
 use std::rc::Rc;
 
-/// Answer an attempt query once the attempt has ended, and close the connection in order. An origin that hangs up meanwhile
-/// gets nothing.
+/// Answers an attempt query once the attempt has ended, then shuts the connection down gracefully. If the origin
+/// disconnects before that, nothing is sent.
 pub(super) async fn answer_query(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -34,7 +34,8 @@
     connection.shut_down_writing().await;
 }
 
-/// A stored response with this process's incarnation, which is added behind the status line if it is not there.
+/// Returns a stored response with this process's incarnation, which is inserted after the status line if it is
+/// missing.
 fn with_incarnation(stored: &StoredResponse, incarnation: u64) -> Vec<u8> {
     if stored.states_incarnation {
         return stored.bytes.to_vec();
--- a/crates/daemon/mesh/src/upstream_gate/delivery.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery.rs
@@ -1,5 +1,5 @@
-//! A request's way through the gate to the upstream on this machine: its admission, the exchange, and what its response
-//! says.
+//! Delivery of a request to the upstream on this machine: admission, the exchange, and the evaluation of the
+//! response.
 use super::admission::{admit, AdmittedRequest};
 use super::counting::count_delivered;
 use super::delivery_request::Delivery;
@@ -14,12 +14,12 @@
 use std::time::Duration as StdDuration;
 use tokio::time::{timeout_at, Instant};
 
-/// A connection to the upstream on this machine is up within this.
+/// Timeout for connecting to the upstream on this machine.
 const CONNECT_TIMEOUT: StdDuration = StdDuration::from_millis(500);
-/// Past a request's timeout the upstream's own response to it is waited for this long.
+/// How long after a request's timeout the upstream's response is still awaited.
 const RESPONSE_GRACE: Duration = Duration::from_millis(40);
 
-/// Deliver a request to the upstream on this machine, if it is admitted. A response without body and with a
+/// Delivers a request to the upstream on this machine if it is admitted. A response without a body and with a
 /// [`GateStatus`] is the gate's own.
 pub(crate) async fn deliver(node_state: &Rc<NodeState>, delivery: Delivery<'_>) -> ReceivedResponse {
     let (Some(upstream), Some(attempt_id)) =
@@ -34,7 +34,7 @@
     };
     let peer = PeerKind::External(MAX_HEAD_BYTES);
     let Ok(connection) = node_state.pool.acquire(None, upstream, CONNECT_TIMEOUT, peer).await else {
-        // A refused connection is a sign that the upstream is gone; its next heartbeat says otherwise.
+        // A failed connection suggests that the upstream has stopped. Its next heartbeat corrects this if it has not.
         let now = node_state.now();
         node_state.gate.with_admission(|admission| admission.set_silent(now));
         node_state.mark_upstream_silent();
@@ -44,7 +44,8 @@
     if time_left <= Duration::ZERO {
         return status_response(GateStatus::Overloaded(Duration::ZERO));
     }
-    // While it connected the upstream may have been drained, or replaced by another incarnation.
+    // The upstream may have started draining, or been replaced by another incarnation, while the connection was set
+    // up.
     let now = node_state.now();
     if !node_state.gate.with_admission(|admission| admission.may_begin(now, admitted.number)) {
         return status_response(GateStatus::Draining);
@@ -66,7 +67,7 @@
         Ok(ExchangeOutcome::Response(received)) => {
             evaluate(node_state, *received, delivery.forwarding.is_idempotent, admitted, deadline)
         }
-        // Bytes may have gone out before the connection broke: it is not certain, so it may have run.
+        // Bytes may have been written before the connection broke, so the request may have run.
         Ok(ExchangeOutcome::NotSent | ExchangeOutcome::ResponseLost) | Err(_) => {
             status_response(GateStatus::MayHaveRun)
         }
@@ -85,7 +86,7 @@
     request.encode()
 }
 
-/// From here on the request counts as begun: its first byte is about to be written.
+/// Marks the request as begun. Called just before its first byte is written.
 fn mark_begun(node_state: &NodeState, delivery: &Delivery<'_>, admitted: &AdmittedRequest) {
     let now = node_state.now();
     node_state.gate.with_admission(|admission| admission.begin(now, admitted.number));
@@ -96,8 +97,8 @@
     count_delivered(node_state);
 }
 
-/// The upstream's response as it is returned to the origin; the controller is told what it says of the upstream and of the
-/// request.
+/// Returns the upstream's response for the origin, and reports to the controller what it implies about the upstream
+/// and the request.
 fn evaluate(
     node_state: &Rc<NodeState>,
     mut received: ReceivedResponse,
@@ -113,8 +114,8 @@
     if is_untrustworthy(response, is_idempotent) {
         return status_response(GateStatus::MayHaveRun);
     }
-    // Its own word that the request did not run: the attempt id is free again. The controller has to know before the place
-    // is returned.
+    // The upstream states that the request did not run, so its attempt id may be used again. This is reported before
+    // `admitted` is dropped, which reports the end of the request.
     match response.status {
         503 if response.is_not_delivered => {
             node_state.gate.with_admission(|admission| admission.finish_rejected_by_upstream(now, number));
@@ -125,7 +126,7 @@
         }
         _ => {}
     }
-    // A request keeps its place while its response is forwarded.
+    // A request stays in flight while its response is being forwarded.
     if let Some(remainder) = &mut received.remainder {
         remainder.deadline = Some(deadline);
         remainder.guards.push(Box::new(admitted));
@@ -133,9 +134,9 @@
     received
 }
 
-/// Whether a response must not be returned because it could say something untrue: a success that is not the upstream's own
-/// or that says that nothing ran, or a promise of that where the upstream has not given it and a retry would be a second
-/// run.
+/// Returns whether a response must not be returned because it may be wrong: a success that lacks the upstream's stamp
+/// or states that the request was not delivered, or a status that promises that the request did not run where the
+/// upstream has not stated so and a retry could run the request twice.
 fn is_untrustworthy(response: &Response, is_idempotent: bool) -> bool {
     let is_promise = matches!(response.status, 408 | 429 | 503);
     response.has_content_encoding
--- a/crates/daemon/mesh/src/upstream_gate/delivery_request.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery_request.rs
@@ -1,4 +1,4 @@
-//! A request as it is handed to the gate.
+//! A request as it is passed to the gate.
 use crate::body_buffer::BodyBuffer;
 use crate::forwarding_headers::ForwardingHeaders;
 use crate::response_replay_cache::ReplayEntry;
@@ -9,24 +9,24 @@
 
 /// A request to be delivered to the upstream.
 pub(crate) struct Delivery<'d> {
-    /// Its head.
+    /// The head of the request.
     pub(crate) head: &'d RequestHead,
-    /// What its origin says of it.
+    /// The forwarding headers from its origin.
     pub(crate) forwarding: &'d ForwardingHeaders,
-    /// Its body.
+    /// The body of the request.
     pub(crate) body: &'d Rc<BodyBuffer>,
-    /// How long its sender waits.
+    /// How long its sender waits for the response.
     pub(crate) timeout: Duration,
-    /// The id of the upstream that it is meant for.
+    /// The id of the upstream that the request is intended for.
     pub(crate) expected_upstream: Option<&'d str>,
-    /// Its entry, if it may run once and came from another sidecar.
+    /// The entry in the replay cache, if the request is not idempotent and came from another sidecar.
     pub(crate) replay_entry: Option<&'d ReplayEntry>,
-    /// Set when its first byte is about to be written to the upstream.
+    /// Set just before the first byte is written to the upstream.
     pub(crate) has_begun: &'d Cell<bool>,
 }
 
 impl<'d> Delivery<'d> {
-    /// Of a request that came from another sidecar.
+    /// Creates the delivery of a request that came from another sidecar.
     pub(super) fn from_sidecar(
         head: &'d RequestHead,
         forwarding: &'d ForwardingHeaders,
--- a/crates/daemon/mesh/src/upstream_gate/limits.rs
+++ b/crates/daemon/mesh/src/upstream_gate/limits.rs
@@ -2,22 +2,23 @@
 use silvercross_time::Duration;
 use std::time::Duration as StdDuration;
 
-/// Where the memory for bodies is in use, the origin retries after this at the earliest.
+/// The earliest time after which an origin retries when the memory budget for bodies is exhausted. Also sent with a
+/// connection that is rejected.
 pub(crate) const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Bodies that are held back until they are asked for are received this many at a time: many together would delay all
-/// that is small behind them.
+/// How many bodies that await `100 Continue` are received concurrently. More would delay the small requests behind
+/// them.
 pub(super) const MAX_CONCURRENT_UPLOADS: usize = 2;
-/// A request may be pending here for this part of its latency target before it is sent elsewhere.
+/// The share of its latency target, as a divisor, that a request may be pending before it is sent elsewhere.
 pub(super) const PENDING_TIME_DIVISOR: i64 = 4;
-/// A connection on which no request comes is closed after this.
+/// A connection on which no request arrives is closed after this.
 pub(super) const IDLE_TIMEOUT: StdDuration = StdDuration::from_secs(30);
-/// The rest of a head, and of a body, is received within this: the origin has them whole.
+/// Timeout for receiving the rest of a head, and a buffered body. Origins send these only once they have them whole.
 pub(super) const RECEIVE_TIMEOUT: StdDuration = StdDuration::from_secs(5);
-/// Input behind a last response is read away for this long.
+/// How long input after the last response is read and discarded.
 pub(super) const DISCARD_TIMEOUT: StdDuration = StdDuration::from_millis(500);
-/// Connections of other sidecars may take this part of the file descriptors.
+/// The share of the file descriptors, as a divisor, that connections of other sidecars may use.
 pub(crate) const SIDECAR_CONNECTION_DIVISOR: u64 = 4;
-/// This many connections beyond that are told so at a time; others are closed at once.
+/// How many connections over that limit are answered with a rejection concurrently. Others are closed immediately.
 pub(super) const MAX_CONCURRENT_REJECTIONS: u64 = 32;
-/// After a failed accept, mostly for want of descriptors, the next one waits this long.
+/// Delay after a failed accept, usually caused by a lack of file descriptors.
 pub(super) const ACCEPT_RETRY_DELAY: StdDuration = StdDuration::from_millis(20);
--- a/crates/daemon/mesh/src/upstream_gate/listener.rs
+++ b/crates/daemon/mesh/src/upstream_gate/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of other sidecars, or tells them to go elsewhere.
+//! Accepts or rejects connections of other sidecars.
 use super::limits::{
     ACCEPT_RETRY_DELAY, DISCARD_TIMEOUT, MAX_CONCURRENT_REJECTIONS, MEMORY_RETRY_AFTER,
     SIDECAR_CONNECTION_DIVISOR,
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accept connections of other sidecars, for as long as the process lives.
+/// Accepts connections of other sidecars until the process ends.
 pub(crate) async fn listen(node_state: Rc<NodeState>, listener: TcpListener) {
     let rejections = Rc::new(Cell::new(0));
     loop {
@@ -43,7 +43,8 @@
     }
 }
 
-/// Whether another connection may be taken; where all are in use, the one that has been idle for longest is closed for it.
+/// Returns whether another connection may be accepted. At the limit it evicts the connection that has been idle
+/// longest, if there is one.
 fn make_room(node_state: &NodeState) -> bool {
     let counters = &node_state.counters;
     let open = counters.hop_connections.get();
@@ -60,7 +61,8 @@
     false
 }
 
-/// Tell a sidecar to go elsewhere. Nothing is read of its connection before, so nothing was begun.
+/// Rejects a connection, so that its sidecar retries elsewhere. Nothing has been read from it, so no request has
+/// begun.
 async fn reject(stream: TcpStream) {
     let mut connection = Connection::new(stream, PeerKind::Sidecar);
     let status = forwarding_headers::encode(&GateStatus::Overloaded(MEMORY_RETRY_AFTER));
--- a/crates/daemon/mesh/src/upstream_gate/responses.rs
+++ b/crates/daemon/mesh/src/upstream_gate/responses.rs
@@ -1,4 +1,4 @@
-//! What the gate returns to origins: its own status, and responses as bytes.
+//! Responses to origins: the gate's own status, and the encoding of responses.
 use crate::forwarding_headers::{self, GateStatus};
 use crate::peer_connection::ReceivedResponse;
 use crate::response_replay_cache::{ReplayEntry, StoredResponse};
@@ -10,7 +10,7 @@
 use silvercross_time::Duration;
 use std::rc::Rc;
 
-/// The status for the origin of a request that was rejected.
+/// Returns the status for the origin of a rejected request.
 pub(super) fn gate_status(reason: Rejection, retry_after: Option<Duration>) -> GateStatus {
     match reason {
         Rejection::NoUpstream | Rejection::WrongUpstream => GateStatus::Unavailable,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The gate's own response.
+/// Returns a response of the gate itself.
 pub(super) fn status_response(status: GateStatus) -> ReceivedResponse {
     let response = Response {
         status: match status {
@@ -36,8 +36,8 @@
     ReceivedResponse { response, remainder: None }
 }
 
-/// Encode a response for its origin, or its beginning if it has a remainder. `incarnation`: of this process, if it is to
-/// be stated.
+/// Encodes a response for its origin, or only its start if it has a remainder. `incarnation` is that of this process,
+/// if it is to be stated.
 pub(super) fn encode_for_origin(
     head: &RequestHead,
     received: &mut ReceivedResponse,
@@ -70,12 +70,12 @@
     })
 }
 
-/// The header line that states this process's incarnation.
+/// Returns the header line that states this process's incarnation.
 pub(super) fn incarnation_line(incarnation: u64) -> String {
     format!("{GATE_INCARNATION}: {incarnation:x}\r\n")
 }
 
-/// Store a complete response for an origin that may have to ask for it.
+/// Stores a complete response, for an origin that may have to query the outcome.
 pub(super) fn store_response(
     replay_entry: Option<ReplayEntry>,
     encoded: EncodedResponse,
--- a/crates/daemon/mesh/src/upstream_gate/sidecar_connection.rs
+++ b/crates/daemon/mesh/src/upstream_gate/sidecar_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of another sidecar: one request after the other on it.
+//! A connection of another sidecar, which carries one request at a time.
 use super::attempt_queries::answer_query;
 use super::counting::count_orphaned;
 use super::delivery::deliver;
@@ -16,22 +16,23 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// What was exchanged on a connection before.
+/// State of a connection from earlier requests.
 #[derive(Default)]
 struct ConnectionHistory {
-    /// This process's incarnation was stated.
+    /// Whether this process's incarnation has been stated.
     incarnation_stated: bool,
-    /// The last request that may run once: with the next request its origin shows that it has the response.
+    /// The replay key of the last request, if it was not idempotent. The next request on the connection shows that
+    /// the origin has received the response.
     last_replay_key: Option<u64>,
 }
 
-/// Serve the requests of a connection until it ends.
+/// Serves the requests of a connection until it ends.
 pub(super) async fn serve_connection(node_state: &Rc<NodeState>, mut connection: Connection) {
     let mut history = ConnectionHistory::default();
     while serve_one(node_state, &mut connection, &mut history).await {}
 }
 
-/// Serve one request; whether another may come.
+/// Serves one request. Returns whether the connection may carry another one.
 async fn serve_one(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -72,19 +73,19 @@
     serve_buffered(node_state, connection, request).await
 }
 
-/// Take what its origin says of a request out of its head: it goes no further.
+/// Removes the forwarding headers from a request's head, so that they are not forwarded, and decodes them.
 fn decode_forwarding(head: &mut RequestHead) -> Option<ForwardingHeaders> {
     let encoded = head.forwarding_headers.take()?;
     let forwarding = forwarding_headers::decode::<ForwardingHeaders>(&encoded)?;
     (forwarding.version == ENCODING_VERSION).then_some(forwarding)
 }
 
-/// Whether a request has come; an idle connection may have to give way to another.
+/// Waits for a request and returns whether one has arrived. An idle connection may be evicted for a new one.
 async fn wait_for_request(node_state: &Rc<NodeState>, connection: &mut Connection) -> bool {
     let _gauge = GaugeGuard::new(&node_state.counters, |counters| &counters.idle_hop_connections);
     let gate = &node_state.gate;
     tokio::select! {
-        has_come = connection.wait_for_bytes(IDLE_TIMEOUT) => has_come,
+        has_arrived = connection.wait_for_bytes(IDLE_TIMEOUT) => has_arrived,
         () = gate.evict_idle.notified() => {
             gate.evictions_pending.set(gate.evictions_pending.get().saturating_sub(1));
             false
@@ -92,7 +93,7 @@
     }
 }
 
-/// Buffer a request's body, then serve the request. The size of a body was for the origin to limit.
+/// Buffers a request's body, then serves the request. The origin has already enforced the limit on body sizes.
 async fn serve_buffered(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -114,7 +115,8 @@
         _ => return false,
     };
     if request.forwarding.is_none() {
-        // A query that can't be decoded is not a rejected request: the attempt that it asks for may have run.
+        // A query that can't be decoded must not be answered as a rejected request: the attempt it is about may have
+        // run.
         let status = match head.host == ATTEMPT_QUERY_HOST {
             true => GateStatus::MayHaveRun,
             false => GateStatus::Unavailable,
@@ -125,7 +127,8 @@
     respond(node_state, connection, request, &BodyBuffer::complete(body, reservation)).await
 }
 
-/// Deliver a request whose body is here whole and return its response; whether the connection may carry another one.
+/// Delivers a request whose body is complete and returns its response to the origin. Returns whether the connection
+/// may carry another request.
 async fn respond(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -134,11 +137,13 @@
 ) -> bool {
     let SidecarRequest { head, forwarding, replay_entry, incarnation } = request;
     let Some(forwarding) = forwarding else { return false };
-    // Its origin's connection has broken, and the request goes on.
+    // Set when the origin's connection has broken and the request continues.
     let mut orphaned = None;
-    // Its origin wants it dropped unless it has begun, and it has; the response may still be read.
+    // Set when the origin has closed its sending direction, which cancels a request that has not begun, but this one
+    // has. The origin may still read the response.
     let mut carried_on = None;
-    // Its origin has cancelled it. Dropped after the work.
+    // Set when the origin has cancelled the request. Declared outside the delivery's block, so that it is dropped
+    // after the delivery.
     let _cancelled;
     let has_begun = Cell::new(false);
     let mut received = {
@@ -149,7 +154,7 @@
             tokio::select! {
                 received = &mut delivering => break received,
                 event = connection.wait_for_event(), if orphaned.is_none() && carried_on.is_none() => match event {
-                    // Its origin will ask for the response.
+                    // The origin will query the outcome.
                     ConnectionEvent::Broken if replay_entry.is_some() => {
                         orphaned = Some(DepartedRequest::carried_on(node_state, DepartedPeer::Origin));
                         count_orphaned(node_state);
@@ -157,11 +162,11 @@
                     ConnectionEvent::Closed if replay_entry.is_some() && has_begun.get() => {
                         carried_on = Some(DepartedRequest::carried_on(node_state, DepartedPeer::Origin));
                     }
-                    // It has not begun, and never will: its entry says so to whoever asks.
+                    // The request has not begun and will not: its replay entry records that for later queries.
                     ConnectionEvent::Closed if replay_entry.is_some() => {
                         break status_response(GateStatus::Unavailable)
                     }
-                    // An origin that hangs up has cancelled the attempt.
+                    // An origin that disconnects has cancelled the attempt.
                     ConnectionEvent::Broken | ConnectionEvent::Closed | ConnectionEvent::Received => {
                         _cancelled = DepartedRequest::new(node_state, DepartedPeer::Origin);
                         return false;
@@ -191,8 +196,8 @@
     is_complete
 }
 
-/// Return once the origin of a request that may be repeated has hung up. One that may run once goes on until its response can't be
-/// written.
+/// Returns once the origin of an idempotent request has disconnected. A non-idempotent request continues until its
+/// response can't be written.
 async fn wait_until_cancelled(connection: &mut Connection, runs_once: bool) {
     if runs_once {
         std::future::pending::<()>().await;
--- a/crates/daemon/mesh/src/upstream_gate/state.rs
+++ b/crates/daemon/mesh/src/upstream_gate/state.rs
@@ -1,6 +1,6 @@
-//! The gate's state: the admission controller, and the requests that wait for its decision.
+//! The gate's state: the admission controller, and the requests that await its decision.
 //!
-//! Knows neither sockets nor the rest of the process.
+//! Independent of sockets and of the rest of the process.
 use super::limits::MAX_CONCURRENT_UPLOADS;
 use super::responses::gate_status;
 use crate::forwarding_headers::GateStatus;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use tokio::sync::{oneshot, Notify, Semaphore};
 
-/// What a pending request is told: that it may be sent, or the status for its origin.
+/// The decision on a pending request: it may be sent, or the status for its origin.
 pub(super) type AdmissionReply = Result<(), GateStatus>;
 
 /// The gate's state.
@@ -19,18 +19,18 @@
     admission: RefCell<AdmissionController>,
     pending: RefCell<BTreeMap<u64, oneshot::Sender<AdmissionReply>>>,
     next_number: Cell<u64>,
-    /// The controller's next deadline may have changed.
+    /// Notified when the controller's next deadline may have changed.
     pub(super) deadline_changed: Notify,
-    /// Has idle connections of other sidecars close, one for each call, the longest idle first.
+    /// Each notification closes one idle connection of another sidecar, the one that has been idle longest.
     pub(super) evict_idle: Notify,
-    /// Connections that were asked to close and are still there.
+    /// Connections that have been chosen for eviction and are still open.
     pub(super) evictions_pending: Cell<u64>,
-    /// Bodies that may be received at a time.
+    /// Permits for receiving bodies that await `100 Continue`.
     pub(super) upload_slots: Arc<Semaphore>,
 }
 
 impl UpstreamGate {
-    /// With nothing behind it yet.
+    /// Creates a gate without pending requests.
     pub(crate) fn new(admission: AdmissionController) -> Self {
         UpstreamGate {
             admission: RefCell::new(admission),
@@ -43,11 +43,11 @@
         }
     }
 
-    /// Call the admission controller, then tell pending requests what it decided.
-    pub(crate) fn with_admission<R>(&self, act: impl FnOnce(&mut AdmissionController) -> R) -> R {
+    /// Calls the admission controller, then passes its decisions on to the pending requests.
+    pub(crate) fn with_admission<R>(&self, operation: impl FnOnce(&mut AdmissionController) -> R) -> R {
         let (result, effects) = {
             let mut admission = self.admission.borrow_mut();
-            (act(&mut admission), admission.take_effects())
+            (operation(&mut admission), admission.take_effects())
         };
         for effect in effects {
             let (number, reply) = match effect {
@@ -56,34 +56,35 @@
                     (number, Err(gate_status(reason, retry_after)))
                 }
             };
-            if let Some(request) = self.pending.borrow_mut().remove(&number) {
-                let _ = request.send(reply);
+            if let Some(reply_sender) = self.pending.borrow_mut().remove(&number) {
+                let _ = reply_sender.send(reply);
             }
         }
         self.deadline_changed.notify_one();
         result
     }
 
-    /// When the controller has to be called again.
+    /// Returns when the controller has to be called next.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
         self.admission.borrow().next_deadline()
     }
 
-    /// A number that no other request at this gate has.
+    /// Returns a number that no other request at this gate has.
     pub(super) fn take_number(&self) -> u64 {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         number
     }
 
-    /// Register a request before the controller hears of it: its decision may come within the same call.
+    /// Registers a request. This is done before the controller is called, since the decision may come within that
+    /// call.
     pub(super) fn add_pending(&self, number: u64) -> oneshot::Receiver<AdmissionReply> {
-        let (request, reply) = oneshot::channel();
-        self.pending.borrow_mut().insert(number, request);
+        let (reply_sender, reply) = oneshot::channel();
+        self.pending.borrow_mut().insert(number, reply_sender);
         reply
     }
 
-    /// The request is decided, or has gone.
+    /// Removes a request that has been decided or abandoned.
     pub(super) fn remove_pending(&self, number: u64) {
         self.pending.borrow_mut().remove(&number);
     }
--- a/crates/daemon/mesh/src/upstream_gate/streamed_request.rs
+++ b/crates/daemon/mesh/src/upstream_gate/streamed_request.rs
@@ -1,4 +1,5 @@
-//! Requests of other sidecars whose bodies are streamed: few at a time, and no body is received before it is wanted.
+//! Requests of other sidecars whose bodies are streamed. Few are received concurrently, and no body before it is
+//! needed.
 use super::admission::max_pending_time;
 use super::counting::{count_orphaned, count_rejection};
 use super::delivery::deliver;
@@ -24,17 +25,18 @@
 
 /// Whether a body may be received now.
 enum UploadSlot {
-    /// It may, as long as this is held; `None`: its origin has begun to send, so no slot is needed.
+    /// It may be received while the permit is held; `None` if the origin is already sending, so that no slot is
+    /// needed.
     Granted(Option<OwnedSemaphorePermit>),
-    /// It may not; the origin was told so, or has gone.
+    /// It may not be received; the origin has been answered or has disconnected.
     Denied {
-        /// The connection may carry another request.
+        /// Whether the connection may carry another request.
         keep_alive: bool,
     },
 }
 
-/// Serve a request whose body is streamed; whether the connection may carry another one. An origin that holds the body back
-/// is asked for it once the request is admitted and a connection to the upstream is up.
+/// Serves a request whose body is streamed. Returns whether the connection may carry another one. An origin that
+/// awaits `100 Continue` gets it once the request is admitted and a connection to the upstream is established.
 pub(super) async fn serve_streamed(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -69,7 +71,9 @@
             receive(connection, &writer, &mut decoder, &write, &has_response, head.expects_continue).await;
         drop(slot);
         match received {
-            // The request is here whole: its origin will ask for the response, or it has begun and is carried on.
+            // The whole request has been received. If the connection breaks, the origin will query the outcome of a
+            // non-idempotent request. If the origin closes its sending direction, such a request continues only if it
+            // has begun.
             Ok(()) => match connection.wait_for_event().await {
                 ConnectionEvent::Broken if runs_once => {
                     let _orphaned = DepartedRequest::carried_on(node_state, DepartedPeer::Origin);
@@ -86,22 +90,23 @@
             Err(_) => DepartedRequest::new(node_state, DepartedPeer::Origin),
         }
     };
-    // An origin that breaks off, or hangs up behind its body, has cancelled the attempt.
+    // `receiving` returns only if the attempt is cancelled: the origin disconnected during its body, or after it and
+    // the request is not carried on.
     let is_complete = tokio::select! {
         is_complete = responding => is_complete,
         _cancelled = receiving => false,
     };
     connection.restore_write_half(write.into_inner());
     if is_complete && !decoder.is_done() && head.framing != Framing::Length(0) {
-        // The response went out before the body had come. The rest of the body is read away, else the close would cost
-        // the origin the response.
+        // The response was sent before the whole body had arrived. The rest of the body is read and discarded, since
+        // closing with unread input resets the connection and could lose the response.
         connection.close_gracefully(DISCARD_TIMEOUT).await;
         return false;
     }
     is_complete
 }
 
-/// Wait for a slot for a body that is held back.
+/// Waits for a slot for a body that awaits `100 Continue`.
 async fn acquire_slot(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -129,7 +134,7 @@
     }
 }
 
-/// Return a response to the origin; whether it went out whole.
+/// Sends a response to the origin. Returns whether it was sent completely.
 async fn respond(
     node_state: &Rc<NodeState>,
     write: &Mutex<OwnedWriteHalf>,
@@ -151,7 +156,7 @@
     }
 }
 
-/// Ask for the body once somebody wants it, and receive it.
+/// Sends `100 Continue` if the origin awaits it, once the body is needed, and receives the body.
 async fn receive(
     connection: &mut Connection,
     writer: &BodyStreamWriter,
--- a/crates/daemon/mesh/src/upstream_gate/timer.rs
+++ b/crates/daemon/mesh/src/upstream_gate/timer.rs
@@ -1,12 +1,12 @@
-//! Calls the admission controller when its time comes.
+//! Calls the admission controller at its deadlines.
 use crate::node_state::NodeState;
 use silvercross_time::Duration;
 use std::rc::Rc;
 
-/// The controller is called at least this often.
+/// Maximum interval between two checks of the controller's deadline.
 const MAX_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Let the controller's time pass, for as long as the process lives.
+/// Advances the controller's time until the process ends.
 pub(crate) async fn run_timer(node_state: Rc<NodeState>) {
     loop {
         let now = node_state.now();
