--- a/crates/daemon/mesh/src/client_listener.rs
+++ b/crates/daemon/mesh/src/client_listener.rs
@@ -1,8 +1,10 @@
-//! Where the machine's clients, and its upstream, bring their requests: one task a connection, one request at a time on it.
+//! Accepts the requests of clients on this machine, and of its upstream: one task for each connection, one request at
+//! a time on it.
 //!
-//! Which upstream a request goes to, and whether it is retried or hedged, is decided by the module behind
-//! `service_balancer`; here it is read, sent as the module says, and answered. Read on in
-//! `client_listener/client_connection.rs`, then `route.rs` and `request_run.rs`.
+//! The decision module behind `service_balancer` chooses the upstream of a request and decides about retries and
+//! hedging. The listener reads the request, carries out the module's steps and sends the response.
+//!
+//! Start reading in `client_listener/client_connection.rs`, then `route.rs` and `request_run.rs`.
 mod attempt;
 mod attempt_query;
 mod attempt_result;
--- a/crates/daemon/mesh/src/client_listener/attempt.rs
+++ b/crates/daemon/mesh/src/client_listener/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: sent to another sidecar's gate, or through this machine's own gate.
+//! Sends one attempt of a request, to another sidecar's gate or through this sidecar's own gate.
 use super::attempt_query::{recover, SentAttempt};
 use super::outgoing_attempt::OutgoingAttempt;
 use crate::forwarding_headers;
@@ -13,11 +13,12 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A body from this size on is held back until the gate asks for it: one that the gate would reject crosses no link.
+/// Bodies of at least this size are sent only after the gate's `100 Continue`, so that a body that the gate would
+/// reject uses no bandwidth.
 const MIN_HELD_BACK_BODY_BYTES: usize = 16 * 1024;
 
-/// Send an attempt; how that ended. Of one that may run once, and whose connection broke behind the request, the gate is
-/// asked what became of it.
+/// Sends an attempt and returns its outcome. If the connection of a non-idempotent attempt breaks after the request
+/// was sent, the gate is queried for the outcome.
 pub(super) async fn send(node_state: &Rc<NodeState>, attempt: &OutgoingAttempt) -> ExchangeOutcome {
     if Some(attempt.gate) == node_state.settings.inbound_address {
         let has_begun = Cell::new(false);
@@ -45,7 +46,7 @@
     send_to_gate(node_state, attempt).await
 }
 
-/// Return once an attempt that may run once was cancelled.
+/// Returns once a non-idempotent attempt has been cancelled; never for other attempts.
 async fn cancelled(attempt: &OutgoingAttempt) {
     match &attempt.cancellation {
         Some(cancellation) => cancellation.cancelled().await,
@@ -77,7 +78,8 @@
         cancellation: attempt.cancellation.as_deref(),
     };
     let sent = SentAttempt {
-        // Read before the first byte is written: whoever gets it is of this incarnation or a later one.
+        // Read before the first byte is written, so the process that receives the request is of this incarnation or a
+        // later one.
         gate_incarnation: node_state.pool.gate_incarnation(attempt.gate),
         written_at: Instant::now(),
         deadline: started + time_left.to_std(),
--- a/crates/daemon/mesh/src/client_listener/attempt_query.rs
+++ b/crates/daemon/mesh/src/client_listener/attempt_query.rs
@@ -1,5 +1,5 @@
-//! The connection of an attempt that may run once broke after the request was written: its gate is asked what became of
-//! it.
+//! Recovers the outcome of a non-idempotent attempt whose connection broke after the request was written, by querying
+//! the gate.
 use super::outgoing_attempt::OutgoingAttempt;
 use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus, ATTEMPT_QUERY_HOST};
 use crate::mutation::{self, Mutation};
@@ -14,23 +14,24 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// A gate is asked for no longer than this after the request was written: half of the time that it remembers an attempt.
+/// Queries are sent until this long after the request was written: half of the time for which the gate remembers an
+/// attempt.
 const MAX_QUERY_TIME: Duration = Duration::from_micros(RETENTION.as_micros() as u64 / 2);
-/// It is asked at once, then after a backoff that doubles.
+/// Backoff between queries. The first query is sent immediately; the backoff doubles after each.
 const MIN_QUERY_BACKOFF: Duration = Duration::from_millis(25);
 const MAX_QUERY_BACKOFF: Duration = Duration::from_millis(400);
 
-/// When and to whom an attempt was written.
+/// When, and to which incarnation of the gate, an attempt was written.
 pub(super) struct SentAttempt {
     /// The gate's incarnation as last stated before the first byte was written.
     pub(super) gate_incarnation: Option<u64>,
-    /// Just before the first byte was written.
+    /// The time just before the first byte was written.
     pub(super) written_at: Instant,
-    /// The request's.
+    /// The deadline of the request.
     pub(super) deadline: Instant,
 }
 
-/// How an attempt ended whose connection broke after it was written, by its gate's account.
+/// Returns the outcome, as reported by its gate, of an attempt whose connection broke after it was written.
 pub(super) async fn recover(
     node_state: &Rc<NodeState>,
     attempt: &OutgoingAttempt,
@@ -53,8 +54,8 @@
     outcome
 }
 
-/// What a gate's answer proves. That it knows nothing of the attempt proves that it has not run only while the gate still
-/// remembers, and from the incarnation that the request was written to.
+/// Returns what a gate's answer proves. `NeverReceived` proves that the attempt has not run only while the gate still
+/// remembers attempts of that age, and only from the incarnation that the request was written to.
 fn evaluate(received: Box<ReceivedResponse>, sent: &SentAttempt) -> ExchangeOutcome {
     let response = &received.response;
     let Some(encoded_status) = &response.gate_status else { return ExchangeOutcome::Response(received) };
@@ -70,7 +71,8 @@
     }
 }
 
-/// Ask the gate until it answers; `None`: its process has ended, so nobody knows.
+/// Queries the gate until it answers. `None` if its process has ended or the deadline has passed, so that the outcome
+/// is unknown.
 async fn query(
     node_state: &Rc<NodeState>,
     attempt: &OutgoingAttempt,
@@ -96,7 +98,7 @@
         };
         let reservation = node_state.body_budget.reservation();
         match query_attempt(from, attempt.gate, connect_timeout, request, reservation).await {
-            // A gate that rejects a connection knows nothing of the attempt yet.
+            // A gate that rejects a connection has not read the query, so its status says nothing about the attempt.
             QueryOutcome::Response(received)
                 if received.response.gate_status.is_some()
                     && received.response.gate_incarnation.is_none() => {}
--- a/crates/daemon/mesh/src/client_listener/attempt_result.rs
+++ b/crates/daemon/mesh/src/client_listener/attempt_result.rs
@@ -1,25 +1,25 @@
-//! What an attempt's end means: for the module that decides on, and for the client's response.
+//! Evaluates the outcome of an attempt, for the decision module and for the client's response.
 use crate::forwarding_headers::{self, GateStatus};
 use crate::peer_connection::{ExchangeOutcome, ReceivedResponse};
 use silvercross_facade::Report;
 use silvercross_time::Duration;
 
-/// What is kept of an attempt that has ended.
+/// The result of an attempt that has ended.
 pub(super) struct AttemptResult {
-    /// The upstream's response.
+    /// The upstream's response, if there is one to forward.
     pub(super) response: Option<ReceivedResponse>,
-    /// It may have run.
+    /// Whether the attempt may have run.
     pub(super) may_have_run: bool,
-    /// It reached, or may have reached, its upstream.
+    /// Whether the attempt reached, or may have reached, its upstream.
     pub(super) reached_upstream: bool,
-    /// When its gate said to retry.
+    /// The time after which its gate allows a retry.
     pub(super) retry_after: Option<Duration>,
-    /// For the log.
+    /// A description for the log.
     pub(super) description: &'static str,
 }
 
 impl AttemptResult {
-    /// There is no response.
+    /// Creates a result without a response.
     pub(super) fn without_response(may_have_run: bool, description: &'static str) -> Self {
         AttemptResult {
             response: None,
@@ -31,15 +31,15 @@
     }
 }
 
-/// An attempt's end, as it is reported to the module, and what is kept of it.
+/// The outcome of an attempt, as reported to the module and as kept for the request.
 pub(super) struct EvaluatedAttempt {
-    /// For the module.
+    /// The report to the module.
     pub(super) report: Report,
-    /// For the client's response.
+    /// The result for the client's response.
     pub(super) result: AttemptResult,
 }
 
-/// What an attempt's end means.
+/// Evaluates the outcome of an attempt.
 pub(super) fn evaluate(outcome: ExchangeOutcome) -> EvaluatedAttempt {
     let received = match outcome {
         ExchangeOutcome::NotSent => {
@@ -57,7 +57,7 @@
         return evaluate_gate_status(forwarding_headers::decode(encoded));
     }
     if response.is_not_delivered || response.status == 421 {
-        // It did not run, and yet it reached its upstream: what is sent after it is a retry.
+        // The attempt did not run but reached its upstream, so any later attempt counts as a retry.
         let result = AttemptResult {
             reached_upstream: true,
             ..AttemptResult::without_response(false, "not delivered")
@@ -73,7 +73,7 @@
     EvaluatedAttempt { report, result }
 }
 
-/// What a gate's own status means; `None`: it can't be decoded.
+/// Evaluates a gate's own status; `None` if it can't be decoded.
 fn evaluate_gate_status(status: Option<GateStatus>) -> EvaluatedAttempt {
     let (report, may_have_run, description) = match status {
         Some(GateStatus::Unavailable) => (Report::NotDelivered, false, "unavailable"),
--- a/crates/daemon/mesh/src/client_listener/client_connection.rs
+++ b/crates/daemon/mesh/src/client_listener/client_connection.rs
@@ -1,5 +1,5 @@
-//! One client's connection: its requests are read one after the other, served and answered.
-use super::client_departure::{wait_until_left, ClientDeparture};
+//! A client's connection, whose requests are read and answered one after the other.
+use super::client_departure::{wait_for_disconnect, ClientDeparture};
 use super::client_response::{refuse, ClientResponse, DISCARD_TIMEOUT};
 use super::idle_wait::wait_for_request;
 use super::open_request::OpenRequestGuard;
@@ -14,15 +14,16 @@
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
-/// No timeout is shorter than this.
+/// Minimum timeout.
 const MIN_TIMEOUT: Duration = Duration::from_micros(1);
 
-/// Serve the requests of a connection until it ends.
+/// Serves the requests of a connection until it ends.
 pub(super) async fn serve_connection(node_state: &Rc<NodeState>, mut connection: Connection) {
     while serve_one(node_state, &mut connection).await {}
 }
 
-/// Serve one request, by the limits in force as it comes; whether another may come.
+/// Serves one request, under the limits in force when it arrives. Returns whether the connection may carry another
+/// one.
 async fn serve_one(node_state: &Rc<NodeState>, connection: &mut Connection) -> bool {
     if !wait_for_request(node_state, connection).await {
         return false;
@@ -38,7 +39,7 @@
     if head.expects_continue && connection.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
         return false;
     }
-    // Clients have no say in what sidecars tell each other.
+    // Clients must not set the headers that sidecars exchange.
     head.forwarding_headers = None;
     head.expected_upstream = None;
     head.sender = Some(node_state.settings.upstream_service.clone());
@@ -65,7 +66,7 @@
     }
 }
 
-/// Serve a request whose body is here whole; whether another may come.
+/// Serves a request whose body is complete. Returns whether the connection may carry another one.
 async fn serve_buffered(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -77,7 +78,7 @@
     let mut response = serve_watched(node_state, connection, head, &body, &departure).await;
     drop(body);
     drop(open);
-    let closes = !head.keep_alive || head.is_http_10 || node_state.stopping() || departure.has_left();
+    let closes = !head.keep_alive || head.is_http_10 || node_state.stopping() || departure.has_disconnected();
     let encoded = response.encode(node_state, head, closes);
     let closes = closes || encoded.remainder == Some(Framing::UntilClose);
     if connection.write(&encoded.bytes).await.is_err() {
@@ -87,7 +88,7 @@
         let Some(mut write) = connection.take_write_half() else { return false };
         let is_complete = tokio::select! {
             is_complete = response.forward_remainder(node_state, &mut write, framing) => is_complete,
-            _ = wait_until_left(connection) => false,
+            _ = wait_for_disconnect(connection) => false,
         };
         connection.restore_write_half(write);
         if !is_complete {
@@ -101,7 +102,7 @@
     !closes
 }
 
-/// Serve a request while its client is watched, until there is a response or the client's leaving ends it.
+/// Serves a request while watching its client, until there is a response or the client's disconnect ends the request.
 async fn serve_watched(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -109,19 +110,19 @@
     body: &Rc<BodyBuffer>,
     departure: &Rc<ClientDeparture>,
 ) -> ClientResponse {
-    // Dropped after the work.
+    // Declared before `serving`, so that it is dropped after it.
     let _departed;
     let serving = serve(node_state, head, body, departure);
     tokio::pin!(serving);
-    let exit = tokio::select! {
+    let disconnect = tokio::select! {
         biased;
         response = &mut serving => return response,
-        exit = wait_until_left(connection) => exit,
+        disconnect = wait_for_disconnect(connection) => disconnect,
     };
     let ended = tokio::select! {
         biased;
         response = &mut serving => return response,
-        ended = departure.take_effect(exit) => ended,
+        ended = departure.take_effect(disconnect) => ended,
     };
     match ended {
         Some(response) => {
--- a/crates/daemon/mesh/src/client_listener/client_departure.rs
+++ b/crates/daemon/mesh/src/client_listener/client_departure.rs
@@ -1,9 +1,9 @@
-//! What a client's leaving means to its request.
+//! The effect of a client's disconnect on its request.
 //!
-//! A client that closes its sending direction counts as one that has left: a closed connection looks the same until something is
-//! written to it. Work that may be repeated, or of which nothing was sent, ends at once and on every hop. What may run once and was
-//! sent is carried on, as it may have begun: after [`HALF_CLOSE_GRACE`] nothing more is begun for it, and a gate that has not passed it
-//! to its upstream yet drops it.
+//! A client that closes its sending direction counts as disconnected: until something is written, a closed connection
+//! looks the same. Requests that are idempotent, or of which nothing was sent, end immediately and on every hop. A
+//! non-idempotent request that was sent is carried on, since it may have begun: after [`HALF_CLOSE_GRACE`] no further
+//! attempt of it is started, and a gate that has not yet passed it to its upstream drops it.
 use super::client_response::ClientResponse;
 use crate::cancellation::CancellationToken;
 use crate::mutation::{self, Mutation};
@@ -13,74 +13,75 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// Bytes of further requests that are received while one is served. A client that has sent more is not watched any further: its
-/// leaving is noticed with the response, at the request's deadline at the latest.
+/// Bytes of pipelined requests that are received while a request is served. A client that has sent more is no longer
+/// watched: its disconnect is noticed when the response is written, or at the request's deadline.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 
-/// A request that may run once can still begin for so long after its client has closed in order: it may have closed its sending
-/// direction only, and wait for the response.
+/// How long further attempts of a non-idempotent request may start after its client closed gracefully: it may have
+/// closed only its sending direction, and still await the response.
 const HALF_CLOSE_GRACE: Duration = Duration::from_millis(250);
 
-/// How a client has left.
+/// How a client disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ClientExit {
-    /// It closed its connection, or its sending direction, in order.
+pub(super) enum ClientDisconnect {
+    /// It closed its connection, or its sending direction, gracefully.
     Closed {
-        /// When that was seen first.
+        /// When this was first seen.
         since: Instant,
     },
-    /// The connection broke: nobody reads a response.
+    /// The connection broke, so a response can't be read.
     Broken,
 }
 
-/// How far a request has come, as far as its client's leaving goes.
+/// What was sent of a request, as far as it matters to the client's disconnect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SentState {
-    /// Nothing of it was sent.
+    /// No attempt was sent.
     Unsent,
-    /// It was sent, and may be repeated.
+    /// An attempt of an idempotent request was sent.
     SentRepeatable,
-    /// It was sent, and may run once.
+    /// An attempt of a non-idempotent request was sent.
     SentOnce,
 }
 
-/// Whether the client of a request has left, and what follows.
+/// Tracks whether the client of a request has disconnected, and the effect of that.
 pub(super) struct ClientDeparture {
-    /// Cancelled when the client has left.
+    /// Cancelled when the client has disconnected.
     token: Rc<CancellationToken>,
     state: Cell<SentState>,
 }
 
 impl ClientDeparture {
-    /// Of a request that was just read.
+    /// Creates the state of a request that has just been read.
     pub(super) fn new() -> Self {
         ClientDeparture { token: Rc::default(), state: Cell::new(SentState::Unsent) }
     }
 
-    /// Cancelled when the client has left.
+    /// Cancelled when the client has disconnected.
     pub(super) fn token(&self) -> &Rc<CancellationToken> {
         &self.token
     }
 
-    /// Whether the client has left.
-    pub(super) fn has_left(&self) -> bool {
+    /// Whether the client has disconnected.
+    pub(super) fn has_disconnected(&self) -> bool {
         self.token.is_cancelled()
     }
 
-    /// An attempt is about to be sent.
+    /// Records that an attempt is about to be sent.
     pub(super) fn attempt_started(&self, is_idempotent: bool) {
         self.state.set(if is_idempotent { SentState::SentRepeatable } else { SentState::SentOnce });
     }
 
-    /// The client has left: returns when that takes effect. What it is answered, if its request ends here; `None`: it is carried on.
-    pub(super) async fn take_effect(&self, exit: ClientExit) -> Option<ClientResponse> {
-        if let (ClientExit::Closed { since }, SentState::SentOnce) = (exit, self.state.get()) {
+    /// Waits until the client's disconnect takes effect. Returns the response if that ends the request; `None` if the
+    /// request is carried on.
+    pub(super) async fn take_effect(&self, disconnect: ClientDisconnect) -> Option<ClientResponse> {
+        if let (ClientDisconnect::Closed { since }, SentState::SentOnce) = (disconnect, self.state.get()) {
             sleep_until(since + HALF_CLOSE_GRACE).await;
         }
-        self.leave()
+        self.mark_disconnected()
     }
 
-    fn leave(&self) -> Option<ClientResponse> {
+    fn mark_disconnected(&self) -> Option<ClientResponse> {
         if mutation::is_active(Mutation::DepartedClientServed) {
             return None;
         }
@@ -93,13 +94,14 @@
     }
 }
 
-/// Return once the client has closed its connection, or that has broken. Bytes of further requests that come first are kept.
-pub(super) async fn wait_until_left(connection: &mut Connection) -> ClientExit {
+/// Returns once the client has closed its connection or the connection has broken. Bytes of pipelined requests that
+/// arrive before are kept.
+pub(super) async fn wait_for_disconnect(connection: &mut Connection) -> ClientDisconnect {
     while connection.unread_length() < MAX_PIPELINED_BYTES {
         match connection.wait_for_event().await {
             ConnectionEvent::Received => {}
-            ConnectionEvent::Closed => return ClientExit::Closed { since: connection.closed_since() },
-            ConnectionEvent::Broken => return ClientExit::Broken,
+            ConnectionEvent::Closed => return ClientDisconnect::Closed { since: connection.closed_since() },
+            ConnectionEvent::Broken => return ClientDisconnect::Broken,
         }
     }
     std::future::pending().await
--- a/crates/daemon/mesh/src/client_listener/client_response.rs
+++ b/crates/daemon/mesh/src/client_listener/client_response.rs
@@ -1,4 +1,4 @@
-//! What a client is answered: this program's own responses, an upstream's response forwarded, and both as bytes.
+//! Responses to clients: the sidecar's own and those forwarded from an upstream, and their encoding.
 use crate::body_budget::BodyReservation;
 use crate::idle_timeout::keep_alive_header;
 use crate::node_state::NodeState;
@@ -16,38 +16,39 @@
 use std::time::Duration as StdDuration;
 use tokio::net::tcp::OwnedWriteHalf;
 
-/// Input behind a last response is read away for this long.
+/// How long input after the last response is read and discarded.
 pub(super) const DISCARD_TIMEOUT: StdDuration = StdDuration::from_millis(500);
-/// Where nothing better is known, a rejected client retries after this.
+/// `Retry-After` of a rejection for which no other time is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// No client retries sooner.
+/// Minimum `Retry-After`.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(1);
 
-/// What a client is answered.
+/// A response to a client.
 pub(super) struct ClientResponse {
     status: u16,
-    /// Header lines, each with its line end.
+    /// Header lines, each with its line ending.
     pub(super) lines: Vec<u8>,
     body: Vec<u8>,
-    /// The rest of the body, and the length of the whole one where it is known.
+    /// The part of the body that is still to be received.
     pub(super) remainder: Option<Box<StreamedBody>>,
+    /// The length of the whole body, if it is known.
     content_length: Option<usize>,
-    /// The attempt that the remainder is of.
+    /// The attempt whose response the remainder belongs to.
     pub(super) forwarded_attempt: Option<ForwardedAttempt>,
-    /// The body's part of the budget.
+    /// The body's share of the memory budget.
     _reservation: Option<BodyReservation>,
 }
 
 /// An attempt whose response is being forwarded.
 pub(super) struct ForwardedAttempt {
-    /// Its request.
+    /// The request of the attempt.
     pub(super) request: OpenRequest,
     /// The attempt.
     pub(super) attempt: Attempt,
 }
 
 impl ClientResponse {
-    /// This program's own response.
+    /// Creates a response of the sidecar itself.
     pub(super) fn own(status: u16, text: &str) -> Self {
         ClientResponse {
             status,
@@ -60,7 +61,8 @@
         }
     }
 
-    /// A promise that the request has not run and never will: retry after this long.
+    /// Creates a response that guarantees that the request has not run and will not. The client may retry after
+    /// `retry_after`.
     pub(super) fn not_run(status: u16, text: &str, retry_after: Option<Duration>) -> Self {
         let mut response = ClientResponse::own(status, text);
         let seconds = retry_after.unwrap_or(DEFAULT_RETRY_AFTER).max(MIN_RETRY_AFTER).as_secs_f64();
@@ -68,7 +70,7 @@
         response
     }
 
-    /// An upstream's response.
+    /// Creates a response that forwards an upstream's.
     pub(super) fn forwarded(received: ReceivedResponse) -> Self {
         let Response { status, forwarded_lines, body, content_length, reservation, .. } = received.response;
         ClientResponse {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Encode the response, or its beginning if it has a remainder. Its header lines are taken.
+    /// Encodes the response, or only its start if it has a remainder. Takes the header lines out of the response.
     pub(super) fn encode(
         &mut self,
         node_state: &NodeState,
@@ -111,7 +113,7 @@
         })
     }
 
-    /// Forward the remainder and report how that ended; `false` if it broke off.
+    /// Forwards the remainder and reports the outcome to the module. Returns `false` if forwarding was interrupted.
     pub(super) async fn forward_remainder(
         self,
         node_state: &Rc<NodeState>,
@@ -136,14 +138,15 @@
     })
 }
 
-/// Tell a client why its request could not be read, if it may still listen. Its connection ends: always `false`.
+/// Answers a request that could not be read with the reason, unless the client has disconnected. Always returns
+/// `false`, since the connection ends.
 pub(super) async fn refuse(connection: &mut Connection, error: ReadError) -> bool {
     let response = match error {
         ReadError::Closed | ReadError::Interrupted => return false,
         ReadError::TimedOut => ClientResponse::own(408, "the request did not come whole in time"),
         ReadError::BodyBudgetExhausted => ClientResponse::not_run(503, "too many bodies are held here", None),
-        ReadError::Invalid(MessageError::Malformed(what)) => ClientResponse::own(400, what),
-        ReadError::Invalid(bad) => ClientResponse::own(error_status(&bad), "larger than the limits allow"),
+        ReadError::Invalid(MessageError::Malformed(reason)) => ClientResponse::own(400, reason),
+        ReadError::Invalid(err) => ClientResponse::own(error_status(&err), "larger than the limits allow"),
     };
     let bytes = encode_response(response.status, &response.lines, &response.body, true, false);
     if connection.write(&bytes).await.is_ok() {
--- a/crates/daemon/mesh/src/client_listener/idle_wait.rs
+++ b/crates/daemon/mesh/src/client_listener/idle_wait.rs
@@ -1,10 +1,10 @@
-//! Waits for a client's next request, by the idle timeouts in force meanwhile.
+//! Waits for a client's next request, applying changes of the idle timeout.
 use crate::node_state::NodeState;
 use crate::wire::{Connection, ConnectionEvent};
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
-/// Wait for a client's next request; `false`: none comes on this connection.
+/// Waits for a client's next request. Returns `false` if the connection is to be closed instead.
 pub(super) async fn wait_for_request(node_state: &Rc<NodeState>, connection: &mut Connection) -> bool {
     let (idle_since, idle_since_timer) = (node_state.now(), Instant::now());
     let close_after = || {
@@ -15,7 +15,7 @@
         let deadline = idle_since_timer + close_after().to_std();
         tokio::select! {
             biased;
-            // What has been received by the deadline is looked at first.
+            // Checks first for input that was received by the deadline.
             event = timeout_at(deadline, connection.wait_for_event()) => match event {
                 Ok(ConnectionEvent::Received) => return true,
                 Ok(ConnectionEvent::Closed | ConnectionEvent::Broken) => return false,
@@ -23,7 +23,7 @@
                 Err(_) if node_state.now() - idle_since < close_after() => {}
                 Err(_) => return false,
             },
-            // A process that stops closes idle connections at once; clients open new ones elsewhere.
+            // A stopping process closes idle connections immediately. Clients reconnect elsewhere.
             _ = node_state.idle_connections_closing() => return connection.has_unread_bytes(),
         }
     }
--- a/crates/daemon/mesh/src/client_listener/listener.rs
+++ b/crates/daemon/mesh/src/client_listener/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections.
+//! Accepts connections of clients.
 use super::client_connection::serve_connection;
 use crate::node_state::{ConnectionKind, GaugeGuard, NodeState};
 use crate::wire::{Connection, PeerKind};
@@ -6,17 +6,19 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Clients' connections may take this part of the file descriptors: the rest is for other sidecars and the upstream.
+/// The share of the file descriptors, as a divisor, that clients' connections may use. The rest is for other sidecars
+/// and the upstream.
 const CLIENT_CONNECTION_DIVISOR: u64 = 2;
-/// After a failed accept, mostly for want of descriptors, the next one waits this long.
+/// Delay after a failed accept, usually caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accept clients, until the process closes its listeners.
+/// Accepts connections of clients until the process closes its listeners.
 pub(crate) async fn listen(node_state: Rc<NodeState>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // Connections that are not accepted by now end with the listener, and their requests are not read.
+            // Connections that have not been accepted by now are closed with the listener, and their requests are not
+            // read.
             _ = node_state.listeners_closing() => return,
         };
         let Ok((stream, _)) = accepted else {
@@ -32,7 +34,7 @@
         let gauge = GaugeGuard::new(&node_state.counters, |counters| &counters.client_connections);
         tokio::task::spawn_local(async move {
             let _gauge = gauge;
-            // The limit of heads is set with each request.
+            // The limit on the size of heads is set before each request is read.
             serve_connection(&node_state, Connection::new(stream, PeerKind::External(0))).await;
         });
     }
--- a/crates/daemon/mesh/src/client_listener/open_request.rs
+++ b/crates/daemon/mesh/src/client_listener/open_request.rs
@@ -1,11 +1,11 @@
 //! Counts the requests that are open.
 use crate::node_state::NodeState;
 
-/// A request counts as open for as long as this lives.
+/// Counts a request as open until it is dropped.
 pub(super) struct OpenRequestGuard<'p>(&'p NodeState);
 
 impl<'p> OpenRequestGuard<'p> {
-    /// Count a request.
+    /// Counts a request.
     pub(super) fn new(node_state: &'p NodeState) -> Self {
         node_state.counters.requests.set(node_state.counters.requests.get() + 1);
         node_state.open_requests.set(node_state.open_requests.get() + 1);
--- a/crates/daemon/mesh/src/client_listener/outgoing_attempt.rs
+++ b/crates/daemon/mesh/src/client_listener/outgoing_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request, as it is to be sent.
+//! An attempt of a request, as it is to be sent.
 use crate::body_buffer::BodyBuffer;
 use crate::cancellation::CancellationToken;
 use crate::forwarding_headers::ForwardingHeaders;
@@ -7,27 +7,27 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// One attempt of a request.
+/// An attempt of a request.
 pub(super) struct OutgoingAttempt {
-    /// The request's head.
+    /// The head of the request.
     pub(super) head: Rc<RequestHead>,
-    /// Its body.
+    /// The body of the request.
     pub(super) body: Rc<BodyBuffer>,
-    /// What the gate is told of it.
+    /// The forwarding headers for the gate.
     pub(super) forwarding: ForwardingHeaders,
-    /// How long the request's sender still waits.
+    /// How long the request's sender still waits for the response.
     pub(super) time_left: Duration,
     /// The address of the upstream's gate.
     pub(super) gate: SocketAddr,
     /// The upstream's id.
     pub(super) upstream: String,
-    /// Of one that may run once: cancelled when its client has left, and it ends if it has not begun. Others are dropped with their
-    /// request.
+    /// For non-idempotent requests: cancelled when the client has disconnected, which ends the attempt if it has not
+    /// begun. Other attempts are dropped with their request.
     pub(super) cancellation: Option<Rc<CancellationToken>>,
 }
 
 impl OutgoingAttempt {
-    /// The request's attempt id; empty if it has none.
+    /// The attempt id of the request; empty if it has none.
     pub(super) fn attempt_id(&self) -> &str {
         self.head.attempt_id.as_deref().unwrap_or("")
     }
--- a/crates/daemon/mesh/src/client_listener/request_run.rs
+++ b/crates/daemon/mesh/src/client_listener/request_run.rs
@@ -1,4 +1,4 @@
-//! One request on its way: what the module says is done, and how its attempts end is reported to the module.
+//! Runs one request: carries out the decision module's steps and reports the outcomes of attempts to the module.
 use super::attempt;
 use super::attempt_result::{evaluate, AttemptResult, EvaluatedAttempt};
 use super::client_departure::ClientDeparture;
@@ -20,41 +20,41 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// A request that fails this close to its timeout counts as timed out.
+/// A request that fails within this time of its timeout counts as timed out.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(50);
 
-/// One request on its way.
+/// A request that is being served.
 pub(super) struct RequestRun {
-    /// The process.
+    /// The state of the process.
     pub(super) node_state: Rc<NodeState>,
-    /// The service that it is sent to.
+    /// The balancer of the service that the request is sent to.
     pub(super) service_balancer: Rc<ServiceBalancer>,
-    /// Its head.
+    /// The head of the request.
     pub(super) head: Rc<RequestHead>,
-    /// Its body.
+    /// The body of the request.
     pub(super) body: Rc<BodyBuffer>,
-    /// The service's name.
+    /// The name of the service.
     pub(super) service: String,
-    /// Its route.
+    /// The route of the request.
     pub(super) route: Route,
-    /// When it was taken up.
+    /// The start of the request's time budget.
     pub(super) started: Instant,
-    /// It is answered within this from `started` on.
+    /// The time budget: a response is due this long after `started`.
     pub(super) timeout: Duration,
-    /// What of that has passed before it is sent.
+    /// The part of the budget that was spent before the request is sent.
     pub(super) spent_before: Duration,
-    /// Whether its client has left.
+    /// Whether the client has disconnected, and the effect of that.
     pub(super) departure: Rc<ClientDeparture>,
 }
 
-/// An attempt that the module wants sent.
+/// An attempt that the module has requested.
 struct PlannedAttempt {
     number: u32,
     gate: SocketAddr,
     upstream: String,
 }
 
-/// Attempts that have not ended, by their numbers; cancelled with their request.
+/// Attempts that have not ended, by number. They are aborted when the request ends.
 #[derive(Default)]
 struct RunningAttempts(BTreeMap<u32, AbortHandle>);
 
@@ -64,29 +64,29 @@
     }
 }
 
-/// How far a request has come.
+/// The state of the attempts of a request.
 #[derive(Default)]
 struct Progress {
-    /// Attempts that have ended, by their numbers.
+    /// Attempts that have ended, by number.
     results: BTreeMap<u32, AttemptResult>,
-    /// Attempts that have to wait, as a streamed body goes one way at a time.
+    /// Attempts that wait for another to end, since a streamed body can be sent only to one upstream at a time.
     postponed: Vec<PlannedAttempt>,
     /// Attempts that have not ended.
     running: RunningAttempts,
 }
 
-/// What follows from one event of a request.
+/// What to do after an event of a request.
 enum Next {
-    /// It goes on.
+    /// Continue with the request.
     Continue,
-    /// Its client gets this response.
+    /// Send this response to the client.
     Respond(ClientResponse),
-    /// Its client gets this attempt's response as it comes.
+    /// Send this attempt's response to the client while it is being received.
     Forward(ClientResponse, Attempt),
 }
 
 impl RequestRun {
-    /// Send the request as the module says, until there is a response.
+    /// Carries out the module's steps until there is a response.
     pub(super) async fn serve(self) -> ClientResponse {
         let (sender, mut events) = unbounded_channel();
         let time_left = self.timeout - self.spent_before;
@@ -95,7 +95,7 @@
         };
         let mut progress = Progress::default();
         loop {
-            // The sender is held here too, so the channel never closes.
+            // This function holds a sender as well, so the channel never closes.
             let Some(event) = events.recv().await else { return ClientResponse::own(502, "lost") };
             let next = match event {
                 RequestEvent::AttemptEnded { number, outcome } => {
@@ -127,8 +127,9 @@
             return Next::Continue;
         }
         let EvaluatedAttempt { report, result } = evaluate(outcome);
-        if self.departure.has_left() && report != Report::Served {
-            // The module is not told: what a gate dropped as its client has left is nobody's failure.
+        if self.departure.has_disconnected() && report != Report::Served {
+            // Not reported to the module: an attempt that a gate dropped because the client had disconnected is no
+            // failure of the upstream.
             progress.results.insert(attempt.number, result);
             return match progress.running.0.is_empty() {
                 true => Next::Respond(self.give_up(progress, None)),
@@ -137,7 +138,8 @@
         }
         let has_remainder = result.response.as_ref().is_some_and(|received| received.remainder.is_some());
         if report == Report::Served && has_remainder {
-            // So much has come that no other response can be had: it is forwarded as it comes.
+            // The response is too large to be buffered, so it can't be replaced by another one and is forwarded while
+            // it is being received.
             self.service_balancer.begun(attempt);
             let mut response = forwarded_or_lost(result);
             if let Some(remainder) = &mut response.remainder {
@@ -148,7 +150,7 @@
         progress.results.insert(attempt.number, result);
         self.service_balancer.report(attempt, report);
         if self.body.is_streamed() && progress.running.0.is_empty() && events.is_empty() {
-            // The module waits for an attempt that could not be sent so far.
+            // The module expects the outcome of an attempt that was postponed.
             match progress.postponed.pop().filter(|_| !self.body.is_consumed()) {
                 Some(planned) => self.start_attempt(progress, planned, sender),
                 None => return Next::Respond(self.give_up(progress, None)),
@@ -157,7 +159,7 @@
         Next::Continue
     }
 
-    /// Do what the module says.
+    /// Carries out a step of the module.
     fn take_step(
         &self,
         progress: &mut Progress,
@@ -168,8 +170,8 @@
             Step::Send { attempt, upstream, to, .. } => {
                 let upstream = self.service_balancer.name_of(upstream);
                 let planned = PlannedAttempt { number: attempt.number, gate: to, upstream };
-                if self.departure.has_left() {
-                    // Nothing more is begun.
+                if self.departure.has_disconnected() {
+                    // No further attempt is started once the client has disconnected.
                     return match progress.running.0.is_empty() {
                         true => Next::Respond(self.give_up(progress, None)),
                         false => Next::Continue,
@@ -207,8 +209,8 @@
         Next::Respond(response)
     }
 
-    /// The last response to a request that was given up: an upstream's own where there is one, else a promise that it has
-    /// not run where that is certain. An attempt that has not ended may still run.
+    /// Returns the final response to a request that failed: an upstream's own response if there is one, else a
+    /// guarantee that the request has not run if that is certain. An attempt that has not ended may still run.
     fn give_up(&self, progress: &mut Progress, retry_after: Option<Duration>) -> ClientResponse {
         let counters = &self.node_state.counters;
         let mut results = std::mem::take(&mut progress.results);
@@ -231,7 +233,7 @@
         ClientResponse::own(502, "the upstream's answer was lost")
     }
 
-    /// Send an attempt in a task of its own, which sends its outcome back.
+    /// Sends an attempt in a task of its own, which returns the outcome as an event.
     fn start_attempt(
         &self,
         progress: &mut Progress,
@@ -276,7 +278,7 @@
     }
 }
 
-/// An attempt's response for the client.
+/// Returns the client's response for an attempt.
 fn forwarded_or_lost(result: AttemptResult) -> ClientResponse {
     result.response.map_or_else(|| ClientResponse::own(502, "lost"), ClientResponse::forwarded)
 }
--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -1,4 +1,5 @@
-//! The way to a request's service: its route, what its member's throttling says, and the service drawn from the split.
+//! Determines the service of a request: finds its route, applies the throttling of its member and draws a service
+//! from the route's split.
 use super::client_departure::ClientDeparture;
 use super::client_response::ClientResponse;
 use super::request_run::RequestRun;
@@ -11,29 +12,31 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Without a configuration a request waits for this part of its timeout, and so long at most.
+/// A request that arrives before the first configuration waits for this share of its timeout, as a divisor, but at
+/// most for [`MAX_CONFIGURATION_WAIT`].
 const CONFIGURATION_WAIT_DIVISOR: i64 = 25;
 const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(200);
-/// Without an upstream it waits for this part of its latency target.
+/// A request whose service has no upstream waits for this share of its latency target, as a divisor.
 const UPSTREAM_WAIT_DIVISOR: i64 = 4;
 
-/// How long a request may take, and how much of that has passed before it is sent.
+/// How long a request may take, and the part of that spent before it is sent.
 #[derive(Clone, Copy)]
 struct TimeBudget {
     total: Duration,
-    /// The throttling delay.
+    /// The delay imposed by throttling.
     spent: Duration,
 }
 
-/// Find the route and the service, and have the request served.
+/// Finds the route and the service of a request and has it served.
 pub(super) async fn serve(
     node_state: &Rc<NodeState>,
     head: &RequestHead,
     body: &Rc<BodyBuffer>,
     departure: &Rc<ClientDeparture>,
 ) -> ClientResponse {
-    // A process that has just started knows the configuration and the upstreams within a moment: waiting for them is cheaper
-    // than a client's retry, as long as it takes only a part of what the client, or the latency target, allows.
+    // A process that has just started receives the configuration and the upstreams within moments. Waiting for them
+    // is cheaper than a client's retry, as long as it takes only a small part of the client's timeout or the latency
+    // target.
     let max_wait = head.timeout.map_or(Duration::ZERO, |timeout| timeout / CONFIGURATION_WAIT_DIVISOR);
     let max_wait = max_wait.min(MAX_CONFIGURATION_WAIT);
     node_state.wait_until(max_wait, || node_state.configured()).await;
@@ -61,12 +64,12 @@
         let (total, body_bytes) = (budget.total, body.prefix().len());
         match member_throttle::throttle_request(node_state, head, route, attempt_id, total, body_bytes).await
         {
-            ThrottleDecision::Proceed { step: of_member, delayed } => {
-                (step, budget.spent) = (of_member, delayed);
+            ThrottleDecision::Proceed { step: member_step, delayed } => {
+                (step, budget.spent) = (member_step, delayed);
             }
             ThrottleDecision::Reject { step, retry_after } => {
-                let why = "a lapsed trial's request has too little time";
-                let mut response = ClientResponse::not_run(429, why, Some(retry_after));
+                let message = "a lapsed trial's request has too little time";
+                let mut response = ClientResponse::not_run(429, message, Some(retry_after));
                 member_throttle::set_step_header(&mut response.lines, Some(step));
                 return response;
             }
@@ -82,7 +85,7 @@
     response
 }
 
-/// Find the service and have the request served.
+/// Draws the service and has the request served.
 async fn send(
     node_state: &Rc<NodeState>,
     head: &RequestHead,
@@ -117,7 +120,7 @@
     run.serve().await
 }
 
-/// The moment this long ago.
+/// Returns the instant `span` before now.
 fn before_now(span: Duration) -> Instant {
     let now = Instant::now();
     now.checked_sub(span.to_std()).unwrap_or(now)
--- a/crates/daemon/mesh/src/client_listener/streamed_request.rs
+++ b/crates/daemon/mesh/src/client_listener/streamed_request.rs
@@ -1,6 +1,6 @@
-//! A client's request whose body is still being received: it is read on while the request is served, no faster than it is
-//! sent on.
-use super::client_departure::{wait_until_left, ClientDeparture};
+//! A client's request whose body is still being received: it is read while the request is served, no faster than it
+//! is sent on.
+use super::client_departure::{wait_for_disconnect, ClientDeparture};
 use super::client_response::{refuse, DISCARD_TIMEOUT};
 use super::open_request::OpenRequestGuard;
 use super::route::serve;
@@ -14,13 +14,14 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{timeout_at, Instant};
 
-/// How a response went out.
+/// How a response was sent.
 struct SentResponse {
     is_complete: bool,
     closes: bool,
 }
 
-/// Serve a request whose body is streamed; whether another may come. Its body is here by `deadline`.
+/// Serves a request whose body is streamed and must be received by `deadline`. Returns whether the connection may
+/// carry another one.
 pub(super) async fn serve_streamed(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -34,13 +35,13 @@
     let _open = OpenRequestGuard::new(node_state);
     let is_responding = Cell::new(false);
     let departure = Rc::new(ClientDeparture::new());
-    // Dropped after the work.
+    // Declared outside the block, so that it is dropped after the work in it.
     let mut _departed = None;
     let ended = {
         let responding = async {
             let mut response = serve(node_state, head, &body, &departure).await;
             is_responding.set(true);
-            // Where part of the body was not read, the connection carries nothing more.
+            // If part of the body was not read, the connection can't be reused.
             let closes = !head.keep_alive || head.is_http_10 || node_state.stopping() || !body.is_at_end();
             let encoded = response.encode(node_state, head, closes);
             let closes = closes || encoded.remainder == Some(Framing::UntilClose);
@@ -73,15 +74,15 @@
             false
         }
         Ok(_) => true,
-        // Part of the body may be at an upstream. It is not certain that the request never ran, so nothing is promised
-        // (408 would).
+        // Part of the body may have reached an upstream. It is not certain that the request has not run, so no 408 is
+        // sent, which would guarantee that.
         Err(ReadError::TimedOut) => false,
         Err(error) => refuse(connection, error).await,
     }
 }
 
-/// Receive the body, and watch the client behind it. Returns only if that ends the request: the body broke off, or the client has left
-/// and its request is not carried on.
+/// Receives the body, then watches for the client's disconnect. Returns only if the request ends by that: the body
+/// was interrupted, or the client has disconnected and its request is not carried on.
 async fn receive(
     connection: &mut Connection,
     writer: &BodyStreamWriter,
@@ -92,14 +93,14 @@
 ) -> ReadError {
     tokio::select! {
         () = writer.wait_until_requested() => {}
-        // Part of its body is not here, so the request can't run.
-        _ = wait_until_left(connection) => return ReadError::Interrupted,
+        // Part of the body is missing, so the request can't run.
+        _ = wait_for_disconnect(connection) => return ReadError::Interrupted,
     }
     let received = timeout_at(deadline, writer.feed(connection, decoder)).await;
     match received.unwrap_or(Err(ReadError::TimedOut)) {
         Ok(()) => {
-            let exit = wait_until_left(connection).await;
-            match departure.take_effect(exit).await {
+            let disconnect = wait_for_disconnect(connection).await;
+            match departure.take_effect(disconnect).await {
                 Some(_) => ReadError::Interrupted,
                 None => std::future::pending().await,
             }
