--- a/crates/daemon/mesh/src/peer_connection.rs
+++ b/crates/daemon/mesh/src/peer_connection.rs
@@ -1,8 +1,8 @@
-//! Connections to other sidecars and to the upstream on this machine: pooled, and one request and its response on one of
-//! them.
+//! Connections to other sidecars and to the upstream on this machine: the pool, and the exchange of one request and
+//! its response on a connection.
 //!
-//! Reports how far a failed exchange had come; whether anything is sent again is decided in `client_listener`. Read on in
-//! `peer_connection/exchange.rs`.
+//! Reports how far a failed exchange had come. Whether anything is sent again is decided in `client_listener`. Start
+//! reading in `peer_connection/exchange.rs`.
 mod attempt_query;
 mod body_sender;
 mod connect;
--- a/crates/daemon/mesh/src/peer_connection/attempt_query.rs
+++ b/crates/daemon/mesh/src/peer_connection/attempt_query.rs
@@ -1,4 +1,4 @@
-//! Asking a gate what became of an attempt whose connection broke.
+//! Queries a gate for the outcome of an attempt whose connection broke.
 use super::connect::connect;
 use super::outcome::ReceivedResponse;
 use super::request::OutgoingRequest;
@@ -8,17 +8,17 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// What a gate that was asked for an attempt answered.
+/// The result of an attempt query.
 pub(crate) enum QueryOutcome {
     /// The attempt's response, or the gate's own status.
     Response(Box<ReceivedResponse>),
-    /// Nobody listens at its address: the process that had the attempt has ended.
+    /// Nothing listens at the gate's address: the process that had the attempt has ended.
     ProcessEnded,
-    /// Nothing yet.
+    /// The gate gave no valid answer, so the query may be repeated.
     NoAnswer,
 }
 
-/// Ask a gate what became of an attempt, on a connection of its own.
+/// Queries a gate for the outcome of an attempt, on a new connection.
 pub(crate) async fn query_attempt(
     from: IpAddr,
     to: SocketAddr,
--- a/crates/daemon/mesh/src/peer_connection/body_sender.rs
+++ b/crates/daemon/mesh/src/peer_connection/body_sender.rs
@@ -1,4 +1,4 @@
-//! A body that is sent while its response is awaited.
+//! Sends a body while its response is awaited.
 use crate::body_buffer::BodyBuffer;
 use crate::wire::{write_body_part, LAST_CHUNK};
 use silvercross_net::http::Framing;
@@ -7,16 +7,16 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::task::JoinHandle;
 
-/// A task that sends a body; it is aborted when this is dropped.
+/// A task that sends a body. It is aborted on drop.
 pub(super) struct BodySender(JoinHandle<Option<OwnedWriteHalf>>);
 
 impl BodySender {
-    /// Begin to send a body on a connection's write half.
+    /// Starts sending a body on a connection's write half.
     pub(super) fn spawn(write: OwnedWriteHalf, body: Rc<BodyBuffer>) -> Self {
         BodySender(tokio::task::spawn_local(send(write, body)))
     }
 
-    /// The write half, if the whole body has been sent.
+    /// Returns the write half if the whole body has been sent.
     pub(super) async fn finished(&mut self) -> Option<OwnedWriteHalf> {
         match self.0.is_finished() {
             true => (&mut self.0).await.ok().flatten(),
--- a/crates/daemon/mesh/src/peer_connection/connect.rs
+++ b/crates/daemon/mesh/src/peer_connection/connect.rs
@@ -1,22 +1,22 @@
-//! Connecting, with the system set to notice a peer that vanishes without closing.
+//! Connects, with socket options that detect a peer that disappears without closing.
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// Written bytes that the other end has not acknowledged for this long end a connection: a network partition sends no
+/// A connection is closed when written bytes stay unacknowledged for this long, since a network partition causes no
 /// reset.
 const MAX_UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
-/// After this long without input the system probes whether the other end is still there, and again at this interval.
+/// Idle time before the first keepalive probe, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an acknowledgement that end a connection.
+/// Number of unacknowledged keepalive probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Connect within `connect_timeout`. `from`: the address of this machine.
+/// Connects within `connect_timeout`. `from` is the address of this machine.
 ///
 /// # Errors
-/// Those of the system; `TimedOut` past the timeout.
+/// Those of the system; `TimedOut` after the timeout.
 pub(crate) async fn connect(
     from: Option<IpAddr>,
     to: SocketAddr,
@@ -24,7 +24,7 @@
 ) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     if let Some(from) = from.filter(|f| f.is_loopback()) {
-        // On loopback the machines of a small mesh are told apart by their addresses alone.
+        // On loopback the machines of a mesh are distinguished only by their addresses.
         socket.bind(SocketAddr::new(from, 0))?;
     }
     let stream = timeout(connect_timeout, socket.connect(to)).await.map_err(io::Error::from)??;
@@ -32,7 +32,8 @@
     Ok(stream)
 }
 
-/// Have the system notice a peer that vanishes without closing. Failures are left alone: the connection still works.
+/// Sets socket options that detect a peer that disappears without closing. Failures are ignored: the connection works
+/// without them.
 pub(crate) fn set_liveness_options(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_tcp_nodelay(true);
--- a/crates/daemon/mesh/src/peer_connection/exchange.rs
+++ b/crates/daemon/mesh/src/peer_connection/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection.
+//! Exchanges one request and its response on a connection.
 use super::body_sender::BodySender;
 use super::outcome::{ExchangeOutcome, ReceivedResponse};
 use super::pool::ConnectionPool;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
 
-/// Send a request on a connection and read its response. `reservation`: for the response's body.
+/// Sends a request on a connection and reads its response. `reservation` is for the response's body.
 pub(crate) async fn exchange(
     pool: &ConnectionPool,
     mut connection: Connection,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Read the response to a request that was written whole.
+/// Reads the response to a request that was written completely.
 async fn read_response(
     connection: &mut Connection,
     request: &OutgoingRequest<'_>,
@@ -47,7 +47,7 @@
             biased;
             received = &mut reading => received,
             () = cancellation.cancelled() => {
-                // The other end of a half-closed connection is not kept: without its write half it is not reused.
+                // Returns without restoring the write half, so the half-closed connection is not reused.
                 let _ = write.shutdown().await;
                 return reading.await;
             }
@@ -57,7 +57,7 @@
     received
 }
 
-/// The exchange from the written head on, where the body follows it.
+/// Continues the exchange of a request with a body after its head was written.
 async fn exchange_with_body(
     pool: &ConnectionPool,
     mut connection: Connection,
@@ -69,17 +69,18 @@
     if request.awaits_continue {
         let Some(reserved) = reservation.take() else { return ExchangeOutcome::ResponseLost };
         let reading = connection.read_response(request.response_request(true), reserved);
-        let asked = tokio::select! {
+        let first_response = tokio::select! {
             biased;
-            asked = reading => asked,
-            // None of the body was sent, so it can't run.
+            first_response = reading => first_response,
+            // None of the body was sent, so the request can't run.
             () = cancelled(request) => return ExchangeOutcome::NotSent,
         };
-        match asked {
+        match first_response {
             Ok(PartialResponse { mut response, remainder: None }) if response.status == 100 => {
                 reservation = response.reservation.take();
             }
-            // A final response before any of the body was taken. The body is unsent, so the connection is not reused.
+            // A final response before any of the body was requested. The body was not sent, so the connection can't
+            // be reused.
             Ok(mut received) => {
                 received.response.keep_alive = false;
                 return finish(pool, connection, None, request, received);
@@ -93,7 +94,7 @@
     let mut sender = BodySender::spawn(write, body.clone());
     match connection.read_response(request.response_request(false), reservation).await {
         Ok(received) if received.remainder.is_none() => {
-            // A connection whose two directions are done is whole again.
+            // The request was sent and the response received, so the connection can be reused.
             if let Some(write) = sender.finished().await {
                 connection.restore_write_half(write);
             }
@@ -104,7 +105,8 @@
     }
 }
 
-/// Check that a response belongs to its request, and return its connection to the pool or keep it for the remainder.
+/// Checks that a response belongs to its request, and returns the connection to the pool or keeps it for the
+/// remainder.
 fn finish(
     pool: &ConnectionPool,
     connection: Connection,
@@ -142,7 +144,7 @@
     ExchangeOutcome::Response(Box::new(ReceivedResponse { response, remainder }))
 }
 
-/// Return once the request was cancelled.
+/// Returns once the request has been cancelled.
 async fn cancelled(request: &OutgoingRequest<'_>) {
     match request.cancellation {
         Some(cancellation) => cancellation.cancelled().await,
--- a/crates/daemon/mesh/src/peer_connection/health_check.rs
+++ b/crates/daemon/mesh/src/peer_connection/health_check.rs
@@ -1,4 +1,4 @@
-//! Asking an upstream for its health.
+//! Health checks of upstreams.
 use super::exchange::exchange;
 use super::outcome::ExchangeOutcome;
 use super::pool::ConnectionPool;
@@ -9,19 +9,19 @@
 use std::net::SocketAddr;
 use tokio::time::timeout;
 
-/// A health check is answered within this, connecting included.
+/// Timeout for connecting, and again for the exchange.
 const HEALTH_CHECK_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
 
-/// What a healthy upstream said of itself.
+/// What a healthy upstream reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HealthyUpstream {
-    /// Its id.
+    /// The id of the upstream.
     pub(crate) id: String,
-    /// How long it is still warming up.
+    /// The remaining time of its warm-up.
     pub(crate) warm_up_left: Duration,
 }
 
-/// Ask an upstream for its health; `None` unless it is healthy and states its id.
+/// Checks the health of an upstream. Returns `None` unless it is healthy and states its id.
 pub(crate) async fn check_health(
     pool: &ConnectionPool,
     to: SocketAddr,
--- a/crates/daemon/mesh/src/peer_connection/pool.rs
+++ b/crates/daemon/mesh/src/peer_connection/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections by address, and the incarnations of the gates at these addresses.
+//! A pool of idle connections by address, and the incarnations of the gates at these addresses.
 use super::connect::connect;
 use crate::wire::{Connection, PeerKind};
 use std::cell::{Cell, RefCell};
@@ -8,11 +8,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections to one address; the longest idle gives way.
+/// Maximum number of idle connections to one address. Beyond it the one that has been idle longest is closed.
 const MAX_IDLE_PER_ADDRESS: usize = 128;
-/// An idle connection is not reused after this, or after half of what the other end states.
+/// An idle connection is not reused after this, or after half of the idle timeout that the other end states if that
+/// is shorter.
 const MAX_IDLE: Duration = Duration::from_secs(8);
-/// Incarnations remembered; beyond it all are forgotten.
+/// Maximum number of incarnations kept. When it is exceeded, all are cleared.
 const MAX_GATE_INCARNATIONS: usize = 4096;
 
 struct IdleConnection {
@@ -20,23 +21,23 @@
     usable_until: Instant,
 }
 
-/// Idle connections by address.
+/// A pool of idle connections by address.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
-    /// As last stated by each gate's process; at most [`MAX_GATE_INCARNATIONS`].
+    /// The incarnation last stated by the gate at each address; at most [`MAX_GATE_INCARNATIONS`].
     gate_incarnations: RefCell<BTreeMap<SocketAddr, u64>>,
-    /// Each list in the order of return, so its first has been idle for longest.
+    /// Each list is in the order of release, so its first connection has been idle longest.
     idle: RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>,
     max_idle: Cell<usize>,
 }
 
 impl ConnectionPool {
-    /// The incarnation of the gate's process at an address, as last stated.
+    /// Returns the incarnation last stated by the gate at an address.
     pub(crate) fn gate_incarnation(&self, address: SocketAddr) -> Option<u64> {
         self.gate_incarnations.borrow().get(&address).copied()
     }
 
-    /// A gate has stated its incarnation.
+    /// Records the incarnation stated by a gate.
     pub(super) fn set_gate_incarnation(&self, address: SocketAddr, incarnation: u64) {
         let mut incarnations = self.gate_incarnations.borrow_mut();
         if incarnations.len() >= MAX_GATE_INCARNATIONS && !incarnations.contains_key(&address) {
@@ -57,8 +58,8 @@
         None
     }
 
-    /// Return a connection whose exchange is complete. `stated_idle_timeout_seconds`: after how long idle the other end
-    /// closes it, if it says so.
+    /// Returns a connection whose exchange is complete to the pool. `stated_idle_timeout_seconds` is the idle timeout
+    /// of the other end, if it states one.
     pub(super) fn release(
         &self,
         address: SocketAddr,
@@ -73,7 +74,7 @@
             list.remove(0);
         }
         list.push(IdleConnection { connection, usable_until: Instant::now() + max_idle });
-        // Idle connections leave descriptors for those in use.
+        // Limits the file descriptors that idle connections use, so that enough remain for active ones.
         let mut count: usize = idle.values().map(Vec::len).sum();
         while count > self.max_idle.get() {
             let lists = idle.values_mut().filter(|list| !list.is_empty());
@@ -83,17 +84,17 @@
         }
     }
 
-    /// Keep at most this many idle connections; the longest idle gives way.
+    /// Sets the maximum number of idle connections. Beyond it the oldest is closed at the next release.
     pub(crate) fn set_max_idle(&self, max_idle: usize) {
         self.max_idle.set(max_idle);
     }
 
-    /// Close what is idle to an address.
+    /// Closes the idle connections to an address.
     pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Close what has been idle for too long.
+    /// Closes the connections that have been idle too long to be reused.
     pub(crate) fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, list| {
@@ -102,13 +103,13 @@
         });
     }
 
-    /// How many connections are idle.
+    /// Returns the number of idle connections.
     pub(crate) fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// An idle connection to an address, or a new one that is connected within `connect_timeout`. `from`: the address of
-    /// this machine.
+    /// Returns an idle connection to an address, or a new one that is established within `connect_timeout`. `from` is
+    /// the address of this machine.
     ///
     /// # Errors
     /// Those of [`connect`].
--- a/crates/daemon/mesh/src/peer_connection/streamed_body.rs
+++ b/crates/daemon/mesh/src/peer_connection/streamed_body.rs
@@ -1,4 +1,4 @@
-//! The remainder of a response's body that is too large to be buffered: read as it is forwarded.
+//! The remainder of a response's body that is too large to be buffered. It is read while it is forwarded.
 use super::body_sender::BodySender;
 use super::pool::ConnectionPool;
 use crate::wire::{write_body_part, Connection, LAST_CHUNK};
@@ -10,21 +10,21 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{timeout_at, Instant};
 
-/// A remainder is forwarded within this, where nothing else bounds it.
+/// Time limit for forwarding a remainder without a deadline.
 const MAX_FORWARD_TIME: Duration = Duration::from_secs(600);
 
 /// The remainder of a response's body.
 pub(crate) struct StreamedBody {
     pub(super) connection: Connection,
     pub(super) decoder: Decoder,
-    /// The request's body, if it is still being sent.
+    /// Sends the request's body, if that was not complete when the response arrived.
     pub(super) sender: Option<BodySender>,
     pub(super) address: SocketAddr,
     pub(super) keep_alive: bool,
     pub(super) idle_timeout_seconds: Option<u64>,
-    /// It is forwarded whole by then, or broken off.
+    /// Forwarding is aborted if it is not complete by then.
     pub(crate) deadline: Option<Instant>,
-    /// What is dropped with it.
+    /// Guards that are dropped together with the remainder.
     pub(crate) guards: Vec<Box<dyn Any>>,
 }
 
@@ -35,8 +35,8 @@
 }
 
 impl StreamedBody {
-    /// Forward it to its end, then return the connection to its pool; `false` if it broke off on either side, or its
-    /// deadline has passed.
+    /// Forwards the remainder to its end, then returns the connection to its pool. Returns `false` if forwarding was
+    /// interrupted on either side or the deadline has passed.
     pub(crate) async fn forward(
         mut self,
         pool: &ConnectionPool,
