--- a/crates/daemon/mesh/src/client_listener/request_run.rs
+++ b/crates/daemon/mesh/src/client_listener/request_run.rs
@@ -140,7 +140,7 @@
         if report == Report::Served && has_remainder {
             // The response is too large to be buffered, so it can't be replaced by another one and is forwarded while
             // it is being received.
-            self.service_balancer.begun(attempt);
+            self.service_balancer.stream_started(attempt);
             let mut response = forwarded_or_lost(result);
             if let Some(remainder) = &mut response.remainder {
                 remainder.deadline = Some(self.started + self.timeout.to_std());
--- a/crates/daemon/mesh/src/service_balancer.rs
+++ b/crates/daemon/mesh/src/service_balancer.rs
@@ -1,7 +1,8 @@
-//! The origin's side of one service: the decision module behind its facade, and the requests that wait for what it says.
+//! The balancer of one service at the origin: the decision module behind its facade, and the requests that await its
+//! steps.
 //!
-//! Translates between the module's steps and tasks; decides nothing. Knows no socket: attempts are sent in
-//! `client_listener`. Read on in `service_balancer/balancer.rs`.
+//! Translates between the module's steps and tasks, and makes no decisions. Does no I/O: attempts are sent in
+//! `client_listener`. Start reading in `service_balancer/balancer.rs`.
 mod balancer;
 mod event;
 mod settings;
--- a/crates/daemon/mesh/src/service_balancer/balancer.rs
+++ b/crates/daemon/mesh/src/service_balancer/balancer.rs
@@ -1,4 +1,4 @@
-//! One service's module and the requests that are open at it.
+//! The decision module of one service and the requests that are open there.
 use super::event::RequestEvent;
 use super::settings::{ModuleSettings, ServiceSettings};
 use silvercross_facade::{
@@ -12,17 +12,17 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
 
-/// Requests of one service open at a time; beyond it they are rejected.
+/// Maximum number of open requests of one service. Further requests are rejected.
 const MAX_OPEN_REQUESTS: usize = 4096;
-/// The module's timer looks for a change at least this often.
+/// Maximum interval between two checks of the module's deadline.
 const MAX_TIMER_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why a request was not taken. Nothing of it was sent.
+/// Why a request was not accepted. No attempt of it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubmitError {
-    /// The route is not known (any more).
+    /// The route is not, or no longer, in the module's settings.
     UnknownRoute,
-    /// As many requests are open as may be.
+    /// The maximum number of requests is open.
     TooManyOpen,
 }
 
@@ -30,7 +30,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SubmitError::UnknownRoute => {
-                write!(f, "the route is not known any more (retry by the new table)")
+                write!(f, "unknown route (retry with the current routing table)")
             }
             SubmitError::TooManyOpen => write!(f, "{MAX_OPEN_REQUESTS} requests are open (retry later)"),
         }
@@ -39,16 +39,16 @@
 
 impl std::error::Error for SubmitError {}
 
-/// How many upstreams the module knows.
+/// The number of upstreams that the module knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UpstreamCounts {
-    /// All of them.
+    /// All listed upstreams.
     pub(crate) listed: usize,
-    /// Those that are avoided now.
+    /// Listed upstreams that are not picked at present.
     pub(crate) avoided: usize,
 }
 
-/// One service, as this sidecar sends to it.
+/// The balancer of one service that this sidecar sends to.
 pub(crate) struct ServiceBalancer {
     inner: RefCell<Inner>,
     deadline_changed: Notify,
@@ -60,19 +60,19 @@
     next_deadline: Option<Instant>,
 }
 
-/// A request that the module knows of; it ends when this is dropped.
+/// A request that is open at the module. It is closed on drop.
 pub(crate) struct OpenRequest {
-    /// Where it is open.
+    /// The balancer at which it is open.
     pub(crate) service_balancer: Rc<ServiceBalancer>,
-    /// Its handle.
+    /// The handle of the request.
     pub(crate) handle: Handle,
 }
 
 impl ServiceBalancer {
-    /// For a service that was not sent to before.
+    /// Creates the balancer of a service and starts its timer.
     pub(crate) fn new(settings: &ServiceSettings, hosts: &[Host], seed: u64, clock: Clock) -> Rc<Self> {
-        let ModuleSettings { settings, front } = settings.module_settings();
-        let balancer = Balancer::new(settings, front, seed, hosts, clock);
+        let ModuleSettings { settings, proxy_settings } = settings.module_settings();
+        let balancer = Balancer::new(settings, proxy_settings, seed, hosts, clock);
         let inner = Inner { balancer, open: Slots::default(), next_deadline: None };
         let service_balancer =
             Rc::new(ServiceBalancer { inner: RefCell::new(inner), deadline_changed: Notify::new() });
@@ -84,24 +84,25 @@
         Instant::from_micros(self.inner.borrow().balancer.now())
     }
 
-    /// Call the module, and hand its steps to the requests that they concern.
-    fn with_module(&self, act: impl FnOnce(&mut Balancer<()>) -> Output<()>) {
+    /// Calls the module, and passes its steps to the requests that they concern.
+    fn with_module(&self, operation: impl FnOnce(&mut Balancer<()>) -> Output<()>) {
         let mut inner = self.inner.borrow_mut();
-        let turn = act(&mut inner.balancer);
-        for step in turn.steps {
+        let output = operation(&mut inner.balancer);
+        for step in output.steps {
             let request = match &step {
                 Step::Send { attempt, .. } | Step::Cancel { attempt } | Step::Serve { attempt } => {
                     attempt.request
                 }
                 Step::Refuse { request, .. } | Step::Fail { request } => *request,
-                // The mesh tells its upstreams unasked, and an idle connection is checked before it is reused.
+                // Other steps are not needed: upstream lists are set without a subscription, and idle connections are
+                // checked before reuse.
                 _ => continue,
             };
             if let Some(events) = inner.open.get(request) {
                 let _ = events.send(RequestEvent::Step(step));
             }
         }
-        let next_deadline = turn.wake.map(Instant::from_micros);
+        let next_deadline = output.wake.map(Instant::from_micros);
         let is_sooner = match (next_deadline, inner.next_deadline) {
             (Some(new), Some(old)) => new < old,
             (new, _) => new.is_some(),
@@ -113,47 +114,48 @@
         }
     }
 
-    /// These settings are in force from now on.
+    /// Applies new settings.
     pub(crate) fn reconfigure(&self, settings: &ServiceSettings) {
-        let ModuleSettings { settings, front } = settings.module_settings();
-        self.with_module(|balancer| balancer.reconfigure(settings, front));
+        let ModuleSettings { settings, proxy_settings } = settings.module_settings();
+        self.with_module(|balancer| balancer.reconfigure(settings, proxy_settings));
     }
 
-    /// These are the upstreams now.
+    /// Replaces the list of upstreams.
     pub(crate) fn set_upstreams(&self, hosts: Vec<Host>) {
         self.with_module(|balancer| balancer.discovery_event(&DiscoveryEvent::List { whole: true, hosts }));
     }
 
-    /// These upstreams begin anew, as if never met.
+    /// Resets the module's state of these upstreams, as if they were new.
     pub(crate) fn reset_upstreams(&self, hosts: Vec<Host>) {
         self.with_module(|balancer| balancer.discovery_event(&DiscoveryEvent::List { whole: false, hosts }));
     }
 
-    /// Whether any upstream is listed.
+    /// Returns whether an upstream is listed.
     pub(crate) fn has_upstreams(&self) -> bool {
         self.inner.borrow().balancer.ready()
     }
 
-    /// How many upstreams are listed and avoided.
+    /// Returns the numbers of listed and of avoided upstreams.
     pub(crate) fn upstream_counts(&self) -> UpstreamCounts {
         let (listed, avoided) = self.inner.borrow().balancer.rotation();
         UpstreamCounts { listed, avoided }
     }
 
-    /// How many requests are open here.
+    /// Returns the number of open requests.
     pub(crate) fn open_requests(&self) -> usize {
         self.inner.borrow().open.len()
     }
 
-    /// The upstream's id.
+    /// Returns the id of an upstream.
     pub(crate) fn name_of(&self, upstream: Upstream) -> String {
         self.inner.borrow().balancer.name_of(upstream).to_string()
     }
 
-    /// Submit a request of a route, to be answered within `time_left`; the module's steps come as `events`.
+    /// Submits a request of a route, which must be answered within `time_left`. The module's steps are sent to
+    /// `events`.
     ///
     /// # Errors
-    /// [`SubmitError`] if it is not taken.
+    /// [`SubmitError`] if the request is not accepted.
     pub(crate) fn submit(
         self: &Rc<Self>,
         route: &str,
@@ -185,7 +187,7 @@
         Ok(request)
     }
 
-    /// All requests that are open, and all that come, are answered by then.
+    /// Sets the time by which all requests, open or still to come, must be answered.
     pub(crate) fn answer_by(&self, deadline: Instant) {
         self.with_module(|balancer| {
             balancer.answer_by(deadline.as_micros());
@@ -194,12 +196,12 @@
         });
     }
 
-    /// An attempt's response begins to be forwarded before it is complete.
-    pub(crate) fn begun(&self, attempt: Attempt) {
+    /// Reports that an attempt's response is being forwarded before it is complete.
+    pub(crate) fn stream_started(&self, attempt: Attempt) {
         self.with_module(|balancer| balancer.stream_started(attempt));
     }
 
-    /// An attempt has ended.
+    /// Reports the outcome of an attempt.
     pub(crate) fn report(&self, attempt: Attempt, report: Report) {
         self.with_module(|balancer| balancer.report(attempt, report));
     }
@@ -213,7 +215,7 @@
     }
 }
 
-/// Call the module when its time comes, for as long as the balancer lives.
+/// Calls the module at its deadlines until the balancer is dropped.
 async fn run_timer(service_balancer: Weak<ServiceBalancer>) {
     loop {
         let Some(service_balancer) = service_balancer.upgrade() else { return };
--- a/crates/daemon/mesh/src/service_balancer/event.rs
+++ b/crates/daemon/mesh/src/service_balancer/event.rs
@@ -4,13 +4,13 @@
 
 /// What happens to a request that waits.
 pub(crate) enum RequestEvent {
-    /// The module wants this done.
+    /// A step of the module to be carried out.
     Step(Step<()>),
     /// An attempt has ended.
     AttemptEnded {
-        /// The attempt's number within the request.
+        /// The number of the attempt within the request.
         number: u32,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: ExchangeOutcome,
     },
 }
--- a/crates/daemon/mesh/src/service_balancer/settings.rs
+++ b/crates/daemon/mesh/src/service_balancer/settings.rs
@@ -1,66 +1,66 @@
-//! What the module is set to for a service: the operator's configuration and this sidecar's place in the mesh, translated
-//! into the module's settings.
+//! The decision module's settings for a service, derived from the operator's configuration and this sidecar's
+//! position in the mesh.
 use super::upstream_host::UPSTREAM_KIND;
 use silvercross_core::interface::{Class, Effect, Prices, Settings};
 use silvercross_mesh_config::{Route, RouteKind, RoutingTable};
 use silvercross_settings::ProxySettings;
 use silvercross_time::Duration;
 
-/// A connection to another sidecar is up within this, or the attempt has failed.
+/// Timeout for connecting to another sidecar. The attempt fails after it.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Attempts that reached no upstream may come on top of those that an operator allows.
+/// Attempts allowed in addition to the configured maximum, to replace those that reached no upstream.
 const MAX_UNDELIVERED_ATTEMPTS: u32 = 3;
-/// No client is told to retry later than this.
+/// Maximum `Retry-After` for clients.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Sending to another zone has to gain more than this share of the latency target.
+/// Cost of sending to another zone, as a share of the latency target. The expected gain must exceed it.
 const CROSS_ZONE_COST: f64 = 0.2;
-/// The same for an upload: a large body is not moved for gain at all.
+/// The same for an upload: so high that a large body never crosses zones merely for a gain in latency.
 const UPLOAD_CROSS_ZONE_COST: f64 = 4.0;
-/// The value of a response at priority 0; each step of priority halves it.
+/// Value of a response at priority 0. Each further priority level halves it.
 const HIGHEST_VALUE: f64 = 4.0;
-/// Priorities beyond this count as this.
+/// Higher priority numbers are treated as this one.
 const MAX_PRIORITY: u32 = 16;
-/// The value of a response past its latency target, as a share.
+/// Share of its value that a response past its latency target still has.
 const LATE_VALUE_SHARE: f64 = 0.3;
-/// Where no warm-up is configured, a new upstream warms up for this long.
+/// Warm-up time of a new upstream if none is configured.
 const DEFAULT_WARM_UP: Duration = Duration::from_secs(1);
-/// The least share of its capacity that a new upstream has.
+/// Minimum share of its full capacity that an upstream has right after its start.
 const WARM_UP_START_SHARE: f64 = 0.5;
-/// An upstream that is warming up falls over if it is sent more than this multiple of its present capacity over
+/// A warming-up upstream is assumed to collapse when it is sent more than this multiple of its current capacity over
 /// [`OVERLOAD_WINDOW`].
 const OVERLOAD_MULTIPLE: f64 = 1.5;
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
-/// What the module is set to for a service.
+/// The inputs of the module's settings for a service.
 pub(crate) struct ServiceSettings<'t> {
-    /// The service's name.
+    /// The name of the service.
     pub(crate) service: &'t str,
     /// The routing table in force.
     pub(crate) routing_table: &'t RoutingTable,
-    /// All zones.
+    /// The names of all zones.
     pub(crate) zones: &'t [String],
-    /// This sidecar's.
+    /// The zone of this sidecar.
     pub(crate) own_zone: &'t str,
-    /// How many sidecars send.
+    /// The number of sidecars that send requests.
     pub(crate) senders: u32,
-    /// How many of them are in this zone.
+    /// The number of them in this zone.
     pub(crate) senders_in_zone: u32,
-    /// Attempts at a draining upstream end within this.
+    /// Time limit for attempts at a draining upstream.
     pub(crate) drain_timeout: Duration,
-    /// Retries, as a share of the requests.
+    /// Retries as a share of requests.
     pub(crate) retry_ratio: f64,
-    /// How many retries may be saved up.
+    /// Maximum number of retries that may be saved up.
     pub(crate) max_saved_retries: f64,
 }
 
 /// The module's settings and the names that its facade translates.
 pub(super) struct ModuleSettings {
     pub(super) settings: Settings,
-    pub(super) front: ProxySettings,
+    pub(super) proxy_settings: ProxySettings,
 }
 
 impl ServiceSettings<'_> {
-    /// The module's settings.
+    /// Returns the module's settings.
     pub(super) fn module_settings(&self) -> ModuleSettings {
         let routes = || {
             self.routing_table.routes().filter(|route| route.split.iter().any(|to| to.name == self.service))
@@ -100,18 +100,18 @@
             retry_ratio: Some(self.retry_ratio),
             max_saved_retries: Some(self.max_saved_retries),
         };
-        let front = ProxySettings {
+        let proxy_settings = ProxySettings {
             classes: routes().map(|route| route.name.clone()).collect(),
             tenants: Vec::new(),
             zones: self.zones.to_vec(),
             kinds: vec![UPSTREAM_KIND.to_string()],
             upstream_idle_timeout: None,
         };
-        ModuleSettings { settings, front }
+        ModuleSettings { settings, proxy_settings }
     }
 }
 
-/// A route as a class of requests.
+/// Returns a route as a class of requests.
 fn class(route: &Route) -> Class {
     Class {
         latency_target: route.latency_target.min(route.deadline).as_micros(),
--- a/crates/daemon/mesh/src/service_balancer/upstream_host.rs
+++ b/crates/daemon/mesh/src/service_balancer/upstream_host.rs
@@ -1,12 +1,12 @@
-//! Upstreams as the module knows them.
+//! Upstreams in the form that the decision module uses.
 use silvercross_facade::{Health, Host};
 use std::net::SocketAddr;
 
-/// The kind of all upstreams: its value is shared with the module's stored state and its logs.
+/// The kind of all upstreams. The value also appears in the module's stored state and its logs.
 pub(super) const UPSTREAM_KIND: &str = "station";
 
-/// An upstream for the module. `gate`: where its sidecar takes requests; `slots`: how many it works on at a time;
-/// `started_ms`: tells this incarnation from those before it.
+/// Returns an upstream in the module's form. `gate` is the address where its sidecar accepts requests, `slots` is how
+/// many requests it processes concurrently, and `started_ms` distinguishes this incarnation from earlier ones.
 pub(crate) fn upstream_host(
     name: &str,
     gate: SocketAddr,
