--- a/crates/daemon/mesh/src/body_budget.rs
+++ b/crates/daemon/mesh/src/body_budget.rs
@@ -1,14 +1,14 @@
-//! The memory that all buffered bodies of this process may take together.
+//! The memory budget shared by all buffered bodies of this process.
 //!
-//! Knows no body and no connection: a reader takes a [`BodyReservation`], lets it grow as bytes are buffered, and drops it
-//! with them.
+//! Independent of bodies and connections: a reader takes a [`BodyReservation`], grows it as bytes are buffered, and
+//! drops it together with them.
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Buffered bodies may take this part of the process's memory.
+/// The share of the process's memory, as a divisor, that buffered bodies may use.
 const MEMORY_DIVISOR: u64 = 4;
 
-/// What all buffered bodies take together.
+/// The memory budget of all buffered bodies.
 #[derive(Debug, Default)]
 pub(crate) struct BodyBudget {
     max_bytes: Cell<u64>,
@@ -16,7 +16,7 @@
 }
 
 impl BodyBudget {
-    /// For a process of this many bytes of memory.
+    /// Creates the budget of a process with this many bytes of memory.
     pub(crate) fn new(memory_bytes: u64) -> Rc<Self> {
         Rc::new(BodyBudget {
             max_bytes: Cell::new(memory_bytes / MEMORY_DIVISOR),
@@ -24,18 +24,18 @@
         })
     }
 
-    /// Bytes reserved now.
+    /// Returns the number of bytes reserved.
     pub(crate) fn reserved_bytes(&self) -> u64 {
         self.reserved_bytes.get()
     }
 
-    /// A reservation for one body, of no bytes yet.
+    /// Creates an empty reservation for one body.
     pub(crate) fn reservation(self: &Rc<Self>) -> BodyReservation {
         BodyReservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// One body's part of the budget; returned when it is dropped.
+/// The share of the budget that one body uses. It is returned on drop.
 #[derive(Debug)]
 pub(crate) struct BodyReservation {
     budget: Rc<BodyBudget>,
@@ -43,7 +43,7 @@
 }
 
 impl BodyReservation {
-    /// Reserve this many bytes more; `false`, and nothing reserved, if the budget is exhausted.
+    /// Reserves this many further bytes. Returns `false`, and reserves nothing, if the budget is exhausted.
     pub(crate) fn grow(&mut self, bytes: u64) -> bool {
         let reserved = self.budget.reserved_bytes.get() + bytes;
         if reserved > self.budget.max_bytes.get() {
@@ -54,7 +54,7 @@
         true
     }
 
-    /// Return all that is reserved.
+    /// Returns all reserved bytes to the budget.
     pub(crate) fn release(&mut self) {
         self.budget.reserved_bytes.set(self.budget.reserved_bytes.get() - self.bytes);
         self.bytes = 0;
--- a/crates/daemon/mesh/src/body_buffer.rs
+++ b/crates/daemon/mesh/src/body_buffer.rs
@@ -1,7 +1,7 @@
-//! A request's body: buffered whole up to [`MAX_BUFFERED_BODY_BYTES`](crate::wire::MAX_BUFFERED_BODY_BYTES), the rest of
-//! a larger one streamed at the pace of whoever reads it.
+//! A request's body: up to [`MAX_BUFFERED_BODY_BYTES`](crate::wire::MAX_BUFFERED_BODY_BYTES) are buffered, and the
+//! rest of a larger one is streamed at the pace of its reader.
 //!
-//! Knows neither who sends the body nor who gets it. Memory is accounted for in `body_budget.rs`.
+//! Independent of who sends the body and who receives it. Memory is accounted for in `body_budget.rs`.
 use crate::body_budget::BodyReservation;
 use crate::wire::{Connection, ReadError};
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, Mutex, Notify};
 
-/// Parts of a streamed body that are read ahead of whoever takes them.
+/// Maximum number of parts of a streamed body that are read ahead.
 const MAX_PARTS_AHEAD: usize = 2;
 
 /// A part of a streamed body.
@@ -21,21 +21,21 @@
     End,
 }
 
-/// The sender of a streamed body broke off before its end; the request can't be completed.
+/// The sender of a streamed body stopped before its end, so the request can't be completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BodyInterrupted;
 
 impl fmt::Display for BodyInterrupted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the body broke off before its end (send the request again)")
+        write!(f, "the body was interrupted before its end (send the request again)")
     }
 }
 
 impl std::error::Error for BodyInterrupted {}
 
-/// The streamed rest of a body, read by one attempt at a time.
+/// The streamed rest of a body. One attempt reads it at a time.
 pub(crate) struct BodyStream {
-    /// Bytes of the whole body, where that is stated.
+    /// The length of the whole body, if it is stated.
     content_length: Option<usize>,
     parts: Mutex<mpsc::Receiver<Part>>,
     requested: Notify,
@@ -44,17 +44,17 @@
 }
 
 impl BodyStream {
-    /// The next part; `Ok(None)` at the body's end.
+    /// Returns the next part; `Ok(None)` at the end of the body.
     ///
     /// # Errors
-    /// [`BodyInterrupted`] if the body's sender broke off.
+    /// [`BodyInterrupted`] if the sender stopped before the end.
     pub(crate) async fn next(&self) -> Result<Option<Bytes>, BodyInterrupted> {
         if self.has_ended.get() {
             return Ok(None);
         }
         self.requested.notify_one();
         let mut parts = self.parts.lock().await;
-        // What is taken out counts as consumed, whatever becomes of it.
+        // A part counts as consumed once it is taken out, even if it is then not sent.
         match parts.recv().await {
             Some(Part::Bytes(bytes)) => {
                 self.is_consumed.set(true);
@@ -69,22 +69,23 @@
     }
 }
 
-/// Feeds a [`BodyStream`] from the connection that the body is received on.
+/// Feeds a [`BodyStream`] from the connection on which the body is received.
 pub(crate) struct BodyStreamWriter {
     parts: mpsc::Sender<Part>,
     stream: Rc<BodyStream>,
 }
 
 impl BodyStreamWriter {
-    /// Return once somebody wants the rest of the body.
+    /// Returns once a reader requests the rest of the body.
     pub(crate) async fn wait_until_requested(&self) {
         self.stream.requested.notified().await;
     }
 
-    /// Read the rest of a body from its connection, no faster than it is taken.
+    /// Reads the rest of a body from its connection, no faster than it is consumed.
     ///
     /// # Errors
-    /// [`ReadError::Closed`] if nobody takes it any more: the connection is then left as it is.
+    /// [`ReadError::Closed`] if there is no reader any more; nothing further is then read from the connection.
+    /// Otherwise those of reading from the connection.
     pub(crate) async fn feed(
         &self,
         connection: &mut Connection,
@@ -105,23 +106,23 @@
 
 /// A request's body.
 pub(crate) struct BodyBuffer {
-    /// Its beginning, or all of it.
+    /// The buffered start of the body, or all of it.
     prefix: RefCell<Rc<Vec<u8>>>,
-    /// What comes behind that.
+    /// The rest of the body, if it is streamed.
     stream: Option<Rc<BodyStream>>,
     reservation: RefCell<BodyReservation>,
 }
 
-/// A body that is still being received, and what feeds it.
+/// A body that is still being received, and its writer.
 pub(crate) struct StreamedBodyBuffer {
     /// The body.
     pub(crate) body: Rc<BodyBuffer>,
-    /// Feeds its rest.
+    /// Feeds the rest of the body.
     pub(crate) writer: BodyStreamWriter,
 }
 
 impl BodyBuffer {
-    /// A body that is buffered whole.
+    /// Creates a body that is completely buffered.
     pub(crate) fn complete(bytes: Vec<u8>, reservation: BodyReservation) -> Rc<Self> {
         Rc::new(BodyBuffer {
             prefix: RefCell::new(Rc::new(bytes)),
@@ -130,7 +131,8 @@
         })
     }
 
-    /// A body whose rest is still being received. `content_length`: of the whole body, where it is stated.
+    /// Creates a body whose rest is still being received. `content_length` is that of the whole body, if it is
+    /// stated.
     pub(crate) fn streamed(
         prefix: Vec<u8>,
         content_length: Option<usize>,
@@ -152,38 +154,38 @@
         StreamedBodyBuffer { body, writer: BodyStreamWriter { parts: sender, stream } }
     }
 
-    /// The buffered beginning, or all of it.
+    /// Returns the buffered start, or all of the body.
     pub(crate) fn prefix(&self) -> Rc<Vec<u8>> {
         self.prefix.borrow().clone()
     }
 
-    /// The rest, if the body is streamed.
+    /// Returns the rest, if the body is streamed.
     pub(crate) fn stream(&self) -> Option<&BodyStream> {
         self.stream.as_deref()
     }
 
-    /// Whether there is a rest to be streamed.
+    /// Returns whether part of the body is streamed.
     pub(crate) fn is_streamed(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// Whether a part that is not buffered was taken: from then on the body can't be sent (again) whole.
+    /// Returns whether a streamed part was consumed, after which the body can't be sent completely again.
     pub(crate) fn is_consumed(&self) -> bool {
         self.stream.as_ref().is_some_and(|stream| stream.is_consumed.get())
     }
 
-    /// Whether all of it was taken.
+    /// Returns whether the whole body was consumed.
     pub(crate) fn is_at_end(&self) -> bool {
         self.stream.as_ref().is_none_or(|stream| stream.has_ended.get())
     }
 
-    /// Release the buffered beginning: it is of no more use.
+    /// Releases the buffered start, which is no longer needed.
     pub(crate) fn release_prefix(&self) {
         *self.prefix.borrow_mut() = Rc::default();
         self.reservation.borrow_mut().release();
     }
 
-    /// How its end is stated to whoever gets it.
+    /// Returns the framing with which the body is sent.
     pub(crate) fn framing(&self) -> Framing {
         match &self.stream {
             None => Framing::Length(self.prefix.borrow().len()),
--- a/crates/daemon/mesh/src/cancellation.rs
+++ b/crates/daemon/mesh/src/cancellation.rs
@@ -1,8 +1,8 @@
-//! Tells the tasks that work on a request that it was cancelled. All are of one thread.
+//! A token that notifies the tasks of a request that it was cancelled. All of them run on one thread.
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Whether a request was cancelled.
+/// The cancellation state of a request.
 #[derive(Default)]
 pub(crate) struct CancellationToken {
     is_cancelled: Cell<bool>,
@@ -10,20 +10,20 @@
 }
 
 impl CancellationToken {
-    /// Cancel it; once cancelled it stays so.
+    /// Cancels the request. This can't be undone.
     pub(crate) fn cancel(&self) {
         self.is_cancelled.set(true);
         self.waiters.notify_waiters();
     }
 
-    /// Whether it was cancelled.
+    /// Returns whether the request has been cancelled.
     pub(crate) fn is_cancelled(&self) -> bool {
         self.is_cancelled.get()
     }
 
-    /// Return once it was cancelled.
+    /// Returns once the request has been cancelled.
     pub(crate) async fn cancelled(&self) {
-        // No other task runs between the look and the wait.
+        // No other task runs between the check and the wait, so no notification is missed.
         while !self.is_cancelled() {
             self.waiters.notified().await;
         }
--- a/crates/daemon/mesh/src/idle_timeout.rs
+++ b/crates/daemon/mesh/src/idle_timeout.rs
@@ -1,21 +1,21 @@
-//! How long a client's connection may be idle between two requests. A change of the operator's limit closes nothing early:
-//! a connection that became idle under a longer limit keeps it.
+//! The idle timeout of clients' connections between two requests. A change of the configured limit closes no
+//! connection early: one that became idle under a longer limit keeps that limit.
 //!
-//! Knows no connection: `client_listener/idle_wait.rs` waits by it.
+//! Independent of connections: `client_listener/idle_wait.rs` applies it.
 use silvercross_time::{Duration, Instant};
 
-/// A connection is closed this long after its client may last reuse it: a response takes time to get there, and so does a
-/// request.
+/// Delay between the advertised idle timeout and the close, since a response and the next request take time to
+/// arrive.
 pub(crate) const CLOSE_DELAY: Duration = Duration::from_secs(1);
 
-/// A longer limit that some connections are still idle under.
+/// An earlier, longer limit that some connections are still idle under.
 #[derive(Clone, Copy, Debug)]
 struct EarlierLimit {
     limit: Duration,
     applies_until: Instant,
 }
 
-/// The limit in force, and a longer one that some connections are still idle under.
+/// The limit in force, and an earlier, longer one that some connections are still idle under.
 #[derive(Debug, Default)]
 pub(crate) struct IdleTimeout {
     limit: Option<Duration>,
@@ -23,7 +23,7 @@
 }
 
 impl IdleTimeout {
-    /// This limit is in force from now on.
+    /// Sets the limit that is in force from `now` on.
     pub(crate) fn set_limit(&mut self, now: Instant, limit: Duration) {
         if let Some(old) = self.limit.replace(limit).filter(|old| *old > limit) {
             let earlier = self
@@ -37,12 +37,13 @@
         }
     }
 
-    /// For how long at least a connection that becomes idle now is kept open. `None`: no limit was ever set.
+    /// Returns the minimum time for which a connection that becomes idle now is kept open; `None` if no limit was
+    /// ever set.
     pub(crate) fn advertised(&self) -> Option<Duration> {
         self.limit
     }
 
-    /// An idle connection is closed after this. `default`: the limit while none was set.
+    /// Returns the time after which an idle connection is closed. `default` is the limit until one is set.
     pub(crate) fn close_after(&self, now: Instant, default: Duration) -> Duration {
         let earlier = self.earlier.filter(|earlier| earlier.applies_until > now);
         let earlier = earlier.map_or(Duration::ZERO, |earlier| earlier.limit);
@@ -50,8 +51,8 @@
     }
 }
 
-/// The header line that tells a client for how long its connection may be idle (RFC 2068, 19.7.1.1); none where that is no
-/// whole second.
+/// Returns the header line that states the idle timeout to a client (RFC 2068, 19.7.1.1); `None` if it is unset or
+/// less than a second.
 pub(crate) fn keep_alive_header(advertised: Option<Duration>) -> Option<String> {
     let seconds = advertised? / Duration::from_secs(1);
     (seconds > 0).then(|| format!("Keep-Alive: timeout={seconds}\r\n"))
--- a/crates/daemon/mesh/src/request_encoding.rs
+++ b/crates/daemon/mesh/src/request_encoding.rs
@@ -1,31 +1,32 @@
-//! A request as it is forwarded to an upstream or to another sidecar.
+//! Encodes requests as they are forwarded to an upstream or to another sidecar.
 use crate::body_buffer::BodyBuffer;
 use crate::wire::header_names::{DEADLINE_MS, EXPECTED_UPSTREAM, FORWARDING, SENDER};
 use crate::wire::RequestHead;
 use silvercross_net::http::Framing;
 use silvercross_time::Duration;
 
-/// What the headers that this program sets itself take at most, the service's and the upstream's names aside.
+/// Maximum size of the added headers, without the names of the service and the upstream. Only used to reserve
+/// capacity.
 const ADDED_HEAD_BYTES: usize = 512;
 
-/// What goes into a forwarded request.
+/// The parts of a forwarded request.
 pub(crate) struct ForwardedRequest<'r> {
-    /// The request as it was received.
+    /// The head of the request as it was received.
     pub(crate) head: &'r RequestHead,
-    /// How long its sender still waits.
+    /// How long its sender still waits for the response.
     pub(crate) time_left: Duration,
-    /// The id of the upstream that it is meant for.
+    /// The id of the upstream that the request is intended for.
     pub(crate) expected_upstream: Option<&'r str>,
-    /// To another sidecar: the encoded [`ForwardingHeaders`](crate::forwarding_headers::ForwardingHeaders).
+    /// For another sidecar, the encoded [`ForwardingHeaders`](crate::forwarding_headers::ForwardingHeaders).
     pub(crate) forwarding_headers: Option<&'r str>,
-    /// Its body.
+    /// The body of the request.
     pub(crate) body: &'r BodyBuffer,
-    /// The body is held back until the receiver asks for it (100 Continue).
+    /// Whether the body is sent only after the receiver's `100 Continue`.
     pub(crate) awaits_continue: bool,
 }
 
 impl ForwardedRequest<'_> {
-    /// Encode the head, and the body behind it if that is buffered whole and not held back.
+    /// Encodes the head, followed by the body if that is completely buffered and not held back.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let head = self.head;
         let prefix = self.body.prefix();
--- a/crates/daemon/mesh/src/response_replay_cache.rs
+++ b/crates/daemon/mesh/src/response_replay_cache.rs
@@ -1,8 +1,8 @@
-//! What a gate remembers of requests that may run once, so that an origin whose connection broke can ask what became of an
-//! attempt: in progress, its response, or that it was never begun here. An attempt that was asked for before it came is
-//! barred.
+//! A gate's record of non-idempotent attempts, from which an origin whose connection broke can query the outcome of
+//! an attempt: in progress, its response, or that it never began here. An attempt that is queried before it arrives
+//! is barred from beginning.
 //!
-//! Knows neither connections nor upstreams; `upstream_gate` tells it what happens, and answers queries from it.
+//! Independent of connections and upstreams: `upstream_gate` reports events to it and answers queries from it.
 use crate::mutation::{self, Mutation};
 use rand_core::RngCore;
 use silvercross_facade::Clock;
@@ -13,73 +13,75 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Attempts remembered, those in progress too. While there are as many, others are not remembered, and for [`RETENTION`]
-/// from then on nothing is said of unknown attempts.
+/// Maximum number of attempts recorded, including those in progress. At the limit further attempts are not recorded.
+/// Queries about unknown attempts are then answered with [`AttemptOutcome::MayHaveRun`], until [`RETENTION`] after
+/// the last attempt that was not recorded.
 const MAX_ENTRIES: usize = 65_536;
-/// An attempt is remembered for this long after its end.
+/// How long an attempt is kept after its end.
 pub(crate) const RETENTION: Duration = Duration::from_secs(60);
-/// A response is stored for this long, or until the origin has shown that it has it.
+/// How long a response is stored, unless its origin acknowledges it before.
 const RESPONSE_RETENTION: Duration = Duration::from_secs(10);
-/// Responses stored; the oldest goes first.
+/// Maximum number of stored responses. The oldest is evicted first.
 const MAX_STORED_RESPONSES: usize = 4096;
-/// Stored responses may take this part of the process's memory.
+/// The share of the process's memory, as a divisor, that stored responses may use.
 pub(crate) const MEMORY_DIVISOR: u64 = 32;
 
 /// A response as it was sent to the origin.
 #[derive(Clone)]
 pub(crate) struct StoredResponse {
-    /// Its bytes.
+    /// The encoded response.
     pub(crate) bytes: Rc<Vec<u8>>,
-    /// They state this process's incarnation.
+    /// Whether it states this process's incarnation.
     pub(crate) states_incarnation: bool,
 }
 
 enum EntryState {
-    /// It is pending or at the upstream.
+    /// The attempt is pending or at the upstream.
     InProgress,
-    /// It was answered with this.
+    /// The attempt was answered with this response.
     Responded(StoredResponse),
-    /// It may have run, and there is no response (any more).
+    /// The attempt may have run, and no response is stored, or no longer.
     MayHaveRun,
-    /// It was not begun, and will not be.
+    /// The attempt did not begin and will not.
     NotRun,
 }
 
-/// What is known of an attempt.
+/// The outcome of an attempt, as far as it is known.
 #[derive(Clone)]
 pub(crate) enum AttemptOutcome {
-    /// It was answered with this.
+    /// The attempt was answered with this response.
     Responded(StoredResponse),
-    /// It may have run.
+    /// The attempt may have run.
     MayHaveRun,
-    /// It came, was not begun, and will not be.
+    /// The attempt arrived, did not begin, and will not.
     NotRun,
-    /// It has not come to this process, and will be rejected if it does.
+    /// The attempt has not arrived at this process, and will be rejected if it does.
     NeverReceived,
 }
 
-/// An attempt must not begin: it was asked for before it came, or is known already. Its origin has gone elsewhere.
+/// An attempt must not begin, because it was queried before it arrived or its key is already known. Its origin no
+/// longer expects it to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptBarred;
 
 impl fmt::Display for AttemptBarred {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the attempt is known here already (send it under another replay key)")
+        write!(f, "the attempt is already known (send it with another replay key)")
     }
 }
 
 impl std::error::Error for AttemptBarred {}
 
-/// How much is remembered.
+/// The size of the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReplayCacheLoad {
-    /// Attempts.
+    /// The number of recorded attempts.
     pub(crate) entries: usize,
-    /// Bytes of stored responses.
+    /// The size of the stored responses in bytes.
     pub(crate) response_bytes: u64,
 }
 
-/// When something happened to an attempt.
+/// An attempt and the time of an event.
 struct TimedKey {
     at: Instant,
     replay_key: u64,
@@ -87,18 +89,18 @@
 
 struct Entries {
     states: BTreeMap<u64, EntryState>,
-    /// Those that ended, in order.
+    /// Attempts that ended, in order of their end.
     ended: VecDeque<TimedKey>,
-    /// Those whose response was stored, in order; some responses may be released already.
+    /// Attempts whose response was stored, in order. Some responses may have been released since.
     stored: VecDeque<TimedKey>,
     stored_bytes: u64,
-    /// Until then an unknown attempt may have been here.
+    /// Until this time an unknown attempt may have been one that was not recorded.
     incomplete_until: Instant,
 }
 
-/// The attempts that one gate remembers.
+/// The cache of the attempts at one gate.
 pub(crate) struct ResponseReplayCache {
-    /// Tells this process from those before it at its address.
+    /// Distinguishes this process from earlier ones at the same address.
     pub(crate) incarnation: u64,
     clock: Clock,
     max_stored_bytes: u64,
@@ -107,7 +109,7 @@
 }
 
 impl ResponseReplayCache {
-    /// With nothing remembered, for a process of this many bytes of memory.
+    /// Creates an empty cache for a process with this many bytes of memory.
     pub(crate) fn new(clock: Clock, rng: &mut impl RngCore, memory_bytes: u64) -> Rc<Self> {
         let entries = Entries {
             states: BTreeMap::new(),
@@ -125,7 +127,7 @@
         })
     }
 
-    /// An attempt has come.
+    /// Records the arrival of an attempt.
     ///
     /// # Errors
     /// [`AttemptBarred`] if it must not begin.
@@ -144,12 +146,12 @@
         Ok(ReplayEntry { cache: self.clone(), replay_key, is_remembered, has_begun: Cell::new(false) })
     }
 
-    /// What became of an attempt; waits for its end while it is in progress.
+    /// Returns the outcome of an attempt. Waits for its end while it is in progress.
     pub(crate) async fn query(&self, replay_key: u64) -> AttemptOutcome {
         loop {
             let ended = self.attempt_ended.notified();
             tokio::pin!(ended);
-            // Registered before the state is looked at, so that no end is missed.
+            // Registered before the state is checked, so that no notification is missed.
             ended.as_mut().enable();
             if let Some(outcome) = self.outcome(replay_key) {
                 return outcome;
@@ -158,8 +160,8 @@
         }
     }
 
-    /// What became of an attempt; `None` while it is in progress. An attempt that is unknown is barred from here on, for it
-    /// may still be on its way.
+    /// Returns the outcome of an attempt; `None` while it is in progress. An unknown attempt is barred from now on,
+    /// since it may still arrive.
     fn outcome(&self, replay_key: u64) -> Option<AttemptOutcome> {
         let now = self.expire();
         let mut entries = self.entries.borrow_mut();
@@ -180,18 +182,18 @@
         Some(AttemptOutcome::NeverReceived)
     }
 
-    /// The origin has shown that it has the response.
+    /// Releases a response that its origin has received.
     pub(crate) fn acknowledge(&self, replay_key: u64) {
         self.entries.borrow_mut().release_response(replay_key);
     }
 
-    /// How much is remembered.
+    /// Returns the size of the cache.
     pub(crate) fn load(&self) -> ReplayCacheLoad {
         let entries = self.entries.borrow();
         ReplayCacheLoad { entries: entries.states.len(), response_bytes: entries.stored_bytes }
     }
 
-    /// Forget what is past its retention.
+    /// Removes what is past its retention.
     pub(crate) fn remove_expired(&self) {
         self.expire();
     }
@@ -215,7 +217,7 @@
         self.attempt_ended.notify_waiters();
     }
 
-    /// Forget what is past its retention; the present instant.
+    /// Removes what is past its retention. Returns the current time.
     fn expire(&self) -> Instant {
         let now = self.now();
         let mut entries = self.entries.borrow_mut();
@@ -248,7 +250,7 @@
     }
 }
 
-/// One attempt's entry. Dropped without a response it records whether the attempt may have run.
+/// The entry of one attempt. If it is dropped without a response, it records whether the attempt may have run.
 pub(crate) struct ReplayEntry {
     cache: Rc<ResponseReplayCache>,
     replay_key: u64,
@@ -257,17 +259,17 @@
 }
 
 impl ReplayEntry {
-    /// The attempt's replay key.
+    /// Returns the attempt's replay key.
     pub(crate) fn replay_key(&self) -> u64 {
         self.replay_key
     }
 
-    /// From now on the attempt may have run.
+    /// Records that the attempt may have run from now on.
     pub(crate) fn set_begun(&self) {
         self.has_begun.set(true);
     }
 
-    /// Record the response that is sent.
+    /// Records the response that is sent.
     pub(crate) fn set_response(mut self, response: StoredResponse) {
         if std::mem::take(&mut self.is_remembered) {
             self.cache.end(self.replay_key, EntryState::Responded(response));
