--- a/crates/daemon/mesh/src/service_balancer/event.rs
+++ b/crates/daemon/mesh/src/service_balancer/event.rs
@@ -1,8 +1,8 @@
-//! What happens to a request that waits.
+//! Events of open requests.
 use crate::peer_connection::ExchangeOutcome;
 use silvercross_facade::Step;
 
-/// What happens to a request that waits.
+/// An event of an open request.
 pub(crate) enum RequestEvent {
     /// A step of the module to be carried out.
     Step(Step<()>),
