--- a/crates/balancer/core/src/interface.rs
+++ b/crates/balancer/core/src/interface.rs
@@ -19,7 +19,7 @@
     All,
     /// The upstreams of one zone.
     Zone,
-    /// The upstreams of one cell.
+    /// The upstreams of one cell, which is a part of a zone.
     Cell,
 }
 
@@ -44,7 +44,8 @@
 pub struct Class {
     /// A response within this time earns the full value.
     pub latency_target: Micros,
-    /// Increase of the latency target per unit of the request's expected work; 0: none.
+    /// Increase of the latency target, in microseconds per microsecond of the response time that is expected at an idle
+    /// upstream; 0: none.
     pub target_per_work: f64,
     /// How long a client waits in all, its own retries included.
     pub deadline: Micros,
@@ -59,7 +60,8 @@
     /// Maximum number of upstreams that may receive a request; `None`: the number of attempts. An upstream that rejected
     /// it unprocessed, could not be reached or was never sent to has not received it. The first attempt is always sent.
     pub max_receivers: Option<u32>,
-    /// Cost of sending to another zone, as a share of the latency target; [`Prices::cross_zone`] is the minimum.
+    /// Reduction of the response time, beyond the longer round trip, above which a request may be sent to another zone
+    /// although its own has enough upstreams; a share of the latency target. [`Prices::cross_zone`] applies if larger.
     pub cross_zone_cost: f64,
 }
 
@@ -72,7 +74,8 @@
     pub allowance_per_s: f64,
 }
 
-/// Deductions from the objective, each multiplied by its share or rate.
+/// Prices in the objective, by which an operator rates the service: the value earned, less each price times the quantity
+/// that its field names. The decision module reads only `cross_zone`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
     /// Attempts in another zone, per request.
@@ -88,7 +91,7 @@
 /// Settings of an instance, at its start or in [`Event::Settings`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Instances in this tier.
+    /// Number of balancer instances that send to these upstreams.
     pub instances: u32,
     /// Index of this instance, from 0.
     pub instance_index: u32,
@@ -106,11 +109,12 @@
     pub value_per_work: bool,
     /// Weight of the total value in the objective, from 0 to 1; the rest is that of the worst-served class.
     pub total_value_weight: f64,
-    /// Deductions from the objective.
+    /// Prices of what is deducted from the objective.
     pub prices: Prices,
     /// The list is sent only on request.
     pub list_on_request: bool,
-    /// An instance that has not requested the list for this long is held to know every draining upstream.
+    /// With `list_on_request`, the longest time that an instance may go without requesting the list: `drain_grace` then
+    /// starts even for draining upstreams that it has not learnt of. Not read by the decision module.
     pub max_list_age: Micros,
     /// Sends to a draining or gone upstream must stop within this time.
     pub drain_grace: Micros,
@@ -171,7 +175,7 @@
     pub last_start: Option<Micros>,
     /// Its zone.
     pub zone: u32,
-    /// Its cell.
+    /// Its cell, numbered within its zone.
     pub cell: u32,
     /// Its machine kind, from 0.
     pub kind: u32,
--- a/crates/balancer/core/src/policy/admission.rs
+++ b/crates/balancer/core/src/policy/admission.rs
@@ -7,7 +7,7 @@
 /// Retry budget: a share of new requests, saved up to the cap. More would turn overload into collapse.
 const RETRY_RATIO: f64 = 0.02;
 pub(super) const MAX_SAVED: f64 = 5.0;
-/// Admission threshold: exponent and bounds of the factor for a class's value, and the factor when idle.
+/// Factors on the time left, to which admission limits the expected time: for value (power, bounds), if idle.
 const VALUE_POWER: f64 = 0.5;
 const VALUE_FACTOR: (f64, f64) = (0.6, 1.5);
 const IDLE_FACTOR: f64 = 2.0;
@@ -16,18 +16,18 @@
     pub(super) fn on_request(&mut self, r: NewRequest, out: &mut Vec<Action>) {
         let class = r.class as usize;
         let Some(&c) = self.cfg.classes.get(class) else { return out.push(Action::Fail { request: r.id }) };
-        let unit = r.cost_hint.map_or(1.0, |h| h.max(1) as f64);
+        let units = r.cost_hint.map_or(1.0, |h| h.max(1) as f64);
         let began = self.now - self.client_elapsed(&r, c.deadline);
         let k = &mut self.class_stats[class];
         if r.cost_hint.is_some() && k.samples == 0.0 && k.per_unit > 100.0 {
             k.per_unit = 1.5; // hints are time on a standard core; assume slower ones until there are samples
         }
-        k.unit = if k.samples == 0.0 { unit } else { k.unit + (unit - k.unit) * 0.02 };
-        let (work, typical) = (k.per_unit * unit, k.per_unit * k.unit);
+        k.units = if k.samples == 0.0 { units } else { k.units + (units - k.units) * 0.02 };
+        let (work, typical) = (k.per_unit * units, k.per_unit * k.units);
         let target_at = began + (c.latency_target + (c.target_per_work * work) as Micros).min(c.deadline);
         // Fixed on arrival: the settings may change while the request is open.
         let cap = self.cfg.max_attempts as usize;
-        let mut p = Pending::new(class, r.key, target_at, self.now + r.budget, unit, work, cap);
+        let mut p = Pending::new(class, r.key, target_at, self.now + r.budget, units, work, cap);
         let (share, most) =
             (self.cfg.retry_ratio.unwrap_or(RETRY_RATIO), self.cfg.max_saved_retries.unwrap_or(MAX_SAVED));
         self.retry_tokens = (self.retry_tokens + share).min(most);
--- a/crates/balancer/core/src/policy/attempts.rs
+++ b/crates/balancer/core/src/policy/attempts.rs
@@ -102,12 +102,12 @@
                 let kind_rate = &mut self.kinds[self.upstreams[a.upstream].entry.kind as usize].work_rate;
                 kind_rate.add(self.now, RATE_SPAN, if served { work } else { 0.0 });
                 let took = if served { e.elapsed } else { self.cfg.classes[p.class].latency_target };
-                self.learn(p.class, p.unit, a.upstream, took, outcome != Outcome::Error);
+                self.learn(p.class, p.units, a.upstream, took, outcome != Outcome::Error);
             }
             Outcome::TimedOut if a.bounded && !a.overdue => self.on_failure(a.upstream, a.sent),
             Outcome::ConnectFailed | Outcome::Reset => self.on_failure(a.upstream, a.sent),
             // The client's limit: no proof of a fault, but a lower bound of the response time.
-            Outcome::TimedOut => self.learn(p.class, p.unit, a.upstream, e.elapsed, true),
+            Outcome::TimedOut => self.learn(p.class, p.units, a.upstream, e.elapsed, true),
             Outcome::Cancelled | Outcome::NotSent => {}
         }
         if e.request_over || outcome == Outcome::Served {
--- a/crates/balancer/core/src/policy/cold.rs
+++ b/crates/balancer/core/src/policy/cold.rs
@@ -1,7 +1,7 @@
 //! What may be sent to an upstream that started lately.
 use super::*;
 
-/// Share of the cold budget in use, and of a window's budget that may be saved: never over a full one.
+/// Used share of the overload limit, and bucket size as a share of a window's refill: 0.8 * 1.125 < 1.
 const COLD_SAFETY: f64 = 0.8;
 const COLD_BURST: f64 = 0.125;
 /// In typical requests; a heavier one goes to no cold upstream: alone it could use up the budget.
@@ -15,10 +15,10 @@
         (grown < 1.0).then(|| self.cfg.initial_capacity + (1.0 - self.cfg.initial_capacity) * grown.max(0.0))
     }
 
-    /// Whether a cold upstream's token bucket admits a request. It refills at the overload multiple of its
-    /// cold share of what a warm one of its kind serves this instance, from a random debt: so hundreds of
-    /// instances with budgets under one request each come one by one, heavy and light requests alike. One
-    /// request per window over all instances is safe, and needed if all are cold. A cold rate replaces both.
+    /// Whether a cold upstream's token bucket admits a request. It refills at the overload multiple of
+    /// a warm one's work rate here, times the cold share, from a random debt (`on_list`), so that hundreds of
+    /// instances with budgets below one request don't send together. The minimum, one request per window over
+    /// all instances, is safe, and needed while all are cold. `cold_rate` replaces both rates.
     pub(super) fn cold_admits(&mut self, i: usize, work: f64, warm_rate: f64) -> bool {
         let (now, span) = (self.now, self.cfg.overload_window as f64);
         let Some(share) = self.cold_share(&self.upstreams[i]) else { return true };
@@ -40,6 +40,6 @@
 
     /// Work of a typical request of the heaviest class.
     pub(super) fn max_typical_work(&self) -> f64 {
-        self.class_stats.iter().map(|k| k.per_unit * k.unit).fold(0.0, f64::max)
+        self.class_stats.iter().map(|k| k.per_unit * k.units).fold(0.0, f64::max)
     }
 }
--- a/crates/balancer/core/src/policy/liveness.rs
+++ b/crates/balancer/core/src/policy/liveness.rs
@@ -1,15 +1,15 @@
 //! Which upstreams are excluded and for how long, and when failures are taken for a local fault.
 use super::*;
 
-/// Cooldowns double from the time of this many own requests, within the bounds: few requests are trials.
+/// Cooldown: time in which this many requests arrive here, doubled per further failure, within the bounds.
 const COOLDOWN_REQUESTS: f64 = 40.0;
 const COOLDOWN: (Micros, Micros) = (2 * S, 20 * S);
-/// Dead: this many counted failures over the streak, no further apart than the gap, and responses elsewhere.
+/// Dead: this many counted failures over at least this time, with gaps of at most this, while others respond.
 const DEAD_FAILURES: u32 = 5;
 const DEAD_STREAK: Micros = 10 * S;
 const STREAK_GAP: Micros = 30 * S;
 const DEAD_COOLDOWN: Micros = 30 * S;
-const CORROBORATION: Micros = 5 * S;
+const CORROBORATION: Micros = 5 * S; // maximum age of another upstream's response that proves this
 /// This soon after a response, this many consecutive failures are not counted.
 const TOLERATED: (Micros, u32) = (S / 2, 2);
 /// Local fault: no response for the span, failures at two or more upstreams. None counts, also in the grace.
@@ -39,7 +39,7 @@
             }
         }
         let u = &mut self.upstreams[i];
-        (u.state, u.failures, u.uncounted, u.last_response) = (State::Online, 0, 0, self.now);
+        (u.state, u.failures, u.tolerated, u.last_response) = (State::Online, 0, 0, self.now);
     }
 
     /// A transport failure of an attempt sent at `sent`.
@@ -61,8 +61,8 @@
             return;
         }
         // Failures amid responses are those of single connections: only several in a row count.
-        if u.last_response > now - TOLERATED.0 && u.uncounted < TOLERATED.1 {
-            return self.upstreams[i].uncounted += 1;
+        if u.last_response > now - TOLERATED.0 && u.tolerated < TOLERATED.1 {
+            return self.upstreams[i].tolerated += 1;
         }
         let since = u.last_failure.max(now - CORROBORATION - 1);
         let corroborated = self.upstreams.iter().enumerate().any(|(j, o)| j != i && o.last_response > since);
--- a/crates/balancer/core/src/policy/mod.rs
+++ b/crates/balancer/core/src/policy/mod.rs
@@ -24,7 +24,7 @@
 
 /// Estimates for a class without samples.
 fn prior(c: &Class) -> ClassStats {
-    ClassStats { per_unit: c.latency_target as f64 * 0.12, unit: 1.0, samples: 0.0, budget: 0, votes: 0 }
+    ClassStats { per_unit: c.latency_target as f64 * 0.12, units: 1.0, samples: 0.0, budget: 0, votes: 0 }
 }
 
 impl Balancer {
--- a/crates/balancer/core/src/policy/pick.rs
+++ b/crates/balancer/core/src/policy/pick.rs
@@ -3,11 +3,11 @@
 
 /// Other zones join when fewer than this share of the own zone's upstreams are eligible.
 const SPILL_SHARE: f64 = 0.5;
-/// Rotation weight: best over expected time, to this power, at least this; slack, as a share of the target.
+/// Rotation weight: (best expected time + slack) / own expected time, to the power SKEW.0, at least SKEW.1.
 const SKEW: (i32, f64) = (9, 0.02);
-const SLACK: f64 = 0.05;
-/// The rotation covers one upstream per request of this span, but at least the minimum: older samples are
-/// outdated by hundreds of other instances, and few connections stay busy instead of many being opened.
+const SLACK: f64 = 0.05; // share of the latency target: smaller differences leave the weight at 1
+/// Per zone, the rotation uses as many upstreams as requests arrive in this time, but at least the minimum:
+/// each is sampled before other instances' load outdates its last sample, and few connections are needed.
 const WINDOW_SPAN: f64 = 0.25e6;
 const WINDOW_MIN: f64 = 2.0;
 /// Key affinity skips an upstream that is this many times slower than the rotation's mean.
@@ -58,7 +58,7 @@
         let warm_rate = served / self.capacity.max(1.0);
         self.capacity = 0.0;
         let mut capacities = vec![0.0; self.kinds.len()];
-        let typical = self.class_stats[p.class].per_unit * self.class_stats[p.class].unit;
+        let typical = self.class_stats[p.class].per_unit * self.class_stats[p.class].units;
         let slack = SLACK * c.latency_target as f64;
         // A window of the ring in each zone; slow upstreams take up little of it.
         let window = (self.request_rate.now(self.now, RATE_SPAN) * WINDOW_SPAN).max(WINDOW_MIN);
@@ -100,7 +100,7 @@
         self.kinds.iter_mut().zip(capacities).for_each(|(k, capacity)| k.capacity = capacity);
         let too_few = |open: f64| open < f64::from(local_listed) * SPILL_SHARE;
         if too_few(f64::from(local_open)) || pool.is_empty() {
-            // Spill: other zones in this instance's order, until half as many as the own zone lists are in.
+            // Spill: adds other zones, in this instance's order, until the pool is no longer too small.
             for z in &self.zone_order {
                 pool.extend(remote.iter().filter(|c| c.zone == *z));
                 if !pool.is_empty() && !too_few(pool.len() as f64) {
--- a/crates/balancer/core/src/state.rs
+++ b/crates/balancer/core/src/state.rs
@@ -10,7 +10,8 @@
 /// Health of an upstream, from the outcomes of its attempts.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum State {
-    /// No response and no counted failure since it was added or last reset.
+    /// No response and no counted failure since it was added or restarted, or since the end of a local fault during which
+    /// it was excluded. `on_failure` decides which failures count.
     Unknown,
     Online,
     /// Excluded for a cooldown, which grows with consecutive failures.
@@ -59,8 +60,8 @@
     pub state: State,
     /// Counted transport failures in the current streak.
     pub failures: u32,
-    /// Failures since the last response that were not counted.
-    pub uncounted: u32,
+    /// Failures since the last response that were not counted because it was so recent (`TOLERATED`).
+    pub tolerated: u32,
     pub streak_start: Micros,
     pub last_failure: Micros,
     pub last_response: Micros,
@@ -84,6 +85,7 @@
 pub(crate) struct Candidate {
     /// Position in the ring.
     pub slot: usize,
+    /// Index in [`Balancer::upstreams`].
     pub i: usize,
     pub zone: u32,
     pub excluded: bool,
@@ -136,9 +138,9 @@
     pub outcome: Option<Outcome>,
     /// Sent to an upstream that was offline or dead.
     pub trial: bool,
-    /// Sent with the first-answer limit as its time limit.
+    /// Sent with a time limit of its own, `first_answer_limit`, instead of the client's.
     pub bounded: bool,
-    /// The first-answer limit has passed, which was taken as a failure.
+    /// No response within `first_answer_limit`, which was taken as a failure.
     pub overdue: bool,
     pub cancel_sent: bool,
 }
@@ -151,9 +153,10 @@
     /// When its latency target ends.
     pub target_at: Micros,
     pub deadline: Micros,
-    /// The cost hint in microseconds, 1 without a hint.
-    pub unit: f64,
-    /// Expected response time at an idle upstream of typical speed.
+    /// Its size, to which its work is proportional: the cost hint in microseconds, or 1 without a hint.
+    pub units: f64,
+    /// Its work: the response time, in microseconds, expected at an idle upstream of typical speed. Loads, work rates and
+    /// token buckets are sums of this.
     pub work: f64,
     /// Maximum number of attempts.
     pub cap: usize,
@@ -167,10 +170,10 @@
 /// Estimates for one class of requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassStats {
-    /// Typical response time per unit.
+    /// Typical response time per unit of [`Pending::units`].
     pub per_unit: f64,
-    /// Typical units of a request (see [`Pending::unit`]).
-    pub unit: f64,
+    /// Typical value of [`Pending::units`].
+    pub units: f64,
     /// Responses that `per_unit` was learnt from.
     pub samples: f64,
     /// The time budget that most requests arrive with, by majority vote.
@@ -290,12 +293,24 @@
         key: Option<u64>,
         target_at: Micros,
         deadline: Micros,
-        unit: f64,
+        units: f64,
         work: f64,
         cap: usize,
     ) -> Self {
         let (attempts, in_flight, finished, streaming) = (Vec::new(), 0, false, false);
-        Pending { class, key, target_at, deadline, unit, work, cap, attempts, in_flight, finished, streaming }
+        Pending {
+            class,
+            key,
+            target_at,
+            deadline,
+            units,
+            work,
+            cap,
+            attempts,
+            in_flight,
+            finished,
+            streaming,
+        }
     }
 
     /// The number of attempts that an upstream may have received.
@@ -311,7 +326,7 @@
             entry,
             state: State::Unknown,
             failures: 0,
-            uncounted: 0,
+            tolerated: 0,
             streak_start: LONG_AGO,
             last_failure: LONG_AGO,
             last_response: LONG_AGO,
