--- a/crates/control/raft/src/leader.rs
+++ b/crates/control/raft/src/leader.rs
@@ -113,7 +113,7 @@
                 next: last,
                 in_flight: 0,
                 probing: true,
-                round: 0,
+                confirmed_round: 0,
                 snapshot: None,
                 responded: true,
             });
--- a/crates/control/raft/src/proposal.rs
+++ b/crates/control/raft/src/proposal.rs
@@ -110,7 +110,8 @@
         let (me, group) = (self.me, self.group().clone());
         let Role::Leader(lead) = &mut self.role else { return };
         while let Some(&(number, round, index)) = lead.reads.front() {
-            let has_confirmed = |v: &&Node| **v == me || lead.peers.get(v).is_some_and(|p| p.round >= round);
+            let has_confirmed =
+                |v: &&Node| **v == me || lead.peers.get(v).is_some_and(|p| p.confirmed_round >= round);
             if group.voters.iter().filter(has_confirmed).count() < group.majority() {
                 return;
             }
--- a/crates/control/raft/src/replication.rs
+++ b/crates/control/raft/src/replication.rs
@@ -117,14 +117,14 @@
         }
         if !self.check_invariant(
             matched.is_none_or(|m| m <= last_index),
-            "Leader Append-Only, RP 5.3: no follower matches beyond the end of the leader's log",
+            "RP 5.3: a follower's matching index is at most the last index of the leader, which never truncates its log",
         ) {
             return;
         }
         let Role::Leader(lead) = &mut self.role else { return };
         let Some(p) = lead.peers.get_mut(&from) else { return };
         (p.heard_at, p.gone, p.responded) = (now, gone, true);
-        p.round = p.round.max(round);
+        p.confirmed_round = p.confirmed_round.max(round);
         p.in_flight = p.in_flight.saturating_sub(1);
         let mut resend = false;
         match matched {
@@ -165,7 +165,7 @@
         let Role::Leader(lead) = &mut self.role else { return };
         let Some(p) = lead.peers.get_mut(&from).filter(|_| term == self.hard_state.term) else { return };
         (p.heard_at, p.responded) = (now, true);
-        p.round = p.round.max(round);
+        p.confirmed_round = p.confirmed_round.max(round);
         if p.snapshot.is_some_and(|s| s.0 == index) {
             p.snapshot = Some((index, next, false));
         }
--- a/crates/control/raft/src/role.rs
+++ b/crates/control/raft/src/role.rs
@@ -29,7 +29,8 @@
     pub(crate) in_flight: usize,
     /// Whether its matching index is still being searched for; only one message with entries is then in flight.
     pub(crate) probing: bool,
-    pub(crate) round: u64,
+    /// The latest of the leader's rounds that it has responded to; it confirms the reads up to that round.
+    pub(crate) confirmed_round: u64,
     /// The snapshot being sent to it: its index, the next offset in bytes, and whether a chunk is in flight.
     pub(crate) snapshot: Option<(Index, u64, bool)>,
     /// Whether it has responded since the last heartbeat.
@@ -41,6 +42,7 @@
     pub(crate) peers: BTreeMap<Node, Progress>,
     /// The index of the first entry of its term.
     pub(crate) first_index: Index,
+    /// Incremented by each read and returned in responses, which show by it which reads they confirm (D 6.4).
     pub(crate) round: u64,
     pub(crate) heartbeat_at: Instant,
     /// Pending reads: number, round that confirms it, commit index when it was requested.
