--- a/crates/control/quota/src/allowance.rs
+++ b/crates/control/quota/src/allowance.rs
@@ -15,9 +15,9 @@
 /// Kinds of requests, each counted against a quota of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum RequestKind {
-    /// Status and notice-board reads.
+    /// Reads, of a status or of the service's notice board. Each one is counted, whatever its order number.
     Read,
-    /// Confirmations and postings.
+    /// Writes without large bodies: confirmations and postings.
     Confirmation,
     /// Requests with large bodies.
     Upload,
@@ -71,7 +71,8 @@
 pub enum WhenExhausted {
     /// It is rejected.
     Reject,
-    /// It is served uncounted, slowed like the reads of a member whose trial has lapsed. Reads only.
+    /// It is served uncounted, with the delay that `silvercross-throttle` gives the reads of a member whose
+    /// trial period has ended. Reads only.
     Slow,
 }
 
@@ -94,7 +95,7 @@
     /// What happens to requests beyond the quota.
     pub when_exhausted: WhenExhausted,
     /// Whether every request with an order number is sent to the owner, so that a repeat is detected immediately on
-    /// all nodes.
+    /// all nodes. Otherwise a node may count it against a lease that it holds.
     pub strict: bool,
 }
 
@@ -107,7 +108,8 @@
     pub version: u64,
     /// Length of a window.
     pub window_length: Duration,
-    /// Header that carries the order number, in lower case; requests without it are counted individually.
+    /// Name, in lower case, of the header with the order number: an idempotency key, by which all attempts of an order
+    /// are counted once. Requests without it are counted individually.
     pub order_header: Option<String>,
     /// What a node does while it cannot reach the owner of the member's quota state.
     pub when_unreachable: WhenUnreachable,
--- a/crates/control/quota/src/config.rs
+++ b/crates/control/quota/src/config.rs
@@ -9,8 +9,8 @@
     pub lease_duration: Duration,
     /// How much longer than that the owner waits before it marks a lease as lost. Covers differences in clock rate.
     pub expiry_margin: Duration,
-    /// A node that was not stepped for longer stops using its leases; an owner counts at most this much time between
-    /// two steps.
+    /// Maximum time between two calls that pass the time to [`crate::QuotaLeases`] or [`crate::WindowTimer`], such as
+    /// `tick`. After a longer gap a node stops using its leases; an owner counts only this much of the gap.
     pub max_step: Duration,
     /// Time after which an unanswered call is sent again.
     pub retry_interval: Duration,
--- a/crates/control/quota/src/leases/request.rs
+++ b/crates/control/quota/src/leases/request.rs
@@ -35,8 +35,8 @@
         /// Units free, according to the owner's last answer.
         free: u64,
     },
-    /// The quota is exhausted, and by the operator's configuration the request is served uncounted, slowed like the
-    /// reads of a member whose trial has lapsed.
+    /// The quota is exhausted, and by the operator's configuration the request is served uncounted, with the delay
+    /// that `silvercross-throttle` gives the reads of a member whose trial period has ended.
     Slowed {
         /// The current window.
         window: u64,
@@ -106,11 +106,12 @@
     pub given_up: u64,
     /// Units that were not used but could not be given back because their lease was settled.
     pub forfeited: u64,
-    /// Times this node was not stepped for too long and stopped using its leases.
+    /// Gaps longer than [`crate::QuotaConfig::max_step`], after which this node stopped using its leases.
     pub missed_steps: u64,
 }
 
 impl std::hash::Hash for Metrics {
-    /// Ignores the counters, so that a search treats states that differ only in them as one.
+    /// Ignores the counters, so that the exhaustive search of states (tests/exhaustive.rs) treats states that differ
+    /// only in them as one.
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
--- a/crates/control/quota/src/lib.rs
+++ b/crates/control/quota/src/lib.rs
@@ -1,4 +1,5 @@
 //! A quota shared by all nodes, decided without I/O: the units that a member may use in a window, counted across nodes.
+//! A member is a party that sends requests to the service, not a node of the cluster.
 //!
 //! - [`Allowance`]: what an operator allows, parsed by [`parse()`] and merged in an [`AllowanceSet`].
 //! - [`QuotaState`]: a member's usage, kept in the control store under [`QUOTA_KEY_PREFIX`] and the member's name.
