--- a/crates/control/quota/src/leases/waiting.rs
+++ b/crates/control/quota/src/leases/waiting.rs
@@ -87,7 +87,7 @@
                 if reason == RejectionReason::Exhausted && self.slows_when_exhausted(member, request.kind) {
                     self.metrics.slowed += 1;
                     Decision::Slowed { window }
-                } else if reason == RejectionReason::NotAllowed {
+                } else if reason == RejectionReason::NoQuota {
                     Decision::Uncounted
                 } else {
                     self.metrics.rejected += 1;
--- a/crates/control/quota/src/protocol.rs
+++ b/crates/control/quota/src/protocol.rs
@@ -141,7 +141,7 @@
     /// A limit on tracked leases, nodes or orders is reached.
     LimitReached,
     /// The kind has no quota, or the member has no allowance.
-    NotAllowed,
+    NoQuota,
     /// The node has made a later call or has a later incarnation, or another allowance has the same version.
     Superseded,
     /// The change is not valid for this quota state.
@@ -158,7 +158,7 @@
     (RejectionReason::LeasedElsewhere, "busy"),
     (RejectionReason::NearlyExhausted, "near"),
     (RejectionReason::LimitReached, "full"),
-    (RejectionReason::NotAllowed, "unset"),
+    (RejectionReason::NoQuota, "unset"),
     (RejectionReason::Superseded, "stale"),
     (RejectionReason::Invalid, "invalid"),
     (RejectionReason::OwnerUnreachable, "away"),
--- a/crates/control/quota/src/state/quota_state.rs
+++ b/crates/control/quota/src/state/quota_state.rs
@@ -154,7 +154,7 @@
     /// The reason why `units` more cannot be granted, if they cannot.
     pub(super) fn shortage(&self, kind: RequestKind, units: u64) -> Option<RejectionReason> {
         if self.allowance.as_ref().and_then(|allowance| allowance.quota(kind)).is_none() {
-            return Some(RejectionReason::NotAllowed);
+            return Some(RejectionReason::NoQuota);
         }
         let free = self.free_units(kind);
         if units <= free {
--- a/crates/control/quota/tests/wire_bytes.rs
+++ b/crates/control/quota/tests/wire_bytes.rs
@@ -89,7 +89,7 @@
         RejectionReason::LeasedElsewhere,
         RejectionReason::NearlyExhausted,
         RejectionReason::LimitReached,
-        RejectionReason::NotAllowed,
+        RejectionReason::NoQuota,
         RejectionReason::Superseded,
         RejectionReason::Invalid,
         RejectionReason::OwnerUnreachable,
