--- a/crates/balancer/core/src/interface.rs
+++ b/crates/balancer/core/src/interface.rs
@@ -25,7 +25,7 @@
 
 /// Whether a request that may have been executed can be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Repeatability {
     /// Any number of times.
     Repeatable,
     /// Within the group that drops duplicates, for `window` from the send of an attempt that may have been executed.
@@ -54,7 +54,7 @@
     /// Share of the value that a response past the latency target still earns.
     pub late_value_share: f64,
     /// Whether a request may be executed again.
-    pub effect: Effect,
+    pub repeatability: Repeatability,
     /// The response is a stream.
     pub stream: bool,
     /// Maximum number of upstreams that may receive a request; `None`: the number of attempts. An upstream that rejected
--- a/crates/balancer/core/src/policy/attempts.rs
+++ b/crates/balancer/core/src/policy/attempts.rs
@@ -18,7 +18,7 @@
         let own_limit = limit < p.deadline - now;
         // Without hedging, a late attempt has to be given up before the next one can be sent.
         let c = &self.cfg.classes[p.class];
-        let sequential = c.effect != Effect::Once && !self.cfg.may_hedge;
+        let sequential = c.repeatability != Repeatability::Once && !self.cfg.may_hedge;
         let may_add = p.attempts.len() + 1 < p.cap && c.max_receivers.is_none_or(|n| p.receivers() + 1 < n);
         let bounded = own_limit && sequential && may_add && now + limit < p.target_at;
         let expected = self.expected_slowdown(&self.upstreams[i]) * (work + self.upstreams[i].load);
--- a/crates/balancer/core/src/policy/pick.rs
+++ b/crates/balancer/core/src/policy/pick.rs
@@ -36,14 +36,14 @@
 }
 
 impl Balancer {
-    /// Where the effect rules let this request go now: anywhere, a group, or (`None`) nowhere.
+    /// Where repeatability lets this request go now: anywhere, a group, or (`None`) nowhere.
     pub(super) fn allowed_scope(&self, p: &Pending) -> Option<Option<(DedupGroup, usize)>> {
         let Some(first) = p.attempts.iter().find(|a| a.may_be_received()) else { return Some(None) };
-        match self.cfg.classes[p.class].effect {
-            Effect::Repeatable => Some(None),
-            Effect::Once => None,
+        match self.cfg.classes[p.class].repeatability {
+            Repeatability::Repeatable => Some(None),
+            Repeatability::Once => None,
             // Each attempt that may have run starts a window; the earliest ends first.
-            Effect::Keyed { group, window } => {
+            Repeatability::Keyed { group, window } => {
                 (self.now < first.sent + window - MS).then_some(Some((group, first.upstream)))
             }
         }
@@ -120,7 +120,7 @@
                 }
             }
         }
-        if c.effect == Effect::Once && pool.iter().any(|c| !c.excluded) {
+        if c.repeatability == Repeatability::Once && pool.iter().any(|c| !c.excluded) {
             // A request that can't be sent again is not used as a trial.
             pool.retain(|c| !c.excluded);
         }
--- a/crates/balancer/core/tests/common/mod.rs
+++ b/crates/balancer/core/tests/common/mod.rs
@@ -6,7 +6,7 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(repeatability: Repeatability) -> Class {
     let (latency_target, deadline) = (500 * MS, 2 * S);
     let (value, late_value_share, target_per_work, stream, max_receivers) = (1.0, 0.0, 0.0, false, None);
     Class {
@@ -15,22 +15,22 @@
         deadline,
         value,
         late_value_share,
-        effect,
+        repeatability,
         stream,
         max_receivers,
         cross_zone_cost: 0.0,
     }
 }
 
-pub fn keyed(group: DedupGroup) -> Effect {
-    Effect::Keyed { group, window: S }
+pub fn keyed(group: DedupGroup) -> Repeatability {
+    Repeatability::Keyed { group, window: S }
 }
 
 /// Settings with classes 0 to 4: repeatable, once, keyed over all upstreams, in a zone, in a cell.
 pub fn settings() -> Settings {
-    let effects = [
-        Effect::Repeatable,
-        Effect::Once,
+    let repeatabilities = [
+        Repeatability::Repeatable,
+        Repeatability::Once,
         keyed(DedupGroup::All),
         keyed(DedupGroup::Zone),
         keyed(DedupGroup::Cell),
@@ -40,7 +40,7 @@
         instance_index: 0,
         own_zone: 0,
         zones: 2,
-        classes: effects.into_iter().map(class).collect(),
+        classes: repeatabilities.into_iter().map(class).collect(),
         tenants: Vec::new(),
         over_share_value: 1.0,
         value_per_work: false,
--- a/crates/balancer/core/tests/rules.rs
+++ b/crates/balancer/core/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules on final answers, effects, drains and cold upstreams, checked from the actions alone over arbitrary legal
+//! The rules on final answers, repeatability, drains and cold upstreams, checked from the actions alone over arbitrary legal
 //! event sequences. No upstream is modelled.
 mod common;
 use common::*;
@@ -96,9 +96,9 @@
                 self.check_final(id);
                 let r = &self.requests[&id];
                 let may_have_run = r.attempts.iter().any(|t| !not_executed(t.ended));
-                let harmless = match self.settings.classes[r.class].effect {
-                    Effect::Repeatable | Effect::Keyed { group: DedupGroup::All, .. } => true,
-                    Effect::Keyed { .. } | Effect::Once => !may_have_run,
+                let harmless = match self.settings.classes[r.class].repeatability {
+                    Repeatability::Repeatable | Repeatability::Keyed { group: DedupGroup::All, .. } => true,
+                    Repeatability::Keyed { .. } | Repeatability::Once => !may_have_run,
                 };
                 if !harmless {
                     self.fail("refused though it may have been executed", id);
@@ -143,10 +143,10 @@
             wrong.push("two attempts in flight together");
         }
         for t in r.attempts.iter().filter(|t| !not_executed(t.ended)) {
-            match self.settings.classes[r.class].effect {
-                Effect::Repeatable => {}
-                Effect::Once => wrong.push("sent again though it may have been executed"),
-                Effect::Keyed { group, window } => {
+            match self.settings.classes[r.class].repeatability {
+                Repeatability::Repeatable => {}
+                Repeatability::Once => wrong.push("sent again though it may have been executed"),
+                Repeatability::Keyed { group, window } => {
                     let first = self.entries[&t.upstream];
                     let same = match group {
                         DedupGroup::All => true,
--- a/crates/balancer/facade/src/lib.rs
+++ b/crates/balancer/facade/src/lib.rs
@@ -7,8 +7,8 @@
 //! final answer for each request, none after its deadline, and no attempt after the answer.
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
 use silvercross_core::interface::{
-    Action, Decide, DedupGroup, Effect, Ended, Entry, Event, Lifecycle, ListKind, Micros, NewRequest,
-    Outcome, RequestId, Settings, UpstreamId,
+    Action, Decide, DedupGroup, Ended, Entry, Event, Lifecycle, ListKind, Micros, NewRequest, Outcome,
+    Repeatability, RequestId, Settings, UpstreamId,
 };
 use silvercross_core::policy;
 use silvercross_net::table::Handle;
@@ -411,8 +411,8 @@
 
     /// Whether requests of a class carry a key by which upstreams drop duplicates.
     pub fn is_keyed(&self, class: u32) -> bool {
-        let effect = self.settings.classes.get(class as usize).map(|c| c.effect);
-        matches!(effect, Some(Effect::Keyed { .. }))
+        let repeatability = self.settings.classes.get(class as usize).map(|c| c.repeatability);
+        matches!(repeatability, Some(Repeatability::Keyed { .. }))
     }
 
     /// Deadline of a class.
@@ -423,9 +423,9 @@
     /// For how long a request of a class can be repeated at any upstream, whichever received it first; `None`: not at
     /// every upstream.
     pub fn repeat_window(&self, class: u32) -> Option<Micros> {
-        match self.settings.classes.get(class as usize)?.effect {
-            Effect::Keyed { group: DedupGroup::All, window } => Some(window),
-            Effect::Repeatable => Some(NO_LIMIT),
+        match self.settings.classes.get(class as usize)?.repeatability {
+            Repeatability::Keyed { group: DedupGroup::All, window } => Some(window),
+            Repeatability::Repeatable => Some(NO_LIMIT),
             _ => None,
         }
     }
--- a/crates/balancer/settings/src/lib.rs
+++ b/crates/balancer/settings/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod migrate;
 
 use serde::Deserialize;
-use silvercross_core::interface::{Class, DedupGroup, Effect, Micros, Prices, Settings, Tenant};
+use silvercross_core::interface::{Class, DedupGroup, Micros, Prices, Repeatability, Settings, Tenant};
 
 /// The names behind the indices in the settings, and what only a program with sockets needs. The core does not use these.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -331,10 +331,10 @@
         "cell" => DedupGroup::Cell,
         other => return Err(format!("settings: unknown dedup_scope {other:?}")),
     };
-    let effect = match c.effect.as_str() {
-        "repeatable" => Effect::Repeatable,
-        "by_key" => Effect::Keyed { group, window: seconds(c.key_ttl_s) },
-        "once" => Effect::Once,
+    let repeatability = match c.effect.as_str() {
+        "repeatable" => Repeatability::Repeatable,
+        "by_key" => Repeatability::Keyed { group, window: seconds(c.key_ttl_s) },
+        "once" => Repeatability::Once,
         other => return Err(format!("settings: unknown effect {other:?}")),
     };
     Ok(Class {
@@ -343,7 +343,7 @@
         deadline: seconds(c.deadline_s),
         value: c.importance,
         late_value_share: c.late_value,
-        effect,
+        repeatability,
         stream: c.stream,
         max_receivers: None,
         cross_zone_cost: 0.0,
--- a/crates/daemon/mesh/src/service_balancer/settings.rs
+++ b/crates/daemon/mesh/src/service_balancer/settings.rs
@@ -1,7 +1,7 @@
 //! What the module is set to for a service: the operator's configuration and this sidecar's place in the mesh, translated
 //! into the module's settings.
 use super::upstream_host::UPSTREAM_KIND;
-use silvercross_core::interface::{Class, Effect, Prices, Settings};
+use silvercross_core::interface::{Class, Prices, Repeatability, Settings};
 use silvercross_mesh_config::{Route, RouteKind, RoutingTable};
 use silvercross_settings::ProxySettings;
 use silvercross_time::Duration;
@@ -119,7 +119,11 @@
         deadline: route.deadline.as_micros(),
         value: HIGHEST_VALUE / f64::from(1u32 << route.priority.min(MAX_PRIORITY)),
         late_value_share: LATE_VALUE_SHARE,
-        effect: if route.kind == RouteKind::Safe { Effect::Repeatable } else { Effect::Once },
+        repeatability: if route.kind == RouteKind::Safe {
+            Repeatability::Repeatable
+        } else {
+            Repeatability::Once
+        },
         stream: false,
         max_receivers: Some(route.max_attempts),
         cross_zone_cost: if route.kind == RouteKind::Upload { UPLOAD_CROSS_ZONE_COST } else { 0.0 },
--- a/crates/testing/emulator/src/baselines.rs
+++ b/crates/testing/emulator/src/baselines.rs
@@ -3,8 +3,8 @@
 //! estimate, no cold budget, no refusal. They stand for what a caller gets without this project.
 use crate::chance::mix;
 use silvercross_core::interface::{
-    Action, Decide, DedupGroup, Effect, Ended, Entry, Event, Lifecycle, ListKind, Micros, NewRequest,
-    Outcome, RequestId, Settings,
+    Action, Decide, DedupGroup, Ended, Entry, Event, Lifecycle, ListKind, Micros, NewRequest, Outcome,
+    Repeatability, RequestId, Settings,
 };
 use std::collections::BTreeMap;
 
@@ -73,10 +73,10 @@
     }
 
     fn choose(&mut self, o: &Open, now: Micros) -> Option<usize> {
-        let group = match (o.risky, self.settings.classes[o.class].effect) {
-            (None, _) | (_, Effect::Repeatable) => None,
-            (Some(_), Effect::Once) => return None,
-            (Some((first, sent)), Effect::Keyed { group, window }) => {
+        let group = match (o.risky, self.settings.classes[o.class].repeatability) {
+            (None, _) | (_, Repeatability::Repeatable) => None,
+            (Some(_), Repeatability::Once) => return None,
+            (Some((first, sent)), Repeatability::Keyed { group, window }) => {
                 (now < sent + window).then_some(Some((group, self.entries[first]?)))?
             }
         };
--- a/crates/testing/emulator/src/script.rs
+++ b/crates/testing/emulator/src/script.rs
@@ -2,7 +2,7 @@
 //! follows from the figures alone is checked here, once, so that nothing behind it needs to doubt them.
 use crate::figure_names::{is_name, Declared};
 use serde::Deserialize;
-use silvercross_core::interface::{Class, DedupGroup, Effect, Micros, Prices, Settings};
+use silvercross_core::interface::{Class, DedupGroup, Micros, Prices, Repeatability, Settings};
 use silvercross_settings::{seconds, ProxySettings};
 
 /// The most servers, sidecars, and requests of one run: tables and memory are sized by them.
@@ -802,10 +802,10 @@
             deadline: ms(k.deadline_ms),
             value: k.worth,
             late_value_share: k.late_worth,
-            effect: match (k.effect, k.group) {
-                (EffectSpec::Repeatable, _) => Effect::Repeatable,
-                (EffectSpec::Once, _) => Effect::Once,
-                (EffectSpec::Keyed, g) => Effect::Keyed {
+            repeatability: match (k.effect, k.group) {
+                (EffectSpec::Repeatable, _) => Repeatability::Repeatable,
+                (EffectSpec::Once, _) => Repeatability::Once,
+                (EffectSpec::Keyed, g) => Repeatability::Keyed {
                     group: match g {
                         GroupSpec::All => DedupGroup::All,
                         GroupSpec::Site => DedupGroup::Zone,
--- a/crates/testing/emulator/tests/broken_on_purpose.rs
+++ b/crates/testing/emulator/tests/broken_on_purpose.rs
@@ -57,7 +57,7 @@
     play_with(script, script.seed, &|mut settings: Settings, seed, now| {
         if how == How::RepeatsUnsafe {
             let all = settings.classes.iter_mut();
-            all.for_each(|c| c.effect = silvercross_core::interface::Effect::Repeatable);
+            all.for_each(|c| c.repeatability = silvercross_core::interface::Repeatability::Repeatable);
         }
         if how == How::NoColdBudget {
             settings.overload_multiple = 1e9;
