--- a/crates/balancer/core/src/policy/attempts.rs
+++ b/crates/balancer/core/src/policy/attempts.rs
@@ -18,7 +18,7 @@
         let own_limit = limit < p.deadline - now;
         // Without hedging, a late attempt has to be given up before the next one can be sent.
         let c = &self.cfg.classes[p.class];
-        let sequential = c.effect != Effect::Once && !self.cfg.may_hedge;
+        let sequential = c.repeatability != Repeatability::Once && !self.cfg.may_hedge;
         let may_add = p.attempts.len() + 1 < p.cap && c.max_receivers.is_none_or(|n| p.receivers() + 1 < n);
         let bounded = own_limit && sequential && may_add && now + limit < p.target_at;
         let expected = self.expected_slowdown(&self.upstreams[i]) * (work + self.upstreams[i].load);
@@ -102,12 +102,12 @@
                 let kind_rate = &mut self.kinds[self.upstreams[a.upstream].entry.kind as usize].work_rate;
                 kind_rate.add(self.now, RATE_SPAN, if served { work } else { 0.0 });
                 let took = if served { e.elapsed } else { self.cfg.classes[p.class].latency_target };
-                self.learn(p.class, p.unit, a.upstream, took, outcome != Outcome::Error);
+                self.learn(p.class, p.units, a.upstream, took, outcome != Outcome::Error);
             }
             Outcome::TimedOut if a.bounded && !a.overdue => self.on_failure(a.upstream, a.sent),
             Outcome::ConnectFailed | Outcome::Reset => self.on_failure(a.upstream, a.sent),
             // The client's limit: no proof of a fault, but a lower bound of the response time.
-            Outcome::TimedOut => self.learn(p.class, p.unit, a.upstream, e.elapsed, true),
+            Outcome::TimedOut => self.learn(p.class, p.units, a.upstream, e.elapsed, true),
             Outcome::Cancelled | Outcome::NotSent => {}
         }
         if e.request_over || outcome == Outcome::Served {
