--- a/crates/control/config-item/src/canonical.rs
+++ b/crates/control/config-item/src/canonical.rs
@@ -1,9 +1,9 @@
-//! One text for all ways to write the same JSON.
+//! The canonical text of a JSON value.
 
 use serde_json::{Number, Value};
 
-/// The text with keys in order, without blanks, and each number written in one way: 4 and 4.0 are the same. `None` if it
-/// is no JSON. On disk are hashes of this text: it must not change.
+/// Canonical form of a JSON text: keys sorted, no whitespace, and equal numbers written alike (4 and 4.0 are the same).
+/// `None` if it is not valid JSON. Hashes of this text are stored on disk, so it must not change.
 pub fn canonical_json(text: &str) -> Option<String> {
     let value = serde_json::from_str::<Value>(text).ok()?;
     let mut out = String::with_capacity(text.len());
@@ -11,7 +11,7 @@
     Some(out)
 }
 
-/// Recurses no deeper than what the JSON parser admits (128).
+/// The recursion depth is bounded by that of the JSON parser (128).
 fn write_value(out: &mut String, value: &Value) {
     match value {
         Value::Number(number) => out.push_str(&canonical_number(number)),
@@ -39,10 +39,11 @@
     }
 }
 
-/// A whole number in digits, however it was written; any other as the shortest text that reads back as it.
+/// An integer is written in digits, also if it was written as a float; any other number as the shortest text that
+/// parses to it.
 fn canonical_number(number: &Number) -> String {
     match number.as_f64().filter(|_| number.is_f64()) {
-        // Far above what a version or a size can be; beyond it the float's own text is as good.
+        // The bound keeps the cast exact and is far above any version or size; larger floats keep their own text.
         Some(float) if float.fract() == 0.0 && float.abs() < 1e30 => format!("{}", float as i128),
         _ => number.to_string(),
     }
--- a/crates/control/config-item/src/entry.rs
+++ b/crates/control/config-item/src/entry.rs
@@ -1,4 +1,4 @@
-//! What stands under a name: an item, or the tombstone of one.
+//! What is stored under a name: an item or its tombstone.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 
 use crate::canonical::canonical_json;
 
-/// Something an operator gave a version.
+/// A value with a version that the operator assigned.
 pub trait Versioned {
-    /// The item's version; of two under one name the higher stands.
+    /// The item's version; of two items with one name the higher version wins.
     fn version(&self) -> u64;
 }
 
-/// An item as it is used and as it was sent, with the fields that are not known here.
+/// An item, parsed and as it was sent.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Item<T> {
-    /// As it is used.
+    /// The parsed item.
     pub parsed: T,
-    /// Its JSON as sent, without blanks.
+    /// Its JSON as sent, without whitespace; includes fields that are unknown here.
     pub raw_json: String,
 }
 
 impl<T: PartialEq> PartialEq for Item<T> {
-    /// The same content: order of keys and the way a number is written don't matter.
+    /// Compares the content: the order of keys and the notation of numbers do not matter.
     fn eq(&self, other: &Self) -> bool {
         self.parsed == other.parsed
             && (self.raw_json == other.raw_json
@@ -30,25 +30,25 @@
     }
 }
 
-/// What stands under a name.
+/// What is stored under a name.
 #[derive(Clone, Debug, Encode, Decode)]
 pub enum Entry<T> {
-    /// An item.
+    /// The item is set.
     Set(Item<T>),
-    /// The item was withdrawn. Kept so that an older version of it does not come back.
+    /// The item was withdrawn. Kept so that an older version does not come back.
     Tombstone {
         /// The version of the withdrawal.
         version: u64,
-        /// Which withdrawal of the state it is, counted from 1; 0 as long as it is part of a call.
+        /// Position among all withdrawals that the state accepted, from 1; 0 while it is part of a call.
         order: u64,
     },
 }
 
-/// Names and what stands under them.
+/// Entries by name.
 pub type Entries<T> = BTreeMap<String, Entry<T>>;
 
 impl<T: PartialEq> PartialEq for Entry<T> {
-    /// Equal if they mean the same; when an item was withdrawn doesn't matter.
+    /// Compares the meaning: the order of a withdrawal does not matter.
     fn eq(&self, other: &Self) -> bool {
         match (self, other) {
             (Entry::Set(a), Entry::Set(b)) => a == b,
@@ -69,17 +69,17 @@
 }
 
 impl<T> Entry<T> {
-    /// An entry of an item that was just read.
+    /// The entry of an item that was just parsed.
     pub fn set(parsed: T, raw_json: String) -> Entry<T> {
         Entry::Set(Item { parsed, raw_json })
     }
 
-    /// An entry of a withdrawal that was just read.
+    /// The entry of a withdrawal that was just parsed.
     pub fn withdrawal(version: u64) -> Entry<T> {
         Entry::Tombstone { version, order: 0 }
     }
 
-    /// Forgets the JSON as sent, for nodes that only use the item.
+    /// Removes the JSON as sent, for nodes that need only the parsed item.
     pub fn clear_raw_json(&mut self) {
         if let Entry::Set(item) = self {
             item.raw_json.clear();
@@ -94,12 +94,12 @@
         }
     }
 
-    /// The item as it is used; `None` for a tombstone.
+    /// The parsed item; `None` for a tombstone.
     pub fn parsed(&self) -> Option<&T> {
         self.item().map(|item| &item.parsed)
     }
 
-    /// Which withdrawal of the state a tombstone is; `None` for an item.
+    /// The tombstone's position among all withdrawals that the state accepted; `None` for an item.
     pub fn tombstone_order(&self) -> Option<u64> {
         match self {
             Entry::Set(_) => None,
--- a/crates/control/config-item/src/error.rs
+++ b/crates/control/config-item/src/error.rs
@@ -1,18 +1,18 @@
-//! What is wrong with an item of an operator's call.
+//! Errors of items in an operator's call.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// What is wrong with a call: where, why, and what mends it. Operators read its text.
+/// Why a call is invalid: where, why, and how to fix it. Operators read its text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("item {item}, key {key}: {problem}")]
 pub struct ItemError<P: fmt::Display> {
-    /// The item's name, its position where it has none, or the part of the call it stands in.
+    /// The item's name, its position if it has no name, or the section of the call.
     pub item: String,
     /// The key in the item.
     pub key: String,
-    /// What is wrong and what mends it; boxed so that results stay small.
+    /// What is wrong and how to fix it; boxed so that results stay small.
     pub problem: Box<P>,
 }
 
@@ -22,57 +22,57 @@
         ItemError { item: item.into(), key: key.into(), problem: Box::new(problem.into()) }
     }
 
-    /// The same place, with the problem as another package puts it.
+    /// Converts the problem to another package's type and keeps the location.
     pub fn map<Q: fmt::Display>(self, problem: impl FnOnce(P) -> Q) -> ItemError<Q> {
         ItemError { item: self.item, key: self.key, problem: Box::new(problem(*self.problem)) }
     }
 }
 
-/// What may be wrong with any kind of item; in brackets what mends it.
+/// Problems that items of any kind can have; the text says in parentheses how to fix them.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ItemProblem {
-    /// A key that must be there is not.
+    /// A required key is missing.
     #[error("is missing (give it)")]
     Missing,
-    /// An item is something else than an object.
+    /// An item is not an object.
     #[error("is not an object (send each item as an object)")]
     ItemIsNoObject,
-    /// An optional object is something else.
+    /// The value of an optional object is of another type.
     #[error("is not an object (send an object or leave it out)")]
     NoObject,
-    /// An optional list is something else.
+    /// The value of an optional list is of another type.
     #[error("is not a list (send a list or leave it out)")]
     NoList,
-    /// The name has no characters.
+    /// The name is empty.
     #[error("is empty (give the item a name)")]
     EmptyName,
     /// The name is too long.
     #[error("is above {max_bytes} bytes (give a shorter one)")]
     NameTooLong {
-        /// The longest name that is taken.
+        /// Maximum length of a name.
         max_bytes: usize,
     },
-    /// One call sets a name to two contents.
+    /// One call sets a name twice with different content.
     #[error("stands twice with different content (keep one)")]
     TwoContents,
-    /// One call sets and withdraws a name at one version.
+    /// One call sets and withdraws a name at the same version.
     #[error("is set and dropped at the same edition (raise the edition that is to hold)")]
     SetAndWithdrawn,
-    /// A time must be longer than none.
+    /// A duration is not above 0.
     #[error("must be above 0 (give the seconds, fractions may be used)")]
     NoTime,
-    /// Another content has this version.
+    /// This version exists with different content.
     #[error("{version} stands already with other content (read the configuration, raise the edition)")]
     VersionTaken {
         /// The version.
         version: u64,
     },
-    /// The call would lead above a limit.
+    /// The call would exceed a limit on the number of items.
     #[error("would be {count}, above {max} (withdraw some first)")]
     TooMany {
-        /// How many there would be.
+        /// The resulting number.
         count: usize,
-        /// How many there may be.
+        /// The limit.
         max: usize,
     },
 }
--- a/crates/control/config-item/src/lib.rs
+++ b/crates/control/config-item/src/lib.rs
@@ -1,7 +1,7 @@
-//! What all items that an operator sends have in common, decided without I/O: each has a name and a version, the highest
-//! version of a name stands, and a withdrawn name leaves a tombstone so that an older version does not come back.
+//! Rules that all items of an operator share, without I/O: each has a name and a version, the highest version of a name
+//! wins, and a withdrawn name leaves a tombstone so that an older version does not come back.
 //!
-//! This package knows no kind of item: routes and destinations are in `silvercross-mesh-config`, members in
+//! The kinds of items are defined elsewhere: routes and destinations in `silvercross-mesh-config`, members in
 //! `silvercross-throttle`, allowances in `silvercross-quota`. Start reading at [`Entry`], then [`newer_entries`].
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
--- a/crates/control/config-item/src/merge.rs
+++ b/crates/control/config-item/src/merge.rs
@@ -1,22 +1,22 @@
-//! Merging the entries of a call into those that stand: the highest version of each name wins.
+//! Merges the entries of a call into the current ones: the highest version of each name wins.
 
 use std::collections::BTreeMap;
 
 use crate::entry::{Entries, Entry, Item, Versioned};
 
-/// The entries of a call that take the place of those that stand, by name.
+/// The entries of a call that replace the current ones, by name.
 pub type NewerEntries<'a, T> = BTreeMap<&'a str, &'a Entry<T>>;
 
-/// What a merge did.
+/// The result of a merge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MergeOutcome<F> {
-    /// Whether anything stands that did not stand before.
+    /// Whether any entry changed.
     pub is_changed: bool,
-    /// The tombstones that were forgotten for it.
+    /// The tombstones removed to stay within the limit.
     pub forgotten: Vec<F>,
 }
 
-/// A name that was withdrawn, and the version of its withdrawal.
+/// A withdrawn name and the version of its withdrawal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tombstone {
     /// The name.
@@ -25,11 +25,11 @@
     pub version: u64,
 }
 
-/// Those entries of a call that are of a higher version than what stands under their names. `conflict` is asked about
-/// each that has the same version with another content, by name and version; if it returns an error, that is the result.
+/// The entries of a call whose version is above that of the current entry. For each with the same version but different
+/// content, `conflict` is called with its name and version and may return an error.
 ///
 /// # Errors
-/// What `conflict` returns.
+/// The error of `conflict`.
 pub fn newer_entries<'a, T, E>(
     current: &Entries<T>,
     sent: &'a Entries<T>,
@@ -55,10 +55,10 @@
     Ok(newer)
 }
 
-/// The same for an item of which there is one: what was sent, if it is of a higher version than what stands.
+/// The same for a single item without a name: the item sent, if its version is above the current one.
 ///
 /// # Errors
-/// What `conflict` returns, which is asked about the same version with another content.
+/// The error of `conflict`, if the version is the same and the content differs.
 pub fn newer_item<'a, T, E>(
     current: Option<&Item<T>>,
     sent: Option<&'a Item<T>>,
@@ -76,7 +76,7 @@
     }
 }
 
-/// What would stand with the newer entries in place.
+/// The items that would be in force with the newer entries.
 pub fn resulting_items<'a, T>(
     current: &'a Entries<T>,
     newer: &'a NewerEntries<'a, T>,
@@ -85,7 +85,7 @@
     kept.chain(newer.values().copied()).filter_map(Entry::parsed)
 }
 
-/// Put the newer entries in place. `withdrawals` counts the withdrawals taken so far and gives tombstones their order.
+/// Stores the newer entries. `withdrawals` counts the withdrawals accepted so far; tombstones get their order from it.
 pub fn store_entries<T: Clone>(current: &mut Entries<T>, newer: NewerEntries<'_, T>, withdrawals: &mut u64) {
     for (name, new) in newer {
         let entry = match new {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Forget the tombstones whose order is below `first_kept`, and return them by name.
+/// Removes the tombstones whose order is below `first_kept` and returns them in the order of their names.
 pub fn forget_tombstones<T: Versioned>(current: &mut Entries<T>, first_kept: u64) -> Vec<Tombstone> {
     let mut forgotten = Vec::new();
     current.retain(|name, entry| {
--- a/crates/control/config-item/src/parse.rs
+++ b/crates/control/config-item/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading what all items share out of an operator's JSON.
+//! Parses what all items share from an operator's JSON.
 
 use std::collections::btree_map::Entry as Slot;
 use std::fmt;
@@ -8,10 +8,10 @@
 use crate::entry::{Entries, Entry, Versioned};
 use crate::error::{ItemError, ItemProblem};
 
-/// A longer name of an item is rejected.
+/// Maximum length of an item's name.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// How errors name an item: by its name, or else by its position.
+/// How errors identify an item: by its name, or by its position if the name is missing or invalid.
 pub fn item_label(value: &Value, position: impl Fn() -> String) -> String {
     match value.get("name") {
         Some(Value::String(name)) if !name.is_empty() && name.len() <= MAX_NAME_BYTES => name.clone(),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether a name can be one.
+/// Checks the length of a name.
 ///
 /// # Errors
 /// [`ItemProblem::EmptyName`], [`ItemProblem::NameTooLong`].
@@ -66,8 +66,8 @@
     }
 }
 
-/// Take an item of a call. What the same call says of a name elsewhere must agree with it, except that a name may be set
-/// and withdrawn at two versions, of which the higher stands.
+/// Adds an entry to those of a call. Entries of one call with the same name must be equal, except that a name may be set
+/// and withdrawn at different versions, of which the higher wins.
 ///
 /// # Errors
 /// [`ItemProblem::TwoContents`], [`ItemProblem::SetAndWithdrawn`].
--- a/crates/control/config-item/src/route_kind.rs
+++ b/crates/control/config-item/src/route_kind.rs
@@ -1,13 +1,13 @@
-//! What may be done with the requests of a route.
+//! Kinds of routes.
 
 use bitcode::{Decode, Encode};
 
-/// What may be done with a route's requests.
+/// How a route's requests may be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum RouteKind {
-    /// Idempotent: may run more than once.
+    /// Idempotent: a request may run more than once.
     Safe,
-    /// Runs at most once for each attempt.
+    /// A request runs at most once for each attempt.
     Unsafe,
     /// Large bodies; otherwise as `Unsafe`.
     Upload,
@@ -21,7 +21,7 @@
         self == RouteKind::Safe
     }
 
-    /// Its name in an operator's call.
+    /// The kind's name in the operator's JSON.
     pub fn as_str(self) -> &'static str {
         match self {
             RouteKind::Safe => "safe",
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The kind of this name in an operator's call.
+    /// The kind with this name in the operator's JSON.
     pub fn parse(name: &str) -> Option<RouteKind> {
         RouteKind::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
--- a/crates/control/config-item/tests/items.rs
+++ b/crates/control/config-item/tests/items.rs
@@ -1,4 +1,4 @@
-//! Items of an operator: what is one content, which version stands, what is forgotten.
+//! Rules of items: when two contents are equal, which version wins, which tombstones are removed.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     list.into_iter().map(|(name, entry)| (name.to_string(), entry)).collect()
 }
 
-/// Put a call in force, as both owners of items do.
+/// Applies a call in the way that the packages defining kinds of items do.
 fn merge(current: &mut Entries<Number>, sent: &Entries<Number>, withdrawals: &mut u64) -> Result<bool, u64> {
     let newer = newer_entries(current, sent, |_, version| Err(version))?;
     let is_changed = !newer.is_empty();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn all_ways_to_write_a_content_are_one() {
+fn content_is_equal_in_any_notation() {
     assert_eq!(
         canonical_json(r#"{"b":[4.0,1e2],"a":null}"#),
         canonical_json(r#"{ "a": null, "b": [4, 100] }"#)
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn the_highest_version_of_a_name_stands_and_a_withdrawn_one_stays_away() {
+fn the_highest_version_of_a_name_wins_and_a_withdrawn_item_does_not_come_back() {
     let (mut current, mut withdrawals) = (Entries::new(), 0);
     let mut apply = |entry: Entry<Number>| merge(&mut current, &entries([("a", entry)]), &mut withdrawals);
     assert_eq!(apply(item(2, "2")), Ok(true));
-    assert_eq!(apply(item(2, "2.0")), Ok(false), "the same again");
-    assert_eq!(apply(item(2, "3")), Err(2), "one version, two contents");
-    assert_eq!(apply(item(1, "1")), Ok(false), "an older one");
+    assert_eq!(apply(item(2, "2.0")), Ok(false), "a repeat");
+    assert_eq!(apply(item(2, "3")), Err(2), "same version, different content");
+    assert_eq!(apply(item(1, "1")), Ok(false), "an older version");
     assert_eq!(apply(Entry::withdrawal(3)), Ok(true));
     assert_eq!(apply(item(2, "2")), Ok(false), "withdrawn");
     assert_eq!(apply(item(4, "4")), Ok(true));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_item_without_a_name_is_merged_alike() {
+fn an_item_without_a_name_is_merged_by_version() {
     let item = |version, raw_json: &str| Item { parsed: Number(version), raw_json: raw_json.to_string() };
     let (old, new, other) = (item(1, "1"), item(2, "2"), item(1, "3"));
     let newer = |current, sent| newer_item(current, sent, |version| version);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_would_stand_is_the_present_with_the_newer_in_place() {
+fn resulting_items_are_the_current_ones_with_newer_ones_replaced() {
     let current = entries([("a", item(1, "1")), ("b", item(1, "1")), ("c", Entry::withdrawal(1))]);
     let sent = entries([("a", Entry::withdrawal(2)), ("d", item(7, "7"))]);
     let newer = newer_entries(&current, &sent, |_, version| Err(version)).expect("no conflict");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn tombstones_are_forgotten_in_the_order_in_which_they_were_taken() {
+fn tombstones_are_removed_in_the_order_of_withdrawal() {
     let (mut current, mut withdrawals) = (Entries::new(), 0);
     for (name, version) in [("z", 5), ("a", 6), ("m", 7)] {
         let sent = entries([(name, Entry::withdrawal(version))]);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn one_call_may_set_and_withdraw_a_name_at_two_versions() {
+fn one_call_may_set_and_withdraw_a_name_at_different_versions() {
     let insert = |list: [Entry<Number>; 2]| -> Result<Entries<Number>, ItemError<ItemProblem>> {
         let mut entries = BTreeMap::new();
         for entry in list {
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn an_error_says_where_and_what_mends_it() {
+fn an_error_names_item_and_key_and_a_fix() {
     let error: ItemError<ItemProblem> =
         ItemError::new("a", "name", ItemProblem::NameTooLong { max_bytes: 256 });
     assert_eq!(error.to_string(), "item a, key name: is above 256 bytes (give a shorter one)");
 }
 
 #[test]
-fn route_kinds_are_read_by_the_names_they_are_written_by() {
+fn route_kinds_are_parsed_from_their_names() {
     for kind in [RouteKind::Safe, RouteKind::Unsafe, RouteKind::Upload] {
         assert_eq!(RouteKind::parse(kind.as_str()), Some(kind));
         assert_eq!(kind.is_idempotent(), kind == RouteKind::Safe);
