--- a/crates/control/config-item/src/parse.rs
+++ b/crates/control/config-item/src/parse.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Adds an entry to those of a call. Entries of one call with the same name must be equal, except that a name may be set
-/// and withdrawn at different versions, of which the higher wins.
+/// Adds an entry to those of a call. Entries of one call with the same name must be equal, except that a name may be
+/// set and withdrawn at different versions, of which the higher wins.
 ///
 /// # Errors
 /// [`ItemProblem::TwoContents`], [`ItemProblem::SetAndWithdrawn`].
--- a/crates/control/mesh-config/src/change.rs
+++ b/crates/control/mesh-config/src/change.rs
@@ -1,4 +1,4 @@
-//! What one call of the operator says.
+//! Parsed calls of an operator.
 
 use bitcode::{Decode, Encode};
 use silvercross_config_item::{Entries, Item};
@@ -9,8 +9,8 @@
 use crate::item_version::{ItemKind, ItemVersion};
 use crate::route::Route;
 
-/// What a call says of everything but members, checked as far as it can be without the present configuration. Holds at
-/// most what a body of [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES) says.
+/// Everything in a call but members, checked as far as possible without the current configuration. Its size is bounded
+/// by [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES).
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationChange {
     pub(crate) routes: Entries<Route>,
@@ -18,30 +18,30 @@
     pub(crate) limits: Option<Item<ClientLimits>>,
 }
 
-/// One call of the operator that says something of members.
+/// One call of the operator, members included.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationUpdate {
-    /// What it says of everything else.
+    /// Everything but members.
     pub configuration: ConfigurationChange,
-    /// What it says of members.
+    /// Members and how requests name them.
     pub members: MemberListChange,
 }
 
 impl ConfigurationChange {
     /// The change without these items.
     pub(crate) fn without(&self, items: &[ItemVersion<'_>]) -> ConfigurationChange {
-        let mut rest = self.clone();
+        let mut remaining = self.clone();
         for item in items {
             match item.kind {
-                ItemKind::Route => rest.routes.remove(item.name).is_some(),
-                ItemKind::Destination => rest.destinations.remove(item.name).is_some(),
+                ItemKind::Route => remaining.routes.remove(item.name).is_some(),
+                ItemKind::Destination => remaining.destinations.remove(item.name).is_some(),
                 _ => false,
             };
         }
-        rest
+        remaining
     }
 
-    /// The versions of all items it sets or withdraws.
+    /// The versions of all items that the call sets or withdraws.
     pub(crate) fn item_versions(&self) -> impl Iterator<Item = ItemVersion<'_>> {
         let routes = self.routes.iter().map(|(name, entry)| ItemVersion::of_route(name, entry));
         let destinations =
@@ -49,12 +49,12 @@
         routes.chain(destinations).chain(self.limits.as_ref().map(ItemVersion::of_limits))
     }
 
-    /// Whether the call names no item.
+    /// Whether the call contains no items.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many items the call sets or withdraws.
+    /// Number of items that the call sets or withdraws.
     pub fn len(&self) -> usize {
         self.routes.len() + self.destinations.len() + usize::from(self.limits.is_some())
     }
--- a/crates/control/mesh-config/src/client_limits.rs
+++ b/crates/control/mesh-config/src/client_limits.rs
@@ -1,17 +1,17 @@
-//! Limits of what a client may send, and how long it may take.
+//! Size and time limits for clients.
 
 use bitcode::{Decode, Encode};
 use silvercross_config_item::Versioned;
 use silvercross_time::Duration;
 
-/// What a client may send, and how long it may take.
+/// Size and time limits for clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClientLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Time for a request's head to come in.
+    /// Time within which a request's head must arrive.
     pub head_timeout: Duration,
     /// Time a connection may stay idle.
     pub idle_timeout: Duration,
@@ -20,7 +20,7 @@
 }
 
 impl Default for ClientLimits {
-    /// What is in force until an operator sends limits: wide, so that nothing proper is rejected.
+    /// The limits in force until an operator sends some: generous, so that no ordinary request is rejected.
     fn default() -> Self {
         ClientLimits {
             max_head_bytes: 64 << 10,
--- a/crates/control/mesh-config/src/configuration.rs
+++ b/crates/control/mesh-config/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Routes, destinations and limits in force.
+//! The routes, destinations and limits in force.
 
 use std::collections::BTreeMap;
 
@@ -21,14 +21,14 @@
 use crate::route::Route;
 use crate::wire::{CLIENT_LIMITS, ROUTES_OF_HOST, VIRTUAL_HOST, VIRTUAL_HOSTS};
 
-/// How many withdrawals are remembered by name, so that an older version of a withdrawn item does not come back. Beyond it
-/// those that were taken first are forgotten here; what is then known of them is in [`crate::History`].
+/// Maximum number of tombstones, which keep older versions of withdrawn items from coming back. Beyond it the oldest
+/// tombstones are removed; [`crate::History`] then keeps a version floor for groups of their names.
 pub const MAX_TOMBSTONES: usize = 65_536;
 
-/// A name that was withdrawn and is remembered.
+/// The tombstone of a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NamedTombstone<'a> {
-    /// What it was the name of.
+    /// The kind of item that had the name.
     pub kind: ItemKind,
     /// The name.
     pub name: &'a str,
@@ -36,16 +36,16 @@
     pub version: u64,
 }
 
-/// All items that stand, and the versions at which names were withdrawn. At most
-/// [`MAX_ITEMS`](crate::MAX_ITEMS) and [`MAX_TOMBSTONES`].
+/// All items in force and the tombstones of withdrawn ones. At most [`MAX_ITEMS`](crate::MAX_ITEMS) and
+/// [`MAX_TOMBSTONES`].
 ///
-/// Two are equal if the same stands in them, whenever it was withdrawn.
+/// Two are equal if they have the same items and tombstones, whatever the order of the withdrawals.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 pub struct Configuration {
     routes: Entries<Route>,
     destinations: Entries<Destination>,
     limits: Option<Item<ClientLimits>>,
-    /// Withdrawals taken so far.
+    /// Number of withdrawals accepted so far.
     withdrawals: u64,
 }
 
@@ -58,21 +58,21 @@
 impl State for Configuration {
     type Change = ConfigurationChange;
 
-    /// The highest version of each name stands, a lower one changes nothing, and the same version with another content is
-    /// a conflict. What the call would put in force is then checked as a whole. Items that change nothing are not checked
-    /// again: a late repeat of a superseded call stays acknowledged.
+    /// The highest version of each name wins and lower versions are ignored; the same version with different content is
+    /// a conflict. The resulting configuration is then checked as a whole. Items that change nothing are not checked
+    /// again, so that a late repeat of a superseded call is still acknowledged.
     fn apply(&mut self, change: &ConfigurationChange) -> Result<bool, Rejection> {
         self.merge(change).map(|outcome| outcome.is_changed)
     }
 }
 
 impl Configuration {
-    /// Apply a change as [`State::apply`] and say which tombstones were forgotten for it.
+    /// Applies a change like [`State::apply`] and returns the tombstones that were removed.
     pub(crate) fn merge(
         &mut self,
         change: &ConfigurationChange,
     ) -> Result<MergeOutcome<ForgottenTombstone>, Rejection> {
-        let newer = self.newer(change)?;
+        let newer = self.newer_items(change)?;
         if newer.is_empty() {
             return Ok(MergeOutcome { is_changed: false, forgotten: Vec::new() });
         }
@@ -89,10 +89,10 @@
         if let Some(limits) = limits {
             self.limits = Some(limits.clone());
         }
-        Ok(MergeOutcome { is_changed: true, forgotten: self.forget_first_tombstones() })
+        Ok(MergeOutcome { is_changed: true, forgotten: self.forget_oldest_tombstones() })
     }
 
-    fn newer<'a>(&self, change: &'a ConfigurationChange) -> Result<NewerItems<'a>, Rejection> {
+    fn newer_items<'a>(&self, change: &'a ConfigurationChange) -> Result<NewerItems<'a>, Rejection> {
         let conflict = |name: &str, version| {
             if mutation::is_active(Mutation::SameVersionTwice) {
                 return Ok(());
@@ -108,7 +108,7 @@
         })
     }
 
-    /// The version that stands of a name, set or withdrawn.
+    /// The current version of a name, set or withdrawn.
     pub(crate) fn current(&self, kind: ItemKind, name: &str) -> Option<ItemVersion<'_>> {
         match kind {
             ItemKind::Route => {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// All items that stand, each as it was sent, laid out as `deliver` in a call of the operator.
+    /// All items in force, each as it was sent, laid out like `deliver` in a call of the operator.
     pub fn to_json(&self) -> String {
         let destinations = self.destinations.values().filter_map(Entry::item);
         let destinations: Vec<&str> = destinations.map(|item| item.raw_json.as_str()).collect();
@@ -144,8 +144,8 @@
         out
     }
 
-    /// Forgets the JSON of all items as sent. What is left routes requests alike, and takes less than half of the bytes; it can't be
-    /// read back ([`to_json`](Self::to_json)) and takes no calls.
+    /// Removes the JSON of all items as sent, for less than half the size. The rest routes requests as before, but
+    /// [`to_json`](Self::to_json) no longer works and no changes may be applied.
     pub fn clear_raw_json(&mut self) {
         self.routes.values_mut().for_each(Entry::clear_raw_json);
         self.destinations.values_mut().for_each(Entry::clear_raw_json);
@@ -164,17 +164,17 @@
         &self.destinations
     }
 
-    /// The routes that stand, by name.
+    /// The routes in force, by name.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
         self.routes.values().filter_map(Entry::parsed)
     }
 
-    /// The destinations that stand, by name.
+    /// The destinations in force, by name.
     pub fn destinations(&self) -> impl Iterator<Item = &Destination> {
         self.destinations.values().filter_map(Entry::parsed)
     }
 
-    /// Names that were withdrawn and are remembered.
+    /// The tombstones of routes and destinations.
     pub fn tombstones(&self) -> impl Iterator<Item = NamedTombstone<'_>> {
         let routes =
             self.routes.iter().filter(|(_, entry)| entry.item().is_none()).map(|(name, entry)| {
@@ -192,18 +192,18 @@
         self.limits.as_ref().map(|item| &item.parsed)
     }
 
-    /// Whether no item stands.
+    /// Whether no item is in force.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many items stand.
+    /// Number of items in force.
     pub fn len(&self) -> usize {
         self.routes().count() + self.destinations().count() + usize::from(self.limits.is_some())
     }
 
-    /// Forget the tombstones that were taken first, down to the limit.
-    fn forget_first_tombstones(&mut self) -> Vec<ForgottenTombstone> {
+    /// Removes the oldest tombstones above the limit and returns them.
+    fn forget_oldest_tombstones(&mut self) -> Vec<ForgottenTombstone> {
         let routes = self.routes.values().filter_map(Entry::tombstone_order);
         let destinations = self.destinations.values().filter_map(Entry::tombstone_order);
         let mut orders: Vec<u64> = routes.chain(destinations).collect();
--- a/crates/control/mesh-config/src/consistency.rs
+++ b/crates/control/mesh-config/src/consistency.rs
@@ -1,4 +1,4 @@
-//! Whether what a call would put in force is valid as a whole.
+//! Checks that the configuration resulting from a call is valid as a whole.
 
 use std::collections::BTreeSet;
 
@@ -9,10 +9,10 @@
 use crate::error::{ConfigurationError, ConfigurationProblem};
 use crate::route::{check_path_prefixes, Route};
 
-/// No more items stand at a time; a call that would go beyond is rejected whole.
+/// Maximum number of items in force; a call that would exceed it is rejected as a whole.
 pub const MAX_ITEMS: usize = 16_384;
 
-/// What of a call would come into force.
+/// The items of a call that are newer than the current ones.
 pub(crate) struct NewerItems<'a> {
     pub(crate) routes: NewerEntries<'a, Route>,
     pub(crate) destinations: NewerEntries<'a, Destination>,
@@ -25,7 +25,7 @@
     }
 }
 
-/// What stands, and what would take its place.
+/// The current items and those that would replace them.
 pub(crate) struct Proposal<'a> {
     pub(crate) routes: &'a Entries<Route>,
     pub(crate) destinations: &'a Entries<Destination>,
@@ -34,8 +34,7 @@
 }
 
 impl Proposal<'_> {
-    /// Whether the configuration would be valid. Of what stands and does not change only that is checked which the newer
-    /// items may have made invalid.
+    /// Checks the resulting configuration. Unchanged items are checked only for what the newer items can make invalid.
     pub(crate) fn check(&self) -> Result<(), ConfigurationError> {
         self.check_destinations_of_newer_routes()?;
         self.check_withdrawn_destinations()?;
@@ -45,14 +44,14 @@
         self.check_count()
     }
 
-    fn will_stand(&self, destination: &str) -> bool {
+    fn will_be_in_force(&self, destination: &str) -> bool {
         let newer = self.newer.destinations.get(destination).copied();
         newer.or_else(|| self.destinations.get(destination)).is_some_and(|entry| entry.item().is_some())
     }
 
     fn check_destinations_of_newer_routes(&self) -> Result<(), ConfigurationError> {
         for route in self.newer.routes.values().filter_map(|entry| entry.parsed()) {
-            if let Some(missing) = route.split.iter().find(|to| !self.will_stand(&to.name)) {
+            if let Some(missing) = route.split.iter().find(|to| !self.will_be_in_force(&to.name)) {
                 let key = if route.split.len() == 1 { "destination" } else { "split" };
                 let problem = ConfigurationProblem::UnknownDestination { destination: missing.name.clone() };
                 return Err(ItemError::new(&route.name, key, problem));
--- a/crates/control/mesh-config/src/delivered_size.rs
+++ b/crates/control/mesh-config/src/delivered_size.rs
@@ -1,5 +1,5 @@
-//! How many bytes the items take at most as nodes get them: without their JSON text. A bound that is cheap to compute, so that the
-//! exact size has to be asked for only near a limit. Knows nothing of encodings but that none takes more than this.
+//! An upper bound on the encoded size of the items as delivered to nodes: without their JSON text. It is cheap to
+//! compute, so that the exact size is needed only near a limit. It assumes only that no encoding takes more than this.
 use silvercross_config_item::{Entries, Entry};
 
 use crate::change::ConfigurationChange;
@@ -7,14 +7,14 @@
 use crate::destination::Destination;
 use crate::route::{Route, WeightedDestination};
 
-/// What an item takes besides its texts: numbers, lengths, and the key that it stands under.
+/// Bytes of an item besides its strings: numbers, lengths and the overhead of its map key.
 const ITEM_BYTES: usize = 128;
-/// The same for a destination of a split, or a region.
+/// Bytes of a destination in a split, or of a region, besides its name.
 const ELEMENT_BYTES: usize = 16;
 
 fn route_bytes(route: &Route) -> usize {
-    let of_destination = |to: &WeightedDestination| to.name.len() + ELEMENT_BYTES;
-    let split: usize = route.split.iter().map(of_destination).sum();
+    let share_bytes = |to: &WeightedDestination| to.name.len() + ELEMENT_BYTES;
+    let split: usize = route.split.iter().map(share_bytes).sum();
     let regions: usize = route.regions.iter().map(|region| region.len() + ELEMENT_BYTES).sum();
     route.name.len() + route.virtual_host.len() + route.path_prefix.len() + split + regions
 }
@@ -30,7 +30,7 @@
 }
 
 impl Configuration {
-    /// The bytes that this takes on nodes, at most.
+    /// Upper bound on the bytes of the configuration as delivered to nodes.
     pub fn delivered_bytes_bound(&self) -> usize {
         let routes = entries_bytes(self.route_entries(), route_bytes);
         routes + entries_bytes(self.destination_entries(), destination_bytes) + ITEM_BYTES
@@ -38,7 +38,7 @@
 }
 
 impl ConfigurationChange {
-    /// The bytes by which a configuration on nodes grows with this, at most.
+    /// Upper bound on the bytes by which the change makes a delivered configuration grow.
     pub fn delivered_bytes_bound(&self) -> usize {
         let routes = entries_bytes(&self.routes, route_bytes);
         routes + entries_bytes(&self.destinations, destination_bytes) + ITEM_BYTES
--- a/crates/control/mesh-config/src/destination.rs
+++ b/crates/control/mesh-config/src/destination.rs
@@ -1,27 +1,28 @@
-//! Destinations: the services that requests go to.
+//! Destinations: the services that requests are sent to.
 
 use bitcode::{Decode, Encode};
 use silvercross_config_item::Versioned;
 use silvercross_time::Duration;
 
-/// A service that requests go to.
+/// A service that requests are sent to.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Destination {
-    /// Its identity.
+    /// The name, which identifies the item.
     pub name: String,
-    /// Where a health check asks an upstream. `/health` where none was sent.
+    /// Path of health checks. Default: `/health`.
     pub health_path: String,
-    /// How many connections an upstream accepts from all callers together; at least 1. `u32::MAX` where none was sent.
+    /// Maximum number of connections that an upstream accepts from all callers together; at least 1. Default:
+    /// `u32::MAX`.
     pub max_connections: u32,
-    /// How long an upstream is warming up after a start; none where none was sent.
+    /// How long an upstream warms up after a start. Default: 0.
     pub slow_start: Duration,
-    /// Requests a second that an upstream bears while it is warming up. Infinite where none was sent.
+    /// Requests per second that an upstream can handle while it warms up. Default: infinite.
     pub slow_start_rate: f64,
     /// The item's version.
     pub version: u64,
-    /// What its upstreams speak; `h1` where none was sent.
+    /// Protocol of the upstreams. Default: `h1`.
     pub protocol: String,
-    /// Whether its upstreams want TLS.
+    /// Whether the upstreams require TLS.
     pub tls: bool,
 }
 
--- a/crates/control/mesh-config/src/history.rs
+++ b/crates/control/mesh-config/src/history.rs
@@ -1,5 +1,5 @@
-//! Which versions were taken before those that stand: so that of two calls under one version only one is ever applied, and
-//! a call that was taken is acknowledged again, whatever was sent since.
+//! The versions accepted before the current ones. With them, of two calls with the same version and different content
+//! only one is ever applied, and a repeat of an accepted call is acknowledged, whatever was sent since.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 use crate::item_version::{stable_hash, ItemKind, ItemVersion, VersionDigest};
 use crate::mutation::{self, Mutation};
 
-/// So many superseded versions are remembered at least, the last ones, and at most twice as many: 16 bytes each. What is
-/// older is acknowledged whatever its content is.
+/// Minimum number of superseded versions that are kept, the most recent ones; at most twice as many are kept. Each
+/// takes 16 bytes. Older versions are acknowledged whatever their content.
 pub const MAX_SUPERSEDED: usize = 8_192;
 
-/// Into so many groups names are divided for the tombstones that are no longer remembered by name.
-const FLOORS: usize = 1_024;
+/// Number of groups into which names are hashed; each has one floor for the tombstones that were removed.
+const FLOOR_GROUPS: usize = 1_024;
 
-/// A withdrawal that is no longer remembered by name.
+/// A tombstone that was removed to stay within the limit.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ForgottenTombstone {
     pub(crate) kind: ItemKind,
@@ -23,46 +23,47 @@
     pub(crate) version: u64,
 }
 
-/// What is remembered of a version of an item that does not stand.
+/// What the history knows of a version that is not the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TakenBefore {
-    /// Nothing.
+pub(crate) enum PastVersion {
+    /// It is not in the history.
     Unknown,
-    /// It was taken with the same content.
+    /// It was accepted with the same content.
     SameContent,
-    /// It was taken with another content.
-    OtherContent,
+    /// It was accepted with different content.
+    DifferentContent,
 }
 
-/// What was taken and does not stand any more. At most twice [`MAX_SUPERSEDED`] versions and 1,024 floors, about 270 KB.
+/// Accepted versions that are no longer current. At most twice [`MAX_SUPERSEDED`] versions and 1,024 floors, about 270
+/// KB.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct History {
-    /// The content of each version, both as hashes. At most [`MAX_SUPERSEDED`]; when full it takes the place of `older`.
+    /// Content hash by version hash. At most [`MAX_SUPERSEDED`]; when full it replaces `older`.
     recent: BTreeMap<u64, u64>,
     older: BTreeMap<u64, u64>,
-    /// For each group of names the highest version of the withdrawals that are no longer remembered by name. Empty until
-    /// the first is forgotten.
+    /// For each group of names the highest version of the tombstones that were removed. Empty until the first is
+    /// removed.
     floors: Vec<Option<u64>>,
 }
 
 impl History {
-    /// Whether nothing is remembered.
+    /// Whether the history is empty.
     pub fn is_empty(&self) -> bool {
         self.recent.is_empty() && self.older.is_empty() && self.floors.is_empty()
     }
 
-    /// Whether this version was taken before.
-    pub(crate) fn taken_before(&self, item: &ItemVersion<'_>) -> TakenBefore {
+    /// Looks up whether this version was accepted before.
+    pub(crate) fn past_version(&self, item: &ItemVersion<'_>) -> PastVersion {
         let version = item.version_hash();
         match self.recent.get(&version).or_else(|| self.older.get(&version)) {
-            None => TakenBefore::Unknown,
-            Some(_) if mutation::is_active(Mutation::SupersededForgotten) => TakenBefore::Unknown,
-            Some(content) if *content == item.content_hash() => TakenBefore::SameContent,
-            Some(_) => TakenBefore::OtherContent,
+            None => PastVersion::Unknown,
+            Some(_) if mutation::is_active(Mutation::SupersededForgotten) => PastVersion::Unknown,
+            Some(content) if *content == item.content_hash() => PastVersion::SameContent,
+            Some(_) => PastVersion::DifferentContent,
         }
     }
 
-    /// Remember superseded versions; whether one of them was not known.
+    /// Records superseded versions; returns whether any of them is new.
     pub(crate) fn remember(&mut self, superseded: Vec<VersionDigest>) -> bool {
         let mut is_new = false;
         for VersionDigest { version, content } in superseded {
@@ -78,22 +79,22 @@
         is_new
     }
 
-    /// A withdrawal is no longer remembered by name.
+    /// Raises the floor of a removed tombstone's group.
     pub(crate) fn raise_floor(&mut self, forgotten: &ForgottenTombstone) {
         if self.floors.is_empty() {
-            self.floors = vec![None; FLOORS];
+            self.floors = vec![None; FLOOR_GROUPS];
         }
-        let floor = &mut self.floors[group(forgotten.kind, &forgotten.name)];
+        let floor = &mut self.floors[floor_group(forgotten.kind, &forgotten.name)];
         *floor = (*floor).max(Some(forgotten.version));
     }
 
-    /// The highest version at which this name, of which nothing is known, may have been withdrawn.
+    /// The highest version at which this name, if no entry is stored under it, may have been withdrawn.
     pub(crate) fn floor(&self, item: &ItemVersion<'_>) -> Option<u64> {
-        let floor = self.floors.get(group(item.kind, item.name)).copied().flatten();
+        let floor = self.floors.get(floor_group(item.kind, item.name)).copied().flatten();
         floor.filter(|_| !mutation::is_active(Mutation::TombstonesForgotten))
     }
 }
 
-fn group(kind: ItemKind, name: &str) -> usize {
-    (stable_hash(&[&[kind as u8], name.as_bytes()]) % FLOORS as u64) as usize
+fn floor_group(kind: ItemKind, name: &str) -> usize {
+    (stable_hash(&[&[kind as u8], name.as_bytes()]) % FLOOR_GROUPS as u64) as usize
 }
--- a/crates/control/mesh-config/src/item_version.rs
+++ b/crates/control/mesh-config/src/item_version.rs
@@ -1,4 +1,4 @@
-//! One version of one item: what a call sends of it, or what stands.
+//! One version of one item, either sent in a call or current.
 
 use std::hash::Hasher;
 
@@ -10,23 +10,23 @@
 use crate::destination::Destination;
 use crate::route::Route;
 
-/// What kind of item a name is of. Names of different kinds are independent. The numbers are part of hashes on disk.
+/// Kinds of items, each with its own names. The numbers are part of hashes stored on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemKind {
     /// A route.
     Route = 1,
     /// A destination.
     Destination = 2,
-    /// The limits of clients, which have no name.
+    /// The limits for clients, a single item without a name.
     ClientLimits = 3,
     /// A member.
     Member = 4,
-    /// How requests name members, which has no name.
+    /// How requests name members, a single item without a name.
     MemberIdentification = 5,
 }
 
 impl ItemKind {
-    /// Its name in events.
+    /// The kind's name in events.
     pub fn as_str(self) -> &'static str {
         match self {
             ItemKind::Route => "route",
@@ -38,11 +38,11 @@
     }
 }
 
-/// What was sent as an item, and what stands beside it in the call.
+/// The content of an item as sent, with what belongs to it elsewhere in the call.
 #[derive(Clone, Copy, Debug)]
 struct SentContent<'a> {
     raw_json: &'a str,
-    /// The host stands outside the item of a route; empty for other items.
+    /// The host of a route, which is sent outside the route's item; empty for other items.
     virtual_host: &'a str,
 }
 
@@ -52,11 +52,11 @@
     pub(crate) kind: ItemKind,
     pub(crate) name: &'a str,
     pub(crate) version: u64,
-    /// `None` if it is withdrawn.
+    /// `None` for a withdrawal.
     content: Option<SentContent<'a>>,
 }
 
-/// A version of an item and its content as numbers, to know them again by.
+/// Hashes of a version of an item and of its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct VersionDigest {
     pub(crate) version: u64,
@@ -87,7 +87,7 @@
         ItemVersion { kind, name: item.name.unwrap_or_default(), version: item.version, content }
     }
 
-    /// Whether the item is withdrawn by it.
+    /// Whether this version withdraws the item.
     pub(crate) fn is_withdrawal(&self) -> bool {
         self.content.is_none()
     }
@@ -96,12 +96,12 @@
         VersionDigest { version: self.version_hash(), content: self.content_hash() }
     }
 
-    /// One number for this version of this item.
+    /// Hash of kind, name and version.
     pub(crate) fn version_hash(&self) -> u64 {
         stable_hash(&[&[self.kind as u8], self.name.as_bytes(), &self.version.to_le_bytes()])
     }
 
-    /// One number for its content: the same for all ways to write it.
+    /// Hash of the content; the same for any notation of the same JSON.
     pub(crate) fn content_hash(&self) -> u64 {
         let Some(SentContent { raw_json, virtual_host }) = self.content else { return stable_hash(&[]) };
         let canonical = canonical_json(raw_json);
@@ -109,7 +109,8 @@
     }
 }
 
-/// SipHash-1-3 of the parts, each with its length. The same on every machine and in every build, for it is on disk.
+/// SipHash-1-3 of the parts, each preceded by its length. It is stored on disk, so it must be the same on every machine
+/// and in every build.
 pub(crate) fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher13::new();
     for part in parts {
--- a/crates/control/mesh-config/src/lib.rs
+++ b/crates/control/mesh-config/src/lib.rs
@@ -1,10 +1,10 @@
-//! The mesh's configuration, decided without I/O: the items an operator sends ([`parse_change`], [`parse_update`]), which of
-//! them are in force ([`Configuration`]: the highest version of each name stands, whether it sets or withdraws;
-//! [`ConfigurationWithMembers`] once members were sent; [`VersionedConfiguration`] with what stood before) and where a
-//! request goes ([`RoutingTable`]).
+//! The configuration of the mesh, without I/O: parsing the items that an operator sends ([`parse_change`],
+//! [`parse_update`]), deciding which of them are in force ([`Configuration`]: the highest version of each name wins,
+//! whether it sets or withdraws; [`ConfigurationWithMembers`] includes members; [`VersionedConfiguration`] includes the
+//! history of versions) and routing requests ([`RoutingTable`]).
 //!
-//! Nothing here knows who sends a call, how it is replicated (`silvercross-control-store`) or how a request is forwarded.
-//! What all items have in common is in `silvercross-config-item`, members are in `silvercross-throttle`.
+//! Replication (`silvercross-control-store`) and forwarding are separate. Rules common to all items are in
+//! `silvercross-config-item`, members in `silvercross-throttle`.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
--- a/crates/control/mesh-config/src/mutation.rs
+++ b/crates/control/mesh-config/src/mutation.rs
@@ -1,19 +1,20 @@
-//! Rules changed on purpose, so that tests of the model can see them caught.
+//! Rules broken on purpose, so that tests can show that the checkers detect each. Without the feature `mutants` they
+//! have no effect.
 
 use std::cell::Cell;
 
-/// A rule of applying a call that is changed; without the feature `mutants` nothing heeds it.
+/// A rule to break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Of two calls under one version both are applied.
+    /// Two calls with the same version and different content are both accepted.
     SameVersionTwice,
-    /// What was superseded is not remembered: of two calls under one superseded version both are applied.
+    /// Superseded versions are forgotten: two calls with the same superseded version are both accepted.
     SupersededForgotten,
-    /// A call that was taken is rejected once a later version stands.
+    /// A repeat of an accepted call is rejected once a later version is in force.
     RepeatRejected,
-    /// An item whose withdrawal is no longer remembered by name comes back.
+    /// An item whose tombstone was removed comes back.
     TombstonesForgotten,
-    /// What a rejected call supersedes, and was not known, is remembered all the same.
+    /// New versions superseded by a rejected call are recorded.
     RejectedCallRemembered,
 }
 
@@ -21,7 +22,7 @@
     static ACTIVE: Cell<Option<Mutation>> = const { Cell::new(None) };
 }
 
-/// Changes a rule on this thread until it is called again.
+/// Breaks one rule on this thread, or none.
 #[cfg(feature = "mutants")]
 #[doc(hidden)]
 pub fn set_mutation(mutation: Option<Mutation>) {
--- a/crates/control/mesh-config/src/parse.rs
+++ b/crates/control/mesh-config/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a call of the operator.
+//! Parses a call of the operator.
 
 mod client_limits;
 mod destination;
@@ -19,12 +19,12 @@
 
 pub use fields::MAX_DURATION;
 
-/// A longer body is rejected.
+/// Maximum length of a call's body.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
 
 const BODY: &str = "body";
 
-/// The lists that a call may have.
+/// The lists that a call may contain.
 struct KnownLists {
     deliver: &'static [&'static str],
     withdraw: &'static [&'static str],
@@ -40,27 +40,27 @@
     withdraw: &["routes", "destinations", "members"],
 };
 
-/// Read one call and check all that can be checked without the present configuration.
+/// Parses one call and checks everything that does not depend on the current configuration.
 ///
-/// Fields that are not known here are kept in their item. Lists that are not known here can't be kept, so a call that has
-/// items in one is rejected rather than acknowledged and lost.
+/// Unknown fields are kept in their item. Unknown lists cannot be kept, so a call with items in one is rejected;
+/// otherwise they would be acknowledged and lost.
 ///
 /// # Errors
-/// Whatever the bytes, the outcome is a value; with an error nothing of the call may come into force.
+/// Any input gives a result rather than a panic; on an error nothing of the call may be applied.
 pub fn parse_change(body: &[u8]) -> Result<ConfigurationChange, ConfigurationError> {
     let body = parse_body(body)?;
-    let Parts { deliver, withdraw } = parts(body, &WITHOUT_MEMBERS)?;
-    change(&deliver, &withdraw)
+    let Sections { deliver, withdraw } = sections(body, &WITHOUT_MEMBERS)?;
+    parse_items(&deliver, &withdraw)
 }
 
-/// The same, with the lists of members and how requests name them.
+/// The same, with members and how requests name them.
 ///
 /// # Errors
 /// As [`parse_change`].
 pub fn parse_update(body: &[u8]) -> Result<ConfigurationUpdate, ConfigurationError> {
     let body = parse_body(body)?;
-    let Parts { deliver, withdraw } = parts(body, &WITH_MEMBERS)?;
-    let configuration = change(&deliver, &withdraw)?;
+    let Sections { deliver, withdraw } = sections(body, &WITH_MEMBERS)?;
+    let configuration = parse_items(&deliver, &withdraw)?;
     let members: MemberListChange =
         parse_members(&deliver, &withdraw).map_err(|error| error.map(ConfigurationProblem::Member))?;
     Ok(ConfigurationUpdate { configuration, members })
@@ -71,31 +71,31 @@
         let problem = ConfigurationProblem::BodyTooLong { max_bytes: MAX_BODY_BYTES };
         return Err(ItemError::new(BODY, "length", problem));
     }
-    let no_json = |error: serde_json::Error| {
+    let json_error = |error: serde_json::Error| {
         ItemError::new(BODY, "json", ConfigurationProblem::NoJson { parser: error.to_string() })
     };
-    match serde_json::from_slice(body).map_err(no_json)? {
+    match serde_json::from_slice(body).map_err(json_error)? {
         Value::Object(body) => Ok(body),
         _ => Err(ItemError::new(BODY, "json", ConfigurationProblem::BodyIsNoObject)),
     }
 }
 
-/// What a call sets and what it withdraws.
-struct Parts {
+/// The sections of a call: what it sets and what it withdraws.
+struct Sections {
     deliver: Map<String, Value>,
     withdraw: Map<String, Value>,
 }
 
-fn parts(mut body: Map<String, Value>, known: &KnownLists) -> Result<Parts, ConfigurationError> {
+fn sections(mut body: Map<String, Value>, known: &KnownLists) -> Result<Sections, ConfigurationError> {
     check_known(BODY, &body, &[DELIVER, WITHDRAW])?;
     let deliver = take_object(BODY, &mut body, DELIVER)?;
     let withdraw = take_object(BODY, &mut body, WITHDRAW)?;
     check_known(DELIVER, &deliver, known.deliver)?;
     check_known(WITHDRAW, &withdraw, known.withdraw)?;
-    Ok(Parts { deliver, withdraw })
+    Ok(Sections { deliver, withdraw })
 }
 
-fn change(
+fn parse_items(
     deliver: &Map<String, Value>,
     withdraw: &Map<String, Value>,
 ) -> Result<ConfigurationChange, ConfigurationError> {
@@ -111,16 +111,16 @@
         change.limits = Some(Item { parsed, raw_json: value.to_string() });
     }
     for (i, value) in item_list(DELIVER, deliver, VIRTUAL_HOSTS)?.iter().enumerate() {
-        virtual_host(&format!("{VIRTUAL_HOSTS}[{i}]"), value, &mut change)?;
+        parse_virtual_host(&format!("{VIRTUAL_HOSTS}[{i}]"), value, &mut change)?;
     }
-    withdrawals("routes", withdraw, &mut change.routes)?;
-    withdrawals("destinations", withdraw, &mut change.destinations)?;
+    parse_withdrawals("routes", withdraw, &mut change.routes)?;
+    parse_withdrawals("destinations", withdraw, &mut change.destinations)?;
     check_path_prefixes(change.routes.values().filter_map(Entry::parsed))?;
     Ok(change)
 }
 
-/// The routes of one virtual host.
-fn virtual_host(
+/// Parses the routes of one virtual host.
+fn parse_virtual_host(
     position: &str,
     value: &Value,
     change: &mut ConfigurationChange,
@@ -144,7 +144,7 @@
     Ok(())
 }
 
-fn withdrawals<T: Versioned + PartialEq>(
+fn parse_withdrawals<T: Versioned + PartialEq>(
     key: &str,
     withdraw: &Map<String, Value>,
     entries: &mut Entries<T>,
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-/// Reject items in a list that is not known here.
+/// Rejects items in an unknown list.
 fn check_known(
     item: &str,
     map: &Map<String, Value>,
@@ -178,7 +178,7 @@
     Ok(())
 }
 
-/// An optional object, taken out of its map; empty if it is left out.
+/// Removes an optional object from its map; an absent one counts as empty.
 fn take_object(
     item: &str,
     map: &mut Map<String, Value>,
--- a/crates/control/mesh-config/src/parse/client_limits.rs
+++ b/crates/control/mesh-config/src/parse/client_limits.rs
@@ -1,4 +1,4 @@
-//! Reading the limits of clients.
+//! Parses the limits for clients.
 
 use serde::Deserialize;
 use silvercross_config_item::ItemError;
@@ -8,7 +8,7 @@
 use crate::client_limits::ClientLimits;
 use crate::error::{ConfigurationError, ConfigurationProblem};
 
-/// The limits as they are sent. Fields have their wire names where these differ.
+/// The limits as sent. Attributes give the external names where these differ.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct ClientLimitsForm {
@@ -24,7 +24,7 @@
     version: WholeNumber,
 }
 
-/// The limits of a form. Errors name them `item`.
+/// Converts the limits as sent. Errors identify them as `item`.
 pub(super) fn parse(item: &str, form: ClientLimitsForm) -> Result<ClientLimits, ConfigurationError> {
     let bytes = |key: &str, given: Option<WholeNumber>, default: u64| match given {
         None => Ok(default),
--- a/crates/control/mesh-config/src/parse/destination.rs
+++ b/crates/control/mesh-config/src/parse/destination.rs
@@ -1,4 +1,4 @@
-//! Reading a destination.
+//! Parses a destination.
 
 use serde::Deserialize;
 use silvercross_config_item::{check_name, ItemError};
@@ -11,7 +11,7 @@
 const DEFAULT_HEALTH_PATH: &str = "/health";
 const DEFAULT_PROTOCOL: &str = "h1";
 
-/// A destination as it is sent. Fields have their wire names where these differ.
+/// A destination as sent. Attributes give the external names where these differ.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct DestinationForm {
@@ -30,11 +30,11 @@
     version: WholeNumber,
 }
 
-/// The destination of a form. Errors name it `item`.
+/// Converts a destination as sent. Errors identify it as `item`.
 pub(super) fn parse(item: &str, form: DestinationForm) -> Result<Destination, ConfigurationError> {
     check_name(item, &form.name)?;
     let health_path = form.health_path.unwrap_or_else(|| DEFAULT_HEALTH_PATH.to_string());
-    // It becomes part of a request line.
+    // The path becomes part of a request line, so it must not contain whitespace or line breaks.
     if !health_path.starts_with('/') || !health_path.bytes().all(|b| b.is_ascii_graphic()) {
         return Err(ItemError::new(item, "healthPath", ConfigurationProblem::MalformedHealthPath));
     }
--- a/crates/control/mesh-config/src/parse/fields.rs
+++ b/crates/control/mesh-config/src/parse/fields.rs
@@ -1,4 +1,4 @@
-//! Values of items, read by the kind that each must be.
+//! Parses the fields of items by their types.
 
 use std::fmt;
 
@@ -11,31 +11,32 @@
 
 use crate::error::{ConfigurationError, ConfigurationProblem};
 
-/// No time in an item is longer (about 31 years): longer ones are cut to it, so that sums of times never overflow.
+/// Maximum duration in an item, about 31 years. Longer ones are clamped to it, so that sums of durations do not
+/// overflow.
 pub const MAX_DURATION: Duration = Duration::from_secs(1_000_000_000);
 
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Above this a float no longer tells neighbouring whole numbers apart (2^53).
+/// Largest float up to which all integers are represented exactly (2^53).
 const MAX_EXACT_FLOAT: f64 = 9_007_199_254_740_992.0;
 
-/// Read an item's fields. `figment` says which key doesn't fit and why.
+/// Parses an item's fields. Errors of `figment` name the offending key and the reason.
 pub(super) fn extract<T: DeserializeOwned>(item: &str, value: &Value) -> Result<T, ConfigurationError> {
     if !value.is_object() {
         return Err(ItemError::new(item, "item", ItemProblem::ItemIsNoObject));
     }
-    let wrong = |error: figment::Error| match error.kind {
+    let item_error = |error: figment::Error| match error.kind {
         Kind::MissingField(key) => ItemError::new(item, key.as_ref(), ItemProblem::Missing),
         kind => {
-            // The innermost key; numbers are positions in lists.
+            // The innermost key; numeric parts are positions in lists.
             let key = error.path.iter().rev().find(|part| part.parse::<usize>().is_err());
             ItemError::new(item, key.map_or("item", String::as_str), ConfigurationProblem::WrongValue(kind))
         }
     };
-    let fields = figment::value::Value::serialize(value).map_err(wrong)?;
-    fields.deserialize().map_err(wrong)
+    let fields = figment::value::Value::serialize(value).map_err(item_error)?;
+    fields.deserialize().map_err(item_error)
 }
 
-/// A time above 0, rounded to microseconds, of which there is at least one.
+/// A duration above 0, rounded to microseconds; at least 1 µs.
 pub(super) fn duration(item: &str, key: &str, seconds: f64) -> Result<Duration, ConfigurationError> {
     if !(seconds.is_finite() && seconds > 0.0) {
         return Err(ItemError::new(item, key, ItemProblem::NoTime));
@@ -44,7 +45,7 @@
     Ok(Duration::from_micros(micros as i64))
 }
 
-/// A name and version to withdraw. Fields have their wire names where these differ.
+/// A withdrawal as sent. Attributes give the external names where these differ.
 #[derive(Deserialize)]
 pub(super) struct WithdrawalForm {
     pub(super) name: String,
@@ -52,7 +53,7 @@
     pub(super) version: WholeNumber,
 }
 
-/// A whole number from 0 on, however it is written.
+/// A non-negative integer, also if it is written as a float.
 #[derive(Clone, Copy)]
 pub(super) struct WholeNumber(pub(super) u64);
 
@@ -76,8 +77,8 @@
     }
 
     fn visit_i64<E: Error>(self, number: i64) -> Result<WholeNumber, E> {
-        let wrong = |_| E::invalid_value(Unexpected::Signed(number), &self);
-        u64::try_from(number).map(WholeNumber).map_err(wrong)
+        let value_error = |_| E::invalid_value(Unexpected::Signed(number), &self);
+        u64::try_from(number).map(WholeNumber).map_err(value_error)
     }
 
     fn visit_f64<E: Error>(self, number: f64) -> Result<WholeNumber, E> {
--- a/crates/control/mesh-config/src/parse/route.rs
+++ b/crates/control/mesh-config/src/parse/route.rs
@@ -1,4 +1,4 @@
-//! Reading a route.
+//! Parses a route.
 
 use serde::Deserialize;
 use silvercross_config_item::{check_name, ItemError, RouteKind};
@@ -8,7 +8,7 @@
 use crate::route::{Route, WeightedDestination};
 use crate::wire::PATH_PREFIX;
 
-/// A route as it is sent. Fields have their wire names where these differ.
+/// A route as sent. Attributes give the external names where these differ.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct RouteForm {
@@ -34,7 +34,7 @@
     share: f64,
 }
 
-/// The route of a form, at a virtual host. Errors name it `item`.
+/// Converts a route of a virtual host as sent. Errors identify it as `item`.
 pub(super) fn parse(item: &str, virtual_host: &str, form: RouteForm) -> Result<Route, ConfigurationError> {
     check_name(item, &form.name)?;
     if !(form.path_prefix.starts_with('/') && form.path_prefix.ends_with('/')) {
@@ -50,7 +50,7 @@
         return Err(ItemError::new(item, "attempts", ConfigurationProblem::NoAttempts));
     }
     Ok(Route {
-        split: split(item, form.destination, form.split)?,
+        split: parse_split(item, form.destination, form.split)?,
         name: form.name,
         virtual_host: virtual_host.to_string(),
         path_prefix: form.path_prefix,
@@ -64,8 +64,8 @@
     })
 }
 
-/// The destinations of a route, which names one or a split over several.
-fn split(
+/// The destinations of a route, which names either one destination or a split.
+fn parse_split(
     item: &str,
     destination: Option<String>,
     shares: Option<Vec<ShareForm>>,
--- a/crates/control/mesh-config/src/route.rs
+++ b/crates/control/mesh-config/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests they are for and which destinations serve them.
+//! Routes: which requests they match and which destinations serve them.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -15,35 +15,36 @@
 pub struct WeightedDestination {
     /// The destination's name.
     pub name: String,
-    /// Its share, by the sum of all shares of the split; finite, 0 or above.
+    /// Its share, relative to the sum of all shares of the split; finite, 0 or above.
     pub weight: f64,
 }
 
-/// Requests to one virtual host whose path begins with a prefix.
+/// How requests to one virtual host with one path prefix are served.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
-    /// Its identity: a route that moves to another virtual host or prefix stays the same item.
+    /// The name, which identifies the item: a route that moves to another virtual host or prefix is still the same
+    /// item.
     pub name: String,
     /// The host, as the operator wrote it.
     pub virtual_host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// How the requests may be handled.
     pub kind: RouteKind,
-    /// The longest time a request may take; above 0.
+    /// Maximum duration of a request; above 0.
     pub deadline: Duration,
-    /// The time within which an answer has its full value; above 0. The deadline where none was sent.
+    /// The time within which an answer has its full value; above 0. Default: the deadline.
     pub latency_target: Duration,
     /// Its priority; 0 is the highest.
     pub priority: u32,
-    /// To how many upstreams one request may be sent; at least 1.
+    /// Maximum number of upstreams that one request may be sent to; at least 1.
     pub max_attempts: u32,
-    /// Destinations and their shares, of which one at least is above 0; one entry of share 1 where the operator named a
-    /// single destination. In a [`RoutingTable`](crate::RoutingTable) all shares are above 0.
+    /// Destinations and their shares, at least one of them above 0; a single entry with share 1 if the operator named
+    /// one destination. In a [`RoutingTable`](crate::RoutingTable) all shares are above 0.
     pub split: Vec<WeightedDestination>,
     /// The item's version.
     pub version: u64,
-    /// The regions its requests may be served in; empty where none are named.
+    /// The regions in which its requests may be served; empty if none are named.
     pub regions: Vec<String>,
 }
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// The host by which routes are found: in lower case, without a port.
+/// The key of a host in lookups: in lower case, without a port.
 pub(crate) fn host_key(host: &str) -> Cow<'_, str> {
     let host = host.trim();
     let bare = if host.starts_with('[') {
@@ -71,17 +72,17 @@
     }
 }
 
-/// Whether each prefix of a virtual host has one route.
+/// Checks that no two routes have the same path prefix on the same virtual host.
 ///
 /// # Errors
 /// [`ConfigurationProblem::PathPrefixTaken`].
 pub(crate) fn check_path_prefixes<'a>(
     routes: impl Iterator<Item = &'a Route>,
 ) -> Result<(), ConfigurationError> {
-    let mut taken = BTreeMap::new();
+    let mut seen = BTreeMap::new();
     for route in routes {
-        let place = (host_key(&route.virtual_host), route.path_prefix.as_str());
-        if let Some(other) = taken.insert(place, &route.name) {
+        let location = (host_key(&route.virtual_host), route.path_prefix.as_str());
+        if let Some(other) = seen.insert(location, &route.name) {
             let problem = ConfigurationProblem::PathPrefixTaken {
                 path_prefix: route.path_prefix.clone(),
                 virtual_host: route.virtual_host.clone(),
--- a/crates/control/mesh-config/src/routing_table.rs
+++ b/crates/control/mesh-config/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! Where a request goes.
+//! Routing of requests by host and path.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -8,26 +8,26 @@
 use crate::destination::Destination;
 use crate::route::{host_key, Route};
 
-/// The routing table of a configuration, made once for each change. No larger than the configuration.
+/// The routing table of a configuration, built once per change. No larger than the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingTable {
-    /// By host, then by path prefix.
+    /// Sorted by host, then by path prefix.
     routes: Vec<Route>,
-    /// For each route, the one of the same host with the longest prefix that begins its own.
+    /// For each route, the index of the route of the same host with the longest prefix of its path prefix.
     enclosing: Vec<Option<usize>>,
     hosts: BTreeMap<String, Range<usize>>,
     destinations: BTreeMap<String, Destination>,
     limits: ClientLimits,
 }
 
-/// A route and the key of its host.
+/// A route with the key of its host.
 struct HostRoute {
     host: String,
     route: Route,
 }
 
 impl RoutingTable {
-    /// The table of what stands in `configuration`. Destinations with a share of 0 are left out of the splits.
+    /// Builds the table of a configuration. Destinations with a share of 0 are left out of the splits.
     pub fn new(configuration: &Configuration) -> RoutingTable {
         let host_route = |route: &Route| {
             let mut route = route.clone();
@@ -43,40 +43,40 @@
             limits: configuration.limits().copied().unwrap_or_default(),
             ..RoutingTable::default()
         };
-        // The routes whose prefixes begin the present one, the longest last.
-        let mut open: Vec<usize> = Vec::new();
-        for (at, HostRoute { host, route }) in sorted.into_iter().enumerate() {
-            let range = table.hosts.entry(host).or_insert(at..at);
+        // The routes whose path prefix is a prefix of the present route's, the longest last.
+        let mut enclosing_stack: Vec<usize> = Vec::new();
+        for (index, HostRoute { host, route }) in sorted.into_iter().enumerate() {
+            let range = table.hosts.entry(host).or_insert(index..index);
             if range.start == range.end {
-                open.clear();
+                enclosing_stack.clear();
             }
-            range.end = at + 1;
+            range.end = index + 1;
             let encloses = |outer: usize| route.path_prefix.starts_with(&table.routes[outer].path_prefix);
-            while open.last().is_some_and(|&outer| !encloses(outer)) {
-                open.pop();
+            while enclosing_stack.last().is_some_and(|&outer| !encloses(outer)) {
+                enclosing_stack.pop();
             }
-            table.enclosing.push(open.last().copied());
-            open.push(at);
+            table.enclosing.push(enclosing_stack.last().copied());
+            enclosing_stack.push(index);
             table.routes.push(route);
         }
         table.destinations = configuration.destinations().map(|d| (d.name.clone(), d.clone())).collect();
         table
     }
 
-    /// The route of a request: among those of the host, which may be written in any case and with a port, the one with
-    /// the longest prefix that begins the path. What follows a `?` is not part of the path.
+    /// The route of a request: of those of the host, which may be written in any case and with a port, the one with the
+    /// longest matching path prefix. The path ends at the first `?` or `#`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let path = path.split(['?', '#']).next().unwrap_or_default();
         let range = self.hosts.get(host_key(host).as_ref())?.clone();
         let below = self.routes[range.clone()].partition_point(|route| route.path_prefix.as_str() <= path);
-        // All prefixes that begin the path also begin the greatest prefix not above it: whatever lies between a prefix of the
-        // path and the path begins with that prefix.
-        let mut at = (range.start + below).checked_sub(1).filter(|at| range.contains(at));
-        while let Some(i) = at {
+        // Every route that matches the path encloses the route with the greatest prefix not above the path, or is that
+        // route: whatever sorts between a prefix of the path and the path begins with that prefix.
+        let mut candidate = (range.start + below).checked_sub(1).filter(|at| range.contains(at));
+        while let Some(i) = candidate {
             if path.starts_with(&self.routes[i].path_prefix) {
                 return Some(&self.routes[i]);
             }
-            at = self.enclosing[i];
+            candidate = self.enclosing[i];
         }
         None
     }
@@ -96,7 +96,7 @@
         self.routes.iter()
     }
 
-    /// The limits, or the defaults where none were sent.
+    /// The limits, or the defaults if none were sent.
     pub fn limits(&self) -> ClientLimits {
         self.limits
     }
--- a/crates/control/mesh-config/src/versioned.rs
+++ b/crates/control/mesh-config/src/versioned.rs
@@ -1,4 +1,4 @@
-//! What stands together with what was taken before it.
+//! The configuration in force together with the history of accepted versions.
 
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Rejection, State};
@@ -6,22 +6,22 @@
 
 use crate::change::{ConfigurationChange, ConfigurationUpdate};
 use crate::error::ConfigurationProblem;
-use crate::history::{History, TakenBefore};
+use crate::history::{History, PastVersion};
 use crate::item_version::{ItemKind, ItemVersion, VersionDigest};
 use crate::mutation::{self, Mutation};
 use crate::rejection::{version_conflict, version_taken};
 use crate::with_members::ConfigurationWithMembers;
 
-/// Everything that stands, and the versions that were taken before.
+/// The configuration in force and the versions accepted before.
 ///
-/// Of two calls that say different things under one version of an item, one at most is ever applied: the other is a
-/// conflict while that version stands, and also once it was superseded. A call that was taken is applied again and changes
-/// nothing: each of its items stands, or was superseded with this content.
+/// Of two calls with the same version of an item and different content at most one is ever applied: the other is a
+/// conflict while that version is current and also after it was superseded. A repeat of an accepted call is
+/// acknowledged and changes nothing: each of its items is in force or was superseded with this content.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct VersionedConfiguration {
-    /// What stands.
+    /// The configuration in force.
     pub current: ConfigurationWithMembers,
-    /// What stood.
+    /// Versions that were accepted and are no longer current.
     pub history: History,
 }
 
@@ -33,20 +33,20 @@
     }
 }
 
-/// What a call says beside its new versions.
+/// The items of a call and of the configuration that need more than a merge.
 #[derive(Default)]
 struct Review<'a> {
-    /// Versions that are superseded with it, or were before it came.
+    /// Versions that the call supersedes, and versions in the call that were superseded before it arrived.
     superseded: Vec<VersionDigest>,
-    /// Items that were withdrawn since, by withdrawals that are no longer remembered by name.
+    /// Items that were withdrawn later by tombstones that have been removed; they are not applied.
     withdrawn: Vec<ItemVersion<'a>>,
 }
 
 impl VersionedConfiguration {
-    /// Apply a call whole or not at all, as [`State::apply`].
+    /// Applies a call as a whole or not at all, like [`State::apply`].
     ///
     /// # Errors
-    /// A conflict of versions, or what would stand is invalid. Nothing of the call is in force.
+    /// A version conflicts, or the resulting configuration would be invalid. Nothing of the call is applied.
     pub fn merge(
         &mut self,
         change: &ConfigurationChange,
@@ -80,8 +80,8 @@
         if sent.version > current.version {
             review.superseded.push(current.digest());
         } else if sent.version < current.version {
-            let is_other = self.history.taken_before(&sent) == TakenBefore::OtherContent;
-            if is_other || mutation::is_active(Mutation::RepeatRejected) {
+            let is_different = self.history.past_version(&sent) == PastVersion::DifferentContent;
+            if is_different || mutation::is_active(Mutation::RepeatRejected) {
                 return Err(version_taken(sent.name, sent.version));
             }
             review.superseded.push(sent.digest());
@@ -89,18 +89,18 @@
         Ok(())
     }
 
-    /// Nothing is known of the name: it is new, or its withdrawal is no longer remembered by name.
+    /// No entry is stored under the name: it is new, or its tombstone was removed.
     fn review_unknown<'a>(&self, sent: ItemVersion<'a>, review: &mut Review<'a>) -> Result<(), Rejection> {
         let version = sent.version;
         let Some(floor) = self.history.floor(&sent).filter(|floor| version <= *floor) else {
             return Ok(());
         };
-        match self.history.taken_before(&sent) {
-            TakenBefore::OtherContent => return Err(version_taken(sent.name, version)),
-            // Whatever it was, it does not come back. A withdrawal finds nothing to withdraw.
-            TakenBefore::SameContent => {}
-            TakenBefore::Unknown if sent.is_withdrawal() => {}
-            TakenBefore::Unknown => {
+        match self.history.past_version(&sent) {
+            PastVersion::DifferentContent => return Err(version_taken(sent.name, version)),
+            // The item does not come back, and a withdrawal has nothing to withdraw.
+            PastVersion::SameContent => {}
+            PastVersion::Unknown if sent.is_withdrawal() => {}
+            PastVersion::Unknown => {
                 let problem = ConfigurationProblem::VersionNotAboveFloor { version, floor };
                 return Err(version_conflict(sent.name, problem));
             }
--- a/crates/control/mesh-config/src/wire.rs
+++ b/crates/control/mesh-config/src/wire.rs
@@ -1,4 +1,5 @@
-//! Names of the operators' JSON. They stay as they are; the code's own terms are in the doc comments.
+//! Names in the operator's JSON. They are external and must not change; the doc comments give the terms used in the
+//! code.
 
 /// Routes, grouped by virtual host.
 pub(crate) const VIRTUAL_HOSTS: &str = "depots";
@@ -8,7 +9,7 @@
 pub(crate) const ROUTES_OF_HOST: &str = "lanes";
 /// The path prefix of a route.
 pub(crate) const PATH_PREFIX: &str = "lane";
-/// The limits of clients.
+/// The limits for clients.
 pub(crate) const CLIENT_LIMITS: &str = "sizeLimits";
 /// The version of any item.
 pub(crate) const VERSION: &str = "edition";
--- a/crates/control/mesh-config/src/with_members.rs
+++ b/crates/control/mesh-config/src/with_members.rs
@@ -1,4 +1,4 @@
-//! The configuration and the members under one key, so that a call over both is one change.
+//! The configuration and the members in one value, so that a call that changes both is one change.
 
 use bitcode::{Decode, Encode};
 use silvercross_config_item::{ItemError, ItemProblem, MergeOutcome};
@@ -13,15 +13,15 @@
 use crate::rejection::invalid;
 use crate::wire::DELIVER;
 
-/// No more members stand at a time: each whose trial lapses takes a key of the control store, which has 4,096.
+/// Maximum number of members: each whose trial lapses takes one of the control store's 4,096 keys.
 pub const MAX_MEMBERS: usize = 4_000;
-/// No more bytes of members' items stand at a time: they go to every node in one control entry with the rest.
+/// Maximum total size of the members' items: they are sent to every node in one control entry with the rest.
 pub const MAX_MEMBER_LIST_BYTES: usize = 1 << 20;
-/// A longer name of a member is rejected: with what stands before it, it names a key of the control store.
+/// Maximum length of a member's name: with a prefix it is a key of the control store.
 pub const MAX_MEMBER_NAME_BYTES: usize = 250;
 
-/// Everything that stands, once a call has said something of members. At most [`MAX_MEMBERS`] and
-/// [`MAX_MEMBER_LIST_BYTES`] beside what a [`Configuration`] holds; a call that would go beyond is rejected whole.
+/// All items in force, members included. At most [`MAX_MEMBERS`] and [`MAX_MEMBER_LIST_BYTES`] besides what a
+/// [`Configuration`] holds; a call that would exceed them is rejected as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationWithMembers {
     /// Routes, destinations, limits.
@@ -33,14 +33,14 @@
 impl State for ConfigurationWithMembers {
     type Change = ConfigurationUpdate;
 
-    /// Both parts or neither.
+    /// Applies both parts of the call or neither.
     fn apply(&mut self, update: &ConfigurationUpdate) -> Result<bool, Rejection> {
         self.merge(&update.configuration, &update.members).map(|outcome| outcome.is_changed)
     }
 }
 
 impl ConfigurationWithMembers {
-    /// Apply both changes or neither, and say which tombstones were forgotten for them.
+    /// Applies both changes or neither, and returns the tombstones that were removed.
     pub(crate) fn merge(
         &mut self,
         change: &ConfigurationChange,
@@ -50,12 +50,12 @@
             return self.configuration.merge(change);
         }
         let mut member_list = self.member_list.clone();
-        let of_members = member_list.merge(members)?;
-        check(&member_list).map_err(invalid)?;
+        let members_outcome = member_list.merge(members)?;
+        check_limits(&member_list).map_err(invalid)?;
         let mut outcome = self.configuration.merge(change)?;
         self.member_list = member_list;
         outcome.is_changed = true;
-        outcome.forgotten.extend(of_members.forgotten.into_iter().map(|tombstone| ForgottenTombstone {
+        outcome.forgotten.extend(members_outcome.forgotten.into_iter().map(|tombstone| ForgottenTombstone {
             kind: ItemKind::Member,
             name: tombstone.name,
             version: tombstone.version,
@@ -63,7 +63,7 @@
         Ok(outcome)
     }
 
-    /// The version that stands of a name, set or withdrawn.
+    /// The current version of a name, set or withdrawn.
     pub(crate) fn current(&self, kind: ItemKind, name: &str) -> Option<ItemVersion<'_>> {
         match kind {
             ItemKind::Member => self.member_list.current(Some(name)).map(ItemVersion::of_member),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// All items that stand, each as it was sent, laid out as `deliver` in a call of the operator.
+    /// All items in force, each as it was sent, laid out like `deliver` in a call of the operator.
     pub fn to_json(&self) -> String {
         let mut out = self.configuration.to_json();
         let members = self.member_list.to_json();
@@ -86,7 +86,7 @@
     }
 }
 
-fn check(member_list: &MemberList) -> Result<(), ConfigurationError> {
+fn check_limits(member_list: &MemberList) -> Result<(), ConfigurationError> {
     let count = member_list.members().count();
     if count > MAX_MEMBERS {
         return Err(ItemError::new(DELIVER, "members", ItemProblem::TooMany { count, max: MAX_MEMBERS }));
