--- a/crates/control/config-item/src/error.rs
+++ b/crates/control/config-item/src/error.rs
@@ -54,13 +54,13 @@
     },
     /// One call sets a name twice with different content.
     #[error("stands twice with different content (keep one)")]
-    TwoContents,
+    ConflictingContent,
     /// One call sets and withdraws a name at the same version.
     #[error("is set and dropped at the same edition (raise the edition that is to hold)")]
     SetAndWithdrawn,
     /// A duration is not above 0.
     #[error("must be above 0 (give the seconds, fractions may be used)")]
-    NoTime,
+    DurationNotPositive,
     /// This version exists with different content.
     #[error("{version} stands already with other content (read the configuration, raise the edition)")]
     VersionTaken {
--- a/crates/control/config-item/src/parse.rs
+++ b/crates/control/config-item/src/parse.rs
@@ -70,7 +70,7 @@
 /// set and withdrawn at different versions, of which the higher wins.
 ///
 /// # Errors
-/// [`ItemProblem::TwoContents`], [`ItemProblem::SetAndWithdrawn`].
+/// [`ItemProblem::ConflictingContent`], [`ItemProblem::SetAndWithdrawn`].
 pub fn insert_entry<T, P>(entries: &mut Entries<T>, name: String, new: Entry<T>) -> Result<(), ItemError<P>>
 where
     T: Versioned + PartialEq,
@@ -88,7 +88,7 @@
         return Ok(());
     }
     if old.item().is_some() && new.item().is_some() {
-        return Err(ItemError::new(slot.key(), "name", ItemProblem::TwoContents));
+        return Err(ItemError::new(slot.key(), "name", ItemProblem::ConflictingContent));
     }
     if old.version() == new.version() {
         return Err(ItemError::new(slot.key(), "edition", ItemProblem::SetAndWithdrawn));
--- a/crates/control/config-item/tests/items.rs
+++ b/crates/control/config-item/tests/items.rs
@@ -110,7 +110,7 @@
     assert_eq!(problem([item(1, "1"), Entry::withdrawal(2)]), Ok(entries([("a", Entry::withdrawal(2))])));
     assert_eq!(problem([Entry::withdrawal(2), item(1, "1")]), Ok(entries([("a", Entry::withdrawal(2))])));
     assert_eq!(problem([item(1, "1"), item(1, "1.0")]), Ok(entries([("a", item(1, "1"))])));
-    assert_eq!(problem([item(1, "1"), item(2, "2")]), Err(ItemProblem::TwoContents));
+    assert_eq!(problem([item(1, "1"), item(2, "2")]), Err(ItemProblem::ConflictingContent));
     assert_eq!(problem([item(1, "1"), Entry::withdrawal(1)]), Err(ItemProblem::SetAndWithdrawn));
 }
 
--- a/crates/control/mesh-config/src/error.rs
+++ b/crates/control/mesh-config/src/error.rs
@@ -27,7 +27,7 @@
     },
     /// The body is not valid JSON.
     #[error("can't be read whole: {parser} (send one whole JSON object)")]
-    NoJson {
+    InvalidJson {
         /// The error message of the JSON parser.
         parser: String,
     },
--- a/crates/control/mesh-config/src/parse.rs
+++ b/crates/control/mesh-config/src/parse.rs
@@ -72,7 +72,7 @@
         return Err(ItemError::new(BODY, "length", problem));
     }
     let json_error = |error: serde_json::Error| {
-        ItemError::new(BODY, "json", ConfigurationProblem::NoJson { parser: error.to_string() })
+        ItemError::new(BODY, "json", ConfigurationProblem::InvalidJson { parser: error.to_string() })
     };
     match serde_json::from_slice(body).map_err(json_error)? {
         Value::Object(body) => Ok(body),
--- a/crates/control/mesh-config/src/parse/fields.rs
+++ b/crates/control/mesh-config/src/parse/fields.rs
@@ -39,7 +39,7 @@
 /// A duration above 0, rounded to microseconds; at least 1 µs.
 pub(super) fn duration(item: &str, key: &str, seconds: f64) -> Result<Duration, ConfigurationError> {
     if !(seconds.is_finite() && seconds > 0.0) {
-        return Err(ItemError::new(item, key, ItemProblem::NoTime));
+        return Err(ItemError::new(item, key, ItemProblem::DurationNotPositive));
     }
     let micros = (seconds * MICROS_PER_SECOND).round().clamp(1.0, MAX_DURATION.as_micros() as f64);
     Ok(Duration::from_micros(micros as i64))
--- a/crates/control/throttle/src/parse/fields.rs
+++ b/crates/control/throttle/src/parse/fields.rs
@@ -73,7 +73,7 @@
         let Some(seconds) = self.number(key)? else { return Ok(None) };
         let micros = (seconds * MICROS_PER_SECOND).round();
         if micros < 1.0 {
-            return Err(self.error(key, ItemProblem::NoTime));
+            return Err(self.error(key, ItemProblem::DurationNotPositive));
         }
         if micros > MAX_TIME.as_micros() as f64 {
             let max_seconds = MAX_TIME.as_micros() / 1_000_000;
