--- a/crates/control/mesh-config/tests/common/mod.rs
+++ b/crates/control/mesh-config/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Calls and what they lead to, for the tests of this package.
+//! Calls and configurations for the tests of this package.
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
@@ -9,30 +9,30 @@
     parse_change(body.to_string().as_bytes()).unwrap()
 }
 
-pub fn route(name: &str, path_prefix: &str, to: &str, version: u64) -> Value {
-    json!({"name": name, "lane": path_prefix, "routeKind": "safe", "deadlineS": 4, "destination": to, "edition": version})
+pub fn route(name: &str, path_prefix: &str, destination: &str, version: u64) -> Value {
+    json!({"name": name, "lane": path_prefix, "routeKind": "safe", "deadlineS": 4, "destination": destination, "edition": version})
 }
 
-pub fn routes(virtual_host: &str, lanes: &[Value]) -> Value {
-    json!({"deliver": {"depots": [{"depot": virtual_host, "lanes": lanes}]}})
+pub fn routes(virtual_host: &str, routes: &[Value]) -> Value {
+    json!({"deliver": {"depots": [{"depot": virtual_host, "lanes": routes}]}})
 }
 
-pub fn to(name: &str, version: u64) -> Value {
+pub fn destination(name: &str, version: u64) -> Value {
     json!({"name": name, "healthPath": "/health", "lineCap": 130, "edition": version})
 }
 
-pub fn services(names: &[&str]) -> Value {
-    json!({"deliver": {"destinations": names.iter().map(|name| to(name, 1)).collect::<Vec<_>>()}})
+pub fn destinations(names: &[&str]) -> Value {
+    json!({"deliver": {"destinations": names.iter().map(|name| destination(name, 1)).collect::<Vec<_>>()}})
 }
 
 pub fn withdrawal(list: &str, name: &str, version: u64) -> Value {
     json!({"withdraw": {list: [{"name": name, "edition": version}]}})
 }
 
-/// A configuration with services a and b and one route.
-pub fn started() -> Configuration {
-    let mut started = Configuration::default();
-    assert_eq!(started.apply(&change(services(&["a", "b"]))), Ok(true));
-    assert_eq!(started.apply(&change(routes("x.example", &[route("r", "/p/", "a", 5)]))), Ok(true));
-    started
+/// A configuration with destinations a and b and one route.
+pub fn initial_configuration() -> Configuration {
+    let mut configuration = Configuration::default();
+    assert_eq!(configuration.apply(&change(destinations(&["a", "b"]))), Ok(true));
+    assert_eq!(configuration.apply(&change(routes("x.example", &[route("r", "/p/", "a", 5)]))), Ok(true));
+    configuration
 }
--- a/crates/control/mesh-config/tests/configuration.rs
+++ b/crates/control/mesh-config/tests/configuration.rs
@@ -1,10 +1,10 @@
-//! Calls of the operator and what they put in force.
+//! Applying calls of the operator to a configuration.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{change, route, routes, started, to, withdrawal};
+use common::{change, destination, initial_configuration, route, routes, withdrawal};
 use serde_json::{json, Value};
 use silvercross_control_store::{Rejection, State};
 use silvercross_mesh_config::{
@@ -13,7 +13,7 @@
 };
 use silvercross_time::Duration;
 
-/// Rejected, with nothing changed.
+/// The rejection of a call; checks that nothing changed.
 fn rejected(configuration: &mut Configuration, body: Value) -> Rejection {
     let before = configuration.clone();
     let rejection = configuration.apply(&change(body)).unwrap_err();
@@ -24,16 +24,20 @@
 
 #[test]
 fn the_highest_version_wins() {
-    let mut c = started();
+    let mut c = initial_configuration();
     let moved = routes("x.example", &[route("r", "/p/", "b", 9)]);
     assert_eq!(c.apply(&change(moved.clone())), Ok(true));
-    assert_eq!(c.apply(&change(moved)), Ok(false), "again");
-    assert_eq!(c.apply(&change(routes("x.example", &[route("r", "/p/", "a", 5)]))), Ok(false), "late");
+    assert_eq!(c.apply(&change(moved)), Ok(false), "a repeat");
+    assert_eq!(
+        c.apply(&change(routes("x.example", &[route("r", "/p/", "a", 5)]))),
+        Ok(false),
+        "an older version"
+    );
     assert_eq!(
         c.routes().next().unwrap().split,
         [WeightedDestination { name: "b".to_string(), weight: 1.0 }]
     );
-    // A route keeps its name when it moves to another host.
+    // A route that moves to another host is still the same item.
     assert_eq!(c.apply(&change(routes("y.example", &[route("r", "/p/", "b", 10)]))), Ok(true));
     assert_eq!(c.routes().count(), 1);
     assert_eq!(c.apply(&change(withdrawal("routes", "r", 12))), Ok(true));
@@ -41,24 +45,24 @@
     assert_eq!(
         c.apply(&change(routes("x.example", &[route("r", "/p/", "a", 11)]))),
         Ok(false),
-        "stays dropped"
+        "stays withdrawn"
     );
     assert_eq!(c.routes().count(), 0);
-    // A withdrawal is remembered even where nothing stood yet.
+    // A withdrawal leaves a tombstone even if the item never existed.
     assert_eq!(c.apply(&change(withdrawal("routes", "later", 3))), Ok(true));
     assert_eq!(c.apply(&change(routes("x.example", &[route("later", "/l/", "a", 2)]))), Ok(false));
-    // What a superseded item names may be gone: it changes nothing and stays acknowledged.
+    // A superseded item may name a withdrawn destination: it changes nothing and is still acknowledged.
     assert_eq!(c.apply(&change(withdrawal("destinations", "a", 20))), Ok(true));
     assert_eq!(c.apply(&change(routes("x.example", &[route("r", "/p/", "a", 5)]))), Ok(false));
-    // A superseded item beside a new one.
+    // A superseded item in one call with a new one.
     let mixed = routes("x.example", &[route("r", "/old/", "a", 5), route("new", "/p/", "b", 5)]);
     assert_eq!(c.apply(&change(mixed)), Ok(true));
     assert_eq!(c.routes().map(|r| r.name.as_str()).collect::<Vec<_>>(), ["new"]);
 }
 
 #[test]
-fn one_version_has_one_content() {
-    let mut c = started();
+fn the_same_version_with_different_content_is_a_conflict() {
+    let mut c = initial_configuration();
     let rejection =
         rejected(&mut c, routes("x.example", &[route("n", "/n/", "a", 1), route("r", "/p/", "b", 5)]));
     assert!(
@@ -70,7 +74,7 @@
     assert!(rejected(&mut c, withdrawal("routes", "r", 5)).conflict);
     assert!(c.apply(&change(withdrawal("routes", "r", 6))).is_ok());
     assert!(rejected(&mut c, routes("x.example", &[route("r", "/p/", "a", 6)])).conflict);
-    // The order of keys and the way a number is written are not content.
+    // The order of keys and the notation of numbers are not part of the content.
     let limits =
         |text: &str| parse_change(format!("{{\"deliver\":{{\"sizeLimits\":{text}}}}}").as_bytes()).unwrap();
     assert_eq!(c.apply(&limits("{\"idleS\":15,\"edition\":2,\"note\":[1]}")), Ok(true));
@@ -80,8 +84,8 @@
 }
 
 #[test]
-fn an_invalid_result_is_rejected_whole() {
-    let mut c = started();
+fn a_call_with_an_invalid_result_is_rejected_as_a_whole() {
+    let mut c = initial_configuration();
     let cases = [
         (
             routes("x.example", &[route("n", "/n/", "a", 1), route("m", "/m/", "none", 1)]),
@@ -94,20 +98,20 @@
         let rejection = rejected(&mut c, body);
         assert!(!rejection.conflict && rejection.reason.starts_with(reason), "{}", rejection.reason);
     }
-    // Moving a route away and another into its place, or off a destination that goes, is one valid call.
+    // One call may replace a route by another with the same prefix, and move a route off a withdrawn destination.
     let swap = json!({"deliver": {"depots": [{"depot": "x.example", "lanes":
         [route("r", "/r/", "b", 6), route("n", "/p/", "b", 1)]}]},
         "withdraw": {"destinations": [{"name": "a", "edition": 2}]}});
     assert_eq!(c.apply(&change(swap)), Ok(true));
 
-    let many: Vec<Value> = (0..MAX_ITEMS).map(|i| to(&format!("d{i}"), 1)).collect();
+    let many: Vec<Value> = (0..MAX_ITEMS).map(|i| destination(&format!("d{i}"), 1)).collect();
     let rejection = rejected(&mut c, json!({"deliver": {"destinations": many}}));
     assert!(rejection.reason.starts_with("item body, key items"), "{}", rejection.reason);
 }
 
 #[test]
-fn the_first_tombstones_are_forgotten_at_the_limit() {
-    let mut c = started();
+fn the_oldest_tombstones_are_removed_at_the_limit() {
+    let mut c = initial_configuration();
     assert_eq!(c.apply(&change(withdrawal("routes", "first", 9))), Ok(true));
     let many = |from: usize, to: usize| {
         let names = (from..to).map(|i| json!({"name": format!("n{i}"), "edition": 1})).collect::<Vec<_>>();
@@ -117,12 +121,12 @@
     let first = change(routes("x.example", &[route("first", "/f/", "a", 8)]));
     assert_eq!(c.clone().apply(&first), Ok(false));
     assert_eq!(c.apply(&many(MAX_TOMBSTONES, MAX_TOMBSTONES + 1)), Ok(true));
-    assert_eq!(c.apply(&many(0, MAX_TOMBSTONES - 1)), Ok(false), "the later ones are kept");
+    assert_eq!(c.apply(&many(0, MAX_TOMBSTONES - 1)), Ok(false), "the newer tombstones are kept");
     assert_eq!(c.apply(&first), Ok(true));
 }
 
 #[test]
-fn what_was_sent_is_read_back() {
+fn items_are_returned_as_sent() {
     let first = json!({"destinations": [
         {"name": "a", "zeta": {"k": [1, 0.1, null]}, "healthPath": "/h", "lineCap": 130, "protocol": "h1",
             "sealed": false, "coldS": 3.0, "coldRateS": 21.25, "edition": 7}],
@@ -135,9 +139,9 @@
     assert!(c.is_empty());
     assert_eq!(c.to_json(), "{\"destinations\":[],\"depots\":[]}");
     let change = change(json!({"deliver": first, "withdraw": {"routes": []}}));
-    let carried: ConfigurationChange = bitcode::decode(&bitcode::encode(&change)).unwrap();
-    assert_eq!(carried, change);
-    assert_eq!(c.apply(&carried), Ok(true));
+    let decoded: ConfigurationChange = bitcode::decode(&bitcode::encode(&change)).unwrap();
+    assert_eq!(decoded, change);
+    assert_eq!(c.apply(&decoded), Ok(true));
     assert_eq!(c.to_json(), first.to_string());
     assert_eq!(bitcode::decode::<Configuration>(&bitcode::encode(&c)).unwrap(), c);
     let r = c.routes().next().unwrap();
@@ -155,15 +159,19 @@
         (c.limits().unwrap().idle_timeout, c.limits().unwrap().max_head_bytes),
         (Duration::from_millis(100), 16384)
     );
-    assert_eq!(RoutingTable::new(&c).routes().next().unwrap().split.len(), 1, "a share of 0 draws nothing");
+    assert_eq!(
+        RoutingTable::new(&c).routes().next().unwrap().split.len(),
+        1,
+        "a destination with a share of 0 is left out"
+    );
 }
 
-/// In whatever order calls arrive, the highest version of each name stands, as in a plain map.
+/// In any order of calls the highest version of each name wins, as in a plain map.
 #[test]
-fn any_order_ends_in_the_same() {
+fn any_order_of_calls_gives_the_same_configuration() {
     type Edit = (u8, u8);
     bolero::check!().with_type::<(Vec<Vec<Edit>>, Vec<u8>)>().with_iterations(500).for_each(|(calls, order)| {
-        // The content follows from name and version, so that no two calls conflict.
+        // The content is a function of name and version, so that no two calls conflict.
         let call = |edits: &[Edit]| {
             let (mut set, mut tombstones) = (BTreeMap::new(), BTreeMap::new());
             for (name, version) in edits {
@@ -171,8 +179,8 @@
                 if version % 3 == 2 {
                     tombstones.insert(name.clone(), json!({"name": name, "edition": version}));
                 } else {
-                    let to = if version % 2 == 0 { "a" } else { "b" };
-                    set.insert(name.clone(), route(&name, &format!("/{name}/{}/", version / 4), to, version));
+                    let destination = if version % 2 == 0 { "a" } else { "b" };
+                    set.insert(name.clone(), route(&name, &format!("/{name}/{}/", version / 4), destination, version));
                 }
             }
             let (set, tombstones) = (set.into_values().collect::<Vec<_>>(), tombstones.into_values().collect::<Vec<_>>());
@@ -184,14 +192,14 @@
             let other = *other as usize % shuffled.len();
             shuffled.swap(i, other);
         }
-        let (mut one, mut other) = (started(), started());
-        let mut plain: BTreeMap<String, (u64, Option<Value>)> = BTreeMap::new();
+        let (mut one, mut other) = (initial_configuration(), initial_configuration());
+        let mut model: BTreeMap<String, (u64, Option<Value>)> = BTreeMap::new();
         for body in &bodies {
             one.apply(&change(body.clone())).unwrap();
             let set = body["deliver"]["depots"][0]["lanes"].as_array().unwrap().iter().map(|v| (v, true));
             for (item, set) in set.chain(body["withdraw"]["routes"].as_array().unwrap().iter().map(|v| (v, false))) {
                 let version = item["edition"].as_u64().unwrap();
-                let slot = plain.entry(item["name"].as_str().unwrap().to_string()).or_insert((0, None));
+                let slot = model.entry(item["name"].as_str().unwrap().to_string()).or_insert((0, None));
                 if version >= slot.0 {
                     *slot = (version, set.then(|| item.clone()));
                 }
@@ -203,9 +211,9 @@
         assert_eq!(one, other);
         assert_eq!(one.to_json(), other.to_json());
         let json: Value = serde_json::from_str(&one.to_json()).unwrap();
-        let depots = json["depots"].as_array().unwrap();
-        let h = depots.iter().find(|virtual_host| virtual_host["depot"] == "h");
-        let standing: Vec<Value> = h.map_or(Vec::new(), |h| h["lanes"].as_array().unwrap().clone());
-        assert_eq!(standing, plain.into_values().filter_map(|(_, value)| value).collect::<Vec<_>>());
+        let virtual_hosts = json["depots"].as_array().unwrap();
+        let h = virtual_hosts.iter().find(|virtual_host| virtual_host["depot"] == "h");
+        let in_force: Vec<Value> = h.map_or(Vec::new(), |h| h["lanes"].as_array().unwrap().clone());
+        assert_eq!(in_force, model.into_values().filter_map(|(_, value)| value).collect::<Vec<_>>());
     });
 }
--- a/crates/control/mesh-config/tests/error_texts.rs
+++ b/crates/control/mesh-config/tests/error_texts.rs
@@ -1,14 +1,14 @@
-//! The texts that operators see for refused calls, held to the letter: `data/error_texts.txt` has one line for each call.
+//! The texts that operators see for rejected calls must match `data/error_texts.txt`.
 
 use serde_json::{json, Value};
 use silvercross_control_store::State;
 use silvercross_mesh_config::{parse_change, parse_update, VersionedConfiguration, MAX_TOMBSTONES};
 use std::fmt::Write;
 
-/// One line per call: its number, then the text.
-const TEXTS: &str = include_str!("data/error_texts.txt");
+/// One line per call: its label, then the text.
+const EXPECTED: &str = include_str!("data/error_texts.txt");
 
-/// A valid call, which the refused ones differ from in one place.
+/// A valid call; most rejected ones differ from it in one place.
 fn valid() -> Value {
     json!({"deliver": {
         "destinations": [{"name": "a", "healthPath": "/health", "lineCap": 130, "edition": 1}],
@@ -27,7 +27,7 @@
             "members": [{"name": "gone", "edition": 1}]}})
 }
 
-/// Where the valid call is changed and to what; `null` takes the key out.
+/// Location, key and new value of each change to the valid call; `null` removes the key.
 fn changes() -> Vec<(&'static str, &'static str, Value)> {
     let route = "/deliver/depots/0/lanes/0";
     let destination = "/deliver/destinations/0";
@@ -155,7 +155,7 @@
     ]
 }
 
-/// Splits that stand alone in their route.
+/// Invalid splits, for a route without a destination.
 fn splits() -> [Value; 5] {
     let share = |share: f64| json!({"destination": "a", "share": share});
     [
@@ -167,7 +167,7 @@
     ]
 }
 
-/// Bodies that are no call at all.
+/// Bodies that are not a call.
 fn malformed() -> Vec<Vec<u8>> {
     let mut bodies: Vec<Vec<u8>> =
         ["", "null", "[]", "{}{}", "{\"deliver\":{\"sizeLimits\":{\"idleS\":1e999}}}"]
@@ -178,24 +178,24 @@
     bodies
 }
 
-/// Calls that are well-formed and refused by what is in force, after the calls that lead there.
-fn refused_by_state() -> Vec<(Vec<Value>, Value)> {
+/// Well-formed calls that are rejected in the state after the calls before them.
+fn rejected_by_state() -> Vec<(Vec<Value>, Value)> {
     let destination =
         |name: &str, version: u64| json!({"deliver": {"destinations": [{"name": name, "edition": version}]}});
-    let route = |name: &str, path: &str, to: &str, version: u64| {
+    let route = |name: &str, path: &str, destination: &str, version: u64| {
         json!({"deliver": {"depots": [{"depot": "h", "lanes": [{"name": name, "lane": path, "routeKind": "safe",
-            "deadlineS": 1, "destination": to, "edition": version}]}]}})
+            "deadlineS": 1, "destination": destination, "edition": version}]}]}})
     };
     let split = json!({"deliver": {"depots": [{"depot": "h", "lanes": [{"name": "s", "lane": "/s/", "routeKind": "safe",
         "deadlineS": 1, "split": [{"destination": "a", "share": 1}, {"destination": "z", "share": 1}], "edition": 1}]}]}});
     let member = |name: &str, key: &str, version: u64| json!({"deliver": {"members": [{"name": name, "key": key, "plan": "full", "edition": version}]}});
-    let drop = |list: &str, name: &str, version: u64| json!({"withdraw": {list: [{"name": name, "edition": version}]}});
-    let started = || vec![destination("a", 1), route("r", "/p/", "a", 1), member("m", "k", 1)];
+    let withdrawal = |list: &str, name: &str, version: u64| json!({"withdraw": {list: [{"name": name, "edition": version}]}});
+    let initial_calls = || vec![destination("a", 1), route("r", "/p/", "a", 1), member("m", "k", 1)];
     let header = |name: &str| json!({"deliver": {"membership": {"header": name, "edition": 1}}});
     let limits = |idle: u64| json!({"deliver": {"sizeLimits": {"idleS": idle, "edition": 1}}});
-    let mut refused: Vec<(Vec<Value>, Value)> = [
-        drop("destinations", "a", 1),
-        drop("destinations", "a", 2),
+    let mut cases: Vec<(Vec<Value>, Value)> = [
+        withdrawal("destinations", "a", 1),
+        withdrawal("destinations", "a", 2),
         route("n", "/n/", "none", 1),
         split,
         route("n", "/p/", "a", 1),
@@ -210,32 +210,33 @@
             .collect::<Vec<_>>()}}),
     ]
     .into_iter()
-    .map(|call| (started(), call))
+    .map(|call| (initial_calls(), call))
     .collect();
-    refused.push((vec![header("One")], header("Two")));
-    refused.push((vec![limits(1)], limits(2)));
-    // Overtaken with other content.
-    refused.push((
-        vec![route("r", "/p/", "a", 2)].into_iter().chain([]).fold(started(), |mut calls, call| {
+    cases.push((vec![header("One")], header("Two")));
+    cases.push((vec![limits(1)], limits(2)));
+    // Superseded with different content.
+    cases.push((
+        vec![route("r", "/p/", "a", 2)].into_iter().chain([]).fold(initial_calls(), |mut calls, call| {
             calls.push(call);
             calls
         }),
         route("r", "/o/", "a", 1),
     ));
-    // Dropped by a drop that is no longer remembered by name.
+    // Withdrawn by a tombstone that has been removed.
     let many: Vec<Value> =
         (0..MAX_TOMBSTONES).map(|n| json!({"name": format!("n{n}"), "edition": 1})).collect();
-    refused.push((
-        vec![drop("destinations", "first", 9), json!({"withdraw": {"destinations": many}})],
+    cases.push((
+        vec![withdrawal("destinations", "first", 9), json!({"withdraw": {"destinations": many}})],
         destination("first", 8),
     ));
-    refused
+    cases
 }
 
 #[test]
-fn refused_calls_are_explained_in_the_same_words_as_ever() {
+fn error_texts_match_fixed_texts() {
     let mut texts = String::new();
-    let mut add = |of: String, text: String| writeln!(texts, "{of}: {text}").expect("a string grows");
+    let mut add =
+        |label: String, text: String| writeln!(texts, "{label}: {text}").expect("a string is writable");
     for (at, key, value) in changes() {
         let mut call = valid();
         let map = call.pointer_mut(at).and_then(Value::as_object_mut).expect("an object");
@@ -245,10 +246,10 @@
         } else {
             map.insert(key.to_string(), value);
         }
-        add(label, parse_update(call.to_string().as_bytes()).expect_err("refused").to_string());
+        add(label, parse_update(call.to_string().as_bytes()).expect_err("rejected").to_string());
     }
     for (number, body) in malformed().iter().enumerate() {
-        add(format!("malformed {number}"), parse_update(body).expect_err("refused").to_string());
+        add(format!("malformed {number}"), parse_update(body).expect_err("rejected").to_string());
     }
     for split in splits() {
         let mut call = valid();
@@ -258,21 +259,21 @@
         route.insert("split".to_string(), split.clone());
         add(
             format!("split {split}"),
-            parse_update(call.to_string().as_bytes()).expect_err("refused").to_string(),
+            parse_update(call.to_string().as_bytes()).expect_err("rejected").to_string(),
         );
     }
     add(
         "without members".to_string(),
-        parse_change(valid().to_string().as_bytes()).expect_err("refused").to_string(),
+        parse_change(valid().to_string().as_bytes()).expect_err("rejected").to_string(),
     );
-    for (number, (before, call)) in refused_by_state().iter().enumerate() {
+    for (number, (before, call)) in rejected_by_state().iter().enumerate() {
         let parsed = |body: &Value| parse_update(body.to_string().as_bytes()).expect("well-formed");
         let mut state = VersionedConfiguration::default();
         for body in before {
-            state.apply(&parsed(body)).expect("taken");
+            state.apply(&parsed(body)).expect("accepted");
         }
-        let refusal = state.apply(&parsed(call)).expect_err("refused");
-        add(format!("refused {number}"), format!("conflict {}, {}", refusal.conflict, refusal.reason));
+        let rejection = state.apply(&parsed(call)).expect_err("rejected");
+        add(format!("refused {number}"), format!("conflict {}, {}", rejection.conflict, rejection.reason));
     }
-    assert!(texts == TEXTS, "the texts have changed; they are now:\n{texts}");
+    assert!(texts == EXPECTED, "the texts have changed; they are now:\n{texts}");
 }
--- a/crates/control/mesh-config/tests/parse.rs
+++ b/crates/control/mesh-config/tests/parse.rs
@@ -1,24 +1,25 @@
-//! Calls that can't be read, and what is said of them.
+//! Errors of calls that cannot be parsed.
 
 mod common;
 
-use common::{route, routes, to};
+use common::{destination, route, routes};
 use serde_json::{json, Value};
 use silvercross_mesh_config::parse_change;
 
 #[test]
 fn errors_name_item_and_key() {
-    let good = json!({"deliver": {
-        "destinations": [to("a", 1)],
+    let valid = json!({"deliver": {
+        "destinations": [destination("a", 1)],
         "sizeLimits": {"envelopeBytes": 1, "contentBytes": 1, "envelopeS": 0.5, "idleS": 15, "edition": 1},
         "depots": [
             {"depot": "x.example", "lanes": [route("r", "/p/", "a", 1), route("q", "/q/", "a", 1)]},
             {"depot": "x.example", "lanes": []}]},
         "withdraw": {"routes": [{"name": "old", "edition": 1}]}});
-    assert!(parse_change(good.to_string().as_bytes()).is_ok());
+    assert!(parse_change(valid.to_string().as_bytes()).is_ok());
     let r = "/deliver/depots/0/lanes/0";
     let d = "/deliver/destinations/0";
-    // Where the good call is changed, to what (nothing: the key is taken out), and what the error names.
+    // Location, key and new value (null removes the key) of each change, then the item and the key that the error
+    // names.
     let table = [
         (r, "name", json!(""), "depots[0].lanes[0]", "name"),
         (r, "name", json!("n".repeat(257)), "depots[0].lanes[0]", "name"),
@@ -64,19 +65,19 @@
         ("/deliver", "tenants", json!([{"name": "t"}]), "deliver", "tenants"),
         ("", "deliver", json!([]), "body", "deliver"),
     ];
-    for (at, key, value, item, named) in table {
-        let mut bad = good.clone();
-        let map = bad.pointer_mut(at).unwrap().as_object_mut().unwrap();
+    for (at, key, value, item, error_key) in table {
+        let mut changed = valid.clone();
+        let map = changed.pointer_mut(at).unwrap().as_object_mut().unwrap();
         if value.is_null() {
             map.remove(key);
         } else {
             map.insert(key.into(), value);
         }
-        let error = parse_change(bad.to_string().as_bytes()).expect_err(&bad.to_string());
-        assert_eq!((error.item.as_str(), error.key.as_str()), (item, named), "{error}");
+        let error = parse_change(changed.to_string().as_bytes()).expect_err(&changed.to_string());
+        assert_eq!((error.item.as_str(), error.key.as_str()), (item, error_key), "{error}");
         assert!(error.problem.to_string().contains('('), "{error}");
     }
-    for (shares, fine) in [(vec![0, 0], false), (vec![-1, 2], false), (vec![0, 3], true)] {
+    for (shares, is_valid) in [(vec![0, 0], false), (vec![-1, 2], false), (vec![0, 3], true)] {
         let split: Vec<Value> =
             shares.iter().map(|share| json!({"destination": "a", "share": share})).collect();
         let body = routes(
@@ -85,16 +86,16 @@
             "split": split, "edition": 1})],
         );
         assert_eq!(
-            parse_change(body.to_string().as_bytes()).map_err(|f| f.key).map(|_| ()),
-            match fine {
+            parse_change(body.to_string().as_bytes()).map_err(|error| error.key).map(|_| ()),
+            match is_valid {
                 true => Ok(()),
                 false => Err("share".to_string()),
             }
         );
     }
-    let whole = good.to_string();
-    for cut in 0..whole.len() {
-        assert_eq!(parse_change(&whole.as_bytes()[..cut]).unwrap_err().item, "body");
+    let text = valid.to_string();
+    for length in 0..text.len() {
+        assert_eq!(parse_change(&text.as_bytes()[..length]).unwrap_err().item, "body");
     }
     for body in ["null", "[]", "{}{}", "{\"deliver\":{\"sizeLimits\":{\"idleS\":1e999}}}", "\"\\ud800\""] {
         assert_eq!(parse_change(body.as_bytes()).unwrap_err().item, "body", "{body}");
@@ -104,10 +105,10 @@
 }
 
 #[test]
-fn any_bytes_are_read_without_panic() {
+fn any_bytes_are_parsed_without_a_panic() {
     bolero::check!().with_type::<Vec<u8>>().with_iterations(3000).for_each(|bytes| {
         let _ = parse_change(bytes);
-        // The same at the places where a call holds values.
+        // The same in place of values inside a call.
         let text = String::from_utf8_lossy(bytes);
         for body in [
             format!("{{\"deliver\":{text}}}"),
--- a/crates/control/mesh-config/tests/repeats/main.rs
+++ b/crates/control/mesh-config/tests/repeats/main.rs
@@ -1,11 +1,11 @@
-//! Two calls under one version, and the same call again: what is done, what is refused, and that a call that was taken
-//! is done again whatever was sent since.
+//! Calls with the same version and repeated calls: which are applied, which are rejected, and that a repeat of an
+//! accepted call is acknowledged whatever was sent since.
 
 mod model;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use model::{Item, Model, Said, Said::*};
+use model::{Item, Model, Outcome, Outcome::*};
 use serde_json::{json, Value};
 use silvercross_control_store::State;
 #[cfg(feature = "mutants")]
@@ -18,20 +18,20 @@
     parse_update(body.to_string().as_bytes()).unwrap()
 }
 
-fn service(name: &str, version: u64, path: &str) -> Value {
+fn destination(name: &str, version: u64, path: &str) -> Value {
     json!({"name": name, "healthPath": path, "edition": version})
 }
 
-fn route(name: &str, version: u64, to: &str, deadline: f64) -> Value {
+fn route(name: &str, version: u64, destination: &str, deadline: f64) -> Value {
     let path_prefix = format!("/{name}/");
-    json!({"name": name, "lane": path_prefix, "routeKind": "safe", "deadlineS": deadline, "destination": to, "edition": version})
+    json!({"name": name, "lane": path_prefix, "routeKind": "safe", "deadlineS": deadline, "destination": destination, "edition": version})
 }
 
-fn set(services: &[Value], routes: &[Value]) -> Value {
-    json!({"deliver": {"destinations": services, "depots": [{"depot": "x.example", "lanes": routes}]}})
+fn set(destinations: &[Value], routes: &[Value]) -> Value {
+    json!({"deliver": {"destinations": destinations, "depots": [{"depot": "x.example", "lanes": routes}]}})
 }
 
-fn drop(list: &str, name: &str, version: u64) -> Value {
+fn withdrawal(list: &str, name: &str, version: u64) -> Value {
     json!({"withdraw": {list: [{"name": name, "edition": version}]}})
 }
 
@@ -43,21 +43,21 @@
     json!({"deliver": {"sizeLimits": {"idleS": idle, "edition": version}}})
 }
 
-/// What is said; a refusal leaves nothing behind.
-fn say(state: &mut VersionedConfiguration, call: &ConfigurationUpdate) -> Said {
+/// The outcome of a call; checks that a rejected call changes nothing.
+fn apply(state: &mut VersionedConfiguration, call: &ConfigurationUpdate) -> Outcome {
     let before = state.clone();
     match state.apply(call) {
         Ok(changed) => {
             assert_eq!(changed, *state != before);
             if changed {
-                Done
+                Applied
             } else {
-                Again
+                Unchanged
             }
         }
-        Err(refusal) => {
-            assert_eq!(*state, before, "{}", refusal.reason);
-            if refusal.conflict {
+        Err(rejection) => {
+            assert_eq!(*state, before, "{}", rejection.reason);
+            if rejection.conflict {
                 Conflict
             } else {
                 Invalid
@@ -68,382 +68,405 @@
 
 #[test]
 fn a_table_of_calls_and_repeats() {
-    let a = |version, path| set(&[service("a", version, path)], &[]);
-    let to_b = || set(&[service("b", 1, "/b")], &[route("r", 5, "b", 1.0)]);
+    let a = |version, path| set(&[destination("a", version, path)], &[]);
+    let to_b = || set(&[destination("b", 1, "/b")], &[route("r", 5, "b", 1.0)]);
     let moved = || set(&[], &[route("r", 6, "a", 1.0)]);
-    let cases: Vec<(&str, Vec<(Value, Said)>)> = vec![
-        ("the same again", vec![(a(1, "/x"), Done), (a(1, "/x"), Again)]),
-        ("one version, two contents", vec![(a(1, "/x"), Done), (a(1, "/y"), Conflict), (a(1, "/x"), Again)]),
+    let cases: Vec<(&str, Vec<(Value, Outcome)>)> = vec![
+        ("a repeat", vec![(a(1, "/x"), Applied), (a(1, "/x"), Unchanged)]),
         (
-            "the same, overtaken, and the one that lost",
-            vec![(a(1, "/x"), Done), (a(2, "/z"), Done), (a(1, "/y"), Conflict), (a(1, "/x"), Again)],
+            "same version, different content",
+            vec![(a(1, "/x"), Applied), (a(1, "/y"), Conflict), (a(1, "/x"), Unchanged)],
         ),
         (
-            "overtaken before it came: acknowledged, and its version is taken",
-            vec![(a(9, "/z"), Done), (a(4, "/x"), Done), (a(4, "/y"), Conflict), (a(4, "/x"), Again)],
+            "a repeat and a conflicting call after both were superseded",
+            vec![
+                (a(1, "/x"), Applied),
+                (a(2, "/z"), Applied),
+                (a(1, "/y"), Conflict),
+                (a(1, "/x"), Unchanged),
+            ],
         ),
         (
-            "overtaken more than once",
+            "superseded before it arrived: acknowledged, and its version is recorded",
             vec![
-                (a(1, "/x"), Done),
-                (a(2, "/y"), Done),
-                (a(3, "/z"), Done),
+                (a(9, "/z"), Applied),
+                (a(4, "/x"), Applied),
+                (a(4, "/y"), Conflict),
+                (a(4, "/x"), Unchanged),
+            ],
+        ),
+        (
+            "superseded more than once",
+            vec![
+                (a(1, "/x"), Applied),
+                (a(2, "/y"), Applied),
+                (a(3, "/z"), Applied),
                 (a(2, "/x"), Conflict),
                 (a(1, "/z"), Conflict),
-                (a(1, "/x"), Again),
-                (a(2, "/y"), Again),
+                (a(1, "/x"), Unchanged),
+                (a(2, "/y"), Unchanged),
             ],
         ),
         (
-            "set and dropped under one version",
+            "set and withdrawn at the same version",
             vec![
-                (a(1, "/x"), Done),
-                (drop("destinations", "a", 1), Conflict),
-                (drop("destinations", "a", 2), Done),
+                (a(1, "/x"), Applied),
+                (withdrawal("destinations", "a", 1), Conflict),
+                (withdrawal("destinations", "a", 2), Applied),
                 (a(2, "/x"), Conflict),
-                (a(3, "/x"), Done),
-                (drop("destinations", "a", 1), Conflict),
-                (drop("destinations", "a", 2), Again),
+                (a(3, "/x"), Applied),
+                (withdrawal("destinations", "a", 1), Conflict),
+                (withdrawal("destinations", "a", 2), Unchanged),
                 (a(2, "/x"), Conflict),
-                (a(1, "/x"), Again),
+                (a(1, "/x"), Unchanged),
             ],
         ),
         (
-            "after its drop, and the drop again",
+            "repeats after the withdrawal, and a repeat of the withdrawal",
             vec![
-                (a(1, "/x"), Done),
-                (drop("destinations", "a", 3), Done),
-                (a(1, "/x"), Again),
-                (drop("destinations", "a", 3), Again),
-                (a(2, "/x"), Done),
+                (a(1, "/x"), Applied),
+                (withdrawal("destinations", "a", 3), Applied),
+                (a(1, "/x"), Unchanged),
+                (withdrawal("destinations", "a", 3), Unchanged),
+                (a(2, "/x"), Applied),
                 (a(2, "/y"), Conflict),
-                (a(4, "/y"), Done),
-                (drop("destinations", "a", 3), Again),
+                (a(4, "/y"), Applied),
+                (withdrawal("destinations", "a", 3), Unchanged),
             ],
         ),
         (
-            "a route to a service that was dropped since, and the service",
+            "a route to a destination that was withdrawn later, and that destination",
             vec![
-                (a(1, "/x"), Done),
-                (to_b(), Done),
-                (moved(), Done),
-                (drop("destinations", "b", 2), Done),
-                (to_b(), Again),
+                (a(1, "/x"), Applied),
+                (to_b(), Applied),
+                (moved(), Applied),
+                (withdrawal("destinations", "b", 2), Applied),
+                (to_b(), Unchanged),
                 (set(&[], &[route("r", 7, "b", 1.0)]), Invalid),
-                (drop("destinations", "a", 2), Invalid),
+                (withdrawal("destinations", "a", 2), Invalid),
             ],
         ),
         (
-            "a drop that would not be valid now",
+            "a withdrawal that would not be valid now",
             vec![
-                (a(1, "/x"), Done),
-                (drop("destinations", "a", 2), Done),
-                (set(&[service("a", 3, "/x")], &[route("r", 1, "a", 1.0)]), Done),
-                (drop("destinations", "a", 2), Again),
-                (drop("destinations", "a", 4), Invalid),
+                (a(1, "/x"), Applied),
+                (withdrawal("destinations", "a", 2), Applied),
+                (set(&[destination("a", 3, "/x")], &[route("r", 1, "a", 1.0)]), Applied),
+                (withdrawal("destinations", "a", 2), Unchanged),
+                (withdrawal("destinations", "a", 4), Invalid),
             ],
         ),
         (
-            "a place that another route has now",
+            "a path prefix that another route has now",
             vec![
-                (set(&[service("a", 1, "/x")], &[route("r", 1, "a", 1.0)]), Done),
-                (drop("routes", "r", 2), Done),
+                (set(&[destination("a", 1, "/x")], &[route("r", 1, "a", 1.0)]), Applied),
+                (withdrawal("routes", "r", 2), Applied),
                 (
                     json!({"deliver": {"depots": [{"depot": "x.example", "lanes": [{"name": "s", "lane": "/r/",
                         "routeKind": "safe", "deadlineS": 1, "destination": "a", "edition": 1}]}]}}),
-                    Done,
+                    Applied,
                 ),
-                (set(&[service("a", 1, "/x")], &[route("r", 1, "a", 1.0)]), Again),
+                (set(&[destination("a", 1, "/x")], &[route("r", 1, "a", 1.0)]), Unchanged),
                 (set(&[], &[route("r", 3, "a", 1.0)]), Invalid),
             ],
         ),
         (
-            "one item overtaken, another in conflict, a third new: nothing of it",
+            "one item superseded, another in conflict, a third new: nothing is applied",
             vec![
-                (set(&[service("a", 1, "/x"), service("b", 1, "/x")], &[]), Done),
-                (a(2, "/z"), Done),
-                (set(&[service("a", 1, "/x"), service("b", 1, "/y"), service("c", 1, "/x")], &[]), Conflict),
-                (set(&[service("a", 1, "/y"), service("c", 1, "/x")], &[]), Conflict),
-                (set(&[service("a", 1, "/x"), service("b", 1, "/x")], &[]), Again),
-                (set(&[service("c", 1, "/y")], &[]), Done),
+                (set(&[destination("a", 1, "/x"), destination("b", 1, "/x")], &[]), Applied),
+                (a(2, "/z"), Applied),
+                (
+                    set(
+                        &[destination("a", 1, "/x"), destination("b", 1, "/y"), destination("c", 1, "/x")],
+                        &[],
+                    ),
+                    Conflict,
+                ),
+                (set(&[destination("a", 1, "/y"), destination("c", 1, "/x")], &[]), Conflict),
+                (set(&[destination("a", 1, "/x"), destination("b", 1, "/x")], &[]), Unchanged),
+                (set(&[destination("c", 1, "/y")], &[]), Applied),
             ],
         ),
         (
-            "an overtaken version beside something invalid is not taken",
+            "a superseded version in a call with an invalid item is not recorded",
             vec![
-                (a(5, "/z"), Done),
-                (set(&[service("a", 3, "/x")], &[route("r", 1, "none", 1.0)]), Invalid),
-                (a(3, "/y"), Done),
+                (a(5, "/z"), Applied),
+                (set(&[destination("a", 3, "/x")], &[route("r", 1, "none", 1.0)]), Invalid),
+                (a(3, "/y"), Applied),
                 (a(3, "/x"), Conflict),
             ],
         ),
         (
-            "valid only after another was taken",
+            "valid only after another call was accepted",
             vec![
                 (set(&[], &[route("r", 1, "a", 1.0)]), Invalid),
-                (a(1, "/x"), Done),
-                (set(&[], &[route("r", 1, "a", 1.0)]), Done),
-                (set(&[], &[route("r", 1, "a", 1.0)]), Again),
+                (a(1, "/x"), Applied),
+                (set(&[], &[route("r", 1, "a", 1.0)]), Applied),
+                (set(&[], &[route("r", 1, "a", 1.0)]), Unchanged),
             ],
         ),
         (
-            "written otherwise",
+            "the same content in another notation",
             vec![
-                (limits(1, json!(15)), Done),
-                (limits(2, json!(1)), Done),
-                (json!({"deliver": {"sizeLimits": {"edition": 1.0, "idleS": 15.0}}}), Again),
-                (json!({"deliver": {"sizeLimits": {"edition": 2.0, "idleS": 1e0}}}), Again),
+                (limits(1, json!(15)), Applied),
+                (limits(2, json!(1)), Applied),
+                (json!({"deliver": {"sizeLimits": {"edition": 1.0, "idleS": 15.0}}}), Unchanged),
+                (json!({"deliver": {"sizeLimits": {"edition": 2.0, "idleS": 1e0}}}), Unchanged),
                 (limits(1, json!(16)), Conflict),
             ],
         ),
         (
-            "another host is another content",
+            "another host is different content",
             vec![
-                (set(&[service("a", 1, "/x")], &[route("r", 1, "a", 1.0)]), Done),
-                (set(&[], &[route("r", 2, "a", 1.0)]), Done),
+                (set(&[destination("a", 1, "/x")], &[route("r", 1, "a", 1.0)]), Applied),
+                (set(&[], &[route("r", 2, "a", 1.0)]), Applied),
                 (
                     json!({"deliver": {"depots": [{"depot": "y.example", "lanes": [route("r", 1, "a", 1.0)]}]}}),
                     Conflict,
                 ),
-                (set(&[], &[route("r", 1, "a", 1.0)]), Again),
+                (set(&[], &[route("r", 1, "a", 1.0)]), Unchanged),
             ],
         ),
         (
-            "members, and one name of several kinds",
+            "members, and one name used by several kinds",
             vec![
-                (member(1, "k1"), Done),
-                (member(2, "k2"), Done),
+                (member(1, "k1"), Applied),
+                (member(2, "k2"), Applied),
                 (member(1, "k3"), Conflict),
-                (member(1, "k1"), Again),
-                (drop("members", "ana", 3), Done),
-                (member(2, "k2"), Again),
+                (member(1, "k1"), Unchanged),
+                (withdrawal("members", "ana", 3), Applied),
+                (member(2, "k2"), Unchanged),
                 (member(3, "k2"), Conflict),
-                (set(&[service("ana", 1, "/x")], &[route("ana", 1, "ana", 1.0)]), Done),
+                (set(&[destination("ana", 1, "/x")], &[route("ana", 1, "ana", 1.0)]), Applied),
             ],
         ),
     ];
     for (name, calls) in cases {
         let mut state = VersionedConfiguration::default();
-        for (at, (body, said)) in calls.into_iter().enumerate() {
-            assert_eq!(say(&mut state, &call(body)), said, "{name}, call {at}");
-            // What is on disk and on the links goes on as this does.
+        for (i, (body, expected)) in calls.into_iter().enumerate() {
+            assert_eq!(apply(&mut state, &call(body)), expected, "{name}, call {i}");
+            // A decoded state must behave like the original: it is stored on disk and sent between nodes.
             state = bitcode::decode(&bitcode::encode(&state)).unwrap();
         }
     }
 }
 
-fn many_drops(from: usize, to: usize, version: u64) -> ConfigurationUpdate {
+fn many_withdrawals(from: usize, to: usize, version: u64) -> ConfigurationUpdate {
     let names: Vec<Value> =
         (from..to).map(|i| json!({"name": format!("n{i}"), "edition": version})).collect();
     call(json!({"withdraw": {"routes": names}}))
 }
 
-/// Past the bound a drop is no longer known by name. What it dropped stays dropped all the same.
+/// Beyond the limit tombstones are removed; the items they withdrew must not come back.
 #[test]
 fn after_65536_withdrawals_nothing_comes_back() {
     for (list, first, second) in [
-        ("destinations", set(&[service("a", 4, "/x")], &[]), set(&[service("a", 6, "/y")], &[])),
+        ("destinations", set(&[destination("a", 4, "/x")], &[]), set(&[destination("a", 6, "/y")], &[])),
         ("members", member(4, "k"), member(6, "l")),
     ] {
         let first = call(first);
         let name = if list == "members" { "ana" } else { "a" };
         let named = format!("\"name\":\"{name}\"");
         let mut state = VersionedConfiguration::default();
-        assert_eq!(say(&mut state, &first), Done);
-        assert_eq!(say(&mut state, &call(drop(list, name, 7))), Done);
+        assert_eq!(apply(&mut state, &first), Applied);
+        assert_eq!(apply(&mut state, &call(withdrawal(list, name, 7))), Applied);
         if list == "members" {
             let names: Vec<Value> =
                 (0..MAX_TOMBSTONES).map(|i| json!({"name": format!("n{i}"), "edition": 2})).collect();
-            assert_eq!(say(&mut state, &call(json!({"withdraw": {"members": names}}))), Done);
+            assert_eq!(apply(&mut state, &call(json!({"withdraw": {"members": names}}))), Applied);
         } else {
-            assert_eq!(say(&mut state, &many_drops(0, MAX_TOMBSTONES, 2)), Done);
+            assert_eq!(apply(&mut state, &many_withdrawals(0, MAX_TOMBSTONES, 2)), Applied);
         }
         let forgotten = state.clone();
-        // Both were taken: acknowledged again, and nothing comes of it.
-        assert_eq!(say(&mut state, &first), Again, "{list}");
-        assert_eq!(say(&mut state, &call(drop(list, name, 7))), Again);
-        // Not known, and no higher: it may have been dropped, so it is not taken, and the operator is told what to do.
-        assert_eq!(say(&mut state, &call(second)), Conflict);
+        // Both were accepted: repeats are acknowledged and change nothing.
+        assert_eq!(apply(&mut state, &first), Unchanged, "{list}");
+        assert_eq!(apply(&mut state, &call(withdrawal(list, name, 7))), Unchanged);
+        // An unknown version that is not above the floor may have been withdrawn, so it is a conflict.
+        assert_eq!(apply(&mut state, &call(second)), Conflict);
         assert_eq!(state, forgotten);
         assert!(!state.current.to_json().contains(&named));
-        // A later one is taken as always.
-        let later = if list == "members" { member(8, "k") } else { set(&[service("a", 8, "/x")], &[]) };
-        assert_eq!(say(&mut state, &call(later)), Done);
+        // A later version is accepted.
+        let later = if list == "members" { member(8, "k") } else { set(&[destination("a", 8, "/x")], &[]) };
+        assert_eq!(apply(&mut state, &call(later)), Applied);
         assert!(state.current.to_json().contains(&named));
-        assert_eq!(say(&mut state, &first), Again);
+        assert_eq!(apply(&mut state, &first), Unchanged);
     }
 }
 
-/// Few names share the floor of a drop that was forgotten: others are taken at any version.
+/// Few names share the floor of a removed tombstone; the others are accepted at any version.
 #[test]
-fn one_forgotten_withdrawal_blocks_few_other_names() {
+fn one_removed_tombstone_blocks_few_other_names() {
     let mut state = VersionedConfiguration::default();
-    assert_eq!(say(&mut state, &call(drop("routes", "high", u64::MAX))), Done);
-    assert_eq!(say(&mut state, &many_drops(0, MAX_TOMBSTONES, 1)), Done);
-    let taken = (0..500).filter(|i| {
-        let body = set(&[service(&format!("d{i}"), 1, "/x")], &[]);
+    assert_eq!(apply(&mut state, &call(withdrawal("routes", "high", u64::MAX))), Applied);
+    assert_eq!(apply(&mut state, &many_withdrawals(0, MAX_TOMBSTONES, 1)), Applied);
+    let accepted = (0..500).filter(|i| {
+        let body = set(&[destination(&format!("d{i}"), 1, "/x")], &[]);
         state.apply(&call(body)).is_ok()
     });
-    assert!(taken.count() >= 480);
+    assert!(accepted.count() >= 480);
 }
 
-/// As many as stand are overtaken by one call: the last of them are still known, and all are acknowledged again.
+/// One call supersedes as many items as can be in force: the most recent versions are still known, and repeats of all
+/// are acknowledged.
 #[test]
-fn what_is_remembered_is_bounded() {
+fn the_history_is_bounded() {
     let all = |version: u64| {
-        let services: Vec<Value> =
-            (0..MAX_ITEMS).map(|i| service(&format!("d{i:05}"), version, "/x")).collect();
-        call(set(&services, &[]))
+        let destinations: Vec<Value> =
+            (0..MAX_ITEMS).map(|i| destination(&format!("d{i:05}"), version, "/x")).collect();
+        call(set(&destinations, &[]))
     };
     let mut state = VersionedConfiguration::default();
     let mut sizes = BTreeSet::new();
     for version in 1..=4 {
-        assert_eq!(say(&mut state, &all(version)), Done);
+        assert_eq!(apply(&mut state, &all(version)), Applied);
         sizes.insert(bitcode::encode(&state.history).len());
     }
     assert!(*sizes.last().unwrap() <= 2 * MAX_SUPERSEDED * 16 + 64, "{sizes:?}");
-    let other = |i: usize, version| call(set(&[service(&format!("d{i:05}"), version, "/y")], &[]));
-    assert_eq!(say(&mut state.clone(), &other(MAX_ITEMS - 1, 3)), Conflict);
-    assert_eq!(say(&mut state.clone(), &other(MAX_ITEMS - MAX_SUPERSEDED, 3)), Conflict);
+    let other = |i: usize, version| call(set(&[destination(&format!("d{i:05}"), version, "/y")], &[]));
+    assert_eq!(apply(&mut state.clone(), &other(MAX_ITEMS - 1, 3)), Conflict);
+    assert_eq!(apply(&mut state.clone(), &other(MAX_ITEMS - MAX_SUPERSEDED, 3)), Conflict);
     for version in 1..=4 {
-        assert!(matches!(say(&mut state.clone(), &all(version)), Done | Again), "{version}");
+        assert!(matches!(apply(&mut state.clone(), &all(version)), Applied | Unchanged), "{version}");
     }
 }
 
 fn body(items: &[Item]) -> ConfigurationUpdate {
-    let pick = |route: bool, tombstones: bool| {
+    let select = |route: bool, tombstones: bool| {
         items.iter().filter(move |item| item.0 == route && item.3.is_none() == tombstones)
     };
-    let gone = |route| -> Vec<Value> {
-        pick(route, true).map(|(_, n, v, _)| json!({"name": format!("{n}"), "edition": v})).collect()
+    let withdrawn = |route| -> Vec<Value> {
+        select(route, true).map(|(_, n, v, _)| json!({"name": format!("{n}"), "edition": v})).collect()
     };
-    let lanes: Vec<Value> = pick(true, false)
-        .map(|(_, n, v, to)| route(&n.to_string(), *v, &to.unwrap_or_default().to_string(), 1.0))
+    let routes: Vec<Value> = select(true, false)
+        .map(|(_, n, v, content)| route(&n.to_string(), *v, &content.unwrap_or_default().to_string(), 1.0))
         .collect();
-    let services: Vec<Value> = pick(false, false)
-        .map(|(_, n, v, content)| service(&n.to_string(), *v, &format!("/{}", content.unwrap_or_default())))
+    let destinations: Vec<Value> = select(false, false)
+        .map(|(_, n, v, path)| destination(&n.to_string(), *v, &format!("/{}", path.unwrap_or_default())))
         .collect();
-    let mut value = set(&services, &lanes);
-    value["withdraw"] = json!({"routes": gone(true), "destinations": gone(false)});
+    let mut value = set(&destinations, &routes);
+    value["withdraw"] = json!({"routes": withdrawn(true), "destinations": withdrawn(false)});
     call(value)
 }
 
-/// One call drawn, or (first byte) one of the earlier ones again.
-type Drawn = (u8, Vec<(u8, u8)>);
+/// A random call; an even first byte repeats an earlier call instead.
+type RandomCall = (u8, Vec<(u8, u8)>);
 
-fn held_against_the_model(drawn: &[Drawn]) -> Result<(usize, usize), String> {
+/// Compares the state with the model; returns the numbers of repeats and of conflicts.
+fn check_against_model(calls: &[RandomCall]) -> Result<(usize, usize), String> {
     let (mut state, mut model) = (VersionedConfiguration::default(), Model::default());
     let mut sent: Vec<Vec<Item>> = Vec::new();
-    let mut taken: BTreeSet<Vec<Item>> = BTreeSet::new();
-    let (mut again, mut conflicts) = (0, 0);
-    for (which, items) in drawn.iter().take(40) {
-        let drawn_items = || {
+    let mut accepted: BTreeSet<Vec<Item>> = BTreeSet::new();
+    let (mut repeats, mut conflicts) = (0, 0);
+    for (selector, items) in calls.iter().take(40) {
+        let new_items = || {
             let mut by_name = BTreeMap::new();
-            for (what, content) in items.iter().take(3) {
+            for (bits, content) in items.iter().take(3) {
                 let content = Some(content % 4).filter(|c| *c < 3);
-                by_name.insert((what & 1 == 0, (what >> 1) % 3), (u64::from(what >> 3) % 5, content));
+                by_name.insert((bits & 1 == 0, (bits >> 1) % 3), (u64::from(bits >> 3) % 5, content));
             }
             by_name.into_iter().map(|((r, n), (v, c))| (r, n, v, c)).collect::<Vec<Item>>()
         };
         let items = match sent.len() {
-            n if n > 0 && which % 2 == 0 => sent[*which as usize / 2 % n].clone(),
-            _ => drawn_items(),
+            n if n > 0 && selector % 2 == 0 => sent[*selector as usize / 2 % n].clone(),
+            _ => new_items(),
         };
-        let right = model.say(&items);
-        let said = say(&mut state, &body(&items));
-        if said != right {
-            return Err(format!("{items:?} after {sent:?}: {said:?} and not {right:?}"));
+        let expected = model.apply(&items);
+        let outcome = apply(&mut state, &body(&items));
+        if outcome != expected {
+            return Err(format!("{items:?} after {sent:?}: got {outcome:?}, expected {expected:?}"));
         }
-        again += usize::from(said == Again && !items.is_empty());
-        conflicts += usize::from(said == Conflict);
-        if matches!(said, Done | Again) {
-            taken.insert(items.clone());
-        } else if taken.contains(&items) {
-            return Err(format!("{items:?} was taken and is refused after {sent:?}"));
+        repeats += usize::from(outcome == Unchanged && !items.is_empty());
+        conflicts += usize::from(outcome == Conflict);
+        if matches!(outcome, Applied | Unchanged) {
+            accepted.insert(items.clone());
+        } else if accepted.contains(&items) {
+            return Err(format!("{items:?} was accepted and is rejected after {sent:?}"));
         }
         sent.push(items);
         for number in 0..3 {
             let name = number.to_string();
-            let to = state
+            let destination = state
                 .current
                 .configuration
                 .routes()
                 .find(|r| r.name == name)
                 .map(|r| r.split[0].name.clone());
-            if to != model.standing(true, number).map(|to| to.to_string()) {
-                return Err(format!("route {number} goes to {to:?} after {sent:?}"));
+            if destination != model.in_force(true, number).map(|content| content.to_string()) {
+                return Err(format!("route {number} has destination {destination:?} after {sent:?}"));
             }
             let path = state.current.configuration.destinations().find(|d| d.name == name);
             let path = path.map(|d| d.health_path.clone());
-            if path != model.standing(false, number).map(|content| format!("/{content}")) {
-                return Err(format!("service {number} is {path:?} after {sent:?}"));
+            if path != model.in_force(false, number).map(|content| format!("/{content}")) {
+                return Err(format!("destination {number} has path {path:?} after {sent:?}"));
             }
         }
     }
-    Ok((again, conflicts))
+    Ok((repeats, conflicts))
 }
 
 #[test]
-fn drawn_calls_and_repeats_agree_with_a_plain_model() {
-    let (mut again, mut conflicts) = (0, 0);
-    let mut dice = 1_u64;
+fn random_calls_and_repeats_match_the_model() {
+    let (mut repeats, mut conflicts) = (0, 0);
+    let mut rng_state = 1_u64;
     for _ in 0..500 {
-        let drawn = drawn(&mut dice);
-        let (a, c) = held_against_the_model(&drawn).unwrap_or_else(|why| panic!("{why}"));
-        again += a;
+        let calls = random_calls(&mut rng_state);
+        let (r, c) = check_against_model(&calls).unwrap_or_else(|error| panic!("{error}"));
+        repeats += r;
         conflicts += c;
     }
-    // They did meet what they are for.
-    assert!(again > 1_000 && conflicts > 1_000, "{again} again, {conflicts} conflicts");
-    bolero::check!().with_type::<Vec<Drawn>>().with_iterations(500).for_each(|drawn| {
-        if let Err(why) = held_against_the_model(drawn) {
-            panic!("{why}");
+    // The calls must contain enough repeats and conflicts to be meaningful.
+    assert!(repeats > 1_000 && conflicts > 1_000, "{repeats} repeats, {conflicts} conflicts");
+    bolero::check!().with_type::<Vec<RandomCall>>().with_iterations(500).for_each(|calls| {
+        if let Err(error) = check_against_model(calls) {
+            panic!("{error}");
         }
     });
 }
 
-fn drawn(dice: &mut u64) -> Vec<Drawn> {
+/// Calls from a linear congruential generator.
+fn random_calls(rng_state: &mut u64) -> Vec<RandomCall> {
     let mut byte = || {
-        *dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (*dice >> 33) as u8
+        *rng_state =
+            rng_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (*rng_state >> 33) as u8
     };
     (0..30).map(|_| (byte(), (0..1 + byte() % 3).map(|_| (byte(), byte())).collect())).collect()
 }
 
 #[cfg(feature = "mutants")]
-fn caught(broken: Mutation) -> String {
-    silvercross_mesh_config::mutation::set_mutation(Some(broken));
-    let mut dice = 1;
-    let why = (0..2_000).find_map(|_| {
-        let drawn = drawn(&mut dice);
-        // A refusal that leaves something behind is found by `say` itself.
-        std::panic::catch_unwind(|| held_against_the_model(&drawn))
-            .unwrap_or_else(|_| Err("a refused call left something behind".to_string()))
+fn detected_error(mutation: Mutation) -> String {
+    silvercross_mesh_config::mutation::set_mutation(Some(mutation));
+    let mut rng_state = 1;
+    let error = (0..2_000).find_map(|_| {
+        let calls = random_calls(&mut rng_state);
+        // `apply` panics if a rejected call changes the state.
+        std::panic::catch_unwind(|| check_against_model(&calls))
+            .unwrap_or_else(|_| Err("a rejected call changed the state".to_string()))
             .err()
     });
     silvercross_mesh_config::mutation::set_mutation(None);
-    let why = why.unwrap_or_else(|| panic!("{broken:?} was not found"));
-    println!("{broken:?}: {why}");
-    why
+    let error = error.unwrap_or_else(|| panic!("{mutation:?} was not detected"));
+    println!("{mutation:?}: {error}");
+    error
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn same_version_of_two_operators_both_done_is_caught() {
-    assert!(caught(Mutation::SameVersionTwice).contains("Again and not Conflict"));
-    assert!(caught(Mutation::SupersededForgotten).contains("not Conflict"));
+fn same_version_of_two_operators_both_accepted_is_caught() {
+    assert!(detected_error(Mutation::SameVersionTwice).contains("got Unchanged, expected Conflict"));
+    assert!(detected_error(Mutation::SupersededForgotten).contains("expected Conflict"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn repeat_rejected_after_a_later_change_is_caught() {
-    assert!(caught(Mutation::RepeatRejected).contains("Conflict and not"));
+    assert!(detected_error(Mutation::RepeatRejected).contains("got Conflict, expected"));
 }
 
 #[cfg(feature = "mutants")]
 #[test]
 fn what_a_rejected_call_leaves_behind_is_caught() {
-    assert!(caught(Mutation::RejectedCallRemembered).contains("left something behind"));
+    assert!(detected_error(Mutation::RejectedCallRemembered).contains("changed the state"));
 }
 
 #[cfg(feature = "mutants")]
@@ -452,6 +475,6 @@
     silvercross_mesh_config::mutation::set_mutation(Some(Mutation::TombstonesForgotten));
     let outcome = std::panic::catch_unwind(after_65536_withdrawals_nothing_comes_back);
     silvercross_mesh_config::mutation::set_mutation(None);
-    let why = outcome.expect_err("not found");
-    assert!(why.downcast_ref::<String>().is_some_and(|why| why.contains("destinations")));
+    let error = outcome.expect_err("not detected");
+    assert!(error.downcast_ref::<String>().is_some_and(|error| error.contains("destinations")));
 }
--- a/crates/control/mesh-config/tests/routing_table.rs
+++ b/crates/control/mesh-config/tests/routing_table.rs
@@ -1,20 +1,20 @@
-//! Where requests go.
+//! Lookups in the routing table.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{change, route, routes, started};
+use common::{change, initial_configuration, route, routes};
 use serde_json::{json, Value};
 use silvercross_control_store::State;
 use silvercross_mesh_config::{ClientLimits, RoutingTable};
 
 #[test]
-fn the_longest_prefix_of_the_path_is_found() {
-    let mut c = started();
-    let lanes = ["/", "/p/a/", "/p/a/b/c/", "/p/ab/", "/z/"];
-    let lanes: Vec<Value> = lanes.iter().map(|l| route(l, l, "a", 1)).collect();
-    c.apply(&change(routes("X.Example", &lanes))).unwrap();
+fn the_route_with_the_longest_prefix_is_found() {
+    let mut c = initial_configuration();
+    let prefixes = ["/", "/p/a/", "/p/a/b/c/", "/p/ab/", "/z/"];
+    let with_prefixes: Vec<Value> = prefixes.iter().map(|p| route(p, p, "a", 1)).collect();
+    c.apply(&change(routes("X.Example", &with_prefixes))).unwrap();
     c.apply(&change(routes("[::1]:80", &[route("six", "/s/", "b", 1)]))).unwrap();
     let table = RoutingTable::new(&c);
     let find = |host, path| table.find(host, path).map(|route| route.name.as_str());
@@ -35,33 +35,34 @@
     assert_eq!(table.limits(), ClientLimits::default());
 }
 
-/// Lookup against a walk over all routes.
+/// Compares lookups with a linear search over all routes.
 #[test]
-fn lookup_agrees_with_a_slow_one() {
-    let text = |steps: &[u8]| {
+fn lookup_matches_a_linear_search() {
+    let prefix_of = |steps: &[u8]| {
         steps.iter().take(5).fold("/".to_string(), |s, b| s + ["a/", "b/", "ab/"][*b as usize % 3])
     };
     bolero::check!().with_type::<(Vec<(bool, Vec<u8>)>, bool, Vec<u8>, u8)>().with_iterations(500).for_each(
-        |(drawn, host, path, cut)| {
+        |(random_routes, host, path, length)| {
             let host_of = |second: bool| if second { "b" } else { "a" };
-            let mut lanes: BTreeMap<(&str, String), Value> = BTreeMap::new();
-            for (second, steps) in drawn {
-                let (host, text) = (host_of(*second), text(steps));
+            let mut routes: BTreeMap<(&str, String), Value> = BTreeMap::new();
+            for (second, steps) in random_routes {
+                let (host, text) = (host_of(*second), prefix_of(steps));
                 let value = route(&format!("{host}{text}"), &text, "a", 1);
-                lanes.insert((host, text), value);
+                routes.insert((host, text), value);
             }
-            let depots: Vec<Value> =
-                lanes.iter().map(|((host, _), route)| json!({"depot": host, "lanes": [route]})).collect();
-            let mut c = started();
-            c.apply(&change(json!({"deliver": {"depots": depots}}))).unwrap();
-            let mut path = text(path);
-            path.truncate(1 + *cut as usize);
-            let slow = lanes.keys().filter(|(h, l)| *h == host_of(*host) && path.starts_with(l));
-            let slow =
-                slow.max_by_key(|(_, prefix)| prefix.len()).map(|(host, prefix)| format!("{host}{prefix}"));
+            let virtual_hosts: Vec<Value> =
+                routes.iter().map(|((host, _), route)| json!({"depot": host, "lanes": [route]})).collect();
+            let mut c = initial_configuration();
+            c.apply(&change(json!({"deliver": {"depots": virtual_hosts}}))).unwrap();
+            let mut path = prefix_of(path);
+            path.truncate(1 + *length as usize);
+            let matching = routes.keys().filter(|(h, p)| *h == host_of(*host) && path.starts_with(p));
+            let expected = matching
+                .max_by_key(|(_, prefix)| prefix.len())
+                .map(|(host, prefix)| format!("{host}{prefix}"));
             assert_eq!(
                 RoutingTable::new(&c).find(host_of(*host), &path).map(|route| route.name.clone()),
-                slow
+                expected
             );
         },
     );
--- a/crates/control/mesh-config/tests/wire_bytes.rs
+++ b/crates/control/mesh-config/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The encoding of the configuration, of its changes and of its history, held to fixed bytes: they are kept on disks and sent
-//! between machines of different builds. The items are those of `data/call.json`.
+//! The encodings of configurations, changes and histories must match fixed bytes: they are stored on disk and sent
+//! between machines with different builds. The items are those of `data/call.json`.
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::State;
@@ -9,14 +9,14 @@
 use std::fmt::{Debug, Write};
 
 /// One line per value: its name, then its encoding in hexadecimal.
-const TABLE: &str = include_str!("data/wire.hex");
+const EXPECTED: &str = include_str!("data/wire.hex");
 
-/// Adds the line of a value to `lines`, after reading the value back from its encoding.
-fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
+/// Appends the line of a value, after checking that its encoding decodes to the same value.
+fn add_line<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
     let bytes = bitcode::encode(&value);
     assert_eq!(bitcode::decode::<T>(&bytes).as_ref().ok(), Some(&value), "{name}");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    writeln!(lines, "{name} {hex}").expect("a string grows");
+    writeln!(lines, "{name} {hex}").expect("writing to a string succeeds");
 }
 
 const CALL: &[u8] = include_bytes!("data/call.json");
@@ -25,7 +25,7 @@
     br#"{"deliver":{"destinations":[{"name":"a","healthPath":"/h","lineCap":1,"edition":9}]}}"#;
 
 #[test]
-fn configuration_and_changes_are_encoded_as_they_always_were() {
+fn encodings_match_fixed_bytes() {
     let call = parse_update(CALL).expect("valid");
     let later = parse_change(LATER).expect("valid");
     let mut configuration = Configuration::default();
@@ -38,14 +38,14 @@
     assert!(!tracked.history.is_empty());
 
     let mut lines = String::new();
-    add(&mut lines, "change", call.configuration.clone());
-    add(&mut lines, "change/one-item", later);
-    add(&mut lines, "call", call);
-    add(&mut lines, "configuration", configuration);
-    add(&mut lines, "whole", whole);
-    add(&mut lines, "tracked", tracked);
-    add(&mut lines, "configuration/empty", Configuration::default());
-    add(&mut lines, "whole/empty", ConfigurationWithMembers::default());
-    add(&mut lines, "tracked/empty", VersionedConfiguration::default());
-    assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
+    add_line(&mut lines, "change", call.configuration.clone());
+    add_line(&mut lines, "change/one-item", later);
+    add_line(&mut lines, "call", call);
+    add_line(&mut lines, "configuration", configuration);
+    add_line(&mut lines, "whole", whole);
+    add_line(&mut lines, "tracked", tracked);
+    add_line(&mut lines, "configuration/empty", Configuration::default());
+    add_line(&mut lines, "whole/empty", ConfigurationWithMembers::default());
+    add_line(&mut lines, "tracked/empty", VersionedConfiguration::default());
+    assert!(lines == EXPECTED, "the encoding has changed; it is now:\n{lines}");
 }
--- a/crates/control/mesh-config/tests/with_members.rs
+++ b/crates/control/mesh-config/tests/with_members.rs
@@ -1,4 +1,4 @@
-//! Calls over the configuration and the members at once.
+//! Calls that change both the configuration and the members.
 
 use silvercross_control_store::State;
 use silvercross_mesh_config::{
@@ -15,16 +15,16 @@
     "members":[{"name":"ana","key":"k1","plan":"trial","lapsesInS":5,"edition":1,"note":"x"}]}}"#;
 
 #[test]
-fn a_call_over_members_and_the_rest_is_all_or_nothing() {
+fn a_call_with_members_is_applied_as_a_whole_or_not_at_all() {
     let mut state = ConfigurationWithMembers::default();
     assert_eq!(apply(&mut state, BOTH), Ok(true));
     assert_eq!(apply(&mut state, BOTH), Ok(false));
     let before = state.clone();
-    // Either part of it may be what is refused.
-    for (route, version) in [("none", 2), ("d", 1)] {
+    // Either part of the call may be the reason for the rejection.
+    for (destination, version) in [("none", 2), ("d", 1)] {
         let body = format!(
             r#"{{"deliver":{{"depots":[{{"depot":"h","lanes":[{{"name":"r","lane":"/","routeKind":"safe","deadlineS":1,
-            "destination":"{route}","edition":1}}]}}],
+            "destination":"{destination}","edition":1}}]}}],
             "members":[{{"name":"ana","key":"k2","plan":"full","edition":{version}}}]}}}}"#
         );
         assert!(apply(&mut state, &body).is_err());
@@ -33,20 +33,20 @@
 }
 
 #[test]
-fn what_is_read_back_is_a_call_again_and_nothing_of_members_shows_without_them() {
+fn the_json_can_be_sent_as_a_call_and_omits_members_if_there_are_none() {
     let mut state = ConfigurationWithMembers::default();
     assert_eq!(state.to_json(), Configuration::default().to_json());
     apply(&mut state, BOTH).expect("well-formed");
-    let mut again = ConfigurationWithMembers::default();
-    assert_eq!(apply(&mut again, &format!("{{\"deliver\":{}}}", state.to_json())), Ok(true));
-    assert_eq!(again, state);
+    let mut copy = ConfigurationWithMembers::default();
+    assert_eq!(apply(&mut copy, &format!("{{\"deliver\":{}}}", state.to_json())), Ok(true));
+    assert_eq!(copy, state);
     assert!(state.to_json().contains("\"note\":\"x\""));
-    // The plain call knows no members, so that no part of one is lost.
+    // `parse_change` rejects members, so that none are lost.
     assert!(parse_change(BOTH.as_bytes()).is_err());
 }
 
 #[test]
-fn a_call_that_would_pass_a_limit_is_rejected() {
+fn a_call_that_would_exceed_a_limit_is_rejected() {
     let member = |n: usize, pad: usize| {
         format!(r#"{{"name":"m{n}","key":"k{n}","plan":"full","edition":1,"pad":"{}"}}"#, "x".repeat(pad))
     };
