--- a/crates/control/throttle/src/clock_settings.rs
+++ b/crates/control/throttle/src/clock_settings.rs
@@ -1,23 +1,24 @@
-//! When a clock is trusted.
+//! Settings of [`TrustedClock`](crate::TrustedClock).
 
 use silvercross_time::{Duration, Instant};
 
 const MILLION: i128 = 1_000_000;
 
-/// Limits of what is trusted.
+/// Limits within which a clock is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockSettings {
-    /// The time of day moved against the monotonic clock by more than this between two readings: a step.
+    /// Largest difference between the progress of the wall clock and of the monotonic clock between two readings,
+    /// apart from drift. A larger one counts as a clock step.
     pub max_step: Duration,
-    /// What it may move besides, in millionths of the time between.
+    /// Drift allowed in addition to `max_step`, in parts per million of the time between the readings.
     pub max_drift_ppm: i64,
-    /// So long without a step, and read at least as often, a clock is steady.
+    /// Time without a step, and without a longer gap between readings, after which a clock is steady.
     pub steady_after: Duration,
-    /// What another node said counts for so long.
+    /// Time for which a reading, a node's own or a peer's, counts.
     pub reading_lifetime: Duration,
-    /// An answer whose round trip took longer says nothing.
+    /// Longest round trip; answers that took longer are ignored.
     pub max_round_trip: Duration,
-    /// Two clocks that are no further apart agree.
+    /// Largest distance between two clocks that agree.
     pub agreement_tolerance: Duration,
 }
 
@@ -35,19 +36,19 @@
 }
 
 impl ClockSettings {
-    /// How far a clock may move against a monotonic one in a span without having stepped.
+    /// Largest move of a wall clock against the monotonic clock within `span` that is not a step.
     pub(crate) fn allowed_move(&self, span: Duration) -> Duration {
         let micros = i128::from(span.as_micros().max(0));
         let drift = micros * i128::from(self.max_drift_ppm) / MILLION;
         self.max_step.saturating_add(Duration::from_micros(drift as i64))
     }
 
-    /// Whether a step, if there was any, is too recent for the clock to be steady.
+    /// Whether the last step, if any, is too recent for the clock to be steady.
     pub(crate) fn is_recent(&self, now: Instant, step: Option<Instant>) -> bool {
         step.is_some_and(|at| now.saturating_since(at) < self.steady_after)
     }
 
-    /// Whether a reading of this moment still counts.
+    /// Whether a reading taken at `read_at` still counts.
     pub(crate) fn is_fresh(&self, now: Instant, read_at: Instant) -> bool {
         now.saturating_since(read_at) <= self.reading_lifetime
     }
--- a/crates/control/throttle/src/delay.rs
+++ b/crates/control/throttle/src/delay.rs
@@ -1,4 +1,4 @@
-//! How long a read waits before it is forwarded.
+//! The delay of a read before it is forwarded.
 
 use silvercross_config_item::RouteKind;
 use silvercross_time::Duration;
@@ -9,58 +9,59 @@
 
 const MILLION: i128 = 1_000_000;
 
-/// How far a request has come.
+/// The stage of processing that a request has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Its head is here, nothing of its body was taken, and it was sent nowhere.
+    /// Its head was received; its body was not read and it was not forwarded.
     Head,
-    /// Its body has begun, or it was forwarded.
+    /// Reading of its body has begun, or it was forwarded.
     BodyStarted,
-    /// It is sent a second time, or came from another node of the mesh: it waited already.
+    /// It is retried, or came from another node of the mesh: it was delayed already.
     Retried,
 }
 
-/// What a request asks for.
+/// The properties of a request that its delay depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ThrottleRequest<'a> {
-    /// What may be done with it.
+    /// The kind of its route.
     pub kind: RouteKind,
-    /// How far it has come.
+    /// The stage it has reached.
     pub stage: RequestStage,
-    /// Its own id, as the client sent it.
+    /// The request's id as sent by the client.
     pub id: &'a [u8],
     /// The route's latency target.
     pub latency_target: Duration,
-    /// What is left of its deadline.
+    /// Time left until its deadline.
     pub remaining_deadline: Duration,
 }
 
-/// What is done with a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DelayDecision {
-    /// It goes on at once.
+    /// Forward it at once.
     Forward,
-    /// It goes on after this long.
+    /// Forward it after this delay.
     Delay(Duration),
-    /// Even the least wait doesn't fit into its deadline: it is rejected at once, with a promise that it did not run.
+    /// Even the shortest delay does not fit into its deadline: reject it at once, and state that it did not run.
     Reject {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
 }
 
-/// How long a request of a member waits. The same on every node: of the same member, step, id, target and deadline comes
-/// the same wait, in whole numbers, whoever asks and whenever.
+/// Decides how long a member's request is delayed. The result is deterministic: every node computes the same delay, in
+/// integer arithmetic, from the same member, step, id, latency target and deadline.
 ///
-/// Only reads wait, and only at their head. The step's wait is `step / total_steps` of the member's full part of the
-/// target; a request waits between half of that and all of it, as its id draws. It never waits longer than half of what its
-/// deadline leaves; where even half of the step's wait is more than that, it is rejected. As the full part is at most half
-/// of the target, that takes a deadline with less than half the target left.
+/// Only reads are delayed, and only at their head. The maximum delay of a step is `step / total_steps` of the share
+/// of the latency target set by [`ThrottleSchedule::max_delay_ppm`](crate::ThrottleSchedule::max_delay_ppm); a
+/// request waits between half of that and all of it, chosen by a hash of its id. It never waits longer than half of
+/// the time left until its deadline; if even half of the step's maximum exceeds that, it is rejected. As the share is
+/// at most half of the target, only requests with less than half of the target left are rejected.
 pub fn decide_delay(member: &Member, step: ThrottleStep, request: &ThrottleRequest<'_>) -> DelayDecision {
     decide(None, member, step, request)
 }
 
-/// [`decide_delay`] with a rule changed on purpose.
+/// [`decide_delay`] with one rule broken.
 #[cfg(feature = "mutants")]
 pub fn decide_delay_mutated(
     mutation: Mutation,
@@ -86,21 +87,21 @@
         return DelayDecision::Forward;
     };
     let min_wait = max_wait / 2;
-    let affordable = request.remaining_deadline.max(Duration::ZERO) / 2;
-    if affordable < min_wait {
+    let wait_limit = request.remaining_deadline.max(Duration::ZERO) / 2;
+    if wait_limit < min_wait {
         return DelayDecision::Reject { retry_after: max_wait };
     }
     let node = match mutation {
         Some(Mutation::DelayByNode(node)) => Some(node),
         _ => None,
     };
-    let drawn = draw(member, step.step, request.id, node);
+    let jitter = jitter_hash(member, step.step, request.id, node);
     let spread = (max_wait - min_wait).as_micros() as u128 + 1;
-    let wait = min_wait + Duration::from_micros(((u128::from(drawn) * spread) >> 64) as i64);
-    DelayDecision::Delay(wait.min(affordable).max(Duration::from_micros(1)))
+    let wait = min_wait + Duration::from_micros(((u128::from(jitter) * spread) >> 64) as i64);
+    DelayDecision::Delay(wait.min(wait_limit).max(Duration::from_micros(1)))
 }
 
-/// The longest wait of a step; `None` where nothing waits.
+/// The maximum delay at a step; `None` if requests are not delayed.
 fn max_wait(member: &Member, step: ThrottleStep, latency_target: Duration) -> Option<Duration> {
     if step.step == 0 || step.total_steps == 0 || latency_target <= Duration::ZERO {
         return None;
@@ -111,8 +112,8 @@
     (micros != 0).then_some(Duration::from_micros(micros))
 }
 
-/// Evenly spread over all numbers: FNV-1a of the parts, each with its length, and the last mixing of splitmix64.
-fn draw(member: &Member, step: u32, id: &[u8], node: Option<u32>) -> u64 {
+/// A uniformly distributed hash: FNV-1a of the parts, each preceded by its length, then the finalizer of splitmix64.
+fn jitter_hash(member: &Member, step: u32, id: &[u8], node: Option<u32>) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     let mut add = |bytes: &[u8]| {
         for byte in (bytes.len() as u64).to_le_bytes().iter().chain(bytes) {
@@ -130,8 +131,8 @@
     hash ^ (hash >> 31)
 }
 
-/// What is decided for a request from its head to its end: decided once, kept through every attempt. It can't be decided
-/// again, so a step that comes meanwhile does not touch it.
+/// The decision on a request, made once at its head and kept for all attempts, so that a step that begins meanwhile
+/// does not affect the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestThrottle {
     step: ThrottleStep,
@@ -139,7 +140,7 @@
 }
 
 impl RequestThrottle {
-    /// Decide for a request at its head.
+    /// Decides for a request at its head.
     pub fn at_head(
         member: &Member,
         step: ThrottleStep,
@@ -153,12 +154,12 @@
         RequestThrottle { step, decision: decide_delay(member, step, &request) }
     }
 
-    /// The step in force for it, for the header of its answer.
+    /// The step that applies to the request, for the response header.
     pub fn throttle_step(&self) -> ThrottleStep {
         self.step
     }
 
-    /// What is done with it before it is first forwarded.
+    /// The decision to carry out before the request is first forwarded.
     pub fn decision(&self) -> DelayDecision {
         self.decision
     }
--- a/crates/control/throttle/src/delay_queue.rs
+++ b/crates/control/throttle/src/delay_queue.rs
@@ -1,10 +1,10 @@
-//! Requests that wait.
+//! Queue of delayed requests.
 
 use std::collections::BTreeMap;
 
 use silvercross_time::{Duration, Instant};
 
-/// Names a request that waits.
+/// Identifies a delayed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DelayTicket {
     until: Instant,
@@ -17,8 +17,8 @@
     request: T,
 }
 
-/// Requests that wait until their time: at most so many, and at most so many bytes reserved for them. At the limit the
-/// newest goes on at once; none is rejected for it.
+/// Delayed requests, bounded by their number and by the bytes reserved for them. At a limit a new request is not
+/// delayed but forwarded at once; none is rejected.
 #[derive(Clone, Debug)]
 pub struct DelayQueue<T> {
     waiting: BTreeMap<DelayTicket, Waiting<T>>,
@@ -31,7 +31,7 @@
 }
 
 impl<T> DelayQueue<T> {
-    /// Nothing waits yet.
+    /// Creates an empty queue.
     pub fn new(max_requests: usize, max_bytes: usize) -> DelayQueue<T> {
         DelayQueue {
             waiting: BTreeMap::new(),
@@ -44,10 +44,10 @@
         }
     }
 
-    /// Let a request wait, for which `bytes` are reserved.
+    /// Delays a request by `wait` and reserves `bytes` for it.
     ///
     /// # Errors
-    /// The request, where it is to go on at once: the limits are reached, or the node drains or stops.
+    /// Returns the request if it is to be forwarded at once: a limit is reached, or the node drains or stops.
     pub fn push(&mut self, now: Instant, wait: Duration, bytes: usize, request: T) -> Result<DelayTicket, T> {
         let is_full =
             self.waiting.len() >= self.max_requests || bytes > self.max_bytes.saturating_sub(self.bytes);
@@ -63,7 +63,7 @@
         Ok(ticket)
     }
 
-    /// The next request whose time has come, the longest due first.
+    /// Removes the next request whose delay is over, earliest deadline first.
     pub fn pop(&mut self, now: Instant) -> Option<T> {
         let first = self.waiting.first_entry().filter(|first| first.key().until <= now)?;
         let Waiting { bytes, request } = first.remove();
@@ -71,47 +71,47 @@
         Some(request)
     }
 
-    /// When [`DelayQueue::pop`] next has something.
+    /// When [`DelayQueue::pop`] next returns a request.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.waiting.first_key_value().map(|(ticket, _)| ticket.until)
     }
 
-    /// Take a request out whose client is gone.
+    /// Removes a request, for example because its client disconnected.
     pub fn cancel(&mut self, ticket: DelayTicket) -> Option<T> {
         let Waiting { bytes, request } = self.waiting.remove(&ticket)?;
         self.bytes -= bytes;
         Some(request)
     }
 
-    /// The node drains or stops: all that wait go on at once, in the order of their times, and so does all that comes
-    /// after.
+    /// Closes the queue because the node drains or stops. Returns all delayed requests in order of their deadlines;
+    /// later ones are not delayed.
     pub fn release_all(&mut self) -> Vec<T> {
         self.is_closed = true;
         self.bytes = 0;
         std::mem::take(&mut self.waiting).into_values().map(|waiting| waiting.request).collect()
     }
 
-    /// The node serves on after a drain that was taken back.
+    /// Reopens the queue after a cancelled drain.
     pub fn reopen(&mut self) {
         self.is_closed = false;
     }
 
-    /// How many wait.
+    /// Number of delayed requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is delayed.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Bytes reserved for them.
+    /// Bytes reserved for the delayed requests.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// How many went on at once so far because they could not wait.
+    /// Number of requests so far that were not delayed because of a limit or because the queue was closed.
     pub fn bypassed(&self) -> u64 {
         self.bypassed
     }
--- a/crates/control/throttle/src/lapse.rs
+++ b/crates/control/throttle/src/lapse.rs
@@ -1,4 +1,4 @@
-//! What stands under a member's key in the control store, and how it changes.
+//! The state of a member's lapse in the control store, and its changes.
 
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Rejection, State};
@@ -7,10 +7,10 @@
 
 use crate::unix_time::UnixTime;
 
-/// Before a member's name: the key of its lapse.
+/// Prefix of the control store key of a member's [`LapseState`]; the member's name follows.
 pub const LAPSE_KEY_PREFIX: &str = "lapse/";
 
-/// The key of a member's lapse.
+/// The control store key of a member's lapse.
 pub fn lapse_key(name: &str) -> String {
     format!("{LAPSE_KEY_PREFIX}{name}")
 }
@@ -20,56 +20,56 @@
     key.strip_prefix(LAPSE_KEY_PREFIX).filter(|name| !name.is_empty())
 }
 
-/// How far a member's lapse has come. Within a version nothing of it goes back.
+/// Progress of a member's lapse. Within a version it never goes backwards.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LapseState {
-    /// The version of the member's item that it is about; nothing was ever written where there is none.
+    /// The version of the member's item that the lapse belongs to; `None` if nothing was ever written.
     pub version: Option<u64>,
-    /// When it is to begin, where the item says `lapsesInS`; set once for a version.
+    /// When the lapse is to begin, if the item has `lapsesInS`; set once per version.
     pub due: Option<UnixTime>,
-    /// Whether it has begun.
+    /// Whether the lapse has begun.
     pub begun: bool,
-    /// The step in force, 0 to `total_steps`.
+    /// The current step, 0 to `total_steps`.
     pub step: u32,
-    /// Steps in all.
+    /// Number of steps in the schedule.
     pub total_steps: u32,
-    /// How often it was renewed after the first.
+    /// Number of renewals after the first.
     pub renewals: u32,
 }
 
-/// A change of a lapse. Each names its version, so that what a late owner still sends does not touch a renewal.
+/// A change of a lapse. Each has the item's version, so that late changes of a former owner do not affect a renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum LapseChange {
-    /// A higher version of the member's item: all begins anew.
+    /// The member's item has a higher version: the lapse starts over.
     Renew {
         /// The version of the item.
         version: u64,
-        /// Steps in all.
+        /// Number of steps in the schedule.
         total_steps: u32,
     },
-    /// When it is to begin.
+    /// Sets when the lapse is to begin.
     Due {
         /// The version of the item.
         version: u64,
-        /// That time.
+        /// When the lapse is to begin.
         at: UnixTime,
     },
-    /// The trial has lapsed; the first step follows a part of the ramp later.
+    /// The trial has lapsed; the first step follows one step length later.
     Begin {
         /// The version of the item.
         version: u64,
     },
-    /// The next step is in force.
+    /// The next step begins.
     Step {
         /// The version of the item.
         version: u64,
-        /// The step, one above the one before.
+        /// The new step, one above the previous one.
         to: u32,
     },
 }
 
 impl LapseChange {
-    /// The version of the item that it is about.
+    /// The version of the item that the change belongs to.
     pub fn version(&self) -> u64 {
         match self {
             LapseChange::Renew { version, .. }
@@ -80,29 +80,29 @@
     }
 }
 
-/// Why a change of a lapse is not taken.
+/// Why a change of a lapse is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 enum LapseRejection {
     #[error("a lapse has at least one step")]
     NoSteps,
-    #[error("edition {version} stands with {total_steps} steps")]
-    OtherSteps { version: u64, total_steps: u32 },
-    #[error("that edition was not begun (renew first)")]
+    #[error("edition {version} already has {total_steps} steps")]
+    DifferentStepCount { version: u64, total_steps: u32 },
+    #[error("the lapse has no renewal to that edition (renew first)")]
     NotRenewed,
-    #[error("another instant stands already")]
-    OtherDueTime,
-    #[error("it has begun already")]
-    Begun,
+    #[error("the lapse already has another due time")]
+    DifferentDueTime,
+    #[error("the lapse has already begun")]
+    AlreadyBegun,
     #[error("step {to} is above the last, {total_steps}")]
     AboveLastStep { to: u32, total_steps: u32 },
-    #[error("it has not begun")]
+    #[error("the lapse has not begun")]
     NotBegun,
     #[error("step {to} does not follow {step}")]
-    StepLeftOut { to: u32, step: u32 },
+    StepSkipped { to: u32, step: u32 },
 }
 
 impl LapseRejection {
-    /// Whether the change would be valid had another not come first.
+    /// Whether the change is valid on its own and is rejected only because of the current state.
     fn is_conflict(&self) -> bool {
         !matches!(self, LapseRejection::NoSteps | LapseRejection::AboveLastStep { .. })
     }
@@ -111,8 +111,8 @@
 impl State for LapseState {
     type Change = LapseChange;
 
-    /// What is of a lower version is superseded and changes nothing; what is of a higher one waits for its renewal. A step
-    /// is taken only from the one before it.
+    /// A change of a lower version is superseded and changes nothing; one of a higher version is rejected until its
+    /// renewal was applied. A step is accepted only after the previous step.
     fn apply(&mut self, change: &LapseChange) -> Result<bool, Rejection> {
         self.apply_change(change).map_err(|rejection| Rejection {
             conflict: rejection.is_conflict(),
@@ -122,7 +122,7 @@
 }
 
 impl LapseState {
-    /// Whether this content of the key follows the other.
+    /// Whether this state is later than the other.
     pub(crate) fn is_newer_than(&self, other: &LapseState) -> bool {
         let rank = |state: &LapseState| (state.version, state.begun, state.step, state.due.is_some());
         rank(self) > rank(other)
@@ -152,7 +152,7 @@
         }
         if self.version == Some(version) {
             if self.total_steps != total_steps {
-                return Err(LapseRejection::OtherSteps { version, total_steps: self.total_steps });
+                return Err(LapseRejection::DifferentStepCount { version, total_steps: self.total_steps });
             }
             return Ok(false);
         }
@@ -164,8 +164,8 @@
     fn set_due(&mut self, at: UnixTime) -> Result<bool, LapseRejection> {
         match self.due {
             Some(due) if due == at => Ok(false),
-            Some(_) => Err(LapseRejection::OtherDueTime),
-            None if self.begun => Err(LapseRejection::Begun),
+            Some(_) => Err(LapseRejection::DifferentDueTime),
+            None if self.begun => Err(LapseRejection::AlreadyBegun),
             None => {
                 self.due = Some(at);
                 Ok(true)
@@ -184,7 +184,7 @@
             return Err(LapseRejection::NotBegun);
         }
         if to > self.step + 1 {
-            return Err(LapseRejection::StepLeftOut { to, step: self.step });
+            return Err(LapseRejection::StepSkipped { to, step: self.step });
         }
         self.step = to;
         Ok(true)
--- a/crates/control/throttle/src/lapse_step.rs
+++ b/crates/control/throttle/src/lapse_step.rs
@@ -1,4 +1,4 @@
-//! Which change of a lapse comes next, and whether it is time for it.
+//! The next change of a lapse, and whether it is due.
 
 use silvercross_time::{Duration, Instant};
 
@@ -8,27 +8,27 @@
 use crate::trusted_clock::TrustedClock;
 use crate::unix_time::UnixTime;
 
-/// Where the time of day is not to be trusted, it is looked at again after this long.
+/// Time after which the clock is checked again if it has no trusted time.
 pub const CLOCK_RECHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// A lapse that is further off is looked at again after this long: the time of day may be set in between.
+/// Longest wait for the time of a lapse before it is checked again, because the wall clock may be set meanwhile.
 pub const MAX_SLEEP: Duration = Duration::from_secs(600);
 
-/// What the next change depends on.
+/// Inputs of the decision on the next change.
 pub(crate) struct StepContext<'a> {
     pub(crate) now: Instant,
-    /// The committed content of the key.
+    /// The key's committed state.
     pub(crate) state: &'a LapseState,
-    /// The item in force.
+    /// The member's current item.
     pub(crate) member: &'a Member,
     pub(crate) clock: &'a TrustedClock,
-    /// When the content was first seen.
+    /// When the state was first seen.
     pub(crate) since: Instant,
-    /// The count of a mutation that steps by its own.
+    /// Step count used by a mutation in place of the committed one.
     pub(crate) steps_seen: Option<u32>,
 }
 
 impl StepContext<'_> {
-    /// What to do before a time of day; `None` once it is reached.
+    /// Waits for a wall clock time; `None` once it is reached.
     fn wait_until(&self, at: UnixTime) -> Option<TimerDecision> {
         match self.clock.wall_time(self.now) {
             Some(time) if time >= at => None,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The next change, if it is time for it.
+/// Decides the next change, or what to wait for.
 pub(crate) fn decide_step(context: &StepContext<'_>) -> TimerDecision {
     let StepContext { state, member, .. } = context;
     let version = member.version;
@@ -72,11 +72,12 @@
     TimerDecision::propose(LapseChange::Step { version, to: step + 1 })
 }
 
-/// The item is newer than the key's content.
+/// Decides for an item that is newer than the key's state.
 fn decide_renewal(context: &StepContext<'_>) -> TimerDecision {
     let StepContext { state, member, .. } = context;
     let renew = LapseChange::Renew { version: member.version, total_steps: member.throttle.steps };
-    // A key that nobody ever wrote is left so until it matters: most members cost the control store nothing.
+    // A key that was never written stays unwritten until the member lapses, so that most members use no space in the
+    // control store.
     match member.lapse_time {
         _ if state.version.is_some() => TimerDecision::propose(renew),
         None => TimerDecision::rest(WaitingFor::Nothing),
--- a/crates/control/throttle/src/lapse_timer.rs
+++ b/crates/control/throttle/src/lapse_timer.rs
@@ -1,4 +1,4 @@
-//! What the owner of a member's key has to do: which change to propose next, and when to look again.
+//! Timer of a lapse key's owner: which change to propose next, and when to decide again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,11 +12,12 @@
 use crate::timer_decision::{TimerDecision, WaitingFor};
 use crate::trusted_clock::TrustedClock;
 
-/// A change that was proposed and does not show is proposed again after this long.
+/// Time after which a proposal that did not take effect is repeated.
 pub const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// So early that every span since has passed, without overflow of what is added to it.
-const LONG_AGO: Instant = Instant::from_micros(i64::MIN / 2);
+/// Earlier than any real time, so that every interval since has passed; far enough from the type's minimum to compute
+/// with.
+const DISTANT_PAST: Instant = Instant::from_micros(i64::MIN / 2);
 
 #[derive(Clone, Debug)]
 struct Proposed {
@@ -24,7 +25,7 @@
     at: Instant,
 }
 
-/// What the timer remembers of a key.
+/// The timer's state for one key.
 #[derive(Clone, Debug)]
 struct WatchedKey {
     epoch: Epoch,
@@ -33,17 +34,17 @@
     since: Instant,
     proposed: Option<Proposed>,
     next_deadline: Option<Instant>,
-    /// Steps seen under this epoch; only a mutation counts by it.
+    /// Steps seen under this epoch; used only by a mutation.
     steps_seen: u32,
 }
 
-/// The owner's memory of the lapses it takes on. At most [`MAX_MEMBERS`] keys; beyond it a key is not watched (its member
-/// stays as it is), which [`TimerDecision::waiting_for`] shows as waiting for its item.
+/// Decides the changes of the lapses whose keys this node owns. Watches at most [`MAX_MEMBERS`] keys; above that a key
+/// is not watched (its member stays as it is), and [`TimerDecision::waiting_for`] is [`WaitingFor::Item`].
 ///
-/// The time of a lapse is by the time of day that [`TrustedClock`] gives. From then on each step follows a part of the
-/// ramp after the owner saw the one before, on its monotonic clock. A new owner, or the same one under a new epoch or after
-/// a restart, begins the time of the step in force anew: a step may last longer for that, at most by its own length for
-/// each change of owner, and never less.
+/// A lapse begins at a time of day by [`TrustedClock`]. Each further step follows one step length (the ramp divided
+/// by the number of steps) after the owner saw the previous one, on its monotonic clock. A new owner, or the same
+/// owner under a new epoch or after a restart, restarts the time of the current step: each change of owner lengthens
+/// a step by at most its own length and never shortens it.
 #[derive(Clone, Debug, Default)]
 pub struct LapseTimer {
     watched: BTreeMap<String, WatchedKey>,
@@ -52,12 +53,12 @@
 }
 
 impl LapseTimer {
-    /// A timer that watches nothing yet.
+    /// Creates a timer that watches no keys.
     pub fn new() -> LapseTimer {
         LapseTimer::default()
     }
 
-    /// Change a rule on purpose.
+    /// Breaks one rule.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
     pub fn set_mutation(&mut self, mutation: Mutation) {
@@ -68,9 +69,9 @@
         cfg!(feature = "mutants") && self.mutation == Some(mutation)
     }
 
-    /// What to do for the member `name`, of whose key this node is the owner under `epoch`. `state` is the key's committed
-    /// content, `member` the item in force, `clock` has been read just now. To be called when any of them changes, when
-    /// [`LapseTimer::due`] names the key, and after a rejection; calling it more often does no harm.
+    /// Decides for the member `name`, whose key this node owns under `epoch`. `state` is the key's committed state,
+    /// `member` the current item; `clock` must have a reading of this moment. Call it when any of them changes, when
+    /// [`LapseTimer::due`] returns the member, and after a rejection; extra calls are harmless.
     pub fn decide(
         &mut self,
         now: Instant,
@@ -88,10 +89,10 @@
             return TimerDecision::rest(WaitingFor::Item);
         }
         let before = self.remove(name).filter(|key| key.epoch == epoch);
-        let mut key = self.observed(before, now, epoch, state);
+        let mut key = self.update_key(before, now, epoch, state);
         let steps_seen = self.has_mutation(Mutation::StepLostAtHandOver).then_some(key.steps_seen);
         let context = StepContext { now, state, member, clock, since: key.since, steps_seen };
-        let decision = key.pace(now, decide_step(&context));
+        let decision = key.suppress_repeat(now, decide_step(&context));
         key.next_deadline = decision.next_deadline;
         if let Some(at) = decision.next_deadline {
             self.deadlines.insert((at, name.to_string()));
@@ -100,8 +101,8 @@
         decision
     }
 
-    /// What is remembered of a key, brought up to the state that is seen now.
-    fn observed(
+    /// Updates a key's record with the state seen now, or creates one.
+    fn update_key(
         &self,
         before: Option<WatchedKey>,
         now: Instant,
@@ -109,11 +110,11 @@
         state: &LapseState,
     ) -> WatchedKey {
         let Some(mut key) = before else {
-            let is_doubled = self.has_mutation(Mutation::StepDoubledAtHandOver);
+            let steps_at_once = self.has_mutation(Mutation::StepDoubledAtHandOver);
             return WatchedKey {
                 epoch,
                 state: state.clone(),
-                since: if is_doubled { LONG_AGO } else { now },
+                since: if steps_at_once { DISTANT_PAST } else { now },
                 proposed: None,
                 next_deadline: None,
                 steps_seen: 0,
@@ -134,44 +135,44 @@
         Some(key)
     }
 
-    /// The key is another's now, or its member is gone.
+    /// Stops watching a key, because another node owns it now or its member was removed.
     pub fn forget(&mut self, name: &str) {
         self.remove(name);
     }
 
-    /// When to ask for [`LapseTimer::due`] next.
+    /// When to call [`LapseTimer::due`] next.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Up to `max` members to decide for now, the longest due first. Each stays due until decided for or forgotten.
+    /// Up to `max` members whose deadline has passed, earliest first. Each stays due until it is decided or forgotten.
     pub fn due(&self, now: Instant, max: usize) -> Vec<String> {
         let due = self.deadlines.iter().take_while(|(at, _)| *at <= now);
         due.take(max).map(|(_, name)| name.clone()).collect()
     }
 
-    /// How many members are watched.
+    /// Number of watched members.
     pub fn len(&self) -> usize {
         self.watched.len()
     }
 
-    /// Whether none is watched.
+    /// Whether no member is watched.
     pub fn is_empty(&self) -> bool {
         self.watched.is_empty()
     }
 }
 
 impl WatchedKey {
-    /// The decision with what was proposed already left out until it is time to propose it again.
-    fn pace(&mut self, now: Instant, mut decision: TimerDecision) -> TimerDecision {
+    /// Removes a proposal that was made already from the decision until it is time to repeat it.
+    fn suppress_repeat(&mut self, now: Instant, mut decision: TimerDecision) -> TimerDecision {
         let Some(change) = decision.proposal.take() else { return decision };
-        // A due time that was proposed is proposed again as it was, however late it is by now.
+        // Repeats a proposed due time unchanged: one computed anew would be later.
         let is_same = |proposed: &Proposed| {
             std::mem::discriminant(&proposed.change) == std::mem::discriminant(&change)
                 && proposed.change.version() == change.version()
         };
         let proposed = self.proposed.take().filter(is_same);
-        let Proposed { change, at } = proposed.unwrap_or(Proposed { change, at: LONG_AGO });
+        let Proposed { change, at } = proposed.unwrap_or(Proposed { change, at: DISTANT_PAST });
         let retry_at = at.saturating_add(PROPOSAL_RETRY_INTERVAL);
         if now < retry_at {
             decision.next_deadline = Some(retry_at);
--- a/crates/control/throttle/src/lapse_view.rs
+++ b/crates/control/throttle/src/lapse_view.rs
@@ -1,4 +1,4 @@
-//! What a node knows of all lapses: how far it throttles each member, and what it reports to the operator.
+//! A node's view of all lapses: the throttle step of each member, and what is reported to operators.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,26 @@
 use crate::mutation::Mutation;
 use crate::throttle_step::{throttle_step, ThrottleStep};
 
-/// A lapse went on: one line of the log.
+/// A change of a lapse, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LapseTransition {
-    /// What was known before.
+    /// The state known before.
     pub from: LapseState,
-    /// What is known now.
+    /// The state known now.
     pub to: LapseState,
 }
 
-/// One member on one node.
+/// Status of one member on one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// How far it is throttled here.
+    /// The step at which this node throttles the member.
     pub throttle_step: ThrottleStep,
-    /// The version that this is of: the item's, or the lapse's where that came ahead of it. Steps rise within one.
+    /// The version that the step belongs to: that of the item, or of the lapse if that is newer. Within a version steps
+    /// only increase.
     pub version: u64,
-    /// Whether its lapse has begun, as far as is known here.
+    /// Whether the lapse has begun, as far as this node knows.
     pub begun: bool,
-    /// For how long this node has known that; `None` where it never heard of a lapse.
+    /// Time since this node learned the current state of the lapse; `None` if it knows no lapse.
     pub age: Option<Duration>,
 }
 
@@ -37,8 +38,8 @@
     since: Instant,
 }
 
-/// The lapses as one node follows them. At most [`MAX_MEMBERS`]; what goes beyond is not followed, and its member is not
-/// throttled here.
+/// The lapses known to one node, at most [`MAX_MEMBERS`]. Above that a lapse is not followed, and this node does not
+/// throttle its member.
 #[derive(Clone, Debug, Default)]
 pub struct LapseView {
     lapses: BTreeMap<String, KnownLapse>,
@@ -46,20 +47,20 @@
 }
 
 impl LapseView {
-    /// Nothing is known yet: nobody is throttled.
+    /// Creates a view without lapses: no member is throttled.
     pub fn new() -> LapseView {
         LapseView::default()
     }
 
-    /// Change a rule on purpose.
+    /// Breaks one rule.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
     pub fn set_mutation(&mut self, mutation: Mutation) {
         self.mutation = Some(mutation);
     }
 
-    /// Take a member's lapse as it was received. Copies may come late and in any order: one that is no newer changes
-    /// nothing.
+    /// Processes a received copy of a member's lapse. Copies may arrive late and in any order; one that is not newer
+    /// changes nothing.
     pub fn observe(&mut self, now: Instant, name: &str, lapse: &LapseState) -> Option<LapseTransition> {
         let has_room = self.lapses.len() < MAX_MEMBERS;
         let Some(known) = self.lapses.get_mut(name) else {
@@ -77,12 +78,12 @@
         Some(LapseTransition { from, to: lapse.clone() })
     }
 
-    /// Forget the members that are no longer in force.
-    pub fn retain_members(&mut self, is_in_force: impl Fn(&str) -> bool) {
-        self.lapses.retain(|name, _| is_in_force(name));
+    /// Removes the lapses of members that no longer exist.
+    pub fn retain_members(&mut self, is_member: impl Fn(&str) -> bool) {
+        self.lapses.retain(|name, _| is_member(name));
     }
 
-    /// How far a member is throttled here, and for how long so.
+    /// The member's status on this node.
     pub fn status(&self, now: Instant, member: &Member) -> MemberStatus {
         let Some(KnownLapse { state, since }) = self.lapses.get(&member.name) else {
             let throttle_step = throttle_step(member, &LapseState::default());
@@ -103,8 +104,8 @@
         MemberStatus { throttle_step, version, begun, age: Some(age) }
     }
 
-    /// How many of these members are at which tenth of their schedule: 0 is not throttled, 10 is throttled in full, and a
-    /// part of a tenth counts as a whole one. Eleven numbers, however many members and steps there are.
+    /// Counts members by the tenth of their schedule, rounded up: index 0 is not throttled, index 10 is fully
+    /// throttled.
     pub fn count_by_tenth<'a>(&self, members: impl Iterator<Item = &'a Member>) -> [u64; 11] {
         let mut counts = [0; 11];
         for member in members {
--- a/crates/control/throttle/src/lib.rs
+++ b/crates/control/throttle/src/lib.rs
@@ -1,15 +1,18 @@
-//! Throttling of members whose trial has lapsed, decided without I/O: whose a request is ([`MemberIndex`]), when a trial
-//! lapses and how far its throttle has closed ([`LapseState`], changed by the [`LapseTimer`] of the key's owner, followed
-//! by every node's [`LapseView`]), and how long a read waits for it ([`decide_delay`], [`DelayQueue`]).
+//! Throttling of members whose trial has lapsed, decided without I/O.
 //!
-//! # How the configuration carries members
+//! - [`MemberIndex`]: the member that a request belongs to.
+//! - [`LapseState`]: when a trial lapses and which throttle step is reached; changed by the [`LapseTimer`] of the key's
+//!   owner, followed by the [`LapseView`] of every node.
+//! - [`decide_delay`] and [`DelayQueue`]: how long a read is delayed.
 //!
-//! The package for the configuration depends on this one, not the other way round. Its parser lets the lists `members` and
-//! `membership` pass in `deliver` and `members` in `withdraw`, and hands both objects to [`parse_members`], whose error it
-//! passes on. The [`MemberListChange`] goes beside its change and the [`MemberList`] beside its configuration, under one key
-//! once members were sent. Applying a call asks [`MemberList::would_change`] before any item is put in force;
-//! [`MemberList::to_json`] adds to what is read back and adds nothing where there are no members. The [`MemberIndex`] is
-//! made beside the routing table, once for each change.
+//! # Members in the configuration
+//!
+//! The configuration package depends on this one. Its parser ignores `members` and `membership` in `deliver` and
+//! `members` in `withdraw`, and passes both objects to [`parse_members`]. The [`MemberListChange`] is stored next to
+//! the configuration change and the [`MemberList`] next to the configuration, under one key once members were sent.
+//! Applying a call checks [`MemberList::would_change`] before it changes any item. [`MemberList::to_json`] adds to
+//! the configuration's JSON, and nothing if there are no members. The [`MemberIndex`] is built together with the
+//! routing table, once for each change.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, unreachable_pub)]
 #![deny(clippy::too_many_lines, clippy::too_many_arguments)]
--- a/crates/control/throttle/src/member.rs
+++ b/crates/control/throttle/src/member.rs
@@ -1,4 +1,4 @@
-//! What an operator says of members.
+//! Members as configured by operators.
 
 use bitcode::{Decode, Encode};
 use silvercross_config_item::Versioned;
@@ -6,25 +6,25 @@
 
 use crate::unix_time::UnixTime;
 
-/// No more members stand at a time; a call that would go beyond is rejected whole.
+/// Most members at a time; a call that would exceed it is rejected as a whole.
 pub const MAX_MEMBERS: usize = 100_000;
-/// A longer key is rejected.
+/// Longest key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
-/// A member with more keys is rejected.
+/// Most keys of a member.
 pub const MAX_KEYS: usize = 16;
-/// A schedule of more steps is rejected.
+/// Most steps of a schedule.
 pub const MAX_STEPS: u32 = 1_000;
-/// A schedule whose steps are shorter is rejected: nodes could not follow it alike.
+/// Shortest step of a schedule: nodes could not follow shorter steps in unison.
 pub const MIN_STEP: Duration = Duration::from_secs(1);
-/// The greatest part of a route's latency target that the full delay may take, in millionths.
+/// Largest maximum delay, in parts per million of a route's latency target.
 pub const MAX_DELAY_PPM: u32 = 500_000;
-/// No time in an item is longer (about 317 years, or the year 2286 where it is a time of day): such are rejected.
+/// Longest time in an item: about 317 years as a duration, the year 2286 as a time since the Unix epoch.
 pub const MAX_TIME: Duration = Duration::from_secs(10_000_000_000);
 
-/// What a member is on.
+/// A member's plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Plan {
-    /// For a time; then it lapses.
+    /// Unthrottled for a limited time; then it lapses.
     Trial,
     /// Never throttled.
     Full,
@@ -33,45 +33,45 @@
 /// When a trial lapses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum LapseTime {
-    /// At this time of day.
+    /// At this wall clock time.
     At(UnixTime),
-    /// So long after the owner of the member's key first has this version.
+    /// This long after the owner of the member's lapse key first processes this version.
     In(Duration),
 }
 
-/// How the throttle closes once the trial has lapsed.
+/// How the delay increases after the trial has lapsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ThrottleSchedule {
-    /// The part of a route's latency target that a read waits at most at the last step, in millionths; above 0, at most
+    /// Maximum delay of a read at the last step, in parts per million of the route's latency target; above 0, at most
     /// [`MAX_DELAY_PPM`].
     pub max_delay_ppm: u32,
-    /// From no delay to the full one.
+    /// Time from the lapse to the last step.
     pub ramp: Duration,
-    /// In how many equal steps; 1 to [`MAX_STEPS`].
+    /// Number of steps of equal length; 1 to [`MAX_STEPS`].
     pub steps: u32,
 }
 
 impl Default for ThrottleSchedule {
-    /// A quarter of the target, over a day, an hour a step.
+    /// A quarter of the latency target, over a day in steps of an hour.
     fn default() -> Self {
         ThrottleSchedule { max_delay_ppm: 250_000, ramp: Duration::from_secs(86_400), steps: 24 }
     }
 }
 
-/// A member: who sends requests under a key.
+/// A sender of requests, identified by its keys.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Member {
-    /// Its identity.
+    /// The unique name.
     pub name: String,
-    /// The values by which requests name it; 1 to [`MAX_KEYS`]. No two members share one.
+    /// The header values that identify the member; 1 to [`MAX_KEYS`]. No two members share a key.
     pub keys: Vec<String>,
-    /// What it is on.
+    /// The plan.
     pub plan: Plan,
-    /// When it lapses; a trial has it and a full plan has not.
+    /// When the trial lapses; `None` for a full plan.
     pub lapse_time: Option<LapseTime>,
-    /// How it is throttled after that; defaults where none was sent.
+    /// How the member is throttled after the lapse; the default if none was sent.
     pub throttle: ThrottleSchedule,
-    /// The item's version. A higher one renews the member: its throttle opens again.
+    /// The item's version. A higher version renews the member and ends the throttling.
     pub version: u64,
 }
 
@@ -81,22 +81,22 @@
     }
 }
 
-/// What becomes of a request that names no member: no key, several, or one nobody has.
+/// Handling of a request that identifies no member: it has no key, several keys, or an unknown key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub enum UnknownMemberPolicy {
-    /// It is served as of no member.
+    /// It is served as an anonymous request.
     #[default]
     Serve,
     /// It is rejected before it is forwarded.
     Reject,
 }
 
-/// How requests name their member.
+/// How requests identify their member.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct MemberIdentification {
     /// The header that carries a key, in lower case.
     pub header: String,
-    /// What becomes of the others; served where nothing was sent.
+    /// Handling of requests that identify no member.
     pub unknown: UnknownMemberPolicy,
     /// The item's version.
     pub version: u64,
--- a/crates/control/throttle/src/member_index.rs
+++ b/crates/control/throttle/src/member_index.rs
@@ -1,22 +1,22 @@
-//! Whose a request is.
+//! Identification of the member that a request belongs to.
 
 use std::collections::BTreeMap;
 
 use crate::member::{Member, MemberIdentification, UnknownMemberPolicy};
 use crate::member_list::MemberList;
 
-/// Whose a request is.
+/// The member that a request belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestIdentity<'a> {
-    /// A member's.
+    /// The request belongs to this member.
     Member(&'a Member),
-    /// No member's: served as everything was before there were members.
+    /// The request belongs to no member and is served unthrottled.
     Anonymous,
-    /// No member's, and such are to be rejected before they are forwarded.
+    /// The request belongs to no member and is to be rejected before it is forwarded.
     Reject,
 }
 
-/// The members by key, made once for each change of the list. No larger than the list.
+/// Index of members by key, rebuilt for each change of the list. Its size is bounded by that of the list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberIndex {
     identification: Option<MemberIdentification>,
@@ -25,7 +25,7 @@
 }
 
 impl MemberIndex {
-    /// The index of the members in force.
+    /// Builds the index of the current members.
     pub fn new(list: &MemberList) -> MemberIndex {
         let mut index =
             MemberIndex { identification: list.identification().cloned(), ..MemberIndex::default() };
@@ -38,13 +38,13 @@
         index
     }
 
-    /// The header to look for, in lower case; nothing is looked for where requests can't name a member.
+    /// The header that carries a key, in lower case; `None` if no identification is configured.
     pub fn header(&self) -> Option<&str> {
         self.identification.as_ref().map(|identification| identification.header.as_str())
     }
 
-    /// Whose a request is, by all values of that header on it. Several values, even equal ones, name nobody: which of them
-    /// an upstream would believe is not known here.
+    /// Identifies a request's member from all values of that header. Several values, even equal ones, identify no
+    /// member: it is unknown which of them an upstream would use.
     pub fn identify<'v>(&self, values: impl IntoIterator<Item = &'v [u8]>) -> RequestIdentity<'_> {
         let Some(identification) = &self.identification else { return RequestIdentity::Anonymous };
         let mut values = values.into_iter();
@@ -59,12 +59,12 @@
         }
     }
 
-    /// A member by its name.
+    /// A member by name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// All members, by name.
+    /// All members, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
--- a/crates/control/throttle/src/member_list.rs
+++ b/crates/control/throttle/src/member_list.rs
@@ -1,4 +1,4 @@
-//! Which members are in force.
+//! The current members, merged from the operators' calls.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +12,25 @@
 use crate::error::{MemberError, MemberProblem};
 use crate::member::{Member, MemberIdentification, MAX_MEMBERS};
 
-/// How many withdrawals are remembered, so that an older version of a withdrawn member does not come back. Beyond it
-/// those that were taken first are forgotten.
+/// Most tombstones kept. A tombstone prevents an older version of a withdrawn member from coming back; above the limit
+/// the oldest tombstones are removed.
 pub const MAX_TOMBSTONES: usize = 65_536;
 
-/// What one call says of members. Holds at most what the call's body says.
+/// The changes to members in one call. Its size is bounded by the call's body.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct MemberListChange {
     pub(crate) members: Entries<Member>,
     pub(crate) identification: Option<Item<MemberIdentification>>,
 }
 
-/// A version of an item of members: what a call sends, or what stands.
+/// A version of a member's item or of the identification, either in a call or current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberItemVersion<'a> {
-    /// The member's name; `None` for how requests name members.
+    /// The member's name; `None` for the [`MemberIdentification`].
     pub name: Option<&'a str>,
     /// The item's version.
     pub version: u64,
-    /// As it was sent; `None` if it is withdrawn.
+    /// The item's JSON as sent; `None` if it is withdrawn.
     pub raw_json: Option<&'a str>,
 }
 
@@ -46,13 +46,13 @@
 }
 
 impl MemberListChange {
-    /// The versions of all items it sets or withdraws.
+    /// The versions of all items that the change sets or withdraws.
     pub fn item_versions(&self) -> impl Iterator<Item = MemberItemVersion<'_>> {
         let members = self.members.iter().map(|(name, entry)| MemberItemVersion::of_member(name, entry));
         members.chain(self.identification.as_ref().map(MemberItemVersion::of_identification))
     }
 
-    /// The change without these members.
+    /// A copy of the change without these members.
     pub fn without<'a>(&self, names: impl Iterator<Item = &'a str>) -> MemberListChange {
         let mut rest = self.clone();
         for name in names {
@@ -61,25 +61,26 @@
         rest
     }
 
-    /// Whether the call names no item.
+    /// Whether the change has no items.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many items the call sets or withdraws.
+    /// Number of items that the change sets or withdraws.
     pub fn len(&self) -> usize {
         self.members.len() + usize::from(self.identification.is_some())
     }
 }
 
-/// The members in force and how requests name them. At most [`MAX_MEMBERS`] and [`MAX_TOMBSTONES`].
+/// The current members and how requests identify them. Holds at most [`MAX_MEMBERS`] members and [`MAX_TOMBSTONES`]
+/// tombstones.
 ///
-/// Two are equal if the same stands in them, whenever it was withdrawn.
+/// Equality ignores the order of withdrawals.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 pub struct MemberList {
     members: Entries<Member>,
     identification: Option<Item<MemberIdentification>>,
-    /// Withdrawals taken so far.
+    /// Number of withdrawals applied so far; it orders the tombstones.
     withdrawals: u64,
 }
 
@@ -89,7 +90,7 @@
     }
 }
 
-/// What of a call would come into force.
+/// The items of a change that are newer than the current ones.
 struct Newer<'a> {
     members: NewerEntries<'a, Member>,
     identification: Option<&'a Item<MemberIdentification>>,
@@ -104,18 +105,18 @@
 impl State for MemberList {
     type Change = MemberListChange;
 
-    /// The highest version of each name stands, a lower one changes nothing, and the same version with another content is
-    /// a conflict.
+    /// Keeps the highest version of each name. A lower version changes nothing; the same version with different content
+    /// is a conflict.
     fn apply(&mut self, change: &MemberListChange) -> Result<bool, Rejection> {
         self.merge(change).map(|outcome| outcome.is_changed)
     }
 }
 
 impl MemberList {
-    /// Apply a change as [`State::apply`] and say which tombstones were forgotten for it.
+    /// Applies a change like [`State::apply`] and returns the tombstones that were removed for it.
     ///
     /// # Errors
-    /// A conflict, or what the members that would stand have in common and may not. Nothing is in force of it.
+    /// A version conflict, a key that two of the resulting members share, or too many members. Nothing is changed then.
     pub fn merge(&mut self, change: &MemberListChange) -> Result<MergeOutcome<Tombstone>, Rejection> {
         let newer = self.newer(change)?;
         let is_changed = !newer.is_empty();
@@ -123,18 +124,18 @@
         if let Some(identification) = newer.identification {
             self.identification = Some(identification.clone());
         }
-        Ok(MergeOutcome { is_changed, forgotten: self.forget_first_tombstones() })
+        Ok(MergeOutcome { is_changed, forgotten: self.forget_oldest_tombstones() })
     }
 
-    /// What applying the change would return, without doing it.
+    /// Returns what applying the change would return, without applying it.
     ///
     /// # Errors
-    /// As [`MemberList::merge`].
+    /// See [`MemberList::merge`].
     pub fn would_change(&self, change: &MemberListChange) -> Result<bool, Rejection> {
         self.newer(change).map(|newer| !newer.is_empty())
     }
 
-    /// The version that stands of a member, or (`None`) of how requests name members.
+    /// The current version of a member, or with `None` that of the [`MemberIdentification`].
     pub fn current<'a>(&'a self, name: Option<&str>) -> Option<MemberItemVersion<'a>> {
         match name {
             Some(name) => {
@@ -145,38 +146,38 @@
         }
     }
 
-    /// The members in force, by name.
+    /// The current members, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter_map(Entry::parsed)
     }
 
-    /// A member in force.
+    /// A current member by name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.get(name).and_then(Entry::parsed)
     }
 
-    /// A member's item as it was sent, with the fields that are not known here (a quota's, for one).
+    /// A member's item as sent, including fields that this package does not know (such as those of a quota).
     pub fn raw_json(&self, name: &str) -> Option<&str> {
         self.members.get(name).and_then(Entry::item).map(|item| item.raw_json.as_str())
     }
 
-    /// How requests name their member; nobody is throttled where nothing was sent.
+    /// How requests identify their member. Without it no request is throttled.
     pub fn identification(&self) -> Option<&MemberIdentification> {
         self.identification.as_ref().map(|item| &item.parsed)
     }
 
-    /// Whether no item stands.
+    /// Whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many items stand.
+    /// Number of items; tombstones do not count.
     pub fn len(&self) -> usize {
         self.members().count() + usize::from(self.identification.is_some())
     }
 
-    /// The keys to add to what is read back (`"members":[...],"membership":{...}`), each item as it was sent; empty where
-    /// no item stands.
+    /// The keys to add to the configuration's JSON (`"members":[...],"membership":{...}`), each item as sent; empty if
+    /// there are no items.
     pub fn to_json(&self) -> String {
         let mut parts = Vec::new();
         let items = self.members.values().filter_map(Entry::item);
@@ -204,9 +205,9 @@
         Ok(Newer { members, identification })
     }
 
-    /// Whether the members would be valid with these entries in place of the present ones.
+    /// Checks the members that would result from replacing current entries with the newer ones.
     fn check(&self, newer: &NewerEntries<'_, Member>) -> Result<(), MemberError> {
-        // Of the keys, only those of the newer members are looked for: the present members share none.
+        // Only the keys of newer members are collected: current members share no keys.
         let mut keys = BTreeMap::new();
         for member in newer.values().filter_map(|entry| entry.parsed()) {
             check_keys(&mut keys, member)?;
@@ -217,7 +218,7 @@
             };
             for key in &member.keys {
                 if let Some(other) = keys.get(key.as_str()).and_then(|name| newer.get(name)?.parsed()) {
-                    return Err(key_of_other(other, &member.name));
+                    return Err(duplicate_key(other, &member.name));
                 }
             }
         }
@@ -229,7 +230,7 @@
         Ok(())
     }
 
-    fn forget_first_tombstones(&mut self) -> Vec<Tombstone> {
+    fn forget_oldest_tombstones(&mut self) -> Vec<Tombstone> {
         let mut orders: Vec<u64> = self.members.values().filter_map(Entry::tombstone_order).collect();
         if orders.len() <= MAX_TOMBSTONES {
             return Vec::new();
@@ -239,23 +240,23 @@
     }
 }
 
-/// Add a member's keys to those seen so far, by the name of the member that has them.
+/// Adds a member's keys to `seen`, which maps keys to the names of their members.
 ///
 /// # Errors
-/// One of them was seen before.
+/// A key is already in `seen`.
 pub(crate) fn check_keys<'a>(
     seen: &mut BTreeMap<&'a str, &'a str>,
     member: &'a Member,
 ) -> Result<(), MemberError> {
     for key in &member.keys {
         if let Some(other) = seen.insert(key, &member.name) {
-            return Err(key_of_other(member, other));
+            return Err(duplicate_key(member, other));
         }
     }
     Ok(())
 }
 
-fn key_of_other(member: &Member, other: &str) -> MemberError {
+fn duplicate_key(member: &Member, other: &str) -> MemberError {
     let problem = if member.name == other {
         MemberProblem::KeyTwice
     } else {
--- a/crates/control/throttle/src/mutation.rs
+++ b/crates/control/throttle/src/mutation.rs
@@ -1,18 +1,19 @@
-//! Rules changed on purpose, so that tests of the model can see them caught.
+//! Rules broken on purpose, so that tests can show that the model detects each. Without the feature `mutants` they
+//! have no effect.
 
-/// A rule that is changed; without the feature `mutants` nothing heeds it.
+/// A rule to break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// The owner's own time of day decides, whatever it did and whatever the others say.
+    /// The owner trusts its own wall clock, regardless of steps and of the peers' clocks.
     OwnClock,
-    /// A node counts steps on by its own clock.
+    /// A node advances steps by its own clock.
     StepFromLocalTime,
-    /// The delay is drawn for each node apart.
+    /// The delay also depends on the node with this number.
     DelayByNode(u32),
-    /// What has begun is decided again and may be rejected.
+    /// Requests past their head, or of kinds that never wait, are decided like reads and may be rejected.
     RefusalMidway,
-    /// A new owner counts steps from its own beginning.
+    /// A new owner counts steps from the start of its ownership.
     StepLostAtHandOver,
-    /// A new owner takes the step in force for over.
+    /// A new owner treats the current step as already over.
     StepDoubledAtHandOver,
 }
--- a/crates/control/throttle/src/parse.rs
+++ b/crates/control/throttle/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading what an operator sends of members.
+//! Parses the members in an operator's call.
 
 mod fields;
 
@@ -16,7 +16,7 @@
 use crate::unix_time::UnixTime;
 use fields::Fields;
 
-/// Headers that mean something else already.
+/// Headers that are used for other purposes.
 const RESERVED_HEADERS: [&str; 15] = [
     "accept-encoding",
     "attempt-id",
@@ -38,12 +38,12 @@
 const MAX_HEADER_BYTES: usize = 64;
 const PPM: f64 = 1e6;
 
-/// Read `members` and `membership` of a call's `deliver` and `members` of its `withdraw`, and check all that can be
-/// checked without the present members. Other lists are left alone. Holds at most what the call's body says, whose length
-/// the caller bounds.
+/// Parses `members` and `membership` of a call's `deliver` and `members` of its `withdraw`, and checks all that does
+/// not depend on the current members. Other lists are ignored. The size of the result is bounded by that of the
+/// call's body, which the caller limits.
 ///
 /// # Errors
-/// Whatever the values, the outcome is a value; with an error nothing of the call may come into force.
+/// The first problem found. The caller must then apply no part of the call. No input causes a panic.
 pub fn parse_members(
     deliver: &Map<String, Value>,
     withdraw: &Map<String, Value>,
@@ -77,14 +77,14 @@
 fn member(fields: &Fields<'_>) -> Result<Member, MemberError> {
     let name = fields.name()?;
     let keys = keys(fields)?;
-    let plan = match fields.text("plan")? {
+    let plan = match fields.string("plan")? {
         Some("trial") => Plan::Trial,
         Some("full") => Plan::Full,
         Some(_) => return Err(fields.error("plan", MemberProblem::UnknownPlan)),
         None => return Err(fields.error("plan", ItemProblem::Missing)),
     };
     let lapse_time = lapse_time(fields, plan)?;
-    let throttle = match fields.given("slowing") {
+    let throttle = match fields.non_null("slowing") {
         None => ThrottleSchedule::default(),
         Some(Value::Object(map)) => schedule(&Fields { item: fields.item, map })?,
         Some(_) => return Err(fields.error("slowing", ItemProblem::NoObject)),
@@ -105,9 +105,9 @@
     }
 }
 
-/// One `key`, or several `keys`.
+/// The keys, from either `key` or `keys`.
 fn keys(fields: &Fields<'_>) -> Result<Vec<String>, MemberError> {
-    let (named, values) = match (fields.given("key"), fields.given("keys")) {
+    let (field, values) = match (fields.non_null("key"), fields.non_null("keys")) {
         (Some(one), None) => ("key", std::slice::from_ref(one)),
         (None, Some(Value::Array(list))) => ("keys", list.as_slice()),
         (None, Some(_)) => return Err(fields.error("keys", MemberProblem::KeysAreNoList)),
@@ -115,14 +115,14 @@
         (None, None) => return Err(fields.error("key", MemberProblem::NoKey)),
     };
     if values.is_empty() || values.len() > MAX_KEYS {
-        return Err(fields.error(named, MemberProblem::KeyCount { max: MAX_KEYS }));
+        return Err(fields.error(field, MemberProblem::KeyCount { max: MAX_KEYS }));
     }
     let is_key = |key: &&str| {
         !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.bytes().all(|b| b.is_ascii_graphic())
     };
     let key = |value: &Value| value.as_str().filter(is_key).map(str::to_string);
     let keys: Option<Vec<String>> = values.iter().map(key).collect();
-    keys.ok_or_else(|| fields.error(named, MemberProblem::MalformedKey { max_bytes: MAX_KEY_BYTES }))
+    keys.ok_or_else(|| fields.error(field, MemberProblem::MalformedKey { max_bytes: MAX_KEY_BYTES }))
 }
 
 fn schedule(fields: &Fields<'_>) -> Result<ThrottleSchedule, MemberError> {
@@ -150,9 +150,9 @@
 }
 
 fn identification(fields: &Fields<'_>) -> Result<MemberIdentification, MemberError> {
-    let header = fields.text("header")?.ok_or_else(|| fields.error("header", ItemProblem::Missing))?;
+    let header = fields.string("header")?.ok_or_else(|| fields.error("header", ItemProblem::Missing))?;
     let header = header.to_ascii_lowercase();
-    // RFC 9110, section 5.6.2: what a token is made of.
+    // RFC 9110, section 5.6.2: characters of a token.
     let is_token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
     if header.is_empty() || header.len() > MAX_HEADER_BYTES || !header.bytes().all(is_token) {
         return Err(fields.error("header", MemberProblem::MalformedHeader));
@@ -160,7 +160,7 @@
     if RESERVED_HEADERS.contains(&header.as_str()) {
         return Err(fields.error("header", MemberProblem::ReservedHeader));
     }
-    let unknown = match fields.text("unknown")? {
+    let unknown = match fields.string("unknown")? {
         None | Some("serve") => UnknownMemberPolicy::Serve,
         Some("refuse") => UnknownMemberPolicy::Reject,
         Some(_) => return Err(fields.error("unknown", MemberProblem::UnknownPolicy)),
--- a/crates/control/throttle/src/throttle_step.rs
+++ b/crates/control/throttle/src/throttle_step.rs
@@ -1,4 +1,4 @@
-//! How far a node throttles a member.
+//! The step at which a node throttles a member.
 
 use std::fmt;
 
@@ -7,12 +7,12 @@
 use crate::lapse::LapseState;
 use crate::member::{Member, Plan};
 
-/// How far a member is throttled.
+/// A member's position on its throttle schedule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct ThrottleStep {
-    /// The step in force; 0 is not throttled at all.
+    /// The current step; 0 is not throttled.
     pub step: u32,
-    /// Steps in all.
+    /// Number of steps in the schedule.
     pub total_steps: u32,
 }
 
@@ -22,9 +22,9 @@
     }
 }
 
-/// How far a node throttles a member, by its item and its lapse, as far as the node has them. An item that is newer than
-/// the lapse is a renewal that came ahead of it, and counts at once; an item that is older only lags, and the lapse
-/// counts. No clock has a say.
+/// The step at which a node throttles a member, from the item and the lapse that the node knows. An item newer than the
+/// lapse is a renewal that arrived first and applies at once; if the item is older, the lapse applies. It does not
+/// depend on any clock, so nodes with the same item and lapse agree.
 pub fn throttle_step(member: &Member, lapse: &LapseState) -> ThrottleStep {
     if member.plan == Plan::Full || lapse.version < Some(member.version) {
         return ThrottleStep { step: 0, total_steps: member.throttle.steps };
--- a/crates/control/throttle/src/timer_decision.rs
+++ b/crates/control/throttle/src/timer_decision.rs
@@ -1,49 +1,49 @@
-//! What the owner of a member's key is to do next.
+//! Result of a [`LapseTimer`](crate::LapseTimer) decision.
 
 use silvercross_time::Instant;
 
 use crate::lapse::LapseChange;
 
-/// What a lapse waits for.
+/// What the next change of a lapse waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitingFor {
-    /// For nothing: it is over, or the member has no trial.
+    /// Nothing: the last step is reached, or the member has no trial.
     Nothing,
-    /// For a newer item to arrive here.
+    /// A newer item that has not arrived at this node.
     Item,
-    /// For the time of its lapse.
+    /// The time of the lapse.
     LapseTime,
-    /// For a time of day that can be trusted.
+    /// A trusted wall clock time.
     TrustedTime,
-    /// For the time of the step in force to pass.
+    /// The end of the current step.
     Step,
-    /// For a change that was proposed.
+    /// The commit of a proposed change.
     Commit,
 }
 
-/// What the owner is to do for one key.
+/// What the owner does next for one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimerDecision {
-    /// The change to propose to the control store, under the epoch that was handed in.
+    /// The change to propose to the control store, under the epoch passed to the decision.
     pub proposal: Option<LapseChange>,
-    /// When to look again at the latest; earlier when the key's content, the item or the epoch change.
+    /// When to decide again at the latest; earlier if the key's state, the item or the epoch changes.
     pub next_deadline: Option<Instant>,
-    /// Why.
+    /// What the lapse waits for.
     pub waiting_for: WaitingFor,
 }
 
 impl TimerDecision {
-    /// A change is to be proposed.
+    /// Proposes a change.
     pub(crate) fn propose(change: LapseChange) -> TimerDecision {
         TimerDecision { proposal: Some(change), next_deadline: None, waiting_for: WaitingFor::Commit }
     }
 
-    /// Nothing is to be done until something changes.
+    /// Does nothing until something changes.
     pub(crate) fn rest(waiting_for: WaitingFor) -> TimerDecision {
         TimerDecision { proposal: None, next_deadline: None, waiting_for }
     }
 
-    /// Nothing is to be done until this moment.
+    /// Does nothing until `at`, unless something changes earlier.
     pub(crate) fn rest_until(at: Instant, waiting_for: WaitingFor) -> TimerDecision {
         TimerDecision { proposal: None, next_deadline: Some(at), waiting_for }
     }
--- a/crates/control/throttle/src/trusted_clock.rs
+++ b/crates/control/throttle/src/trusted_clock.rs
@@ -1,6 +1,6 @@
-//! The time of day, as far as it can be trusted.
+//! Wall clock time that several nodes agree on.
 //!
-//! All clocks are kept as offsets: time of day less this node's monotonic clock.
+//! All clocks are kept as offsets: wall clock time minus this node's monotonic clock.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,25 @@
 use crate::mutation::Mutation;
 use crate::unix_time::UnixTime;
 
-/// No more other nodes' clocks are remembered; beyond it the one read longest ago makes room.
+/// Most peer clocks kept; above that the one read longest ago is removed.
 pub const MAX_PEER_CLOCKS: usize = 64;
 
-/// Another node's time of day, as it answered.
+/// A peer's answer with its wall clock time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerClockReading {
-    /// Which node.
+    /// The peer.
     pub node: Node,
-    /// When it was asked, on this node's monotonic clock.
+    /// When the query was sent, on this node's monotonic clock.
     pub sent_at: Instant,
-    /// When its answer came, on the same.
+    /// When the answer was received, on the same clock.
     pub received_at: Instant,
-    /// Its time of day at some moment between.
+    /// The peer's wall clock at some moment between the two.
     pub wall: UnixTime,
-    /// Whether it saw its own clock step lately ([`TrustedClock::stepped`]).
+    /// Whether the peer saw its own clock step recently ([`TrustedClock::stepped`]).
     pub stepped: bool,
 }
 
-/// An offset, and when it was read.
+/// An offset and when it was read.
 #[derive(Clone, Copy, Debug)]
 struct OffsetReading {
     offset: Duration,
@@ -39,23 +39,23 @@
 #[derive(Clone, Copy, Debug)]
 struct LocalClock {
     last: OffsetReading,
-    /// An earlier reading, against many small steps.
+    /// An earlier reading, which detects a series of small steps.
     anchor: OffsetReading,
-    /// Since when it was read without a gap or a step.
+    /// Start of the readings without a gap or a step.
     steady_since: Instant,
     stepped_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct PeerClock {
-    /// Its offset lies between these two.
+    /// Lower bound of its offset; `latest` is the upper bound.
     earliest: Duration,
     latest: Duration,
     read_at: Instant,
     stepped_at: Option<Instant>,
 }
 
-/// A clock in a vote: between which offsets it is, and whether it stepped lately.
+/// A clock in a vote: the bounds of its offset, and whether it stepped recently.
 #[derive(Clone, Copy, Debug)]
 struct VotingClock {
     earliest: Duration,
@@ -73,52 +73,52 @@
     }
 }
 
-/// The offsets that the greatest number of clocks agree on.
+/// The offsets that the largest number of clocks agree on; not necessarily a majority.
 #[derive(Clone, Copy, Debug)]
-struct Majority {
+struct Agreement {
     count: usize,
     earliest: Duration,
     latest: Duration,
 }
 
-/// The time of day as one node knows it, from its own clock and those of others. Holds at most [`MAX_PEER_CLOCKS`] others.
+/// The wall clock time that one node trusts, from its own clock and at most [`MAX_PEER_CLOCKS`] peer clocks.
 ///
-/// A time of day is trusted if two clocks agree on it, one of them without a step lately, and no others agree on another
-/// time as many. Only where no other was heard lately does the own clock do alone: steady, and in agreement with the
-/// others when they were last heard. Anything else gives no time at all, and nobody lapses by it.
+/// A time is trusted if at least two clocks agree on it, at least one of them without a recent step, and no other
+/// time has as many clocks. If no peer has a recent reading, the local clock suffices if it is steady and agreed with
+/// the peers when they last answered (or there are no peers). Otherwise there is no trusted time and no lapse begins.
 #[derive(Clone, Debug)]
 pub struct TrustedClock {
     settings: ClockSettings,
     is_only_node: bool,
     local: Option<LocalClock>,
     peers: BTreeMap<Node, PeerClock>,
-    /// The own clock has not agreed with others since it stepped, differed or started.
-    is_in_doubt: bool,
+    /// Whether the local clock has not agreed with peers since it last started, stepped or differed from them.
+    is_unconfirmed: bool,
     mutation: Option<Mutation>,
 }
 
 impl TrustedClock {
-    /// A clock that was not read yet. `is_only_node` says that there are no others: then a steady own clock is enough.
+    /// Creates a clock without readings. With `is_only_node` there are no peers, and a steady local clock suffices.
     pub fn new(settings: ClockSettings, is_only_node: bool) -> TrustedClock {
         TrustedClock {
             settings,
             is_only_node,
             local: None,
             peers: BTreeMap::new(),
-            is_in_doubt: true,
+            is_unconfirmed: true,
             mutation: None,
         }
     }
 
-    /// Change a rule on purpose.
+    /// Breaks one rule.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
     pub fn set_mutation(&mut self, mutation: Mutation) {
         self.mutation = Some(mutation);
     }
 
-    /// Take a reading of the own clocks, both at one moment; about once a second. Whether the time of day has stepped
-    /// since the last.
+    /// Processes a reading of both local clocks taken at one moment; call it about once a second. Returns whether the
+    /// wall clock has stepped since the last reading.
     pub fn observe_local(&mut self, now: Instant, wall: UnixTime) -> bool {
         let reading = OffsetReading { offset: wall.offset_from(now), at: now };
         let fresh = LocalClock { last: reading, anchor: reading, steady_since: now, stepped_at: None };
@@ -136,7 +136,7 @@
             || distance(reading.offset, local.anchor.offset) > settings.allowed_move(since_anchor);
         if stepped {
             *local = LocalClock { stepped_at: Some(now), ..fresh };
-            self.is_in_doubt = true;
+            self.is_unconfirmed = true;
         } else if gap > settings.steady_after {
             *local = LocalClock { stepped_at: local.stepped_at, ..fresh };
         } else {
@@ -148,7 +148,7 @@
         stepped
     }
 
-    /// Take another node's answer.
+    /// Processes a peer's answer.
     pub fn observe_peer(&mut self, reading: PeerClockReading) {
         let PeerClockReading { node, sent_at, received_at, wall, stepped } = reading;
         let round_trip = received_at.saturating_since(sent_at);
@@ -160,7 +160,7 @@
         if before.is_some_and(|old| old.read_at > received_at) {
             return;
         }
-        // It may have started again since it stepped and not know.
+        // A peer that restarted after a step does not report it, so the step is also detected here.
         let moved = before.is_some_and(|old| {
             let allowed = self.settings.allowed_move(received_at.saturating_since(old.read_at));
             earliest.saturating_add(-old.latest) > allowed || old.earliest.saturating_add(-latest) > allowed
@@ -168,10 +168,10 @@
         let known = before.and_then(|old| old.stepped_at);
         let stepped_at = if stepped || moved { Some(received_at) } else { known };
         if before.is_none() {
-            self.make_room();
+            self.evict_oldest_peer();
         }
         self.peers.insert(node, PeerClock { earliest, latest, read_at: received_at, stepped_at });
-        self.is_in_doubt = match (self.agreed_offset(received_at), self.local) {
+        self.is_unconfirmed = match (self.agreed_offset(received_at), self.local) {
             (Some(agreed), Some(local)) => {
                 distance(agreed, local.last.offset) > self.settings.agreement_tolerance
             }
@@ -179,7 +179,7 @@
         };
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest_peer(&mut self) {
         if self.peers.len() < MAX_PEER_CLOCKS {
             return;
         }
@@ -189,26 +189,26 @@
         }
     }
 
-    /// Whether the own time of day stepped within the steady span: sent to others with the reading.
+    /// Whether the local wall clock stepped within [`ClockSettings::steady_after`]; sent to peers with a reading.
     pub fn stepped(&self, now: Instant) -> bool {
         self.local.is_some_and(|local| self.settings.is_recent(now, local.stepped_at))
     }
 
-    /// The time of day, if it is to be trusted.
+    /// The wall clock time, if one is trusted.
     pub fn wall_time(&self, now: Instant) -> Option<UnixTime> {
         if cfg!(feature = "mutants") && self.mutation == Some(Mutation::OwnClock) {
             return self.local.map(|local| UnixTime::at_offset(now, local.last.offset));
         }
         let is_alone = !self.peers.values().any(|peer| self.settings.is_fresh(now, peer.read_at));
-        let offset = if is_alone { self.own_offset(now) } else { self.agreed_offset(now) };
+        let offset = if is_alone { self.local_offset(now) } else { self.agreed_offset(now) };
         offset.map(|offset| UnixTime::at_offset(now, offset))
     }
 
-    /// The own clock's offset, where it does alone.
-    fn own_offset(&self, now: Instant) -> Option<Duration> {
+    /// The local clock's offset, if it suffices without peers.
+    fn local_offset(&self, now: Instant) -> Option<Duration> {
         let local = self.local.filter(|local| self.settings.is_fresh(now, local.last.at))?;
         let is_steady = now.saturating_since(local.steady_since) >= self.settings.steady_after;
-        (is_steady && (self.is_only_node || !self.is_in_doubt)).then_some(local.last.offset)
+        (is_steady && (self.is_only_node || !self.is_unconfirmed)).then_some(local.last.offset)
     }
 
     fn voting_clocks(&self, now: Instant) -> Vec<VotingClock> {
@@ -229,11 +229,11 @@
             .collect()
     }
 
-    /// The offset that most clocks agree on.
+    /// The offset that the largest number of clocks agree on.
     fn agreed_offset(&self, now: Instant) -> Option<Duration> {
         let clocks = self.voting_clocks(now);
         let tolerance = self.settings.agreement_tolerance;
-        let mut best: Option<Majority> = None;
+        let mut best: Option<Agreement> = None;
         for middle in clocks.iter().map(VotingClock::middle) {
             let agreeing = || clocks.iter().filter(|clock| clock.agrees_with(middle, tolerance));
             let count = agreeing().count();
@@ -242,20 +242,20 @@
             }
             best = match best {
                 Some(best) if best.count > count => Some(best),
-                Some(best) if best.count == count => Some(Majority {
+                Some(best) if best.count == count => Some(Agreement {
                     count,
                     earliest: best.earliest.min(middle),
                     latest: best.latest.max(middle),
                 }),
-                _ => Some(Majority { count, earliest: middle, latest: middle }),
+                _ => Some(Agreement { count, earliest: middle, latest: middle }),
             };
         }
-        // The earliest of them: who lapses a little late loses nothing.
+        // The earliest offset: a lapse may begin slightly late, but not early.
         best.filter(|best| distance(best.earliest, best.latest) <= tolerance * 2).map(|best| best.earliest)
     }
 }
 
-/// How far two offsets are apart, held at the bounds of the type.
+/// The distance between two offsets, clamped to the range of the type.
 fn distance(a: Duration, b: Duration) -> Duration {
     Duration::from_micros(a.as_micros().saturating_sub(b.as_micros()).saturating_abs())
 }
