--- a/crates/control/throttle/src/delay.rs
+++ b/crates/control/throttle/src/delay.rs
@@ -80,7 +80,7 @@
 ) -> DelayDecision {
     let mutation = mutation.filter(|_| cfg!(feature = "mutants"));
     let may_wait = request.kind == RouteKind::Safe && request.stage == RequestStage::Head;
-    if !may_wait && mutation != Some(Mutation::RefusalMidway) {
+    if !may_wait && mutation != Some(Mutation::RejectionMidRequest) {
         return DelayDecision::Forward;
     }
     let Some(max_wait) = max_wait(member, step, request.latency_target) else {
--- a/crates/control/throttle/src/mutation.rs
+++ b/crates/control/throttle/src/mutation.rs
@@ -11,7 +11,7 @@
     /// The delay also depends on the node with this number.
     DelayByNode(u32),
     /// Requests past their head, or of kinds that never wait, are decided like reads and may be rejected.
-    RefusalMidway,
+    RejectionMidRequest,
     /// A new owner counts steps from the start of its ownership.
     StepLostAtHandOver,
     /// A new owner treats the current step as already over.
--- a/crates/control/throttle/tests/mutants.rs
+++ b/crates/control/throttle/tests/mutants.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_refusal_midway_is_caught() {
-    caught(Mutation::RefusalMidway, 200, "Reject {");
+    caught(Mutation::RejectionMidRequest, 200, "Reject {");
 }
 
 #[test]
