--- a/crates/control/throttle/tests/common/mod.rs
+++ b/crates/control/throttle/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Three nodes with clocks of their own, a key whose owner changes, nodes that follow; and a slow plain model in true time
-//! that checks every change and every delay.
+//! Simulation of three nodes with separate clocks and one lapse key whose owner changes. A reference model in true time
+//! checks every change and every delay.
 #![allow(dead_code)]
 
 mod checks;
@@ -13,14 +13,16 @@
 };
 use silvercross_time::{Duration, Instant};
 
-pub const S: i64 = 1_000_000;
+/// One second in microseconds.
+pub const SECOND: i64 = 1_000_000;
 const NODES: usize = 3;
-const STEP: i64 = 10;
+/// Length of a step, in seconds.
+const STEP_LENGTH: i64 = 10;
 const STEPS: u32 = 4;
-/// Within which nodes in touch hold what was said.
-const TOUCH: i64 = 3;
-/// The day's time at true time 0.
-const DAY: i64 = 1_790_000_000;
+/// Seconds within which a node in touch receives what was sent to it.
+const MAX_PROPAGATION: i64 = 3;
+/// Wall clock time at true time 0, in seconds since the Unix epoch.
+const WALL_START: i64 = 1_790_000_000;
 
 pub fn clock_settings() -> ClockSettings {
     ClockSettings {
@@ -38,7 +40,7 @@
         lapse_time,
         throttle: ThrottleSchedule {
             max_delay_ppm: 400_000,
-            ramp: Duration::from_secs(STEP * i64::from(STEPS)),
+            ramp: Duration::from_secs(STEP_LENGTH * i64::from(STEPS)),
             steps: STEPS,
         },
         version,
@@ -46,32 +48,34 @@
 }
 
 struct NodeModel {
-    mono: i64,
-    skew: i64,
-    /// Microseconds its time of day is wrong by.
-    wrong: i64,
+    /// Offset of its monotonic clock from true time, in microseconds.
+    monotonic_offset: i64,
+    /// Constant offset of its wall clock, in microseconds.
+    wall_offset: i64,
+    /// Temporary error of its wall clock, in microseconds.
+    clock_error: i64,
     frozen_until: i64,
-    cut: bool,
-    /// Up, awake and in touch since.
-    touch: i64,
+    is_cut_off: bool,
+    /// Time since which it has been running and reachable.
+    reachable_since: i64,
     item: Member,
     item_due: Option<(i64, Member)>,
-    owns: Option<(Epoch, LapseState)>,
+    owned: Option<(Epoch, LapseState)>,
     timer: LapseTimer,
     clock: TrustedClock,
     view: LapseView,
-    copies: Vec<(i64, LapseState)>,
-    shown: (u64, u32),
+    incoming_copies: Vec<(i64, LapseState)>,
+    last_shown: (u64, u32),
 }
 
 impl NodeModel {
-    /// Its monotonic clock at a second of true time.
+    /// Its monotonic clock at true time `t` in seconds.
     fn monotonic(&self, t: i64) -> Instant {
-        Instant::from_micros(t * S + self.mono)
+        Instant::from_micros(t * SECOND + self.monotonic_offset)
     }
 }
 
-pub struct World {
+pub struct Simulation {
     t: i64,
     rng: Rng,
     mutation: Option<Mutation>,
@@ -80,33 +84,35 @@
     epoch: Epoch,
     state: LapseState,
     item: Member,
-    item_at: i64,
+    item_set_at: i64,
     pending: Vec<(i64, Epoch, LapseChange)>,
-    mended: i64,
-    // The model's.
-    changed: i64,
-    /// Since when the present owner was let alone.
-    alone: i64,
+    clock_corrected_at: i64,
+    // State of the reference model.
+    changed_at: i64,
+    /// Time since which the current owner has not been disturbed.
+    undisturbed_since: i64,
     due: Option<i64>,
     pub begins: u64,
     pub steps: u64,
 }
 
-type Verdict = Result<(), String>;
+type CheckResult = Result<(), String>;
 
-fn ensure(holds: bool, why: impl FnOnce() -> String) -> Verdict {
+fn ensure(holds: bool, message: impl FnOnce() -> String) -> CheckResult {
     if holds {
         Ok(())
     } else {
-        Err(why())
+        Err(message())
     }
 }
 
-impl World {
-    pub fn new(seed: u64, mutation: Option<Mutation>) -> World {
-        let first =
-            member(1, Some(LapseTime::At(UnixTime::from_micros((DAY + 40 + (seed % 100) as i64) * S))));
-        let mut world = World {
+impl Simulation {
+    pub fn new(seed: u64, mutation: Option<Mutation>) -> Simulation {
+        let first = member(
+            1,
+            Some(LapseTime::At(UnixTime::from_micros((WALL_START + 40 + (seed % 100) as i64) * SECOND))),
+        );
+        let mut simulation = Simulation {
             t: 0,
             rng: Rng::new(seed),
             mutation,
@@ -115,39 +121,40 @@
             epoch: Epoch { round: 1, owner: 0 },
             state: LapseState::default(),
             item: first.clone(),
-            item_at: 0,
+            item_set_at: 0,
             pending: Vec::new(),
-            mended: -100,
-            changed: 0,
-            alone: 0,
+            clock_corrected_at: -100,
+            changed_at: 0,
+            undisturbed_since: 0,
             due: None,
             begins: 0,
             steps: 0,
         };
         for i in 0..NODES {
-            let (mono, skew) = ((world.draw(1_000_000) as i64) * 1_000, world.draw(600_000) as i64 - 300_000);
-            let (timer, clock, view) = world.fresh();
-            world.nodes.push(NodeModel {
-                mono,
-                skew,
-                wrong: 0,
+            let (monotonic_offset, wall_offset) =
+                ((simulation.random(1_000_000) as i64) * 1_000, simulation.random(600_000) as i64 - 300_000);
+            let (timer, clock, view) = simulation.new_components();
+            simulation.nodes.push(NodeModel {
+                monotonic_offset,
+                wall_offset,
+                clock_error: 0,
                 frozen_until: -1,
-                cut: false,
-                touch: 0,
+                is_cut_off: false,
+                reachable_since: 0,
                 item: first.clone(),
                 item_due: None,
-                owns: (i == 0).then(|| (world.epoch, LapseState::default())),
+                owned: (i == 0).then(|| (simulation.epoch, LapseState::default())),
                 timer,
                 clock,
                 view,
-                copies: Vec::new(),
-                shown: (0, 0),
+                incoming_copies: Vec::new(),
+                last_shown: (0, 0),
             });
         }
-        world
+        simulation
     }
 
-    fn fresh(&self) -> (LapseTimer, TrustedClock, LapseView) {
+    fn new_components(&self) -> (LapseTimer, TrustedClock, LapseView) {
         #[allow(unused_mut)]
         let (mut timer, mut clock, mut view) =
             (LapseTimer::new(), TrustedClock::new(clock_settings(), false), LapseView::new());
@@ -160,69 +167,71 @@
         (timer, clock, view)
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
+    fn random(&mut self, below: u64) -> u64 {
         self.rng.below(below)
     }
 
-    fn weigh(
+    fn decide(
         &self,
         _node: usize,
         member: &Member,
         at: ThrottleStep,
-        asked: &ThrottleRequest,
+        request: &ThrottleRequest,
     ) -> DelayDecision {
         #[cfg(feature = "mutants")]
         match self.mutation {
             Some(Mutation::DelayByNode(_)) => {
                 let mutation = Mutation::DelayByNode(_node as u32);
-                return silvercross_throttle::decide_delay_mutated(mutation, member, at, asked);
+                return silvercross_throttle::decide_delay_mutated(mutation, member, at, request);
+            }
+            Some(mutation) => {
+                return silvercross_throttle::decide_delay_mutated(mutation, member, at, request)
             }
-            Some(mutation) => return silvercross_throttle::decide_delay_mutated(mutation, member, at, asked),
             None => {}
         }
-        decide_delay(member, at, asked)
+        decide_delay(member, at, request)
     }
 
-    /// Play a schedule, then calm, by whose end all must have come to pass.
-    pub fn run(&mut self, schedule: &[(u8, u8)]) -> Verdict {
+    /// Runs a schedule, then a quiet period by whose end the lapse must be complete.
+    pub fn run(&mut self, schedule: &[(u8, u8)]) -> CheckResult {
         for &(event, arg) in schedule {
             self.event(event, arg);
             for _ in 0..1 + arg % 16 {
                 self.tick()?;
             }
         }
-        self.calm()
+        self.settle()
     }
 
-    fn calm(&mut self) -> Verdict {
+    fn settle(&mut self) -> CheckResult {
         for i in 0..NODES {
-            self.heal(i);
-            self.nodes[i].wrong = 0;
+            self.reconnect(i);
+            self.nodes[i].clock_error = 0;
             self.nodes[i].frozen_until = -1;
         }
         for _ in 0..400 {
             self.tick()?;
         }
-        let want = if self.item.plan == Plan::Full { 0 } else { STEPS };
+        let expected = if self.item.plan == Plan::Full { 0 } else { STEPS };
         let now = self.throttle_step().step;
-        ensure(now == want, || format!("after calm the step is {now} and not {want}"))
+        ensure(now == expected, || format!("after the quiet period the step is {now} instead of {expected}"))
     }
 
-    fn heal(&mut self, i: usize) {
+    fn reconnect(&mut self, i: usize) {
         let (t, item, state) = (self.t, self.item.clone(), self.state.clone());
         let node_model = &mut self.nodes[i];
-        if node_model.cut {
-            (node_model.cut, node_model.touch) = (false, t);
+        if node_model.is_cut_off {
+            (node_model.is_cut_off, node_model.reachable_since) = (false, t);
             node_model.item_due = Some((t + 1, item));
-            node_model.copies.push((t + 1, state));
-            self.let_alone(i);
+            node_model.incoming_copies.push((t + 1, state));
+            self.record_disturbance(i);
         }
     }
 
-    /// Something happened to node `i`: if it is the owner, the model counts anew.
-    fn let_alone(&mut self, i: usize) {
+    /// Records that node `i` was disturbed; if it is the owner, its time for the next step starts over.
+    fn record_disturbance(&mut self, i: usize) {
         if i == self.owner {
-            self.alone = self.t;
+            self.undisturbed_since = self.t;
         }
     }
 
@@ -230,89 +239,91 @@
         let (t, i) = (self.t, usize::from(arg) % NODES);
         match event % 10 {
             0 | 1 => {
-                let one_wrong = self.nodes.iter().any(|h| h.wrong != 0);
-                if self.nodes[i].wrong != 0 {
-                    self.nodes[i].wrong = 0;
-                    self.mended = t;
-                } else if !one_wrong && t > self.mended + 12 {
+                let any_clock_error = self.nodes.iter().any(|h| h.clock_error != 0);
+                if self.nodes[i].clock_error != 0 {
+                    self.nodes[i].clock_error = 0;
+                    self.clock_corrected_at = t;
+                } else if !any_clock_error && t > self.clock_corrected_at + 12 {
                     let hours = 1 + i64::from(arg / 64);
-                    self.nodes[i].wrong = if arg & 4 == 0 { hours } else { -hours } * 3_600 * S;
+                    self.nodes[i].clock_error = if arg & 4 == 0 { hours } else { -hours } * 3_600 * SECOND;
                 }
             }
             2 | 3 => {
-                // The old owner may not know for a while; what it still sends is fenced.
-                let knows = arg & 8 != 0;
-                if knows {
-                    self.nodes[self.owner].owns = None;
+                // The former owner may not know of the change for a while; its proposals are rejected by their epoch.
+                let is_informed = arg & 8 != 0;
+                if is_informed {
+                    self.nodes[self.owner].owned = None;
                 }
                 self.epoch = Epoch { round: self.epoch.round + 1, owner: i as u32 };
                 self.owner = i;
-                self.nodes[i].owns = Some((self.epoch, self.state.clone()));
-                self.alone = t;
+                self.nodes[i].owned = Some((self.epoch, self.state.clone()));
+                self.undisturbed_since = t;
             }
             4 => {
                 let version = self.item.version + 1 + u64::from(arg & 1);
                 let lapse_time = match arg % 4 {
                     0 => None,
                     1 => Some(LapseTime::In(Duration::from_secs(20 + i64::from(arg)))),
-                    _ => Some(LapseTime::At(UnixTime::from_micros((DAY + t + i64::from(arg) - 40) * S))),
+                    _ => Some(LapseTime::At(UnixTime::from_micros(
+                        (WALL_START + t + i64::from(arg) - 40) * SECOND,
+                    ))),
                 };
                 self.item = member(version, lapse_time);
-                self.item_at = t;
+                self.item_set_at = t;
                 for j in 0..NODES {
-                    let late = 1 + self.draw(2) as i64;
-                    self.nodes[j].item_due = Some((t + late, self.item.clone()));
+                    let delay = 1 + self.random(2) as i64;
+                    self.nodes[j].item_due = Some((t + delay, self.item.clone()));
                 }
             }
             5 => {
-                if self.nodes[i].cut {
-                    self.heal(i);
+                if self.nodes[i].is_cut_off {
+                    self.reconnect(i);
                 } else {
-                    self.nodes[i].cut = true;
-                    self.let_alone(i);
+                    self.nodes[i].is_cut_off = true;
+                    self.record_disturbance(i);
                 }
             }
             6 => {
                 self.nodes[i].frozen_until = t + i64::from(arg / 4);
-                self.let_alone(i);
+                self.record_disturbance(i);
             }
             7 => {
-                let (timer, clock, view) = self.fresh();
+                let (timer, clock, view) = self.new_components();
                 let state = self.state.clone();
                 let node_model = &mut self.nodes[i];
                 (node_model.timer, node_model.clock, node_model.view) = (timer, clock, view);
-                (node_model.touch, node_model.shown) = (t, (0, 0));
-                node_model.copies = vec![(t + 1, state)];
-                self.let_alone(i);
+                (node_model.reachable_since, node_model.last_shown) = (t, (0, 0));
+                node_model.incoming_copies = vec![(t + 1, state)];
+                self.record_disturbance(i);
             }
             8 => {
                 self.pending.clear();
-                self.alone = t;
+                self.undisturbed_since = t;
             }
             _ => {}
         }
     }
 
-    pub fn tick(&mut self) -> Verdict {
+    pub fn tick(&mut self) -> CheckResult {
         self.t += 1;
         let t = self.t;
         self.commit()?;
-        let wall = |h: &NodeModel| (DAY + t) * S + h.skew + h.wrong;
-        let said: Vec<(i64, bool, bool)> = self
+        let wall = |h: &NodeModel| (WALL_START + t) * SECOND + h.wall_offset + h.clock_error;
+        let clock_reports: Vec<(i64, bool, bool)> = self
             .nodes
             .iter()
-            .map(|h| (wall(h), h.clock.stepped(h.monotonic(t)), h.cut || h.frozen_until >= t))
+            .map(|h| (wall(h), h.clock.stepped(h.monotonic(t)), h.is_cut_off || h.frozen_until >= t))
             .collect();
-        let mut asked = Vec::new();
+        let mut proposals = Vec::new();
         for (i, node_model) in self.nodes.iter_mut().enumerate() {
             if node_model.frozen_until >= t {
-                node_model.touch = t + 1;
+                node_model.reachable_since = t + 1;
                 continue;
             }
             let now = node_model.monotonic(t);
-            node_model.clock.observe_local(now, UnixTime::from_micros(said[i].0));
-            if !node_model.cut && t % 2 == 0 {
-                for (j, &(wall, stepped, silent)) in said.iter().enumerate() {
+            node_model.clock.observe_local(now, UnixTime::from_micros(clock_reports[i].0));
+            if !node_model.is_cut_off && t % 2 == 0 {
+                for (j, &(wall, stepped, silent)) in clock_reports.iter().enumerate() {
                     if j != i && !silent {
                         let (sent_at, received_at) = (now - Duration::from_millis(200), now);
                         let wall = UnixTime::from_micros(wall - 100_000);
@@ -327,27 +338,27 @@
                     }
                 }
             }
-            if !node_model.cut {
+            if !node_model.is_cut_off {
                 if let Some((_, item)) = node_model.item_due.take_if(|(at, _)| *at <= t) {
                     node_model.item = item;
                 }
-                let (here, later): (Vec<_>, Vec<_>) =
-                    node_model.copies.drain(..).partition(|(at, _)| *at <= t);
-                node_model.copies = later;
-                for (_, copy) in here {
+                let (arrived, later): (Vec<_>, Vec<_>) =
+                    node_model.incoming_copies.drain(..).partition(|(at, _)| *at <= t);
+                node_model.incoming_copies = later;
+                for (_, copy) in arrived {
                     node_model.view.observe(now, "m", &copy);
                 }
-                // What an owner of old learns in the end.
-                if i != self.owner && node_model.owns.is_some() && t % 8 == 0 {
-                    node_model.owns = None;
+                // A former owner learns of the change eventually.
+                if i != self.owner && node_model.owned.is_some() && t % 8 == 0 {
+                    node_model.owned = None;
                     node_model.timer.forget("m");
                 }
             }
-            if let Some((epoch, state)) = &mut node_model.owns {
+            if let Some((epoch, state)) = &mut node_model.owned {
                 if *epoch == self.epoch {
                     state.clone_from(&self.state);
                 }
-                let advice = node_model.timer.decide(
+                let decision = node_model.timer.decide(
                     now,
                     "m",
                     *epoch,
@@ -355,37 +366,38 @@
                     Some(&node_model.item),
                     &node_model.clock,
                 );
-                asked.extend(advice.proposal.map(|change| (*epoch, change)));
+                proposals.extend(decision.proposal.map(|change| (*epoch, change)));
             }
         }
-        for (epoch, change) in asked {
-            let late = 1 + self.draw(2) as i64;
-            self.pending.push((t + late, epoch, change));
+        for (epoch, change) in proposals {
+            let delay = 1 + self.random(2) as i64;
+            self.pending.push((t + delay, epoch, change));
         }
         self.check()
     }
 
-    /// Changes that arrive at the ledger: the fence lets through the owner's alone, and its ledger commits in touch.
-    fn commit(&mut self) -> Verdict {
+    /// Commits the changes that arrive at the control store: only those of the current epoch, and only while the
+    /// owner is not cut off.
+    fn commit(&mut self) -> CheckResult {
         let t = self.t;
-        let (here, later): (Vec<_>, Vec<_>) = self.pending.drain(..).partition(|(at, ..)| *at <= t);
+        let (arrived, later): (Vec<_>, Vec<_>) = self.pending.drain(..).partition(|(at, ..)| *at <= t);
         self.pending = later;
-        for (_, epoch, change) in here {
-            if epoch != self.epoch || self.nodes[self.owner].cut {
+        for (_, epoch, change) in arrived {
+            if epoch != self.epoch || self.nodes[self.owner].is_cut_off {
                 continue;
             }
             let old = self.state.clone();
             if !self.state.apply(&change).unwrap_or(false) {
                 continue;
             }
-            self.legal(&old, &change)?;
-            self.changed = t;
+            self.check_change(&old, &change)?;
+            self.changed_at = t;
             for i in 0..NODES {
-                let late = self.draw(3) as i64;
+                let delay = self.random(3) as i64;
                 let copy = self.state.clone();
-                // A node that is cut off gets the newest when it is back.
-                if !self.nodes[i].cut {
-                    self.nodes[i].copies.push((t + late, copy));
+                // A node that is cut off receives the newest state when it reconnects.
+                if !self.nodes[i].is_cut_off {
+                    self.nodes[i].incoming_copies.push((t + delay, copy));
                 }
             }
         }
@@ -393,7 +405,7 @@
     }
 }
 
-/// A schedule drawn from a seed.
+/// A random schedule from a seed.
 pub fn schedule(seed: u64) -> Vec<(u8, u8)> {
     let mut x = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut next = || {
--- a/crates/control/throttle/tests/rules.rs
+++ b/crates/control/throttle/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Items, whose a request is, the lapse, the time of day, the delay and the queue, each stepped by hand.
+//! Rules of items, identification, lapses, the trusted clock, delays and the delay queue, each on small cases.
 
 use serde_json::{json, Map, Value};
 use silvercross_control_store::{Epoch, Node, State};
@@ -10,10 +10,12 @@
 };
 use silvercross_time::{Duration, Instant};
 
-const S: i64 = 1_000_000;
-const DAY: i64 = 1_790_000_000 * S;
+/// One second in microseconds.
+const SECOND: i64 = 1_000_000;
+/// Wall clock time at the start of the tests, in microseconds since the Unix epoch.
+const WALL_START: i64 = 1_790_000_000 * SECOND;
 
-/// A moment of the monotonic clock, in microseconds.
+/// A moment of the monotonic clock.
 fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
 }
@@ -22,7 +24,7 @@
     Duration::from_micros(micros)
 }
 
-/// A time of day, in microseconds.
+/// A wall clock time.
 fn wall(micros: i64) -> UnixTime {
     UnixTime::from_micros(micros)
 }
@@ -31,12 +33,12 @@
     value.as_object().cloned().unwrap_or_default()
 }
 
-fn try_read(body: &Value) -> Result<MemberListChange, MemberError> {
+fn try_parse(body: &Value) -> Result<MemberListChange, MemberError> {
     parse_members(&map(&body["deliver"]), &map(&body["withdraw"]))
 }
 
-fn sent(body: Value) -> MemberListChange {
-    try_read(&body).unwrap()
+fn parse(body: Value) -> MemberListChange {
+    try_parse(&body).unwrap()
 }
 
 fn trial(name: &str, key: &str, version: u64) -> Value {
@@ -50,13 +52,14 @@
 
 #[test]
 fn errors_name_item_and_key() {
-    let good = json!({"deliver": {
+    let valid = json!({"deliver": {
         "members": [trial("a", "k1", 1), {"name": "b", "keys": ["k2", "k3"], "plan": "full", "edition": 2.0}],
         "membership": {"header": "Workshop-Key", "unknown": "refuse", "edition": 1}},
         "withdraw": {"members": [{"name": "old", "edition": 1}]}});
-    assert_eq!(try_read(&good).map(|sent| sent.len()), Ok(4));
+    assert_eq!(try_parse(&valid).map(|change| change.len()), Ok(4));
     let (a, b, m) = ("/deliver/members/0", "/deliver/members/1", "/deliver/membership");
-    // Where the good call is changed, to what (nothing: the key is taken out), and what the error names.
+    // Object and key changed in the valid call, the new value (null: the key is removed), and the item and key of the
+    // error.
     let table = [
         (a, "name", json!(""), "members[0]", "name"),
         (a, "name", Value::Null, "members[0]", "name"),
@@ -95,60 +98,60 @@
         ("/withdraw/members/0", "edition", Value::Null, "old", "edition"),
         ("/withdraw/members/0", "name", json!("a"), "a", "edition"),
     ];
-    for (at, key, value, item, named) in table {
-        let mut bad = good.clone();
-        let map = bad.pointer_mut(at).unwrap().as_object_mut().unwrap();
+    for (at, key, value, item, error_key) in table {
+        let mut invalid = valid.clone();
+        let map = invalid.pointer_mut(at).unwrap().as_object_mut().unwrap();
         if value.is_null() {
             map.remove(key);
         } else {
             map.insert(key.into(), value);
         }
-        let error = try_read(&bad).expect_err(&bad.to_string());
-        assert_eq!((error.item.as_str(), error.key.as_str()), (item, named), "{error}");
+        let error = try_parse(&invalid).expect_err(&invalid.to_string());
+        assert_eq!((error.item.as_str(), error.key.as_str()), (item, error_key), "{error}");
         assert!(error.problem.to_string().contains('('), "{error}");
     }
 }
 
 #[test]
-fn the_higher_version_wins_and_nothing_of_a_rejected_call() {
+fn the_higher_version_wins_and_a_rejected_call_changes_nothing() {
     let mut list = MemberList::default();
     assert_eq!(list.to_json(), "");
-    let mut odd = trial("a", "k1", 5);
-    odd["allowance"] = json!({"reads": 100});
-    assert_eq!(list.apply(&sent(members(&[odd.clone(), trial("b", "k2", 5)]))), Ok(true));
-    assert_eq!(list.apply(&sent(members(&[odd.clone()]))), Ok(false));
-    assert_eq!(list.apply(&sent(members(&[trial("a", "k9", 4)]))), Ok(false));
+    let mut with_unknown_field = trial("a", "k1", 5);
+    with_unknown_field["allowance"] = json!({"reads": 100});
+    assert_eq!(list.apply(&parse(members(&[with_unknown_field.clone(), trial("b", "k2", 5)]))), Ok(true));
+    assert_eq!(list.apply(&parse(members(&[with_unknown_field.clone()]))), Ok(false));
+    assert_eq!(list.apply(&parse(members(&[trial("a", "k9", 4)]))), Ok(false));
     let before = list.clone();
-    assert!(list.apply(&sent(members(&[trial("a", "k9", 5)]))).unwrap_err().conflict);
-    let taken = sent(members(&[trial("c", "k3", 1), trial("d", "k2", 1)]));
-    assert!(!list.would_change(&taken).unwrap_err().conflict);
-    assert!(list.apply(&taken).is_err());
+    assert!(list.apply(&parse(members(&[trial("a", "k9", 5)]))).unwrap_err().conflict);
+    let shared_key = parse(members(&[trial("c", "k3", 1), trial("d", "k2", 1)]));
+    assert!(!list.would_change(&shared_key).unwrap_err().conflict);
+    assert!(list.apply(&shared_key).is_err());
     assert_eq!((&list, list.len()), (&before, 2));
-    assert_eq!(list.raw_json("a"), Some(odd.to_string().as_str()));
-    // A key may move within one call.
-    assert_eq!(list.apply(&sent(members(&[trial("a", "k2", 6), trial("b", "k1", 6)]))), Ok(true));
-    let drop = sent(json!({"withdraw": {"members": [{"name": "a", "edition": 7}]}}));
-    assert_eq!((list.apply(&drop), list.apply(&drop)), (Ok(true), Ok(false)));
-    assert_eq!(list.apply(&sent(members(&[trial("a", "k2", 6)]))), Ok(false));
+    assert_eq!(list.raw_json("a"), Some(with_unknown_field.to_string().as_str()));
+    // A key may move to another member within one call.
+    assert_eq!(list.apply(&parse(members(&[trial("a", "k2", 6), trial("b", "k1", 6)]))), Ok(true));
+    let withdrawal = parse(json!({"withdraw": {"members": [{"name": "a", "edition": 7}]}}));
+    assert_eq!((list.apply(&withdrawal), list.apply(&withdrawal)), (Ok(true), Ok(false)));
+    assert_eq!(list.apply(&parse(members(&[trial("a", "k2", 6)]))), Ok(false));
     assert_eq!(list.to_json(), format!("\"members\":[{}]", trial("b", "k1", 6)));
     let bytes = bitcode::encode(&list);
     assert_eq!(bitcode::decode::<MemberList>(&bytes).ok(), Some(list));
 }
 
 #[test]
-fn a_request_names_one_member_or_none() {
+fn a_request_identifies_one_member_or_none() {
     let mut list = MemberList::default();
-    list.apply(&sent(members(&[trial("a", "k1", 1)]))).unwrap();
+    list.apply(&parse(members(&[trial("a", "k1", 1)]))).unwrap();
     assert_eq!(
         MemberIndex::new(&list).identify([&b"k1"[..]]),
         RequestIdentity::Anonymous,
-        "no header is set"
+        "no identification is configured"
     );
     for (unknown, version, other) in
         [("serve", 1, RequestIdentity::Anonymous), ("refuse", 2, RequestIdentity::Reject)]
     {
         let set = json!({"header": "Workshop-Key", "unknown": unknown, "edition": version});
-        list.apply(&sent(json!({"deliver": {"membership": set}}))).unwrap();
+        list.apply(&parse(json!({"deliver": {"membership": set}}))).unwrap();
         let index = MemberIndex::new(&list);
         assert_eq!(index.header(), Some("workshop-key"));
         assert_eq!(index.identify([&b" k1 "[..]]), RequestIdentity::Member(list.member("a").unwrap()));
@@ -171,11 +174,11 @@
     assert!(state.apply(&LapseChange::Due { version: 1, at: wall(6) }).is_err());
     assert_eq!(state.apply(&LapseChange::Begin { version: 1 }), Ok(true));
     assert_eq!(state.apply(&LapseChange::Begin { version: 1 }), Ok(false));
-    assert!(state.apply(&LapseChange::Step { version: 1, to: 2 }).is_err(), "one left out");
+    assert!(state.apply(&LapseChange::Step { version: 1, to: 2 }).is_err(), "a step is skipped");
     assert_eq!(state.apply(&LapseChange::Step { version: 1, to: 1 }), Ok(true));
     assert_eq!(state.apply(&LapseChange::Step { version: 1, to: 1 }), Ok(false));
     assert_eq!(state.apply(&LapseChange::Step { version: 1, to: 2 }), Ok(true));
-    assert!(state.apply(&LapseChange::Step { version: 1, to: 3 }).is_err(), "beyond the last");
+    assert!(state.apply(&LapseChange::Step { version: 1, to: 3 }).is_err(), "above the last step");
     assert_eq!(state.apply(&LapseChange::Renew { version: 3, total_steps: 2 }), Ok(true));
     let renewed = state.clone();
     for old in [
@@ -200,49 +203,51 @@
 
 #[test]
 fn a_time_of_day_is_trusted_only_if_two_clocks_agree() {
-    let hour = 3_600 * S;
+    let hour = 3_600 * SECOND;
     let mut clock = TrustedClock::new(ClockSettings::default(), false);
-    assert!(!clock.observe_local(at(0), wall(DAY)));
-    assert_eq!(clock.wall_time(at(0)), None, "nobody agrees");
-    clock.observe_peer(reading(1, 0, DAY));
-    assert_eq!(clock.wall_time(at(0)), Some(wall(DAY)));
-    // It steps and one other does not follow: no time. Two others that agree outvote it.
-    assert!(clock.observe_local(at(S), wall(DAY + S + hour)));
-    assert!(clock.stepped(at(S)));
-    clock.observe_peer(reading(1, S, DAY + S));
-    assert_eq!(clock.wall_time(at(S)), None);
-    clock.observe_peer(reading(2, S, DAY + S + 400_000));
-    assert!(clock.wall_time(at(S)).is_some_and(|time| (time.as_micros() - DAY - S).abs() < S));
-    // Another that stepped alike is no witness.
+    assert!(!clock.observe_local(at(0), wall(WALL_START)));
+    assert_eq!(clock.wall_time(at(0)), None, "no peer agrees");
+    clock.observe_peer(reading(1, 0, WALL_START));
+    assert_eq!(clock.wall_time(at(0)), Some(wall(WALL_START)));
+    // It steps and one peer does not: no trusted time. Two peers that agree outvote it.
+    assert!(clock.observe_local(at(SECOND), wall(WALL_START + SECOND + hour)));
+    assert!(clock.stepped(at(SECOND)));
+    clock.observe_peer(reading(1, SECOND, WALL_START + SECOND));
+    assert_eq!(clock.wall_time(at(SECOND)), None);
+    clock.observe_peer(reading(2, SECOND, WALL_START + SECOND + 400_000));
+    assert!(clock
+        .wall_time(at(SECOND))
+        .is_some_and(|time| (time.as_micros() - WALL_START - SECOND).abs() < SECOND));
+    // Agreement with a peer that also stepped does not count.
     let mut pair = TrustedClock::new(ClockSettings::default(), false);
-    pair.observe_local(at(0), wall(DAY));
-    pair.observe_local(at(S), wall(DAY + S + hour));
-    pair.observe_peer(PeerClockReading { stepped: true, ..reading(1, S, DAY + S + hour) });
-    assert_eq!(pair.wall_time(at(S)), None);
-    // Alone afterwards, being steady is not enough: it is in doubt until others agree.
+    pair.observe_local(at(0), wall(WALL_START));
+    pair.observe_local(at(SECOND), wall(WALL_START + SECOND + hour));
+    pair.observe_peer(PeerClockReading { stepped: true, ..reading(1, SECOND, WALL_START + SECOND + hour) });
+    assert_eq!(pair.wall_time(at(SECOND)), None);
+    // Without peers a steady clock does not suffice after a step: first it must agree with peers again.
     for s in 2..2_000 {
-        clock.observe_local(at(s * S), wall(DAY + s * S + hour));
+        clock.observe_local(at(s * SECOND), wall(WALL_START + s * SECOND + hour));
     }
-    assert_eq!(clock.wall_time(at(1_999 * S)), None);
-    // A slow answer says nothing.
+    assert_eq!(clock.wall_time(at(1_999 * SECOND)), None);
+    // An answer with a long round trip is ignored.
     clock.observe_peer(PeerClockReading {
-        sent_at: at(1_990 * S),
-        ..reading(1, 1_999 * S, DAY + 1_999 * S + hour)
+        sent_at: at(1_990 * SECOND),
+        ..reading(1, 1_999 * SECOND, WALL_START + 1_999 * SECOND + hour)
     });
-    assert_eq!(clock.wall_time(at(1_999 * S)), None);
+    assert_eq!(clock.wall_time(at(1_999 * SECOND)), None);
 }
 
 #[test]
 fn a_single_node_waits_for_a_steady_clock() {
     let mut clock = TrustedClock::new(ClockSettings::default(), true);
-    let mut read = |s: i64, wrong: i64| {
-        clock.observe_local(at(s * S), wall(DAY + s * S + wrong));
-        clock.wall_time(at(s * S)).is_some()
+    let mut has_time = |s: i64, error: i64| {
+        clock.observe_local(at(s * SECOND), wall(WALL_START + s * SECOND + error));
+        clock.wall_time(at(s * SECOND)).is_some()
     };
-    assert_eq!((0..700).filter(|&s| read(s, 0)).min(), Some(600));
-    assert!(!read(700, -3_600 * S));
-    // Many small steps are a step.
-    assert!((701..2_000).all(|s| !read(s, -3_600 * S + (s - 700) * 900_000)));
+    assert_eq!((0..700).filter(|&s| has_time(s, 0)).min(), Some(600));
+    assert!(!has_time(700, -3_600 * SECOND));
+    // A series of small steps counts as a step.
+    assert!((701..2_000).all(|s| !has_time(s, -3_600 * SECOND + (s - 700) * 900_000)));
 }
 
 fn member(lapse_time: LapseTime) -> Member {
@@ -251,7 +256,7 @@
         keys: vec!["k1".into()],
         plan: Plan::Trial,
         lapse_time: Some(lapse_time),
-        throttle: ThrottleSchedule { max_delay_ppm: 400_000, ramp: span(40 * S), steps: 4 },
+        throttle: ThrottleSchedule { max_delay_ppm: 400_000, ramp: span(40 * SECOND), steps: 4 },
         version: 1,
     }
 }
@@ -260,13 +265,13 @@
 fn the_lapse_timer_proposes_each_change_once_when_it_is_due() {
     let (mut timer, mut clock, mut state) =
         (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false), LapseState::default());
-    let member = member(LapseTime::In(span(20 * S)));
+    let member = member(LapseTime::In(span(20 * SECOND)));
     let epoch = Epoch { round: 1, owner: 1 };
     let mut now = 0;
-    let mut asked = Vec::new();
+    let mut proposed = Vec::new();
     while let TimerDecision { proposal, next_deadline: Some(next_deadline), waiting_for } = {
-        clock.observe_local(at(now), wall(DAY + now));
-        clock.observe_peer(reading(1, now, DAY + now));
+        clock.observe_local(at(now), wall(WALL_START + now));
+        clock.observe_peer(reading(1, now, WALL_START + now));
         timer.decide(at(now), "a", epoch, &state, Some(&member), &clock)
     } {
         assert_eq!(
@@ -276,9 +281,13 @@
         match proposal {
             Some(change) => {
                 let again = timer.decide(at(now + 1), "a", epoch, &state, Some(&member), &clock);
-                assert_eq!((again.proposal, again.next_deadline), (None, Some(next_deadline)), "asked once");
+                assert_eq!(
+                    (again.proposal, again.next_deadline),
+                    (None, Some(next_deadline)),
+                    "proposed once"
+                );
                 assert_eq!(state.apply(&change), Ok(true));
-                asked.push((now / S, change));
+                proposed.push((now / SECOND, change));
             }
             None => {
                 now = next_deadline.as_micros();
@@ -287,13 +296,13 @@
         }
     }
     let version = 1;
-    let mut want = vec![
+    let mut expected = vec![
         (0, LapseChange::Renew { version, total_steps: 4 }),
-        (0, LapseChange::Due { version, at: wall(DAY + 20 * S) }),
+        (0, LapseChange::Due { version, at: wall(WALL_START + 20 * SECOND) }),
         (20, LapseChange::Begin { version }),
     ];
-    want.extend((1..=4).map(|to| (20 + 10 * i64::from(to), LapseChange::Step { version, to })));
-    assert_eq!(asked, want);
+    expected.extend((1..=4).map(|to| (20 + 10 * i64::from(to), LapseChange::Step { version, to })));
+    assert_eq!(proposed, expected);
     assert_eq!((timer.next_deadline(), timer.len()), (None, 1));
     timer.decide(at(now), "a", epoch, &state, None, &clock);
     assert!(timer.is_empty());
@@ -302,17 +311,17 @@
 #[test]
 fn a_member_whose_lapse_is_far_off_costs_the_control_store_nothing() {
     let (mut timer, mut clock) = (LapseTimer::new(), TrustedClock::new(ClockSettings::default(), false));
-    clock.observe_local(at(0), wall(DAY));
-    clock.observe_peer(reading(1, 0, DAY));
-    let far = member(LapseTime::At(wall(DAY + 86_400 * S)));
-    let decision = timer.decide(at(0), "a", Epoch::default(), &LapseState::default(), Some(&far), &clock);
+    clock.observe_local(at(0), wall(WALL_START));
+    clock.observe_peer(reading(1, 0, WALL_START));
+    let distant = member(LapseTime::At(wall(WALL_START + 86_400 * SECOND)));
+    let decision = timer.decide(at(0), "a", Epoch::default(), &LapseState::default(), Some(&distant), &clock);
     assert_eq!((decision.proposal, decision.waiting_for), (None, WaitingFor::LapseTime));
 }
 
 #[test]
-fn a_node_follows_what_is_newest_and_a_newer_item_renews_at_once() {
+fn a_node_follows_the_newest_lapse_and_a_newer_item_renews_at_once() {
     let mut view = LapseView::new();
-    let mut a = member(LapseTime::In(span(S)));
+    let mut a = member(LapseTime::In(span(SECOND)));
     let stepped = |version, step| LapseState {
         version: Some(version),
         begun: true,
@@ -321,38 +330,38 @@
         ..LapseState::default()
     };
     assert_eq!(view.status(at(0), &a).age, None);
-    assert!(view.observe(at(S), "a", &stepped(1, 2)).is_some());
-    assert!(view.observe(at(2 * S), "a", &stepped(1, 1)).is_none(), "late copy");
-    let status = view.status(at(3 * S), &a);
+    assert!(view.observe(at(SECOND), "a", &stepped(1, 2)).is_some());
+    assert!(view.observe(at(2 * SECOND), "a", &stepped(1, 1)).is_none(), "late copy");
+    let status = view.status(at(3 * SECOND), &a);
     assert_eq!(
         (status.throttle_step, status.age),
-        (ThrottleStep { step: 2, total_steps: 4 }, Some(span(2 * S)))
+        (ThrottleStep { step: 2, total_steps: 4 }, Some(span(2 * SECOND)))
     );
     assert_eq!(view.count_by_tenth([&a].into_iter())[5], 1);
     a.version = 2;
-    assert_eq!(view.status(at(3 * S), &a).throttle_step.step, 0);
-    assert!(view.observe(at(4 * S), "a", &stepped(3, 1)).is_some());
-    assert_eq!(view.status(at(4 * S), &a).throttle_step.step, 1, "the item lags");
+    assert_eq!(view.status(at(3 * SECOND), &a).throttle_step.step, 0);
+    assert!(view.observe(at(4 * SECOND), "a", &stepped(3, 1)).is_some());
+    assert_eq!(view.status(at(4 * SECOND), &a).throttle_step.step, 1, "the item is older than the lapse");
     a.plan = Plan::Full;
-    assert_eq!(view.status(at(4 * S), &a).throttle_step.step, 0);
+    assert_eq!(view.status(at(4 * SECOND), &a).throttle_step.step, 0);
 }
 
 #[test]
-fn a_delay_is_bounded_and_evenly_drawn() {
-    let a = member(LapseTime::In(span(S)));
-    let asked = |left| ThrottleRequest {
+fn a_delay_is_bounded_and_evenly_distributed() {
+    let a = member(LapseTime::In(span(SECOND)));
+    let request = |remaining| ThrottleRequest {
         kind: RouteKind::Safe,
         stage: RequestStage::Head,
         id: b"x",
-        latency_target: span(S),
-        remaining_deadline: span(left),
+        latency_target: span(SECOND),
+        remaining_deadline: span(remaining),
     };
     let half = ThrottleStep { step: 2, total_steps: 4 };
-    // A fifth of the target at most, and a tenth at least; the mean between them.
+    // The delay is between a tenth and a fifth of the target, and its mean in the middle.
     let mut sum = 0;
     for id in 0..1_000u32 {
         let id = id.to_string();
-        match decide_delay(&a, half, &ThrottleRequest { id: id.as_bytes(), ..asked(4 * S) }) {
+        match decide_delay(&a, half, &ThrottleRequest { id: id.as_bytes(), ..request(4 * SECOND) }) {
             DelayDecision::Delay(wait) if (100_000..=200_000).contains(&wait.as_micros()) => {
                 sum += wait.as_micros()
             }
@@ -360,42 +369,48 @@
         }
     }
     assert!((145_000..155_000).contains(&(sum / 1_000)), "{sum}");
-    assert_eq!(decide_delay(&a, ThrottleStep { step: 0, total_steps: 4 }, &asked(S)), DelayDecision::Forward);
     assert_eq!(
-        decide_delay(&a, half, &asked(200_000)),
+        decide_delay(&a, ThrottleStep { step: 0, total_steps: 4 }, &request(SECOND)),
+        DelayDecision::Forward
+    );
+    assert_eq!(
+        decide_delay(&a, half, &request(200_000)),
         DelayDecision::Delay(span(100_000)),
-        "cut to half of what is left"
+        "limited to half of the remaining time"
+    );
+    assert_eq!(
+        decide_delay(&a, half, &request(199_998)),
+        DelayDecision::Reject { retry_after: span(200_000) }
     );
-    assert_eq!(decide_delay(&a, half, &asked(199_998)), DelayDecision::Reject { retry_after: span(200_000) });
     for kind in [RouteKind::Unsafe, RouteKind::Upload] {
-        let throttle = RequestThrottle::at_head(&a, half, kind, b"x", span(S), span(1));
+        let throttle = RequestThrottle::at_head(&a, half, kind, b"x", span(SECOND), span(1));
         assert_eq!((throttle.decision(), throttle.throttle_step()), (DelayDecision::Forward, half));
     }
     let huge =
-        ThrottleRequest { latency_target: Duration::MAX, remaining_deadline: Duration::MAX, ..asked(0) };
+        ThrottleRequest { latency_target: Duration::MAX, remaining_deadline: Duration::MAX, ..request(0) };
     assert!(matches!(decide_delay(&a, half, &huge), DelayDecision::Delay(wait) if wait <= Duration::MAX / 2));
 }
 
-/// Waits fixed once: nodes of two builds must draw alike.
+/// Fixed delays: nodes of different builds must compute the same.
 #[test]
-fn the_draw_does_not_change_from_build_to_build() {
-    let a = member(LapseTime::In(span(S)));
-    let waiting_for = [b"9c41d07be2a35f68", b"0000000000000000"].map(|id| {
+fn the_delay_does_not_change_between_builds() {
+    let a = member(LapseTime::In(span(SECOND)));
+    let decisions = [b"9c41d07be2a35f68", b"0000000000000000"].map(|id| {
         RequestThrottle::at_head(
             &a,
             ThrottleStep { step: 3, total_steps: 4 },
             RouteKind::Safe,
             id,
             span(600_000),
-            span(4 * S),
+            span(4 * SECOND),
         )
         .decision()
     });
-    assert_eq!(waiting_for, [DelayDecision::Delay(span(114_815)), DelayDecision::Delay(span(111_749))]);
+    assert_eq!(decisions, [DelayDecision::Delay(span(114_815)), DelayDecision::Delay(span(111_749))]);
 }
 
 #[test]
-fn what_finds_no_room_goes_on_at_once_and_a_stop_releases_all() {
+fn requests_above_a_limit_are_not_delayed_and_a_stop_releases_all() {
     let mut queue = DelayQueue::new(3, 100);
     let late = queue.push(at(0), span(30), 40, "late").unwrap();
     queue.push(at(0), span(10), 40, "first").unwrap();
--- a/crates/control/throttle/tests/schedules.rs
+++ b/crates/control/throttle/tests/schedules.rs
@@ -1,24 +1,24 @@
-//! Drawn schedules of clocks that step, owners that change, nodes that are cut off, freeze and start again, and renewals,
-//! against the plain model.
+//! Random schedules of clock steps, owner changes, partitions, frozen and restarted nodes, and renewals, checked
+//! against the reference model.
 
 mod common;
 
-use common::{schedule, World};
+use common::{schedule, Simulation};
 
 #[test]
 fn drawn_schedules_agree_with_the_plain_model() {
     bolero::check!().with_type::<(u64, Vec<(u8, u8)>)>().with_iterations(1_000).for_each(
         |(seed, schedule)| {
             let schedule = &schedule[..schedule.len().min(40)];
-            let outcome = World::new(*seed, None).run(schedule);
+            let outcome = Simulation::new(*seed, None).run(schedule);
             assert_eq!(outcome, Ok(()), "seed {seed}, {schedule:?}");
         },
     );
 }
 
-/// A renewal's lapse reaches a node ahead of its item: the step is of the new edition, and nothing went back.
+/// A renewal's lapse reaches a node before its item: the step belongs to the new edition, so it did not decrease.
 #[test]
-fn a_renewal_that_comes_by_its_lapse_first_is_no_way_back() {
+fn a_renewal_known_from_its_lapse_first_is_not_a_decrease() {
     let schedule = [
         (248, 118),
         (10, 184),
@@ -48,24 +48,24 @@
         (253, 218),
         (194, 0),
     ];
-    assert_eq!(World::new(15083530161350803441, None).run(&schedule), Ok(()));
+    assert_eq!(Simulation::new(15083530161350803441, None).run(&schedule), Ok(()));
 }
 
 /// `cargo test -p silvercross-throttle --release --test schedules -- --ignored --nocapture`
 #[test]
 #[ignore = "minutes without optimisation"]
 fn a_hundred_thousand_schedules() {
-    const ALL: u64 = 100_000;
+    const SCHEDULES: u64 = 100_000;
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let parts: Vec<_> = (0..threads)
         .map(|part| {
             std::thread::spawn(move || {
                 let mut counts = (0, 0, 0);
-                for seed in (part..ALL).step_by(threads as usize) {
-                    let mut world = World::new(seed, None);
-                    let outcome = world.run(&schedule(seed));
+                for seed in (part..SCHEDULES).step_by(threads as usize) {
+                    let mut simulation = Simulation::new(seed, None);
+                    let outcome = simulation.run(&schedule(seed));
                     assert_eq!(outcome, Ok(()), "seed {seed}");
-                    counts = (counts.0 + 1, counts.1 + world.begins, counts.2 + world.steps);
+                    counts = (counts.0 + 1, counts.1 + simulation.begins, counts.2 + simulation.steps);
                 }
                 counts
             })
@@ -77,5 +77,5 @@
         sum = (sum.0 + counts.0, sum.1 + counts.1, sum.2 + counts.2);
     }
     println!("{} schedules, {} lapses begun, {} steps", sum.0, sum.1, sum.2);
-    assert_eq!(sum.0, ALL);
+    assert_eq!(sum.0, SCHEDULES);
 }
--- a/crates/control/throttle/tests/wire_bytes.rs
+++ b/crates/control/throttle/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The encoding of members, of their lapses and of changes of both, held to fixed bytes: they are kept on disks and sent
-//! between machines of different builds.
+//! Fixed encodings of members, lapses and their changes: these are stored on disk and sent between nodes of different
+//! builds.
 
 use bitcode::{DecodeOwned, Encode};
 use silvercross_control_store::State;
@@ -9,12 +9,12 @@
 /// One line per value: its name, then its encoding in hexadecimal.
 const TABLE: &str = include_str!("data/wire.hex");
 
-/// Adds the line of a value to `lines`, after reading the value back from its encoding.
+/// Appends the line of a value to `lines`, after checking that its encoding decodes to the same value.
 fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
     let bytes = bitcode::encode(&value);
     assert_eq!(bitcode::decode::<T>(&bytes).as_ref().ok(), Some(&value), "{name}");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    writeln!(lines, "{name} {hex}").expect("a string grows");
+    writeln!(lines, "{name} {hex}").expect("writing to a string does not fail");
 }
 
 const DELIVER: &str = r#"{
@@ -30,10 +30,10 @@
 
 #[test]
 fn members_and_lapses_are_encoded_as_they_always_were() {
-    let map = |text: &str| serde_json::from_str(text).expect("an object");
-    let sent = parse_members(&map(DELIVER), &map(WITHDRAW)).expect("valid");
-    let mut roll = MemberList::default();
-    assert_eq!(roll.apply(&sent), Ok(true));
+    let map = |text: &str| serde_json::from_str(text).expect("a JSON object");
+    let change = parse_members(&map(DELIVER), &map(WITHDRAW)).expect("valid");
+    let mut list = MemberList::default();
+    assert_eq!(list.apply(&change), Ok(true));
     let lapse = LapseState {
         version: Some(2),
         due: Some(UnixTime::from_micros(1_700_000_000_000_000)),
@@ -44,8 +44,8 @@
     };
 
     let mut lines = String::new();
-    add(&mut lines, "sent", sent);
-    add(&mut lines, "roll", roll);
+    add(&mut lines, "sent", change);
+    add(&mut lines, "roll", list);
     add(&mut lines, "roll/empty", MemberList::default());
     add(&mut lines, "lapse", lapse);
     add(&mut lines, "lapse/none", LapseState::default());
