--- a/crates/daemon/sidecar/src/event_loop.rs
+++ b/crates/daemon/sidecar/src/event_loop.rs
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-use self::gateway_side::Gate;
+use self::gateway_side::GatewayHalf;
 use crate::lifecycle::fleet::Peers;
 use crate::lifecycle::logging::Paced;
 use crate::lifecycle::seat::Seat;
@@ -106,21 +106,21 @@
     /// Memory that buffers may take.
     pub buffer_bytes: usize,
     /// A connection to an upstream that is not up by then has failed.
-    pub connect_limit: Micros,
+    pub connect_timeout: Micros,
     /// An answer is whole so soon after its first byte, or it never will be: what is left of the time is worth more to
     /// whoever may send again.
-    pub whole_limit: Micros,
+    pub completion_timeout: Micros,
     /// Upstreams close what has been idle for so long.
-    pub idle_close: Option<Micros>,
+    pub upstream_idle_timeout: Option<Micros>,
 }
 
 /// Idle connections to upstreams are closed after this.
 fn retire(bounds: &Bounds) -> Micros {
-    bounds.idle_close.map_or(RETIRE_UNSTATED, |t| (t as f64 * RETIRE) as Micros)
+    bounds.upstream_idle_timeout.map_or(RETIRE_UNSTATED, |t| (t as f64 * RETIRE) as Micros)
 }
 
 /// What a configuration file that was read again brings.
-pub struct Anew {
+pub struct ReloadedConfig {
     /// Where discovery is now.
     pub discovery: SocketAddr,
     /// Other settings, the names behind them, and what the loop keeps to by them.
@@ -128,7 +128,7 @@
 }
 
 /// Reads the configuration file again: all of it good, or one plain line. What it returns is in force from then on.
-pub type Reread = Box<dyn FnMut() -> Result<Anew, String>>;
+pub type Reread = Box<dyn FnMut() -> Result<ReloadedConfig, String>>;
 
 /// What the loop is made of.
 pub struct Parts {
@@ -149,9 +149,9 @@
     /// Where discovery is; `None`: the list comes from elsewhere.
     pub discovery: Option<SocketAddr>,
     /// What it is of a gateway, if it is one.
-    pub gate: Option<Gate>,
+    pub gateway: Option<GatewayHalf>,
     /// Where operators connect; not blocking.
-    pub door: Option<TcpListener>,
+    pub management_listener: Option<TcpListener>,
     /// The classes' names.
     pub classes: Vec<String>,
     /// This process's seat beside another one of the same sidecar.
@@ -196,7 +196,7 @@
     pool: Pool,
     steps: VecDeque<Step<Wake>>,
     discovery: Option<SocketAddr>,
-    gate: Option<Gate>,
+    gateway: Option<GatewayHalf>,
     door: Door,
     seat: Option<Seat>,
     fleet: Option<Fleet>,
@@ -235,14 +235,14 @@
 impl EventLoop {
     /// Everything registered, nothing served yet.
     pub fn new(parts: Parts) -> io::Result<Self> {
-        let Parts { registry, balancer, listener, stops, reloads, reread, discovery, gate, .. } = parts;
-        let Parts { listen_at, door, classes, seat, mut peers, seq, bounds, log, .. } = parts;
+        let Parts { registry, balancer, listener, stops, reloads, reread, discovery, gateway, .. } = parts;
+        let Parts { listen_at, management_listener, classes, seat, mut peers, seq, bounds, log, .. } = parts;
         let records = peers.as_mut().and_then(|p| p.records.take());
         let retire = retire(&bounds);
         Ok(EventLoop {
             listen_at,
             listener: listener.map(|l| registry.watch(l, LISTENER, Interest::Read)).transpose()?,
-            door: Door::new(door, &registry, &classes)?,
+            door: Door::new(management_listener, &registry, &classes)?,
             holding: records.map(|r| Holding::new(r, &registry)).transpose()?,
             ordered: Vec::new(),
             stirred: false,
@@ -264,7 +264,7 @@
             pool: Pool::new(bounds.buffer_bytes),
             steps: VecDeque::new(),
             discovery,
-            gate,
+            gateway,
             seat,
             seq,
             watch: None,
--- a/crates/daemon/sidecar/src/event_loop/applications.rs
+++ b/crates/daemon/sidecar/src/event_loop/applications.rs
@@ -1,5 +1,5 @@
 //! The loop's side towards the application: connections accepted, requests taken, answers written.
-use super::gateway_side::Gate;
+use super::gateway_side::GatewayHalf;
 use super::{EventLoop, Wake};
 use crate::memory::connections::Connection;
 use crate::memory::requests::{Guest, Request};
@@ -460,7 +460,7 @@
 
     /// A guest that was let in came to nothing.
     fn give_back(&mut self, guest: Option<Guest>) {
-        if let (Some(Gate::In(i)), Some(g)) = (self.gate.as_mut(), guest) {
+        if let (Some(GatewayHalf::In(i)), Some(g)) = (self.gateway.as_mut(), guest) {
             i.offer.ended(g.began, RemoteOutcome::Disconnected, 0, g.expected, g.left);
         }
     }
@@ -470,7 +470,7 @@
     pub(super) fn refuse(&mut self, request: Handle, lines: &str) {
         let ran = self.requests.get(request).is_some_and(|r| r.may_have_run);
         self.give_held(request, ran);
-        if self.gate.is_none() {
+        if self.gateway.is_none() {
             return self.answer_call(request, 503, lines.as_bytes(), &[b"refused\n"]);
         }
         self.guest_ended(request, RemoteOutcome::Rejected);
@@ -481,7 +481,7 @@
     pub(super) fn fail(&mut self, request: Handle) {
         let sent = self.requests.get(request).is_some_and(|r| !r.attempts.is_empty());
         self.give_held(request, sent);
-        if self.gate.is_none() {
+        if self.gateway.is_none() {
             return self.answer_call(request, 502, b"", &[b"failed\n"]);
         }
         self.guest_ended(request, RemoteOutcome::Failed);
--- a/crates/daemon/sidecar/src/event_loop/gateway_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/gateway_side.rs
@@ -27,23 +27,23 @@
     /// This site.
     pub home: String,
     /// The site of the far gateways.
-    pub far: String,
+    pub far_site: String,
     /// What is known of them.
     pub peers: Peers,
     /// Where they are.
-    pub at: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// The longest aim of a class: what takes longer over there is of no use.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// How often they are asked.
-    pub every: Micros,
+    pub offer_interval: Micros,
     /// Which of them the module was told it may use.
-    pub told: Vec<bool>,
+    pub reported_open: Vec<bool>,
     /// The connections on which they are asked.
-    pub asks: Vec<Option<Handle>>,
+    pub offer_connections: Vec<Option<Handle>>,
     /// When they are to be asked next.
-    pub next: Micros,
+    pub next_offer_at: Micros,
     /// Lets a line about statements through now and then.
-    pub paced: Paced,
+    pub log_pacing: Paced,
 }
 
 /// The inward half.
@@ -53,11 +53,11 @@
     /// What home can spare.
     pub offer: Offer,
     /// Among how many far gateways it is parted.
-    pub among: u32,
+    pub far_gateways: u32,
 }
 
 /// What a loop is of a gateway.
-pub enum Gate {
+pub enum GatewayHalf {
     /// Its outward half.
     Out(Outward),
     /// Its inward half.
@@ -70,7 +70,7 @@
         let host = |(i, at): (usize, &SocketAddr)| Host {
             name: format!("peer-{i}"),
             address: Some(*at),
-            zone: self.far.clone(),
+            zone: self.far_site.clone(),
             kind: "gateway".into(),
             // A cell of its own: a key's group never takes in two of them.
             cell: 1_000_000 + i as u32,
@@ -78,7 +78,7 @@
             size: 1.0,
             started_ms: 0,
         };
-        self.at.iter().enumerate().map(host).collect()
+        self.addresses.iter().enumerate().map(host).collect()
     }
 }
 
@@ -90,11 +90,11 @@
         left: Option<Micros>,
     ) -> Result<Option<Guest>, &'static str> {
         let now = self.balancer.now();
-        let Some(gate) = self.gate.as_mut() else { return Ok(None) };
+        let Some(gateway) = self.gateway.as_mut() else { return Ok(None) };
         let mark = Hops::read(call.hops.as_deref()).map_err(hops::HopError::reason)?;
         let (left, expected) = (left.unwrap_or(Micros::MAX), call.cost_hint.map_or(0.0, |h| h as f64));
-        let (mark, guest) = match gate {
-            Gate::Out(o) => {
+        let (mark, guest) = match gateway {
+            GatewayHalf::Out(o) => {
                 let mark = mark.leave(&o.home).map_err(hops::HopError::reason)?;
                 o.peers.may_cross(now, left, 1.0).map_err(|why| match why {
                     CrossingRefused::NoRoom => "the other side has no room",
@@ -102,7 +102,7 @@
                 })?;
                 (mark, None)
             }
-            Gate::In(i) => {
+            GatewayHalf::In(i) => {
                 mark.arrive(&i.home).map_err(hops::HopError::reason)?;
                 if !i.offer.admit(now) {
                     return Err("this side has no room");
@@ -119,7 +119,7 @@
     pub(super) fn guest_ended(&mut self, request: Handle, how: RemoteOutcome) {
         let now = self.balancer.now();
         let guest = self.requests.get_mut(request).and_then(|r| r.guest.take());
-        if let (Some(Gate::In(i)), Some(g)) = (self.gate.as_mut(), guest) {
+        if let (Some(GatewayHalf::In(i)), Some(g)) = (self.gateway.as_mut(), guest) {
             i.offer.ended(now, how, now - g.began, g.expected, g.left);
         }
     }
@@ -127,12 +127,12 @@
     /// The header lines that a gateway adds to an answer: on the link, what it offers.
     pub(super) fn gate_lines(&mut self) -> String {
         let (stopping, now) = (self.stop.is_some(), self.balancer.now());
-        match self.gate.as_mut() {
-            Some(Gate::In(i)) => {
+        match self.gateway.as_mut() {
+            Some(GatewayHalf::In(i)) => {
                 if stopping {
                     i.offer.drain();
                 }
-                format!("{}: {}\r\n", statement::HEADER, i.offer.next_statement(now, i.among).value())
+                format!("{}: {}\r\n", statement::HEADER, i.offer.next_statement(now, i.far_gateways).value())
             }
             _ => String::new(),
         }
@@ -140,8 +140,8 @@
 
     /// The far gateway at an address.
     fn peer_at(&self, to: SocketAddr) -> Option<usize> {
-        match self.gate.as_ref() {
-            Some(Gate::Out(o)) => o.at.iter().position(|a| *a == to),
+        match self.gateway.as_ref() {
+            Some(GatewayHalf::Out(o)) => o.addresses.iter().position(|a| *a == to),
             _ => None,
         }
     }
@@ -149,8 +149,8 @@
     /// An attempt is about to be sent to an address; `false`: that far gateway's room ended as it was picked.
     pub(super) fn peer_sent(&mut self, to: SocketAddr) -> bool {
         let (now, peer) = (self.balancer.now(), self.peer_at(to));
-        match (self.gate.as_mut(), peer) {
-            (Some(Gate::Out(o)), Some(peer)) => {
+        match (self.gateway.as_mut(), peer) {
+            (Some(GatewayHalf::Out(o)), Some(peer)) => {
                 let room = o.peers.has_room(now, peer);
                 if room {
                     o.peers.sent(peer);
@@ -172,7 +172,7 @@
         offer: Option<&str>,
     ) {
         let (now, peer) = (self.balancer.now(), self.peer_at(to));
-        let (Some(Gate::Out(o)), Some(peer)) = (self.gate.as_mut(), peer) else { return };
+        let (Some(GatewayHalf::Out(o)), Some(peer)) = (self.gateway.as_mut(), peer) else { return };
         o.peers.ended(now, peer, (report == Some(Report::Served)).then_some(took as f64));
         if matches!(report, Some(Report::NotDelivered | Report::Reset)) {
             o.peers.link_lost(peer);
@@ -185,9 +185,9 @@
 
     fn heard(&mut self, peer: usize, value: &str) {
         let now = self.balancer.now();
-        let Some(Gate::Out(o)) = self.gate.as_mut() else { return };
+        let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() else { return };
         if let Err(why) = o.peers.receive_header(now, peer, value) {
-            if let Some(before) = o.paced.pass(now) {
+            if let Some(before) = o.log_pacing.pass(now) {
                 warn!(self.log, "a far gateway's statement was ignored"; "peer" => peer, "why" => why,
                     "times" => before + 1, "ignored" => o.peers.ignored);
             }
@@ -197,11 +197,11 @@
     /// Do what has become of offers: tell the module, ask the far gateways again, take connections or take none.
     pub(super) fn mind_gate(&mut self) {
         let now = self.balancer.now();
-        let Some(Gate::Out(o)) = self.gate.as_mut() else { return };
-        let open: Vec<bool> = (0..o.at.len()).map(|p| o.peers.has_room(now, p)).collect();
-        let takes = o.peers.is_open(now, o.aim);
-        let changed = open != o.told;
-        o.told.clone_from(&open);
+        let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() else { return };
+        let open: Vec<bool> = (0..o.addresses.len()).map(|p| o.peers.has_room(now, p)).collect();
+        let takes = o.peers.is_open(now, o.latency_target);
+        let changed = open != o.reported_open;
+        o.reported_open.clone_from(&open);
         let hosts = changed.then(|| o.hosts(&open));
         if let Some(hosts) = hosts {
             info!(self.log, "far gateways with room"; "open" => open.iter().filter(|o| **o).count(), "of" => open.len());
@@ -242,13 +242,18 @@
     /// Ask the far gateways for their offers, when that is due.
     pub(super) fn ask_peers(&mut self) {
         let now = self.balancer.now();
-        let Some(Gate::Out(o)) = self.gate.as_mut() else { return };
-        if now < o.next {
+        let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() else { return };
+        if now < o.next_offer_at {
             return;
         }
-        o.next = now + o.every;
-        let asks: Vec<(usize, SocketAddr, Option<Handle>)> =
-            o.at.iter().zip(&o.asks).enumerate().map(|(i, (at, h))| (i, *at, *h)).collect();
+        o.next_offer_at = now + o.offer_interval;
+        let asks: Vec<(usize, SocketAddr, Option<Handle>)> = o
+            .addresses
+            .iter()
+            .zip(&o.offer_connections)
+            .enumerate()
+            .map(|(i, (at, h))| (i, *at, *h))
+            .collect();
         for (peer, at, handle) in asks {
             match handle.and_then(|h| self.connections.peer(h)).map(|c| c.asked) {
                 // Still on its way; for too long, and the link is down.
@@ -264,8 +269,8 @@
                         });
                         made.ok().flatten()
                     });
-                    if let Some(Gate::Out(o)) = self.gate.as_mut() {
-                        o.asks[peer] = made;
+                    if let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() {
+                        o.offer_connections[peer] = made;
                     }
                     self.ask_peer(peer, now);
                 }
@@ -275,8 +280,8 @@
     }
 
     fn ask_peer(&mut self, peer: usize, now: Micros) {
-        let handle = match self.gate.as_ref() {
-            Some(Gate::Out(o)) => o.asks[peer],
+        let handle = match self.gateway.as_ref() {
+            Some(GatewayHalf::Out(o)) => o.offer_connections[peer],
             _ => None,
         };
         let asked = handle.and_then(|h| self.connections.peer(h)).map(|c| c.ask(now));
@@ -287,9 +292,9 @@
 
     /// The connection on which a far gateway is asked has ended: what it offered went with the link.
     fn peer_lost(&mut self, peer: usize) {
-        let Some(Gate::Out(o)) = self.gate.as_mut() else { return };
+        let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() else { return };
         o.peers.link_lost(peer);
-        let handle = o.asks[peer].take();
+        let handle = o.offer_connections[peer].take();
         handle.into_iter().for_each(|h| drop(self.connections.remove(h)));
     }
 
--- a/crates/daemon/sidecar/src/event_loop/tests.rs
+++ b/crates/daemon/sidecar/src/event_loop/tests.rs
@@ -26,9 +26,9 @@
     let bounds = Bounds {
         descriptors: 64,
         buffer_bytes: 1 << 24,
-        connect_limit: 250_000,
-        whole_limit: 100_000,
-        idle_close: None,
+        connect_timeout: 250_000,
+        completion_timeout: 100_000,
+        upstream_idle_timeout: None,
     };
     let mut client = TcpStream::connect(listener.local_addr().expect("bound")).expect("accepted");
     let parts = Parts {
@@ -40,8 +40,8 @@
         reloads: UnixStream::pair().expect("a pair").0,
         reread: Box::new(|| Err("no file".into())),
         discovery: upstream.local_addr().ok(),
-        gate: None,
-        door: None,
+        gateway: None,
+        management_listener: None,
         classes: vec!["read".into()],
         seat: None,
         peers: None,
--- a/crates/daemon/sidecar/src/event_loop/upstreams.rs
+++ b/crates/daemon/sidecar/src/event_loop/upstreams.rs
@@ -74,7 +74,7 @@
             r.attempts[attempt.number as usize] = Some(handle);
         }
         if !reused {
-            let at = self.balancer.now() + self.bounds.connect_limit;
+            let at = self.balancer.now() + self.bounds.connect_timeout;
             self.balancer.set_timer(at, Wake::Connect(handle));
         }
         self.upstream_ready(handle);
@@ -182,7 +182,7 @@
             Ok(Progress::Blocked) => {
                 if !had_begun && matches!(c.work, Work::Busy(_, Stage::Reading)) {
                     c.since = self.balancer.now();
-                    self.balancer.set_timer(c.since + self.bounds.whole_limit, Wake::Half(handle));
+                    self.balancer.set_timer(c.since + self.bounds.completion_timeout, Wake::Half(handle));
                 }
             }
             // However often it is looked at, one timer.
@@ -218,7 +218,7 @@
 
     /// An answer that had begun should be whole by now; what has come meanwhile is looked at first.
     pub(super) fn half_answered(&mut self, handle: Handle, now: Micros) {
-        let limit = self.bounds.whole_limit;
+        let limit = self.bounds.completion_timeout;
         let late = |l: &mut Self| match l.connections.upstream(handle) {
             Some(c) if c.since + limit <= now => match c.work {
                 // Slow is not still: what has come at a fair rate has its time.
--- a/crates/daemon/sidecar/src/lifecycle/gateway.rs
+++ b/crates/daemon/sidecar/src/lifecycle/gateway.rs
@@ -1,8 +1,8 @@
 //! `silvercross gateway`: two loops in one process, the outward half and the inward half of one gateway, each on a thread of its
 //! own, with nothing shared but the log. Their settings are checked as a whole before anything listens.
 use super::{config, logging, start};
-use crate::event_loop::gateway_side::{Gate, Inward, Outward};
-use crate::event_loop::{Anew, Bounds, EventLoop, Parts};
+use crate::event_loop::gateway_side::{GatewayHalf, Inward, Outward};
+use crate::event_loop::{Bounds, EventLoop, Parts, ReloadedConfig};
 use serde::Deserialize;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use silvercross_core::interface::Micros;
@@ -171,7 +171,7 @@
         Limits { initial_slots: l.first, max_slots: l.most, validity: Micros::from(l.holds_ms) * 1000 };
     // A life's number is its start: no two of one gateway are alike.
     let offer = Offer::new(limits, balancer.now() as u64, balancer.now());
-    let gate = Gate::In(Inward { home: file.site.clone(), offer, among: l.peers.len() as u32 });
+    let gate = GatewayHalf::In(Inward { home: file.site.clone(), offer, far_gateways: l.peers.len() as u32 });
     let path = settings.to_path_buf();
     let made = EventLoop::new(Parts {
         registry: Registry::new().map_err(fault)?,
@@ -183,11 +183,11 @@
         reread: Box::new(move || {
             let text = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
             let new = config::parse(&text, |_| None)?;
-            Ok(Anew { discovery: new.discovery, settings: None })
+            Ok(ReloadedConfig { discovery: new.discovery, settings: None })
         }),
         discovery: Some(c.discovery),
-        gate: Some(gate),
-        door: None,
+        gateway: Some(gate),
+        management_listener: None,
         classes: c.front.classes.clone(),
         seat: None,
         peers: None,
@@ -204,15 +204,15 @@
     let (l, n) = (&file.link, file.link.peers.len());
     let gate = Outward {
         home: file.site.clone(),
-        far: file.far.clone(),
+        far_site: file.far.clone(),
         peers: Peers::new(n, l.most),
-        at: l.peers.clone(),
-        aim: c.settings.classes.iter().map(|k| k.latency_target).max().unwrap_or(0),
-        every: Micros::from(l.ask_ms) * 1000,
-        told: vec![false; n],
-        asks: vec![None; n],
-        next: 0,
-        paced: Default::default(),
+        addresses: l.peers.clone(),
+        latency_target: c.settings.classes.iter().map(|k| k.latency_target).max().unwrap_or(0),
+        offer_interval: Micros::from(l.ask_ms) * 1000,
+        reported_open: vec![false; n],
+        offer_connections: vec![None; n],
+        next_offer_at: 0,
+        log_pacing: Default::default(),
     };
     let hosts = gate.hosts(&vec![false; n]);
     let balancer = Balancer::new(c.settings, c.front, c.seed ^ 1, &hosts, Clock::system());
@@ -228,8 +228,8 @@
         reloads: never,
         reread: Box::new(|| Err("the outward half has nothing to read again".into())),
         discovery: None,
-        gate: Some(Gate::Out(gate)),
-        door: None,
+        gateway: Some(GatewayHalf::Out(gate)),
+        management_listener: None,
         classes: Vec::new(),
         seat: None,
         peers: None,
--- a/crates/daemon/sidecar/src/lifecycle/start.rs
+++ b/crates/daemon/sidecar/src/lifecycle/start.rs
@@ -2,7 +2,7 @@
 use super::seat::Seat;
 use super::store::OpenDisk;
 use super::{config, fleet, logging};
-use crate::event_loop::{Anew, Bounds, EventLoop, Parts};
+use crate::event_loop::{Bounds, EventLoop, Parts, ReloadedConfig};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use silvercross_core::interface::Micros;
 use silvercross_core::interface::Settings;
@@ -57,7 +57,7 @@
             listen(config.listen, beside).map_err(|e| format!("cannot listen on {}: {e}", config.listen))?,
         ),
     };
-    let door = match config.management {
+    let management_listener = match config.management {
         Some(at) => Some(listen(at, false).map_err(|e| format!("cannot listen on {at}: {e}"))?),
         None => None,
     };
@@ -66,8 +66,10 @@
     let registry = Registry::new().map_err(|e| format!("no poller: {e}"))?;
     let (log, flush) = logging::start(&config.name, level);
     let listen_at = listener.as_ref().and_then(|l| l.local_addr().ok()).unwrap_or(config.listen);
-    let management =
-        door.as_ref().and_then(|d| d.local_addr().ok()).map_or_else(String::new, |a| a.to_string());
+    let management = management_listener
+        .as_ref()
+        .and_then(|d| d.local_addr().ok())
+        .map_or_else(String::new, |a| a.to_string());
     info!(log, "started"; "listen" => listen_at.to_string(), "management" => management, "discovery" => config.discovery.to_string(),
         "known" => config.known.len(), "seq" => config.seq, "memory_mb" => config.memory_mb,
         "sockets" => config.sockets, "fleet" => fleet_at, "version" => env!("CARGO_PKG_VERSION"));
@@ -97,11 +99,11 @@
             let new = config::reread(var, &in_force)?;
             let (discovery, bounds) = (new.discovery, bounds_of(&new));
             in_force = new.file;
-            Ok(Anew { discovery, settings: Some((new.settings, new.front, bounds)) })
+            Ok(ReloadedConfig { discovery, settings: Some((new.settings, new.front, bounds)) })
         }),
         discovery: Some(discovery),
-        gate: None,
-        door,
+        gateway: None,
+        management_listener,
         classes,
         seat,
         peers,
@@ -122,9 +124,9 @@
     Bounds {
         descriptors: config.sockets,
         buffer_bytes: (config.memory_mb as f64 * 1e6 * BUFFER_SHARE) as usize,
-        connect_limit: config.settings.connect_timeout,
-        whole_limit: whole_limit(&config.settings),
-        idle_close: config.front.upstream_idle_timeout,
+        connect_timeout: config.settings.connect_timeout,
+        completion_timeout: whole_limit(&config.settings),
+        upstream_idle_timeout: config.front.upstream_idle_timeout,
     }
 }
 
