--- a/crates/daemon/sidecar/src/event_loop.rs
+++ b/crates/daemon/sidecar/src/event_loop.rs
@@ -1,6 +1,7 @@
-//! The loop: waits for readiness, hands it to the connection it belongs to, and does the facade's steps. It moves
-//! bytes and keeps bounds; where a request goes, and whether, is not decided here. Its three sides, each towards one
-//! kind of neighbour, are in the files of the folder `event_loop/`.
+//! The event loop: waits for readiness of sockets, dispatches it to the connection concerned, and carries out the
+//! balancer's steps. It transfers bytes and enforces limits; whether and where a request is sent is not decided here.
+//! The files in `event_loop/` hold the code for each kind of peer: applications, upstreams, discovery, operators,
+//! other sidecars, far gateways.
 mod applications;
 mod discovery_side;
 mod fleet_side;
@@ -24,11 +25,11 @@
 use crate::wire::application::{self, State};
 use crate::wire::discovery::Purpose;
 use crate::wire::upstream::{AttemptError, Cause, Stage, Work};
-use applications::IDLE;
+use applications::CLIENT_IDLE_TIMEOUT;
 use fleet_side::Fleet;
-use operators::Door;
+use operators::Management;
 use polling::Events;
-use records_side::Holding;
+use records_side::RecordsSide;
 use silvercross_core::interface::Micros;
 use silvercross_core::interface::Settings;
 use silvercross_facade::{Attempt, Balancer, Output, Step};
@@ -44,148 +45,153 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
 
-const LISTENER: usize = usize::MAX - 1;
-const STOPS: usize = usize::MAX - 2;
-const RELOADS: usize = usize::MAX - 3;
-/// Rounds of the records' work in one turn of the loop.
-const STIRS: usize = 4;
-/// How often idle connections are looked through.
-const SWEEP: Micros = 250_000;
-/// How often the summary is logged, in sweeps.
-const SUMMARY: u64 = 240;
-/// Idle connections to upstreams are retired at this part of the time after which the upstream closes them: a
+const LISTENER_KEY: usize = usize::MAX - 1;
+const STOP_KEY: usize = usize::MAX - 2;
+const RELOAD_KEY: usize = usize::MAX - 3;
+/// Maximum number of times that the records are advanced in one iteration of the loop.
+const MAX_RECORDS_ROUNDS: usize = 4;
+/// Interval of the periodic housekeeping.
+const HOUSEKEEPING_INTERVAL: Micros = 250_000;
+/// The summary is logged once per this many runs of the housekeeping.
+const RUNS_PER_SUMMARY: u64 = 240;
+/// Idle connections to upstreams are closed after this share of the time after which the upstream closes them: a
 /// request written to one that is just being closed ends as a reset.
-const RETIRE: f64 = 0.5;
-/// Two processes of one sidecar leave this part of the descriptors to what either opens before the other hears of it; each
-/// keeps a reserve of its own besides.
-const BESIDE: usize = 8;
-/// Without a word from discovery for so long, the list known from the start has to do: whoever starts this process waits 6 s.
-const DARK: Micros = 4_000_000;
-/// Where the settings do not say when upstreams close.
-const RETIRE_UNSTATED: Micros = 5_000_000;
-
-/// The network's own timers.
+const UPSTREAM_IDLE_SHARE: f64 = 0.5;
+/// While two processes of one sidecar run, the descriptors divided by this stay unused, for connections that either
+/// process opens before the other one reads its count. Each process has its own reserve besides.
+const UNUSED_DIVISOR: usize = 8;
+/// If discovery has sent no list for this long after the start, the process serves with the list from its configuration:
+/// whoever starts it waits 6 s for it to serve.
+const FIRST_LIST_TIMEOUT: Micros = 4_000_000;
+/// Used if the settings do not say when upstreams close idle connections.
+const DEFAULT_UPSTREAM_IDLE_LIMIT: Micros = 5_000_000;
+
+/// The event loop's own timers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Wake {
-    /// A connection to an upstream should be up by now.
-    Connect(Handle),
-    /// An application's connection may be stuck.
-    Stall(Handle),
-    /// The last byte of an attempt may follow.
-    Release(Handle, Attempt),
-    /// An upstream's answer that has begun should be whole by now.
-    Half(Handle),
-    /// Discovery may have fallen silent.
-    Silence(Handle),
-    /// Look through the idle connections.
-    Sweep,
-    /// Stopping: see whether all is done.
+    /// A connection to an upstream must be established by now.
+    ConnectTimeout(Handle),
+    /// What an application's connection is in the middle of must be finished by now, unless its time was extended.
+    ClientTimeout(Handle),
+    /// The last byte of an attempt, which was delayed, may be sent.
+    SendLastByte(Handle, Attempt),
+    /// An upstream's response that has begun should be complete by now.
+    CompletionTimeout(Handle),
+    /// A connection to discovery may have been silent for too long.
+    DiscoveryTimeout(Handle),
+    /// The periodic housekeeping is due.
+    Housekeeping,
+    /// Stopping: check whether all is done.
     Stopping,
-    /// Membership has something to do.
+    /// Fleet membership is due to be advanced.
     Fleet,
-    /// The records have something to do.
+    /// The records are due to be advanced.
     Records,
-    /// A key that somebody else has is asked for again.
-    Retake(Handle),
-    /// A document that an operator waits for is looked at again.
-    Look(usize),
-    /// An answer that is not held yet goes out without the mark.
-    Unheld(Handle),
+    /// Retry the claim of a key that another sidecar has claimed.
+    RetryClaim(Handle),
+    /// Read again a document whose next version the operator in this slot waits for.
+    ReadDocument(usize),
+    /// A response that is not stored yet is sent without the `X-Held` header.
+    StoreTimeout(Handle),
 }
 
-/// Read a signal's stream empty.
+/// Reads a signal's stream until it is empty.
 fn drain(mut signals: &UnixStream) {
     let mut waste = [0; 64];
     while matches!(signals.read(&mut waste), Ok(n) if n > 0) {}
 }
 
-/// What the loop keeps to.
+/// Limits of the loop.
 pub struct Bounds {
-    /// File descriptors the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub descriptors: usize,
-    /// Memory that buffers may take.
+    /// Maximum memory for buffers.
     pub buffer_bytes: usize,
-    /// A connection to an upstream that is not up by then has failed.
+    /// A connection to an upstream that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// An answer is whole so soon after its first byte, or it never will be: what is left of the time is worth more to
-    /// whoever may send again.
+    /// A response that is not complete within this time after its first byte is given up, apart from the time that its
+    /// bytes may take: the time left is worth more for a retry.
     pub completion_timeout: Micros,
-    /// Upstreams close what has been idle for so long.
+    /// Upstreams close connections that have been idle for this long; `None`: not known.
     pub upstream_idle_timeout: Option<Micros>,
 }
 
-/// Idle connections to upstreams are closed after this.
-fn retire(bounds: &Bounds) -> Micros {
-    bounds.upstream_idle_timeout.map_or(RETIRE_UNSTATED, |t| (t as f64 * RETIRE) as Micros)
+/// Time after which idle connections to upstreams are closed.
+fn upstream_idle_limit(bounds: &Bounds) -> Micros {
+    bounds
+        .upstream_idle_timeout
+        .map_or(DEFAULT_UPSTREAM_IDLE_LIMIT, |t| (t as f64 * UPSTREAM_IDLE_SHARE) as Micros)
 }
 
-/// What a configuration file that was read again brings.
+/// Result of reading the configuration file again.
 pub struct ReloadedConfig {
-    /// Where discovery is now.
+    /// Discovery's address.
     pub discovery: SocketAddr,
-    /// Other settings, the names behind them, and what the loop keeps to by them.
+    /// The new settings, the names that they refer to, and the limits that follow from them.
     pub settings: Option<(Settings, ProxySettings, Bounds)>,
 }
 
-/// Reads the configuration file again: all of it good, or one plain line. What it returns is in force from then on.
+/// Reads the configuration file again: the whole of it if it is valid, otherwise one line that says why not. What it returns
+/// is in force from then on.
 pub type Reread = Box<dyn FnMut() -> Result<ReloadedConfig, String>>;
 
-/// What the loop is made of.
+/// What an event loop is made from.
 pub struct Parts {
     /// The poller.
     pub registry: Registry,
-    /// The decisions.
+    /// The facade of the decision module.
     pub balancer: Balancer<Wake>,
-    /// Where applications connect; not blocking. `None`: it listens later.
+    /// Listener for applications, non-blocking; `None`: the process listens once it can serve.
     pub listener: Option<TcpListener>,
-    /// At which address.
+    /// The address of that listener.
     pub listen_at: SocketAddr,
-    /// Becomes readable when the process is to stop; not blocking.
+    /// Becomes readable when the process is to stop; non-blocking.
     pub stops: UnixStream,
-    /// Becomes readable when the configuration is to be read again; not blocking.
+    /// Becomes readable when the configuration is to be read again; non-blocking.
     pub reloads: UnixStream,
-    /// Reads it again: where discovery is now, or what is wrong with the file.
+    /// Reads it again.
     pub reread: Reread,
-    /// Where discovery is; `None`: the list comes from elsewhere.
+    /// Discovery's address; `None`: the list comes from elsewhere.
     pub discovery: Option<SocketAddr>,
-    /// What it is of a gateway, if it is one.
+    /// The half of a gateway that this loop is, if it is one.
     pub gateway: Option<GatewayHalf>,
-    /// Where operators connect; not blocking.
+    /// Listener for operators, non-blocking.
     pub management_listener: Option<TcpListener>,
-    /// The classes' names.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// This process's seat beside another one of the same sidecar.
+    /// The lock file by which this process and a second one of the same sidecar know of each other.
     pub seat: Option<Seat>,
-    /// What makes it a member of a fleet, if it is one.
+    /// Membership and records of its fleet, if it is in one.
     pub peers: Option<Peers>,
-    /// The version of the list that the balancer was started with.
+    /// Version of the list that the balancer was started with.
     pub seq: u64,
-    /// What to keep to.
+    /// Limits of the loop.
     pub bounds: Bounds,
-    /// Where to log.
+    /// Logger.
     pub log: Logger,
 }
 
-/// What has been done since the start, for the summary.
+/// Counts since the start, for the summary in the log.
 #[derive(Default)]
 struct Counts {
-    taken: u64,
+    accepted: u64,
     served: u64,
     refused: u64,
     failed: u64,
-    gone: u64,
-    bad: u64,
+    client_gone: u64,
+    bad_requests: u64,
     attempts: u64,
     attempts_failed: u64,
-    connected: u64,
+    connects: u64,
     panics: u64,
 }
 
-/// The process, as it serves.
+/// The event loop of a process.
 pub struct EventLoop {
     registry: Registry,
     balancer: Balancer<Wake>,
-    /// `None`: a gateway with nothing to give takes none.
+    /// Listener for applications; `None`: a gateway without capacity to offer accepts no connections, a process beside
+    /// another one has not begun or has ceased to listen.
     listener: Option<Watched<TcpListener>>,
     listen_at: SocketAddr,
     stops: Watched<UnixStream>,
@@ -197,65 +203,65 @@
     steps: VecDeque<Step<Wake>>,
     discovery: Option<SocketAddr>,
     gateway: Option<GatewayHalf>,
-    door: Door,
+    management: Management,
     seat: Option<Seat>,
     fleet: Option<Fleet>,
-    holding: Option<Holding>,
-    /// Upstreams that drain by an operator's order.
-    ordered: Vec<String>,
-    /// The records were asked or told something in this turn.
-    stirred: bool,
+    records_side: Option<RecordsSide>,
+    /// Upstreams that drain by an operator's order, as last passed to the balancer.
+    ordered_drains: Vec<String>,
+    /// The records were given input in this iteration and must be advanced.
+    records_pending: bool,
     view: Option<silvercross_swim::View>,
-    view_told: Paced,
-    members_told: Paced,
-    /// Another process of this sidecar lives: what the two may hold is shared.
-    paired: bool,
-    /// Discovery has told this process its list.
-    told: bool,
+    view_log_pacing: Paced,
+    member_log_pacing: Paced,
+    /// Another process of this sidecar is running; the two share the limits.
+    has_neighbour: bool,
+    /// Discovery has sent this process a list.
+    has_received_list: bool,
     started: Micros,
-    /// It has said that it serves.
-    serves: bool,
+    /// It accepts connections and has said so in its lock file. Only used beside another process.
+    serving: bool,
     seq: u64,
     watch: Option<Handle>,
     bounds: Bounds,
-    retire: Micros,
+    upstream_idle_limit: Micros,
     stop: Option<Stop>,
-    /// Stopping beside a successor that serves: nothing new is taken from then on.
-    heir: bool,
+    /// Stopping while a successor process serves: no new connections are accepted from then on.
+    has_successor: bool,
     counts: Counts,
-    sweeps: u64,
-    at_limit: Paced,
-    /// Until when the last byte of each request is held back for a moment.
-    hold_until: Micros,
-    /// The correlation ids of the requests in `requests`.
+    housekeeping_runs: u64,
+    limit_log_pacing: Paced,
+    /// Until when the last byte of each request is delayed; see [`upstreams`].
+    delay_last_byte_until: Micros,
+    /// Correlation ids of the requests in `requests`.
     ids: HashSet<Box<str>>,
     log: Logger,
 }
 
 impl EventLoop {
-    /// Everything registered, nothing served yet.
+    /// Registers the listeners and streams with the poller; nothing is served yet.
     pub fn new(parts: Parts) -> io::Result<Self> {
         let Parts { registry, balancer, listener, stops, reloads, reread, discovery, gateway, .. } = parts;
         let Parts { listen_at, management_listener, classes, seat, mut peers, seq, bounds, log, .. } = parts;
         let records = peers.as_mut().and_then(|p| p.records.take());
-        let retire = retire(&bounds);
+        let upstream_idle_limit = upstream_idle_limit(&bounds);
         Ok(EventLoop {
             listen_at,
-            listener: listener.map(|l| registry.watch(l, LISTENER, Interest::Read)).transpose()?,
-            door: Door::new(management_listener, &registry, &classes)?,
-            holding: records.map(|r| Holding::new(r, &registry)).transpose()?,
-            ordered: Vec::new(),
-            stirred: false,
+            listener: listener.map(|l| registry.watch(l, LISTENER_KEY, Interest::Read)).transpose()?,
+            management: Management::new(management_listener, &registry, &classes)?,
+            records_side: records.map(|r| RecordsSide::new(r, &registry)).transpose()?,
+            ordered_drains: Vec::new(),
+            records_pending: false,
             fleet: peers.map(|p| Fleet::new(p, &registry, balancer.instances())).transpose()?,
             view: None,
-            view_told: Paced::default(),
-            members_told: Paced::default(),
-            paired: false,
-            told: false,
+            view_log_pacing: Paced::default(),
+            member_log_pacing: Paced::default(),
+            has_neighbour: false,
+            has_received_list: false,
             started: balancer.now(),
-            serves: false,
-            stops: registry.watch(stops, STOPS, Interest::Read)?,
-            reloads: registry.watch(reloads, RELOADS, Interest::Read)?,
+            serving: false,
+            stops: registry.watch(stops, STOP_KEY, Interest::Read)?,
+            reloads: registry.watch(reloads, RELOAD_KEY, Interest::Read)?,
             reread,
             registry,
             balancer,
@@ -269,39 +275,39 @@
             seq,
             watch: None,
             bounds,
-            retire,
+            upstream_idle_limit,
             stop: None,
-            heir: false,
+            has_successor: false,
             counts: Counts::default(),
-            sweeps: 0,
-            at_limit: Paced::default(),
-            hold_until: 0,
+            housekeeping_runs: 0,
+            limit_log_pacing: Paced::default(),
+            delay_last_byte_until: 0,
             ids: HashSet::new(),
             log,
         })
     }
 
-    /// Serve until told to stop and done.
+    /// Serves until a stop was requested and is complete.
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::new();
         let now = self.balancer.now();
-        self.balancer.set_timer(now + SWEEP, Wake::Sweep);
-        // A gateway that has heard no offer yet takes nobody in.
-        self.guarded(None, Self::ask_peers);
-        self.look_beside();
-        self.guarded(None, Self::mind_fleet);
-        self.guarded(None, Self::mind_records);
+        self.balancer.set_timer(now + HOUSEKEEPING_INTERVAL, Wake::Housekeeping);
+        // An outward gateway half that has received no offer yet accepts no connections.
+        self.catch_panic(None, Self::request_offers);
+        self.check_neighbour();
+        self.catch_panic(None, Self::advance_membership);
+        self.catch_panic(None, Self::advance_records);
         loop {
             let mut wake = self.tick();
-            // What was asked of the records in one turn goes out together.
-            for _ in 0..STIRS {
-                if !std::mem::take(&mut self.stirred) {
+            // Requests to the records made in one iteration are sent together.
+            for _ in 0..MAX_RECORDS_ROUNDS {
+                if !std::mem::take(&mut self.records_pending) {
                     break;
                 }
-                self.guarded(None, Self::mind_records);
+                self.catch_panic(None, Self::advance_records);
                 wake = self.tick();
             }
-            if self.stirred {
+            if self.records_pending {
                 wake = Some(self.balancer.now());
             }
             if self.may_end() {
@@ -310,77 +316,77 @@
             }
             let limit = wake.map(|at| Duration::from_micros((at - self.balancer.now()).max(0) as u64));
             self.registry.wait(&mut events, limit)?;
-            // Operators first: they wait a second, whatever else this turn brings.
-            for event in events.iter().filter(|e| Door::is_key(e.key)) {
-                self.guarded(None, |l| l.door_ready(event.key));
+            // Operators first: they wait a second, however much work there is in this iteration.
+            for event in events.iter().filter(|e| Management::is_key(e.key)) {
+                self.catch_panic(None, |l| l.management_ready(event.key));
             }
-            let peers = |key| Fleet::is_key(key) || Holding::is_key(key);
-            for event in events.iter().filter(|e| !Door::is_key(e.key) && !peers(e.key)) {
+            let peers = |key| Fleet::is_key(key) || RecordsSide::is_key(key);
+            for event in events.iter().filter(|e| !Management::is_key(e.key) && !peers(e.key)) {
                 match event.key {
-                    LISTENER => self.guarded(None, |l| {
+                    LISTENER_KEY => self.catch_panic(None, |l| {
                         l.accept();
                     }),
-                    STOPS => self.begin_stop(),
-                    RELOADS => self.guarded(None, Self::reload),
+                    STOP_KEY => self.begin_stop(),
+                    RELOAD_KEY => self.catch_panic(None, Self::reload),
                     key => {
                         let handle = Handle::from_number(key as u64);
-                        self.guarded(Some(handle), |l| l.ready(handle));
+                        self.catch_panic(Some(handle), |l| l.ready(handle));
                     }
                 }
             }
-            // Peers last: no client waits for them.
+            // Other sidecars last: no client waits for them.
             for event in events.iter().filter(|e| Fleet::is_key(e.key)) {
-                self.guarded(None, |l| l.fleet_ready(event.key));
+                self.catch_panic(None, |l| l.fleet_ready(event.key));
             }
-            for event in events.iter().filter(|e| Holding::is_key(e.key)) {
-                self.guarded(None, |l| l.records_ready(event.key));
+            for event in events.iter().filter(|e| RecordsSide::is_key(e.key)) {
+                self.catch_panic(None, |l| l.records_ready(event.key));
             }
         }
     }
 
-    /// Let time pass until nothing is due; returns when something next will be.
+    /// Handles everything that is due; returns the time at which something will be due next.
     fn tick(&mut self) -> Option<Micros> {
         loop {
-            // After a panic the timer at fault is off the heap, and those behind it are still due.
+            // After a panic the timer that caused it is no longer in the heap, and those after it are still due.
             let mut wake = Some(self.balancer.now());
-            self.guarded(None, |l| {
-                let turn = l.balancer.tick(l.balancer.now());
-                wake = turn.wake;
-                l.absorb(turn);
+            self.catch_panic(None, |l| {
+                let decision = l.balancer.tick(l.balancer.now());
+                wake = decision.wake;
+                l.queue_steps(decision);
             });
             if self.steps.is_empty() {
                 return wake;
             }
-            self.guarded(None, Self::do_steps);
+            self.catch_panic(None, Self::run_steps);
         }
     }
 
-    /// A panic stops at the connection on whose behalf something was done.
-    fn guarded(&mut self, handle: Option<Handle>, work: impl FnOnce(&mut Self)) {
+    /// Runs `work` and catches a panic; the connection on whose behalf it ran, if any, is given up.
+    fn catch_panic(&mut self, handle: Option<Handle>, work: impl FnOnce(&mut Self)) {
         let done = catch_unwind(AssertUnwindSafe(|| {
             work(self);
         }));
         if done.is_err() {
             self.counts.panics += 1;
-            error!(self.log, "a panic was stopped at its connection"; "connection" => handle.is_some());
+            error!(self.log, "caught a panic; the process continues to serve"; "connection" => handle.is_some());
             let Some(handle) = handle else { return };
             if catch_unwind(AssertUnwindSafe(|| self.abandon(handle))).is_err() {
-                error!(self.log, "a connection could not be wound up");
+                error!(self.log, "a second panic while giving up a connection after a panic");
             }
         }
     }
 
-    /// Give up a connection on whose behalf something panicked, and say so to whoever waits for it.
+    /// Gives up a connection whose handling panicked, and answers the client that waits for it.
     fn abandon(&mut self, handle: Handle) {
         match self.connections.get_mut(handle) {
             Some(Connection::Application(c)) => match c.state {
                 State::Waiting(request) => {
                     c.close = true;
-                    let turn = self.balancer.client_disconnected(request);
-                    self.absorb(turn);
+                    let decision = self.balancer.client_disconnected(request);
+                    self.queue_steps(decision);
                     self.answer_call(request, 502, b"", &[b"failed\n"]);
                 }
-                State::Passing(request, _) => self.hung_up(handle, request),
+                State::Passing(request, _) => self.client_gone(handle, request),
                 _ => self.close_application(handle),
             },
             Some(Connection::Upstream(c)) => match c.work {
@@ -388,7 +394,7 @@
                     let report = AttemptError { stage, cause: Cause::Closed }.report();
                     self.finish_attempt(handle, attempt, report, false);
                     if !self.balancer.is_unanswered(attempt.request) {
-                        // It panicked between the decision and the answer.
+                        // The panic came after the balancer's final answer and before the response was written.
                         self.answer_call(attempt.request, 502, b"", &[b"failed\n"]);
                     }
                 }
@@ -398,7 +404,7 @@
             Some(Connection::Peer(_)) => drop(self.connections.remove(handle)),
             None => {}
         }
-        self.do_steps();
+        self.run_steps();
     }
 
     fn ready(&mut self, handle: Handle) {
@@ -407,22 +413,22 @@
             Some(Connection::Upstream(_)) => self.upstream_ready(handle),
             Some(Connection::Discovery(_)) => self.discovery_ready(handle),
             Some(Connection::Peer(_)) => self.peer_ready(handle),
-            // Readiness of a connection that ended earlier in this round.
+            // The connection was closed earlier in this iteration.
             None => {}
         }
-        self.do_steps();
+        self.run_steps();
     }
 
-    fn absorb(&mut self, turn: Output<Wake>) {
-        self.steps.extend(turn.steps);
+    fn queue_steps(&mut self, decision: Output<Wake>) {
+        self.steps.extend(decision.steps);
     }
 
-    fn do_steps(&mut self) {
+    fn run_steps(&mut self) {
         while let Some(step) = self.steps.pop_front() {
             match step {
                 Step::Send { attempt, upstream, to, limit } => self.send(attempt, upstream, to, limit),
                 Step::Cancel { attempt } => self.cancel(attempt),
-                // The connection that brought the answer serves it before anything else is done.
+                // The code that reported the response to the balancer has sent it to the client already.
                 Step::Serve { .. } => {}
                 Step::Refuse { request, retry_after } => {
                     self.counts.refused += 1;
@@ -440,16 +446,16 @@
                 Step::CloseIdle(upstream) => {
                     self.connections.idle_to(upstream).into_iter().for_each(|h| self.close_upstream(h));
                 }
-                Step::Timer(wake) => self.woken(wake),
-                Step::Note(text) => info!(self.log, "note"; "text" => text),
+                Step::Timer(wake) => self.timer_expired(wake),
+                Step::Note(text) => info!(self.log, "note of the decision module"; "text" => text),
             }
         }
     }
 
-    fn woken(&mut self, wake: Wake) {
+    fn timer_expired(&mut self, wake: Wake) {
         let now = self.balancer.now();
         match wake {
-            Wake::Connect(handle) => {
+            Wake::ConnectTimeout(handle) => {
                 if let Some(Work::Busy(attempt, Stage::Connecting)) =
                     self.connections.upstream(handle).map(|c| c.work)
                 {
@@ -460,33 +466,33 @@
                     );
                 }
             }
-            Wake::Stall(handle) => {
+            Wake::ClientTimeout(handle) => {
                 let Some(c) = self.connections.application(handle) else { return };
                 match c.stalled_at {
-                    Some(at) if at <= now => self.stalled(handle),
+                    Some(at) if at <= now => self.client_timed_out(handle),
                     Some(at) => self.balancer.set_timer(at, wake),
                     None => {}
                 }
             }
-            Wake::Release(handle, attempt) => self.release(handle, attempt),
-            Wake::Half(handle) => self.half_answered(handle, now),
-            Wake::Silence(handle) => {
+            Wake::SendLastByte(handle, attempt) => self.send_last_byte(handle, attempt),
+            Wake::CompletionTimeout(handle) => self.completion_timer_expired(handle, now),
+            Wake::DiscoveryTimeout(handle) => {
                 let Some(c) = self.connections.discovery(handle) else { return };
                 match c.silent_at {
                     at if at <= now => self.discovery_broken(handle, "silence"),
                     at => self.balancer.set_timer(at, wake),
                 }
             }
-            Wake::Fleet => self.fleet_woken(),
-            Wake::Records => self.records_woken(),
-            Wake::Retake(request) => self.ask_to_take(request),
-            Wake::Look(seat) => self.look_again(seat),
-            Wake::Unheld(request) => self.held_answer(request, false),
-            Wake::Sweep => self.sweep(now),
+            Wake::Fleet => self.fleet_timer_expired(),
+            Wake::Records => self.records_timer_expired(),
+            Wake::RetryClaim(request) => self.send_claim(request),
+            Wake::ReadDocument(slot) => self.read_document_again(slot),
+            Wake::StoreTimeout(request) => self.response_stored(request, false),
+            Wake::Housekeeping => self.housekeeping(now),
             Wake::Stopping => {
                 if let Some(stop) = self.stop {
-                    if self.heir {
-                        self.guarded(None, Self::hand_over);
+                    if self.has_successor {
+                        self.catch_panic(None, Self::hand_over);
                     }
                     self.balancer.set_timer(stop.look_again(now), Wake::Stopping);
                 }
@@ -494,35 +500,35 @@
         }
     }
 
-    fn sweep(&mut self, now: Micros) {
-        let retire = self.retire;
+    fn housekeeping(&mut self, now: Micros) {
+        let upstream_idle_limit = self.upstream_idle_limit;
         for handle in self.connections.all_idle() {
-            if self.connections.upstream(handle).is_some_and(|c| c.since + retire <= now) {
+            if self.connections.upstream(handle).is_some_and(|c| c.since + upstream_idle_limit <= now) {
                 self.close_upstream(handle);
             }
         }
-        // With no request open nobody is owed anything: silent connections, and those whose client asked once and
-        // stayed, must not pile up until they starve others.
-        for handle in self.connections.idle_applications(now - IDLE) {
-            self.spare(handle);
+        // Closing a connection without an open request harms no client. Silent connections, and those whose client sent
+        // one request and stayed connected, must not accumulate until they take the descriptors that others need.
+        for handle in self.connections.idle_applications(now - CLIENT_IDLE_TIMEOUT) {
+            self.close_if_idle(handle);
         }
-        self.ask_peers();
-        self.door.sweep(now);
-        self.look_beside();
-        // Whatever stopped accepting, it is tried again.
-        self.listen_again();
-        self.sweeps += 1;
-        if self.sweeps.is_multiple_of(SUMMARY) {
+        self.request_offers();
+        self.management.close_expired(now);
+        self.check_neighbour();
+        // If accepting had stopped, for whatever reason, it is tried again.
+        self.resume_accepting();
+        self.housekeeping_runs += 1;
+        if self.housekeeping_runs.is_multiple_of(RUNS_PER_SUMMARY) {
             self.summary("summary");
         }
-        self.balancer.set_timer(now + SWEEP, Wake::Sweep);
+        self.balancer.set_timer(now + HOUSEKEEPING_INTERVAL, Wake::Housekeeping);
     }
 
     fn summary(&self, what: &'static str) {
         let c = &self.counts;
-        info!(self.log, "{}", what; "taken" => c.taken, "served" => c.served, "refused" => c.refused,
-            "failed" => c.failed, "client_gone" => c.gone, "bad_requests" => c.bad, "attempts" => c.attempts,
-            "attempts_failed" => c.attempts_failed, "connects" => c.connected, "panics" => c.panics,
+        info!(self.log, "{}", what; "taken" => c.accepted, "served" => c.served, "refused" => c.refused,
+            "failed" => c.failed, "client_gone" => c.client_gone, "bad_requests" => c.bad_requests, "attempts" => c.attempts,
+            "attempts_failed" => c.attempts_failed, "connects" => c.connects, "panics" => c.panics,
             "connections" => self.connections.len(), "from_application" => self.connections.applications,
             "buffers" => self.pool.in_use(), "open" => self.balancer.unanswered(), "upstreams" => self.balancer.upstreams(),
             "list_seq" => self.seq);
@@ -530,33 +536,34 @@
 
     // --- reload ---
 
-    /// The configuration's file has been replaced. Its settings and discovery's address hold from now on; the list, the
-    /// connections, what was learned and what is open stay. Addresses and limits of the process take a restart.
+    /// The configuration file has been replaced. Its settings and discovery's address apply from now on; the list, the
+    /// connections, the learned estimates and the open requests stay. Changes of the process's own addresses and limits need a
+    /// restart.
     fn reload(&mut self) {
         drain(self.reloads.get());
-        // Stopping, too: for as long as connections stay open their clients go by the new settings.
+        // Also while stopping: as long as connections stay open their clients go by the new settings.
         let new = (self.reread)();
-        self.door.figures.count_reload(new.is_ok());
+        self.management.metrics.count_reload(new.is_ok());
         let new = match new {
             Ok(new) => new,
             Err(why) => return warn!(self.log, "the configuration stays as it was"; "why" => why),
         };
         if let Some((settings, front, bounds)) = new.settings {
-            self.door.figures.set_classes(&front.classes);
-            let turn = self.balancer.reconfigure(settings, front);
-            self.absorb(turn);
+            self.management.metrics.set_classes(&front.classes);
+            let decision = self.balancer.reconfigure(settings, front);
+            self.queue_steps(decision);
             self.fleet_reconfigured();
-            // What the process may hold is not the file's to change while it runs.
+            // The limits on descriptors and memory do not change while the process runs.
             let (descriptors, buffer_bytes) = (self.bounds.descriptors, self.bounds.buffer_bytes);
             self.bounds = Bounds { descriptors, buffer_bytes, ..bounds };
-            self.retire = retire(&self.bounds);
-            self.do_steps();
+            self.upstream_idle_limit = upstream_idle_limit(&self.bounds);
+            self.run_steps();
         }
         let to = new.discovery;
         info!(self.log, "reloaded"; "discovery" => to.to_string(), "before" => self.discovery.map(|d| d.to_string()));
         if Some(to) != self.discovery {
             self.discovery_moved(to);
-            self.do_steps();
+            self.run_steps();
         }
     }
 
@@ -571,30 +578,30 @@
         let stop = Stop::begin(now, self.balancer.longest_deadline());
         info!(self.log, "stopping"; "open" => self.balancer.unanswered());
         self.stop = Some(stop);
-        self.guarded(None, Self::leave_records);
-        self.guarded(None, Self::leave_fleet);
-        self.heir = self.seat.as_ref().is_some_and(Seat::has_successor);
+        self.catch_panic(None, Self::leave_records);
+        self.catch_panic(None, Self::leave_fleet);
+        self.has_successor = self.seat.as_ref().is_some_and(Seat::has_successor);
         self.balancer.answer_by(stop.answer_by());
         self.balancer.set_timer(stop.look_again(now), Wake::Stopping);
-        if self.heir {
-            // New connections go to the successor; those that are open end with their next answer, or when idle.
+        if self.has_successor {
+            // New connections go to the successor; open ones are closed after their next response, or when idle.
             return self.hand_over();
         }
-        // Clients use the connections they have for as long as these stand. Closing those between two requests
-        // sends them to new ones, which are still accepted, and soon to nowhere.
+        // Clients use their connections for as long as these are open. Closing those that are between two requests makes
+        // the clients open new ones, which are still accepted for now, and are refused once the process has ended.
         for handle in self.connections.from_applications() {
-            self.guarded(Some(handle), |l| {
+            self.catch_panic(Some(handle), |l| {
                 l.application_ready(handle);
                 if l.connections.application(handle).is_some_and(|c| c.is_idle()) {
                     l.close_application(handle);
                 }
-                l.do_steps();
+                l.run_steps();
             });
         }
     }
 
-    /// Take all that waits at the door for applications, then close it: the successor's stays open. Between the last accept and the
-    /// close nothing is done.
+    /// Accepts all connections that wait at the listener for applications, then closes it; the successor's listener stays
+    /// open. Nothing is done between the last accept and the close: a connection that arrives in between would be lost.
     fn hand_over(&mut self) {
         while self.listener.is_some() && self.accept() {}
         if self.listener.is_some() && !self.connections.closed_to_applications() {
@@ -602,59 +609,61 @@
         }
     }
 
-    // --- beside another process ---
+    // --- running beside another process of the same sidecar ---
 
-    /// Discovery's list is held, or discovery has been dark for so long that the known one has to do.
-    fn list_is_held(&self) -> bool {
-        self.told || self.discovery.is_none() || self.balancer.now() >= self.started + DARK
+    /// Whether discovery has sent a list, or has been silent for so long that the list from the configuration is used.
+    fn has_list(&self) -> bool {
+        self.has_received_list
+            || self.discovery.is_none()
+            || self.balancer.now() >= self.started + FIRST_LIST_TIMEOUT
     }
 
-    /// Whether another process of this sidecar lives beside this one, and what that changes.
-    fn look_beside(&mut self) {
+    /// Checks whether another process of this sidecar is running, and adapts the limits that the two share.
+    fn check_neighbour(&mut self) {
         let Some(seat) = &mut self.seat else { return };
-        let beside = seat.neighbour_says();
-        let (all, paired) = (self.bounds.descriptors, beside.is_some());
-        if paired {
-            seat.say(self.serves, self.connections.len());
+        let other = seat.neighbour_says();
+        let (all, has_neighbour) = (self.bounds.descriptors, other.is_some());
+        if has_neighbour {
+            seat.say(self.serving, self.connections.len());
         }
-        if paired != self.paired {
-            self.paired = paired;
-            info!(self.log, "beside another process"; "paired" => paired);
-            self.pool.set_limit(self.bounds.buffer_bytes / if paired { 2 } else { 1 });
+        if has_neighbour != self.has_neighbour {
+            self.has_neighbour = has_neighbour;
+            info!(self.log, "another process of this sidecar started or ended"; "paired" => has_neighbour);
+            self.pool.set_limit(self.bounds.buffer_bytes / if has_neighbour { 2 } else { 1 });
         }
-        // What the other holds is a moment old: what either may open meanwhile stays free.
-        let held = beside.map(|said| said.map_or(all, |s| s.held) + all / BESIDE);
-        self.connections.hold(held.map_or(all, |held| all.saturating_sub(held).max(all / 2)));
-        while self.connections.over_outwards() && self.spare_upstream() {}
-        self.begin_to_serve();
+        // The other process's count is slightly out of date, so a part for what either may have opened since stays free.
+        let used = other.map(|said| said.map_or(all, |s| s.held) + all / UNUSED_DIVISOR);
+        self.connections.hold(used.map_or(all, |used| all.saturating_sub(used).max(all / 2)));
+        while self.connections.over_outwards() && self.close_idle_upstream() {}
+        self.start_serving();
     }
 
-    /// A process that was started beside another one listens, and says so, once it can serve.
-    fn begin_to_serve(&mut self) {
-        let can = self.list_is_held() && self.balancer.ready();
-        if self.stop.is_some() || !can || self.seat.is_none() || self.serves {
+    /// Once it can serve, a process that was started beside another one listens and says so in its lock file.
+    fn start_serving(&mut self) {
+        let can = self.has_list() && self.balancer.ready();
+        if self.stop.is_some() || !can || self.seat.is_none() || self.serving {
             return;
         }
         if self.listener.is_none() {
-            let made =
-                listen(self.listen_at, true).and_then(|l| self.registry.watch(l, LISTENER, Interest::Read));
+            let made = listen(self.listen_at, true)
+                .and_then(|l| self.registry.watch(l, LISTENER_KEY, Interest::Read));
             match made {
                 Ok(listener) => self.listener = Some(listener),
-                // The next look tries again.
+                // Tried again by the next housekeeping.
                 Err(e) => return warn!(self.log, "cannot listen"; "error" => e.to_string()),
             }
         }
-        self.serves = true;
-        let held = self.connections.len();
-        self.seat.iter_mut().for_each(|s| s.say(true, held));
+        self.serving = true;
+        let open = self.connections.len();
+        self.seat.iter_mut().for_each(|s| s.say(true, open));
         info!(self.log, "serving");
     }
 
-    /// Whether all that was taken is done with. What the machine has accepted or received and the loop has not yet
-    /// seen counts as taken, so it looks once more before it says yes.
+    /// Whether all accepted work is finished. Connections and bytes that the kernel has received and the loop has not
+    /// seen yet count as accepted, so it checks once more before it returns `true`.
     fn may_end(&mut self) -> bool {
         let over = |l: &mut Self| match l.stop {
-            Some(s) if l.heir => {
+            Some(s) if l.has_successor => {
                 l.listener.is_none() && l.connections.applications == 0 || s.is_due(l.balancer.now())
             }
             Some(s) => s.may_end(l.balancer.now(), l.busy()),
@@ -663,16 +672,16 @@
         if !over(self) {
             return false;
         }
-        self.guarded(None, |l| {
+        self.catch_panic(None, |l| {
             l.accept();
         });
         for handle in self.connections.from_applications() {
-            self.guarded(Some(handle), |l| l.ready(handle));
+            self.catch_panic(Some(handle), |l| l.ready(handle));
         }
         over(self)
     }
 
-    /// Connections from applications that are in the middle of something.
+    /// Number of connections from applications that are in the middle of a request.
     fn busy(&mut self) -> usize {
         let all = self.connections.from_applications();
         let busy = |c: &application::Conn| !c.is_idle() && c.state != State::Lingering;
--- a/crates/daemon/sidecar/src/event_loop/applications.rs
+++ b/crates/daemon/sidecar/src/event_loop/applications.rs
@@ -1,4 +1,4 @@
-//! The loop's side towards the application: connections accepted, requests taken, answers written.
+//! Connections from applications: accepted, their requests read and passed to the balancer, responses written.
 use super::gateway_side::GatewayHalf;
 use super::{EventLoop, Wake};
 use crate::memory::connections::Connection;
@@ -14,30 +14,31 @@
 use slog::{debug, warn};
 use std::io::{self, Write};
 
-/// A client gets this long to take an answer.
-const STALL: Micros = 10_000_000;
-/// And this long to send a request, from its first byte, and longer only as its bytes come at a rate that is no trickle; the first one on a connection
-/// has to be whole so soon after the connection was made.
-pub(super) const SEND: Micros = 2_500_000;
-const SEND_FIRST: Micros = 2_700_000;
-/// A connection on which no request is open is closed after this.
-pub(super) const IDLE: Micros = 2_000_000;
-/// So many connections are accepted at a time: those that are open wait for their turn.
-const ACCEPTS: usize = 64;
-/// A client may be so many requests ahead of its answers.
-const AHEAD: u32 = 16;
-/// What says that a request never ran.
+/// Time for a client to read a response.
+const WRITE_TIMEOUT: Micros = 10_000_000;
+/// Time for a client to send a request, from the request's first byte; extended by the bytes received, at the minimum rate
+/// of [`EventLoop::transfer_time`].
+pub(super) const REQUEST_TIMEOUT: Micros = 2_500_000;
+/// Time from the accept of a connection by which its first request must be complete, extended in the same way.
+const FIRST_REQUEST_TIMEOUT: Micros = 2_700_000;
+/// A connection without an open request is closed after this.
+pub(super) const CLIENT_IDLE_TIMEOUT: Micros = 2_000_000;
+/// Maximum number of connections accepted at a time, since open connections wait meanwhile.
+const MAX_ACCEPTS_AT_ONCE: usize = 64;
+/// Maximum number of requests that a client may have sent ahead of the responses.
+const MAX_REQUESTS_AHEAD: u32 = 16;
+/// Header line of a response to a request that was certainly not executed.
 const UNSEEN: &str = "X-Unprocessed: 1\r\n";
-/// And this long to close after an answer that ended its connection.
-const LINGER: Micros = 1_000_000;
+/// Time for a client to close its end after a response that ended the connection.
+const LINGER_TIMEOUT: Micros = 1_000_000;
 
 impl EventLoop {
-    /// Accept what waits; `false` once nothing more can be accepted just now.
+    /// Accepts waiting connections; `false` if no more can be accepted now.
     pub(super) fn accept(&mut self) -> bool {
-        for _ in 0..ACCEPTS {
-            if self.connections.closed_to_applications() && !self.spare_application() {
-                // They wait in the machine's queue until a connection has ended.
-                self.heed_listener(Interest::Nothing);
+        for _ in 0..MAX_ACCEPTS_AT_ONCE {
+            if self.connections.closed_to_applications() && !self.close_idle_application() {
+                // They wait in the kernel's queue until a connection has ended.
+                self.set_listener_interest(Interest::Nothing);
                 self.warn_limit("connections");
                 return false;
             }
@@ -51,19 +52,19 @@
                     continue
                 }
                 Err(e) => {
-                    // Out of descriptors all the same: make room, and try again with the next readiness.
+                    // Probably no descriptor is left: close an idle connection and try again at the next readiness.
                     debug!(self.log, "accept failed"; "error" => e.to_string());
                     self.warn_limit("accept");
-                    if !self.spare_upstream() && !self.spare_application() {
-                        self.heed_listener(Interest::Nothing);
+                    if !self.close_idle_upstream() && !self.close_idle_application() {
+                        self.set_listener_interest(Interest::Nothing);
                     }
                     return false;
                 }
             };
             let now = self.balancer.now();
             self.stop.iter_mut().for_each(|s| s.note_activity(now));
-            // A connection between two requests gives way to a new one; its client opens another when it needs it.
-            let turned_away = self.connections.crowded() && !self.spare_application();
+            // An idle connection is closed in favour of a new one; its client opens another when it needs one.
+            let turned_away = self.connections.crowded() && !self.close_idle_application();
             let registry = self.registry.clone();
             let made = self.connections.insert_with(|h| {
                 socket.set_nonblocking(true)?;
@@ -72,48 +73,49 @@
                 Ok::<_, io::Error>(Connection::Application(application::Conn::new(socket, now, turned_away)))
             });
             if let Err(e) = made {
-                warn!(self.log, "a connection could not be watched"; "error" => e.to_string());
+                warn!(self.log, "a connection could not be registered with the poller"; "error" => e.to_string());
             }
         }
         true
     }
 
-    fn heed_listener(&mut self, interest: Interest) {
+    fn set_listener_interest(&mut self, interest: Interest) {
         if let Some(listener) = &mut self.listener {
             let _ = listener.set(interest);
         }
     }
 
-    /// At a limit everything happens often: one line a while says so.
+    /// Logs that a limit is reached, at a limited rate, since this happens often then.
     pub(super) fn warn_limit(&mut self, what: &'static str) {
-        if let Some(before) = self.at_limit.pass(self.balancer.now()) {
-            warn!(self.log, "at a limit"; "what" => what, "times" => before + 1,
+        if let Some(before) = self.limit_log_pacing.pass(self.balancer.now()) {
+            warn!(self.log, "limit reached"; "what" => what, "times" => before + 1,
                 "connections" => self.connections.len(), "buffers" => self.pool.in_use());
         }
     }
 
-    /// Close the application's connection that has been idle for longest, unless a request has just come on it.
-    pub(super) fn spare_application(&mut self) -> bool {
+    /// Closes the application connection that has been idle for longest and on which no request has just arrived; `false`
+    /// if there is none.
+    pub(super) fn close_idle_application(&mut self) -> bool {
         while let Some(handle) = self.connections.idle_application(self.balancer.now()) {
-            if self.spare(handle) {
+            if self.close_if_idle(handle) {
                 return true;
             }
         }
         false
     }
 
-    /// Close an idle connection of the application's, unless a request has just come on it.
-    pub(super) fn spare(&mut self, handle: Handle) -> bool {
+    /// Closes an idle application connection unless a request has just arrived on it.
+    pub(super) fn close_if_idle(&mut self, handle: Handle) -> bool {
         self.application_ready(handle);
-        let spared = self.connections.application(handle).is_none_or(|c| c.is_idle());
-        if spared {
+        let closed = self.connections.application(handle).is_none_or(|c| c.is_idle());
+        if closed {
             self.close_application(handle);
         }
-        spared
+        closed
     }
 
-    /// What was begun on a connection has not come through in time.
-    pub(super) fn stalled(&mut self, handle: Handle) {
+    /// The time for what an application's connection is in the middle of is over.
+    pub(super) fn client_timed_out(&mut self, handle: Handle) {
         let Some(c) = self.connections.application(handle) else { return };
         match c.state {
             State::Reading => {}
@@ -123,16 +125,16 @@
                     Some(Work::Busy(attempt, Stage::Passing)) => attempt,
                     _ => return self.close_application(handle),
                 };
-                return self.broken_off(upstream, attempt, Cause::NotInTime);
+                return self.relay_failed(upstream, attempt, Cause::NotInTime);
             }
             State::Answering | State::Lingering => return self.close_application(handle),
         }
-        let by = c.send_by.unwrap_or(0) + Self::time_for(c.received);
+        let by = c.send_by.unwrap_or(0) + Self::transfer_time(c.received);
         if by > self.balancer.now() {
             c.stalled_at = Some(by);
-            return self.balancer.set_timer(by, Wake::Stall(handle));
+            return self.balancer.set_timer(by, Wake::ClientTimeout(handle));
         }
-        self.counts.bad += 1;
+        self.counts.bad_requests += 1;
         c.close = true;
         c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
         self.answer(handle, 408, b"", &[b"the request did not come in time\n"]);
@@ -147,9 +149,9 @@
                 }
             }
             State::Answering => self.flush(handle),
-            State::Passing(request, upstream) => self.passing_ready(handle, request, upstream),
+            State::Passing(request, upstream) => self.relay_client_ready(handle, request, upstream),
             State::Waiting(request) => {
-                // More may be sent ahead, within one buffer. What matters is whether the client is still there.
+                // The client may send further requests ahead, up to one buffer. This read also notices a disconnect.
                 let full = c.input.as_ref().is_some_and(|b| b.is_full());
                 let gone = if full { !matches!(c.socket.get().take_error(), Ok(None)) } else { false };
                 let got = if full { Got::Bytes } else { c.read(&mut self.pool) };
@@ -158,7 +160,7 @@
                     c.ahead_since.get_or_insert(self.balancer.now());
                 }
                 if gone || got == Got::Closed {
-                    self.hung_up(handle, request);
+                    self.client_gone(handle, request);
                 } else if got == Got::NoBuffer || c.input.as_ref().is_some_and(|b| b.is_full()) {
                     let _ = c.socket.set(Interest::Nothing);
                 }
@@ -168,21 +170,21 @@
             }
             State::Reading => match c.read(&mut self.pool) {
                 Got::Bytes => {
-                    // A request's time counts from its last byte, which came just now.
+                    // A request's time counts from its last byte, which has only just arrived.
                     c.ahead_since = None;
-                    self.take_requests(handle);
+                    self.process_input(handle);
                 }
                 Got::Closed => {
-                    // What came with the end may be a whole request, but whoever closes has gone away.
+                    // What came before the close may be a complete request, but its client has left.
                     self.close_application(handle);
                 }
-                Got::NoBuffer => self.no_room(handle),
+                Got::NoBuffer => self.refuse_without_buffer(handle),
             },
         }
     }
 
-    /// Refuse without a buffer: nothing of the request has been read, so it has not run.
-    pub(super) fn no_room(&mut self, handle: Handle) {
+    /// Refuses a request for lack of a buffer. It has not been sent to an upstream, so it was not executed.
+    pub(super) fn refuse_without_buffer(&mut self, handle: Handle) {
         const ANSWER: &[u8] =
             b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
         self.warn_limit("buffers");
@@ -192,9 +194,9 @@
         self.linger(handle);
     }
 
-    pub(super) fn hung_up(&mut self, handle: Handle, request: Handle) {
-        self.counts.gone += 1;
-        debug!(self.log, "client gone"; "request" => request.number());
+    pub(super) fn client_gone(&mut self, handle: Handle, request: Handle) {
+        self.counts.client_gone += 1;
+        debug!(self.log, "client disconnected"; "request" => request.number());
         if let Some(r) = self.requests.get_mut(request) {
             r.client = None;
             r.bytes.take().into_iter().for_each(|b| self.pool.put_back(b));
@@ -202,14 +204,14 @@
         self.close_application(handle);
         self.guest_ended(request, RemoteOutcome::Disconnected);
         let sent = self.requests.get(request).is_some_and(|r| !r.attempts.is_empty());
-        self.give_held(request, sent);
-        let turn = self.balancer.client_disconnected(request);
-        self.absorb(turn);
+        self.release_claim(request, sent);
+        let decision = self.balancer.client_disconnected(request);
+        self.queue_steps(decision);
         self.forget_if_done(request);
     }
 
-    /// Deal with what stands in the input buffer, until a request has to be waited for.
-    pub(super) fn take_requests(&mut self, handle: Handle) {
+    /// Processes the input buffer until a response must be awaited or a request is incomplete.
+    pub(super) fn process_input(&mut self, handle: Handle) {
         loop {
             let Some(c) = self.connections.application(handle).filter(|c| c.state == State::Reading) else {
                 return;
@@ -223,21 +225,22 @@
             if let Ok(Front::Partial(_)) = front {
                 application::tighten(input);
                 if input.is_full() {
-                    // Not even without the framing of its chunks does it fit.
+                    // It does not fit in a buffer even without its chunk framing.
                     front = application::large(input.filled());
                 }
             }
             match front {
                 Ok(Front::Partial(expects)) => {
-                    let first = (!c.used).then(|| c.since + SEND_FIRST - self.balancer.now());
+                    let first = (!c.used).then(|| c.since + FIRST_REQUEST_TIMEOUT - self.balancer.now());
                     if expects {
-                        self.say_continue(handle);
+                        self.send_continue(handle);
                     }
-                    let (span, now) = (first.unwrap_or(SEND).min(SEND), self.balancer.now());
+                    let (span, now) =
+                        (first.unwrap_or(REQUEST_TIMEOUT).min(REQUEST_TIMEOUT), self.balancer.now());
                     if let Some(c) = self.connections.application(handle) {
                         c.send_by.get_or_insert(now + span);
                     }
-                    self.may_stall(handle, span);
+                    self.set_client_timeout(handle, span);
                     return;
                 }
                 Err(bad) => self.refuse_bad(handle, bad),
@@ -250,11 +253,11 @@
                         c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
                         self.answer(handle, 503, b"", &[b"at the limit of connections\n"]);
                     } else {
-                        // With a part of the body here its sender has had its word, or did not wait for it.
+                        // If part of the body has arrived, its sender has received 100 (Continue) or not waited for it.
                         if call.expects && unsent {
-                            self.say_continue(handle);
+                            self.send_continue(handle);
                         }
-                        self.take_call(handle, *call, head, Some(framing));
+                        self.accept_call(handle, *call, head, Some(framing));
                     }
                 }
                 Ok(Front::Whole(asked, end, keep_alive)) => {
@@ -275,7 +278,7 @@
                         }
                         Asked::Offer => {
                             input.consume(end);
-                            let lines = self.gate_lines();
+                            let lines = self.gateway_lines();
                             let status = if lines.is_empty() { 404 } else { 200 };
                             self.answer(handle, status, lines.as_bytes(), &[]);
                         }
@@ -284,24 +287,25 @@
                             let lines: &[u8] = if status == 405 { b"Allow: GET, POST\r\n" } else { b"" };
                             self.answer(handle, status, lines, &[b"not served here\n"]);
                         }
-                        Asked::Call(call) => self.take_call(handle, *call, end, None),
+                        Asked::Call(call) => self.accept_call(handle, *call, end, None),
                     }
                 }
             }
         }
     }
 
-    pub(super) fn say_continue(&mut self, handle: Handle) {
+    pub(super) fn send_continue(&mut self, handle: Handle) {
         if let Some(c) = self.connections.application(handle) {
-            // A short write would be out of step; the socket is empty, so it does not happen, and the client that
-            // gets nothing sends its body after a while all the same.
+            // A partial write would corrupt the response stream, but cannot happen as the send buffer is empty. A client
+            // that receives nothing sends its body after a while anyway.
             let _ = c.socket.get().write(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
     }
 
-    /// Place a call. `large`: its body is passed on as it comes, and is framed like this; `end` is that of its head.
-    pub(super) fn take_call(&mut self, handle: Handle, mut call: Call, end: usize, large: Option<Framing>) {
-        let counted = self.door.figures.class_index(&call.class);
+    /// Accepts a request and passes it to the balancer. `large`: framing of a body that is relayed as it arrives, in which
+    /// case `end` is the end of the head.
+    pub(super) fn accept_call(&mut self, handle: Handle, mut call: Call, end: usize, large: Option<Framing>) {
+        let counted = self.management.metrics.class_index(&call.class);
         if let Some(c) = self.connections.application(handle) {
             c.counted = counted;
         }
@@ -309,31 +313,31 @@
             return self.refuse_bad(handle, MessageError::Malformed("an unknown service class"));
         };
         if self.balancer.is_keyed(class) && !call.has_key {
-            // Without it a repeat would run twice.
+            // Without a key a retry would be executed twice.
             return self.refuse_bad(handle, MessageError::Malformed("no idempotency key"));
         }
         if self.ids.contains(call.id.as_str()) {
-            // The other one goes on: whoever borrows an id gets no part in it.
+            // The open request continues: a request that reuses its id must not affect it.
             return self.refuse_bad(handle, MessageError::IdInUse);
         }
         let Some(c) = self.connections.application(handle) else { return };
-        if c.ahead > AHEAD {
+        if c.ahead > MAX_REQUESTS_AHEAD {
             return self.refuse_bad(handle, MessageError::TooManyAhead);
         }
         let waited = c.ahead_since.map_or(0, |since| self.balancer.now() - since);
-        // Its client's time has run while it waited for its turn.
+        // The client's time has run while the request waited behind earlier ones.
         let left = call.budget.map(|b| (b - waited).max(0));
         let guest = match self.admit(&mut call, left) {
             Ok(guest) => guest,
-            Err(why) => return self.send_back(handle, end, why),
+            Err(why) => return self.reject_unprocessed(handle, end, why),
         };
         let Some(mut bytes) = self.pool.take() else {
-            self.give_back(guest);
-            return self.no_room(handle);
+            self.withdraw_guest(guest);
+            return self.refuse_without_buffer(handle);
         };
         let Some(c) = self.connections.application(handle) else { return };
         let Some(mut input) = c.input.take() else {
-            self.give_back(guest);
+            self.withdraw_guest(guest);
             return self.pool.put_back(bytes);
         };
         let (mut fits, mut upload) = (true, None);
@@ -352,7 +356,7 @@
                     Err(bad) => {
                         self.pool.put_back(bytes);
                         self.pool.put_back(input);
-                        self.give_back(guest);
+                        self.withdraw_guest(guest);
                         return self.refuse_bad(handle, bad);
                     }
                 }
@@ -372,14 +376,14 @@
             (c.stalled_at, c.send_by) = (None, None);
         }
         if !input.is_empty() && !coming {
-            // What came behind it in the same bytes waits from now on at the latest.
+            // The requests received behind it wait from now on at the latest.
             c.ahead_since.get_or_insert(self.balancer.now());
             c.ahead += 1;
         }
         c.tidy(&mut self.pool);
         if !fits {
             self.pool.put_back(bytes);
-            self.give_back(guest);
+            self.withdraw_guest(guest);
             return self.refuse_bad(handle, MessageError::HeadTooLarge);
         }
         let id = call.id.clone().into_boxed_str();
@@ -397,18 +401,18 @@
         let request = match self.requests.insert_with(|_| Ok::<_, ()>(taken)) {
             Ok(Some(request)) => request,
             _ => {
-                self.give_back(guest);
+                self.withdraw_guest(guest);
                 return self.answer(handle, 503, b"", &[b"too many requests\n"]);
             }
         };
         self.ids.insert(call.id.into_boxed_str());
         c.state = State::Waiting(request);
         c.since = self.balancer.now();
-        self.counts.taken += 1;
+        self.counts.accepted += 1;
         if coming {
             let now = self.balancer.now();
-            c.send_by.get_or_insert(now + SEND);
-            self.may_stall(handle, SEND);
+            c.send_by.get_or_insert(now + REQUEST_TIMEOUT);
+            self.set_client_timeout(handle, REQUEST_TIMEOUT);
         }
         let placed = Placed {
             handle: request,
@@ -421,16 +425,16 @@
             write: call.write,
         };
         if coming {
-            let turn = self.balancer.pick_incomplete(placed);
-            return self.absorb(turn);
+            let decision = self.balancer.pick_incomplete(placed);
+            return self.queue_steps(decision);
         }
-        let Some(placed) = self.hold_first(request, placed, &call.class, &call.head) else { return };
-        let turn = self.balancer.pick(placed);
-        self.absorb(turn);
+        let Some(placed) = self.claim_first(request, placed, &call.class, &call.head) else { return };
+        let decision = self.balancer.pick(placed);
+        self.queue_steps(decision);
     }
 
     pub(super) fn refuse_bad(&mut self, handle: Handle, bad: MessageError) {
-        self.counts.bad += 1;
+        self.counts.bad_requests += 1;
         let (status, why) = match bad {
             MessageError::Malformed(why) => (400, why),
             MessageError::HeadTooLarge => (431, "the head is too large"),
@@ -440,57 +444,57 @@
         };
         debug!(self.log, "bad request"; "status" => status, "why" => why);
         if let Some(c) = self.connections.application(handle) {
-            // Where the next request would begin is not known.
+            // The start of the next request is not known.
             c.close = true;
             c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
         }
         self.answer(handle, status, b"", &[why.as_bytes(), b"\n"]);
     }
 
-    /// Send a call back unseen, as a gateway may: nothing of it was placed.
-    fn send_back(&mut self, handle: Handle, end: usize, why: &'static str) {
+    /// As a gateway: rejects a request unprocessed, before it was passed to the balancer.
+    fn reject_unprocessed(&mut self, handle: Handle, end: usize, why: &'static str) {
         self.counts.refused += 1;
         if let Some(c) = self.connections.application(handle) {
             c.input.iter_mut().for_each(|i| i.consume(end));
             c.tidy(&mut self.pool);
         }
-        let lines = format!("{UNSEEN}{}", self.gate_lines());
+        let lines = format!("{UNSEEN}{}", self.gateway_lines());
         self.answer(handle, 503, lines.as_bytes(), &[why.as_bytes(), b"\n"]);
     }
 
-    /// A guest that was let in came to nothing.
-    fn give_back(&mut self, guest: Option<Guest>) {
+    /// A request from the far site that was admitted is not processed after all.
+    fn withdraw_guest(&mut self, guest: Option<Guest>) {
         if let (Some(GatewayHalf::In(i)), Some(g)) = (self.gateway.as_mut(), guest) {
             i.offer.ended(g.began, RemoteOutcome::Disconnected, 0, g.expected, g.left);
         }
     }
 
-    /// The module refuses a request. A gateway says so with the mark that it never ran only where that is so: whoever sent it
-    /// here goes by it.
+    /// The decision module refuses a request. A gateway adds the header that says it was not executed only if that is so,
+    /// since the sender relies on it.
     pub(super) fn refuse(&mut self, request: Handle, lines: &str) {
         let ran = self.requests.get(request).is_some_and(|r| r.may_have_run);
-        self.give_held(request, ran);
+        self.release_claim(request, ran);
         if self.gateway.is_none() {
             return self.answer_call(request, 503, lines.as_bytes(), &[b"refused\n"]);
         }
         self.guest_ended(request, RemoteOutcome::Rejected);
-        self.not_served(request, lines);
+        self.refuse_or_fail(request, lines);
     }
 
-    /// The module gives a request up as failed.
+    /// The decision module ends a request as failed.
     pub(super) fn fail(&mut self, request: Handle) {
         let sent = self.requests.get(request).is_some_and(|r| !r.attempts.is_empty());
-        self.give_held(request, sent);
+        self.release_claim(request, sent);
         if self.gateway.is_none() {
             return self.answer_call(request, 502, b"", &[b"failed\n"]);
         }
         self.guest_ended(request, RemoteOutcome::Failed);
-        self.not_served(request, "");
+        self.refuse_or_fail(request, "");
     }
 
-    fn not_served(&mut self, request: Handle, lines: &str) {
+    fn refuse_or_fail(&mut self, request: Handle, lines: &str) {
         let ran = self.requests.get(request).is_none_or(|r| r.may_have_run);
-        let offer = self.gate_lines();
+        let offer = self.gateway_lines();
         match ran {
             true => self.answer_call(request, 502, offer.as_bytes(), &[b"failed\n"]),
             false => {
@@ -500,7 +504,7 @@
         }
     }
 
-    /// Write an answer to whoever waits for a call, if anyone still does.
+    /// Sends a request's final response to its client, if the client is still connected.
     pub(super) fn answer_call(&mut self, request: Handle, status: u16, lines: &[u8], parts: &[&[u8]]) {
         let Some(r) = self.requests.get_mut(request) else { return };
         let coming = r.is_coming();
@@ -511,11 +515,11 @@
         let Some(client) = client else { return };
         if let Some(c) = self.connections.application(client) {
             if let State::Passing(..) = c.state {
-                // It has part of another answer already.
+                // Part of another response has been sent already.
                 return self.cut_off(client);
             }
             if coming {
-                // Where the next request would begin is not known.
+                // The start of the next request is not known.
                 c.close = true;
                 c.input.take().into_iter().for_each(|b| self.pool.put_back(b));
             }
@@ -526,19 +530,19 @@
     pub(super) fn answer(&mut self, handle: Handle, status: u16, lines: &[u8], parts: &[&[u8]]) {
         let now = self.balancer.now();
         self.stop.iter_mut().for_each(|s| s.note_activity(now));
-        // Through a door that is closed no connection stays open: what came on it would only be sent back.
+        // While the process does not listen no connection stays open: its requests would only be rejected.
         let ends = self.stop.is_some() || self.listener.is_none();
         let Some(c) = self.connections.application(handle) else { return };
-        // This is where a request has its final answer.
+        // Responses are counted here, unless they are relayed or written for lack of a buffer.
         if let Some(class) = c.counted.take() {
-            self.door.figures.count_response(class, status);
+            self.management.metrics.count_response(class, status);
         }
         c.close |= ends;
         let Some(mut output) = c.output.take().or_else(|| self.pool.take_for_response()) else {
             self.warn_limit("buffers");
             return self.close_application(handle);
         };
-        // An answer too long with its header lines goes out without them.
+        // If the response is too long with its header lines it is sent without them.
         let written = http::write_response(&mut output, status, lines, parts, c.close)
             || http::write_response(&mut output, status, b"", parts, c.close);
         c.output = Some(output);
@@ -559,13 +563,13 @@
                 (c.state, c.since, c.stalled_at) = (State::Reading, now, None);
                 c.received = c.input.as_ref().map_or(0, |b| b.filled().len());
                 match c.socket.set(Interest::Read) {
-                    Ok(()) => self.take_requests(handle),
+                    Ok(()) => self.process_input(handle),
                     Err(_) => self.close_application(handle),
                 }
             }
-            Ok(false) => self.may_stall(handle, STALL),
+            Ok(false) => self.set_client_timeout(handle, WRITE_TIMEOUT),
             Err(e) => {
-                debug!(self.log, "an answer could not be written"; "error" => e.to_string());
+                debug!(self.log, "writing a response failed"; "error" => e.to_string());
                 self.close_application(handle);
             }
         }
@@ -577,29 +581,29 @@
         match c.linger() {
             Ok(()) => {
                 c.stalled_at = None;
-                self.may_stall(handle, LINGER);
+                self.set_client_timeout(handle, LINGER_TIMEOUT);
             }
             Err(_) => self.close_application(handle),
         }
     }
 
-    pub(super) fn may_stall(&mut self, handle: Handle, span: Micros) {
+    pub(super) fn set_client_timeout(&mut self, handle: Handle, span: Micros) {
         let at = self.balancer.now() + span;
         let Some(c) = self.connections.application(handle).filter(|c| c.stalled_at.is_none()) else { return };
         c.stalled_at = Some(at);
-        self.balancer.set_timer(at, Wake::Stall(handle));
+        self.balancer.set_timer(at, Wake::ClientTimeout(handle));
     }
 
     pub(super) fn close_application(&mut self, handle: Handle) {
         if let Some(Connection::Application(mut c)) = self.connections.remove(handle) {
             c.input.take().into_iter().chain(c.output.take()).for_each(|b| self.pool.put_back(b));
-            self.listen_again();
+            self.resume_accepting();
         }
     }
 
-    pub(super) fn listen_again(&mut self) {
+    pub(super) fn resume_accepting(&mut self) {
         if !self.connections.closed_to_applications() {
-            self.heed_listener(Interest::Read);
+            self.set_listener_interest(Interest::Read);
         }
     }
 
--- a/crates/daemon/sidecar/src/event_loop/discovery_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/discovery_side.rs
@@ -1,4 +1,4 @@
-//! The loop's side towards discovery: calls and watches begun, what they tell handed to the facade.
+//! Connections to discovery: calls and watches started, the lists received passed to the balancer.
 use super::{EventLoop, Wake};
 use crate::memory::connections::Connection;
 use crate::wire::discovery::{self, Purpose};
@@ -20,7 +20,7 @@
     }
 
     pub(super) fn call_discovery(&mut self, purpose: Purpose) {
-        // A gateway's outward half hears of its upstreams over the link.
+        // A gateway's outward half has no discovery: its upstreams are the far gateways.
         let Some(to) = self.discovery else { return };
         let (seq, now, registry) = (self.seq, self.balancer.now(), self.registry.clone());
         let made = self.open(to).and_then(|socket| {
@@ -32,27 +32,27 @@
         });
         match made {
             Ok(Some(handle)) => {
-                self.balancer.set_timer(now + discovery::SILENCE, Wake::Silence(handle));
+                self.balancer.set_timer(now + discovery::SILENCE, Wake::DiscoveryTimeout(handle));
                 if purpose == Purpose::Watch {
                     self.watch = Some(handle);
                 }
             }
-            Ok(None) => self.tell(&DiscoveryEvent::Broken),
+            Ok(None) => self.pass_to_balancer(&DiscoveryEvent::Broken),
             Err(e) => {
                 warn!(self.log, "discovery cannot be reached"; "why" => ?e);
-                self.tell(&DiscoveryEvent::Broken);
+                self.pass_to_balancer(&DiscoveryEvent::Broken);
             }
         }
     }
 
-    /// Discovery is elsewhere from now on: what was asked of the old one is dropped, and the module asks the new one.
-    /// The new one's versions need not continue the old one's, so it is asked for all it has.
+    /// Discovery is at another address from now on: connections to the old one are closed, and the decision module has the
+    /// new one called. Its versions need not continue the old one's, so the complete list is requested.
     pub(super) fn discovery_moved(&mut self, to: SocketAddr) {
         (self.discovery, self.seq, self.watch) = (Some(to), 0, None);
         for handle in self.connections.to_discovery() {
             self.connections.remove(handle);
         }
-        self.tell(&DiscoveryEvent::Moved);
+        self.pass_to_balancer(&DiscoveryEvent::Moved);
     }
 
     pub(super) fn discovery_ready(&mut self, handle: Handle) {
@@ -69,15 +69,15 @@
         let has_told = !told.is_empty();
         for mut t in told {
             let entries = if let DiscoveryEvent::List { hosts, .. } = &t.news { hosts.len() } else { 0 };
-            debug!(self.log, "list"; "seq" => t.seq, "entries" => entries);
+            debug!(self.log, "list received"; "seq" => t.seq, "entries" => entries);
             self.seq = t.seq;
-            self.told = true;
-            self.list_for_fleet(t.seq, &mut t.news);
-            self.tell(&t.news);
+            self.has_received_list = true;
+            self.apply_reported_drains(t.seq, &mut t.news);
+            self.pass_to_balancer(&t.news);
         }
         if has_told {
-            self.mind_fleet();
-            self.begin_to_serve();
+            self.advance_membership();
+            self.start_serving();
         }
         match (fault, purpose) {
             (None, Purpose::Call) if has_told => drop(self.connections.remove(handle)),
@@ -88,16 +88,16 @@
     }
 
     pub(super) fn discovery_broken(&mut self, handle: Handle, why: &str) {
-        warn!(self.log, "discovery broke off; the last list stays"; "why" => why);
+        warn!(self.log, "discovery broke off; the last list stays in use"; "why" => why);
         self.connections.remove(handle);
         if self.watch == Some(handle) {
             self.watch = None;
         }
-        self.tell(&DiscoveryEvent::Broken);
+        self.pass_to_balancer(&DiscoveryEvent::Broken);
     }
 
-    pub(super) fn tell(&mut self, news: &DiscoveryEvent) {
-        let turn = self.balancer.discovery_event(news);
-        self.absorb(turn);
+    pub(super) fn pass_to_balancer(&mut self, news: &DiscoveryEvent) {
+        let decision = self.balancer.discovery_event(news);
+        self.queue_steps(decision);
     }
 }
--- a/crates/daemon/sidecar/src/event_loop/fleet_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/fleet_side.rs
@@ -1,6 +1,6 @@
-//! The loop's side towards other sidecars of the fleet: datagrams read and sent, exchanges begun and answered, what membership
-//! says handed to the facade. It translates; who is there is decided in `crates/control/swim`. Work for peers comes after answers
-//! to clients, and is bounded in each turn.
+//! Sockets towards other sidecars of the fleet: datagrams read and sent, exchanges of the full state begun and answered,
+//! membership events passed to the balancer. Who is a live member is decided in `crates/control/swim`. Work for other sidecars
+//! comes after responses to clients, and is limited in each iteration of the loop.
 use super::{EventLoop, Wake};
 use crate::lifecycle::fleet::{Folder, Peers};
 use crate::wire::fleet::{Conn, Got};
@@ -13,66 +13,72 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-const DATAGRAMS: usize = usize::MAX - 5;
-const LISTENER: usize = usize::MAX - 6;
-const SEAT_0: usize = usize::MAX - 256;
-/// Exchanges at a time, begun here and elsewhere, and peers that say what they have to say beside membership.
-const SEATS: usize = 128;
-/// Datagrams read in one turn of the loop.
-const A_TURN: usize = 64;
-/// An exchange that takes longer is given up, in microseconds.
-const EXCHANGE: Micros = 5_000_000;
-/// A peer that has said nothing for so long may come again.
-const SILENT: Micros = 30_000_000;
-/// A smaller number of senders holds once nothing has changed for so many periods; a greater one at once.
-const AGED: Micros = 10;
-/// The folder's list of others is looked at so often, in periods.
-const KEEP: Micros = 10;
-/// A datagram is no longer than this, whatever comes.
-const DATAGRAM: usize = 2048;
+const DATAGRAM_KEY: usize = usize::MAX - 5;
+const LISTENER_KEY: usize = usize::MAX - 6;
+const FIRST_SLOT_KEY: usize = usize::MAX - 256;
+/// Maximum number of connections at a time: exchanges begun here or by other members, and connections that carry other
+/// members' batches for the records.
+const MAX_SLOTS: usize = 128;
+/// Maximum number of datagrams read in one iteration of the loop.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+/// An exchange that takes longer is given up.
+const EXCHANGE_TIMEOUT: Micros = 5_000_000;
+/// A connection on which no batch has arrived for this long is closed; the other member can open a new one.
+const BATCH_IDLE_TIMEOUT: Micros = 30_000_000;
+/// A smaller number of senders applies once it has not changed for this many protocol periods; a greater one at once.
+const SMALLER_AFTER_PERIODS: i64 = 10;
+/// The list of other members in the folder is updated once per this many protocol periods.
+const FOLDER_UPDATE_PERIODS: i64 = 10;
+/// Maximum length of a datagram that is read, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// A member's sockets and what it decides by.
+/// A member's sockets and its membership.
 pub struct Fleet {
     pub(super) members: Members,
     datagrams: Watched<UdpSocket>,
     listener: Watched<TcpListener>,
-    seats: [Option<Conn>; SEATS],
+    slots: [Option<Conn>; MAX_SLOTS],
     folder: Option<Folder>,
-    at: SocketAddr,
+    address: SocketAddr,
     period: Micros,
-    /// When the loop is to come back to it.
+    /// When membership is to be advanced next.
     due: Micros,
-    /// The number of senders by the settings, a smaller one that is due, and when.
-    configured: u32,
-    smaller: Option<(u32, Micros)>,
-    keep_at: Micros,
+    /// Number of senders according to the settings.
+    configured_senders: u32,
+    /// Number of senders according to membership that is not in force yet, and from when it applies if it is smaller than the
+    /// present one.
+    pending_senders: Option<(u32, Micros)>,
+    /// When the list in the folder is updated next.
+    folder_update_at: Micros,
 }
 
 impl Fleet {
-    /// Everything watched.
-    pub fn new(peers: Peers, registry: &Registry, configured: u32) -> io::Result<Self> {
+    /// Registers the sockets with the poller.
+    pub fn new(peers: Peers, registry: &Registry, configured_senders: u32) -> io::Result<Self> {
         Ok(Fleet {
             members: peers.members,
-            datagrams: registry.watch(peers.datagrams, DATAGRAMS, Interest::Read)?,
-            listener: registry.watch(peers.listener, LISTENER, Interest::Read)?,
-            seats: std::array::from_fn(|_| None),
+            datagrams: registry.watch(peers.datagrams, DATAGRAM_KEY, Interest::Read)?,
+            listener: registry.watch(peers.listener, LISTENER_KEY, Interest::Read)?,
+            slots: std::array::from_fn(|_| None),
             folder: peers.folder,
-            at: peers.at,
+            address: peers.at,
             period: peers.period,
             due: Micros::MAX,
-            configured,
-            smaller: None,
-            keep_at: 0,
+            configured_senders,
+            pending_senders: None,
+            folder_update_at: 0,
         })
     }
 
-    /// Whether a readiness is the fleet's.
+    /// Whether a poller key belongs to the fleet's sockets.
     pub fn is_key(key: usize) -> bool {
-        key == DATAGRAMS || key == LISTENER || (SEAT_0..SEAT_0 + SEATS).contains(&key)
+        key == DATAGRAM_KEY
+            || key == LISTENER_KEY
+            || (FIRST_SLOT_KEY..FIRST_SLOT_KEY + MAX_SLOTS).contains(&key)
     }
 }
 
-/// A connection on its way, from the address that this member listens at: its peers know it by that.
+/// Begins a connection from the address that this member listens on, by which the other members know it.
 fn connect(from: SocketAddr, to: SocketAddr) -> io::Result<std::net::TcpStream> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -81,7 +87,7 @@
         socket.bind(&SocketAddr::new(from.ip(), 0).into())?;
     }
     match socket.connect(&to.into()) {
-        // Under way: `EINPROGRESS`, 115 on Linux, has no kind of its own.
+        // Being established: `EINPROGRESS`, 115 on Linux, has no `ErrorKind`.
         Err(e) if e.kind() != io::ErrorKind::WouldBlock && e.raw_os_error() != Some(115) => Err(e),
         _ => Ok(socket.into()),
     }
@@ -90,22 +96,22 @@
 impl EventLoop {
     pub(super) fn fleet_ready(&mut self, key: usize) {
         match key {
-            DATAGRAMS => self.read_datagrams(),
-            LISTENER => self.accept_exchanges(),
-            key => self.exchange_ready(key - SEAT_0),
+            DATAGRAM_KEY => self.read_datagrams(),
+            LISTENER_KEY => self.accept_exchanges(),
+            key => self.exchange_ready(key - FIRST_SLOT_KEY),
         }
-        self.mind_fleet();
+        self.advance_membership();
     }
 
     fn read_datagrams(&mut self) {
         let now = self.balancer.now();
         let Some(fleet) = &mut self.fleet else { return };
-        let mut bytes = [0; DATAGRAM];
-        for _ in 0..A_TURN {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match fleet.datagrams.get().recv_from(&mut bytes) {
                 Ok((n, _)) => fleet.members.datagram(now, &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // What an earlier datagram met at its end, told here: that end is gone, and probes will show it.
+                // The error of an earlier datagram whose destination does not listen any more; probes will detect that.
                 Err(_) => {}
             }
         }
@@ -114,89 +120,91 @@
     fn accept_exchanges(&mut self) {
         let (now, registry) = (self.balancer.now(), self.registry.clone());
         let Some(fleet) = &mut self.fleet else { return };
-        for _ in 0..SEATS {
+        for _ in 0..MAX_SLOTS {
             let Ok((socket, _)) = fleet.listener.get().accept() else { return };
-            let seat = fleet.seat();
-            fleet.seats[seat] = None;
+            let slot = fleet.slot();
+            fleet.slots[slot] = None;
             let watched = socket
                 .set_nonblocking(true)
-                .and_then(|()| registry.watch(socket, SEAT_0 + seat, Interest::Read));
-            fleet.seats[seat] = watched.ok().map(|s| Conn::asked(s, now));
+                .and_then(|()| registry.watch(socket, FIRST_SLOT_KEY + slot, Interest::Read));
+            fleet.slots[slot] = watched.ok().map(|s| Conn::asked(s, now));
         }
     }
 
-    fn exchange_ready(&mut self, seat: usize) {
+    fn exchange_ready(&mut self, slot: usize) {
         let now = self.balancer.now();
         let Some(fleet) = &mut self.fleet else { return };
-        let Some(Some(conn)) = fleet.seats.get_mut(seat) else { return };
+        let Some(Some(conn)) = fleet.slots.get_mut(slot) else { return };
         let mut got = conn.advance();
         while let Got::Batch(bytes) = got {
-            let taken = self.batch_came(now, &bytes);
-            let Some(Some(conn)) = self.fleet.as_mut().and_then(|f| f.seats.get_mut(seat)) else { return };
+            let taken = self.batch_received(now, &bytes);
+            let Some(Some(conn)) = self.fleet.as_mut().and_then(|f| f.slots.get_mut(slot)) else { return };
             got = if taken { conn.taken(now) } else { Got::Ended };
-            self.stirred = true;
+            self.records_pending = true;
         }
         let Some(fleet) = &mut self.fleet else { return };
-        let Some(Some(conn)) = fleet.seats.get_mut(seat) else { return };
+        let Some(Some(conn)) = fleet.slots.get_mut(slot) else { return };
         let stays = match got {
             Got::Nothing | Got::Batch(_) => true,
             Got::Ended => false,
             Got::Body(body) if conn.is_asking() => {
                 if let Err(bad) = fleet.members.exchanged(now, &body) {
-                    debug!(self.log, "an exchange was not taken"; "why" => ?bad);
+                    debug!(self.log, "the response to an exchange was invalid"; "why" => ?bad);
                 }
                 false
             }
             Got::Body(body) => match fleet.members.exchange(now, &body) {
                 Ok(answer) => conn.answer(200, &answer) != Got::Ended,
                 Err(bad) => {
-                    debug!(self.log, "an exchange was not answered"; "why" => ?bad);
+                    debug!(self.log, "an exchange was invalid"; "why" => ?bad);
                     conn.answer(400, b"") != Got::Ended
                 }
             },
         };
         if !stays {
-            fleet.seats[seat] = None;
+            fleet.slots[slot] = None;
         }
     }
 
-    /// Let time pass for membership, send what it wants sent, hand on what it says.
-    pub(super) fn mind_fleet(&mut self) {
+    /// Advances membership to the present time, sends its datagrams, begins its exchanges and handles its events.
+    pub(super) fn advance_membership(&mut self) {
         let (now, registry) = (self.balancer.now(), self.registry.clone());
         let Some(fleet) = &mut self.fleet else { return };
         fleet.members.tick(now);
         while let Some((to, bytes)) = fleet.members.poll_send() {
-            // What the machine does not take is lost, as datagrams may be.
+            // A datagram that the kernel does not accept is lost, as any datagram may be.
             let _ = fleet.datagrams.get().send_to(&bytes, to);
         }
-        for seat in &mut fleet.seats {
-            *seat = seat.take().filter(|c| c.since + if c.stays { SILENT } else { EXCHANGE } > now);
+        for slot in &mut fleet.slots {
+            *slot = slot
+                .take()
+                .filter(|c| c.since + if c.stays { BATCH_IDLE_TIMEOUT } else { EXCHANGE_TIMEOUT } > now);
         }
         while let Some(exchange) = fleet.members.poll_exchange() {
-            let seat = fleet.seat();
-            fleet.seats[seat] = None;
-            let made = connect(fleet.at, exchange.to)
-                .and_then(|socket| registry.watch(socket, SEAT_0 + seat, Interest::Both));
-            fleet.seats[seat] = made.ok().map(|s| Conn::asking(s, now, &exchange.bytes));
+            let slot = fleet.slot();
+            fleet.slots[slot] = None;
+            let made = connect(fleet.address, exchange.to)
+                .and_then(|socket| registry.watch(socket, FIRST_SLOT_KEY + slot, Interest::Both));
+            fleet.slots[slot] = made.ok().map(|s| Conn::asking(s, now, &exchange.bytes));
         }
         let mut events = Vec::new();
         while let Some(event) = fleet.members.poll_event() {
             events.push(event);
         }
-        if let Some(folder) = fleet.folder.as_mut().filter(|_| now >= fleet.keep_at) {
-            fleet.keep_at = now + KEEP * fleet.period;
+        if let Some(folder) = fleet.folder.as_mut().filter(|_| now >= fleet.folder_update_at) {
+            fleet.folder_update_at = now + FOLDER_UPDATE_PERIODS * fleet.period;
             folder.keep(fleet.members.others().map(|s| s.record.at).collect());
         }
-        events.into_iter().for_each(|e| self.fleet_says(now, e));
-        self.mind_senders(now);
+        events.into_iter().for_each(|e| self.membership_event(now, e));
+        self.apply_senders(now);
         self.wake_for_fleet(now);
-        self.do_steps();
+        self.run_steps();
     }
 
     fn wake_for_fleet(&mut self, now: Micros) {
         let Some(fleet) = &mut self.fleet else { return };
-        let smaller = fleet.smaller.map_or(Micros::MAX, |s| s.1);
-        // Never at once: a timer that is always due would hold the loop.
+        let smaller = fleet.pending_senders.map_or(Micros::MAX, |s| s.1);
+        // At least 1 ms from now: with a timer that is always due the loop would never wait for sockets.
         let wake = fleet.members.next_deadline().min(smaller).max(now + 1_000);
         if wake < fleet.due || fleet.due <= now {
             fleet.due = wake;
@@ -204,104 +212,106 @@
         }
     }
 
-    /// The timer has come; an older one that was overtaken is passed over.
-    pub(super) fn fleet_woken(&mut self) {
+    /// The timer has expired; one that was set earlier than the present one is ignored.
+    pub(super) fn fleet_timer_expired(&mut self) {
         let now = self.balancer.now();
         if self.fleet.as_ref().is_some_and(|f| f.due <= now) {
-            self.mind_fleet();
+            self.advance_membership();
         }
     }
 
-    fn fleet_says(&mut self, now: Micros, event: Event) {
+    fn membership_event(&mut self, now: Micros, event: Event) {
         let Some(fleet) = &mut self.fleet else { return };
         match event {
             Event::View(view) => {
                 let (live, failed) = fleet.members.size();
                 if let Some(n) = fleet.members.senders() {
-                    fleet.smaller = Some((n as u32, now + AGED * fleet.period));
+                    fleet.pending_senders = Some((n as u32, now + SMALLER_AFTER_PERIODS * fleet.period));
                 }
-                if self.view_told.pass(now).is_some() || self.view != Some(view) {
-                    info!(self.log, "fleet"; "view" => view.name(), "live" => live, "failed" => failed);
+                if self.view_log_pacing.pass(now).is_some() || self.view != Some(view) {
+                    info!(self.log, "view of the fleet"; "view" => view.name(), "live" => live, "failed" => failed);
                 }
                 self.view = Some(view);
             }
             Event::Changed { id, name, state, by } => {
                 if state == State::Suspect {
                     debug!(self.log, "member"; "name" => name, "id" => id.to_string(), "state" => state.name(), "by" => by.to_string());
-                } else if let Some(before) = self.members_told.pass(now) {
+                } else if let Some(before) = self.member_log_pacing.pass(now) {
                     info!(self.log, "member"; "name" => name, "id" => id.to_string(), "state" => state.name(), "by" => by.to_string(),
                         "untold" => before);
                 }
             }
             Event::Drain(d) => {
-                info!(self.log, "another sidecar says that an upstream drains"; "host" => &d.host, "seq" => d.seq);
-                let turn = self.balancer.peer_reported_drain(&d.host, d.born_ms, true);
-                self.absorb(turn);
+                info!(self.log, "another sidecar reports that an upstream drains"; "host" => &d.host, "seq" => d.seq);
+                let decision = self.balancer.peer_reported_drain(&d.host, d.born_ms, true);
+                self.queue_steps(decision);
             }
             Event::Refuted(state) => {
-                info!(self.log, "this member was held to be gone, and said no"; "held" => state.name());
+                info!(self.log, "this member was reported as suspect or failed, and refuted it"; "held" => state.name());
             }
             Event::StoodDown { same_identity, other } => {
-                warn!(self.log, "this process stands down from the fleet and serves on"; "same_identity" => same_identity,
+                warn!(self.log, "this process leaves the fleet and continues to serve"; "same_identity" => same_identity,
                     "other" => other.to_string(), "why" => "another process has its identity or its name");
             }
             Event::Twin { same_identity, other } => {
-                warn!(self.log, "another process has this member's identity or name, and has to stand down";
+                warn!(self.log, "another process has this member's identity or name and must leave the fleet";
                     "same_identity" => same_identity, "other" => other.to_string());
             }
         }
     }
 
-    /// A greater number of senders holds at once, a smaller one once it has aged: too few would overfeed cold upstreams.
-    fn mind_senders(&mut self, now: Micros) {
+    /// Applies a greater number of senders at once and a smaller one after a delay: with too small a number each sidecar would
+    /// send too much to cold upstreams.
+    fn apply_senders(&mut self, now: Micros) {
         let Some(fleet) = &mut self.fleet else { return };
-        let Some((n, at)) = fleet.smaller else { return };
+        let Some((n, at)) = fleet.pending_senders else { return };
         if n < self.balancer.instances() && now < at {
             return;
         }
-        fleet.smaller = None;
-        let turn = self.balancer.set_instances(n);
-        self.absorb(turn);
+        fleet.pending_senders = None;
+        let decision = self.balancer.set_instances(n);
+        self.queue_steps(decision);
     }
 
-    /// Other settings named a number of senders: the fleet's own comes after it has aged again.
+    /// New settings contain a number of senders: membership's number applies again after the delay, or at once if greater.
     pub(super) fn fleet_reconfigured(&mut self) {
         let now = self.balancer.now();
         if let Some(fleet) = &mut self.fleet {
-            fleet.configured = self.balancer.instances();
+            fleet.configured_senders = self.balancer.instances();
             if let Some(n) = fleet.members.senders() {
-                fleet.smaller = Some((n as u32, now + AGED * fleet.period));
+                fleet.pending_senders = Some((n as u32, now + SMALLER_AFTER_PERIODS * fleet.period));
             }
         }
     }
 
-    /// The own list has come. What others said that is newer than it is laid over it; what is older is over.
-    pub(super) fn list_for_fleet(&mut self, seq: u64, news: &mut DiscoveryEvent) {
+    /// Discovery has sent a list. Drains that other sidecars reported and that are newer than the list are put into it; older
+    /// ones are over.
+    pub(super) fn apply_reported_drains(&mut self, seq: u64, news: &mut DiscoveryEvent) {
         let DiscoveryEvent::List { whole, hosts } = news else { return };
         let Some(fleet) = &mut self.fleet else { return };
         let entries = hosts.iter().map(|h| (h.name.as_str(), h.started_ms, h.health == Health::Draining));
         let over = fleet.members.list_is(seq, *whole, entries);
         for h in hosts.iter_mut().filter(|h| h.health == Health::Ready) {
-            if fleet.members.drains(&h.name, h.started_ms) || self.ordered.contains(&h.name) {
+            if fleet.members.drains(&h.name, h.started_ms) || self.ordered_drains.contains(&h.name) {
                 h.health = Health::Draining;
             }
         }
         for d in over.iter().filter(|d| !hosts.iter().any(|h| h.name == d.host)) {
-            let turn = self.balancer.peer_reported_drain(&d.host, d.born_ms, false);
-            self.absorb(turn);
+            let decision = self.balancer.peer_reported_drain(&d.host, d.born_ms, false);
+            self.queue_steps(decision);
         }
     }
 
-    /// A planned stop is told to the others.
+    /// Announces a planned stop to the other members.
     pub(super) fn leave_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.members.leave();
         }
-        self.mind_fleet();
+        self.advance_membership();
     }
 
-    /// The fleet as this member sees it, as JSON.
-    pub(super) fn fleet_told(&self) -> Option<String> {
+    /// This member's view of the fleet, as JSON.
+    pub(super) fn fleet_json(&self) -> Option<String> {
         let fleet = self.fleet.as_ref()?;
         let (m, now) = (&fleet.members, self.balancer.now());
         let (live, failed) = m.size();
@@ -327,15 +337,15 @@
         let told = serde_json::json!({
             "id": me.id.to_string(), "name": me.name, "at": me.at.to_string(), "incarnation": me.incarnation.0,
             "view": m.view().name(), "live": live, "failed": failed, "senders": m.senders(),
-            "senders_in_force": self.balancer.instances(), "senders_configured": fleet.configured,
+            "senders_in_force": self.balancer.instances(), "senders_configured": fleet.configured_senders,
             "digest": format!("{:016x}", m.digest()), "doubt": m.local_health_multiplier(),
             "drains": m.drained().collect::<Vec<_>>(), "others": others, "figures": figures,
         });
         Some(told.to_string() + "\n")
     }
 
-    /// The fleet's lines among the figures.
-    pub(super) fn fleet_figures(&self) -> String {
+    /// The fleet's metrics.
+    pub(super) fn fleet_metrics(&self) -> String {
         let Some(fleet) = &self.fleet else { return String::new() };
         let (m, f) = (&fleet.members, &fleet.members.metrics);
         let mut out = String::new();
@@ -368,14 +378,14 @@
 }
 
 impl Fleet {
-    /// A connection to another member, on its way.
-    pub(super) fn reach(&self, to: SocketAddr) -> io::Result<std::net::TcpStream> {
-        connect(self.at, to)
+    /// Begins a connection to another member.
+    pub(super) fn connect_to(&self, to: SocketAddr) -> io::Result<std::net::TcpStream> {
+        connect(self.address, to)
     }
 
-    /// A free seat, or that of whoever has sat longest.
-    fn seat(&self) -> usize {
+    /// A free slot, or the one that has been in use for longest.
+    fn slot(&self) -> usize {
         let longest = |(i, s): (usize, &Option<Conn>)| (s.as_ref().map_or(Micros::MIN, |c| c.since), i);
-        self.seats.iter().enumerate().map(longest).min().map_or(0, |(_, i)| i)
+        self.slots.iter().enumerate().map(longest).min().map_or(0, |(_, i)| i)
     }
 }
--- a/crates/daemon/sidecar/src/event_loop/gateway_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/gateway_side.rs
@@ -1,6 +1,7 @@
-//! The loop's side of a gateway. Each half of a gateway is a loop of its own: the outward one takes what home's sidecars send
-//! over and has the far gateways as upstreams, the inward one takes what comes over the link and has home's servers. What
-//! they decide beside the module is `silvercross_gateway`'s; here it is asked and carried out.
+//! The event loop as a half of a gateway between two sites. Each half is a loop of its own. The outward half accepts requests
+//! from the home site's sidecars and has the far gateways as upstreams; the inward half accepts requests from the far gateways
+//! and has the home site's servers as upstreams. What a gateway decides besides the decision module is in
+//! `silvercross_gateway`; this file calls it and carries out the result.
 use super::EventLoop;
 use crate::lifecycle::logging::Paced;
 use crate::lifecycle::start;
@@ -19,60 +20,60 @@
 use slog::{info, warn};
 use std::net::SocketAddr;
 
-/// An offer that was asked for is waited for so long; then the link counts as down until it is heard again.
-const OFFER_LIMIT: Micros = 1_000_000;
+/// An offer that is not received within this time after its request means that the link is down until the next offer.
+const OFFER_TIMEOUT: Micros = 1_000_000;
 
-/// The outward half.
+/// State of an outward half.
 pub struct Outward {
-    /// This site.
+    /// Name of this site.
     pub home: String,
-    /// The site of the far gateways.
+    /// Name of the far gateways' site.
     pub far_site: String,
-    /// What is known of them.
+    /// The far gateways' offers and response times.
     pub peers: Peers,
-    /// Where they are.
+    /// Their addresses.
     pub addresses: Vec<SocketAddr>,
-    /// The longest aim of a class: what takes longer over there is of no use.
+    /// The longest latency target of a class: a far response that takes longer is of no use.
     pub latency_target: Micros,
-    /// How often they are asked.
+    /// Interval at which their offers are requested.
     pub offer_interval: Micros,
-    /// Which of them the module was told it may use.
+    /// For each of them, whether it had free capacity when last reported to the balancer.
     pub reported_open: Vec<bool>,
-    /// The connections on which they are asked.
+    /// For each of them, the connection on which its offer is requested.
     pub offer_connections: Vec<Option<Handle>>,
-    /// When they are to be asked next.
+    /// When offers are requested next.
     pub next_offer_at: Micros,
-    /// Lets a line about statements through now and then.
+    /// Limits the rate of log lines about statements.
     pub log_pacing: Paced,
 }
 
-/// The inward half.
+/// State of an inward half.
 pub struct Inward {
-    /// This site.
+    /// Name of this site.
     pub home: String,
-    /// What home can spare.
+    /// What the home site offers to the far site.
     pub offer: Offer,
-    /// Among how many far gateways it is parted.
+    /// Number of far gateways that share the offer.
     pub far_gateways: u32,
 }
 
-/// What a loop is of a gateway.
+/// One half of a gateway.
 pub enum GatewayHalf {
-    /// Its outward half.
+    /// The outward half.
     Out(Outward),
-    /// Its inward half.
+    /// The inward half.
     In(Inward),
 }
 
 impl Outward {
-    /// The far gateways as the module is to know them: those with room as running, the others as draining.
+    /// The far gateways as entries of the balancer's list: those with free capacity as ready, the others as draining.
     pub fn hosts(&self, open: &[bool]) -> Vec<Host> {
         let host = |(i, at): (usize, &SocketAddr)| Host {
             name: format!("peer-{i}"),
             address: Some(*at),
             zone: self.far_site.clone(),
             kind: "gateway".into(),
-            // A cell of its own: a key's group never takes in two of them.
+            // Each has its own cell, so that no two are in one group of upstreams that drop duplicates.
             cell: 1_000_000 + i as u32,
             health: if open.get(i).copied().unwrap_or(false) { Health::Ready } else { Health::Draining },
             size: 1.0,
@@ -83,7 +84,8 @@
 }
 
 impl EventLoop {
-    /// Whether a call may come in here: how its head goes on, or why it is sent back unseen.
+    /// Decides whether a gateway half admits a request, and puts its hops into its head. On error it is rejected unprocessed,
+    /// with this reason.
     pub(super) fn admit(
         &mut self,
         call: &mut Call,
@@ -91,31 +93,31 @@
     ) -> Result<Option<Guest>, &'static str> {
         let now = self.balancer.now();
         let Some(gateway) = self.gateway.as_mut() else { return Ok(None) };
-        let mark = Hops::read(call.hops.as_deref()).map_err(hops::HopError::reason)?;
+        let hops_so_far = Hops::read(call.hops.as_deref()).map_err(hops::HopError::reason)?;
         let (left, expected) = (left.unwrap_or(Micros::MAX), call.cost_hint.map_or(0.0, |h| h as f64));
-        let (mark, guest) = match gateway {
+        let (hops_so_far, guest) = match gateway {
             GatewayHalf::Out(o) => {
-                let mark = mark.leave(&o.home).map_err(hops::HopError::reason)?;
+                let hops_so_far = hops_so_far.leave(&o.home).map_err(hops::HopError::reason)?;
                 o.peers.may_cross(now, left, 1.0).map_err(|why| match why {
                     CrossingRefused::NoRoom => "the other side has no room",
                     CrossingRefused::NoTime => "there is no time left for the way",
                 })?;
-                (mark, None)
+                (hops_so_far, None)
             }
             GatewayHalf::In(i) => {
-                mark.arrive(&i.home).map_err(hops::HopError::reason)?;
+                hops_so_far.arrive(&i.home).map_err(hops::HopError::reason)?;
                 if !i.offer.admit(now) {
                     return Err("this side has no room");
                 }
                 let expected = if expected > 0.0 { expected } else { 1_000.0 };
-                (mark, Some(Guest { began: now, expected, left }))
+                (hops_so_far, Some(Guest { began: now, expected, left }))
             }
         };
-        call.head = with_mark(&call.head, &mark);
+        call.head = with_hops(&call.head, &hops_so_far);
         Ok(guest)
     }
 
-    /// A call that came in has its final answer, or its sender is gone.
+    /// A request from the far site has its final response, or its sender has disconnected.
     pub(super) fn guest_ended(&mut self, request: Handle, how: RemoteOutcome) {
         let now = self.balancer.now();
         let guest = self.requests.get_mut(request).and_then(|r| r.guest.take());
@@ -124,8 +126,8 @@
         }
     }
 
-    /// The header lines that a gateway adds to an answer: on the link, what it offers.
-    pub(super) fn gate_lines(&mut self) -> String {
+    /// Header lines that a gateway adds to a response: towards the far site, its present offer.
+    pub(super) fn gateway_lines(&mut self) -> String {
         let (stopping, now) = (self.stop.is_some(), self.balancer.now());
         match self.gateway.as_mut() {
             Some(GatewayHalf::In(i)) => {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// The far gateway at an address.
+    /// Index of the far gateway at an address.
     fn peer_at(&self, to: SocketAddr) -> Option<usize> {
         match self.gateway.as_ref() {
             Some(GatewayHalf::Out(o)) => o.addresses.iter().position(|a| *a == to),
@@ -146,16 +148,17 @@
         }
     }
 
-    /// An attempt is about to be sent to an address; `false`: that far gateway's room ended as it was picked.
-    pub(super) fn peer_sent(&mut self, to: SocketAddr) -> bool {
+    /// An attempt is about to be sent to an address; `false` if that is a far gateway whose capacity has been used up since
+    /// the balancer picked it.
+    pub(super) fn peer_attempt_started(&mut self, to: SocketAddr) -> bool {
         let (now, peer) = (self.balancer.now(), self.peer_at(to));
         match (self.gateway.as_mut(), peer) {
             (Some(GatewayHalf::Out(o)), Some(peer)) => {
                 let room = o.peers.has_room(now, peer);
                 if room {
                     o.peers.sent(peer);
-                    // With the last of its room it takes no more.
-                    self.mind_gate();
+                    // If that was the last of its capacity it is reported as draining.
+                    self.update_gateway();
                 }
                 room
             }
@@ -163,8 +166,9 @@
         }
     }
 
-    /// An attempt at a far gateway has ended, `took` long where it was served; `offer` came with its answer.
-    pub(super) fn peer_ended(
+    /// An attempt has ended. If it went to a far gateway: `took` is its duration if it was served, `offer` the offer in its
+    /// response.
+    pub(super) fn peer_attempt_ended(
         &mut self,
         to: SocketAddr,
         report: Option<Report>,
@@ -178,53 +182,54 @@
             o.peers.link_lost(peer);
         }
         if let Some(value) = offer {
-            self.heard(peer, value);
+            self.receive_offer(peer, value);
         }
-        self.mind_gate();
+        self.update_gateway();
     }
 
-    fn heard(&mut self, peer: usize, value: &str) {
+    fn receive_offer(&mut self, peer: usize, value: &str) {
         let now = self.balancer.now();
         let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() else { return };
         if let Err(why) = o.peers.receive_header(now, peer, value) {
             if let Some(before) = o.log_pacing.pass(now) {
-                warn!(self.log, "a far gateway's statement was ignored"; "peer" => peer, "why" => why,
+                warn!(self.log, "an offer of a far gateway was ignored"; "peer" => peer, "why" => why,
                     "times" => before + 1, "ignored" => o.peers.ignored);
             }
         }
     }
 
-    /// Do what has become of offers: tell the module, ask the far gateways again, take connections or take none.
-    pub(super) fn mind_gate(&mut self) {
+    /// Acts on changed offers: reports the far gateways to the balancer, and begins or stops to accept connections.
+    pub(super) fn update_gateway(&mut self) {
         let now = self.balancer.now();
         let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() else { return };
         let open: Vec<bool> = (0..o.addresses.len()).map(|p| o.peers.has_room(now, p)).collect();
-        let takes = o.peers.is_open(now, o.latency_target);
+        let accepting = o.peers.is_open(now, o.latency_target);
         let changed = open != o.reported_open;
         o.reported_open.clone_from(&open);
         let hosts = changed.then(|| o.hosts(&open));
         if let Some(hosts) = hosts {
-            info!(self.log, "far gateways with room"; "open" => open.iter().filter(|o| **o).count(), "of" => open.len());
-            self.tell(&DiscoveryEvent::List { whole: true, hosts });
+            info!(self.log, "far gateways with free capacity changed"; "open" => open.iter().filter(|o| **o).count(), "of" => open.len());
+            self.pass_to_balancer(&DiscoveryEvent::List { whole: true, hosts });
         }
-        // A planned restart has its own way with the door.
+        // While the process stops, the listener is handled by the stop.
         if self.stop.is_none() {
-            self.take_connections(takes);
+            self.set_accepting(accepting);
         }
     }
 
-    /// Take connections from home's sidecars, or none: refused, their modules know that nothing ran, and leave the gateway
-    /// out by its liveness. Idle ones are closed with it, so that no request is written to them only to be sent back.
-    fn take_connections(&mut self, takes: bool) {
-        if takes == self.listener.is_some() {
+    /// Begins or stops to accept connections from the home site's sidecars. From a refused connection their decision modules
+    /// know that nothing was executed, and they avoid this gateway as not reachable. Idle connections are closed too, so
+    /// that no request is sent on them only to be rejected.
+    fn set_accepting(&mut self, accepting: bool) {
+        if accepting == self.listener.is_some() {
             return;
         }
-        if takes {
+        if accepting {
             let made = start::listen(self.listen_at, false)
-                .and_then(|l| self.registry.watch(l, super::LISTENER, Interest::Read));
+                .and_then(|l| self.registry.watch(l, super::LISTENER_KEY, Interest::Read));
             match made {
                 Ok(listener) => self.listener = Some(listener),
-                // The next look tries again.
+                // Tried again with the next request for offers.
                 Err(e) => warn!(self.log, "cannot listen again"; "error" => e.to_string()),
             }
             return;
@@ -232,15 +237,15 @@
         let _ = self.accept();
         self.listener = None;
         for handle in self.connections.from_applications() {
-            // One that has just come may be written to already, and is answered whatever there is room for.
+            // A request may already be on its way on a new connection, which is therefore kept and answered.
             if self.connections.application(handle).is_some_and(|c| c.is_idle() && c.used) {
-                self.spare(handle);
+                self.close_if_idle(handle);
             }
         }
     }
 
-    /// Ask the far gateways for their offers, when that is due.
-    pub(super) fn ask_peers(&mut self) {
+    /// Requests the far gateways' offers, if that is due.
+    pub(super) fn request_offers(&mut self) {
         let now = self.balancer.now();
         let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() else { return };
         if now < o.next_offer_at {
@@ -256,10 +261,10 @@
             .collect();
         for (peer, at, handle) in asks {
             match handle.and_then(|h| self.connections.peer(h)).map(|c| c.asked) {
-                // Still on its way; for too long, and the link is down.
-                Some(Some(since)) if now - since < OFFER_LIMIT => {}
-                Some(Some(_)) => self.peer_lost(peer),
-                Some(None) => self.ask_peer(peer, now),
+                // The response is awaited; after the limit the link counts as down.
+                Some(Some(since)) if now - since < OFFER_TIMEOUT => {}
+                Some(Some(_)) => self.offer_connection_lost(peer),
+                Some(None) => self.request_offer(peer, now),
                 None => {
                     let registry = self.registry.clone();
                     let made = self.open(at).ok().and_then(|socket| {
@@ -272,26 +277,26 @@
                     if let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() {
                         o.offer_connections[peer] = made;
                     }
-                    self.ask_peer(peer, now);
+                    self.request_offer(peer, now);
                 }
             }
         }
-        self.mind_gate();
+        self.update_gateway();
     }
 
-    fn ask_peer(&mut self, peer: usize, now: Micros) {
+    fn request_offer(&mut self, peer: usize, now: Micros) {
         let handle = match self.gateway.as_ref() {
             Some(GatewayHalf::Out(o)) => o.offer_connections[peer],
             _ => None,
         };
         let asked = handle.and_then(|h| self.connections.peer(h)).map(|c| c.ask(now));
         if !matches!(asked, Some(Ok(()))) {
-            self.peer_lost(peer);
+            self.offer_connection_lost(peer);
         }
     }
 
-    /// The connection on which a far gateway is asked has ended: what it offered went with the link.
-    fn peer_lost(&mut self, peer: usize) {
+    /// The connection on which a far gateway's offer is requested has failed: its offer is void.
+    fn offer_connection_lost(&mut self, peer: usize) {
         let Some(GatewayHalf::Out(o)) = self.gateway.as_mut() else { return };
         o.peers.link_lost(peer);
         let handle = o.offer_connections[peer].take();
@@ -303,21 +308,21 @@
         let peer = c.peer;
         match c.advance() {
             Ok(None) => {}
-            Ok(Some(value)) => self.heard(peer, &value),
-            Err(_) => self.peer_lost(peer),
+            Ok(Some(value)) => self.receive_offer(peer, &value),
+            Err(_) => self.offer_connection_lost(peer),
         }
-        self.mind_gate();
+        self.update_gateway();
     }
 }
 
-/// A request's head with its hops, and with no others than these.
-fn with_mark(head: &[u8], mark: &Hops) -> Vec<u8> {
+/// A request's head with exactly these hops: lines with others are removed.
+fn with_hops(head: &[u8], hops_so_far: &Hops) -> Vec<u8> {
     let line = |l: &&[u8]| {
         let name = l.split(|b| *b == b':').next().unwrap_or(&[]);
         !name.eq_ignore_ascii_case(hops::HEADER.as_bytes())
     };
     let mut out: Vec<u8> = head.split_inclusive(|b| *b == b'\n').filter(line).flatten().copied().collect();
-    out.extend_from_slice(format!("{}: {}\r\n", hops::HEADER, mark.value()).as_bytes());
+    out.extend_from_slice(format!("{}: {}\r\n", hops::HEADER, hops_so_far.value()).as_bytes());
     out
 }
 
@@ -326,10 +331,10 @@
     use super::*;
 
     #[test]
-    fn a_head_goes_on_with_one_mark_and_all_else_of_it() {
-        let mark = Hops::read(Some("home")).expect("a mark");
+    fn a_head_is_sent_with_one_hops_line_and_its_other_lines() {
+        let hops_so_far = Hops::read(Some("home")).expect("hops");
         let head = b"POST /api HTTP/1.1\r\nHost: a\r\nx-gateway-hops: forged\r\nX-Gateway-Hops: twice\r\nX-Other: 1\r\n";
-        let text = String::from_utf8(with_mark(head, &mark)).expect("text");
+        let text = String::from_utf8(with_hops(head, &hops_so_far)).expect("text");
         assert_eq!(text, "POST /api HTTP/1.1\r\nHost: a\r\nX-Other: 1\r\nX-Gateway-Hops: home\r\n");
     }
 }
--- a/crates/daemon/sidecar/src/event_loop/operators.rs
+++ b/crates/daemon/sidecar/src/event_loop/operators.rs
@@ -1,4 +1,4 @@
-//! The loop's side towards operators: a door of its own, with descriptors and buffers that applications cannot take.
+//! Management connections from operators, with their own listener, descriptors and buffers, which applications cannot use up.
 use super::records_side::NO_RECORDS;
 use super::EventLoop;
 use crate::wire::operator::{Conn, Heard};
@@ -11,84 +11,85 @@
 use std::io;
 use std::net::TcpListener;
 
-/// The door's listener, as the poller knows it; its seats lie below.
-pub(super) const DOOR: usize = usize::MAX - 4;
-const SEAT_0: usize = usize::MAX - 64;
-/// So many callers at a time, out of the descriptors that `memory/connections.rs` keeps in reserve.
-const SEATS: usize = 12;
-/// A caller that has finished no call, or not taken its answer, is let go after this.
-const CALL: Micros = 5_000_000;
+/// Poller key of the management listener; the keys of the connections are below it.
+pub(super) const MANAGEMENT_KEY: usize = usize::MAX - 4;
+const FIRST_SLOT_KEY: usize = usize::MAX - 64;
+/// Maximum number of connections at a time, out of the descriptors that `memory/connections.rs` keeps in reserve.
+const MAX_SLOTS: usize = 12;
+/// A connection whose call is not complete or whose response is not read within this time is closed.
+const CALL_TIMEOUT: Micros = 5_000_000;
 
-/// Who stands at the door, and what they are told.
-pub struct Door {
+/// The management listener, its connections and the metrics.
+pub struct Management {
     listener: Option<Watched<TcpListener>>,
-    seats: [Option<Conn>; SEATS],
-    /// What the process has done.
-    pub figures: Metrics,
+    slots: [Option<Conn>; MAX_SLOTS],
+    /// The metrics that operators can read.
+    pub metrics: Metrics,
 }
 
-impl Door {
-    /// With no listener there are figures all the same, and nobody to ask for them.
+impl Management {
+    /// Without a listener metrics are counted all the same, and cannot be read.
     pub fn new(listener: Option<TcpListener>, registry: &Registry, classes: &[String]) -> io::Result<Self> {
-        let listener = listener.map(|l| registry.watch(l, DOOR, Interest::Read)).transpose()?;
-        Ok(Door { listener, seats: Default::default(), figures: Metrics::new(classes) })
+        let listener = listener.map(|l| registry.watch(l, MANAGEMENT_KEY, Interest::Read)).transpose()?;
+        Ok(Management { listener, slots: Default::default(), metrics: Metrics::new(classes) })
     }
 
-    /// Whether a readiness is the door's: the listener's, or a seat's.
+    /// Whether a poller key belongs to the listener or to one of the connections.
     pub fn is_key(key: usize) -> bool {
-        key == DOOR || (SEAT_0..SEAT_0 + SEATS).contains(&key)
+        key == MANAGEMENT_KEY || (FIRST_SLOT_KEY..FIRST_SLOT_KEY + MAX_SLOTS).contains(&key)
     }
 
-    /// The seat for a new caller: a free one, or that of whoever has sat longest.
-    fn seat(&self) -> usize {
+    /// The slot for a new connection: a free one, or the one that has been in use for longest.
+    fn slot(&self) -> usize {
         let longest = |(i, s): (usize, &Option<Conn>)| (s.as_ref().map_or(Micros::MIN, |c| c.since), i);
-        self.seats.iter().enumerate().map(longest).min().map_or(0, |(_, i)| i)
+        self.slots.iter().enumerate().map(longest).min().map_or(0, |(_, i)| i)
     }
 
-    /// Let those go who have sat too long.
-    pub fn sweep(&mut self, now: Micros) {
-        for seat in &mut self.seats {
-            *seat = seat.take().filter(|c| c.since + CALL > now);
+    /// Closes connections that have been open for too long.
+    pub fn close_expired(&mut self, now: Micros) {
+        for slot in &mut self.slots {
+            *slot = slot.take().filter(|c| c.since + CALL_TIMEOUT > now);
         }
     }
 }
 
 impl EventLoop {
-    pub(super) fn door_ready(&mut self, key: usize) {
+    pub(super) fn management_ready(&mut self, key: usize) {
         match key {
-            DOOR => self.accept_operators(),
-            key => self.operator_ready(key - SEAT_0),
+            MANAGEMENT_KEY => self.accept_operators(),
+            key => self.operator_ready(key - FIRST_SLOT_KEY),
         }
     }
 
     fn accept_operators(&mut self) {
         let now = self.balancer.now();
-        for _ in 0..SEATS {
-            let Some(listener) = &self.door.listener else { return };
+        for _ in 0..MAX_SLOTS {
+            let Some(listener) = &self.management.listener else { return };
             let socket = match listener.get().accept() {
                 Ok((socket, _)) => socket,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) => {
-                    debug!(self.log, "the door could not accept"; "error" => e.to_string());
-                    // For want of a descriptor: one of upstreams' idle connections goes, and readiness comes again.
-                    self.spare_upstream();
+                    debug!(self.log, "accepting a management connection failed"; "error" => e.to_string());
+                    // Probably no descriptor is left: an idle upstream connection is closed, and the listener becomes
+                    // ready again.
+                    self.close_idle_upstream();
                     return;
                 }
             };
-            let seat = self.door.seat();
-            // The one who sits there goes first: the poller knows each seat by one key.
-            self.door.seats[seat] = None;
+            let slot = self.management.slot();
+            // The slot's old connection is closed first: a slot has only one poller key.
+            self.management.slots[slot] = None;
             let watched = socket
                 .set_nonblocking(true)
-                .and_then(|()| self.registry.watch(socket, SEAT_0 + seat, Interest::Read));
-            self.door.seats[seat] = watched.ok().map(|s| Conn::new(s, now));
-            // Most have sent their call with the connection.
-            self.operator_ready(seat);
+                .and_then(|()| self.registry.watch(socket, FIRST_SLOT_KEY + slot, Interest::Read));
+            self.management.slots[slot] = watched.ok().map(|s| Conn::new(s, now));
+            // Usually the call has arrived together with the connection.
+            self.operator_ready(slot);
         }
     }
 
-    fn operator_ready(&mut self, seat: usize) {
-        let Some(Some(c)) = self.door.seats.get_mut(seat) else { return };
+    fn operator_ready(&mut self, slot: usize) {
+        let Some(Some(c)) = self.management.slots.get_mut(slot) else { return };
         let stays = if c.is_writing() {
             c.write()
         } else {
@@ -96,52 +97,54 @@
                 Heard::Nothing => true,
                 Heard::Ended => false,
                 Heard::Call(call) => {
-                    // One that takes its time is answered when it is done; until then its seat waits.
-                    let Some(bytes) = self.ordered_or_told(seat, call) else { return };
-                    self.door.seats[seat].as_mut().is_some_and(|c| c.answer(bytes))
+                    // `None`: a command that takes time, answered when it is done.
+                    let Some(bytes) = self.handle_call(slot, call) else { return };
+                    self.management.slots[slot].as_mut().is_some_and(|c| c.answer(bytes))
                 }
             }
         };
         if !stays {
-            self.door.seats[seat] = None;
+            self.management.slots[slot] = None;
         }
     }
 
-    /// An order that took its time is done.
-    pub(super) fn operator_answered(&mut self, seat: usize, bytes: Vec<u8>) {
-        let Some(Some(c)) = self.door.seats.get_mut(seat) else { return };
+    /// A command that took time is done: sends its response.
+    pub(super) fn command_answered(&mut self, slot: usize, bytes: Vec<u8>) {
+        let Some(Some(c)) = self.management.slots.get_mut(slot) else { return };
         if !c.is_answered() && !c.answer(bytes) {
-            self.door.seats[seat] = None;
+            self.management.slots[slot] = None;
         }
     }
 
-    /// Answer a call, or (`None`) begin what it orders.
-    fn ordered_or_told(&mut self, seat: usize, call: Result<Call, MessageError>) -> Option<Vec<u8>> {
+    /// The response to a call; `None` if the call began a command whose response follows later.
+    fn handle_call(&mut self, slot: usize, call: Result<Call, MessageError>) -> Option<Vec<u8>> {
         match call {
             Ok(Call::Found) => Some(self.found_records()),
             Ok(Call::Recover(group)) => Some(self.recover_records(group)),
-            Ok(Call::Drain(name, on)) => self.order(seat, Command::Drain { name, on }),
-            Ok(Call::Document { name, above, wait_ms }) => self.order_document(seat, name, above, wait_ms),
+            Ok(Call::Drain(name, on)) => self.submit_command(slot, Command::Drain { name, on }),
+            Ok(Call::Document { name, above, wait_ms }) => self.read_document(slot, name, above, wait_ms),
             Ok(Call::Put { name, expect, value }) => {
-                self.order(seat, Command::Put { name, expect, bytes: Some(value.into_bytes()) })
+                self.submit_command(slot, Command::Put { name, expect, bytes: Some(value.into_bytes()) })
             }
-            call => Some(self.told(call)),
+            call => Some(self.respond(call)),
         }
     }
 
-    fn told(&self, call: Result<Call, MessageError>) -> Vec<u8> {
+    fn respond(&self, call: Result<Call, MessageError>) -> Vec<u8> {
         match call {
             Ok(Call::Health) if self.can_serve() => response(200, "ready\n"),
             Ok(Call::Health) => response(503, if self.stop.is_some() { "stopping\n" } else { "not ready\n" }),
             Ok(Call::Stats) => response(
                 200,
-                &(self.door.figures.render(&self.gauges()) + &self.fleet_figures() + &self.records_figures()),
+                &(self.management.metrics.render(&self.gauges())
+                    + &self.fleet_metrics()
+                    + &self.records_metrics()),
             ),
-            Ok(Call::Members) => match self.fleet_told() {
+            Ok(Call::Members) => match self.fleet_json() {
                 Some(told) => response(200, &told),
                 None => response(404, "this sidecar is in no fleet: it was started without --fleet\n"),
             },
-            Ok(Call::Records) => match self.records_told() {
+            Ok(Call::Records) => match self.records_json() {
                 Some(told) => response(200, &told),
                 None => response(404, NO_RECORDS),
             },
@@ -157,9 +160,9 @@
         }
     }
 
-    /// Whether this process can really serve: it listens, holds a list that discovery told it, and is not stopping.
+    /// Whether this process can serve: it listens, has a list with an upstream, and is not stopping.
     fn can_serve(&self) -> bool {
-        self.stop.is_none() && self.listener.is_some() && self.list_is_held() && self.balancer.ready()
+        self.stop.is_none() && self.listener.is_some() && self.has_list() && self.balancer.ready()
     }
 
     fn gauges(&self) -> Gauges {
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -1,7 +1,8 @@
-//! The loop's side towards the records: what is said to and by other holders, what is written and synced, requests of held
-//! classes that wait for the records before their first attempt and before their answer goes out. It translates: what is held
-//! and who holds is decided in `crates/control/idempotency-store`, where a request goes by the module. No request waits longer than the fleet's
-//! file says, nor longer than its client.
+//! The event loop and the records, the replicated store of claims and responses of keyed requests: messages to and from other
+//! members, writes to disk, and requests of the classes whose responses are stored. Such a request waits for the claim of
+//! its key before its first attempt, and its response waits until it is stored. What the records contain and which members
+//! have copies is decided in `crates/control/idempotency-store`; where a request is sent, by the decision module. No request
+//! waits longer for the records than the fleet's file allows, nor longer than its client does.
 use super::{EventLoop, Wake};
 use crate::lifecycle::fleet::{HeldClass, RecordsParts, Without};
 use crate::lifecycle::store::Store;
@@ -22,35 +23,36 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-const STORE: usize = usize::MAX - 7;
-const LINK_0: usize = usize::MAX - 1024;
-/// Peers that are talked to at a time; the one that was silent for longest gives way.
-const LINKS: usize = 256;
-/// The list of members is handed on so often at least.
-const PLACES: Micros = 250_000;
-/// A key that somebody else has taken is asked for again after this.
-const AGAIN: Micros = 50_000;
-/// An answer goes out so long before its client stops waiting, whatever is still asked.
-const MARGIN: Micros = 20_000;
-/// What nobody waits for is asked for so long.
-const GIVE: Micros = 2_000_000;
-/// A document that is waited for is looked at so often, and so long at most.
-const LOOK: Micros = 100_000;
-const LOOK_FOR: Micros = 4_000_000;
-/// An operator's order is waited for so long.
-const ORDER: Micros = 3_000_000;
-/// Share of an upstream's window in which a repeat elsewhere is safe: the rest is for clocks that drift.
-const SAFE: f64 = 0.9;
-
-/// Who waits for an ask.
-enum Waits {
-    Take(Handle),
-    Hold(Handle),
+const STORE_KEY: usize = usize::MAX - 7;
+const FIRST_LINK_KEY: usize = usize::MAX - 1024;
+/// Maximum number of members to which a link exists at a time; the one unused for longest is replaced.
+const MAX_LINKS: usize = 256;
+/// Interval at which the list of members is passed to the records.
+const MEMBERS_INTERVAL: Micros = 250_000;
+/// The claim of a key that another sidecar has claimed is retried after this.
+const CLAIM_RETRY_DELAY: Micros = 50_000;
+/// A response is sent at the latest this long before its client stops waiting, even if it is not stored yet.
+const RESPONSE_MARGIN: Micros = 20_000;
+/// Time limit of commands that no client waits for to the end: storing a response, releasing a claim.
+const BACKGROUND_TIMEOUT: Micros = 2_000_000;
+/// A document whose next version is waited for is read at this interval, and for this long at most.
+const DOCUMENT_POLL_INTERVAL: Micros = 100_000;
+const MAX_DOCUMENT_WAIT: Micros = 4_000_000;
+/// Time limit of an operator's command.
+const OPERATOR_TIMEOUT: Micros = 3_000_000;
+/// Share of the upstreams' duplicate window within which a retry from here is considered safe; the rest allows for clock
+/// drift.
+const SAFE_WINDOW_SHARE: f64 = 0.9;
+
+/// Who waits for the outcome of a command.
+enum Waiter {
+    Claim(Handle),
+    Store(Handle),
     Nobody,
     Operator(usize),
 }
 
-/// Counted up.
+/// Counts since the start.
 #[derive(Default)]
 pub struct Counts {
     marked: u64,
@@ -62,70 +64,72 @@
     writes: u64,
 }
 
-/// What a sidecar needs to hold, and to ask.
-pub struct Holding {
+/// A sidecar's part in the records, with its links to other members and the commands under way.
+pub struct RecordsSide {
     pub(super) records: Records,
     store: Option<Store>,
     wake: Option<Watched<UnixStream>>,
     classes: Vec<HeldClass>,
+    /// Maximum time that a request waits for its claim or for the store of its response.
     ask: Micros,
     links: Vec<Option<Link>>,
-    seats: BTreeMap<Identity, usize>,
-    asks: HashMap<u64, Waits>,
-    /// Operators who wait for a later version of a document: its name, the version they know, until when.
+    link_indices: BTreeMap<Identity, usize>,
+    /// Commands under way, by their id.
+    commands: HashMap<u64, Waiter>,
+    /// By slot, operators who wait for a later version of a document: its name, the version that they know, until when.
     awaited: BTreeMap<usize, (String, u64, Micros)>,
-    places_at: Micros,
+    members_due: Micros,
     due: Micros,
     counts: Counts,
 }
 
-impl Holding {
-    /// Everything watched.
+impl RecordsSide {
+    /// Registers the store's wake-up stream with the poller.
     pub fn new(parts: RecordsParts, registry: &Registry) -> io::Result<Self> {
         let RecordsParts { records, mut store, classes, ask } = parts;
         let wake = store.as_mut().and_then(|s| s.wake.take());
-        Ok(Holding {
+        Ok(RecordsSide {
             records,
             store,
-            wake: wake.map(|w| registry.watch(w, STORE, Interest::Read)).transpose()?,
+            wake: wake.map(|w| registry.watch(w, STORE_KEY, Interest::Read)).transpose()?,
             classes,
             ask,
-            links: (0..LINKS).map(|_| None).collect(),
-            seats: BTreeMap::new(),
-            asks: HashMap::new(),
+            links: (0..MAX_LINKS).map(|_| None).collect(),
+            link_indices: BTreeMap::new(),
+            commands: HashMap::new(),
             awaited: BTreeMap::new(),
-            places_at: 0,
+            members_due: 0,
             due: Micros::MAX,
             counts: Counts::default(),
         })
     }
 
-    /// Whether a readiness is the records'.
+    /// Whether a poller key belongs to the records.
     pub fn is_key(key: usize) -> bool {
-        key == STORE || (LINK_0..LINK_0 + LINKS).contains(&key)
+        key == STORE_KEY || (FIRST_LINK_KEY..FIRST_LINK_KEY + MAX_LINKS).contains(&key)
     }
 
-    /// The way to a peer: its own, a free one, or that of whoever was silent for longest.
+    /// Index of the link to a member: an existing one, a free one, or the one unused for longest.
     fn link(&mut self, to: Identity, now: Micros) -> usize {
-        if let Some(seat) = self.seats.get(&to) {
-            return *seat;
+        if let Some(index) = self.link_indices.get(&to) {
+            return *index;
         }
         let longest = |(i, l): (usize, &Option<Link>)| (l.as_ref().map_or(Micros::MIN, |l| l.since), i);
-        let seat = self.links.iter().enumerate().map(longest).min().map_or(0, |(_, i)| i);
-        if let Some(old) = self.links[seat].take() {
-            self.seats.remove(&old.to);
+        let index = self.links.iter().enumerate().map(longest).min().map_or(0, |(_, i)| i);
+        if let Some(old) = self.links[index].take() {
+            self.link_indices.remove(&old.to);
         }
-        self.links[seat] = Some(Link::new(to, now));
-        self.seats.insert(to, seat);
-        seat
+        self.links[index] = Some(Link::new(to, now));
+        self.link_indices.insert(to, index);
+        index
     }
 }
 
 impl EventLoop {
     pub(super) fn records_ready(&mut self, key: usize) {
         let now = self.balancer.now();
-        if key == STORE {
-            let Some(h) = &mut self.holding else { return };
+        if key == STORE_KEY {
+            let Some(h) = &mut self.records_side else { return };
             if let Some(wake) = &mut h.wake {
                 let mut waste = [0; 64];
                 while matches!(wake.get().read(&mut waste), Ok(n) if n > 0) {}
@@ -137,22 +141,22 @@
                 }
             }
         } else {
-            self.go_on_with(key - LINK_0, now);
+            self.transfer_on_link(key - FIRST_LINK_KEY, now);
             return;
         }
-        self.stirred = true;
+        self.records_pending = true;
     }
 
-    fn go_on_with(&mut self, seat: usize, now: Micros) {
-        let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return };
-        let Some(Some(link)) = h.links.get_mut(seat) else { return };
+    fn transfer_on_link(&mut self, index: usize, now: Micros) {
+        let (Some(h), Some(fleet)) = (&mut self.records_side, &self.fleet) else { return };
+        let Some(Some(link)) = h.links.get_mut(index) else { return };
         let (from, to) = (fleet.members.me().id, link.to);
         link.advance(now, &mut |said: Vec<Said>| fleet.members.fleet().batch(&(from, to, said)));
     }
 
-    /// A batch has come from another member.
-    pub(super) fn batch_came(&mut self, now: Micros, bytes: &[u8]) -> bool {
-        let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return false };
+    /// A batch has arrived from another member; `false` if it is not accepted.
+    pub(super) fn batch_received(&mut self, now: Micros, bytes: &[u8]) -> bool {
+        let (Some(h), Some(fleet)) = (&mut self.records_side, &self.fleet) else { return false };
         let batch: Result<(Identity, Identity, Vec<Said>), _> = fleet.members.fleet().read_batch(bytes);
         let Ok((from, to, said)) = batch else { return false };
         if to == fleet.members.me().id {
@@ -161,12 +165,12 @@
         true
     }
 
-    /// Let time pass for the records, and do what they want done.
-    pub(super) fn mind_records(&mut self) {
+    /// Advances the records to the present time and carries out what they ask for.
+    pub(super) fn advance_records(&mut self) {
         let now = self.balancer.now();
-        let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return };
-        if now >= h.places_at {
-            h.places_at = now + PLACES;
+        let (Some(h), Some(fleet)) = (&mut self.records_side, &self.fleet) else { return };
+        if now >= h.members_due {
+            h.members_due = now + MEMBERS_INTERVAL;
             let place = |s: &silvercross_swim::table::Member| Place {
                 node: Node(s.record.id.0),
                 zone: s.record.zone.clone(),
@@ -186,8 +190,8 @@
         while let Some(want) = h.records.poll() {
             match want {
                 Want::Send(to, said) => {
-                    let seat = h.link(Identity(to), now);
-                    if let Some(link) = &mut h.links[seat] {
+                    let index = h.link(Identity(to), now);
+                    if let Some(link) = &mut h.links[index] {
                         link.say(said);
                     }
                 }
@@ -195,7 +199,7 @@
                     h.counts.writes += 1;
                     let number = write.number;
                     match &h.store {
-                        // In memory alone: as durable as the process.
+                        // Without a disk the copy is in memory only, and a write needs no sync.
                         None => h.records.written(now, group, epoch, number),
                         Some(store) => {
                             if !store.write(group, epoch, write) {
@@ -206,38 +210,40 @@
                 }
                 Want::Done(id, outcome) => done.push((id, outcome)),
                 Want::Ended(group, why) => {
-                    error!(self.log, "a copy of the records has ended, and this member holds it no more";
-                        "group" => group, "why" => ?why, "mend" => "restart it: it will be somebody new");
+                    error!(self.log, "this member has given up its copy of a group of the records";
+                        "group" => group, "why" => ?why, "mend" => "restart this process: it joins under a new identity");
                     if let Some(Err(e)) = h.store.as_ref().map(Store::give_up) {
-                        error!(self.log, "its store can't be put aside"; "error" => e.to_string());
+                        error!(self.log, "the store of a given up copy could not be set aside"; "error" => e.to_string());
                     }
                 }
                 Want::Drains => drains = true,
             }
         }
-        let ready: Vec<usize> = (0..LINKS).filter(|i| h.links[*i].is_some()).collect();
-        for seat in ready {
-            self.mind_link(seat, now);
+        let ready: Vec<usize> = (0..MAX_LINKS).filter(|i| h.links[*i].is_some()).collect();
+        for index in ready {
+            self.advance_link(index, now);
         }
         if drains {
-            self.ordered_drains();
+            self.update_ordered_drains();
         }
         for (id, outcome) in done {
-            self.ask_done(now, id, outcome);
+            self.command_ended(now, id, outcome);
         }
         self.wake_for_records(now);
     }
 
-    fn mind_link(&mut self, seat: usize, now: Micros) {
+    fn advance_link(&mut self, index: usize, now: Micros) {
         let registry = self.registry.clone();
-        let (Some(h), Some(fleet)) = (&mut self.holding, &self.fleet) else { return };
-        let Some(link) = &mut h.links[seat] else { return };
+        let (Some(h), Some(fleet)) = (&mut self.records_side, &self.fleet) else { return };
+        let Some(link) = &mut h.links[index] else { return };
         link.tick(now);
         if link.wants(now) {
             let at = fleet.members.others().find(|s| s.record.id == link.to).map(|s| s.record.at);
             match at {
                 Some(at) => {
-                    let made = fleet.reach(at).and_then(|s| registry.watch(s, LINK_0 + seat, Interest::Both));
+                    let made = fleet
+                        .connect_to(at)
+                        .and_then(|s| registry.watch(s, FIRST_LINK_KEY + index, Interest::Both));
                     link.connected(now, made);
                 }
                 None => link.connected(now, Err(io::ErrorKind::NotFound.into())),
@@ -245,52 +251,52 @@
         }
         if link.is_idle() && now > link.since + 1_000_000 {
             let to = link.to;
-            h.links[seat] = None;
-            h.seats.remove(&to);
+            h.links[index] = None;
+            h.link_indices.remove(&to);
             return;
         }
-        self.go_on_with(seat, now);
+        self.transfer_on_link(index, now);
     }
 
     fn wake_for_records(&mut self, now: Micros) {
-        let Some(h) = &mut self.holding else { return };
+        let Some(h) = &mut self.records_side else { return };
         let retry = h.links.iter().flatten().any(|l| !l.is_idle());
-        let links = if retry { now + AGAIN } else { Micros::MAX };
-        let wake = h.records.wake().min(h.places_at).min(links).max(now + 1_000);
+        let links = if retry { now + CLAIM_RETRY_DELAY } else { Micros::MAX };
+        let wake = h.records.wake().min(h.members_due).min(links).max(now + 1_000);
         if wake < h.due || h.due <= now {
             h.due = wake;
             self.balancer.set_timer(wake, Wake::Records);
         }
     }
 
-    /// The timer has come; an older one that was overtaken is passed over.
-    pub(super) fn records_woken(&mut self) {
+    /// The timer has expired; one that was set earlier than the present one is ignored.
+    pub(super) fn records_timer_expired(&mut self) {
         let now = self.balancer.now();
-        if self.holding.as_ref().is_some_and(|h| h.due <= now) {
-            self.mind_records();
+        if self.records_side.as_ref().is_some_and(|h| h.due <= now) {
+            self.advance_records();
         }
     }
 
-    /// A planned stop: what this process leads goes to others, and what is said of it goes out.
+    /// At a planned stop: groups that this process leads are handed to other members, and the messages for that are sent.
     pub(super) fn leave_records(&mut self) {
         let now = self.balancer.now();
-        if let Some(h) = &mut self.holding {
+        if let Some(h) = &mut self.records_side {
             h.records.leave(now);
         }
-        self.mind_records();
+        self.advance_records();
     }
 
-    // --- requests of held classes ---
+    // --- requests of classes whose responses are stored ---
 
-    /// A request is about to be placed. `None`: it waits for the records first.
-    pub(super) fn hold_first(
+    /// A request is about to be passed to the balancer. `None`: its key is claimed first.
+    pub(super) fn claim_first(
         &mut self,
         request: Handle,
         placed: Placed,
         class: &str,
         head: &[u8],
     ) -> Option<Placed> {
-        let Some(h) = &mut self.holding else { return Some(placed) };
+        let Some(h) = &mut self.records_side else { return Some(placed) };
         let Some(number) = h.classes.iter().position(|c| c.name == class) else { return Some(placed) };
         let key = head.split(|b| *b == b'\n').find_map(|line| {
             let line = std::str::from_utf8(line).ok()?;
@@ -315,14 +321,14 @@
         if let Some(r) = self.requests.get_mut(request) {
             r.held = Some(Box::new(held));
         }
-        self.ask_to_take(request);
+        self.send_claim(request);
         None
     }
 
-    /// Ask for a request's key.
-    pub(super) fn ask_to_take(&mut self, request: Handle) {
+    /// Sends the claim of a request's key.
+    pub(super) fn send_claim(&mut self, request: Handle) {
         let now = self.balancer.now();
-        let Some(h) = &mut self.holding else { return };
+        let Some(h) = &mut self.records_side else { return };
         let Some(held) = self.requests.get_mut(request).and_then(|r| r.held.as_mut()) else { return };
         if !matches!(held.phase, Phase::Asking | Phase::Waiting) {
             return;
@@ -332,31 +338,31 @@
         let wait = h.ask.min((held.until - now) / 2);
         let command = Command::Take { key: held.key.clone(), window_ms };
         let id = h.records.ask_of(now, &held.key.clone(), command, now + wait.max(1_000));
-        h.asks.insert(id, Waits::Take(request));
-        self.stirred = true;
+        h.commands.insert(id, Waiter::Claim(request));
+        self.records_pending = true;
     }
 
-    fn ask_done(&mut self, now: Micros, id: u64, outcome: Result<Outcome, Why>) {
-        let Some(waits) = self.holding.as_mut().and_then(|h| h.asks.remove(&id)) else { return };
-        match waits {
-            Waits::Nobody => {}
-            Waits::Take(request) => self.took(now, request, outcome),
-            Waits::Hold(request) => {
+    fn command_ended(&mut self, now: Micros, id: u64, outcome: Result<Outcome, Why>) {
+        let Some(waiter) = self.records_side.as_mut().and_then(|h| h.commands.remove(&id)) else { return };
+        match waiter {
+            Waiter::Nobody => {}
+            Waiter::Claim(request) => self.claim_answered(now, request, outcome),
+            Waiter::Store(request) => {
                 let marked = matches!(outcome, Ok(Outcome::Done(_)));
                 let key = self.requests.get(request).and_then(|r| r.held.as_ref()).map(|h| h.key.clone());
                 if let (false, Some(key)) = (marked, key) {
-                    // Whoever asks again is not to wait for an answer that is not held.
-                    self.ask_for_nobody(now, key, true);
+                    // A client's retry must not wait for a response that was not stored.
+                    self.send_release(now, key, true);
                 }
-                self.held_answer(request, marked);
+                self.response_stored(request, marked);
             }
-            Waits::Operator(seat) => self.operator_told(seat, outcome),
+            Waiter::Operator(slot) => self.command_done(slot, outcome),
         }
-        self.do_steps();
+        self.run_steps();
     }
 
-    fn took(&mut self, now: Micros, request: Handle, outcome: Result<Outcome, Why>) {
-        let Some(h) = &mut self.holding else { return };
+    fn claim_answered(&mut self, now: Micros, request: Handle, outcome: Result<Outcome, Why>) {
+        let Some(h) = &mut self.records_side else { return };
         let Some(r) = self.requests.get_mut(request) else { return };
         let there = r.client.is_some();
         let Some(held) = r.held.as_mut() else { return };
@@ -364,38 +370,42 @@
         match outcome {
             Ok(Outcome::Take(Take::Yours)) if there => {
                 held.phase = Phase::Taken;
-                self.place_held(now, request, false);
+                self.pick_claimed(now, request, false);
             }
             Ok(Outcome::Take(Take::Yours)) => {
-                // Its client has left meanwhile, and nothing was sent.
+                // Its client has disconnected meanwhile, and nothing was sent.
                 held.phase = Phase::Taken;
-                self.give_held(request, false);
+                self.release_claim(request, false);
                 self.forget_if_done(request);
             }
             Ok(Outcome::Take(Take::Held(a))) => {
                 held.phase = Phase::Free;
                 h.counts.from_records += 1;
                 let mut lines = a.lines;
-                let mark: &[u8] = if a.body.is_some() { b"X-Held: 1\r\n" } else { b"X-Held: outcome\r\n" };
-                lines.extend_from_slice(mark);
+                let held_line: &[u8] =
+                    if a.body.is_some() { b"X-Held: 1\r\n" } else { b"X-Held: outcome\r\n" };
+                lines.extend_from_slice(held_line);
                 self.counts.served += 1;
                 self.answer_call(request, a.status, &lines, &[&a.body.unwrap_or_default()]);
             }
             Ok(Outcome::Take(Take::Busy { by, passed_ms, over })) => {
                 h.counts.busy += 1;
-                let waits = !over && h.records.is_there(by) && now + 2 * AGAIN + MARGIN < held.until;
+                let waits = !over
+                    && h.records.is_there(by)
+                    && now + 2 * CLAIM_RETRY_DELAY + RESPONSE_MARGIN < held.until;
                 let placed = held.placed.as_ref().map_or(0, |p| p.class);
-                let safe = self.balancer.repeat_window(placed).map(|w| (w as f64 / 1e3 * SAFE) as u64);
+                let safe =
+                    self.balancer.repeat_window(placed).map(|w| (w as f64 / 1e3 * SAFE_WINDOW_SHARE) as u64);
                 if waits && there {
                     held.phase = Phase::Waiting;
-                    return self.balancer.set_timer(now + AGAIN, Wake::Retake(request));
+                    return self.balancer.set_timer(now + CLAIM_RETRY_DELAY, Wake::RetryClaim(request));
                 }
                 held.phase = Phase::Free;
                 if there && passed_ms.zip(safe).is_some_and(|(passed, safe)| passed < safe) {
-                    // Any upstream drops its repeat, for long enough.
-                    return self.place_held(now, request, true);
+                    // Every upstream still recognises it as a duplicate, if the other sidecar has sent it.
+                    return self.pick_claimed(now, request, true);
                 }
-                // It may have run elsewhere, and nobody knows.
+                // The other sidecar may have sent it, and whether it was executed is not known.
                 h.counts.failed += 1;
                 self.counts.failed += 1;
                 self.answer_call(
@@ -410,10 +420,10 @@
                 let (key, refuses) = (held.key.clone(), class.without == Without::Refuse);
                 held.phase = Phase::Free;
                 if sent {
-                    // The take may yet come about: nothing is to stand under it.
-                    self.ask_for_nobody(now, key, false);
+                    // The claim may still take effect and would block retries, so it is released.
+                    self.send_release(now, key, false);
                 }
-                if let Some(h) = &mut self.holding {
+                if let Some(h) = &mut self.records_side {
                     h.counts.refused += u64::from(refuses);
                     h.counts.unmarked += u64::from(!refuses);
                 }
@@ -427,52 +437,54 @@
                             &[b"the records can't be asked; nothing ran\n"],
                         );
                     }
-                    false => self.place_held(now, request, false),
+                    false => self.pick_claimed(now, request, false),
                 }
             }
         }
     }
 
-    /// A request that waited for the records is placed, with the time it has left.
-    fn place_held(&mut self, now: Micros, request: Handle, repeat: bool) {
+    /// Passes a request that waited for its claim to the balancer, with the time it has left.
+    fn pick_claimed(&mut self, now: Micros, request: Handle, repeat: bool) {
         let Some(r) = self.requests.get_mut(request).filter(|r| r.client.is_some()) else { return };
         let Some(held) = r.held.as_mut() else { return };
         let Some(mut placed) = held.placed.take() else { return };
         let waited = now - held.since;
         placed.budget = placed.budget.map(|b| (b - waited).max(0)).or(Some((held.until - now).max(0)));
         placed.client_retry |= repeat;
-        let turn = self.balancer.pick(placed);
-        self.absorb(turn);
+        let decision = self.balancer.pick(placed);
+        self.queue_steps(decision);
     }
 
-    /// Whether a request's answer is to be held before it goes out.
-    pub(super) fn is_to_be_held(&self, request: Handle) -> bool {
+    /// Whether a request's response is to be stored before it is sent.
+    pub(super) fn must_store_response(&self, request: Handle) -> bool {
         let held = self.requests.get(request).and_then(|r| r.held.as_ref());
         held.is_some_and(|h| matches!(h.phase, Phase::Taken))
     }
 
-    /// The answer has come: it is held, and then goes out.
-    pub(super) fn hold_answer(&mut self, request: Handle, lines: Vec<u8>, parts: &[&[u8]]) {
+    /// The response has arrived: it is stored, and then sent.
+    pub(super) fn store_response(&mut self, request: Handle, lines: Vec<u8>, parts: &[&[u8]]) {
         let now = self.balancer.now();
-        let Some(h) = &mut self.holding else { return };
+        let Some(h) = &mut self.records_side else { return };
         let Some(held) = self.requests.get_mut(request).and_then(|r| r.held.as_mut()) else { return };
         let body: Vec<u8> = parts.concat();
         let fits = body.len() <= BYTES_MOST && lines.len() <= BYTES_MOST;
         let answer = Answer { status: 200, lines: lines.clone(), body: fits.then(|| body.clone()) };
         (held.answer, held.phase) = (Some((lines, body)), Phase::Holding);
         let window_ms = h.classes[held.class].window_ms;
-        // Its answer is held for whoever asks again, though this client be told without the mark.
-        let until = now + h.ask.min(held.until - MARGIN - now);
+        // Storing continues after this limit, for later retries, although this client then gets its response without the
+        // header.
+        let until = now + h.ask.min(held.until - RESPONSE_MARGIN - now);
         let command = Command::Hold { key: held.key.clone(), window_ms, answer };
-        let id = h.records.ask_of(now, &held.key.clone(), command.clone(), now + GIVE);
-        h.asks.insert(id, Waits::Hold(request));
-        self.balancer.set_timer(until.max(now + 1_000), Wake::Unheld(request));
-        self.stirred = true;
+        let id = h.records.ask_of(now, &held.key.clone(), command.clone(), now + BACKGROUND_TIMEOUT);
+        h.commands.insert(id, Waiter::Store(request));
+        self.balancer.set_timer(until.max(now + 1_000), Wake::StoreTimeout(request));
+        self.records_pending = true;
     }
 
-    /// An answer is held, or was not in time: it goes out.
-    pub(super) fn held_answer(&mut self, request: Handle, marked: bool) {
-        let Some(h) = &mut self.holding else { return };
+    /// A response was stored, or not in time: it is sent. `marked`: it was stored, so it gets the `X-Held` header if the group
+    /// has all its copies.
+    pub(super) fn response_stored(&mut self, request: Handle, marked: bool) {
+        let Some(h) = &mut self.records_side else { return };
         let Some(held) = self.requests.get_mut(request).and_then(|r| r.held.as_mut()) else { return };
         let Some((mut lines, body)) = held.answer.take() else { return };
         held.phase = Phase::Free;
@@ -482,56 +494,61 @@
             false => h.counts.unmarked += 1,
         }
         if marked {
-            let mark: &[u8] =
+            let held_line: &[u8] =
                 if body.len() <= BYTES_MOST { b"X-Held: 1\r\n" } else { b"X-Held: outcome\r\n" };
-            lines.extend_from_slice(mark);
+            lines.extend_from_slice(held_line);
         }
         self.answer_call(request, 200, &lines, &[&body]);
     }
 
-    /// A request ends without an answer that is held: others are told whether it may have run.
-    pub(super) fn give_held(&mut self, request: Handle, may_have_run: bool) {
+    /// A request ends without a stored response: releases its claim, with whether it may have been executed.
+    pub(super) fn release_claim(&mut self, request: Handle, may_have_run: bool) {
         let now = self.balancer.now();
         let Some(held) = self.requests.get_mut(request).and_then(|r| r.held.as_mut()) else { return };
         if held.phase == Phase::Taken {
             held.phase = Phase::Free;
             let key = held.key.clone();
-            self.ask_for_nobody(now, key, may_have_run);
+            self.send_release(now, key, may_have_run);
         }
     }
 
-    fn ask_for_nobody(&mut self, now: Micros, key: String, may_have_run: bool) {
-        let Some(h) = &mut self.holding else { return };
-        let id = h.records.ask_of(now, &key.clone(), Command::Give { key, may_have_run }, now + GIVE);
-        h.asks.insert(id, Waits::Nobody);
-        self.stirred = true;
+    fn send_release(&mut self, now: Micros, key: String, may_have_run: bool) {
+        let Some(h) = &mut self.records_side else { return };
+        let id = h.records.ask_of(
+            now,
+            &key.clone(),
+            Command::Give { key, may_have_run },
+            now + BACKGROUND_TIMEOUT,
+        );
+        h.commands.insert(id, Waiter::Nobody);
+        self.records_pending = true;
     }
 
     // --- operators ---
 
-    /// Operators' drains have changed: each holds whatever the list says, until it is taken back.
-    fn ordered_drains(&mut self) {
-        let Some(h) = &self.holding else { return };
+    /// Drains ordered by operators have changed: each applies, whatever the list says, until it is ended.
+    fn update_ordered_drains(&mut self) {
+        let Some(h) = &self.records_side else { return };
         let names = h.records.drains().to_vec();
-        let new: Vec<&String> = names.iter().filter(|n| !self.ordered.contains(*n)).collect();
+        let new: Vec<&String> = names.iter().filter(|n| !self.ordered_drains.contains(*n)).collect();
         for name in new {
             info!(self.log, "an operator ordered a drain"; "host" => name);
-            let turn = self.balancer.peer_reported_drain(name, u64::MAX, true);
-            self.absorb(turn);
+            let decision = self.balancer.peer_reported_drain(name, u64::MAX, true);
+            self.queue_steps(decision);
         }
-        let over: Vec<String> = self.ordered.iter().filter(|n| !names.contains(*n)).cloned().collect();
+        let over: Vec<String> = self.ordered_drains.iter().filter(|n| !names.contains(*n)).cloned().collect();
         for name in over {
             info!(self.log, "an operator ended a drain"; "host" => &name);
-            let turn = self.balancer.peer_reported_drain(&name, u64::MAX, false);
-            self.absorb(turn);
+            let decision = self.balancer.peer_reported_drain(&name, u64::MAX, false);
+            self.queue_steps(decision);
         }
-        self.ordered = names;
+        self.ordered_drains = names;
     }
 
-    /// An operator's order that takes its time: the seat is answered when it is done.
-    pub(super) fn order(&mut self, seat: usize, command: Command) -> Option<Vec<u8>> {
+    /// Sends an operator's command to the records. `None`: the response follows when it is done.
+    pub(super) fn submit_command(&mut self, slot: usize, command: Command) -> Option<Vec<u8>> {
         let now = self.balancer.now();
-        let Some(h) = &mut self.holding else { return Some(response(404, NO_RECORDS)) };
+        let Some(h) = &mut self.records_side else { return Some(response(404, NO_RECORDS)) };
         if let Err(why) = command.check() {
             return Some(response(400, &format!("{why}\n")));
         }
@@ -540,50 +557,51 @@
             _ => String::new(),
         };
         if !matches!(command, Command::Get { .. }) {
-            h.awaited.remove(&seat);
+            h.awaited.remove(&slot);
         }
-        let id = h.records.ask_of(now, &name, command, now + ORDER);
-        h.asks.retain(|_, w| !matches!(w, Waits::Operator(s) if *s == seat));
-        h.asks.insert(id, Waits::Operator(seat));
-        self.stirred = true;
+        let id = h.records.ask_of(now, &name, command, now + OPERATOR_TIMEOUT);
+        h.commands.retain(|_, w| !matches!(w, Waiter::Operator(s) if *s == slot));
+        h.commands.insert(id, Waiter::Operator(slot));
+        self.records_pending = true;
         None
     }
 
-    /// A document is asked for; it is told at once, or when it is later than the version that is known.
-    pub(super) fn order_document(
+    /// Reads a document for an operator. With `above` the response waits, up to `wait_ms`, until its version is higher than
+    /// that.
+    pub(super) fn read_document(
         &mut self,
-        seat: usize,
+        slot: usize,
         name: String,
         above: Option<u64>,
         wait_ms: u64,
     ) -> Option<Vec<u8>> {
         let now = self.balancer.now();
-        if let Some(h) = &mut self.holding {
-            h.awaited.remove(&seat);
+        if let Some(h) = &mut self.records_side {
+            h.awaited.remove(&slot);
             if let Some(above) = above {
-                let until = now + (wait_ms.min(1 << 40) as Micros * 1000).min(LOOK_FOR);
-                h.awaited.insert(seat, (name.clone(), above, until));
+                let until = now + (wait_ms.min(1 << 40) as Micros * 1000).min(MAX_DOCUMENT_WAIT);
+                h.awaited.insert(slot, (name.clone(), above, until));
             }
         }
-        self.order(seat, Command::Get { name })
+        self.submit_command(slot, Command::Get { name })
     }
 
-    /// A document that an operator waits for is looked at again.
-    pub(super) fn look_again(&mut self, seat: usize) {
-        let name = self.holding.as_ref().and_then(|h| h.awaited.get(&seat)).map(|a| a.0.clone());
+    /// Reads again a document that an operator waits for.
+    pub(super) fn read_document_again(&mut self, slot: usize) {
+        let name = self.records_side.as_ref().and_then(|h| h.awaited.get(&slot)).map(|a| a.0.clone());
         if let Some(name) = name {
-            self.order(seat, Command::Get { name });
+            self.submit_command(slot, Command::Get { name });
         }
     }
 
-    fn operator_told(&mut self, seat: usize, outcome: Result<Outcome, Why>) {
+    fn command_done(&mut self, slot: usize, outcome: Result<Outcome, Why>) {
         let now = self.balancer.now();
-        if let (Some(h), Ok(Outcome::Document(version, _))) = (&mut self.holding, &outcome) {
-            let waits = |a: &(String, u64, Micros)| *version <= a.1 && now + LOOK < a.2;
-            if h.awaited.get(&seat).is_some_and(waits) {
-                return self.balancer.set_timer(now + LOOK, Wake::Look(seat));
+        if let (Some(h), Ok(Outcome::Document(version, _))) = (&mut self.records_side, &outcome) {
+            let waits = |a: &(String, u64, Micros)| *version <= a.1 && now + DOCUMENT_POLL_INTERVAL < a.2;
+            if h.awaited.get(&slot).is_some_and(waits) {
+                return self.balancer.set_timer(now + DOCUMENT_POLL_INTERVAL, Wake::ReadDocument(slot));
             }
-            h.awaited.remove(&seat);
+            h.awaited.remove(&slot);
         }
         let bytes = match outcome {
             Ok(Outcome::Done(version)) => response(200, &format!("{{\"version\":{version}}}\n")),
@@ -600,13 +618,13 @@
             }
             Err(_) => response(504, "it may have been done, or may yet be\n"),
         };
-        self.operator_answered(seat, bytes);
+        self.command_answered(slot, bytes);
     }
 
-    /// Found the records here.
+    /// Founds the records here: creates a copy of each group.
     pub(super) fn found_records(&mut self) -> Vec<u8> {
         let now = self.balancer.now();
-        let Some(h) = &mut self.holding else { return response(404, NO_RECORDS) };
+        let Some(h) = &mut self.records_side else { return response(404, NO_RECORDS) };
         let told = match h.records.found(now) {
             Ok(epoch) => {
                 info!(self.log, "the records were founded here"; "epoch" => epoch.0);
@@ -614,30 +632,30 @@
             }
             Err(why) => response(409, &format!("{why}\n")),
         };
-        self.mind_records();
+        self.advance_records();
         told
     }
 
-    /// Begin a new epoch of a group here.
+    /// Begins a new epoch of a group from this process's copy.
     pub(super) fn recover_records(&mut self, group: u32) -> Vec<u8> {
         let now = self.balancer.now();
-        let Some(h) = &mut self.holding else { return response(404, NO_RECORDS) };
+        let Some(h) = &mut self.records_side else { return response(404, NO_RECORDS) };
         let told = match h.records.recover(now, group) {
             Ok((epoch, index, term)) => {
-                warn!(self.log, "a new epoch of the records begins here, by an operator's order"; "group" => group,
+                warn!(self.log, "began a new epoch of a group of the records here, by an operator's order"; "group" => group,
                     "epoch" => epoch.0, "from" => index, "term" => term);
                 let text = format!("{{\"epoch\":{},\"from\":{index},\"term\":{term}}}\n", epoch.0);
                 response(200, &text)
             }
             Err(why) => response(409, &format!("{why}\n")),
         };
-        self.mind_records();
+        self.advance_records();
         told
     }
 
-    /// What is held and known, as JSON.
-    pub(super) fn records_told(&self) -> Option<String> {
-        let h = self.holding.as_ref()?;
+    /// The state of the records as this process knows it, as JSON.
+    pub(super) fn records_json(&self) -> Option<String> {
+        let h = self.records_side.as_ref()?;
         let now = self.balancer.now();
         let groups: Vec<serde_json::Value> = (0..h.records.groups())
             .map(|g| {
@@ -676,15 +694,15 @@
             "figures": {
                 "marked": h.counts.marked, "unmarked": h.counts.unmarked, "from_records": h.counts.from_records,
                 "busy": h.counts.busy, "failed": h.counts.failed, "refused": h.counts.refused, "writes": h.counts.writes,
-                "asks_open": h.asks.len(), "links": h.seats.len(),
+                "asks_open": h.commands.len(), "links": h.link_indices.len(),
             },
         });
         Some(told.to_string() + "\n")
     }
 
-    /// The records' lines among the figures.
-    pub(super) fn records_figures(&self) -> String {
-        let Some(h) = &self.holding else { return String::new() };
+    /// The records' metrics.
+    pub(super) fn records_metrics(&self) -> String {
+        let Some(h) = &self.records_side else { return String::new() };
         let c = &h.counts;
         let mut out = String::new();
         for (what, n) in [
@@ -695,7 +713,7 @@
             ("failed_total", c.failed),
             ("refused_total", c.refused),
             ("writes_total", c.writes),
-            ("asks_open", h.asks.len() as u64),
+            ("asks_open", h.commands.len() as u64),
         ] {
             out += &format!("svc_records_{what} {n}\n");
         }
@@ -709,5 +727,5 @@
     }
 }
 
-/// What is told where nothing is held.
+/// Response to operators if the fleet has no records.
 pub(super) const NO_RECORDS: &str = "this sidecar's fleet holds nothing: its file has no [records]\n";
--- a/crates/daemon/sidecar/src/event_loop/streams.rs
+++ b/crates/daemon/sidecar/src/event_loop/streams.rs
@@ -1,6 +1,6 @@
-//! Messages larger than a buffer, between the two sides: bodies fed to the attempt that asks for more, answers passed on
-//! as they come. Reading stops where the other side is full, so none is ever held whole.
-use super::applications::SEND;
+//! Messages larger than a buffer: request bodies given piece by piece to the attempt that has written all it had, responses
+//! relayed as they arrive. Reading stops while the receiving side's buffer is full, so no message is ever in memory whole.
+use super::applications::REQUEST_TIMEOUT;
 use super::EventLoop;
 use crate::memory::requests::Upload;
 use crate::wire::application::{self, Call, State};
@@ -17,20 +17,21 @@
 use std::io::{self, Read};
 use std::time::Duration;
 
-/// A connection carries so much in one turn: others wait for theirs.
-const TURN: usize = 256 * 1024;
-/// A stream on which nothing has moved for so long is over.
-pub(super) const STILL: Micros = 10_000_000;
-/// Bytes in a second that are slow, but no trickle.
-const SLOW: Micros = 32_000;
+/// Maximum number of bytes relayed on a connection in one iteration of the loop, since other connections wait meanwhile.
+const MAX_BYTES_PER_TURN: usize = 256 * 1024;
+/// A stream that makes no progress for this long is ended.
+pub(super) const STREAM_IDLE_TIMEOUT: Micros = 10_000_000;
+/// Minimum rate at which a sender may use extra time, in bytes per second.
+const MIN_BYTES_PER_S: i64 = 32_000;
 
 impl EventLoop {
-    /// How long a sender may take beyond a moment for so many bytes.
-    pub(super) fn time_for(bytes: usize) -> Micros {
-        bytes as Micros * 1_000_000 / SLOW
+    /// Time that a sender is given for this many bytes, in addition to the fixed limit.
+    pub(super) fn transfer_time(bytes: usize) -> Micros {
+        bytes as Micros * 1_000_000 / MIN_BYTES_PER_S
     }
 
-    /// The start of a request whose body is larger than a buffer: its head and what has come of the body, as it goes on.
+    /// Begins a request whose body is larger than a buffer: puts its head, and what has arrived of the body, into `bytes` as
+    /// they will be sent.
     pub(super) fn begin_upload(
         &mut self,
         input: &mut Buffer,
@@ -47,13 +48,14 @@
         Ok(Upload { body, chunked, by: None, moved: self.balancer.now() })
     }
 
-    /// An attempt has written all it was given, and more of its request's body is to come. `true` once it was given some.
+    /// Gives an attempt that has written all it had more of its request's body; `true` if it was given some, or the body
+    /// is complete.
     pub(super) fn feed(&mut self, handle: Handle, attempt: Attempt) -> bool {
         let now = self.balancer.now();
         let Some(r) = self.requests.get_mut(attempt.request) else { return false };
         let (client, Some(upload)) = (r.client, r.upload.as_mut()) else { return false };
         if upload.by.is_some_and(|by| by != attempt.number) {
-            // What it would need went to another one, and is held no more.
+            // The bytes that it needs were given to another attempt and are no longer in memory.
             self.finish_attempt(handle, attempt, Report::NotSent, false);
             return false;
         }
@@ -61,11 +63,11 @@
         let Some(a) = self.connections.application(client) else { return false };
         let Some(mut input) = a.input.take() else { return false };
         let Some(c) = self.connections.upstream(handle) else {
-            self.give_input(client, input);
+            self.return_input(client, input);
             return false;
         };
         let Some(mut out) = c.buffer.take() else {
-            self.give_input(client, input);
+            self.return_input(client, input);
             return false;
         };
         let carried = copy_body(&mut input, &mut upload.body, &mut out, upload.chunked, 0);
@@ -75,19 +77,19 @@
         }
         (c.buffer, c.more) = (Some(out), !done);
         if let Err(bad) = carried {
-            self.give_input(client, input);
-            self.upload_spoilt(client, attempt.request, bad);
+            self.return_input(client, input);
+            self.upload_invalid(client, attempt.request, bad);
             return false;
         }
-        self.give_input(client, input);
+        self.return_input(client, input);
         if done {
-            self.upload_whole(client, attempt.request);
+            self.upload_complete(client, attempt.request);
         }
         given || done
     }
 
-    /// Give a client's input back to its connection, which reads on if there is room.
-    fn give_input(&mut self, client: Handle, input: Buffer) {
+    /// Returns a client's input buffer to its connection, which continues to read unless the buffer is full.
+    fn return_input(&mut self, client: Handle, input: Buffer) {
         let Some(a) = self.connections.application(client) else { return self.pool.put_back(input) };
         let full = input.is_full();
         a.input = Some(input);
@@ -95,8 +97,8 @@
         let _ = a.socket.set(if full { Interest::Nothing } else { Interest::Read });
     }
 
-    /// The last byte of a request has come.
-    pub(super) fn upload_whole(&mut self, client: Handle, request: Handle) {
+    /// The last byte of a request has arrived.
+    pub(super) fn upload_complete(&mut self, client: Handle, request: Handle) {
         let now = self.balancer.now();
         if let Some(a) = self.connections.application(client) {
             (a.stalled_at, a.send_by) = (None, None);
@@ -105,11 +107,11 @@
                 a.ahead += 1;
             }
         }
-        let turn = self.balancer.body_complete(request);
-        self.absorb(turn);
+        let decision = self.balancer.body_complete(request);
+        self.queue_steps(decision);
     }
 
-    /// More of a request's body has come, or its client's connection has room again.
+    /// More of a request's body has arrived, or its client's connection can read again.
     pub(super) fn upload_ready(&mut self, request: Handle) {
         let Some(r) = self.requests.get_mut(request).filter(|r| r.is_coming()) else { return };
         let attempts: Vec<Handle> = r.attempts.iter().flatten().copied().collect();
@@ -121,12 +123,12 @@
         }
     }
 
-    /// A body can't be read further: the request never was whole, and nobody runs it.
-    fn upload_spoilt(&mut self, client: Handle, request: Handle, bad: MessageError) {
-        debug!(self.log, "a body broke off"; "why" => ?bad);
-        self.counts.bad += 1;
-        let turn = self.balancer.client_disconnected(request);
-        self.absorb(turn);
+    /// A body is invalid or too large: the request was never complete, so no upstream executes it.
+    fn upload_invalid(&mut self, client: Handle, request: Handle, bad: MessageError) {
+        debug!(self.log, "invalid request body"; "why" => ?bad);
+        self.counts.bad_requests += 1;
+        let decision = self.balancer.client_disconnected(request);
+        self.queue_steps(decision);
         if let Some(a) = self.connections.application(client) {
             a.close = true;
         }
@@ -137,29 +139,29 @@
         self.answer_call(request, status, b"", &[why]);
     }
 
-    /// The time for a request whose body is still coming is up, unless it has moved on.
+    /// The time for a request whose body is still arriving is over, unless its bytes have extended it.
     pub(super) fn upload_stalled(&mut self, client: Handle, request: Handle) {
         let now = self.balancer.now();
         let Some(r) = self.requests.get_mut(request) else { return };
         let Some(moved) = r.upload.as_ref().map(|u| u.moved) else { return };
         let Some(a) = self.connections.application(client) else { return };
-        // Where our own input is full it is the upstream that does not read.
-        let waits_for_us = a.input.as_ref().is_some_and(|b| b.is_full()) && moved + STILL > now;
-        let by = a.send_by.unwrap_or(now) + Self::time_for(a.received);
+        // If the input buffer is full the upstream is the one that does not read.
+        let waits_for_us = a.input.as_ref().is_some_and(|b| b.is_full()) && moved + STREAM_IDLE_TIMEOUT > now;
+        let by = a.send_by.unwrap_or(now) + Self::transfer_time(a.received);
         if waits_for_us || by > now {
             a.stalled_at = None;
-            return self.may_stall(client, (by - now).max(SEND));
+            return self.set_client_timeout(client, (by - now).max(REQUEST_TIMEOUT));
         }
-        debug!(self.log, "a body stands still"; "received" => a.received);
-        self.counts.bad += 1;
+        debug!(self.log, "the request body did not arrive in time"; "received" => a.received);
+        self.counts.bad_requests += 1;
         a.close = true;
-        let turn = self.balancer.client_disconnected(request);
-        self.absorb(turn);
+        let decision = self.balancer.client_disconnected(request);
+        self.queue_steps(decision);
         self.answer_call(request, 408, b"", &[b"the request did not come in time\n"]);
     }
 
-    /// A large answer has begun: it goes on to the client from here on.
-    pub(super) fn begun(&mut self, handle: Handle, attempt: Attempt, begun: Begun) {
+    /// A response larger than a buffer has begun: from now on it is relayed to the client.
+    pub(super) fn response_begun(&mut self, handle: Handle, attempt: Attempt, begun: Begun) {
         let too_large =
             AttemptError { stage: Stage::Reading, cause: Cause::Answer(MessageError::BodyTooLarge) };
         let client = self.requests.get(attempt.request).filter(|r| !r.is_coming()).and_then(|r| r.client);
@@ -196,19 +198,19 @@
         let (body, keep_alive) = (Decoder::new(begun.framing, MAX_STREAMED_BODY), begun.keep_alive);
         c.passing = Some(Passing { client, body, chunked, keep_alive });
         if let Some(r) = self.requests.get_mut(attempt.request) {
-            // There is no other answer to give, so no other attempt.
+            // Part of this response is sent, so no other attempt can replace it.
             r.bytes.take().into_iter().for_each(|b| self.pool.put_back(b));
         }
-        let turn = self.balancer.stream_started(attempt);
-        self.absorb(turn);
-        // An answer that goes on as it comes is not held.
-        self.give_held(attempt.request, true);
-        self.may_stall(client, STILL);
-        self.pass(handle);
+        let decision = self.balancer.stream_started(attempt);
+        self.queue_steps(decision);
+        // A relayed response is not stored.
+        self.release_claim(attempt.request, true);
+        self.set_client_timeout(client, STREAM_IDLE_TIMEOUT);
+        self.relay(handle);
     }
 
-    /// Pass on what has come of an answer, as far as the client takes it.
-    pub(super) fn pass(&mut self, handle: Handle) {
+    /// Relays what has arrived of a response, as far as the client accepts it.
+    pub(super) fn relay(&mut self, handle: Handle) {
         let mut passed = 0;
         loop {
             let Some(c) = self.connections.upstream(handle) else { return };
@@ -233,21 +235,22 @@
             }
             let moved = match carried {
                 Ok(n) => n,
-                Err(bad) => return self.broken_off(handle, attempt, Cause::Answer(bad)),
+                Err(bad) => return self.relay_failed(handle, attempt, Cause::Answer(bad)),
             };
             passed += moved;
-            if !self.flush_passing(client, moved > 0) {
-                // Blocked: nothing is read until the client has taken what there is; or gone, and so is the attempt.
+            if !self.flush_relay(client, moved > 0) {
+                // The client is blocked: nothing is read until it has accepted the output. Or it has disconnected, and the
+                // attempt is cancelled.
                 if let Some(c) = self.connections.upstream(handle) {
                     let _ = c.socket.set(Interest::Nothing);
                 }
                 return;
             }
             if done {
-                return self.passed(handle, attempt);
+                return self.relay_complete(handle, attempt);
             }
-            if passed >= TURN {
-                // The next turn goes on at once.
+            if passed >= MAX_BYTES_PER_TURN {
+                // Continued in the next iteration of the loop.
                 if let Some(c) = self.connections.upstream(handle) {
                     let _ = c.socket.set(Interest::Both);
                 }
@@ -256,14 +259,14 @@
             if moved > 0 && has_more {
                 continue;
             }
-            if !self.read_on(handle, attempt) {
+            if !self.read_more(handle, attempt) {
                 return;
             }
         }
     }
 
-    /// Read more of an answer that is passed on; `false` where there is nothing to go on with.
-    fn read_on(&mut self, handle: Handle, attempt: Attempt) -> bool {
+    /// Reads more of a response that is relayed; `false` if there is nothing to continue with.
+    fn read_more(&mut self, handle: Handle, attempt: Attempt) -> bool {
         let Some(c) = self.connections.upstream(handle) else { return false };
         let Some(buffer) = c.buffer.as_mut() else { return false };
         let cause = match c.socket.get().read(buffer.room()) {
@@ -284,7 +287,7 @@
                     let a = self.connections.application(client);
                     let output = a.and_then(|a| a.output.take()).or_else(|| self.pool.take_for_response());
                     if let Some(mut output) = output {
-                        // All before it has been taken by the client, so there is room.
+                        // The client has accepted everything before it, so the buffer has space.
                         let _ = chunked && write_last_chunk(&mut output);
                         if let Some(a) = self.connections.application(client) {
                             a.output = Some(output);
@@ -295,12 +298,12 @@
                 Cause::Closed
             }
         };
-        self.broken_off(handle, attempt, cause);
+        self.relay_failed(handle, attempt, cause);
         false
     }
 
-    /// Write what stands in a client's output; `true` once nothing is left.
-    fn flush_passing(&mut self, client: Handle, moved: bool) -> bool {
+    /// Writes a client's output buffer; `true` once it is empty.
+    fn flush_relay(&mut self, client: Handle, moved: bool) -> bool {
         let now = self.balancer.now();
         let Some(a) = self.connections.application(client) else { return false };
         let State::Passing(request, _) = a.state else { return false };
@@ -308,7 +311,7 @@
         let flushed = a.flush(&mut self.pool);
         let left = a.output.as_ref().map_or(0, |b| b.filled().len());
         if moved || left < before {
-            a.stalled_at = a.stalled_at.map(|_| now + STILL);
+            a.stalled_at = a.stalled_at.map(|_| now + STREAM_IDLE_TIMEOUT);
         }
         match flushed {
             Ok(true) => {
@@ -318,14 +321,14 @@
             }
             Ok(false) => false,
             Err(_) => {
-                self.hung_up(client, request);
+                self.client_gone(client, request);
                 false
             }
         }
     }
 
-    /// All of an answer has gone on.
-    fn passed(&mut self, handle: Handle, attempt: Attempt) {
+    /// A response was relayed completely, apart from the client's output buffer.
+    fn relay_complete(&mut self, handle: Handle, attempt: Attempt) {
         let now = self.balancer.now();
         self.counts.served += 1;
         self.stop.iter_mut().for_each(|s| s.note_activity(now));
@@ -336,27 +339,27 @@
             Some((passing.client, passing.keep_alive && !rest && !matches!(passing.body, b if !b.is_done())))
         };
         let Some((client, keep)) = self.connections.upstream(handle).and_then(clean) else { return };
-        let turn = self.balancer.report(attempt, Report::Served);
-        self.absorb(turn);
+        let decision = self.balancer.report(attempt, Report::Served);
+        self.queue_steps(decision);
         if let Some(r) = self.requests.get_mut(attempt.request) {
             r.client = None;
         }
         if keep {
-            // What an idle connection brings next is its end.
+            // The next event on an idle connection is its close.
             let c = self.connections.upstream(handle);
             c.into_iter().for_each(|c| drop(c.socket.set(Interest::Read)));
         }
-        self.wind_up(handle, attempt, keep);
+        self.release_connection(handle, attempt, keep);
         let Some(a) = self.connections.application(client) else { return };
         if let Some(class) = a.counted.take() {
-            self.door.figures.count_response(class, 200);
+            self.management.metrics.count_response(class, 200);
         }
         (a.state, a.since, a.stalled_at) = (State::Answering, now, None);
         self.flush(client);
     }
 
-    /// An answer that was being passed on breaks off: its client must not take it for a whole one.
-    pub(super) fn broken_off(&mut self, handle: Handle, attempt: Attempt, cause: Cause) {
+    /// A response that was being relayed failed: its client must not take it for complete.
+    pub(super) fn relay_failed(&mut self, handle: Handle, attempt: Attempt, cause: Cause) {
         self.counts.failed += 1;
         self.guest_ended(attempt.request, RemoteOutcome::Failed);
         let client = self.connections.upstream(handle).and_then(|c| c.passing.take()).map(|p| p.client);
@@ -367,25 +370,25 @@
         client.into_iter().for_each(|client| self.cut_off(client));
     }
 
-    /// End a client's connection in the middle of an answer.
+    /// Resets a client's connection in the middle of a response.
     pub(super) fn cut_off(&mut self, client: Handle) {
         if let Some(a) = self.connections.application(client) {
             if let Some(class) = a.counted.take() {
-                self.door.figures.count_response(class, 502);
+                self.management.metrics.count_response(class, 502);
             }
-            // An orderly end would pass for the end of an answer that has no length.
+            // An orderly close would look like the end of a response without a length, so the connection is reset.
             let _ = socket2::SockRef::from(a.socket.get()).set_linger(Some(Duration::ZERO));
         }
         self.close_application(client);
     }
 
-    /// A client whose answer is passed on has room, has sent something, or has gone.
-    pub(super) fn passing_ready(&mut self, client: Handle, request: Handle, upstream: Handle) {
+    /// A client whose response is relayed can be written to again, has sent something, or has disconnected.
+    pub(super) fn relay_client_ready(&mut self, client: Handle, request: Handle, upstream: Handle) {
         let Some(a) = self.connections.application(client) else { return };
         let full = a.input.as_ref().is_some_and(|b| b.is_full());
         if !full && a.read(&mut self.pool) == application::Got::Closed {
-            return self.hung_up(client, request);
+            return self.client_gone(client, request);
         }
-        self.pass(upstream);
+        self.relay(upstream);
     }
 }
--- a/crates/daemon/sidecar/src/event_loop/tests.rs
+++ b/crates/daemon/sidecar/src/event_loop/tests.rs
@@ -1,10 +1,10 @@
-//! The loop without its thread of control: each test hands readiness to it step by step.
+//! The event loop without `run`: each test calls the handlers for readiness step by step.
 use super::*;
 use silvercross_facade::{Clock, Health, Host};
 use std::io::{BufRead, Write};
 use std::net::TcpStream;
 
-/// A loop with one client whose request is out at an upstream that says nothing.
+/// An event loop with one client whose request was sent to an upstream that does not respond.
 fn with_a_request() -> (EventLoop, TcpStream, TcpListener) {
     let upstream = TcpListener::bind("127.0.0.1:0").expect("a port");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -70,7 +70,7 @@
 fn a_panic_over_a_client_answers_that_client_and_no_more() {
     let (mut l, mut client, _upstream) = with_a_request();
     let handle = l.connections.from_applications()[0];
-    l.guarded(Some(handle), |_| panic!("on purpose"));
+    l.catch_panic(Some(handle), |_| panic!("on purpose"));
     assert!(answer(&mut client).starts_with("HTTP/1.1 502 "));
     assert_eq!((l.requests.len(), l.balancer.unanswered(), l.counts.panics), (0, 0, 1));
 }
@@ -82,15 +82,16 @@
     while !matches!(l.connections.upstream(attempt).map(|c| c.work), Some(Work::Busy(_, Stage::Waiting))) {
         l.ready(attempt);
     }
-    l.guarded(Some(attempt), |_| panic!("on purpose"));
-    // It may have run, and must not run twice: failed, as if the connection had broken.
+    l.catch_panic(Some(attempt), |_| panic!("on purpose"));
+    // It may have been executed and must not be executed twice, so it fails as if the connection had broken.
     assert!(answer(&mut client).starts_with("HTTP/1.1 502 "));
     assert_eq!((l.requests.len(), l.balancer.unanswered()), (0, 0));
 }
 
 #[test]
 fn a_connection_between_requests_is_idle_and_never_stalls() {
-    // An empty buffer left in place once made it look like one in the middle of a request.
+    // Regression test: an empty input buffer that was not returned made the connection look like one in the middle of a
+    // request.
     let (mut l, _client, _upstream) = with_a_request();
     let at = l.listen_at;
     let before = l.connections.from_applications();
@@ -128,7 +129,7 @@
     hoard.into_iter().for_each(|b| l.pool.put_back(b));
 }
 
-/// Another client's request, and the connection that its attempt goes out on.
+/// Another client's request, and the connection of its attempt.
 fn another_request(l: &mut EventLoop, id: &str) -> (TcpStream, Handle) {
     let mut client = TcpStream::connect(l.listen_at).expect("accepted");
     let text = format!("GET /api HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Service-Class: read\r\n\r\n");
@@ -142,13 +143,13 @@
     (client, newest.expect("one"))
 }
 
-/// The upstream's end of an attempt's connection, among all that came to its listener.
+/// The upstream's end of an attempt's connection, found among all that its listener accepted.
 fn other_end(l: &mut EventLoop, attempt: Handle, upstream: &TcpListener) -> TcpStream {
     let here = l.connections.upstream(attempt).and_then(|c| c.socket.get().local_addr().ok()).expect("bound");
     (0..8).filter_map(|_| upstream.accept().ok()).find(|(_, from)| *from == here).expect("accepted").0
 }
 
-fn is_held(l: &mut EventLoop, attempt: Handle) -> bool {
+fn is_delayed(l: &mut EventLoop, attempt: Handle) -> bool {
     l.connections
         .upstream(attempt)
         .is_some_and(|c| c.held && c.buffer.as_ref().is_some_and(|b| b.filled().len() == 1))
@@ -157,33 +158,33 @@
 #[test]
 fn a_connection_that_ends_before_the_last_byte_has_run_nothing() {
     let (mut l, _client, upstream) = with_a_request();
-    // Where connections have broken, the last byte waits.
-    l.hold_until = Micros::MAX;
+    // As after a connection broke: the last byte is delayed.
+    l.delay_last_byte_until = Micros::MAX;
     let (mut client, attempt) = another_request(&mut l, "2");
-    while !is_held(&mut l, attempt) {
+    while !is_delayed(&mut l, attempt) {
         l.ready(attempt);
     }
     drop(other_end(&mut l, attempt, &upstream));
     while l.connections.upstream(attempt).is_some() {
         l.ready(attempt);
     }
-    // It never ran, so that it is refused, and whoever asked may ask again.
+    // It was not executed, so it is refused and the client may retry.
     assert!(answer(&mut client).starts_with("HTTP/1.1 503 "));
 }
 
 #[test]
 fn the_last_byte_follows_on_a_connection_that_stands() {
     let (mut l, _client, upstream) = with_a_request();
-    l.hold_until = Micros::MAX;
+    l.delay_last_byte_until = Micros::MAX;
     let (mut client, attempt) = another_request(&mut l, "2");
-    while !is_held(&mut l, attempt) {
+    while !is_delayed(&mut l, attempt) {
         l.ready(attempt);
     }
     let stream = other_end(&mut l, attempt, &upstream);
     let Some(Work::Busy(number, _)) = l.connections.upstream(attempt).map(|c| c.work) else {
         panic!("not busy")
     };
-    l.release(attempt, number);
+    l.send_last_byte(attempt, number);
     let mut lines = io::BufReader::new(&stream).lines();
     while !lines.next().expect("a whole head").expect("text").is_empty() {}
     (&stream).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
