--- a/crates/daemon/sidecar/src/event_loop/upstreams.rs
+++ b/crates/daemon/sidecar/src/event_loop/upstreams.rs
@@ -1,4 +1,4 @@
-//! The loop's side towards upstreams: attempts begun, carried on, ended.
+//! Connections to upstreams: attempts started, advanced, ended.
 use super::{EventLoop, Wake};
 use crate::memory::connections::Connection;
 use crate::wire::upstream::{self, Answer, AttemptError, Cause, Progress, Stage, Work};
@@ -13,15 +13,16 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// Where connections have broken under requests, the last byte of each request is held back for so long: a connection
-/// that the upstream closes or resets as the request comes then breaks before it is whole, and it never ran ...
-const HOLD: Micros = 1_500;
-/// ... and that is done for so long after the last one broke: where none does, nobody waits.
-const HOLD_FOR: Micros = 10_000_000;
-/// A connection rests for so long between two requests.
-const REST: Micros = 5_000;
-/// A body that is passed on is carried so many buffers far in a turn.
-const FEEDS: usize = 4;
+/// After a connection broke under a request, the last byte of each request is delayed by this: a connection that the
+/// upstream closes or resets while the request arrives then breaks before the request is complete, so that it was
+/// certainly not executed ...
+const LAST_BYTE_DELAY: Micros = 1_500;
+/// ... for this long after the last such break; without breaks there is no delay.
+const DELAY_LAST_BYTE_FOR: Micros = 10_000_000;
+/// Minimum time for which a connection is idle between two requests: see `Connections::take_idle`.
+const MIN_IDLE_TIME: Micros = 5_000;
+/// Maximum number of times that an attempt is given more of its request's body in one iteration of the loop.
+const MAX_FEEDS_PER_TURN: usize = 4;
 /// `EINPROGRESS` on Linux.
 const IN_PROGRESS: i32 = 115;
 
@@ -33,11 +34,11 @@
         };
         r.attempts.resize(attempt.number as usize + 1, None);
         let more = r.is_coming();
-        // What has gone past its buffer is held no more, and can't be sent again.
+        // The body has gone beyond the buffer, so its start is no longer in memory and cannot be sent again.
         if r.bytes.is_none() || r.upload.as_ref().is_some_and(|u| u.by.is_some()) {
             return self.report(attempt, Report::NotSent);
         }
-        if !self.peer_sent(to) {
+        if !self.peer_attempt_started(to) {
             return self.report(attempt, Report::Rejected);
         }
         let Some(bytes) =
@@ -47,7 +48,7 @@
         };
         let (head, body) = bytes.0.filled().split_at(bytes.1);
         let Some(buffer) = upstream::compose(&mut self.pool, head, body, limit) else {
-            return self.not_begun(attempt, upstream, to, Cause::NoRoom);
+            return self.attempt_not_started(attempt, upstream, to, Cause::NoRoom);
         };
         let kept = self.take_idle(upstream, to);
         let reused = kept.is_some();
@@ -55,14 +56,14 @@
             Ok(handle) => handle,
             Err(cause) => {
                 self.pool.put_back(buffer);
-                return self.not_begun(attempt, upstream, to, cause);
+                return self.attempt_not_started(attempt, upstream, to, cause);
             }
         };
         let now = self.balancer.now();
-        let held = self.hold_until > now;
+        let held = self.delay_last_byte_until > now;
         let Some(c) = self.connections.upstream(handle) else {
             self.pool.put_back(buffer);
-            return self.not_begun(attempt, upstream, to, Cause::NoRoom);
+            return self.attempt_not_started(attempt, upstream, to, Cause::NoRoom);
         };
         c.sent_at = now;
         (c.buffer, c.interim, c.held, c.timed) = (Some(buffer), 0, held, false);
@@ -75,16 +76,16 @@
         }
         if !reused {
             let at = self.balancer.now() + self.bounds.connect_timeout;
-            self.balancer.set_timer(at, Wake::Connect(handle));
+            self.balancer.set_timer(at, Wake::ConnectTimeout(handle));
         }
         self.upstream_ready(handle);
     }
 
-    /// The connection used last that still stands and goes where the upstream is now.
+    /// The idle connection to the upstream's present address that was used last and is still open.
     pub(super) fn take_idle(&mut self, upstream: Upstream, to: SocketAddr) -> Option<Handle> {
-        // The sweep comes once a second, and a deployment's upstreams may close sooner: the age is looked at here too.
-        let oldest = self.balancer.now() - self.retire;
-        let rested = self.balancer.now() - REST;
+        // The age is checked here too: upstreams may close a connection sooner than the next housekeeping.
+        let oldest = self.balancer.now() - self.upstream_idle_limit;
+        let rested = self.balancer.now() - MIN_IDLE_TIME;
         while let Some(handle) = self.connections.take_idle(upstream, rested) {
             if self
                 .connections
@@ -98,22 +99,22 @@
         None
     }
 
-    /// Close the connection to an upstream that has been idle for longest.
-    pub(super) fn spare_upstream(&mut self) -> bool {
+    /// Closes the upstream connection that has been idle for longest; `false` if there is none.
+    pub(super) fn close_idle_upstream(&mut self) -> bool {
         let idle = self.connections.idle_upstream();
         idle.into_iter().for_each(|h| self.close_upstream(h));
         idle.is_some()
     }
 
     pub(super) fn open(&mut self, to: SocketAddr) -> Result<TcpStream, Cause> {
-        // What fails here fails for want of descriptors or ports of our own: no fault of the other end's.
+        // A failure here means that this process lacks descriptors or ports, not that the other end is at fault.
         let made = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP));
         let socket = made.map_err(|_| Cause::NoRoom)?;
         let set = socket.set_nonblocking(true).and_then(|()| socket.set_tcp_nodelay(true));
         set.map_err(|_| Cause::NoRoom)?;
         match socket.connect(&to.into()) {
             Ok(()) => Ok(socket.into()),
-            // Under way: `EINPROGRESS` has no kind of its own.
+            // Being established: `EINPROGRESS` has no `ErrorKind`.
             Err(e) if e.kind() == io::ErrorKind::WouldBlock || e.raw_os_error() == Some(IN_PROGRESS) => {
                 Ok(socket.into())
             }
@@ -123,12 +124,12 @@
     }
 
     pub(super) fn connect(&mut self, upstream: Upstream, to: SocketAddr) -> Result<Handle, Cause> {
-        if self.connections.full_outwards() && !self.spare_upstream() {
+        if self.connections.full_outwards() && !self.close_idle_upstream() {
             self.warn_limit("attempts");
             return Err(Cause::NoRoom);
         }
         let socket = self.open(to)?;
-        self.counts.connected += 1;
+        self.counts.connects += 1;
         let (registry, since) = (self.registry.clone(), self.balancer.now());
         let made = self.connections.insert_with(|h| {
             let socket = registry.watch(socket, h.number() as usize, Interest::Write)?;
@@ -152,51 +153,52 @@
     }
 
     pub(super) fn upstream_ready(&mut self, handle: Handle) {
-        // A body that is passed on goes on while its client has more, but others have their turn.
-        for _ in 0..FEEDS {
-            if !self.upstream_moves(handle) {
+        // A relayed body continues while its client has sent more, up to a limit since other connections wait.
+        for _ in 0..MAX_FEEDS_PER_TURN {
+            if !self.advance_upstream(handle) {
                 return;
             }
         }
     }
 
-    /// Carry an attempt on; `true` where it was given more of its request to write.
-    fn upstream_moves(&mut self, handle: Handle) -> bool {
+    /// Advances an attempt; `true` if it was given more of its request to write.
+    fn advance_upstream(&mut self, handle: Handle) -> bool {
         let Some(c) = self.connections.upstream(handle) else { return false };
         let Work::Busy(attempt, stage) = c.work else {
-            // An idle connection has nothing to say but that it ends.
+            // The only valid event on an idle connection is its close.
             self.close_upstream(handle);
             return false;
         };
         if stage == Stage::Passing {
-            self.pass(handle);
+            self.relay(handle);
             return false;
         }
         let had_begun = matches!(c.work, Work::Busy(_, Stage::Reading));
         let unsent = matches!(c.work, Work::Busy(_, Stage::Connecting | Stage::Writing));
         let done = c.advance();
         if unsent && !c.more && matches!(c.work, Work::Busy(_, Stage::Waiting | Stage::Reading)) {
-            self.door.figures.count_relayed();
+            self.management.metrics.count_relayed();
         }
         match done {
             Ok(Progress::Blocked) => {
                 if !had_begun && matches!(c.work, Work::Busy(_, Stage::Reading)) {
                     c.since = self.balancer.now();
-                    self.balancer.set_timer(c.since + self.bounds.completion_timeout, Wake::Half(handle));
+                    self.balancer
+                        .set_timer(c.since + self.bounds.completion_timeout, Wake::CompletionTimeout(handle));
                 }
             }
-            // However often it is looked at, one timer.
+            // The timer is set only once.
             Ok(Progress::Held) if std::mem::replace(&mut c.timed, true) => {}
             Ok(Progress::Held) => {
-                let at = self.balancer.now() + HOLD;
-                self.balancer.set_timer(at, Wake::Release(handle, attempt));
+                let at = self.balancer.now() + LAST_BYTE_DELAY;
+                self.balancer.set_timer(at, Wake::SendLastByte(handle, attempt));
             }
             Ok(Progress::Answered(answer)) => self.answered(handle, attempt, answer),
-            Ok(Progress::Begun(begun)) => self.begun(handle, attempt, begun),
+            Ok(Progress::Begun(begun)) => self.response_begun(handle, attempt, begun),
             Ok(Progress::Wants) => {
                 let fed = self.feed(handle, attempt);
                 if let Some(c) = self.connections.upstream(handle) {
-                    // With nothing to write, what comes may be its end or an early answer.
+                    // With nothing to write, the next event may be its close or an early response.
                     let _ = c.socket.set(if fed { Interest::Both } else { Interest::Read });
                 }
                 return fed;
@@ -206,23 +208,23 @@
         false
     }
 
-    /// The connection of an attempt whose last byte was held back has stood for long enough.
-    pub(super) fn release(&mut self, handle: Handle, attempt: Attempt) {
+    /// The delay of an attempt's last byte is over: it is sent if the connection is still open.
+    pub(super) fn send_last_byte(&mut self, handle: Handle, attempt: Attempt) {
         let Some(c) = self.connections.upstream(handle) else { return };
         if c.held && c.work == Work::Busy(attempt, Stage::Writing) {
-            // What has come meanwhile is looked at first: readiness may not have been handed round yet.
+            // The socket is checked first: its readiness may not have been dispatched yet.
             c.held = !c.is_fresh();
             self.upstream_ready(handle);
         }
     }
 
-    /// An answer that had begun should be whole by now; what has come meanwhile is looked at first.
-    pub(super) fn half_answered(&mut self, handle: Handle, now: Micros) {
+    /// A response that has begun should be complete by now. What has arrived meanwhile is read before it is given up.
+    pub(super) fn completion_timer_expired(&mut self, handle: Handle, now: Micros) {
         let limit = self.bounds.completion_timeout;
         let late = |l: &mut Self| match l.connections.upstream(handle) {
             Some(c) if c.since + limit <= now => match c.work {
-                // Slow is not still: what has come at a fair rate has its time.
-                Work::Busy(_, Stage::Reading) if Self::half_by(c, limit) > now => None,
+                // A response that arrives at the minimum rate or faster is given the time for its bytes.
+                Work::Busy(_, Stage::Reading) if Self::completion_due(c, limit) > now => None,
                 Work::Busy(attempt, Stage::Reading) => Some(attempt),
                 _ => None,
             },
@@ -230,9 +232,10 @@
         };
         if late(self).is_none() {
             let Some(c) = self.connections.upstream(handle) else { return };
-            let (by, reading) = (Self::half_by(c, limit), matches!(c.work, Work::Busy(_, Stage::Reading)));
+            let (by, reading) =
+                (Self::completion_due(c, limit), matches!(c.work, Work::Busy(_, Stage::Reading)));
             if reading && by > now {
-                self.balancer.set_timer(by, Wake::Half(handle));
+                self.balancer.set_timer(by, Wake::CompletionTimeout(handle));
             }
             return;
         }
@@ -243,12 +246,12 @@
         }
     }
 
-    /// By when an answer that has begun should be whole, by what has come of it.
-    fn half_by(c: &upstream::Conn, limit: Micros) -> Micros {
-        c.since + limit + Self::time_for(c.buffer.as_ref().map_or(0, |b| b.filled().len()))
+    /// When a response that has begun must be complete, given the bytes received.
+    fn completion_due(c: &upstream::Conn, limit: Micros) -> Micros {
+        c.since + limit + Self::transfer_time(c.buffer.as_ref().map_or(0, |b| b.filled().len()))
     }
 
-    /// A whole answer has come: the module hears of it, and the client gets it if it is the first.
+    /// A complete response has arrived: it is reported to the balancer, and sent to the client if the balancer says so.
     pub(super) fn answered(&mut self, handle: Handle, attempt: Attempt, answer: Answer) {
         debug!(self.log, "answer"; "request" => attempt.request.number(), "number" => attempt.number,
             "report" => ?answer.report);
@@ -258,10 +261,10 @@
             self.may_have_run(attempt);
         }
         if let Some((to, took)) = sent {
-            self.peer_ended(to, Some(answer.report), took, answer.offer.as_deref());
+            self.peer_attempt_ended(to, Some(answer.report), took, answer.offer.as_deref());
         }
-        let turn = self.balancer.report(attempt, answer.report);
-        if turn.steps.contains(&Step::Serve { attempt }) {
+        let decision = self.balancer.report(attempt, answer.report);
+        if decision.steps.contains(&Step::Serve { attempt }) {
             let buffer = self.connections.upstream(handle).and_then(|c| c.buffer.take());
             if let Some(buffer) = buffer {
                 let parts: Vec<&[u8]> =
@@ -269,22 +272,22 @@
                 self.counts.served += 1;
                 self.guest_ended(attempt.request, RemoteOutcome::Served);
                 let mut lines = answer.lines;
-                lines.extend_from_slice(self.gate_lines().as_bytes());
-                match self.is_to_be_held(attempt.request) {
-                    true => self.hold_answer(attempt.request, lines, &parts),
+                lines.extend_from_slice(self.gateway_lines().as_bytes());
+                match self.must_store_response(attempt.request) {
+                    true => self.store_response(attempt.request, lines, &parts),
                     false => self.answer_call(attempt.request, 200, &lines, &parts),
                 }
                 self.pool.put_back(buffer);
             }
         }
-        self.absorb(turn);
-        self.wind_up(handle, attempt, answer.keep_alive);
+        self.queue_steps(decision);
+        self.release_connection(handle, attempt, answer.keep_alive);
     }
 
     pub(super) fn attempt_failed(&mut self, handle: Handle, attempt: Attempt, error: AttemptError) {
         self.counts.attempts_failed += 1;
         if error.stage != Stage::Connecting && matches!(error.cause, Cause::Socket(_) | Cause::Closed) {
-            self.hold_until = self.balancer.now() + HOLD_FOR;
+            self.delay_last_byte_until = self.balancer.now() + DELAY_LAST_BYTE_FOR;
         }
         if matches!(error.report(), Report::Reset | Report::Error) {
             self.may_have_run(attempt);
@@ -295,17 +298,23 @@
         self.finish_attempt(handle, attempt, error.report(), false);
     }
 
-    /// An attempt that never got a connection.
-    pub(super) fn not_begun(&mut self, attempt: Attempt, upstream: Upstream, to: SocketAddr, cause: Cause) {
+    /// An attempt could not be started, for lack of a buffer or a connection.
+    pub(super) fn attempt_not_started(
+        &mut self,
+        attempt: Attempt,
+        upstream: Upstream,
+        to: SocketAddr,
+        cause: Cause,
+    ) {
         let error = AttemptError { stage: Stage::Connecting, cause };
         self.counts.attempts_failed += 1;
-        debug!(self.log, "attempt not begun"; "request" => attempt.request.number(), "number" => attempt.number,
+        debug!(self.log, "attempt not started"; "request" => attempt.request.number(), "number" => attempt.number,
             "upstream" => upstream.0, "cause" => ?error.cause);
-        self.peer_ended(to, Some(error.report()), 0, None);
+        self.peer_attempt_ended(to, Some(error.report()), 0, None);
         self.report(attempt, error.report());
     }
 
-    /// An attempt was written whole and not sent back unseen: from here on its request may have run.
+    /// An attempt was sent completely and not rejected unprocessed: from now on its request may have been executed.
     fn may_have_run(&mut self, attempt: Attempt) {
         if let Some(r) = self.requests.get_mut(attempt.request) {
             r.may_have_run = true;
@@ -313,22 +322,22 @@
     }
 
     pub(super) fn report(&mut self, attempt: Attempt, report: Report) {
-        let turn = self.balancer.report(attempt, report);
-        self.absorb(turn);
+        let decision = self.balancer.report(attempt, report);
+        self.queue_steps(decision);
         self.forget_if_done(attempt.request);
     }
 
     pub(super) fn finish_attempt(&mut self, handle: Handle, attempt: Attempt, report: Report, keep: bool) {
         if let Some(to) = self.connections.upstream(handle).map(|c| c.to) {
-            self.peer_ended(to, Some(report), 0, None);
+            self.peer_attempt_ended(to, Some(report), 0, None);
         }
-        let turn = self.balancer.report(attempt, report);
-        self.absorb(turn);
-        self.wind_up(handle, attempt, keep);
+        let decision = self.balancer.report(attempt, report);
+        self.queue_steps(decision);
+        self.release_connection(handle, attempt, keep);
     }
 
-    /// The attempt is over: its connection goes back to the idle ones, or is closed.
-    pub(super) fn wind_up(&mut self, handle: Handle, attempt: Attempt, keep: bool) {
+    /// The attempt has ended: its connection is kept as idle, or closed.
+    pub(super) fn release_connection(&mut self, handle: Handle, attempt: Attempt, keep: bool) {
         if let Some(slot) =
             self.requests.get_mut(attempt.request).and_then(|r| r.attempts.get_mut(attempt.number as usize))
         {
@@ -345,18 +354,18 @@
         }
     }
 
-    /// Stop waiting for an attempt: closing its connection is what tells the upstream.
+    /// Cancels an attempt by closing its connection, by which the upstream notices it.
     pub(super) fn cancel(&mut self, attempt: Attempt) {
         let slot =
             self.requests.get_mut(attempt.request).and_then(|r| r.attempts.get_mut(attempt.number as usize));
         let handle = slot.and_then(Option::take);
-        debug!(self.log, "called off"; "request" => attempt.request.number(), "number" => attempt.number);
+        debug!(self.log, "attempt cancelled"; "request" => attempt.request.number(), "number" => attempt.number);
         let called_off = handle.and_then(|h| self.connections.upstream(h)).map(|c| (c.to, c.work));
         if let Some((to, work)) = called_off {
             if matches!(work, Work::Busy(_, Stage::Waiting | Stage::Reading | Stage::Passing)) {
                 self.may_have_run(attempt);
             }
-            self.peer_ended(to, None, 0, None);
+            self.peer_attempt_ended(to, None, 0, None);
         }
         handle.into_iter().for_each(|h| self.close_upstream(h));
         self.forget_if_done(attempt.request);
@@ -365,7 +374,7 @@
     pub(super) fn close_upstream(&mut self, handle: Handle) {
         if let Some(Connection::Upstream(mut c)) = self.connections.remove(handle) {
             c.buffer.take().into_iter().for_each(|b| self.pool.put_back(b));
-            self.listen_again();
+            self.resume_accepting();
         }
     }
 }
