--- a/crates/daemon/sidecar/src/event_loop/discovery_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/discovery_side.rs
@@ -65,9 +65,9 @@
             return;
         }
         let purpose = c.purpose;
-        let (told, fault) = c.read(now);
-        let has_told = !told.is_empty();
-        for mut t in told {
+        let (updates, fault) = c.read(now);
+        let has_updates = !updates.is_empty();
+        for mut t in updates {
             let entries = if let DiscoveryEvent::List { hosts, .. } = &t.news { hosts.len() } else { 0 };
             debug!(self.log, "list received"; "seq" => t.seq, "entries" => entries);
             self.seq = t.seq;
@@ -75,13 +75,13 @@
             self.apply_reported_drains(t.seq, &mut t.news);
             self.pass_to_balancer(&t.news);
         }
-        if has_told {
+        if has_updates {
             self.advance_membership();
             self.start_serving();
         }
         match (fault, purpose) {
-            (None, Purpose::Call) if has_told => drop(self.connections.remove(handle)),
-            (Some(_), Purpose::Call) if has_told => drop(self.connections.remove(handle)),
+            (None, Purpose::Call) if has_updates => drop(self.connections.remove(handle)),
+            (Some(_), Purpose::Call) if has_updates => drop(self.connections.remove(handle)),
             (Some(fault), _) => self.discovery_broken(handle, &format!("{fault:?}")),
             (None, _) => {}
         }
--- a/crates/daemon/sidecar/src/event_loop/fleet_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/fleet_side.rs
@@ -290,13 +290,13 @@
         let DiscoveryEvent::List { whole, hosts } = news else { return };
         let Some(fleet) = &mut self.fleet else { return };
         let entries = hosts.iter().map(|h| (h.name.as_str(), h.started_ms, h.health == Health::Draining));
-        let over = fleet.members.list_is(seq, *whole, entries);
+        let ended = fleet.members.list_is(seq, *whole, entries);
         for h in hosts.iter_mut().filter(|h| h.health == Health::Ready) {
             if fleet.members.drains(&h.name, h.started_ms) || self.ordered_drains.contains(&h.name) {
                 h.health = Health::Draining;
             }
         }
-        for d in over.iter().filter(|d| !hosts.iter().any(|h| h.name == d.host)) {
+        for d in ended.iter().filter(|d| !hosts.iter().any(|h| h.name == d.host)) {
             let decision = self.balancer.peer_reported_drain(&d.host, d.born_ms, false);
             self.queue_steps(decision);
         }
@@ -334,14 +334,14 @@
             "exchanges": f.exchanges, "exchanged_bytes": f.exchanged_bytes,
         });
         let me = m.me();
-        let told = serde_json::json!({
+        let json = serde_json::json!({
             "id": me.id.to_string(), "name": me.name, "at": me.at.to_string(), "incarnation": me.incarnation.0,
             "view": m.view().name(), "live": live, "failed": failed, "senders": m.senders(),
             "senders_in_force": self.balancer.instances(), "senders_configured": fleet.configured_senders,
             "digest": format!("{:016x}", m.digest()), "doubt": m.local_health_multiplier(),
             "drains": m.drained().collect::<Vec<_>>(), "others": others, "figures": figures,
         });
-        Some(told.to_string() + "\n")
+        Some(json.to_string() + "\n")
     }
 
     /// The fleet's metrics.
--- a/crates/daemon/sidecar/src/event_loop/operators.rs
+++ b/crates/daemon/sidecar/src/event_loop/operators.rs
@@ -141,11 +141,11 @@
                     + &self.records_metrics()),
             ),
             Ok(Call::Members) => match self.fleet_json() {
-                Some(told) => response(200, &told),
+                Some(json) => response(200, &json),
                 None => response(404, "this sidecar is in no fleet: it was started without --fleet\n"),
             },
             Ok(Call::Records) => match self.records_json() {
-                Some(told) => response(200, &told),
+                Some(json) => response(200, &json),
                 None => response(404, NO_RECORDS),
             },
             Ok(Call::NotFound) => {
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -364,11 +364,11 @@
     fn claim_answered(&mut self, now: Micros, request: Handle, outcome: Result<Outcome, Why>) {
         let Some(h) = &mut self.records_side else { return };
         let Some(r) = self.requests.get_mut(request) else { return };
-        let there = r.client.is_some();
+        let connected = r.client.is_some();
         let Some(held) = r.held.as_mut() else { return };
         let class = &h.classes[held.class];
         match outcome {
-            Ok(Outcome::Take(Take::Yours)) if there => {
+            Ok(Outcome::Take(Take::Yours)) if connected => {
                 held.phase = Phase::Taken;
                 self.pick_claimed(now, request, false);
             }
@@ -390,18 +390,18 @@
             }
             Ok(Outcome::Take(Take::Busy { by, passed_ms, over })) => {
                 h.counts.busy += 1;
-                let waits = !over
+                let may_wait = !over
                     && h.records.is_there(by)
                     && now + 2 * CLAIM_RETRY_DELAY + RESPONSE_MARGIN < held.until;
                 let placed = held.placed.as_ref().map_or(0, |p| p.class);
                 let safe =
                     self.balancer.repeat_window(placed).map(|w| (w as f64 / 1e3 * SAFE_WINDOW_SHARE) as u64);
-                if waits && there {
+                if may_wait && connected {
                     held.phase = Phase::Waiting;
                     return self.balancer.set_timer(now + CLAIM_RETRY_DELAY, Wake::RetryClaim(request));
                 }
                 held.phase = Phase::Free;
-                if there && passed_ms.zip(safe).is_some_and(|(passed, safe)| passed < safe) {
+                if connected && passed_ms.zip(safe).is_some_and(|(passed, safe)| passed < safe) {
                     // Every upstream still recognises it as a duplicate, if the other sidecar has sent it.
                     return self.pick_claimed(now, request, true);
                 }
@@ -536,8 +536,9 @@
             let decision = self.balancer.peer_reported_drain(name, u64::MAX, true);
             self.queue_steps(decision);
         }
-        let over: Vec<String> = self.ordered_drains.iter().filter(|n| !names.contains(*n)).cloned().collect();
-        for name in over {
+        let ended: Vec<String> =
+            self.ordered_drains.iter().filter(|n| !names.contains(*n)).cloned().collect();
+        for name in ended {
             info!(self.log, "an operator ended a drain"; "host" => &name);
             let decision = self.balancer.peer_reported_drain(&name, u64::MAX, false);
             self.queue_steps(decision);
@@ -625,7 +626,7 @@
     pub(super) fn found_records(&mut self) -> Vec<u8> {
         let now = self.balancer.now();
         let Some(h) = &mut self.records_side else { return response(404, NO_RECORDS) };
-        let told = match h.records.found(now) {
+        let bytes = match h.records.found(now) {
             Ok(epoch) => {
                 info!(self.log, "the records were founded here"; "epoch" => epoch.0);
                 response(200, &format!("{{\"epoch\":{}}}\n", epoch.0))
@@ -633,14 +634,14 @@
             Err(why) => response(409, &format!("{why}\n")),
         };
         self.advance_records();
-        told
+        bytes
     }
 
     /// Begins a new epoch of a group from this process's copy.
     pub(super) fn recover_records(&mut self, group: u32) -> Vec<u8> {
         let now = self.balancer.now();
         let Some(h) = &mut self.records_side else { return response(404, NO_RECORDS) };
-        let told = match h.records.recover(now, group) {
+        let bytes = match h.records.recover(now, group) {
             Ok((epoch, index, term)) => {
                 warn!(self.log, "began a new epoch of a group of the records here, by an operator's order"; "group" => group,
                     "epoch" => epoch.0, "from" => index, "term" => term);
@@ -650,7 +651,7 @@
             Err(why) => response(409, &format!("{why}\n")),
         };
         self.advance_records();
-        told
+        bytes
     }
 
     /// The state of the records as this process knows it, as JSON.
@@ -688,7 +689,7 @@
                     "silent_s": h.records.silent(g).map(|s| (now - s) as f64 / 1e6)})
             })
             .collect();
-        let told = serde_json::json!({
+        let json = serde_json::json!({
             "id": format!("{:016x}", h.records.me()), "holders": h.records.holders(), "groups": groups,
             "drains": h.records.drains(), "disk": h.store.is_some(), "foreign": h.records.foreign,
             "figures": {
@@ -697,7 +698,7 @@
                 "asks_open": h.commands.len(), "links": h.link_indices.len(),
             },
         });
-        Some(told.to_string() + "\n")
+        Some(json.to_string() + "\n")
     }
 
     /// The records' metrics.
--- a/crates/daemon/sidecar/src/event_loop/upstreams.rs
+++ b/crates/daemon/sidecar/src/event_loop/upstreams.rs
@@ -60,13 +60,13 @@
             }
         };
         let now = self.balancer.now();
-        let held = self.delay_last_byte_until > now;
+        let delayed = self.delay_last_byte_until > now;
         let Some(c) = self.connections.upstream(handle) else {
             self.pool.put_back(buffer);
             return self.attempt_not_started(attempt, upstream, to, Cause::NoRoom);
         };
         c.sent_at = now;
-        (c.buffer, c.interim, c.held, c.timed) = (Some(buffer), 0, held, false);
+        (c.buffer, c.interim, c.held, c.timed) = (Some(buffer), 0, delayed, false);
         (c.more, c.passing) = (more, None);
         c.work = Work::Busy(attempt, if reused { Stage::Writing } else { Stage::Connecting });
         debug!(self.log, "attempt"; "request" => attempt.request.number(), "number" => attempt.number,
