--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -55,12 +55,19 @@
 /// Counts since the start.
 #[derive(Default)]
 pub struct Counts {
+    /// Responses sent with the `X-Held` header after they were stored.
     marked: u64,
+    /// Responses sent without it, and requests sent without a claim since their key could not be claimed.
     unmarked: u64,
+    /// Requests answered with a stored response.
     from_records: u64,
+    /// Claims that found the key claimed by another sidecar.
     busy: u64,
+    /// Requests that failed since another sidecar may have sent them.
     failed: u64,
+    /// Requests refused since their key could not be claimed.
     refused: u64,
+    /// Writes requested by the records.
     writes: u64,
 }
 
