--- a/crates/control/quota/src/protocol.rs
+++ b/crates/control/quota/src/protocol.rs
@@ -140,7 +140,7 @@
     NearlyExhausted,
     /// A limit on tracked leases, nodes or orders is reached.
     LimitReached,
-    /// The kind has no quota, or the member has no allowance.
+    /// The kind has no quota, or the member has no allowance; the request is then served uncounted.
     NoQuota,
     /// The node has made a later call or has a later incarnation, or another allowance has the same version.
     Superseded,
