--- a/crates/control/mesh-config/src/routing_table.rs
+++ b/crates/control/mesh-config/src/routing_table.rs
@@ -70,7 +70,7 @@
         let range = self.hosts.get(host_key(host).as_ref())?.clone();
         let below = self.routes[range.clone()].partition_point(|route| route.path_prefix.as_str() <= path);
         // Every route that matches the path encloses the route with the greatest prefix not above the path, or is that
-        // route: whatever sorts between a prefix of the path and the path begins with that prefix.
+        // route: any string that sorts between a prefix of the path and the path itself begins with that prefix.
         let mut candidate = (range.start + below).checked_sub(1).filter(|at| range.contains(at));
         while let Some(i) = candidate {
             if path.starts_with(&self.routes[i].path_prefix) {
--- a/crates/control/mesh-config/tests/wire_bytes.rs
+++ b/crates/control/mesh-config/tests/wire_bytes.rs
@@ -30,20 +30,20 @@
     let later = parse_change(LATER).expect("valid");
     let mut configuration = Configuration::default();
     assert_eq!(configuration.apply(&call.configuration), Ok(true));
-    let mut whole = ConfigurationWithMembers::default();
-    assert_eq!(whole.apply(&call), Ok(true));
-    let mut tracked = VersionedConfiguration::default();
-    assert_eq!(tracked.merge(&call.configuration, &call.members), Ok(true));
-    assert_eq!(tracked.merge(&later, &Default::default()), Ok(true));
-    assert!(!tracked.history.is_empty());
+    let mut with_members = ConfigurationWithMembers::default();
+    assert_eq!(with_members.apply(&call), Ok(true));
+    let mut versioned = VersionedConfiguration::default();
+    assert_eq!(versioned.merge(&call.configuration, &call.members), Ok(true));
+    assert_eq!(versioned.merge(&later, &Default::default()), Ok(true));
+    assert!(!versioned.history.is_empty());
 
     let mut lines = String::new();
     add_line(&mut lines, "change", call.configuration.clone());
     add_line(&mut lines, "change/one-item", later);
     add_line(&mut lines, "call", call);
     add_line(&mut lines, "configuration", configuration);
-    add_line(&mut lines, "whole", whole);
-    add_line(&mut lines, "tracked", tracked);
+    add_line(&mut lines, "whole", with_members);
+    add_line(&mut lines, "tracked", versioned);
     add_line(&mut lines, "configuration/empty", Configuration::default());
     add_line(&mut lines, "whole/empty", ConfigurationWithMembers::default());
     add_line(&mut lines, "tracked/empty", VersionedConfiguration::default());
