--- a/crates/control/throttle/src/lapse_timer.rs
+++ b/crates/control/throttle/src/lapse_timer.rs
@@ -41,7 +41,7 @@
 /// Decides the changes of the lapses whose keys this node owns. Watches at most [`MAX_MEMBERS`] keys; above that a key
 /// is not watched (its member stays as it is), and [`TimerDecision::waiting_for`] is [`WaitingFor::Item`].
 ///
-/// A lapse begins at a time of day by [`TrustedClock`]. Each further step follows one step length (the ramp divided
+/// A lapse begins at a wall clock time of [`TrustedClock`]. Each further step follows one step length (the ramp divided
 /// by the number of steps) after the owner saw the previous one, on its monotonic clock. A new owner, or the same
 /// owner under a new epoch or after a restart, restarts the time of the current step: each change of owner lengthens
 /// a step by at most its own length and never shortens it.
--- a/crates/control/throttle/src/lib.rs
+++ b/crates/control/throttle/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! # Members in the configuration
 //!
-//! The configuration package depends on this one. Its parser ignores `members` and `membership` in `deliver` and
+//! The configuration package depends on this one. Its parser accepts `members` and `membership` in `deliver` and
 //! `members` in `withdraw`, and passes both objects to [`parse_members`]. The [`MemberListChange`] is stored next to
 //! the configuration change and the [`MemberList`] next to the configuration, under one key once members were sent.
 //! Applying a call checks [`MemberList::would_change`] before it changes any item. [`MemberList::to_json`] adds to
