--- a/crates/daemon/mesh/src/peers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -1,11 +1,13 @@
-//! Between nodes: links, datagrams, and the two deciders behind them.
+//! Communication with other nodes: links, datagrams, and the two decision modules, membership and the control
+//! store.
 //!
-//! Hands `silvercross-mesh-membership` and `silvercross-control-store` what arrives on links and datagrams, lets their time
-//! pass, and carries out their effects. Decides nothing itself: what a frame means is the deciders' to say, and what follows
-//! from a record or control entry for this process is [`crate::node_state`]'s.
+//! Passes received frames and datagrams to `silvercross-mesh-membership` and `silvercross-control-store`,
+//! calls their timers, and carries out their effects. It makes no decisions itself: those crates interpret
+//! the messages, and [`crate::node_state`] determines what a record or control entry changes in this process.
 //!
-//! Read on in `state.rs` (what is shared), `deciders.rs` (their loop), `effects.rs`, then `links.rs` and `frame.rs` (what
-//! goes between nodes) and `calls.rs` (operators' calls to the control store).
+//! Start reading in `state.rs` (shared state), `deciders.rs` (the loop of the decision modules) and
+//! `effects.rs`, then `links.rs` and `frame.rs` (the protocol between nodes) and `calls.rs` (operators' calls
+//! to the control store).
 mod calls;
 mod deciders;
 mod effects;
--- a/crates/daemon/mesh/src/peers/calls.rs
+++ b/crates/daemon/mesh/src/peers/calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to the control store: handed to the replica here, and their outcome waited for.
+//! Operators' calls to the control store: passes them to the local replica and waits for their outcomes.
 use super::state::Peers;
 use crate::control_value::{ControlChange, ControlValue};
 use crate::node_state::NodeState;
@@ -9,17 +9,18 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// A call without an outcome after this counts as [`CallOutcome::Unknown`].
+/// A call without an outcome after this time is reported as [`CallOutcome::Unknown`].
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A call that waits for its outcome.
+/// A call whose outcome is pending.
 pub(super) struct PendingCall {
     number: u64,
     outcome: oneshot::Receiver<CallOutcome<ControlValue>>,
 }
 
 impl Peers {
-    /// Read a key, confirmed by a majority; `None` where this node can't serve it and the caller is to go elsewhere.
+    /// Reads a key, confirmed by a majority. Returns `None` if this node can't serve the call and the caller
+    /// has to use another node.
     pub(crate) async fn read_key(
         &self,
         node_state: &Rc<NodeState>,
@@ -28,7 +29,8 @@
         self.call(node_state, key, None).await
     }
 
-    /// Change a key; `None` where this node can't serve it and the caller is to go elsewhere.
+    /// Changes a key. Returns `None` if this node can't serve the call and the caller has to use another
+    /// node.
     pub(crate) async fn change_key(
         &self,
         node_state: &Rc<NodeState>,
@@ -53,7 +55,8 @@
         Some(self.outcome(call).await)
     }
 
-    /// Hand a change, or a read where there is none, to the control store. It begins when its effects are carried out next.
+    /// Passes a change to the control store, or a read if there is none. The call starts when the store's
+    /// effects are next carried out.
     pub(super) fn begin_call(
         &self,
         node_state: &NodeState,
@@ -62,8 +65,8 @@
         change: Option<ControlChange>,
     ) -> PendingCall {
         let number = self.take_number();
-        let (to, outcome) = oneshot::channel();
-        self.pending_calls.borrow_mut().insert(number, to);
+        let (sender, outcome) = oneshot::channel();
+        self.pending_calls.borrow_mut().insert(number, sender);
         let now = node_state.now();
         match change {
             Some(change) => store.borrow_mut().call(now, number, key, change),
@@ -72,7 +75,7 @@
         PendingCall { number, outcome }
     }
 
-    /// The outcome of a call, at the latest after [`CALL_TIMEOUT`].
+    /// Waits for the outcome of a call, at most for [`CALL_TIMEOUT`].
     pub(super) async fn outcome(&self, call: PendingCall) -> CallOutcome<ControlValue> {
         let outcome = timeout(CALL_TIMEOUT, call.outcome).await;
         self.pending_calls.borrow_mut().remove(&call.number);
--- a/crates/daemon/mesh/src/peers/deciders.rs
+++ b/crates/daemon/mesh/src/peers/deciders.rs
@@ -1,5 +1,5 @@
-//! The loop of the two deciders: their time passes, what the disk and datagrams bring is handed to them, and their effects are
-//! carried out until they want nothing more.
+//! The loop of the decision modules: calls their timers, passes them disk events and datagrams, and carries
+//! out their effects until there are none left.
 use super::state::Peers;
 use crate::disk::{DiskError, DiskEvent};
 use crate::node_state::NodeState;
@@ -10,29 +10,29 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// The longest sleep between two looks at the deciders' deadlines.
+/// The longest time between two checks of the deadlines.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
-/// No datagram is longer, in bytes.
+/// The maximum length of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// After a failed receive the next one is tried after this.
+/// Delay after a failed receive.
 const RECEIVE_RETRY: std::time::Duration = std::time::Duration::from_millis(20);
 
 impl Peers {
-    /// Do what the deciders want done, until they want nothing more.
+    /// Carries out the effects of the decision modules until there are none left.
     pub(super) fn carry_out_effects(&self, node_state: &Rc<NodeState>) {
         loop {
-            let of_membership = self.membership.borrow_mut().take_effects();
-            let of_store = match &self.control_store {
+            let membership_effects = self.membership.borrow_mut().take_effects();
+            let store_effects = match &self.control_store {
                 Some(store) => store.borrow_mut().take_effects(),
                 None => Vec::new(),
             };
-            if of_membership.is_empty() && of_store.is_empty() {
+            if membership_effects.is_empty() && store_effects.is_empty() {
                 break;
             }
-            for effect in of_membership {
+            for effect in membership_effects {
                 self.carry_out_membership_effect(node_state, effect);
             }
-            for effect in of_store {
+            for effect in store_effects {
                 self.carry_out_store_effect(node_state, effect);
             }
         }
@@ -40,15 +40,15 @@
         self.deadline_changed.notify_one();
     }
 
-    /// When the deciders want to be ticked next.
+    /// Returns the earliest deadline of the decision modules.
     fn next_deadline(&self) -> Instant {
-        let of_membership = self.membership.borrow().next_deadline();
-        let of_store = self.control_store.as_ref().and_then(|store| store.borrow().next_deadline());
-        of_store.map_or(of_membership, |at| at.min(of_membership))
+        let membership_deadline = self.membership.borrow().next_deadline();
+        let store_deadline = self.control_store.as_ref().and_then(|store| store.borrow().next_deadline());
+        store_deadline.map_or(membership_deadline, |at| at.min(membership_deadline))
     }
 }
 
-/// Let the deciders' time pass, for as long as the process lives.
+/// Calls the timers of the decision modules. Runs as long as the process.
 pub(crate) async fn run_deciders(node_state: Rc<NodeState>) {
     let peers = &node_state.peers;
     loop {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Hand on what the disk reports, for as long as the process lives, or until the disk has failed: why.
+/// Passes disk events to the control store. Returns the error when the disk has failed.
 pub(crate) async fn follow_disk(
     node_state: Rc<NodeState>,
     mut events: mpsc::UnboundedReceiver<DiskEvent>,
@@ -79,7 +79,7 @@
         match event {
             DiskEvent::Synced(write) => store.borrow_mut().write_completed(now, write),
             DiskEvent::OutOfSpace(error) => {
-                warn!(node_state.log, "disk full: this node promises nothing and gives up its keys until there is space";
+                warn!(node_state.log, "disk full: this node makes no promises and gives up ownership of its keys until space is available";
                     "why" => error.to_string(), "mend" => "free space on the disk of dataDir");
                 *peers.disk_full.borrow_mut() = Some(error);
                 store.borrow_mut().set_disk_has_space(now, false);
@@ -93,10 +93,10 @@
         }
         peers.carry_out_effects(&node_state);
     }
-    DiskError::ThreadEnded { cause: "it sends nothing more".to_string() }
+    DiskError::ThreadEnded { cause: "its event channel is closed".to_string() }
 }
 
-/// Take datagrams, for as long as the process lives.
+/// Receives datagrams. Runs as long as the process.
 pub(crate) async fn receive_datagrams(node_state: Rc<NodeState>) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let peers = &node_state.peers;
--- a/crates/daemon/mesh/src/peers/effects.rs
+++ b/crates/daemon/mesh/src/peers/effects.rs
@@ -1,4 +1,5 @@
-//! The deciders' effects carried out: sent, written, answered, put in force.
+//! Carries out the effects of the decision modules: sends messages, writes to the disk, answers calls, and
+//! applies records and control entries.
 use super::frame::Frame;
 use super::links::LINK_CONNECT_TIMEOUT;
 use super::record::RecordBody;
@@ -12,7 +13,7 @@
 use std::rc::Rc;
 
 impl Peers {
-    /// Do what membership wants done.
+    /// Carries out an effect of membership.
     pub(super) fn carry_out_membership_effect(
         &self,
         node_state: &Rc<NodeState>,
@@ -48,12 +49,12 @@
     }
 
     fn send_datagram(&self, node_state: &NodeState, to: Node, datagram: &Datagram) {
-        // A datagram may be lost anyway; membership sends another.
+        // Errors are ignored: datagrams may be lost, and membership sends others.
         let _ = self.udp.try_send_to(&bitcode::encode(datagram), self.address_of(to));
         node_state.counters.datagrams_sent.set(node_state.counters.datagrams_sent.get() + 1);
     }
 
-    /// See whether this node's machine takes a connection, and tell membership.
+    /// Tests whether a node accepts a connection, and reports the result to membership.
     fn probe(&self, node_state: &Rc<NodeState>, node: Node) {
         let (node_state, to) = (node_state.clone(), self.address_of(node));
         let from = ip_of(self.own_node);
@@ -65,11 +66,12 @@
         });
     }
 
-    /// Tell the control store of a control node that may replace a lost replica, or that stops.
+    /// Tells the control store whether a control node is a candidate to replace a lost replica, and whether
+    /// it is stopping.
     fn update_replica_candidate(&self, node_state: &NodeState, record: &NodeRecord<RecordBody>) {
         let Some(store) = &self.control_store else { return };
         let body = &record.body;
-        // It has a disk, knows the replica set, and is not in it.
+        // A node that publishes the replica set has a disk. It is a spare if it is not in the set.
         let is_spare = !body.replica_set.is_empty() && !body.replica_set.contains(&record.node.0);
         let is_candidate = record.is_control && !record.gone && !body.stopping && is_spare;
         let (node, now) = (store_node(record.node), node_state.now());
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Do what the control store wants done.
+    /// Carries out an effect of the control store.
     pub(super) fn carry_out_store_effect(
         &self,
         node_state: &Rc<NodeState>,
@@ -92,13 +94,13 @@
             }
             StoreEffect::Store { write, metadata, keys } => {
                 if let Some(writes) = &self.disk_writes {
-                    // The writer ends only with the process.
+                    // Sending fails only if the disk thread has ended, and then the process ends.
                     let _ = writes.send(DiskWrite { number: write, metadata, keys });
                 }
             }
             StoreEffect::Answer { token, outcome } => {
                 if let Some(to) = self.pending_calls.borrow_mut().remove(&token) {
-                    // Who called may have given up.
+                    // The caller may have timed out.
                     let _ = to.send(published(outcome));
                 }
             }
@@ -113,7 +115,7 @@
     }
 }
 
-/// Confirm the revisions of all keys with a majority, and hand them to membership.
+/// Reads the revisions of all keys from a majority and passes them to membership.
 fn confirm_revisions(node_state: Rc<NodeState>, request_id: u64) {
     tokio::task::spawn_local(async move {
         let revisions = node_state.peers.confirmed_revisions(&node_state).await;
@@ -123,7 +125,7 @@
     });
 }
 
-/// An outcome as callers get it: values without the versions that were taken before.
+/// Removes earlier versions from the value of an outcome, as callers get it.
 fn published(outcome: CallOutcome<ControlValue>) -> CallOutcome<ControlValue> {
     match outcome {
         CallOutcome::Value { revision, value } => CallOutcome::Value { revision, value: value.published() },
--- a/crates/daemon/mesh/src/peers/frame.rs
+++ b/crates/daemon/mesh/src/peers/frame.rs
@@ -1,7 +1,8 @@
-//! What goes on a link between nodes.
+//! The frames that are sent on links between nodes.
 //!
-//! A frame is a length of four bytes, little-endian, and a [`Frame`] in bitcode; the order and types of variants and fields are
-//! the wire format. A large frame goes in chunks, each with a length of its own that bears [`CHUNK_FLAG`].
+//! A frame is a length of four bytes, little-endian, followed by a [`Frame`] encoded with bitcode. The order
+//! and types of the variants and fields are the wire format. A large frame is sent in chunks, each with a
+//! length of its own with [`CHUNK_FLAG`] set.
 use super::record::RecordBody;
 use crate::control_value::{ControlChange, ControlValue};
 use bitcode::{Decode, Encode};
@@ -9,23 +10,23 @@
 use silvercross_mesh_membership::MembershipMessage;
 use silvercross_time::Instant;
 
-/// The version of the protocol on links. A node of another one is told so once, and the link ends.
+/// The version of the link protocol. If the versions differ, the link is closed after the first frame.
 pub(super) const PROTOCOL_VERSION: u16 = 2;
-/// The largest frame, in bytes.
+/// The maximum size of a frame, in bytes.
 pub(super) const MAX_FRAME_BYTES: usize = 16 << 20;
-/// The largest first frame of a link, in bytes.
+/// The maximum size of the first frame of a link, in bytes.
 pub(super) const MAX_HELLO_BYTES: usize = 64;
-/// Bytes of a large frame that go at a time. Between them go the control store's messages: its owner's heartbeats may not wait
-/// until a large control entry is through a thin link.
+/// The size of a chunk, in bytes. Messages of the control store are sent between chunks, so that the owner's
+/// heartbeats are not delayed by a large control entry on a slow link.
 pub(super) const CHUNK_BYTES: usize = 32 * 1024;
-/// Bytes of a length.
+/// The size of a length, in bytes.
 pub(super) const LENGTH_BYTES: usize = 4;
-/// In a length: what follows is a chunk of a large frame.
+/// Flag in a length: a chunk of a large frame follows.
 pub(super) const CHUNK_FLAG: u32 = 1 << 31;
-/// In a chunk's length: it is the frame's last one.
+/// Flag in the length of a chunk: it is the last one of the frame.
 pub(super) const LAST_CHUNK_FLAG: u32 = 1 << 30;
 
-/// What one node says to another on a link.
+/// A message between nodes on a link.
 #[derive(Encode, Decode)]
 pub(super) enum Frame {
     /// The first frame in each direction.
@@ -35,32 +36,32 @@
         /// The sender's address.
         node: u32,
     },
-    /// A message of membership.
+    /// A membership message.
     Membership(MembershipMessage<RecordBody>),
-    /// A message of the control store.
+    /// A control store message.
     ControlStore {
         /// The version of the sender's replica set.
         replica_set_version: u64,
         /// The message.
         message: StoreMessage<ControlValue, ControlChange>,
     },
-    /// What time of day is it? Between replicas, where there are members.
+    /// Requests the wall clock time. Sent between replicas if members are configured.
     WallClockRequest {
-        /// When it was asked, on the asker's clock.
-        asked: Instant,
+        /// When the request was sent, on the clock of its sender.
+        requested_at: Instant,
     },
     /// The answer to a [`Frame::WallClockRequest`].
     WallClockReply {
-        /// As in the request.
-        asked: Instant,
-        /// The time of day, in microseconds since 1970.
+        /// The value from the request.
+        requested_at: Instant,
+        /// The wall clock time, in microseconds since 1970.
         wall_micros: i64,
-        /// Whether that clock was set lately.
+        /// Whether the wall clock was stepped recently.
         stepped: bool,
     },
 }
 
-/// The bytes of a frame: its length, then its content.
+/// Encodes a frame with its length.
 pub(super) fn encode_frame(frame: &Frame) -> Vec<u8> {
     let content = bitcode::encode(frame);
     let mut bytes = Vec::with_capacity(content.len() + LENGTH_BYTES);
--- a/crates/daemon/mesh/src/peers/frame_reader.rs
+++ b/crates/daemon/mesh/src/peers/frame_reader.rs
@@ -1,34 +1,35 @@
-//! Frames read from a link.
+//! Reads frames from a link.
 use super::frame::{Frame, CHUNK_FLAG, LAST_CHUNK_FLAG, LENGTH_BYTES};
 use tokio::io::{AsyncReadExt, BufReader};
 
-/// Buffer of a link's reading half, in bytes: many small frames come at a time, and one read is enough for them.
+/// Size of the read buffer of a link, in bytes. One read returns many small frames.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
-/// Memory taken for a frame before any of it has come, at most, in bytes.
+/// The most memory that is allocated for a frame before its content is received, in bytes.
 const MAX_INITIAL_BYTES: usize = 64 * 1024;
 
 /// Reads the frames of one link.
 pub(super) struct FrameReader<S> {
     stream: BufReader<S>,
-    /// What has come of a large frame.
+    /// The received chunks of an incomplete large frame.
     chunks: Vec<u8>,
 }
 
-/// What came on a link.
+/// A received frame or chunk.
 pub(super) enum Incoming {
-    /// A chunk of a large frame that is not complete yet: the other end is there.
+    /// A chunk of an incomplete large frame, which shows that the other node is alive.
     Chunk,
-    /// A frame.
+    /// A complete frame.
     Frame(Box<Frame>),
 }
 
 impl<S: AsyncReadExt + Unpin> FrameReader<S> {
-    /// At the beginning of a link.
+    /// Creates a reader for a new link.
     pub(super) fn new(stream: S) -> Self {
         FrameReader { stream: BufReader::with_capacity(READ_BUFFER_BYTES, stream), chunks: Vec::new() }
     }
 
-    /// The next frame of at most so many bytes; `None` once the link has ended, or if what came is no such frame.
+    /// Reads the next frame, of at most `max_bytes`. Returns `None` if the link has ended or the received
+    /// bytes are not a valid frame.
     pub(super) async fn next(&mut self, max_bytes: usize) -> Option<Frame> {
         loop {
             if let Incoming::Frame(frame) = self.next_incoming(max_bytes).await? {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The next frame of at most so many bytes, or chunk of one; `None` as with [`FrameReader::next`].
+    /// Reads the next frame or chunk. The limit and `None` are as in [`FrameReader::next`].
     pub(super) async fn next_incoming(&mut self, max_bytes: usize) -> Option<Incoming> {
         let mut header = [0; LENGTH_BYTES];
         self.stream.read_exact(&mut header).await.ok()?;
@@ -47,7 +48,7 @@
         if length + if is_chunk { self.chunks.len() } else { 0 } > max_bytes {
             return None;
         }
-        // Memory grows with what comes, not with what is announced.
+        // The buffer grows with the received bytes, not with the announced length.
         let mut bytes = if is_chunk {
             std::mem::take(&mut self.chunks)
         } else {
--- a/crates/daemon/mesh/src/peers/frame_writer.rs
+++ b/crates/daemon/mesh/src/peers/frame_writer.rs
@@ -1,5 +1,6 @@
-//! Frames written to a link, from two queues: urgent ones go before ordinary ones and between the chunks of a large one. Of frames
-//! with control entries it is reported when the network has taken them: the decider holds the next ones back until then.
+//! Writes the frames of a link from two queues. Urgent frames go before ordinary ones and between the chunks
+//! of a large one. Written frames with control entries are reported: membership sends no further entries on
+//! the link until then.
 use super::frame::{CHUNK_BYTES, CHUNK_FLAG, LAST_CHUNK_FLAG, LENGTH_BYTES, MAX_FRAME_BYTES};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,54 +9,55 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Frames that may wait in each queue; beyond it the link ends, and what the other node lacked comes by snapshot.
+/// The capacity of each queue, in frames. If a queue is full the link is closed, and the other node gets what
+/// it missed as a snapshot.
 pub(super) const MAX_QUEUED_FRAMES: usize = 1024;
-/// A link that takes nothing of what is sent for so long ends. A thin link takes longer for a large frame, but some of it all
-/// the time.
+/// A link is closed if none of the pending bytes can be written for this long. On a slow link a large frame
+/// may take longer, as long as there is progress.
 pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The bytes of a frame, shared with whoever else gets it.
+/// An encoded frame, shared between its receivers.
 pub(super) type FrameBytes = Rc<Vec<u8>>;
 
-/// Bytes that may wait in the queues of a link, beside the frame that is put in; beyond it the link ends as well.
+/// The most bytes that may be queued on a link when another frame is added. Above it the link is closed too.
 const MAX_QUEUED_BYTES: usize = MAX_FRAME_BYTES;
 
-/// What a frame is, to the queues of a link.
+/// How a frame is queued and reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FrameClass {
-    /// It keeps its order.
+    /// Sent in order.
     Ordinary,
-    /// The same, and it is reported when the network has taken it.
+    /// Sent in order, and reported once it has been written.
     Entries,
-    /// It goes before those.
+    /// Sent before frames of the other classes.
     Urgent,
 }
 
-/// A frame in a queue.
+/// A queued frame.
 struct QueuedFrame {
     bytes: FrameBytes,
     class: FrameClass,
 }
 
-/// What waits on a link.
+/// The backlog of a link.
 #[derive(Default)]
 struct LinkBacklog {
-    /// Bytes of frames that the writer has not taken.
-    waiting_bytes: Cell<usize>,
-    /// Frames with control entries that the network has not taken.
+    /// Bytes of frames that the writer has not taken from the queues.
+    queued_bytes: Cell<usize>,
+    /// Frames with control entries that have not been written completely.
     entry_frames: Cell<usize>,
 }
 
 impl LinkBacklog {
     fn queued(&self, length: usize, class: FrameClass) {
-        self.waiting_bytes.set(self.waiting_bytes.get() + length);
+        self.queued_bytes.set(self.queued_bytes.get() + length);
         if class == FrameClass::Entries {
             self.entry_frames.set(self.entry_frames.get() + 1);
         }
     }
 
     fn taken(&self, length: usize) {
-        self.waiting_bytes.set(self.waiting_bytes.get().saturating_sub(length));
+        self.queued_bytes.set(self.queued_bytes.get().saturating_sub(length));
     }
 
     fn entries_written(&self, frames: usize) {
@@ -63,20 +65,20 @@
     }
 }
 
-/// The link's queue takes nothing more.
+/// A queue of the link is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct LinkStuck;
+pub(super) struct QueueFull;
 
-/// A link that is up, as it is written to.
+/// The sending side of an established link.
 pub(super) struct Link {
-    /// Tells it from other links to the same node.
+    /// Distinguishes it from other links to the same node.
     pub(super) number: u64,
     ordinary: mpsc::Sender<QueuedFrame>,
     urgent: mpsc::Sender<QueuedFrame>,
     backlog: Rc<LinkBacklog>,
 }
 
-/// The other end of a link's queues.
+/// The receiving ends of a link's queues.
 pub(super) struct FrameQueues {
     ordinary: mpsc::Receiver<QueuedFrame>,
     urgent: mpsc::Receiver<QueuedFrame>,
@@ -84,48 +86,49 @@
 }
 
 impl Link {
-    /// A link and the queues that its writer empties.
+    /// Creates a link and the queues from which its writer takes frames.
     pub(super) fn new(number: u64) -> (Link, FrameQueues) {
-        let (ordinary, waiting_ordinary) = mpsc::channel(MAX_QUEUED_FRAMES);
-        let (urgent, waiting_urgent) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let (ordinary, ordinary_receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let (urgent, urgent_receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         let backlog: Rc<LinkBacklog> = Rc::default();
         let queues =
-            FrameQueues { ordinary: waiting_ordinary, urgent: waiting_urgent, backlog: backlog.clone() };
+            FrameQueues { ordinary: ordinary_receiver, urgent: urgent_receiver, backlog: backlog.clone() };
         (Link { number, ordinary, urgent, backlog }, queues)
     }
 
-    /// Puts a frame in its queue.
-    pub(super) fn enqueue(&self, bytes: FrameBytes, class: FrameClass) -> Result<(), LinkStuck> {
-        if self.waiting_bytes() > MAX_QUEUED_BYTES {
-            return Err(LinkStuck);
+    /// Adds a frame to the queue of its class.
+    pub(super) fn enqueue(&self, bytes: FrameBytes, class: FrameClass) -> Result<(), QueueFull> {
+        if self.queued_bytes() > MAX_QUEUED_BYTES {
+            return Err(QueueFull);
         }
         let queue = if class == FrameClass::Urgent { &self.urgent } else { &self.ordinary };
         let length = bytes.len();
-        queue.try_send(QueuedFrame { bytes, class }).map_err(|_| LinkStuck)?;
+        queue.try_send(QueuedFrame { bytes, class }).map_err(|_| QueueFull)?;
         self.backlog.queued(length, class);
         Ok(())
     }
 
-    /// Bytes that wait to be written.
-    pub(super) fn waiting_bytes(&self) -> usize {
-        self.backlog.waiting_bytes.get()
+    /// Returns the bytes of frames that the writer has not taken from the queues.
+    pub(super) fn queued_bytes(&self) -> usize {
+        self.backlog.queued_bytes.get()
     }
 
-    /// Frames with control entries that the network has not taken; one at most, as the decider is to send them.
+    /// Returns the number of frames with control entries that have not been written completely. Membership
+    /// should send them one at a time.
     pub(super) fn entry_frames(&self) -> usize {
         self.backlog.entry_frames.get()
     }
 }
 
-/// A large frame that is on its way in chunks.
+/// A large frame that is being written in chunks.
 struct LargeFrame {
     frame: QueuedFrame,
-    /// How far it was written.
+    /// The offset of the next chunk.
     written: usize,
 }
 
 impl LargeFrame {
-    /// Adds the next chunk to what is written; whether the frame is complete with it.
+    /// Appends the next chunk to `output`. Returns whether it is the last one.
     fn next_chunk(&mut self, output: &mut Vec<u8>) -> bool {
         let bytes = &self.frame.bytes;
         let end = (self.written + CHUNK_BYTES).min(bytes.len());
@@ -138,16 +141,17 @@
     }
 }
 
-/// What goes in one write.
+/// The content of one write.
 #[derive(Default)]
 struct NextWrite {
     output: Vec<u8>,
-    /// Frames with control entries that are complete with it.
+    /// Frames with control entries that end in this write.
     entry_frames: usize,
 }
 
 impl NextWrite {
-    /// Adds a frame; a large one is handed back instead: its chunks go without its length.
+    /// Appends a frame. A large one is returned instead: it is written in chunks, without its own length
+    /// header.
     fn append(&mut self, backlog: &LinkBacklog, frame: QueuedFrame) -> Option<LargeFrame> {
         backlog.taken(frame.bytes.len());
         if frame.class != FrameClass::Urgent && frame.bytes.len() > CHUNK_BYTES {
@@ -158,7 +162,7 @@
         None
     }
 
-    /// Adds the next chunk of a large frame; `None` once that was the last one.
+    /// Appends the next chunk of a large frame. Returns `None` after the last one.
     fn append_chunk(&mut self, mut large: LargeFrame) -> Option<LargeFrame> {
         if !large.next_chunk(&mut self.output) {
             return Some(large);
@@ -168,16 +172,16 @@
     }
 }
 
-/// Writes what the queues bring, until the link ends: frames of both whole, but large ordinary ones in chunks. `entries_left` is
-/// called after each frame with control entries that the network has taken.
+/// Writes the queued frames until the link ends: urgent and small frames whole, large ordinary ones in
+/// chunks. Calls `entries_sent` after each written frame with control entries.
 pub(super) async fn write_frames(
     stream: &mut (impl AsyncWriteExt + Unpin),
     mut queues: FrameQueues,
-    entries_left: impl Fn(),
+    entries_sent: impl Fn(),
 ) {
     let mut large: Option<LargeFrame> = None;
     loop {
-        // What has gathered goes in one write.
+        // Combines queued frames in one write.
         let mut next = NextWrite::default();
         while let Ok(frame) = queues.urgent.try_recv() {
             next.append(&queues.backlog, frame);
@@ -198,11 +202,12 @@
             return;
         }
         queues.backlog.entries_written(next.entry_frames);
-        (0..next.entry_frames).for_each(|_| entries_left());
+        (0..next.entry_frames).for_each(|_| entries_sent());
     }
 }
 
-/// Whether the other end took it all, with no pause as long as [`WRITE_STALL_TIMEOUT`].
+/// Writes all bytes. Returns `false` if the link fails or no bytes can be written for
+/// [`WRITE_STALL_TIMEOUT`].
 pub(super) async fn write_all(stream: &mut (impl AsyncWriteExt + Unpin), mut bytes: &[u8]) -> bool {
     while !bytes.is_empty() {
         match timeout(WRITE_STALL_TIMEOUT, stream.write(bytes)).await {
--- a/crates/daemon/mesh/src/peers/links.rs
+++ b/crates/daemon/mesh/src/peers/links.rs
@@ -1,4 +1,5 @@
-//! Links between nodes: opened and accepted, identified, read and written, until they end.
+//! Opens and accepts links between nodes, identifies the other node, and reads and writes frames until the
+//! link ends.
 use super::frame::{encode_frame, Frame, CHUNK_BYTES, MAX_FRAME_BYTES, MAX_HELLO_BYTES, PROTOCOL_VERSION};
 use super::frame_reader::{FrameReader, Incoming};
 use super::frame_writer::{write_frames, FrameClass, FrameQueues, Link};
@@ -13,33 +14,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// A connection for a link is up within this.
+/// Timeout for connecting a link.
 pub(super) const LINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The first frame has come within this.
+/// Timeout for the first frame.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(800);
-/// Nodes that may be linked.
+/// The maximum number of linked nodes.
 const MAX_LINKED_NODES: usize = 1024;
-/// Links that may be up without a first frame.
+/// The maximum number of links whose first frame has not been received.
 pub(super) const MAX_UNIDENTIFIED_LINKS: u64 = 64;
-/// After a failed accept the next one is tried after this.
+/// Delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// Unsent bytes that the kernel takes of a link at a time: what is handed over can't be overtaken by urgent frames any more.
+/// Limit on a link's unsent bytes in the kernel. Urgent frames can't overtake these bytes.
 const MAX_UNSENT_BYTES: u32 = 2 * CHUNK_BYTES as u32;
 
 impl Peers {
-    /// Send a frame to a node that is linked; for another one it is lost.
+    /// Sends a frame to a node. It is dropped if there is no link to the node.
     pub(super) fn send(&self, node_state: &Rc<NodeState>, to: Node, frame: &Frame) {
         let is_ordinary = matches!(frame, Frame::Membership(_));
         let class = if is_ordinary { FrameClass::Ordinary } else { FrameClass::Urgent };
         self.send_as(node_state, to, frame, class);
     }
 
-    /// Send a frame with control entries; membership hears when the network has taken it, and sends no further one before.
+    /// Sends a frame with control entries. Membership is notified when it has been written, and sends no
+    /// further entries before.
     pub(super) fn send_entries(&self, node_state: &Rc<NodeState>, to: Node, frame: &Frame) {
-        let under_way =
+        let unsent_frames =
             self.links.borrow().get(&to).and_then(|links| links.last()).map_or(0, Link::entry_frames);
-        if under_way > 0 {
-            let found = format!("{under_way} on the link to {}", ip_of(to));
+        if unsent_frames > 0 {
+            let found = format!("{unsent_frames} on the link to {}", ip_of(to));
             node_state.report_violation(
                 Invariant::OneVersionUnderWay,
                 "no frame with control entries",
@@ -52,15 +54,15 @@
     fn send_as(&self, node_state: &Rc<NodeState>, to: Node, frame: &Frame, class: FrameClass) {
         let bytes = encode_frame(frame);
         node_state.counters.frames_sent.set(node_state.counters.frames_sent.get() + 1);
-        let is_stuck = {
+        let is_queue_full = {
             let links = self.links.borrow();
             let Some(link) = links.get(&to).and_then(|links| links.last()) else { return };
             let enqueued = link.enqueue(Rc::new(bytes), class);
-            self.link_backlog_peak.set(self.link_backlog_peak.get().max(link.waiting_bytes()));
+            self.link_backlog_peak.set(self.link_backlog_peak.get().max(link.queued_bytes()));
             enqueued.is_err()
         };
-        if is_stuck {
-            // It takes nothing: what it lacks it gets by snapshot, on another link.
+        if is_queue_full {
+            // The other node gets what it missed as a snapshot, on another link.
             let found = format!("a full queue to {}", ip_of(to));
             node_state.report_violation(Invariant::BoundedBacklog, "a link that takes what is sent", &found);
             self.links.borrow_mut().remove(&to);
@@ -68,21 +70,21 @@
         }
     }
 
-    /// The network has taken a frame with control entries on a link.
-    fn entries_left(&self, node_state: &Rc<NodeState>, node: Node, number: u64) {
-        // Of an older connection it says nothing: membership has begun anew with the newest one.
+    /// A frame with control entries has been written on a link.
+    fn report_entries_sent(&self, node_state: &Rc<NodeState>, node: Node, number: u64) {
+        // Older links are ignored: membership started anew with the newest one.
         if self.newest_link(node) == Some(number) {
             self.membership.borrow_mut().entries_sent(node_state.now(), node);
             self.carry_out_effects(node_state);
         }
     }
 
-    /// The number of the link to a node that is written to.
+    /// Returns the number of the link on which frames to a node are sent.
     fn newest_link(&self, node: Node) -> Option<u64> {
         self.links.borrow().get(&node).and_then(|links| links.last()).map(|link| link.number)
     }
 
-    /// No link to this node is left.
+    /// Reports that the last link to a node has ended.
     pub(super) fn link_lost(&self, node_state: &Rc<NodeState>, node: Node) {
         let now = node_state.now();
         self.membership.borrow_mut().link_down(now, node);
@@ -92,7 +94,7 @@
         self.deadline_changed.notify_one();
     }
 
-    /// Open a link to this node.
+    /// Opens a link to a node.
     pub(super) fn open_link(&self, node_state: &Rc<NodeState>, to: Node) {
         if to == self.own_node {
             return;
@@ -103,20 +105,20 @@
             let (from, at) = (ip_of(peers.own_node), peers.address_of(to));
             match peer_connection::connect(Some(from), at, LINK_CONNECT_TIMEOUT).await {
                 Ok(stream) => run_link(node_state.clone(), stream, Some(to), None).await,
-                Err(_) => peers.link_not_made(&node_state, to),
+                Err(_) => peers.link_failed(&node_state, to),
             }
         });
     }
 
-    /// A link to this node could not be made; that counts unless another one is up.
-    fn link_not_made(&self, node_state: &Rc<NodeState>, to: Node) {
+    /// Reports that no link to a node could be opened, unless another one is established.
+    fn link_failed(&self, node_state: &Rc<NodeState>, to: Node) {
         if !self.links.borrow().contains_key(&to) {
             self.link_lost(node_state, to);
             self.carry_out_effects(node_state);
         }
     }
 
-    /// A link to this node is up: its number, and what is to be written on it.
+    /// Registers an established link to a node. Returns its number and its queues.
     fn link_up(&self, node_state: &Rc<NodeState>, node: Node) -> (u64, FrameQueues) {
         let number = self.take_number();
         let (link, queues) = Link::new(number);
@@ -130,7 +132,7 @@
         (number, queues)
     }
 
-    /// Hand on a frame; `false` if it has no place behind the first one.
+    /// Passes on a received frame. Returns `false` if it is only allowed as the first frame.
     fn receive(&self, node_state: &Rc<NodeState>, from: Node, frame: Frame) -> bool {
         let now = node_state.now();
         match frame {
@@ -144,18 +146,22 @@
                     store.receive(now, store_node(from), replica_set_version, message);
                 }
             }
-            Frame::WallClockRequest { asked } => {
+            Frame::WallClockRequest { requested_at } => {
                 if let Some(clock) = node_state.member_throttle.wall_clock(now) {
                     let (wall_micros, stepped) = (clock.wall_micros, clock.stepped);
-                    self.send(node_state, from, &Frame::WallClockReply { asked, wall_micros, stepped });
+                    self.send(
+                        node_state,
+                        from,
+                        &Frame::WallClockReply { requested_at, wall_micros, stepped },
+                    );
                 }
             }
-            Frame::WallClockReply { asked, wall_micros, stepped } => {
+            Frame::WallClockReply { requested_at, wall_micros, stepped } => {
                 let replica = store_node(from);
                 if self.control_store(|store| store.replica_nodes().contains(&replica)) == Some(true) {
                     let reading = PeerClockReading {
                         node: replica,
-                        sent_at: asked,
+                        sent_at: requested_at,
                         received_at: now,
                         wall: UnixTime::from_micros(wall_micros),
                         stepped,
@@ -168,14 +174,14 @@
         true
     }
 
-    /// A link has ended.
+    /// Removes a link that has ended.
     fn link_ended(&self, node_state: &Rc<NodeState>, node: Node, number: u64) {
         let was_newest = self.newest_link(node) == Some(number);
         let was_last = {
             let mut links = self.links.borrow_mut();
-            let Some(of_node) = links.get_mut(&node) else { return };
-            of_node.retain(|link| link.number != number);
-            let is_empty = of_node.is_empty();
+            let Some(node_links) = links.get_mut(&node) else { return };
+            node_links.retain(|link| link.number != number);
+            let is_empty = node_links.is_empty();
             if is_empty {
                 links.remove(&node);
             }
@@ -190,7 +196,7 @@
     }
 }
 
-/// Accept links, for as long as the process lives.
+/// Accepts links. Runs as long as the process.
 pub(crate) async fn accept_links(node_state: Rc<NodeState>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -209,7 +215,8 @@
     }
 }
 
-/// One link, until it ends. `to`: the node that it was opened to; `unidentified`: counts it until its first frame.
+/// Runs a link until it ends. `to` is the node that it was opened to. `unidentified` counts the link until
+/// the first frame has been received.
 async fn run_link(
     node_state: Rc<NodeState>,
     stream: TcpStream,
@@ -218,17 +225,17 @@
 ) {
     let peers = &node_state.peers;
     let remote_ip = stream.peer_addr().ok().map(|address| address.ip());
-    // Where the system doesn't know the option, urgent frames wait a little longer.
+    // On systems without this option, urgent frames wait longer in the kernel.
     let _ = socket2::SockRef::from(&stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     let (read, mut write) = stream.into_split();
     let mut reader = FrameReader::new(read);
-    let said = exchange_hello(&node_state, &mut reader, &mut write).await;
+    let identified = exchange_hello(&node_state, &mut reader, &mut write).await;
     let is_expected = |node: &Node| remote_ip == Some(ip_of(*node)) && to.is_none_or(|to| to == *node);
-    let Some(node) = said.filter(is_expected) else {
-        if said.is_some() {
+    let Some(node) = identified.filter(is_expected) else {
+        if identified.is_some() {
             node_state.counters.count_foreign_message();
         }
-        to.into_iter().for_each(|to| peers.link_not_made(&node_state, to));
+        to.into_iter().for_each(|to| peers.link_failed(&node_state, to));
         return;
     };
     drop(unidentified);
@@ -236,7 +243,7 @@
     let reading = async {
         while let Some(incoming) = reader.next_incoming(MAX_FRAME_BYTES).await {
             match incoming {
-                // Over a thin link a large frame may take longer than a silent link is kept.
+                // On a slow link a large frame may take longer than the timeout for a silent link.
                 Incoming::Chunk => peers.membership.borrow_mut().chunk_received(node_state.now(), node),
                 Incoming::Frame(frame) => {
                     if !peers.receive(&node_state, node, *frame) {
@@ -248,12 +255,13 @@
     };
     tokio::select! {
         _ = reading => {}
-        _ = write_frames(&mut write, queues, || peers.entries_left(&node_state, node, number)) => {}
+        _ = write_frames(&mut write, queues, || peers.report_entries_sent(&node_state, node, number)) => {}
     }
     peers.link_ended(&node_state, node, number);
 }
 
-/// Say which node this is, and hear which is at the other end; `None` if that is no node of this protocol.
+/// Exchanges the first frames. Returns the other node, or `None` if it speaks another protocol or version, or
+/// none in time.
 async fn exchange_hello(
     node_state: &NodeState,
     reader: &mut FrameReader<impl AsyncReadExt + Unpin>,
--- a/crates/daemon/mesh/src/peers/majority_read.rs
+++ b/crates/daemon/mesh/src/peers/majority_read.rs
@@ -1,4 +1,5 @@
-//! The read that tells whether what is in force is current: every key's revision, each confirmed by a majority of the replicas.
+//! Reads the revision of every key, each confirmed by a majority of the replicas, to determine whether the
+//! control state in force is current.
 use super::state::{entry_revision, Peers};
 use crate::control_value::{evacuation_key, ControlValue, CONFIGURATION_KEY};
 use crate::node_state::NodeState;
@@ -8,8 +9,8 @@
 use std::rc::Rc;
 
 impl Peers {
-    /// The revisions of all keys that were ever written, each read by a majority; `None` where that can't be had now. A node
-    /// whose store is no replica reads at those that are.
+    /// Returns the revisions of all keys that were ever written, each confirmed by a majority, or `None` if
+    /// one can't be confirmed now. A node whose store is not a replica forwards the reads to the replicas.
     pub(super) async fn confirmed_revisions(&self, node_state: &Rc<NodeState>) -> Option<Vec<EntryRevision>> {
         let store = self.control_store.as_ref()?;
         let known = store.borrow().key_states().into_iter().map(|state| state.key);
@@ -18,7 +19,7 @@
             known.chain(zones).chain([CONFIGURATION_KEY.to_string()]).collect();
         let mut revisions = Vec::new();
         let mut read = BTreeSet::new();
-        // The configuration may name keys that this node has never heard of.
+        // The configuration may name keys that are unknown to this node.
         while !unread.is_empty() {
             let calls: Vec<_> =
                 unread.iter().map(|key| self.begin_call(node_state, store, key, None)).collect();
--- a/crates/daemon/mesh/src/peers/state.rs
+++ b/crates/daemon/mesh/src/peers/state.rs
@@ -1,6 +1,8 @@
-//! What the tasks that talk to other nodes share: the two deciders, the links, and the calls that wait for an outcome.
+//! State shared by the tasks that communicate with other nodes: the two decision modules, the links, and
+//! pending calls.
 //!
-//! Knows nothing of the rest of the process. No borrow of a cell outlives a statement, and none is held over an `await`.
+//! It depends on no other state of the process. No borrow of a cell outlives a statement, and none is held
+//! across an `await`.
 use super::frame_writer::Link;
 use super::record::RecordBody;
 use crate::control_value::ControlValue;
@@ -13,48 +15,48 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{oneshot, Notify};
 
-/// The control store of a control node, and where its writes go.
+/// The control store of a control node, and the queue of its disk writes.
 pub(crate) struct LocalControlStore {
     /// The replica.
     pub(crate) store: ControlStore<ControlValue>,
-    /// Its disk.
+    /// Sends its writes to the disk thread.
     pub(crate) disk_writes: DiskWriteSender,
 }
 
-/// What goes between nodes, and who decides about it.
+/// The links to other nodes, and the decision modules that use them.
 pub(crate) struct Peers {
     pub(super) own_node: Node,
-    /// The port for links and datagrams; the same on all nodes.
+    /// The port for links and datagrams, the same on all nodes.
     pub(super) port: u16,
     pub(super) membership: RefCell<Membership<RecordBody>>,
-    /// On a control node.
+    /// `Some` on a control node.
     pub(super) control_store: Option<RefCell<ControlStore<ControlValue>>>,
     pub(super) disk_writes: Option<DiskWriteSender>,
-    /// Why the disk takes no writes, while it takes none.
+    /// The error while the disk is full.
     pub(super) disk_full: RefCell<Option<DiskError>>,
     pub(super) pending_calls: RefCell<BTreeMap<u64, oneshot::Sender<CallOutcome<ControlValue>>>>,
-    /// The links that are up, by node; the newest is written to.
+    /// The established links by node. Frames are sent on the newest one.
     pub(super) links: RefCell<BTreeMap<Node, Vec<Link>>>,
-    /// The most that ever waited to be written on one link, in bytes.
+    /// The largest backlog of a link since the start, in bytes.
     pub(super) link_backlog_peak: Cell<usize>,
-    /// The next number of a link or call.
+    /// The next number for a link or call.
     pub(super) next_number: Cell<u64>,
     pub(super) udp: UdpSocket,
-    /// The deciders may have an earlier deadline than the one that is slept for.
+    /// Notified when the next deadline of a decision module may have become earlier.
     pub(super) deadline_changed: Notify,
 }
 
-/// The address of a node.
+/// Returns the IP address of a node.
 pub(super) fn ip_of(node: Node) -> IpAddr {
     IpAddr::V4(Ipv4Addr::from_bits(node.0))
 }
 
-/// The same node, as the control store names it.
+/// Converts a node to the type of the control store.
 pub(super) fn store_node(node: Node) -> silvercross_control_store::Node {
     silvercross_control_store::Node(node.0)
 }
 
-/// A revision of the control store, as membership carries it.
+/// Converts a revision of the control store to the type of membership.
 pub(super) fn entry_revision(
     revision: silvercross_control_store::Revision,
 ) -> silvercross_mesh_membership::Revision {
@@ -66,7 +68,7 @@
 }
 
 impl Peers {
-    /// The node at this address, with its own deciders; no link is up.
+    /// Creates the state of the node at this address, without links.
     pub(crate) fn new(
         own_ip: Ipv4Addr,
         port: u16,
@@ -94,42 +96,42 @@
         }
     }
 
-    /// Look at membership.
-    pub(crate) fn membership<R>(&self, look: impl FnOnce(&Membership<RecordBody>) -> R) -> R {
-        look(&self.membership.borrow())
+    /// Calls `read` with the state of membership.
+    pub(crate) fn membership<R>(&self, read: impl FnOnce(&Membership<RecordBody>) -> R) -> R {
+        read(&self.membership.borrow())
     }
 
-    /// Where updates come from now; none on a control node.
+    /// Returns the IP address of the parent in the relay tree. A control node has none.
     pub(crate) fn parent_ip(&self) -> Option<IpAddr> {
         self.membership(|membership| membership.parent()).map(ip_of)
     }
 
-    /// Look at the control store; `None` where this node has none.
-    pub(crate) fn control_store<R>(&self, look: impl FnOnce(&ControlStore<ControlValue>) -> R) -> Option<R> {
-        self.control_store.as_ref().map(|store| look(&store.borrow()))
+    /// Calls `read` with the control store. Returns `None` if this node has none.
+    pub(crate) fn control_store<R>(&self, read: impl FnOnce(&ControlStore<ControlValue>) -> R) -> Option<R> {
+        self.control_store.as_ref().map(|store| read(&store.borrow()))
     }
 
-    /// Bytes that wait to be written on all links.
+    /// Returns the bytes queued on all links.
     pub(crate) fn link_backlog(&self) -> usize {
-        self.links.borrow().values().flatten().map(Link::waiting_bytes).sum()
+        self.links.borrow().values().flatten().map(Link::queued_bytes).sum()
     }
 
-    /// The most that ever waited to be written on one link, in bytes.
+    /// Returns the largest backlog of a link since the start, in bytes.
     pub(crate) fn link_backlog_peak(&self) -> usize {
         self.link_backlog_peak.get()
     }
 
-    /// Why the disk takes no writes, while it takes none.
+    /// Returns the error while the disk is full.
     pub(crate) fn disk_full(&self) -> Option<DiskError> {
         self.disk_full.borrow().clone()
     }
 
-    /// Where a node takes links and datagrams.
+    /// Returns the address of a node for links and datagrams.
     pub(super) fn address_of(&self, node: Node) -> SocketAddr {
         SocketAddr::new(ip_of(node), self.port)
     }
 
-    /// A number that no link or call of this process had before.
+    /// Returns a number that no other link or call of this process has.
     pub(super) fn take_number(&self) -> u64 {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
--- a/crates/daemon/mesh/src/peers/tests.rs
+++ b/crates/daemon/mesh/src/peers/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the links and of nodes in one process. In the package, for frames, queues and the deciders' cells are private.
+//! Tests of links, and of several nodes in one process. They are unit tests because frames, queues and the
+//! cells of the decision modules are private.
 mod invariants;
 mod isolated_control_node;
 mod links;
--- a/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
+++ b/crates/daemon/mesh/src/peers/tests/wire_bytes.rs
@@ -1,5 +1,6 @@
-//! The bytes of everything that daemons write to each other and to their disks, held fixed: daemons of different builds talk
-//! to each other, and each reads what the one before it wrote. The messages inside are held by the packages that own them.
+//! Verifies the encoding of everything that daemons send to each other and store. Daemons of different builds
+//! communicate, and each reads what an earlier build stored. Encodings of the inner messages are verified in
+//! the packages that define them.
 use super::super::frame::{encode_frame, Frame, PROTOCOL_VERSION};
 use super::super::record::{RecordBody, UpstreamRecord};
 use crate::control_value::{ControlChange, ControlValue};
@@ -12,20 +13,21 @@
 use silvercross_time::{Duration, Instant};
 use std::fmt::{Debug, Write};
 
-/// One line per value: its name, then its bytes in hexadecimal.
+/// The expected encodings: each line has the name of a value and its bytes in hexadecimal.
 const TABLE: &str = include_str!("../../../tests/data/wire.hex");
 
-/// A destination and a route, a later version of the destination, and a member.
+/// A patch with a destination and a route, a patch with a later version of the destination, and a member
+/// list.
 const PATCH: &[u8] = include_bytes!("../../../tests/data/patch.json");
-const LATER: &[u8] = include_bytes!("../../../tests/data/later.json");
+const LATER_PATCH: &[u8] = include_bytes!("../../../tests/data/later.json");
 const MEMBERS: &[u8] = include_bytes!("../../../tests/data/members.json");
 
 fn add_bytes(lines: &mut String, name: &str, bytes: &[u8]) {
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    writeln!(lines, "{name} {hex}").expect("a string grows");
+    writeln!(lines, "{name} {hex}").expect("writing to a string");
 }
 
-/// Adds the line of a value to `lines`, after reading the value back from its encoding.
+/// Appends the line of a value, after verifying that decoding its encoding returns an equal value.
 fn add<T: Encode + DecodeOwned + PartialEq + Debug>(lines: &mut String, name: &str, value: T) {
     let bytes = bitcode::encode(&value);
     assert_eq!(bitcode::decode::<T>(&bytes).as_ref().ok(), Some(&value), "{name}");
@@ -76,7 +78,7 @@
     assert_eq!(whole.apply(&members), Ok(true));
     assert!(matches!(whole, ControlValue::WithMembers(_)));
     let mut tracked = configuration.clone();
-    assert_eq!(tracked.apply(&ControlChange::Patch(parse_change(LATER).expect("valid"))), Ok(true));
+    assert_eq!(tracked.apply(&ControlChange::Patch(parse_change(LATER_PATCH).expect("valid"))), Ok(true));
     assert!(matches!(tracked, ControlValue::Versioned(_)));
     let lapse = LapseState {
         version: Some(2),
@@ -118,7 +120,7 @@
     };
     let key = || "evacuation/a".to_string();
     let request = Request::Change(ControlChange::Evacuate(false));
-    let asked = Instant::from_micros(-5);
+    let requested_at = Instant::from_micros(-5);
     let store = |message| Frame::ControlStore { replica_set_version: 4, message };
     vec![
         ("hello", Frame::Hello { version: PROTOCOL_VERSION, node: 0x7f00_0001 }),
@@ -127,8 +129,8 @@
         ("store-claim", store(Message::Claim { key: key(), epoch: epoch() })),
         ("store-copy", store(copy)),
         ("store-forward", store(Message::Forward { id: 5, key: key(), epoch: epoch(), request })),
-        ("time", Frame::WallClockRequest { asked }),
-        ("told", Frame::WallClockReply { asked, wall_micros: 1_700_000_000_000_000, stepped: true }),
+        ("time", Frame::WallClockRequest { requested_at }),
+        ("told", Frame::WallClockReply { requested_at, wall_micros: 1_700_000_000_000_000, stepped: true }),
     ]
 }
 
@@ -137,7 +139,7 @@
     let mut lines = String::new();
     for (name, frame) in frames() {
         let bytes = encode_frame(&frame);
-        let again: Frame = bitcode::decode(&bytes[4..]).expect("as it was written");
+        let again: Frame = bitcode::decode(&bytes[4..]).expect("a valid frame");
         assert_eq!(encode_frame(&again), bytes, "{name}");
         add_bytes(&mut lines, &format!("frame/{name}"), &bytes);
     }
@@ -166,7 +168,7 @@
         replay_key: 1 << 60,
         is_query: true,
     };
-    // In a header line it is hexadecimal as well.
+    // The header value is hexadecimal as well.
     writeln!(lines, "header/request {}", forwarding_headers::encode(&headers)).expect("a string grows");
     add(&mut lines, "request", headers);
     for (name, status) in [
@@ -179,5 +181,5 @@
         writeln!(lines, "header/{name} {}", forwarding_headers::encode(&status)).expect("a string grows");
         add(&mut lines, &format!("answer/{name}"), status);
     }
-    assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
+    assert!(lines == TABLE, "the encodings have changed. New encodings:\n{lines}");
 }
