--- a/crates/daemon/mesh/src/node_state.rs
+++ b/crates/daemon/mesh/src/node_state.rs
@@ -1,9 +1,9 @@
-//! What one process of the mesh knows, shared between its tasks.
+//! The state of one process of the mesh, shared between its tasks.
 //!
-//! [`NodeState`] (`state.rs`) holds the parts. What is done with them is in the other files, one for each concern, as methods of
-//! [`NodeState`]; each concern's own values and rules are in files that know nothing of it (`in_force.rs`, `local_upstream.rs`,
-//! `upstream_lists.rs`, `counters.rs`). Each part stands behind a cell, whose borrow never outlives a statement or block and is
-//! never held over an `await`.
+//! [`NodeState`] (`state.rs`) holds the parts. The operations on them are methods of [`NodeState`] in the
+//! other files, one file for each concern. Data types and rules that do not depend on [`NodeState`] are in
+//! files of their own (`in_force.rs`, `local_upstream.rs`, `upstream_lists.rs`, `counters.rs`). Each part is
+//! in a cell, whose borrow never outlives a statement or block and is never held across an `await`.
 mod balancers;
 mod connections;
 mod control_entries;
--- a/crates/daemon/mesh/src/node_state/balancers.rs
+++ b/crates/daemon/mesh/src/node_state/balancers.rs
@@ -1,4 +1,4 @@
-//! The balancer of each service: opened with its first upstream, and told of upstreams and settings.
+//! Creates the balancer of each service with its first upstream, and updates its upstreams and settings.
 use super::state::NodeState;
 use super::upstream_lists::{UpstreamLists, UpstreamPlace};
 use crate::service_balancer::{ServiceBalancer, ServiceSettings};
@@ -9,39 +9,40 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-/// The part of the mesh's retries that sidecars may use together; the rest covers those whose number is not known.
-const RETRY_BUDGET_PART: f64 = 0.5;
-/// The incarnation that stands for this process: the upstream beside it is never renewed by it.
+/// The fraction of the mesh-wide retry budget that sidecars divide among themselves. The rest is a reserve
+/// for sidecars that this node does not know of.
+const RETRY_BUDGET_FRACTION: f64 = 0.5;
+/// The incarnation used for this process. It is constant, so the local upstream is never reset because of it.
 const OWN_INCARNATION: u64 = 0;
 
 /// A service and its balancer.
 pub(crate) struct BalancedService {
-    /// The service's name.
+    /// The name of the service.
     pub(crate) name: String,
-    /// Its balancer.
+    /// The balancer.
     pub(crate) balancer: Rc<ServiceBalancer>,
 }
 
-/// Upstreams by service.
+/// The known upstreams by service.
 struct KnownUpstreams {
     hosts: BTreeMap<String, Vec<Host>>,
-    /// Those of them whose sidecar began another incarnation, as they were before.
-    renewed: BTreeMap<String, Vec<Host>>,
+    /// Upstreams whose sidecar has a new incarnation, marked as gone.
+    restarted: BTreeMap<String, Vec<Host>>,
 }
 
 impl NodeState {
-    /// The balancer of a service, if an upstream of it was ever known.
+    /// Returns the balancer of a service, if an upstream of it was ever known.
     pub(crate) fn service_balancer(&self, service: &str) -> Option<Rc<ServiceBalancer>> {
         self.service_balancers.borrow().get(service).cloned()
     }
 
-    /// All services that have a balancer, by name.
+    /// Returns all services that have a balancer.
     pub(crate) fn balanced_services(&self) -> Vec<BalancedService> {
         let balancers = self.service_balancers.borrow().clone();
         balancers.into_iter().map(|(name, balancer)| BalancedService { name, balancer }).collect()
     }
 
-    /// Set each balancer to the configuration, the limits and the number of sidecars in force.
+    /// Updates each balancer from the configuration, the limits and the number of sidecars in force.
     pub(super) fn reconfigure_balancers(self: &Rc<Self>) {
         let table = self.routing_table();
         for service in self.balanced_services() {
@@ -61,37 +62,37 @@
             senders: sidecars.total,
             senders_in_zone: sidecars.in_zone,
             drain_timeout: limits.drain_timeout,
-            retry_ratio: limits.retry_ratio * RETRY_BUDGET_PART,
-            max_saved_retries: limits.retry_allowance * RETRY_BUDGET_PART / f64::from(sidecars.total),
+            retry_ratio: limits.retry_ratio * RETRY_BUDGET_FRACTION,
+            max_saved_retries: limits.retry_allowance * RETRY_BUDGET_FRACTION / f64::from(sidecars.total),
         }
     }
 
-    /// Tell each balancer which upstreams there are.
+    /// Updates the list of upstreams of each balancer.
     pub(super) fn update_upstream_lists(self: &Rc<Self>) {
         if self.settings.outbound_address.is_none() {
             return;
         }
-        let KnownUpstreams { mut hosts, mut renewed } = self.known_upstreams();
+        let KnownUpstreams { mut hosts, mut restarted } = self.known_upstreams();
         let table = self.routing_table();
-        // A service whose last upstream has gone is told so.
+        // A service without upstreams gets an empty list.
         for service in self.balanced_services() {
             hosts.entry(service.name).or_default();
         }
         for (service, hosts) in hosts {
             match self.service_balancer(&service) {
                 Some(balancer) => {
-                    if let Some(gone) = renewed.remove(&service) {
+                    if let Some(gone) = restarted.remove(&service) {
                         balancer.reset_upstreams(gone);
                     }
                     balancer.set_upstreams(hosts);
                 }
-                None => self.open_balancer(service, &hosts, &table),
+                None => self.create_balancer(service, &hosts, &table),
             }
         }
         self.routing_changed.notify_waiters();
     }
 
-    /// The upstreams that the other nodes' records and the heartbeats here tell of.
+    /// Returns the upstreams known from the records of other nodes and from local heartbeats.
     fn known_upstreams(&self) -> KnownUpstreams {
         let (other_nodes, in_force) = (self.other_nodes.borrow(), self.in_force.borrow());
         let mut warm_ups = self.warm_ups.borrow_mut();
@@ -112,11 +113,11 @@
             lists.add(place, &body, &local.record);
         }
         lists.forget_unlisted();
-        KnownUpstreams { hosts: lists.hosts, renewed: lists.renewed }
+        KnownUpstreams { hosts: lists.hosts, restarted: lists.restarted }
     }
 
-    /// The first upstreams of a service have come.
-    fn open_balancer(&self, service: String, hosts: &[Host], table: &RoutingTable) {
+    /// Creates the balancer of a service with its first upstreams.
+    fn create_balancer(&self, service: String, hosts: &[Host], table: &RoutingTable) {
         let seed = self.rng.borrow_mut().next_u64();
         let settings = self.service_settings(&service, table);
         let balancer = ServiceBalancer::new(&settings, hosts, seed, self.clock.clone());
--- a/crates/daemon/mesh/src/node_state/connections.rs
+++ b/crates/daemon/mesh/src/node_state/connections.rs
@@ -1,10 +1,10 @@
-//! Connections that are turned down because a limit is reached.
+//! Connections that are rejected because a limit is reached.
 use super::counters::ConnectionKind;
 use super::state::NodeState;
 use slog::warn;
 
 impl NodeState {
-    /// A connection was rejected: counted, and logged now and then.
+    /// Counts a rejected connection, and logs it at a limited rate.
     pub(crate) fn reject_connection(&self, kind: ConnectionKind) {
         let counters = &self.counters;
         let count = match kind {
--- a/crates/daemon/mesh/src/node_state/control_entries.rs
+++ b/crates/daemon/mesh/src/node_state/control_entries.rs
@@ -1,4 +1,5 @@
-//! Control entries put in force: the configuration, evacuations, members and how far their slowing has come.
+//! Puts control entries in force: the configuration, evacuations, members, and the progress of their
+//! throttling.
 use super::state::NodeState;
 use super::unrouted_requests::UnroutedCounts;
 use crate::control_value::{evacuated_zone, ControlValue, CONFIGURATION_KEY};
@@ -9,30 +10,30 @@
 use std::rc::Rc;
 
 impl NodeState {
-    /// The routing table in force.
+    /// Returns the routing table in force.
     pub(crate) fn routing_table(&self) -> Rc<RoutingTable> {
         self.in_force.borrow().table.clone()
     }
 
-    /// Whether a configuration has come.
+    /// Whether a configuration has been received.
     pub(crate) fn configured(&self) -> bool {
         self.in_force.borrow().is_configured
     }
 
-    /// Zones that are evacuated.
+    /// Returns the evacuated zones.
     pub(crate) fn evacuated_zones(&self) -> Vec<String> {
         self.in_force.borrow().evacuated_zones.iter().cloned().collect()
     }
 
-    /// The revisions in force, by key.
+    /// Returns the revisions in force, by key.
     pub(crate) fn revisions(&self) -> BTreeMap<String, Revision> {
         self.in_force.borrow().revisions.clone()
     }
 
-    /// Put a control entry in force. One that is no newer than what is in force changes nothing: a node goes forward in
-    /// revisions only.
+    /// Puts a control entry in force. Entries that are not newer than the one in force are ignored: the
+    /// revisions of a node never go back.
     pub(crate) fn apply_control_entry(self: &Rc<Self>, key: &str, revision: Revision, value: ControlValue) {
-        if !self.in_force.borrow_mut().take_revision(key, revision) {
+        if !self.in_force.borrow_mut().advance_revision(key, revision) {
             return;
         }
         if let Some(event_stream) = self.event_stream.get() {
@@ -48,9 +49,9 @@
             ControlValue::Configuration(configuration) if key == CONFIGURATION_KEY => {
                 self.configure(&configuration, revision);
             }
-            ControlValue::WithMembers(whole) if key == CONFIGURATION_KEY => {
-                self.member_throttle.set_members(self.now(), &self.log, &whole.member_list);
-                self.configure(&whole.configuration, revision);
+            ControlValue::WithMembers(with_members) if key == CONFIGURATION_KEY => {
+                self.member_throttle.set_members(self.now(), &self.log, &with_members.member_list);
+                self.configure(&with_members.configuration, revision);
             }
             ControlValue::Evacuation(is_evacuated) => {
                 if let Some(zone) = evacuated_zone(key) {
@@ -71,7 +72,8 @@
         self.update_upstream_lists();
     }
 
-    /// A request was answered 404: no route is known for it. The log says under which revision.
+    /// Records a request that was answered 404 because no route was known. The log line has the revision of
+    /// the configuration.
     pub(crate) fn note_unrouted(&self, host: &str, path: &str) {
         let now = self.now();
         self.unrouted_requests.borrow_mut().reject(now, host, path);
@@ -83,18 +85,18 @@
         }
     }
 
-    /// How many requests were answered 404, and how many of them had a route later.
+    /// Returns how many requests were answered 404, and how many of them had a route later.
     pub(crate) fn unrouted_counts(&self) -> UnroutedCounts {
         self.unrouted_requests.borrow().counts()
     }
 
-    /// Requests that were answered 404 before their route came.
+    /// Logs how many requests were answered 404 before their route was known.
     fn report_late_routes(&self, revision: Revision) {
         let (now, table) = (self.now(), self.routing_table());
         let late = self.unrouted_requests.borrow_mut().table_changed(now, &table);
         if late > 0 {
             let longest = self.unrouted_counts().longest_wait;
-            info!(self.log, "routes came after requests for them"; "requests" => late,
+            info!(self.log, "requests arrived before their routes were known"; "requests" => late,
                 "longest_us" => longest.as_micros(), "round" => revision.epoch, "change" => revision.sequence);
         }
     }
@@ -107,9 +109,9 @@
         let parent = self.peers.parent_ip().map_or_else(|| "none".to_string(), |ip| ip.to_string());
         info!(self.log, "configuration in force"; "round" => revision.epoch, "change" => revision.sequence,
             "parent" => parent);
-        self.update_upstream_allowance();
+        self.update_upstream_limits();
         self.reconfigure_balancers();
         self.routing_changed.notify_waiters();
-        self.ask_upstream_health();
+        self.check_upstream_health();
     }
 }
--- a/crates/daemon/mesh/src/node_state/counters.rs
+++ b/crates/daemon/mesh/src/node_state/counters.rs
@@ -1,37 +1,38 @@
-//! Counters and gauges of one process. Knows nothing of what it counts.
+//! Counters and gauges of one process. Independent of what they count.
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counters since the start, and gauges. How operators see each is in `docs/operators/mesh.md`.
+/// Counters since the start, and gauges. Their outward names are described in `docs/operators/mesh.md`.
 #[derive(Default)]
 pub(crate) struct Counters {
-    /// Connections of clients now.
+    /// Gauge of client connections.
     pub(crate) client_connections: Cell<u64>,
-    /// Connections of clients rejected for want of descriptors.
+    /// Client connections rejected because of the limit on file descriptors.
     pub(crate) rejected_clients: Cell<u64>,
-    /// Connections of other sidecars now.
+    /// Gauge of connections from other sidecars.
     pub(crate) hop_connections: Cell<u64>,
-    /// Of these, those on which no request is.
+    /// Of these, connections without an open request.
     pub(crate) idle_hop_connections: Cell<u64>,
-    /// Those rejected beyond the limit.
+    /// Connections from other sidecars rejected because of the limit.
     pub(crate) rejected_hops: Cell<u64>,
-    /// Links without a first frame.
+    /// Gauge of links whose first frame has not been received.
     pub(crate) unidentified_links: Cell<u64>,
-    /// Links rejected beyond the limits.
+    /// Links rejected because of the limits.
     pub(crate) rejected_links: Cell<u64>,
-    /// Connections for control calls rejected beyond the limit.
+    /// Connections for control calls rejected because of the limit.
     pub(crate) rejected_calls: Cell<u64>,
     /// Requests read.
     pub(crate) requests: Cell<u64>,
-    /// Connections to other sidecars that broke after the request was written; the other sidecar was asked what became of it.
+    /// Connections to other sidecars that failed after the request was written. The other sidecar was asked
+    /// for the outcome.
     pub(crate) outcome_queries: Cell<u64>,
-    /// Of these, those whose response came after all, and those that were not begun for certain.
+    /// Of these, requests whose response was received after all, and those that certainly had not started.
     pub(crate) recovered_requests: Cell<u64>,
-    /// Requests that went on here after their origin's connection had broken.
+    /// Requests that continued here after the connection from their origin had failed.
     pub(crate) orphaned_requests: Cell<u64>,
-    /// Requests rejected for want of memory for their bodies.
+    /// Requests rejected because of the memory limit for bodies.
     pub(crate) rejected_for_memory: Cell<u64>,
-    /// Requests rejected with a time to retry.
+    /// Requests rejected with a retry time.
     pub(crate) refused_requests: Cell<u64>,
     /// Requests that failed here after they may have run.
     pub(crate) failed_requests: Cell<u64>,
@@ -39,11 +40,11 @@
     pub(crate) delivered_requests: Cell<u64>,
     /// Requests that admission at the upstream rejected.
     pub(crate) rejected_by_gate: Cell<u64>,
-    /// Heartbeats of the upstream taken.
+    /// Heartbeats received from the upstream.
     pub(crate) heartbeats: Cell<u64>,
-    /// Operators' calls taken.
+    /// Operators' calls accepted.
     pub(crate) control_calls: Cell<u64>,
-    /// Of these, those that are not answered yet.
+    /// Of these, gauge of calls that have not been answered.
     pub(crate) open_control_calls: Cell<u64>,
     /// Frames sent on links.
     pub(crate) frames_sent: Cell<u64>,
@@ -54,30 +55,30 @@
 }
 
 impl Counters {
-    /// Something came that no node of this mesh sends.
+    /// Counts a message that no node of this mesh sends.
     pub(crate) fn count_foreign_message(&self) {
         self.foreign_messages.set(self.foreign_messages.get() + 1);
     }
 }
 
-/// Where connections are limited.
+/// A kind of connections with its own limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionKind {
-    /// Clients.
+    /// From clients.
     Outbound,
-    /// Requests of other sidecars.
+    /// From other sidecars, for requests.
     Inbound,
-    /// Links of other nodes.
+    /// Links from other nodes.
     Link,
-    /// Upstreams, operators, the platform.
+    /// Control calls from upstreams, operators and the platform.
     Call,
 }
 
 impl ConnectionKind {
-    /// How many kinds there are.
+    /// The number of variants.
     pub(crate) const COUNT: usize = 4;
 
-    /// Its name in the log.
+    /// The name in the log.
     pub(crate) fn name(self) -> &'static str {
         match self {
             ConnectionKind::Outbound => "outbound",
@@ -88,14 +89,14 @@
     }
 }
 
-/// One more of something for as long as this lives.
+/// Increments a gauge for as long as it lives.
 pub(crate) struct GaugeGuard {
     counters: Rc<Counters>,
     gauge: fn(&Counters) -> &Cell<u64>,
 }
 
 impl GaugeGuard {
-    /// Count it.
+    /// Increments the gauge.
     pub(crate) fn new(counters: &Rc<Counters>, gauge: fn(&Counters) -> &Cell<u64>) -> Self {
         let cell = gauge(counters);
         cell.set(cell.get() + 1);
--- a/crates/daemon/mesh/src/node_state/departed_request.rs
+++ b/crates/daemon/mesh/src/node_state/departed_request.rs
@@ -1,11 +1,11 @@
-//! A request whose sender has left, from then until the work on it ends.
+//! Tracks a request whose sender has disconnected until the work on it ends.
 use super::departures::DepartedPeer;
 use super::state::NodeState;
 use silvercross_time::Instant;
 use slog::info;
 use std::rc::Rc;
 
-/// A request whose sender has left; dropped when the work on it ends.
+/// A request whose sender has disconnected. It is dropped when the work on it ends.
 pub(crate) struct DepartedRequest {
     node_state: Rc<NodeState>,
     peer: DepartedPeer,
@@ -14,12 +14,12 @@
 }
 
 impl DepartedRequest {
-    /// Its sender has left just now, and the work on it ends.
+    /// Creates it when the sender has disconnected and the work is being cancelled.
     pub(crate) fn new(node_state: &Rc<NodeState>, peer: DepartedPeer) -> Self {
         DepartedRequest::count(node_state, peer, false)
     }
 
-    /// The same of one that is carried on to its end.
+    /// The same for a request that is processed to its end.
     pub(crate) fn carried_on(node_state: &Rc<NodeState>, peer: DepartedPeer) -> Self {
         DepartedRequest::count(node_state, peer, true)
     }
@@ -36,10 +36,10 @@
             return;
         }
         let now = self.node_state.now();
-        let took = now - self.since;
-        if let Some(count) = self.node_state.departures.count_end(now, self.peer, took) {
-            info!(self.node_state.log, "work went on after its sender had left"; "sender" => self.peer.name(),
-                "us" => took.as_micros(), "count" => count);
+        let elapsed = now - self.since;
+        if let Some(count) = self.node_state.departures.count_end(now, self.peer, elapsed) {
+            info!(self.node_state.log, "work continued after its sender had disconnected"; "sender" => self.peer.name(),
+                "us" => elapsed.as_micros(), "count" => count);
         }
     }
 }
--- a/crates/daemon/mesh/src/node_state/departures.rs
+++ b/crates/daemon/mesh/src/node_state/departures.rs
@@ -1,25 +1,26 @@
-//! Work that goes on after whoever asked for it has left, counted for each hop. Knows neither connections nor requests.
+//! Counts work that continues after its sender has disconnected, for each hop. Independent of connections and
+//! requests.
 use crate::rate_limited_log::RateLimitedLog;
 use silvercross_time::{Duration, Instant};
 use std::cell::Cell;
 
-/// Work that ends later than this after whoever asked for it has left has outlived them.
+/// Work that ends later than this after its sender has disconnected is counted as outlived.
 const OUTLIVED_AFTER: Duration = Duration::from_millis(500);
 
-/// Who has left.
+/// The sender that has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DepartedPeer {
-    /// A client, from the sidecar that it had sent its request to.
+    /// A client, which was connected to this sidecar.
     Client,
-    /// The sidecar where a request began, from the gate beside the upstream.
+    /// The sidecar where a request originated, which was connected to the gate of the upstream.
     Origin,
 }
 
 impl DepartedPeer {
-    /// How many kinds there are.
+    /// The number of variants.
     const COUNT: usize = 2;
 
-    /// Its name in the log.
+    /// The name in the log.
     pub(super) fn name(self) -> &'static str {
         match self {
             DepartedPeer::Client => "client",
@@ -28,20 +29,20 @@
     }
 }
 
-/// What was counted on one hop.
+/// The counts of one hop.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub(crate) struct DepartureCounts {
-    /// Requests whose sender left before they had ended.
+    /// Requests whose sender disconnected before they ended.
     pub(crate) departures: u64,
-    /// Of these, those that may run once and were carried on, as they may have begun.
+    /// Of these, requests that may run only once and were continued because they may have started.
     pub(crate) carried_on: u64,
-    /// Of the others, those on which work went on for longer than [`OUTLIVED_AFTER`].
+    /// Of the others, requests on which work continued for longer than [`OUTLIVED_AFTER`].
     pub(crate) outlived: u64,
-    /// The longest time for which work on one of the others went on.
+    /// The longest time for which work on one of the others continued.
     pub(crate) longest: Duration,
 }
 
-/// What was counted on all hops.
+/// The counts of all hops.
 #[derive(Default)]
 pub(crate) struct Departures {
     counts: [Cell<DepartureCounts>; DepartedPeer::COUNT],
@@ -49,12 +50,12 @@
 }
 
 impl Departures {
-    /// What was counted on one hop.
+    /// Returns the counts of one hop.
     pub(crate) fn counts(&self, peer: DepartedPeer) -> DepartureCounts {
         self.counts[peer as usize].get()
     }
 
-    /// A request's sender has left.
+    /// Counts a request whose sender has disconnected.
     pub(super) fn count_departure(&self, peer: DepartedPeer, is_carried_on: bool) {
         self.update(peer, |counts| {
             counts.departures += 1;
@@ -62,13 +63,13 @@
         });
     }
 
-    /// Work that was not to be carried on has ended so long after its sender had left: for how many such requests a log line is due,
-    /// if one is.
-    pub(super) fn count_end(&self, now: Instant, peer: DepartedPeer, took: Duration) -> Option<u64> {
-        let has_outlived = took > OUTLIVED_AFTER;
+    /// Counts the end of work on a request that was not continued, this long after its sender disconnected.
+    /// Returns how many outlived requests a log line has to report, if one is due.
+    pub(super) fn count_end(&self, now: Instant, peer: DepartedPeer, elapsed: Duration) -> Option<u64> {
+        let has_outlived = elapsed > OUTLIVED_AFTER;
         self.update(peer, |counts| {
             counts.outlived += u64::from(has_outlived);
-            counts.longest = counts.longest.max(took);
+            counts.longest = counts.longest.max(elapsed);
         });
         if has_outlived {
             self.logs[peer as usize].due(now)
--- a/crates/daemon/mesh/src/node_state/invariants.rs
+++ b/crates/daemon/mesh/src/node_state/invariants.rs
@@ -1,28 +1,29 @@
-//! What has to hold while the process runs, checked where it could be broken, counted by name and logged with both values that
-//! disagree: the log outlives the process, the counts don't. Each is 0 in tests. Knows nothing of what is checked: go on with
-//! `invariant_checks.rs`.
+//! Invariants of the running process. They are checked where they could be violated. Violations are counted
+//! by name and logged with the expected and the found value, as the log outlives the process and the counts
+//! do not. Tests expect no violations. The checks are in `invariant_checks.rs`.
 use crate::rate_limited_log::RateLimitedLog;
 use serde_json::{Map, Value};
 use silvercross_time::Instant;
 use std::cell::Cell;
 
-/// What has to hold.
+/// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Invariant {
-    /// Of the control entries at most one frame is on its way on a link: no superseded version waits before the newest.
+    /// At most one frame with control entries is being sent on a link, so no superseded version is queued
+    /// before the newest.
     OneVersionUnderWay,
-    /// What is in force is the newest revision that this node knows of each key.
+    /// The entry in force for each key is the newest revision that this node knows.
     NewestInForce,
-    /// No link's queue gets full: what waits is bounded by what is sent, not by how slow the link is.
+    /// No queue of a link becomes full: the backlog is limited by what is sent, not by the speed of the link.
     BoundedBacklog,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants.
     const ALL: [Invariant; 3] =
         [Invariant::OneVersionUnderWay, Invariant::NewestInForce, Invariant::BoundedBacklog];
 
-    /// Its name in the log and on the metrics page.
+    /// The name in the log and on the metrics page.
     pub(super) fn name(self) -> &'static str {
         match self {
             Invariant::OneVersionUnderWay => "oneVersionUnderWay",
@@ -32,7 +33,7 @@
     }
 }
 
-/// Violations of each invariant.
+/// The number of violations of each invariant.
 #[derive(Default)]
 pub(super) struct Violations {
     counts: [Cell<u64>; Invariant::ALL.len()],
@@ -40,14 +41,14 @@
 }
 
 impl Violations {
-    /// An invariant does not hold: for how many violations a log line is due, if one is.
+    /// Counts a violation. Returns how many violations a log line has to report, if one is due.
     pub(super) fn count(&self, now: Instant, invariant: Invariant) -> Option<u64> {
         let count = &self.counts[invariant as usize];
         count.set(count.get() + 1);
         self.logs[invariant as usize].due(now)
     }
 
-    /// Violations by name.
+    /// Returns the number of violations by name.
     pub(super) fn report(&self) -> Value {
         let counts = Invariant::ALL
             .map(|invariant| (invariant.name().to_string(), self.counts[invariant as usize].get().into()));
--- a/crates/daemon/mesh/src/node_state/local_upstream.rs
+++ b/crates/daemon/mesh/src/node_state/local_upstream.rs
@@ -1,14 +1,14 @@
-//! The upstream on this machine, as its heartbeats tell it. Knows nothing of what follows from them.
+//! The upstream on this machine, as reported by its heartbeats. It triggers no further actions.
 use crate::peers::UpstreamRecord;
 use serde::Deserialize;
 use silvercross_time::{Duration, Instant};
 
-/// A warm-up that ends so much later than the one before is another one.
+/// A warm-up that ends this much later than the previous one is a new one.
 const NEW_WARM_UP_AFTER: Duration = Duration::from_millis(500);
-/// The longest warm-up that counts, in seconds.
+/// The maximum warm-up time, in seconds. Longer ones are capped.
 const MAX_WARM_UP_S: f64 = 1e6;
 
-/// A heartbeat, as an upstream sends it. The keys are the wire's.
+/// A heartbeat, as sent by an upstream. The JSON keys are the wire format.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Heartbeat {
@@ -27,12 +27,12 @@
 }
 
 impl Heartbeat {
-    /// Whether the upstream is to get no more requests.
+    /// Whether the upstream is draining and accepts no more requests.
     pub(super) fn is_draining(&self) -> bool {
         self.state == "draining"
     }
 
-    /// How much of its warm-up is left.
+    /// Returns the remaining time of its warm-up.
     pub(super) fn warm_up_left(&self) -> Duration {
         Duration::from_micros((self.warm_up_left_s.clamp(0.0, MAX_WARM_UP_S) * 1e6) as i64)
     }
@@ -40,18 +40,18 @@
 
 /// The upstream on this machine.
 pub(super) struct LocalUpstream {
-    /// What the other nodes are told of it.
+    /// The description that other nodes get.
     pub(super) record: UpstreamRecord,
-    /// Of the latest heartbeat.
+    /// The sequence number of the latest heartbeat.
     sequence: u64,
     pub(super) last_heartbeat: Instant,
     warm_up_ends: Instant,
-    /// The other nodes have been told of it as it is.
+    /// Whether the record has been published in its current state.
     pub(super) is_published: bool,
 }
 
 impl LocalUpstream {
-    /// By the first heartbeat of an incarnation.
+    /// Creates it from the first heartbeat of an incarnation.
     pub(super) fn new(id: &str, heartbeat: Heartbeat, now: Instant) -> Self {
         let (draining, warm_up_left) = (heartbeat.is_draining(), heartbeat.warm_up_left());
         let record = UpstreamRecord {
@@ -67,13 +67,13 @@
         LocalUpstream { record, sequence, last_heartbeat: now, warm_up_ends, is_published: true }
     }
 
-    /// Whether a heartbeat is older than one that was taken.
+    /// Whether a heartbeat is older than one that was processed.
     pub(super) fn is_overtaken(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.sequence < self.sequence
     }
 
-    /// A further heartbeat of the same incarnation; whether the other nodes are to hear of it.
-    pub(super) fn renew(&mut self, heartbeat: Heartbeat, now: Instant) -> bool {
+    /// Processes another heartbeat of the same incarnation. Returns whether the record has to be published.
+    pub(super) fn update(&mut self, heartbeat: Heartbeat, now: Instant) -> bool {
         let (draining, warm_up_left) = (heartbeat.is_draining(), heartbeat.warm_up_left());
         let is_warming_up = warm_up_left > Duration::ZERO;
         let before = self.record.clone();
--- a/crates/daemon/mesh/src/node_state/other_nodes.rs
+++ b/crates/daemon/mesh/src/node_state/other_nodes.rs
@@ -1,4 +1,4 @@
-//! The other nodes as this one knows them: their records, how many sidecars there are, and which control node to call.
+//! The other nodes: their records, the number of sidecars, and the choice of the control node to call.
 use super::state::NodeState;
 use crate::peers::RecordBody;
 use silvercross_mesh_membership::{Node, NodeRecord};
@@ -6,10 +6,10 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// How many sidecars there are, this one among them.
+/// The number of sidecars, including this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SidecarCounts {
-    /// In the mesh.
+    /// In the whole mesh.
     pub(super) total: u32,
     /// In this node's zone.
     pub(super) in_zone: u32,
@@ -19,13 +19,13 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::from_bits(node.0)), port)
 }
 
-/// Whether a record says of its own node that it is a replica of the control store.
+/// Whether the record of a node lists the node itself as a replica of the control store.
 fn is_replica(record: &NodeRecord<RecordBody>) -> bool {
     record.body.replica_set.contains(&record.node.0)
 }
 
 impl NodeState {
-    /// Another node's record has come, newer than the one known.
+    /// Applies a record of another node that is newer than the known one.
     pub(crate) fn apply_record(self: &Rc<Self>, record: NodeRecord<RecordBody>) {
         if let Some(event_stream) = self.event_stream.get() {
             event_stream.record(&record);
@@ -37,7 +37,7 @@
         } else {
             self.other_nodes.borrow_mut().insert(record.node, record);
         }
-        // What each may send of shared budgets goes by how many there are.
+        // The share of each sidecar in shared budgets depends on their number.
         if self.sidecar_counts() != counts_before {
             self.reconfigure_balancers();
         } else {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How many sidecars there are, this one among them.
+    /// Returns the number of sidecars, including this one.
     pub(super) fn sidecar_counts(&self) -> SidecarCounts {
         let other_nodes = self.other_nodes.borrow();
         let sidecars = other_nodes.values().filter(|record| !record.is_control);
@@ -53,7 +53,7 @@
         SidecarCounts { total: sidecars.count() as u32 + 1, in_zone: in_zone + 1 }
     }
 
-    /// Whether this node has a disk, but the replicas of the control store don't count it among them.
+    /// Whether replicas of the control store are known, and none of them lists this node in its replica set.
     pub(crate) fn is_outsider(&self) -> bool {
         let own = self.settings.ip.to_bits();
         let other_nodes = self.other_nodes.borrow();
@@ -61,19 +61,20 @@
         replicas.peek().is_some() && replicas.all(|record| !record.body.replica_set.contains(&own))
     }
 
-    /// The control address of a replica: one that is known to reach most of them and that most of them name, in this zone if
-    /// there is one. One that is cut off answers that nothing can be committed.
+    /// Returns the control address of a replica. Prefers nodes that are not stopping, then replicas known to
+    /// reach a majority, then those listed by most replicas, then those in this zone. An isolated replica
+    /// could only answer that nothing can be committed.
     pub(crate) fn control_address(&self) -> Option<SocketAddr> {
-        let reached = self.peers.membership(|membership| membership.reachable_control_nodes());
+        let reachable = self.peers.membership(|membership| membership.reachable_control_nodes());
         let other_nodes = self.other_nodes.borrow();
         let replicas: Vec<_> = other_nodes.values().filter(|record| is_replica(record)).collect();
-        let named_by = |record: &NodeRecord<RecordBody>| {
+        let listing_replicas = |record: &NodeRecord<RecordBody>| {
             replicas.iter().filter(|replica| replica.body.replica_set.contains(&record.node.0)).count()
         };
         let preference = |record: &NodeRecord<RecordBody>| {
-            let is_unreached = !reached.contains(&record.node);
+            let is_unreachable = !reachable.contains(&record.node);
             let is_elsewhere = record.zone != self.settings.zone;
-            (record.body.stopping, is_unreached, Reverse(named_by(record)), is_elsewhere)
+            (record.body.stopping, is_unreachable, Reverse(listing_replicas(record)), is_elsewhere)
         };
         let callable = replicas.iter().filter(|record| record.body.control_port > 0);
         let best = callable.min_by_key(|record| preference(record));
--- a/crates/daemon/mesh/src/node_state/readiness.rs
+++ b/crates/daemon/mesh/src/node_state/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the platform may give this machine's clients work.
+//! Readiness of this process: whether the platform may send requests to the clients of this machine.
 use super::state::NodeState;
 use silvercross_mesh_membership::Freshness;
 use silvercross_time::Duration;
@@ -8,16 +8,16 @@
 /// Why this process is not ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NotReady {
-    /// It is on its way out.
+    /// The process is stopping.
     Stopping,
-    /// It knows no configuration.
+    /// No configuration has been received.
     NoConfiguration,
-    /// Whether what it has is what a majority of the control replicas has is not known yet.
+    /// It is not known yet whether the control state is what a majority of the control replicas has.
     NotKnownToBeCurrent,
 }
 
 impl fmt::Display for NotReady {
-    /// The text of the answer at `ready`, which operators and tests know.
+    /// The response text at the readiness address, on which operators and tests rely.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             NotReady::Stopping => "stopping",
@@ -28,13 +28,14 @@
 }
 
 impl NodeState {
-    /// Whether the platform may give this machine's clients work. Once so it stays so until the process stops.
+    /// Whether this process is ready. Once ready, it remains so until it stops.
     pub(crate) fn is_ready(&self) -> bool {
         self.not_ready().is_none()
     }
 
-    /// Why it may not. A sidecar that started is not current until it has what a majority had acknowledged before, or could not
-    /// find out in time; a request that comes all the same is routed by what it has.
+    /// Returns why this process is not ready. A sidecar is not ready after its start until it has what a
+    /// majority had acknowledged before, or could not determine this in time. Requests that arrive earlier
+    /// are routed by the configuration it has.
     pub(crate) fn not_ready(&self) -> Option<NotReady> {
         if self.stopping() {
             Some(NotReady::Stopping)
@@ -47,23 +48,23 @@
         }
     }
 
-    /// Whether what is in force is what a majority had acknowledged before the start.
+    /// Whether the control state in force includes what a majority had acknowledged before the start.
     pub(crate) fn freshness(&self) -> Freshness {
         self.peers.membership(|membership| membership.freshness())
     }
 
-    /// Log once when this sidecar gets ready, and on what grounds.
+    /// Logs once when this sidecar becomes ready, and why.
     pub(crate) fn log_readiness(&self) {
         if self.readiness_logged.get() || self.settings.ready_address.is_none() || !self.is_ready() {
             return;
         }
         self.readiness_logged.set(true);
-        let took: Duration = self.now() - self.started_at;
+        let elapsed: Duration = self.now() - self.started_at;
         match self.freshness() {
             Freshness::TimedOut { .. } => {
-                warn!(self.log, "ready: no majority has told within the bound whether this is current"; "us" => took.as_micros());
+                warn!(self.log, "ready: no majority confirmed the control state before the timeout"; "us" => elapsed.as_micros());
             }
-            _ => info!(self.log, "ready: has what a majority had at the start"; "us" => took.as_micros()),
+            _ => info!(self.log, "ready: as current as a majority at the start"; "us" => elapsed.as_micros()),
         }
     }
 }
--- a/crates/daemon/mesh/src/node_state/reloading.rs
+++ b/crates/daemon/mesh/src/node_state/reloading.rs
@@ -1,10 +1,10 @@
-//! Other settings put in force while the process runs.
+//! Puts changed settings in force while the process runs.
 use super::state::NodeState;
 use crate::settings::NodeSettings;
 use std::rc::Rc;
 
 impl NodeState {
-    /// Go by other settings, as far as they can change; the keys that differed.
+    /// Applies those changed settings that can be reloaded. Returns the keys that differed.
     pub(crate) fn apply_reloadable_settings(self: &Rc<Self>, settings: &NodeSettings) -> Vec<&'static str> {
         let mut changed_keys = Vec::new();
         if *self.seeds.borrow() != settings.seeds {
--- a/crates/daemon/mesh/src/node_state/state.rs
+++ b/crates/daemon/mesh/src/node_state/state.rs
@@ -1,4 +1,4 @@
-//! The parts that the tasks of a process share.
+//! The state that the tasks of a process share.
 use super::counters::{ConnectionKind, Counters};
 use super::departures::Departures;
 use super::in_force::InForce;
@@ -31,75 +31,75 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Of the file descriptors, the part that idle connections may keep.
-const IDLE_CONNECTIONS_PART: u64 = 4;
+/// Divides the maximum number of file descriptors to get the maximum number of idle connections.
+const IDLE_CONNECTIONS_DIVISOR: u64 = 4;
 
 /// One process of the mesh.
 pub(crate) struct NodeState {
-    /// What its machine told it at the start.
+    /// The settings at the start.
     pub(crate) settings: NodeSettings,
-    /// What of that can change, as it is in force now.
+    /// The reloadable settings in force.
     pub(crate) reloadable: Cell<ReloadableSettings>,
-    /// Where other settings come from.
+    /// The settings file, from which changes are read.
     pub(crate) settings_file: WatchedSettingsFile,
-    /// Its log.
+    /// The log.
     pub(crate) log: Logger,
-    /// Its counters and gauges.
+    /// The counters and gauges.
     pub(crate) counters: Rc<Counters>,
-    /// Work that goes on after whoever asked for it has left.
+    /// Counts of work that continues after its sender has disconnected.
     pub(crate) departures: Departures,
-    /// Idle connections that are kept.
+    /// The pool of idle connections.
     pub(crate) pool: ConnectionPool,
-    /// Memory for the bodies held here.
+    /// The memory budget for request and response bodies.
     pub(crate) body_budget: Rc<BodyBudget>,
-    /// What is remembered of requests that may run once.
+    /// Responses and state of requests that may run only once.
     pub(crate) response_replay_cache: Rc<ResponseReplayCache>,
-    /// Admission to the upstream on this machine.
+    /// The gate of the upstream on this machine.
     pub(crate) gate: UpstreamGate,
-    /// Links and who decides about them.
+    /// The links to other nodes, and the decision modules that use them.
     pub(crate) peers: Peers,
-    /// Members and how far each is slowed.
+    /// The members and their throttling.
     pub(crate) member_throttle: MemberThrottle,
-    /// Events for other tools, where they are asked for.
+    /// The event stream for other tools, if requested.
     pub(crate) event_stream: OnceCell<EventStream>,
-    /// Requests open now.
+    /// The number of open requests.
     pub(crate) open_requests: Cell<u64>,
-    /// How long clients' connections may be idle.
+    /// The idle timeout of client connections.
     pub(crate) idle_timeout: RefCell<IdleTimeout>,
-    /// Operators' calls that were rejected, for the log.
+    /// Limits log lines about rejected operators' calls.
     pub(crate) rejected_calls_log: RateLimitedLog,
     pub(super) rejected_connections_logs: [RateLimitedLog; ConnectionKind::COUNT],
     pub(super) clock: Clock,
     pub(super) in_force: RefCell<InForce>,
     pub(super) violations: Violations,
     pub(super) unrouted_requests: RefCell<UnroutedRequests>,
-    /// Requests answered 404, for the log.
+    /// Limits log lines about requests answered 404.
     pub(super) unrouted_log: RateLimitedLog,
     pub(super) service_balancers: RefCell<BTreeMap<String, Rc<ServiceBalancer>>>,
     pub(super) other_nodes: RefCell<BTreeMap<Node, NodeRecord<RecordBody>>>,
     pub(super) warm_ups: RefCell<WarmUps>,
     pub(super) local_upstream: RefCell<Option<LocalUpstream>>,
-    /// Incarnations of the upstream here that have ended: a late heartbeat brings none back.
+    /// Ended incarnations of the local upstream, whose late heartbeats are ignored.
     pub(super) ended_upstreams: RefCell<Vec<String>>,
     pub(super) rng: RefCell<Pcg64Mcg>,
     pub(super) last_attempt_number: Cell<u64>,
     pub(super) seeds: RefCell<Vec<SocketAddr>>,
-    /// When this process was awake last, as its periodic task sees it.
+    /// When the periodic task of this process last ran.
     pub(super) last_awake: Cell<Instant>,
     pub(super) graceful_stop: RefCell<Option<GracefulStop>>,
-    pub(super) upstream_was_asked: Cell<bool>,
+    pub(super) upstream_health_requested: Cell<bool>,
     pub(super) started_at: Instant,
     pub(super) readiness_logged: Cell<bool>,
     pub(super) idle_connections_closing: Cell<bool>,
     pub(super) listeners_closing: Cell<bool>,
-    /// Told when a step of the stop is reached.
+    /// Notified when a step of the stop is reached.
     pub(super) stop_step_reached: Notify,
-    /// Told when a configuration or an upstream has come.
+    /// Notified when a configuration or an upstream has been received.
     pub(super) routing_changed: Notify,
 }
 
 impl NodeState {
-    /// A process that knows itself only.
+    /// Creates the state of a process that knows no other nodes.
     pub(crate) fn new(
         settings: NodeSettings,
         log: Logger,
@@ -112,7 +112,7 @@
         let response_replay_cache = ResponseReplayCache::new(clock.clone(), &mut rng, settings.memory_bytes);
         let last_attempt_number = Cell::new(rng.next_u64());
         let pool = ConnectionPool::default();
-        pool.set_max_idle((settings.max_descriptors / IDLE_CONNECTIONS_PART) as usize);
+        pool.set_max_idle((settings.max_descriptors / IDLE_CONNECTIONS_DIVISOR) as usize);
         let is_only_replica = peers.control_store(|store| store.replica_nodes().len() == 1);
         Rc::new(NodeState {
             body_budget: BodyBudget::new(settings.memory_bytes),
@@ -147,7 +147,7 @@
             rng: RefCell::new(rng),
             last_awake: Cell::new(now),
             graceful_stop: RefCell::default(),
-            upstream_was_asked: Cell::new(false),
+            upstream_health_requested: Cell::new(false),
             started_at: now,
             readiness_logged: Cell::new(false),
             idle_connections_closing: Cell::new(false),
@@ -157,35 +157,35 @@
         })
     }
 
-    /// The present, on a clock that no step of the time of day moves.
+    /// Returns the current time on a monotonic clock.
     pub(crate) fn now(&self) -> Instant {
         Instant::from_micros(self.clock.now())
     }
 
-    /// Note that this process is awake. A stop is counted from here if the process then stands still.
+    /// Records that this process is running. If it is then suspended, a stop is timed from here.
     pub(crate) fn note_awake(&self) {
         self.last_awake.set(self.now());
     }
 
-    /// One of a split, drawn by its share.
-    pub(crate) fn draw_by_share(&self, split: &[WeightedDestination]) -> String {
-        if let [only] = split {
+    /// Picks one of the destinations at random, in proportion to their weights.
+    pub(crate) fn draw_by_share(&self, destinations: &[WeightedDestination]) -> String {
+        if let [only] = destinations {
             return only.name.clone();
         }
-        let total: f64 = split.iter().map(|to| to.weight).sum();
-        // Uniform in [0, 1): the 53 bits that a double holds.
+        let total: f64 = destinations.iter().map(|to| to.weight).sum();
+        // Uniform in [0, 1): uses the 53 bits of precision of an `f64`.
         let fraction = (self.rng.borrow_mut().next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         let mut left = fraction * total;
-        for to in split {
+        for to in destinations {
             left -= to.weight;
             if left < 0.0 {
                 return to.name.clone();
             }
         }
-        split.last().map(|to| to.name.clone()).unwrap_or_default()
+        destinations.last().map(|to| to.name.clone()).unwrap_or_default()
     }
 
-    /// A number for an attempt that no other one has: drawn once, and counted on from there; never 0.
+    /// Returns a unique number for an attempt. Numbers are counted up from a random start, and are never 0.
     pub(crate) fn next_attempt_number(&self) -> u64 {
         let number = self.last_attempt_number.get().wrapping_add(1).max(1);
         self.last_attempt_number.set(number);
--- a/crates/daemon/mesh/src/node_state/stopping.rs
+++ b/crates/daemon/mesh/src/node_state/stopping.rs
@@ -1,27 +1,27 @@
-//! The stop of the process: what the platform and the other nodes are told, and who waits for which step of it.
+//! The graceful stop of the process: what the platform and other nodes are told, and the waits for its steps.
 use super::state::NodeState;
 use crate::graceful_stop::{GracefulStop, Phase};
 use silvercross_time::{Duration, Instant};
 use slog::info;
 use std::rc::Rc;
 
-/// Where a process that stops stands.
+/// The progress of a graceful stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StopProgress {
-    /// What is to be done now.
+    /// The current phase.
     pub(crate) phase: Phase,
-    /// By when the process ends, whatever is open.
+    /// When the process ends, even if requests are open.
     pub(crate) end_by: Instant,
 }
 
 impl NodeState {
-    /// Whether the process is on its way out.
+    /// Whether the process is stopping.
     pub(crate) fn stopping(&self) -> bool {
         self.graceful_stop.borrow().is_some()
     }
 
-    /// From now on the platform is told "not ready", and the others that nothing more is to be sent here. All that is open, and
-    /// all that comes later, is answered within the grace.
+    /// Begins the graceful stop. The platform is told "not ready", and the other nodes that this node accepts
+    /// no more requests. All open and later requests are answered within the grace period.
     pub(crate) fn begin_stop(self: &Rc<Self>) {
         if self.stopping() {
             return;
@@ -38,20 +38,21 @@
         self.peers.leave_replica_set(self);
     }
 
-    /// Whether a request that may take so long is accepted: always, but late in the grace of a process that stops.
+    /// Whether a request with this timeout is accepted. Requests are rejected only late in the grace period
+    /// of a stopping process.
     pub(crate) fn accepts_request(&self, request_timeout: Duration) -> bool {
         let now = self.now();
         self.graceful_stop.borrow().as_ref().is_none_or(|stop| stop.accepts_request(now, request_timeout))
     }
 
-    /// Where a process that stops stands; `None`: it does not stop.
+    /// Returns the progress of the stop, or `None` if the process is not stopping.
     pub(crate) fn stop_progress(&self) -> Option<StopProgress> {
         let (now, is_busy) = (self.now(), self.is_busy());
         let mut stop = self.graceful_stop.borrow_mut();
         stop.as_mut().map(|stop| StopProgress { phase: stop.phase(now, is_busy), end_by: stop.end_by() })
     }
 
-    /// The platform asked whether this machine's clients may be given work, and was told "not ready".
+    /// Records that a readiness check of the platform was answered "not ready".
     pub(crate) fn count_not_ready_reply(&self) {
         let now = self.now();
         self.graceful_stop.borrow_mut().iter_mut().for_each(|stop| stop.not_ready_reply(now));
@@ -64,52 +65,53 @@
         open > 0 || load.in_flight + load.pending > 0
     }
 
-    /// Connections between two requests end from now on.
+    /// From now on, closes connections that have no open request.
     pub(crate) fn close_idle_connections(&self) {
         self.idle_connections_closing.set(true);
         self.stop_step_reached.notify_waiters();
     }
 
-    /// Waits until [`NodeState::close_idle_connections`].
+    /// Waits until [`NodeState::close_idle_connections`] is called.
     pub(crate) async fn idle_connections_closing(&self) {
-        let progress = self.stop_step_reached.notified();
+        let step_reached = self.stop_step_reached.notified();
         if !self.idle_connections_closing.get() {
-            progress.await;
+            step_reached.await;
         }
     }
 
-    /// No connection of a client is accepted any more.
+    /// From now on, accepts no client connections.
     pub(crate) fn close_listeners(&self) {
         self.listeners_closing.set(true);
         self.stop_step_reached.notify_waiters();
     }
 
-    /// Waits until [`NodeState::close_listeners`].
+    /// Waits until [`NodeState::close_listeners`] is called.
     pub(crate) async fn listeners_closing(&self) {
         loop {
-            let progress = self.stop_step_reached.notified();
+            let step_reached = self.stop_step_reached.notified();
             if self.listeners_closing.get() {
                 return;
             }
-            progress.await;
+            step_reached.await;
         }
     }
 
-    /// Wait until that is so, at most for this long; looked at whenever a configuration or an upstream has come.
-    pub(crate) async fn wait_until(&self, limit: Duration, is_so: impl Fn() -> bool) {
-        if is_so() || limit <= Duration::ZERO {
+    /// Waits until the condition holds, at most for `limit`. It is checked whenever a configuration or an
+    /// upstream has been received.
+    pub(crate) async fn wait_until(&self, limit: Duration, condition: impl Fn() -> bool) {
+        if condition() || limit <= Duration::ZERO {
             return;
         }
-        let becomes_so = async {
+        let condition_holds = async {
             loop {
                 let changed = self.routing_changed.notified();
-                if is_so() {
+                if condition() {
                     return;
                 }
                 changed.await;
             }
         };
-        // Who waited looks again at what it waited for.
-        let _ = tokio::time::timeout(limit.to_std(), becomes_so).await;
+        // The result is ignored: the caller checks the condition again.
+        let _ = tokio::time::timeout(limit.to_std(), condition_holds).await;
     }
 }
--- a/crates/daemon/mesh/src/node_state/unrouted_requests.rs
+++ b/crates/daemon/mesh/src/node_state/unrouted_requests.rs
@@ -1,14 +1,15 @@
-//! Requests that were answered 404 because no route was known for them, and those of them whose route came later: on a node whose
-//! configuration is behind, a proper request looks like a wrong one. Knows nothing of requests in progress.
+//! Records requests that were answered 404 because no route was known, and how many of them had a route
+//! later: on a node with an outdated configuration, a valid request looks like an invalid one. Independent of
+//! requests in progress.
 use silvercross_mesh_config::RoutingTable;
 use silvercross_time::{Duration, Instant};
 use std::collections::VecDeque;
 
-/// Rejected requests that are remembered; beyond it the oldest is forgotten.
+/// The maximum number of remembered requests. Beyond it the oldest is forgotten.
 const MAX_REMEMBERED: usize = 256;
-/// Longest host and path that are remembered, in bytes; longer ones are counted only.
+/// The maximum length of host and path together, in bytes. Longer ones are counted but not remembered.
 const MAX_ADDRESS_BYTES: usize = 512;
-/// A route that comes later than this after a request is taken for a new one, not for one that was late.
+/// A route that appears later than this after a request is considered new, not late.
 const LATE_ROUTE_WINDOW: Duration = Duration::from_secs(15);
 
 /// A request for which no route was known.
@@ -18,10 +19,10 @@
     path: String,
 }
 
-/// Requests without a route.
+/// Requests without a route, and their counts.
 #[derive(Default)]
 pub(super) struct UnroutedRequests {
-    /// The latest, oldest first; at most [`MAX_REMEMBERED`].
+    /// The latest requests, oldest first. At most [`MAX_REMEMBERED`].
     remembered: VecDeque<UnroutedRequest>,
     counts: UnroutedCounts,
 }
@@ -29,16 +30,16 @@
 /// Counts since the start.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub(crate) struct UnroutedCounts {
-    /// Requests answered 404 for want of a route.
+    /// Requests answered 404 because no route was known.
     pub(crate) rejected: u64,
-    /// Of these, those whose route came within [`LATE_ROUTE_WINDOW`].
+    /// Of these, requests whose route appeared within [`LATE_ROUTE_WINDOW`].
     pub(crate) route_came_late: u64,
     /// The longest time between such a request and its route.
     pub(crate) longest_wait: Duration,
 }
 
 impl UnroutedRequests {
-    /// A request was rejected.
+    /// Records a rejected request.
     pub(super) fn reject(&mut self, at: Instant, host: &str, path: &str) {
         self.counts.rejected += 1;
         if host.len() + path.len() > MAX_ADDRESS_BYTES {
@@ -50,7 +51,7 @@
         self.remembered.push_back(UnroutedRequest { at, host: host.to_string(), path: path.to_string() });
     }
 
-    /// Another table is in force: how many of the requests remembered have a route now.
+    /// Checks the remembered requests against a new routing table. Returns how many of them have a route now.
     pub(super) fn table_changed(&mut self, now: Instant, table: &RoutingTable) -> u64 {
         self.remembered.retain(|request| now - request.at <= LATE_ROUTE_WINDOW);
         let counts = &mut self.counts;
@@ -66,7 +67,7 @@
         counts.route_came_late - before
     }
 
-    /// Counts since the start.
+    /// Returns the counts since the start.
     pub(super) fn counts(&self) -> UnroutedCounts {
         self.counts
     }
--- a/crates/daemon/mesh/src/node_state/upstream_health.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_health.rs
@@ -1,6 +1,7 @@
-//! The health of the upstream on this machine, asked for after a restart of this process.
+//! Health checks of the upstream on this machine after a restart of this process.
 //!
-//! The upstream may be at work already, and its next heartbeat a while away: its health answer names its incarnation.
+//! The upstream may already be running, and its next heartbeat may take a while. Its health response names
+//! its incarnation.
 use super::local_upstream::Heartbeat;
 use super::state::NodeState;
 use crate::peer_connection::{self, HealthyUpstream};
@@ -8,20 +9,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// It is asked so many times,
+/// The maximum number of health checks.
 const MAX_HEALTH_CHECKS: u32 = 20;
-/// so far apart.
+/// The interval between health checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Where the configuration names no path.
+/// Health check path if the configuration has none.
 const DEFAULT_HEALTH_PATH: &str = "/health";
-/// Where nobody told how many requests an upstream works on at a time.
+/// The number of concurrent requests of an upstream if it is unknown.
 const DEFAULT_SLOTS: u32 = 4;
 
 impl NodeState {
-    /// Ask the upstream for its health until a heartbeat or an answer names it. Once for each process, and not at the first
-    /// start of the whole system.
-    pub(super) fn ask_upstream_health(self: &Rc<Self>) {
-        if self.settings.is_first_start || self.upstream_was_asked.replace(true) {
+    /// Checks the health of the upstream until a heartbeat or a response identifies it. Runs once for each
+    /// process, and not at the first start of the whole system.
+    pub(super) fn check_upstream_health(self: &Rc<Self>) {
+        if self.settings.is_first_start || self.upstream_health_requested.replace(true) {
             return;
         }
         let Some(address) = self.settings.upstream_address else { return };
@@ -32,12 +33,13 @@
                     return;
                 }
                 let path = node_state.health_path();
-                let share = node_state.body_budget.reservation();
-                let health = peer_connection::check_health(&node_state.pool, address, &path, share).await;
+                let body_reservation = node_state.body_budget.reservation();
+                let health =
+                    peer_connection::check_health(&node_state.pool, address, &path, body_reservation).await;
                 let is_unknown = node_state.local_upstream.borrow().is_none();
                 if let Some(HealthyUpstream { id, warm_up_left }) = health.filter(|_| is_unknown) {
                     if !node_state.has_ended(&id) {
-                        node_state.health_answered(&id, warm_up_left);
+                        node_state.health_response_received(&id, warm_up_left);
                     }
                     return;
                 }
@@ -52,8 +54,9 @@
         destination.map_or_else(|| DEFAULT_HEALTH_PATH.to_string(), |d| d.health_path.clone())
     }
 
-    /// A health answer named an incarnation; its first heartbeat tells the rest.
-    fn health_answered(self: &Rc<Self>, id: &str, warm_up_left: Span) {
+    /// Processes a health response that identified an incarnation. The first heartbeat supplies the other
+    /// properties.
+    fn health_response_received(self: &Rc<Self>, id: &str, warm_up_left: Span) {
         let slots = {
             let other_nodes = self.other_nodes.borrow();
             let upstreams = other_nodes.values().filter_map(|record| record.body.upstream.as_ref());
--- a/crates/daemon/mesh/src/node_state/upstream_heartbeats.rs
+++ b/crates/daemon/mesh/src/node_state/upstream_heartbeats.rs
@@ -1,5 +1,5 @@
-//! What follows from the heartbeats of the upstream on this machine, and from their end: for admission here, and for the other
-//! nodes.
+//! Processes the heartbeats of the upstream on this machine and their absence: updates admission and the
+//! record for other nodes.
 use super::local_upstream::{Heartbeat, LocalUpstream};
 use super::state::NodeState;
 use silvercross_admission::{UpstreamLimits, UpstreamReport};
@@ -7,13 +7,13 @@
 use slog::info;
 use std::rc::Rc;
 
-/// An upstream whose last heartbeat is so many intervals old is silent.
+/// An upstream is silent if its last heartbeat is older than this number of heartbeat intervals.
 const SILENT_AFTER_INTERVALS: f64 = 2.6;
-/// Incarnations that have ended are remembered, so that a late heartbeat brings none back.
+/// The maximum number of remembered ended incarnations, whose late heartbeats are ignored.
 const MAX_ENDED_UPSTREAMS: usize = 64;
 
 impl NodeState {
-    /// A heartbeat of the upstream on this machine; `false` if it is of an incarnation that has ended.
+    /// Processes a heartbeat of the upstream on this machine. Returns `false` if its incarnation has ended.
     pub(crate) fn upstream_heartbeat(self: &Rc<Self>, id: &str, heartbeat: Heartbeat) -> bool {
         self.counters.heartbeats.set(self.counters.heartbeats.get() + 1);
         if self.has_ended(id) {
@@ -25,10 +25,10 @@
             let mut local = self.local_upstream.borrow_mut();
             match local.as_mut().filter(|upstream| upstream.record.id == id) {
                 Some(upstream) if upstream.is_overtaken(&heartbeat) => return true,
-                Some(upstream) => upstream.renew(heartbeat, now),
+                Some(upstream) => upstream.update(heartbeat, now),
                 None => {
-                    if let Some(former) = local.take() {
-                        self.remember_ended(former.record.id);
+                    if let Some(previous) = local.take() {
+                        self.remember_ended(previous.record.id);
                     }
                     info!(self.log, "upstream"; "id" => id, "service" => &heartbeat.service, "zone" => &heartbeat.zone);
                     *local = Some(LocalUpstream::new(id, heartbeat, now));
@@ -36,16 +36,16 @@
                 }
             }
         };
-        self.tell_admission(now, is_draining, warm_up_left);
+        self.update_admission(now, is_draining, warm_up_left);
         if has_changed {
-            self.update_upstream_allowance();
+            self.update_upstream_limits();
             self.publish_own_record();
         }
         true
     }
 
-    /// Tell admission what the last heartbeat said.
-    fn tell_admission(&self, now: Instant, is_draining: bool, warm_up_left: Duration) {
+    /// Updates admission from the latest heartbeat.
+    fn update_admission(&self, now: Instant, is_draining: bool, warm_up_left: Duration) {
         let record = self.local_upstream.borrow().as_ref().map(|upstream| upstream.record.clone());
         let Some(record) = record else { return };
         let report = UpstreamReport { id: record.id.clone(), service: record.service, slots: record.slots };
@@ -58,7 +58,8 @@
         });
     }
 
-    /// See whether its heartbeats have stopped, and tell the other nodes what they have not heard of it yet.
+    /// Marks the upstream as silent if its heartbeats have stopped, and publishes changes that have not been
+    /// published.
     pub(crate) fn check_local_upstream(self: &Rc<Self>) {
         let now = self.now();
         let interval = self.reloadable.get().heartbeat_interval.as_micros() as f64;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The upstream on this machine has signed off.
+    /// Processes the sign-off of the upstream on this machine.
     pub(crate) fn upstream_signed_off(self: &Rc<Self>, id: &str) {
         self.remember_ended(id.to_string());
         let is_known = self.local_upstream.borrow().as_ref().is_some_and(|upstream| upstream.record.id == id);
@@ -93,7 +94,8 @@
         }
     }
 
-    /// The upstream on this machine refuses connections, or its heartbeats have stopped. The other nodes hear of it soon.
+    /// Marks the upstream on this machine as silent: it refuses connections, or its heartbeats have stopped.
+    /// The periodic check publishes this.
     pub(crate) fn mark_upstream_silent(&self) {
         let mut local = self.local_upstream.borrow_mut();
         if let Some(upstream) = local.as_mut().filter(|upstream| !upstream.record.silent) {
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Set admission to what the configuration allows this upstream.
-    pub(super) fn update_upstream_allowance(&self) {
+    /// Sets the limits of admission to those configured for the upstream's service.
+    pub(super) fn update_upstream_limits(&self) {
         let table = self.routing_table();
         let service = self.local_upstream.borrow().as_ref().map(|upstream| upstream.record.service.clone());
         let service = service.unwrap_or_else(|| self.settings.upstream_service.clone());
@@ -118,7 +120,7 @@
         self.gate.with_admission(|admission| admission.set_limits(now, limits));
     }
 
-    /// Whether this incarnation of the upstream here has ended.
+    /// Whether this incarnation of the local upstream has ended.
     pub(super) fn has_ended(&self, id: &str) -> bool {
         self.ended_upstreams.borrow().iter().any(|ended| ended == id)
     }
