--- a/crates/daemon/mesh/src/client_listener/route.rs
+++ b/crates/daemon/mesh/src/client_listener/route.rs
@@ -94,7 +94,7 @@
     budget: TimeBudget,
     departure: &Rc<ClientDeparture>,
 ) -> ClientResponse {
-    let service = node_state.draw_by_share(&route.split);
+    let service = node_state.pick_by_weight(&route.split);
     let has_upstreams =
         || node_state.service_balancer(&service).is_some_and(|balancer| balancer.has_upstreams());
     let max_wait = route.latency_target / UPSTREAM_WAIT_DIVISOR;
--- a/crates/daemon/mesh/src/node_state/state.rs
+++ b/crates/daemon/mesh/src/node_state/state.rs
@@ -168,7 +168,7 @@
     }
 
     /// Picks one of the destinations at random, in proportion to their weights.
-    pub(crate) fn draw_by_share(&self, destinations: &[WeightedDestination]) -> String {
+    pub(crate) fn pick_by_weight(&self, destinations: &[WeightedDestination]) -> String {
         if let [only] = destinations {
             return only.name.clone();
         }
--- a/crates/daemon/mesh/src/peers.rs
+++ b/crates/daemon/mesh/src/peers.rs
@@ -22,7 +22,7 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use deciders::{follow_disk, receive_datagrams, run_deciders};
+pub(crate) use deciders::{follow_disk, receive_datagrams, run_decision_modules};
 pub(crate) use links::accept_links;
 pub(crate) use record::{RecordBody, UpstreamRecord};
 pub(crate) use state::{LocalControlStore, Peers};
--- a/crates/daemon/mesh/src/peers/deciders.rs
+++ b/crates/daemon/mesh/src/peers/deciders.rs
@@ -49,7 +49,7 @@
 }
 
 /// Calls the timers of the decision modules. Runs as long as the process.
-pub(crate) async fn run_deciders(node_state: Rc<NodeState>) {
+pub(crate) async fn run_decision_modules(node_state: Rc<NodeState>) {
     let peers = &node_state.peers;
     loop {
         let sleep = peers.next_deadline().saturating_since(node_state.now()).min(MAX_SLEEP);
--- a/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
+++ b/crates/daemon/mesh/src/peers/tests/isolated_control_node.rs
@@ -135,7 +135,7 @@
     let node_state = NodeState::new(settings, Logger::root(Discard, o!()), gate, peers, clock, rng);
     tokio::task::spawn_local(peers::accept_links(node_state.clone(), links));
     tokio::task::spawn_local(peers::receive_datagrams(node_state.clone()));
-    tokio::task::spawn_local(peers::run_deciders(node_state.clone()));
+    tokio::task::spawn_local(peers::run_decision_modules(node_state.clone()));
     tokio::task::spawn_local(peers::follow_disk(node_state.clone(), disk_events));
     node_state
 }
--- a/crates/daemon/mesh/src/startup.rs
+++ b/crates/daemon/mesh/src/startup.rs
@@ -152,7 +152,7 @@
 fn start_tasks(node_state: &Rc<NodeState>, links: TcpListener) {
     spawn_local(peers::accept_links(node_state.clone(), links));
     spawn_local(peers::receive_datagrams(node_state.clone()));
-    spawn_local(peers::run_deciders(node_state.clone()));
+    spawn_local(peers::run_decision_modules(node_state.clone()));
     spawn_local(upstream_gate::run_timer(node_state.clone()));
     spawn_local(periodic::run(node_state.clone()));
     if node_state.settings.is_control {
