--- a/crates/daemon/mesh/src/node_state/counters.rs
+++ b/crates/daemon/mesh/src/node_state/counters.rs
@@ -42,7 +42,7 @@
     pub(crate) rejected_by_gate: Cell<u64>,
     /// Heartbeats received from the upstream.
     pub(crate) heartbeats: Cell<u64>,
-    /// Operators' calls accepted.
+    /// Operators' calls that request a change.
     pub(crate) control_calls: Cell<u64>,
     /// Of these, gauge of calls that have not been answered.
     pub(crate) open_control_calls: Cell<u64>,
--- a/crates/daemon/mesh/src/node_state/other_nodes.rs
+++ b/crates/daemon/mesh/src/node_state/other_nodes.rs
@@ -68,13 +68,13 @@
         let reachable = self.peers.membership(|membership| membership.reachable_control_nodes());
         let other_nodes = self.other_nodes.borrow();
         let replicas: Vec<_> = other_nodes.values().filter(|record| is_replica(record)).collect();
-        let listing_replicas = |record: &NodeRecord<RecordBody>| {
+        let listing_count = |record: &NodeRecord<RecordBody>| {
             replicas.iter().filter(|replica| replica.body.replica_set.contains(&record.node.0)).count()
         };
         let preference = |record: &NodeRecord<RecordBody>| {
             let is_unreachable = !reachable.contains(&record.node);
             let is_elsewhere = record.zone != self.settings.zone;
-            (record.body.stopping, is_unreachable, Reverse(listing_replicas(record)), is_elsewhere)
+            (record.body.stopping, is_unreachable, Reverse(listing_count(record)), is_elsewhere)
         };
         let callable = replicas.iter().filter(|record| record.body.control_port > 0);
         let best = callable.min_by_key(|record| preference(record));
