--- a/crates/daemon/sidecar/src/wire/application.rs
+++ b/crates/daemon/sidecar/src/wire/application.rs
@@ -1,4 +1,4 @@
-//! The application's side: its requests read, its answers written.
+//! Connections from the application: requests are read and parsed, responses written.
 use super::peer;
 use silvercross_core::interface::Micros;
 use silvercross_gateway::hops;
@@ -10,18 +10,19 @@
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// Where a connection is in the life of a request.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Waiting for a request, or in the middle of one.
+    /// Waiting for a request or receiving one.
     Reading,
-    /// A request was taken and is owed an answer.
+    /// This request was accepted and has no response yet.
     Waiting(Handle),
-    /// The answer to this request is passed on as it comes on that connection.
+    /// The response to this request (the first handle) is relayed as it arrives on an upstream's connection (the second).
     Passing(Handle, Handle),
-    /// An answer is being written.
+    /// A response is being written.
     Answering,
-    /// All is written and our end closed; what still comes is thrown away, so that no reset overtakes the answer.
+    /// The response is written and the write side is shut down. Further bytes are discarded, because a close with unread
+    /// bytes would reset the connection and the response could be lost.
     Lingering,
 }
 
@@ -29,51 +30,51 @@
 pub struct Conn {
     /// Its socket.
     pub socket: Watched<TcpStream>,
-    /// Where it is.
+    /// Its state.
     pub state: State,
-    /// What has come and is not yet dealt with.
+    /// Received bytes that are not processed yet.
     pub input: Option<Buffer>,
-    /// What is to be written.
+    /// Bytes still to be written.
     pub output: Option<Buffer>,
-    /// Close it after the present answer.
+    /// Close it after the current response.
     pub close: bool,
-    /// Accepted past the limit: told no, whatever it asks.
+    /// Accepted beyond the limit: every request on it is refused.
     pub turned_away: bool,
-    /// Bytes read since the last request was taken.
+    /// Bytes read since the last request was accepted.
     pub received: usize,
-    /// By when the present request must be whole, but for the time that its bytes may take.
+    /// Deadline for the current request to be complete, not counting the time allowed for the transfer of its bytes.
     pub send_by: Option<Micros>,
-    /// Its client speaks HTTP/1.0.
+    /// Its client uses HTTP/1.0.
     pub old: bool,
-    /// Where the request that is owed an answer is counted.
+    /// Metrics index of the class of the request that has no response yet.
     pub counted: Option<usize>,
     /// It has carried a request.
     pub used: bool,
     /// When its state last changed.
     pub since: Micros,
-    /// Requests taken while more stood behind them.
+    /// Requests accepted while bytes of further ones were in the input.
     pub ahead: u32,
-    /// Bytes thrown away after the last answer.
+    /// Bytes discarded after the last response.
     pub wasted: usize,
-    /// Since when bytes have stood in the input that came ahead of their turn.
+    /// Since when bytes of pipelined requests have been in the input.
     pub ahead_since: Option<Micros>,
-    /// By when what it is in the middle of must be through.
+    /// When the client times out unless the current read or write has progressed or ended; `None`: no timer is set.
     pub stalled_at: Option<Micros>,
 }
 
-/// What reading has brought.
+/// Result of [`Conn::read`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Got {
-    /// Some bytes, or none just now.
+    /// The available bytes, possibly none, were read.
     Bytes,
     /// The other end has closed.
     Closed,
-    /// There is no buffer to read into.
+    /// No buffer is available.
     NoBuffer,
 }
 
 impl Conn {
-    /// A connection just accepted.
+    /// A newly accepted connection.
     pub fn new(socket: Watched<TcpStream>, now: Micros, turned_away: bool) -> Self {
         Conn {
             socket,
@@ -95,12 +96,12 @@
         }
     }
 
-    /// Whether it stands between two requests.
+    /// Whether no request is in progress on it.
     pub fn is_idle(&self) -> bool {
         self.state == State::Reading && self.input.is_none()
     }
 
-    /// Read what has come.
+    /// Reads what has arrived, as far as the buffer has space.
     pub fn read(&mut self, pool: &mut Pool) -> Got {
         if self.input.is_none() {
             self.input = pool.take();
@@ -126,20 +127,20 @@
         got
     }
 
-    /// Throw away what has come, not too much at a time; `false` once the other end has closed, or there was something
-    /// to be told after it was read no more.
+    /// Discards a bounded amount of received bytes; `false` once the other end has closed, the socket has failed, or the
+    /// socket is reported ready after [`MAX_DISCARDED_BYTES`].
     pub fn discard(&mut self) -> bool {
-        let mut waste = [0; 4096];
-        if self.wasted >= WASTE {
+        let mut chunk = [0; 4096];
+        if self.wasted >= MAX_DISCARDED_BYTES {
             return false;
         }
         for _ in 0..16 {
-            match self.socket.get().read(&mut waste) {
+            match self.socket.get().read(&mut chunk) {
                 Ok(0) => return false,
                 Ok(n) => {
                     self.wasted += n;
-                    if self.wasted >= WASTE {
-                        // Its sender has been told, and has until the connection is closed to read that.
+                    if self.wasted >= MAX_DISCARDED_BYTES {
+                        // The response is sent; the client can read it until the connection is closed.
                         return self.socket.set(Interest::Nothing).is_ok();
                     }
                 }
@@ -150,7 +151,7 @@
         true
     }
 
-    /// Give an empty buffer back: an idle connection holds none.
+    /// Returns an empty input buffer to the pool: an idle connection has none.
     pub fn tidy(&mut self, pool: &mut Pool) {
         if self.input.as_ref().is_some_and(Buffer::is_empty) {
             self.input.take().into_iter().for_each(|b| pool.put_back(b));
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Write what there is to write; `true` once nothing is left.
+    /// Writes the output as far as the socket allows; `true` once all is written.
     pub fn flush(&mut self, pool: &mut Pool) -> io::Result<bool> {
         while let Some(output) = self.output.as_mut().filter(|b| !b.is_empty()) {
             match self.socket.get().write(output.filled()) {
@@ -176,7 +177,7 @@
         Ok(true)
     }
 
-    /// Close our end, keep reading.
+    /// Shuts down the write side and continues to read.
     pub fn linger(&mut self) -> io::Result<()> {
         self.state = State::Lingering;
         self.socket.get().shutdown(Shutdown::Write)?;
@@ -184,85 +185,96 @@
     }
 }
 
-/// So much is read of what comes behind the last answer: enough for bytes that were under way, not for a body of any size.
-const WASTE: usize = 256 * 1024;
+/// Maximum number of bytes discarded after the last response: enough for bytes that were in flight, but not for a body of
+/// any size.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
-/// A request, read whole.
+/// A complete request.
 #[derive(Debug, PartialEq)]
 pub enum Asked {
-    /// Whether the sidecar is ready.
+    /// A health check.
     Health,
-    /// What a gateway offers over its link.
+    /// A request for a gateway's offer.
     Offer,
-    /// A call to be placed.
+    /// A call to be sent to an upstream.
     Call(Box<Call>),
-    /// What is not served here: the status to answer with.
+    /// An unknown path or method: the status of the response.
     NotServed(u16),
 }
 
-/// A call of the application's.
+/// A call from the application.
 #[derive(Debug, PartialEq)]
 pub struct Call {
     /// Its correlation id.
     pub id: String,
-    /// It carries a key by which its repeats are dropped.
+    /// It has an idempotency key, by which duplicates are dropped.
     pub has_key: bool,
-    /// The class's name.
+    /// Name of its class.
     pub class: String,
-    /// The tenant's name.
+    /// Name of its tenant.
     pub tenant: Option<String>,
-    /// The digest of its key.
+    /// Digest of its session key.
     pub key: Option<u64>,
-    /// How long its client waits, in microseconds.
+    /// How long its client waits.
     pub budget: Option<Micros>,
-    /// The work it may take, in microseconds.
+    /// Estimate of its work in microseconds.
     pub cost_hint: Option<Micros>,
-    /// A client's retry.
+    /// It is the client's retry.
     pub repeat: bool,
-    /// It writes.
+    /// It is an update.
     pub write: bool,
-    /// The mark of the sites it has left.
+    /// Value of the header that lists the sites it has left.
     pub hops: Option<String>,
-    /// HTTP/1.0.
+    /// Its client uses HTTP/1.0.
     pub old: bool,
-    /// It waits for a word before it sends its body.
+    /// It has `Expect: 100-continue`.
     pub expects: bool,
-    /// The head as it goes on, less its last lines.
+    /// The head as it is forwarded, without its last lines.
     pub head: Vec<u8>,
-    /// Where its body lies among the bytes read.
+    /// Position of its body in the bytes read.
     pub body: http::Body,
 }
 
-/// What stands at the front of the bytes read.
+/// Result of [`front`].
 #[derive(Debug, PartialEq)]
 pub enum Front {
-    /// Not whole yet; `true`: its sender waits for a word before it sends the body.
+    /// Incomplete; `true`: its client waits for `100 Continue` before it sends the body.
     Partial(bool),
-    /// A call whose body is larger than a buffer: the call, the bytes of its head, how its body is framed, and whether the
-    /// connection may carry another.
+    /// A call whose body doesn't fit into a buffer: the call, the length of its head, the framing of its body, and whether
+    /// the connection is kept alive.
     Large(Box<Call>, usize, Framing, bool),
-    /// A whole request: what it asks, the bytes it takes, and whether the connection may carry another.
+    /// A complete request, its length, and whether the connection is kept alive.
     Whole(Asked, usize, bool),
 }
 
-const ID: &str = "X-Correlation-Id";
-const CLASS: &str = "X-Service-Class";
-const TENANT: &str = "X-Account";
-const KEY: &str = "X-Session-Key";
-/// The header that tells how long the sender waits, on both sides.
+const CORRELATION_ID: &str = "X-Correlation-Id";
+const SERVICE_CLASS: &str = "X-Service-Class";
+const ACCOUNT: &str = "X-Account";
+const SESSION_KEY: &str = "X-Session-Key";
+/// Header with the time in milliseconds that the sender waits, in requests from applications and to upstreams.
 pub const TIME_LEFT: &str = "X-Time-Left-Ms";
 const REPEAT: &str = "X-Repeat";
-const HINT: &str = "X-Weight-Hint";
+const COST_HINT: &str = "X-Weight-Hint";
 const FACTS: &str = "X-Facts";
-const IDEMPOTENCY: &str = "Idempotency-Key";
-const END_TO_END: [&str; 9] = [ID, CLASS, TENANT, KEY, TIME_LEFT, REPEAT, HINT, FACTS, IDEMPOTENCY];
-/// No client waits longer than this many milliseconds, or expects more microseconds of work.
-const LARGEST: f64 = 1e10;
+const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
+const END_TO_END: [&str; 9] = [
+    CORRELATION_ID,
+    SERVICE_CLASS,
+    ACCOUNT,
+    SESSION_KEY,
+    TIME_LEFT,
+    REPEAT,
+    COST_HINT,
+    FACTS,
+    IDEMPOTENCY_KEY,
+];
+/// Maximum of a client's waiting time in milliseconds, and of its estimate of work in microseconds.
+const MAX_NUMBER: f64 = 1e10;
 
-/// Read the request at the front of `bytes`.
+/// Parses the request at the front of `bytes`.
 pub fn front(bytes: &[u8]) -> Result<Front, MessageError> {
     let mut room = http::empty_headers();
-    // A line end or two before a request is passed over, as HTTP asks.
+    // Empty lines before a request are skipped, as HTTP recommends.
     let Some(head) = http::request_head(bytes, &mut room)? else { return Ok(Front::Partial(false)) };
     let expects = head.headers.has_token("expect", "100-continue") && bytes.len() == head.len;
     let path = http::origin_form(head.target).split('?').next().unwrap_or("");
@@ -287,14 +299,14 @@
     Ok(Front::Whole(asked, end, head.keep_alive))
 }
 
-/// The call at the front of `bytes` that does not fit into one buffer with its body.
+/// Parses the head of the call at the front of `bytes`, whose body doesn't fit into the buffer with it.
 pub fn large(bytes: &[u8]) -> Result<Front, MessageError> {
     let mut room = http::empty_headers();
     let head = http::request_head(bytes, &mut room)?.ok_or(MessageError::HeadTooLarge)?;
     Ok(Front::Large(Box::new(call(&head, None)?), head.len, head.framing, head.keep_alive))
 }
 
-/// Save room in an input whose request is not whole, where its body comes in chunks.
+/// Merges the chunks of an incomplete chunked body to free space in the buffer.
 pub fn tighten(input: &mut Buffer) {
     let mut room = http::empty_headers();
     let chunked = match http::request_head(input.filled(), &mut room) {
@@ -304,22 +316,26 @@
     http::merge_chunks(input, chunked, if input.is_full() { 2 } else { http::MIN_CHUNKS_TO_MERGE });
 }
 
-/// `body`: where it lies; `None`: it is passed on as it comes.
+/// `body`: its position; `None` if it is forwarded as it arrives.
 fn call(head: &http::RequestHead<'_, '_>, body: Option<http::Body>) -> Result<Call, MessageError> {
     let h = &head.headers;
     let number = |name: &str| match h.one(name)? {
         None => Ok(None),
         Some(text) => match text.parse::<f64>() {
-            Ok(x) if (0.0..=LARGEST).contains(&x) => Ok(Some(x)),
+            Ok(x) if (0.0..=MAX_NUMBER).contains(&x) => Ok(Some(x)),
             _ => Err(MessageError::Malformed("a header that is no number")),
         },
     };
-    let id = h.one(ID)?.filter(|id| !id.is_empty()).ok_or(MessageError::Malformed("no correlation id"))?;
+    let id = h
+        .one(CORRELATION_ID)?
+        .filter(|id| !id.is_empty())
+        .ok_or(MessageError::Malformed("no correlation id"))?;
     if END_TO_END.iter().any(|name| h.has_token("connection", name)) {
-        // It would not be passed on, and what it guards against would happen: an effect without its key, say.
+        // The header would not be forwarded, and its protection would be lost: an update without its idempotency key, for
+        // example, could be executed twice.
         return Err(MessageError::Malformed("a header that concerns both ends is named in Connection"));
     }
-    let class = h.one(CLASS)?.ok_or(MessageError::Malformed("no service class"))?.to_string();
+    let class = h.one(SERVICE_CLASS)?.ok_or(MessageError::Malformed("no service class"))?.to_string();
     let repeat = match h.one(REPEAT)? {
         None | Some("0") => false,
         Some("1") => true,
@@ -344,12 +360,12 @@
     let body = body.unwrap_or(http::Body { parts: Vec::new(), end: head.len });
     Ok(Call {
         id: id.to_string(),
-        has_key: h.one(IDEMPOTENCY)?.is_some_and(|key| !key.is_empty()),
+        has_key: h.one(IDEMPOTENCY_KEY)?.is_some_and(|key| !key.is_empty()),
         class,
-        tenant: h.one(TENANT)?.map(str::to_string),
-        key: h.one(KEY)?.map(digest),
+        tenant: h.one(ACCOUNT)?.map(str::to_string),
+        key: h.one(SESSION_KEY)?.map(digest),
         budget: number(TIME_LEFT)?.map(|ms| (ms * 1e3) as Micros),
-        cost_hint: number(HINT)?.map(|us| us.round() as Micros),
+        cost_hint: number(COST_HINT)?.map(|us| us.round() as Micros),
         repeat,
         hops: h.one(hops::HEADER)?.map(str::to_string),
         write: facts.split(',').any(|f| f.trim() == "update=1"),
@@ -371,7 +387,7 @@
     fn call_of(text: &str) -> Call {
         match front(text.as_bytes()) {
             Ok(Front::Whole(Asked::Call(call), _, _)) => *call,
-            other => panic!("no call but {other:?}"),
+            other => panic!("not a call: {other:?}"),
         }
     }
 
@@ -387,7 +403,7 @@
         for line in ["X-Correlation-Id: 9b1f\r\n", "Idempotency-Key: 5c\r\n", "Content-Length: 3\r\n"] {
             assert!(head.contains(line), "{head}");
         }
-        assert!(!head.contains(TIME_LEFT), "the sidecar states its own: {head}");
+        assert!(!head.contains(TIME_LEFT), "the sidecar adds its own value: {head}");
     }
 
     #[test]
--- a/crates/daemon/sidecar/src/wire/batches.rs
+++ b/crates/daemon/sidecar/src/wire/batches.rs
@@ -1,5 +1,6 @@
-//! What one member says to another beside membership: batches, each one HTTP/1.1 call on a connection that stays. One is under
-//! way at a time; what comes meanwhile goes with the next, and what is too much is lost, as it may be.
+//! The messages of the records from one member to another: batches, each sent as one HTTP/1.1 request on a persistent
+//! connection. One batch is in flight at a time; messages queued meanwhile go with the next. When the queue is full, the
+//! oldest message is dropped: the protocol tolerates lost messages.
 use silvercross_core::interface::Micros;
 use silvercross_idempotency_store::StoreMessage;
 use silvercross_net::http;
@@ -9,38 +10,38 @@
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// Where batches are taken.
+/// Path to which batches are posted.
 pub const PATH: &str = "/fleet/records";
-/// What waits for one peer, at most.
-const QUEUE: usize = 2048;
-/// What goes into one batch: so many bytes, about, and one thing always.
-const BATCH: usize = 256 * 1024;
-/// A call that takes longer is given up with its connection, in microseconds.
-const CALL: Micros = 3_000_000;
-/// A connection on which nothing was said for so long is closed.
-const IDLE: Micros = 15_000_000;
-/// After a connection that failed, the next is tried so much later.
-const AGAIN: Micros = 50_000;
+/// Maximum number of messages queued for one peer.
+const MAX_QUEUED: usize = 2048;
+/// Approximate maximum size of a batch; it has at least one message, whatever its size.
+const MAX_BATCH_BYTES: usize = 256 * 1024;
+/// A connection is closed if connecting, or a request and its response, takes longer.
+const REQUEST_TIMEOUT: Micros = 3_000_000;
+/// A connection without traffic is closed after this.
+const IDLE_TIMEOUT: Micros = 15_000_000;
+/// Delay before the next attempt to connect after a connection failed.
+const RECONNECT_DELAY: Micros = 50_000;
 
-/// The way to one peer.
+/// The outgoing connection and queue for one peer.
 pub struct Link {
-    /// Which peer.
+    /// The peer.
     pub to: Identity,
     socket: Option<Watched<TcpStream>>,
     queue: VecDeque<(usize, StoreMessage)>,
-    /// When the call under way began, or the last one ended.
+    /// When the current request began, the last one ended, or the connection was opened.
     pub since: Micros,
-    /// When a connection may be tried.
+    /// Earliest time of the next attempt to connect.
     pub again: Micros,
     calling: bool,
     output: Vec<u8>,
     written: usize,
     input: Vec<u8>,
-    /// Things that were lost for want of room.
+    /// Messages dropped because the queue was full.
     pub lost: u64,
 }
 
-/// About how many bytes something takes.
+/// Approximate encoded size of a message in bytes.
 fn size(said: &StoreMessage) -> usize {
     match said {
         StoreMessage::Replica(e) => 32 + e.message.bytes(),
@@ -50,7 +51,7 @@
 }
 
 impl Link {
-    /// A way with nothing on it.
+    /// A link without a connection and with an empty queue.
     pub fn new(to: Identity, now: Micros) -> Self {
         Link {
             to,
@@ -66,21 +67,21 @@
         }
     }
 
-    /// Have something said.
+    /// Queues a message; drops the oldest one if the queue is full.
     pub fn say(&mut self, said: StoreMessage) {
-        if self.queue.len() >= QUEUE {
+        if self.queue.len() >= MAX_QUEUED {
             self.queue.pop_front();
             self.lost += 1;
         }
         self.queue.push_back((size(&said), said));
     }
 
-    /// Whether it wants a connection now.
+    /// Whether a connection should be opened now.
     pub fn wants(&self, now: Micros) -> bool {
         self.socket.is_none() && !self.queue.is_empty() && now >= self.again
     }
 
-    /// It has one, on its way up; or none could be made.
+    /// Takes the connection being opened, or the error if it could not be created.
     pub fn connected(&mut self, now: Micros, socket: io::Result<Watched<TcpStream>>) {
         match socket {
             Ok(socket) => (self.socket, self.since) = (Some(socket), now),
@@ -93,26 +94,26 @@
         (self.calling, self.written) = (false, 0);
         self.output.clear();
         self.input.clear();
-        // What was to go is late by now; the newest is worth the most.
-        let late = self.queue.len().saturating_sub(64);
-        self.queue.drain(..late);
-        self.again = now + AGAIN;
+        // The queued messages are delayed by now: only the newest are kept, which are the most useful.
+        let excess = self.queue.len().saturating_sub(64);
+        self.queue.drain(..excess);
+        self.again = now + RECONNECT_DELAY;
     }
 
-    /// Let time pass.
+    /// Closes the connection if its timeout has passed.
     pub fn tick(&mut self, now: Micros) {
-        let limit = if self.calling || !self.queue.is_empty() { CALL } else { IDLE };
+        let limit = if self.calling || !self.queue.is_empty() { REQUEST_TIMEOUT } else { IDLE_TIMEOUT };
         if self.socket.is_some() && now >= self.since + limit {
             self.fail(now);
         }
     }
 
-    /// Whether nothing is to be said and nothing is open.
+    /// Whether the queue is empty and no connection is open.
     pub fn is_idle(&self) -> bool {
         self.socket.is_none() && self.queue.is_empty()
     }
 
-    /// Go on as far as the socket allows; `seal` makes bytes of what is to be said.
+    /// Writes and reads as far as the socket allows; `seal` encodes a batch.
     pub fn advance(&mut self, now: Micros, seal: &mut dyn FnMut(Vec<StoreMessage>) -> Vec<u8>) {
         if self.step(now, seal).is_err() {
             self.fail(now);
@@ -127,15 +128,15 @@
             if !self.calling {
                 let (mut batch, mut bytes) = (Vec::new(), 0);
                 while let Some((size, _)) = self.queue.front() {
-                    if !batch.is_empty() && bytes + size > BATCH {
+                    if !batch.is_empty() && bytes + size > MAX_BATCH_BYTES {
                         break;
                     }
                     bytes += size;
                     batch.extend(self.queue.pop_front().map(|s| s.1));
                 }
                 if batch.is_empty() {
-                    // The end of an idle connection shows as a readiness.
-                    return self.listen();
+                    // The close of an idle connection is reported as readiness to read.
+                    return self.check_open();
                 }
                 let body = seal(batch);
                 let head =
@@ -163,7 +164,7 @@
         }
     }
 
-    fn listen(&mut self) -> io::Result<()> {
+    fn check_open(&mut self) -> io::Result<()> {
         let Some(socket) = &mut self.socket else { return Ok(()) };
         socket.set(Interest::Read)?;
         match socket.get().read(&mut [0; 16]) {
@@ -173,14 +174,14 @@
         }
     }
 
-    /// Whether the answer is whole.
+    /// Reads the response; `true` once it is complete.
     fn read(&mut self) -> io::Result<bool> {
         let Some(socket) = &mut self.socket else { return Ok(false) };
-        let mut piece = [0; 1024];
+        let mut chunk = [0; 1024];
         loop {
-            match socket.get().read(&mut piece) {
+            match socket.get().read(&mut chunk) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(n) if self.input.len() + n <= 4096 => self.input.extend_from_slice(&piece[..n]),
+                Ok(n) if self.input.len() + n <= 4096 => self.input.extend_from_slice(&chunk[..n]),
                 Ok(_) => return Err(io::ErrorKind::InvalidData.into()),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/daemon/sidecar/src/wire/discovery.rs
+++ b/crates/daemon/sidecar/src/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's side: a call for the whole list, or a watch on its changes.
+//! Connections to discovery: a request for the complete list, or a watch of its changes.
 use httparse::Status;
 use serde::Deserialize;
 use silvercross_core::interface::Micros;
@@ -8,46 +8,46 @@
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A watch says something every 2 s; silent for longer, and a good part of a second, it is broken. A call waits 2 s at
-/// most before it fails, so the same holds until the first word. What discovery tells meanwhile counts as told.
+/// A watch sends something every 2 s; without bytes for 2 s and a margin it is considered broken. A request takes 2 s at
+/// most before it fails, so the same limit holds until its first byte. What discovery tells meanwhile counts as told.
 pub const SILENCE: Micros = 2_800_000;
-/// The longest line, or list, that is read: some ten thousand upstreams.
-const LONGEST: usize = 2 << 20;
+/// Maximum size of a line or list: some ten thousand upstreams.
+const MAX_LIST_BYTES: usize = 2 << 20;
 
-/// What a connection to discovery is for.
+/// Purpose of a connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// The whole list, once.
+    /// Request the complete list once.
     Call,
-    /// What changes, from now on.
+    /// Receive changes from now on.
     Watch,
 }
 
-/// A list, or changes, with the version they lead to.
+/// A list or changes, with the version that results.
 #[derive(Debug, PartialEq)]
 pub struct Told {
     /// The list's version.
     pub seq: u64,
-    /// What is new.
+    /// The list or the changes.
     pub news: DiscoveryEvent,
 }
 
-/// Why nothing more will come.
+/// Why a connection to discovery ended.
 #[derive(Debug)]
 pub enum Fault {
     /// The socket failed.
     Socket(io::Error),
     /// The other end closed it.
     Closed,
-    /// It answered with this status.
+    /// The response has this status.
     Status(u16),
-    /// What came cannot be understood.
+    /// The response is malformed.
     Malformed(String),
 }
 
-enum Part {
+enum DecodeState {
     Head,
-    /// Bytes left of the body, or of the present chunk.
+    /// Remaining bytes of the body or of the current chunk.
     Bytes(usize),
     ChunkSize,
     ChunkEnd,
@@ -55,96 +55,96 @@
     Done,
 }
 
-/// The body of an answer, taken out of its framing as it comes.
+/// Decodes the body of a response as it arrives.
 pub struct Reader {
     raw: Vec<u8>,
     body: Vec<u8>,
-    part: Part,
+    state: DecodeState,
     chunked: bool,
 }
 
 impl Default for Reader {
     fn default() -> Self {
-        Reader { raw: Vec::new(), body: Vec::new(), part: Part::Head, chunked: false }
+        Reader { raw: Vec::new(), body: Vec::new(), state: DecodeState::Head, chunked: false }
     }
 }
 
 impl Reader {
-    /// Take bytes in.
+    /// Decodes further bytes.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), Fault> {
         self.raw.extend_from_slice(bytes);
         let mut at = 0;
         let malformed = |what: &str| Fault::Malformed(what.to_string());
         loop {
             let rest = &self.raw[at..];
-            match self.part {
-                Part::Head => {
-                    let mut room = http::empty_headers();
+            match self.state {
+                DecodeState::Head => {
+                    let mut headers = http::empty_headers();
                     let head =
-                        http::response_head(rest, &mut room).map_err(|e| malformed(&format!("{e:?}")))?;
+                        http::response_head(rest, &mut headers).map_err(|e| malformed(&format!("{e:?}")))?;
                     let Some(head) = head else { break };
                     if head.status != 200 {
                         return Err(Fault::Status(head.status));
                     }
-                    self.part = match head.framing {
-                        http::Framing::Length(n) => Part::Bytes(n),
-                        http::Framing::Chunked => Part::ChunkSize,
-                        http::Framing::UntilClose => Part::UntilClose,
+                    self.state = match head.framing {
+                        http::Framing::Length(n) => DecodeState::Bytes(n),
+                        http::Framing::Chunked => DecodeState::ChunkSize,
+                        http::Framing::UntilClose => DecodeState::UntilClose,
                     };
                     self.chunked = head.framing == http::Framing::Chunked;
                     at += head.len;
                 }
-                Part::ChunkSize => {
+                DecodeState::ChunkSize => {
                     match httparse::parse_chunk_size(rest).map_err(|_| malformed("a malformed chunk"))? {
                         Status::Complete((line, size)) => {
                             at += line;
-                            // The last chunk ends a watch; what trails it is of no interest.
-                            let size = usize::try_from(size).ok().filter(|s| *s <= LONGEST);
-                            self.part = match size.ok_or_else(|| malformed("a chunk too large"))? {
-                                0 => Part::Done,
-                                n => Part::Bytes(n),
+                            // The last chunk ends a watch; trailers are ignored.
+                            let size = usize::try_from(size).ok().filter(|s| *s <= MAX_LIST_BYTES);
+                            self.state = match size.ok_or_else(|| malformed("a chunk too large"))? {
+                                0 => DecodeState::Done,
+                                n => DecodeState::Bytes(n),
                             };
                         }
                         Status::Partial => break,
                     }
                 }
-                Part::Bytes(left) => {
+                DecodeState::Bytes(left) => {
                     let n = left.min(rest.len());
                     self.body.extend_from_slice(&rest[..n]);
                     at += n;
-                    self.part = match (left - n, self.chunked) {
-                        (0, true) => Part::ChunkEnd,
-                        (0, false) => Part::Done,
-                        (left, _) => Part::Bytes(left),
+                    self.state = match (left - n, self.chunked) {
+                        (0, true) => DecodeState::ChunkEnd,
+                        (0, false) => DecodeState::Done,
+                        (left, _) => DecodeState::Bytes(left),
                     };
                     if left > n {
                         break;
                     }
                 }
-                Part::ChunkEnd => {
+                DecodeState::ChunkEnd => {
                     match rest.get(..2) {
                         Some(b"\r\n") => at += 2,
                         Some(_) => return Err(malformed("a chunk without its end")),
                         None => break,
                     }
-                    self.part = Part::ChunkSize;
+                    self.state = DecodeState::ChunkSize;
                 }
-                Part::UntilClose => {
+                DecodeState::UntilClose => {
                     self.body.extend_from_slice(rest);
                     at += rest.len();
                     break;
                 }
-                Part::Done => break,
+                DecodeState::Done => break,
             }
         }
         self.raw.drain(..at);
-        if self.raw.len().max(self.body.len()) > LONGEST {
+        if self.raw.len().max(self.body.len()) > MAX_LIST_BYTES {
             return Err(malformed("a line too long"));
         }
         Ok(())
     }
 
-    /// The next whole line; `None` while it is not whole.
+    /// The next line; `None` until it is complete.
     pub fn line(&mut self) -> Option<Vec<u8>> {
         let end = self.body.iter().position(|b| *b == b'\n')?;
         let mut line: Vec<u8> = self.body.drain(..=end).collect();
@@ -152,9 +152,10 @@
         Some(line)
     }
 
-    /// All of the body, once it is whole.
+    /// The body, once it is complete.
     pub fn whole(&self, closed: bool) -> Option<&[u8]> {
-        let done = matches!(self.part, Part::Done) || (closed && matches!(self.part, Part::UntilClose));
+        let done = matches!(self.state, DecodeState::Done)
+            || (closed && matches!(self.state, DecodeState::UntilClose));
         done.then_some(&self.body)
     }
 }
@@ -163,16 +164,16 @@
 pub struct Conn {
     /// Its socket.
     pub socket: Watched<TcpStream>,
-    /// What it is for.
+    /// Its purpose.
     pub purpose: Purpose,
-    /// When it counts as broken unless something comes.
+    /// When it is considered broken unless bytes arrive before.
     pub silent_at: Micros,
     request: Vec<u8>,
     reader: Reader,
 }
 
 impl Conn {
-    /// A connection on its way up, to ask for what changed after `since`, or for the whole list.
+    /// A connection being opened, to request the changes after version `since`, or the complete list.
     pub fn new(
         socket: Watched<TcpStream>,
         purpose: Purpose,
@@ -193,7 +194,7 @@
         !self.request.is_empty()
     }
 
-    /// Write the request.
+    /// Writes the request as far as the socket allows.
     pub fn write(&mut self) -> Result<(), Fault> {
         if let Some(e) = self.socket.get().take_error().map_err(Fault::Socket)? {
             return Err(Fault::Socket(e));
@@ -211,12 +212,11 @@
         self.socket.set(silvercross_net::registry::Interest::Read).map_err(Fault::Socket)
     }
 
-    /// Read what has come. Returns what it told, and the fault if it has ended; a call that told its list and ended
-    /// has no fault.
+    /// Reads what has arrived. Returns the lists received, and the fault if the connection has ended.
     pub fn read(&mut self, now: Micros) -> (Vec<Told>, Option<Fault>) {
         let mut told = Vec::new();
         let mut bytes = [0; 16 * 1024];
-        // So much at a time: the sockets of requests wait for their turn.
+        // Bounded, since the sockets of requests wait meanwhile.
         for _ in 0..16 {
             let n = match self.socket.get().read(&mut bytes) {
                 Ok(n) => n,
@@ -239,20 +239,20 @@
         self.reader.feed(bytes)?;
         match self.purpose {
             Purpose::Call => {
-                // Once: its end may come with the next read.
+                // Only once: the close of the connection may follow with the next read.
                 if let Some(list) = self.reader.whole(closed).filter(|_| told.is_empty()) {
                     told.push(read_list(list).map_err(Fault::Malformed)?);
                 }
             }
             Purpose::Watch => {
                 while let Some(line) = self.reader.line() {
-                    // Empty lines only say that the watch stands.
+                    // Empty lines are heartbeats.
                     if !line.is_empty() {
                         told.push(read_list(&line).map_err(Fault::Malformed)?);
                     }
                 }
-                // The last chunk ends the watch, though the connection may stay.
-                if matches!(self.reader.part, Part::Done) {
+                // The last chunk ends the watch, even if the connection stays open.
+                if matches!(self.reader.state, DecodeState::Done) {
                     return Err(Fault::Closed);
                 }
             }
@@ -266,11 +266,11 @@
     seq: u64,
     #[serde(default)]
     whole: bool,
-    hosts: Vec<Listed>,
+    hosts: Vec<HostEntry>,
 }
 
 #[derive(Deserialize)]
-struct Listed {
+struct HostEntry {
     host: String,
     #[serde(default)]
     dial: String,
@@ -281,20 +281,21 @@
     #[serde(default)]
     block: u32,
     health: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_share")]
     share: f64,
     #[serde(default)]
     born_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
-/// A list in discovery's form. One bad entry makes all of it bad: half a list would be taken for a whole one.
+/// Parses a list in discovery's format. One invalid entry invalidates all of it, since a partial list would be taken for a
+/// complete one.
 pub fn read_list(bytes: &[u8]) -> Result<Told, String> {
     let list: List = serde_json::from_slice(bytes).map_err(|e| format!("list: {e}"))?;
-    let host = |l: Listed| {
+    let host = |l: HostEntry| {
         let health = match l.health.as_str() {
             "ready" => Health::Ready,
             "draining" => Health::Draining,
--- a/crates/daemon/sidecar/src/wire/fleet.rs
+++ b/crates/daemon/sidecar/src/wire/fleet.rs
@@ -1,4 +1,5 @@
-//! An exchange between members: one HTTP/1.1 call with a body, one answer, then the connection ends.
+//! The fleet's connections between members: an exchange, which is one HTTP/1.1 request and response with bodies, after which
+//! the connection is closed; and the receiving end of the persistent connections of [`batches`].
 use super::batches;
 use silvercross_core::interface::Micros;
 use silvercross_net::http;
@@ -7,39 +8,39 @@
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// Where exchanges are asked for.
+/// Path of exchanges.
 const PATH: &str = "/fleet/exchange";
-/// Read in one turn of the loop.
-const A_TURN: usize = 256 * 1024;
+/// Bytes after which a call of `step` stops reading.
+const MAX_READ_PER_STEP: usize = 256 * 1024;
 
-/// A connection for one exchange.
+/// A connection for one exchange, or an accepted one for batches.
 pub struct Conn {
     socket: Watched<TcpStream>,
-    /// Since when.
+    /// When it was opened or accepted, or the last batch was received.
     pub since: Micros,
     asks: bool,
-    /// It stays, for one batch after the other.
+    /// It is persistent and receives batches.
     pub stays: bool,
     input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
 }
 
-/// What has come of it.
+/// Result of [`Conn::advance`].
 #[derive(Debug, PartialEq)]
 pub enum Got {
-    /// It waits for the socket.
+    /// Waiting for the socket.
     Nothing,
-    /// The other side's part, whole.
+    /// The complete body of the other side's message.
     Body(Vec<u8>),
-    /// A batch of what is said beside membership.
+    /// A batch of messages of the records.
     Batch(Vec<u8>),
-    /// It is over.
+    /// The connection has ended.
     Ended,
 }
 
 impl Conn {
-    /// One that this side begins; on its way up.
+    /// An exchange begun by this side, on a connection being opened.
     pub fn asking(socket: Watched<TcpStream>, since: Micros, body: &[u8]) -> Self {
         let head = format!(
             "POST {PATH} HTTP/1.1\r\nHost: fleet\r\nContent-Type: application/octet-stream\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
@@ -49,12 +50,12 @@
         Conn { socket, since, asks: true, stays: false, input: Vec::new(), output, written: 0 }
     }
 
-    /// One that was accepted.
+    /// An accepted connection.
     pub fn asked(socket: Watched<TcpStream>, since: Micros) -> Self {
         Conn { socket, since, asks: false, stays: false, input: Vec::new(), output: Vec::new(), written: 0 }
     }
 
-    /// Answer; what the socket does not take now goes out later.
+    /// Responds; bytes that the socket doesn't accept now are written later.
     pub fn answer(&mut self, status: u16, body: &[u8]) -> Got {
         let head = format!(
             "HTTP/1.1 {status} {}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
@@ -65,7 +66,7 @@
         self.advance()
     }
 
-    /// A batch was taken: the next one may come.
+    /// Acknowledges a batch; the next one may follow.
     pub fn taken(&mut self, now: Micros) -> Got {
         self.since = now;
         self.output = b"HTTP/1.1 204 No Content\r\n\r\n".to_vec();
@@ -77,12 +78,12 @@
         got
     }
 
-    /// Whether this side began it.
+    /// Whether this side began the exchange.
     pub fn is_asking(&self) -> bool {
         self.asks
     }
 
-    /// Carry it on.
+    /// Writes and reads as far as the socket allows.
     pub fn advance(&mut self) -> Got {
         match self.step() {
             Ok(got) => got,
@@ -107,11 +108,11 @@
             self.socket.get().shutdown(std::net::Shutdown::Write)?;
         }
         self.socket.set(Interest::Read)?;
-        let mut piece = [0; 16 * 1024];
+        let mut chunk = [0; 16 * 1024];
         let (mut read, mut closed) = (0, false);
-        while read < A_TURN {
-            match self.socket.get().read(&mut piece) {
-                // What came with the end may be all there is to come.
+        while read < MAX_READ_PER_STEP {
+            match self.socket.get().read(&mut chunk) {
+                // The bytes read before the close may be a complete message.
                 Ok(0) => {
                     closed = true;
                     break;
@@ -119,10 +120,10 @@
                 Ok(n) => {
                     read += n;
                     if !self.asks && !self.stays && !self.output.is_empty() {
-                        // Answered: what still comes is thrown away until the other end closes.
+                        // The response is sent: further bytes are discarded until the other end closes.
                         continue;
                     }
-                    self.input.extend_from_slice(&piece[..n]);
+                    self.input.extend_from_slice(&chunk[..n]);
                     if self.input.len() > MAX_EXCHANGE_BYTES + 4096 {
                         return Ok(Got::Ended);
                     }
@@ -134,14 +135,14 @@
                 Err(e) => return Err(e),
             }
         }
-        match self.whole()? {
+        match self.parse()? {
             Got::Nothing if closed => Ok(Got::Ended),
             got => Ok(got),
         }
     }
 
-    /// The other side's part, once it is all there.
-    fn whole(&mut self) -> io::Result<Got> {
+    /// Parses the other side's message once it is complete.
+    fn parse(&mut self) -> io::Result<Got> {
         if self.input.is_empty() {
             return Ok(Got::Nothing);
         }
@@ -184,7 +185,7 @@
     use silvercross_net::registry::Registry;
     use std::net::TcpListener;
 
-    /// A pair of connected sockets, the first one watched and not blocking.
+    /// A pair of connected sockets; the first is registered and non-blocking.
     fn pair() -> (Registry, Watched<TcpStream>, TcpStream) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let near = TcpStream::connect(listener.local_addr().expect("known")).expect("connected");
@@ -204,7 +205,7 @@
         assert!(far.read(&mut asked).expect("asked") > 0);
         far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\ntheirs").expect("written");
         drop(far);
-        // Both are there before this side looks: on loopback a closed end is seen at once.
+        // Response and close have both arrived before this side reads: on loopback a close is visible at once.
         let got = loop {
             match conn.advance() {
                 Got::Nothing => {}
@@ -216,6 +217,6 @@
         let mut conn = Conn::asking(near, 0, b"mine");
         drop(far);
         let ended = (0..10_000).any(|_| conn.advance() == Got::Ended);
-        assert!(ended, "an end with no answer is an end");
+        assert!(ended, "a connection closed without a response has ended");
     }
 }
--- a/crates/daemon/sidecar/src/wire/mod.rs
+++ b/crates/daemon/sidecar/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! What is spoken on the wire with each of the sides the sidecar, or a gateway, talks to.
+//! Connections of a sidecar or gateway, one module for each kind of peer: reading, writing and parsing.
 pub mod application;
 pub mod batches;
 pub mod discovery;
--- a/crates/daemon/sidecar/src/wire/operator.rs
+++ b/crates/daemon/sidecar/src/wire/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' side: one call read, one answer written, in small buffers of its own.
+//! Operators' connections: one call is read and one response written, with their own small buffers.
 use silvercross_core::interface::Micros;
 use silvercross_management::{parse_call, Call, MAX_CALL_BYTES};
 use silvercross_net::http::MessageError;
@@ -18,39 +18,39 @@
     answered: bool,
 }
 
-/// How far a connection has come.
+/// Result of [`Conn::read`].
 #[derive(Debug, PartialEq)]
 pub enum Heard {
-    /// It waits for the socket.
+    /// Waiting for the socket.
     Nothing,
-    /// A call, which is owed an answer.
+    /// A call to respond to, or why it is invalid.
     Call(Result<Call, MessageError>),
-    /// It is over.
+    /// The connection has ended.
     Ended,
 }
 
 impl Conn {
-    /// A connection just accepted.
+    /// A newly accepted connection.
     pub fn new(socket: Watched<TcpStream>, since: Micros) -> Self {
         Conn { socket, since, input: Vec::new(), output: Vec::new(), written: 0, answered: false }
     }
 
-    /// Whether it has been answered.
+    /// Whether the response was given to it.
     pub fn is_answered(&self) -> bool {
         self.answered
     }
 
-    /// Read what has come.
+    /// Reads and parses what has arrived.
     pub fn read(&mut self) -> Heard {
-        let mut piece = [0; 1024];
-        // Once it is answered, what still comes is thrown away, and not without end.
+        let mut chunk = [0; 1024];
+        // After the response further bytes are discarded; the number of reads is bounded.
         for _ in 0..8 {
-            match self.socket.get().read(&mut piece) {
+            match self.socket.get().read(&mut chunk) {
                 Ok(0) => return Heard::Ended,
                 Ok(_) if self.answered => {}
                 Ok(n) => {
                     let room = MAX_CALL_BYTES - self.input.len();
-                    self.input.extend_from_slice(&piece[..n.min(room)]);
+                    self.input.extend_from_slice(&chunk[..n.min(room)]);
                     match parse_call(&self.input) {
                         Ok(None) => {}
                         Ok(Some(call)) => return Heard::Call(Ok(call)),
@@ -65,14 +65,14 @@
         Heard::Nothing
     }
 
-    /// Answer, and write what the socket takes; `false` once the connection is of no further use.
+    /// Sets the response and writes as far as the socket allows; `false` if the connection has failed.
     pub fn answer(&mut self, bytes: Vec<u8>) -> bool {
         (self.output, self.written, self.answered) = (bytes, 0, true);
         self.input = Vec::new();
         self.write()
     }
 
-    /// Write on; `false` once the connection is of no further use.
+    /// Writes the response as far as the socket allows; `false` if the connection has failed.
     pub fn write(&mut self) -> bool {
         while self.written < self.output.len() {
             match self.socket.get().write(&self.output[self.written..]) {
@@ -85,12 +85,13 @@
                 Err(_) => return false,
             }
         }
-        // Our end is closed; the caller's end comes when it has read, so that no reset overtakes the answer.
+        // The write side is shut down, and the caller closes after it has read the response: a close from here with unread
+        // bytes would reset the connection, and the response could be lost.
         self.output = Vec::new();
         self.socket.get().shutdown(Shutdown::Write).is_ok() && self.socket.set(Interest::Read).is_ok()
     }
 
-    /// Whether there is something left to write.
+    /// Whether part of the response is not written yet.
     pub fn is_writing(&self) -> bool {
         self.written < self.output.len()
     }
--- a/crates/daemon/sidecar/src/wire/peer.rs
+++ b/crates/daemon/sidecar/src/wire/peer.rs
@@ -1,5 +1,5 @@
-//! A gateway's side towards a far gateway when nothing is asked of it: a kept connection on which its offer is asked for now
-//! and then. What is offered comes in one header line, as it does with every answer over the link.
+//! A gateway's connection to a far gateway while no requests are sent to it: a persistent connection on which its offer is
+//! requested periodically. The offer is in one header line, as in every response over the link.
 use silvercross_core::interface::Micros;
 use silvercross_gateway::statement;
 use silvercross_net::http;
@@ -8,30 +8,30 @@
 use std::io::{self, Read};
 use std::net::TcpStream;
 
-/// Where an offer is asked for.
+/// Path at which an offer is requested.
 pub const OFFER_PATH: &str = "/gateway/offer";
-/// An answer with an offer is no longer than this.
-const LONGEST: usize = 4096;
+/// Maximum size of a response with an offer.
+const MAX_RESPONSE_BYTES: usize = 4096;
 
 /// A connection to a far gateway.
 pub struct Conn {
     /// Its socket.
     pub socket: Watched<TcpStream>,
-    /// Which far gateway.
+    /// The far gateway's index.
     pub peer: usize,
-    /// When it was asked last, and has not answered since.
+    /// When the request was sent that has no response yet.
     pub asked: Option<Micros>,
     output: Vec<u8>,
     input: Vec<u8>,
 }
 
 impl Conn {
-    /// A connection on its way up.
+    /// A connection being opened.
     pub fn new(socket: Watched<TcpStream>, peer: usize) -> Self {
         Conn { socket, peer, asked: None, output: Vec::new(), input: Vec::new() }
     }
 
-    /// Ask for the offer.
+    /// Requests the offer.
     pub fn ask(&mut self, now: Micros) -> io::Result<()> {
         self.asked = Some(now);
         self.output = format!("GET {OFFER_PATH} HTTP/1.1\r\nHost: gateway\r\n\r\n").into_bytes();
@@ -42,8 +42,8 @@
         write_pending(&mut self.socket, &mut self.output)
     }
 
-    /// Carry it on: the value of the offer's header once an answer is whole. An answer without one is an error: that is no
-    /// gateway.
+    /// Writes and reads as far as the socket allows. Returns the value of the offer's header once a response is complete. A
+    /// response without that header is an error: the other end is not a gateway.
     pub fn advance(&mut self) -> io::Result<Option<String>> {
         if let Some(e) = self.socket.get().take_error()? {
             return Err(e);
@@ -60,8 +60,8 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
-            if self.input.len() > LONGEST {
-                return Err(io::Error::other("an answer too long for an offer"));
+            if self.input.len() > MAX_RESPONSE_BYTES {
+                return Err(io::Error::other("the response to a request for the offer is too long"));
             }
         }
         let mut lines = http::empty_headers();
@@ -73,6 +73,6 @@
         };
         self.input.drain(..body.end);
         self.asked = None;
-        value.map(Some).ok_or_else(|| io::Error::other("it states no offer"))
+        value.map(Some).ok_or_else(|| io::Error::other("the response has no offer header"))
     }
 }
--- a/crates/daemon/sidecar/src/wire/upstream.rs
+++ b/crates/daemon/sidecar/src/wire/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstreams' side: an attempt written, its answer read whole.
+//! Connections to upstreams: an attempt's request is written, its response read and classified.
 use super::application::TIME_LEFT;
 use silvercross_core::interface::Micros;
 use silvercross_facade::{Attempt, Report, Upstream};
@@ -12,51 +12,51 @@
 use std::net::{SocketAddr, TcpStream};
 use std::ops::Range;
 
-/// How far an attempt had come.
+/// Stage of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The connection is not up yet.
+    /// The connection is not established yet.
     Connecting,
-    /// Its last byte is not written yet.
+    /// The last byte of the request is not written yet.
     Writing,
-    /// It is written whole; nothing has come back.
+    /// The request is written; no response has arrived.
     Waiting,
-    /// Part of the answer has come.
+    /// Part of the response has arrived.
     Reading,
-    /// The answer goes on to the client as it comes.
+    /// The response is relayed to the client as it arrives.
     Passing,
 }
 
-/// What ended an attempt.
+/// What made an attempt fail.
 #[derive(Debug)]
 pub enum Cause {
     /// The socket failed.
     Socket(io::Error),
-    /// The connection was not up in time.
+    /// The connection was not established in time.
     NotInTime,
     /// The other end closed the connection.
     Closed,
-    /// The answer cannot be understood, or is larger than allowed.
+    /// The response is invalid or too large.
     Answer(MessageError),
-    /// There was no buffer or no descriptor left for it.
+    /// No buffer or descriptor was available.
     NoRoom,
 }
 
-/// An attempt that failed without a whole answer: why, and how far it had come.
+/// Why an attempt failed without a complete response, and at which stage.
 #[derive(Debug)]
 pub struct AttemptError {
-    /// How far.
+    /// The stage.
     pub stage: Stage,
-    /// Why.
+    /// The cause.
     pub cause: Cause,
 }
 
 impl AttemptError {
-    /// What the module is to hear. Before its last byte was written an attempt cannot have run; after that it may
-    /// have, on a connection used before just as on a new one.
+    /// The report for the decision module. Before its last byte was written a request can't have been executed; after that
+    /// it may have been, on a reused connection as well as on a new one.
     pub fn report(&self) -> Report {
         match (self.stage, &self.cause) {
-            // The want was here: it tells nothing of the upstream, and must not exclude it.
+            // The lack is local: it says nothing about the upstream, which must not be excluded for it.
             (Stage::Connecting, Cause::NoRoom) => Report::NotSent,
             (Stage::Connecting | Stage::Writing, _) => Report::NotDelivered,
             (_, Cause::Answer(_)) => Report::Error,
@@ -65,52 +65,52 @@
     }
 }
 
-/// A whole answer, still in its buffer.
+/// A complete response, whose body is still in its buffer.
 #[derive(Debug, PartialEq)]
 pub struct Answer {
-    /// What it tells of the attempt.
+    /// The report for the decision module.
     pub report: Report,
-    /// Its header lines, as they go on.
+    /// Its header lines as they are forwarded.
     pub lines: Vec<u8>,
-    /// What a far gateway offers with it.
+    /// The far gateway's offer in its header.
     pub offer: Option<String>,
-    /// Where its body lies.
+    /// Positions of the parts of its body in the buffer.
     pub parts: Vec<Range<usize>>,
-    /// The connection may carry another request.
+    /// The connection can be reused.
     pub keep_alive: bool,
 }
 
-/// An answer too large for a buffer, of which the head has come.
+/// A response too large for a buffer, of which the head has arrived.
 #[derive(Debug, PartialEq)]
 pub struct Begun {
-    /// Its header lines, as they go on.
+    /// Its header lines as they are forwarded.
     pub lines: Vec<u8>,
-    /// The bytes of its head.
+    /// Length of its head.
     pub head: usize,
-    /// How its body is framed.
+    /// Framing of its body.
     pub framing: Framing,
-    /// The connection may carry another request.
+    /// The connection can be reused.
     pub keep_alive: bool,
 }
 
-/// An answer that goes on as it comes.
+/// A response that is relayed as it arrives.
 pub struct Passing {
-    /// Whose it is.
+    /// The client's connection.
     pub client: Handle,
-    /// What is still to come of it.
+    /// Decoder of the rest of its body.
     pub body: Decoder,
-    /// It goes on in chunks.
+    /// It is relayed with chunked encoding.
     pub chunked: bool,
-    /// The connection may carry another request afterwards.
+    /// The upstream's connection can be reused afterwards.
     pub keep_alive: bool,
 }
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Carrying this attempt, which has come so far.
+    /// Used by this attempt, which is at this stage.
     Busy(Attempt, Stage),
-    /// Waiting for the next one.
+    /// Waiting for the next attempt.
     Idle,
 }
 
@@ -118,47 +118,47 @@
 pub struct Conn {
     /// Its socket.
     pub socket: Watched<TcpStream>,
-    /// Which upstream it goes to.
+    /// The upstream.
     pub upstream: Upstream,
-    /// At which address.
+    /// The upstream's address.
     pub to: SocketAddr,
-    /// What it is doing.
+    /// Its state.
     pub work: Work,
-    /// The request on its way out, then the answer on its way in.
+    /// The request being written, then the response being read.
     pub buffer: Option<Buffer>,
-    /// When it last began to idle, or was made.
+    /// When it last became idle, or was created.
     pub since: Micros,
-    /// Whether the present request's last byte waits until the connection has shown that it stands.
+    /// Whether the last byte of the current request is delayed to check that the connection is still open.
     pub held: bool,
-    /// Whether the timer for that is set.
+    /// Whether the timer for that delay is set.
     pub timed: bool,
-    /// When the present request was begun on it.
+    /// When the current attempt began.
     pub sent_at: Micros,
-    /// Interim answers that have come ahead of the present one.
+    /// Interim responses received before the current one.
     pub interim: u32,
-    /// More of the present request's body is to come.
+    /// More of the current request's body is to come.
     pub more: bool,
-    /// The answer that goes on as it comes.
+    /// The response that is relayed as it arrives.
     pub passing: Option<Passing>,
 }
 
-/// How far [`Conn::advance`] has come.
+/// Result of [`Conn::advance`].
 #[derive(Debug)]
 pub enum Progress {
-    /// It waits for the socket.
+    /// Waiting for the socket.
     Blocked,
-    /// All but the last byte is written.
+    /// All is written but the last byte, which is delayed.
     Held,
-    /// What has come of the request is written, and more of it is awaited.
+    /// All that has arrived of the request is written; more of it is to come.
     Wants,
-    /// An answer that is too large to be read whole.
+    /// The head of a response that is too large for the buffer.
     Begun(Begun),
-    /// The answer is here.
+    /// The response is complete.
     Answered(Answer),
 }
 
 impl Conn {
-    /// Carry the attempt as far as the socket lets it.
+    /// Advances the attempt as far as the socket allows.
     pub fn advance(&mut self) -> Result<Progress, AttemptError> {
         let Work::Busy(attempt, mut stage) = self.work else { return Ok(Progress::Blocked) };
         let done = self.step(&mut stage);
@@ -182,8 +182,8 @@
             while !buffer.is_empty() {
                 let held = usize::from(self.held && !self.more);
                 if held == buffer.filled().len() {
-                    // All but the last byte is out. An upstream that closes or resets this connection now, or says
-                    // something out of turn, has not got the request: it never ran.
+                    // All but the last byte is written. If the upstream closes or resets the connection now, or sends
+                    // unexpected bytes, it has not received the complete request and so did not execute it.
                     self.socket.set(Interest::Read).map_err(Cause::Socket)?;
                     return match self.socket.get().peek(&mut [0]) {
                         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(Progress::Held),
@@ -197,7 +197,7 @@
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                         let watched = if self.more { Interest::Both } else { Interest::Write };
                         self.socket.set(watched).map_err(Cause::Socket)?;
-                        if self.more && speaks(&self.socket)? {
+                        if self.more && has_unexpected_bytes(&self.socket)? {
                             break;
                         }
                         return Ok(Progress::Blocked);
@@ -206,16 +206,16 @@
                     Err(e) => return Err(Cause::Socket(e)),
                 }
             }
-            if self.more && !speaks(&self.socket)? {
+            if self.more && !has_unexpected_bytes(&self.socket)? {
                 return Ok(Progress::Wants);
             }
             self.socket.set(Interest::Read).map_err(Cause::Socket)?;
             if !self.more {
                 *stage = Stage::Waiting;
-                // The answer cannot be here yet; readiness will tell.
+                // The response can't have arrived yet; its arrival is reported as readiness.
                 return Ok(Progress::Blocked);
             }
-            // It answers a request that it has not got whole: nothing more of that is sent.
+            // The upstream responds before it has the complete request: the rest is not sent.
             *stage = Stage::Reading;
             buffer.consume(buffer.filled().len());
         }
@@ -234,7 +234,7 @@
             *stage = if n > 0 { Stage::Reading } else { *stage };
             skip_interim(buffer, &mut self.interim).map_err(Cause::Answer)?;
             if buffer.is_empty() && n > 0 {
-                // Only interim answers so far: the answer itself has not begun.
+                // Only interim responses so far: the final one has not begun.
                 *stage = Stage::Waiting;
             }
             match read_answer(buffer.filled(), n == 0) {
@@ -252,24 +252,24 @@
             if n == 0 {
                 return Err(Cause::Closed);
             }
-            tighten(buffer);
+            compact_chunks(buffer);
             if buffer.is_full() {
-                // The framing of its chunks alone fills a buffer.
+                // The buffer is still full after the chunks were merged.
                 let begun = large_answer(buffer.filled()).map_err(Cause::Answer)?;
                 return begun.map(Progress::Begun).ok_or(Cause::Answer(MessageError::BodyTooLarge));
             }
         }
     }
 
-    /// Whether an idle connection still stands: nothing has come on it, not even its end.
+    /// Whether an idle connection is still open and has no unread bytes.
     pub fn is_fresh(&self) -> bool {
         let waiting = self.socket.get().peek(&mut [0]);
         matches!(waiting, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// Whether something has come where nothing is due yet; an end is an error.
-fn speaks(socket: &Watched<TcpStream>) -> Result<bool, Cause> {
+/// Whether bytes have arrived before a response is expected; a close is an error.
+fn has_unexpected_bytes(socket: &Watched<TcpStream>) -> Result<bool, Cause> {
     match socket.get().peek(&mut [0]) {
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(false),
         Err(e) => Err(Cause::Socket(e)),
@@ -278,11 +278,11 @@
     }
 }
 
-/// Room in an attempt's buffer for the line that [`compose`] adds.
+/// Space reserved in an attempt's buffer for the header line that [`compose`] adds, in bytes.
 pub const TIME_LINE: usize = 64;
 
-/// Fill a buffer with an attempt's bytes: the request's own head and body, and how long this attempt is waited for.
-/// `None` if no buffer can be had or they do not fit.
+/// Writes an attempt's request into a buffer: the request's head, the header with the attempt's time limit, and the body.
+/// `None` if no buffer is available or the request doesn't fit.
 pub fn compose(pool: &mut Pool, head: &[u8], body: &[u8], limit: Micros) -> Option<Buffer> {
     let mut buffer = pool.take()?;
     let last = format!("{TIME_LEFT}: {}\r\n\r\n", (limit.max(0) + 999) / 1000);
@@ -293,8 +293,8 @@
     None
 }
 
-/// Save room in an answer that is not whole, where its body comes in chunks.
-fn tighten(buffer: &mut Buffer) {
+/// Merges the chunks of an incomplete chunked body to free space in the buffer.
+fn compact_chunks(buffer: &mut Buffer) {
     let mut room = http::empty_headers();
     let chunked = match http::response_head(buffer.filled(), &mut room) {
         Ok(Some(head)) if head.framing == http::Framing::Chunked => head.len,
@@ -303,10 +303,10 @@
     http::merge_chunks(buffer, chunked, if buffer.is_full() { 2 } else { http::MIN_CHUNKS_TO_MERGE });
 }
 
-/// More interim answers than this ahead of one are no answer.
-const INTERIM: u32 = 16;
+/// Maximum number of interim responses before a final one.
+const MAX_INTERIM_RESPONSES: u32 = 16;
 
-/// Interim answers (1xx) say nothing here.
+/// Removes interim (1xx) responses from the front of the buffer.
 fn skip_interim(buffer: &mut Buffer, skipped: &mut u32) -> Result<(), MessageError> {
     loop {
         let len = match http::response_head(buffer.filled(), &mut http::empty_headers())? {
@@ -315,36 +315,37 @@
         };
         buffer.consume(len);
         *skipped += 1;
-        if *skipped > INTERIM {
+        if *skipped > MAX_INTERIM_RESPONSES {
             return Err(MessageError::Malformed("interim answers without end"));
         }
     }
 }
 
-/// The answer that `bytes` hold; `None` while it is not whole.
+/// Parses the response in `bytes`; `None` until it is complete.
 pub fn read_answer(bytes: &[u8], closed: bool) -> Result<Option<Answer>, MessageError> {
     let mut room = http::empty_headers();
     let Some(head) = http::response_head(bytes, &mut room)? else { return Ok(None) };
-    // One without a length is whole when its connection ends in order. What a reset leaves of it never comes here: a
-    // read that fails is no end.
+    // A response without a length is complete when its connection is closed in an orderly way. After a reset this point is
+    // not reached: a failed read does not count as a close.
     let Some(body) = http::body(bytes, head.len, head.framing, closed)? else { return Ok(None) };
-    // Bytes behind the answer belong to nothing: such a connection is not used again.
+    // Bytes after the response belong to no request: the connection is not reused.
     let keep_alive = head.keep_alive && body.end == bytes.len();
-    let unseen = head.headers.all("X-Unprocessed").any(|v| v.trim_ascii() == b"1");
+    let unprocessed = head.headers.all("X-Unprocessed").any(|v| v.trim_ascii() == b"1");
     let report = match head.status {
         200 => Report::Served,
-        // Only with the header is it known that it never ran.
-        503 | 504 if unseen => Report::Rejected,
+        // Only this header shows that the request was not executed.
+        503 | 504 if unprocessed => Report::Rejected,
         _ => Report::Error,
     };
     let mut lines = Vec::new();
     head.headers.forward(&mut lines, &[statement::HEADER]);
-    // Stated twice it could be read in two ways, and is not read at all.
+    // A repeated offer header is ambiguous and is ignored.
     let offer = head.headers.one(statement::HEADER).ok().flatten().map(str::to_string);
     Ok(Some(Answer { report, lines, offer, parts: body.parts, keep_alive }))
 }
 
-/// The head of an answer that is passed on as it comes; `None` for one that is not.
+/// Parses the head of a response to be relayed as it arrives; `None` if it is not of that kind: only those with status 200
+/// are.
 fn large_answer(bytes: &[u8]) -> Result<Option<Begun>, MessageError> {
     let mut room = http::empty_headers();
     let Some(head) = http::response_head(bytes, &mut room)?.filter(|h| h.status == 200) else {
@@ -384,12 +385,12 @@
         let answer = read_answer(text.as_bytes(), false).expect("well-formed").expect("whole");
         assert_eq!((answer.lines.as_slice(), answer.keep_alive), (&b"A: 1\r\n"[..], true));
         let more = read_answer(format!("{text}x").as_bytes(), false).expect("well-formed").expect("whole");
-        assert!(!more.keep_alive, "a connection with bytes behind its answer is out of step");
+        assert!(!more.keep_alive, "a connection with bytes after its response is not reused");
     }
 
     #[test]
     fn a_spoilt_answer_is_known_by_its_head() {
-        let judged = |lines: &str| read_answer(format!("HTTP/1.1 200 OK\r\n{lines}\r\n").as_bytes(), false);
+        let parsed = |lines: &str| read_answer(format!("HTTP/1.1 200 OK\r\n{lines}\r\n").as_bytes(), false);
         for lines in [
             "Content-Length: 3221225472\r\n",
             "Content-Length: -1\r\n",
@@ -397,10 +398,10 @@
             "Content-Length: 1\r\nContent-Length: 2\r\n",
             "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n",
         ] {
-            assert!(judged(lines).is_err(), "{lines}");
+            assert!(parsed(lines).is_err(), "{lines}");
         }
         assert_eq!(
-            judged("X-Backend-Load: \u{fffd}?=;;\r\nContent-Length: 0\r\n").map(|a| a.is_some()),
+            parsed("X-Backend-Load: \u{fffd}?=;;\r\nContent-Length: 0\r\n").map(|a| a.is_some()),
             Ok(true)
         );
     }
@@ -409,7 +410,7 @@
     fn interim_answers_are_skipped_but_not_without_end() {
         let mut buffer = Pool::new(0).take().expect("room");
         let mut skipped = 0;
-        for _ in 0..INTERIM {
+        for _ in 0..MAX_INTERIM_RESPONSES {
             assert!(buffer.append(b"HTTP/1.1 102 Wait\r\n\r\n"));
             assert_eq!(skip_interim(&mut buffer, &mut skipped), Ok(()));
         }
