--- a/crates/daemon/sidecar/src/lib.rs
+++ b/crates/daemon/sidecar/src/lib.rs
@@ -1,8 +1,8 @@
-//! The silvercross sidecar: one process on sockets beside each calling process, built round the decision module.
+//! The silvercross sidecar: one process beside each calling process, which serves sockets and contains the decision module.
 //!
-//! Outside in: [`lifecycle`] starts and stops the process, [`event_loop`] serves its sockets, [`wire`] holds what is
-//! spoken on them, [`memory`] what is kept between two readinesses. The facade that alone knows the decision module is the
-//! crate `silvercross_facade`; poller, tables, buffers and HTTP framing are `silvercross_net`. `docs/design/sidecar.md` follows a request through all of them.
+//! From the outside in: [`lifecycle`] starts and stops the process, [`event_loop`] serves its sockets, [`wire`] reads and
+//! writes the messages on them, and [`memory`] keeps the connections and requests. The crate `silvercross_facade` is the
+//! facade, the only code that depends on the decision module; poller, tables, buffers and HTTP framing are in `silvercross_net`. `docs/design/sidecar.md` follows a request through all of them.
 #![forbid(unsafe_code)]
 
 pub mod event_loop;
--- a/crates/daemon/sidecar/src/main.rs
+++ b/crates/daemon/sidecar/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the sidecar, or a gateway, and turns the way it ended into an exit code.
+//! Command line of the sidecar: runs a sidecar, a gateway or an operator's command, and returns its result as exit code.
 #![deny(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -6,11 +6,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Without a command: a sidecar, configured by the file that PROXY_CONFIG names.
+/// Without a command, runs a sidecar, configured by the file that PROXY_CONFIG names.
 #[derive(Parser)]
 #[command(name = "silvercross", version)]
 struct Cli {
-    /// Be a member of the fleet that this file names; else PROXY_FLEET, else of none. deploy/fleet.example.toml shows one.
+    /// Configuration file of the fleet to join; default: PROXY_FLEET, or no fleet. Example: deploy/fleet.example.toml.
     #[arg(long)]
     fleet: Option<PathBuf>,
     #[command(subcommand)]
@@ -19,17 +19,17 @@
 
 #[derive(Subcommand)]
 enum Role {
-    /// A gateway between two sites.
+    /// Run a gateway between two sites.
     Gateway {
-        /// Its file; deploy/gateway.example.toml shows one.
+        /// Configuration file of the gateway. Example: deploy/gateway.example.toml.
         #[arg(long)]
         config: PathBuf,
     },
-    /// Ask a running sidecar who is in its fleet.
+    /// Print the members of a running sidecar's fleet.
     Members(lifecycle::members::Order),
     /// Ask running sidecars what their fleet holds, found it, or recover it.
     Records(lifecycle::records::Order),
-    /// Have an upstream drained by the whole fleet.
+    /// Drain an upstream for the whole fleet.
     Drain(lifecycle::records::Drain),
     /// Write the counterpart of a configuration for the shape in which a pool of sidecars is told the list unasked.
     Migrate(lifecycle::migrate::Order),
@@ -48,7 +48,7 @@
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            // One plain line: it is what the platform shows of a sidecar that would not start.
+            // A single line, as the platform shows it for a sidecar that fails to start.
             eprintln!("silvercross: {why}");
             ExitCode::FAILURE
         }
--- a/crates/daemon/sidecar/src/memory/connections.rs
+++ b/crates/daemon/sidecar/src/memory/connections.rs
@@ -1,4 +1,4 @@
-//! All open connections, which of them stand idle towards upstreams, and how many descriptors they may take.
+//! All open connections, which of those to upstreams are idle, and the limit on descriptors.
 use crate::wire::{application, discovery, peer, upstream};
 use silvercross_core::interface::Micros;
 use silvercross_facade::Upstream;
@@ -13,81 +13,87 @@
     Upstream(upstream::Conn),
     /// To discovery.
     Discovery(discovery::Conn),
-    /// To a far gateway, to hear what it offers.
+    /// To a far gateway, to request its offer.
     Peer(peer::Conn),
 }
 
-/// Idle connections kept to one upstream: enough for what is out there at once on a busy day.
-const IDLE_EACH: usize = 24;
-/// One descriptor in so many is kept for connections that are accepted to be told no.
-const TOLD_NO: usize = 8;
-/// A connection that has carried nothing for so long since it was opened counts as idle, and gives way first: whoever
-/// means to ask does so at once.
-const FIRST_USE: Micros = 50_000;
-/// Descriptors the process needs besides its connections: standard streams, poller, listener, signal pipe, log.
-const RESERVE: usize = 32;
-
-/// The table of connections, with its limits.
+/// Maximum number of idle connections kept to one upstream.
+const MAX_IDLE_PER_UPSTREAM: usize = 24;
+/// One descriptor in this many is reserved for connections that are accepted only to refuse their requests.
+const REFUSAL_DIVISOR: usize = 8;
+/// A connection that has had no request for this long since it was accepted is closed first when descriptors run out: a
+/// client normally sends its first request at once.
+const FIRST_USE_TIMEOUT: Micros = 50_000;
+/// Descriptors reserved for other uses than connections: standard streams, poller, listener, signal pipe, log.
+const RESERVED_DESCRIPTORS: usize = 32;
+
+/// The table of connections and its limits.
 pub struct Connections {
     table: Table<Connection>,
-    /// To each upstream, the longest idle first.
+    /// Idle connections to each upstream, the longest idle first.
     idle: BTreeMap<Upstream, Vec<Handle>>,
-    most: usize,
-    /// Connections from applications.
+    max_connections: usize,
+    /// Number of connections from applications.
     pub applications: usize,
 }
 
 impl Connections {
-    /// For a process that may hold so many descriptors.
+    /// An empty table for a process with this limit on descriptors.
     pub fn new(descriptors: usize) -> Self {
-        let mut new =
-            Connections { table: Table::default(), idle: BTreeMap::new(), most: 0, applications: 0 };
+        let mut new = Connections {
+            table: Table::default(),
+            idle: BTreeMap::new(),
+            max_connections: 0,
+            applications: 0,
+        };
         new.hold(descriptors);
         new
     }
 
-    /// Keep to so many descriptors from now on; what is open beyond them goes as it ends.
+    /// Changes the limit on descriptors; connections beyond it are not closed here.
     pub fn hold(&mut self, descriptors: usize) {
-        self.most = descriptors.saturating_sub(RESERVE).clamp(16, Handle::MAX_ENTRIES);
+        self.max_connections =
+            descriptors.saturating_sub(RESERVED_DESCRIPTORS).clamp(16, Handle::MAX_ENTRIES);
     }
 
-    /// Whether more than the part for upstreams and discovery is taken.
+    /// Whether the connections that are not from applications exceed their share.
     pub fn over_outwards(&self) -> bool {
-        self.table.len() - self.applications > self.half()
+        self.table.len() - self.applications > self.share_per_side()
     }
 
-    /// Whether the part for upstreams and discovery is taken.
+    /// Whether the connections that are not from applications have used up their share.
     pub fn full_outwards(&self) -> bool {
-        self.table.len() - self.applications >= self.half()
+        self.table.len() - self.applications >= self.share_per_side()
     }
 
-    /// Past this many, an application's connection is accepted only to be told no: attempts need descriptors too.
+    /// Whether a further connection from an application is accepted only to refuse its requests: attempts need descriptors
+    /// too.
     pub fn crowded(&self) -> bool {
-        self.applications >= self.half()
+        self.applications >= self.share_per_side()
     }
 
-    /// Past this many, no more are accepted until one has ended.
+    /// Whether no connection from an application is accepted until another has ended.
     pub fn closed_to_applications(&self) -> bool {
-        self.applications >= self.half() + self.most / TOLD_NO
+        self.applications >= self.share_per_side() + self.max_connections / REFUSAL_DIVISOR
     }
 
-    /// The part for each side. The parts are fixed: were they shared, busy attempts could leave no descriptor to
-    /// accept with, and whoever waits in the machine's queue would wait for them.
-    fn half(&self) -> usize {
-        (self.most - self.most / TOLD_NO) / 2
+    /// The share of each side. The shares are fixed: otherwise attempts could use all descriptors, and clients in the kernel's
+    /// accept queue would have to wait until attempts end.
+    fn share_per_side(&self) -> usize {
+        (self.max_connections - self.max_connections / REFUSAL_DIVISOR) / 2
     }
 
-    /// How many there are.
+    /// Number of open connections.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether there is none.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// Add a connection made from its handle; `None` at the limit.
+    /// Adds the connection that `make` creates for its handle; `None` if the table is full.
     pub fn insert_with<E>(
         &mut self,
         make: impl FnOnce(Handle) -> Result<Connection, E>,
@@ -129,7 +135,7 @@
         }
     }
 
-    /// Take a connection out; dropping it closes it.
+    /// Removes a connection; dropping it closes it.
     pub fn remove(&mut self, h: Handle) -> Option<Connection> {
         let removed = self.table.remove(h)?;
         match &removed {
@@ -137,7 +143,7 @@
             Connection::Upstream(c) => {
                 if let Some(idle) = self.idle.get_mut(&c.upstream) {
                     idle.retain(|i| *i != h);
-                    // Upstreams come and go: an empty list for each that ever was would never end.
+                    // Upstreams come and go: keeping the empty lists would let the map grow without bound.
                     if idle.is_empty() {
                         self.idle.remove(&c.upstream);
                     }
@@ -148,18 +154,18 @@
         Some(removed)
     }
 
-    /// Keep an upstream's connection for another request; `false` if enough are kept already.
+    /// Keeps an upstream's connection for another request; `false` if the maximum is kept already.
     pub fn keep_idle(&mut self, h: Handle, upstream: Upstream) -> bool {
         let idle = self.idle.entry(upstream).or_default();
-        let room = idle.len() < IDLE_EACH;
+        let room = idle.len() < MAX_IDLE_PER_UPSTREAM;
         if room {
             idle.push(h);
         }
         room
     }
 
-    /// The connection to an upstream that was used last, but not since `rested`: what an upstream sends behind an
-    /// answer, by mistake, may still be on its way, and would be taken for the answer to the next request.
+    /// Takes the most recently used idle connection to an upstream among those idle since `rested` or earlier: bytes that an
+    /// upstream sends after a response by mistake may still be in flight and would be taken for the next response.
     pub fn take_idle(&mut self, upstream: Upstream, rested: Micros) -> Option<Handle> {
         let (idle, table) = (self.idle.get_mut(&upstream)?, &self.table);
         let ready = |h: &Handle| matches!(table.get(*h), Some(Connection::Upstream(c)) if c.since <= rested);
@@ -181,7 +187,7 @@
         self.idle.values().flatten().copied().collect()
     }
 
-    /// The upstream's connection that has been idle for longest: the first to go when descriptors run out.
+    /// The connection to an upstream that has been idle for longest, the first to be closed when descriptors run out.
     pub fn idle_upstream(&self) -> Option<Handle> {
         let since = |h: &Handle| match self.table.get(*h) {
             Some(Connection::Upstream(c)) => Some((c.since, *h)),
@@ -190,7 +196,7 @@
         self.idle.values().flatten().filter_map(since).min().map(|(_, h)| h)
     }
 
-    /// The application's connections on which no request has been open since then.
+    /// Connections from applications that have been idle since that time or earlier.
     pub fn idle_applications(&self, since: Micros) -> Vec<Handle> {
         let of = |(h, c): (Handle, &Connection)| match c {
             Connection::Application(c) => (c.is_idle() && c.since <= since).then_some(h),
@@ -199,18 +205,18 @@
         self.table.iter().filter_map(of).collect()
     }
 
-    /// The application's connection that has been idle for longest, silent ones before those that were of use. One
-    /// that was opened only now is about to be used.
+    /// The connection from an application that has been idle for longest, those never used before those used. One that was
+    /// accepted less than [`FIRST_USE_TIMEOUT`] ago and is not used yet is left out, as its first request is about to arrive.
     pub fn idle_application(&self, now: Micros) -> Option<Handle> {
-        let spare = |c: &application::Conn| c.is_idle() && (c.used || c.since + FIRST_USE <= now);
+        let closable = |c: &application::Conn| c.is_idle() && (c.used || c.since + FIRST_USE_TIMEOUT <= now);
         let since = |(h, c): (Handle, &Connection)| match c {
-            Connection::Application(c) if spare(c) => Some((c.used, c.since, h)),
+            Connection::Application(c) if closable(c) => Some((c.used, c.since, h)),
             _ => None,
         };
         self.table.iter().filter_map(since).min().map(|(_, _, h)| h)
     }
 
-    /// A connection on which a far gateway is asked for its offer.
+    /// A far gateway's connection, on which its offer is requested.
     pub fn peer(&mut self, handle: Handle) -> Option<&mut peer::Conn> {
         match self.table.get_mut(handle) {
             Some(Connection::Peer(c)) => Some(c),
--- a/crates/daemon/sidecar/src/memory/mod.rs
+++ b/crates/daemon/sidecar/src/memory/mod.rs
@@ -1,3 +1,3 @@
-//! What is kept in memory: connections, requests. No I/O and no decisions here.
+//! State kept in memory: connections and requests. No I/O and no decisions.
 pub mod connections;
 pub mod requests;
--- a/crates/daemon/sidecar/src/memory/requests.rs
+++ b/crates/daemon/sidecar/src/memory/requests.rs
@@ -1,85 +1,86 @@
-//! The requests that are being served: what further attempts need of them, and who waits for them.
+//! The requests in progress: what further attempts need, and who waits for their responses.
 use silvercross_core::interface::Micros;
 use silvercross_facade::Request as Placed;
 use silvercross_net::buffers::Buffer;
 use silvercross_net::stream::Decoder;
 use silvercross_net::table::Handle;
 
-/// What is kept of a request that has come over a gateway's link.
+/// State of a request that arrived over a gateway's link.
 #[derive(Clone, Copy, Debug)]
 pub struct Guest {
-    /// When it came.
+    /// When it arrived.
     pub began: Micros,
-    /// How much work its sender expected, in microseconds.
+    /// Work that its sender estimated, in microseconds.
     pub expected: f64,
-    /// How much time it had left.
+    /// Time that it had left on arrival.
     pub left: Micros,
 }
 
-/// The body of a request that is passed on as it comes.
+/// The body of a request that is forwarded as it arrives.
 pub struct Upload {
-    /// What is still to come of it.
+    /// Decoder of the rest of it.
     pub body: Decoder,
-    /// It goes on in chunks.
+    /// It is forwarded with chunked encoding.
     pub chunked: bool,
-    /// The attempt that has been given more than `Request::bytes` holds: no other one can have the whole any more.
+    /// Number of the attempt that was given bytes which are no longer in `Request::bytes`: no other attempt can send the
+    /// complete body.
     pub by: Option<u32>,
-    /// When something of it last went on.
+    /// When bytes of it were last forwarded.
     pub moved: Micros,
 }
 
-/// How far a request of a held class has come with the records.
+/// Phase of a request whose response is stored in the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Its key is asked for.
+    /// The claim of its key is sent.
     Asking,
-    /// Somebody else has its key; it is asked for again.
+    /// Another sidecar has claimed its key; the claim is retried.
     Waiting,
-    /// The key is this sidecar's: it may be sent.
+    /// This sidecar has claimed its key: it may be sent.
     Taken,
-    /// Its answer is being held.
+    /// Its response is being stored.
     Holding,
-    /// The records have no more to do with it.
+    /// It doesn't wait for the records any more.
     Free,
 }
 
-/// What is kept of a request of a held class.
+/// State of a request of a class whose responses are stored.
 pub struct Held {
     /// Class and key.
     pub key: String,
-    /// Which of the held classes.
+    /// Index of its class among those whose responses are stored.
     pub class: usize,
-    /// How far it has come.
+    /// Its phase.
     pub phase: Phase,
-    /// Since when it waits.
+    /// Since when it waits for the records.
     pub since: Micros,
-    /// Until when its client does.
+    /// Until when its client waits.
     pub until: Micros,
-    /// What is to be placed.
+    /// The request for the balancer, until it is passed on.
     pub placed: Option<Placed>,
-    /// Its answer, until it goes out: header lines and body.
+    /// Its response until it is sent: header lines and body.
     pub answer: Option<(Vec<u8>, Vec<u8>)>,
 }
 
-/// A request taken from an application.
+/// A request accepted from an application.
 pub struct Request {
-    /// The connection that waits for the answer; `None` once answered, or when the client hung up.
+    /// The connection that waits for the response; `None` once it has it, or after the client disconnected.
     pub client: Option<Handle>,
-    /// The head as it goes on, less its last lines, then the body. Given back with the answer.
+    /// The head as it is forwarded, without its last lines, then the body. Returned to the pool with the response.
     pub bytes: Option<Buffer>,
-    /// Its body, where that is larger than a buffer.
+    /// Its body, if that is larger than a buffer.
     pub upload: Option<Upload>,
     /// Its correlation id.
     pub id: Box<str>,
-    /// How many of these bytes are head.
+    /// Length of the head in `bytes`.
     pub head: usize,
-    /// An attempt of it was written whole and not sent back unseen: it may have run.
+    /// An attempt was sent completely and not rejected unprocessed: the request may have been executed.
     pub may_have_run: bool,
-    /// It has come over the link.
+    /// Its state if it arrived over the link.
     pub guest: Option<Guest>,
-    /// What the records have to do with it.
+    /// Its state if its response is stored in the records.
     pub held: Option<Box<Held>>,
-    /// The connection of each attempt, by its number; `None` once that has ended.
+    /// The connection of each attempt, by number; `None` once the attempt has ended.
     pub attempts: Vec<Option<Handle>>,
 }
 
@@ -89,14 +90,14 @@
         self.upload.as_ref().is_some_and(|u| !u.body.is_done())
     }
 
-    /// The records are still to say something of it.
-    fn is_awaited(&self) -> bool {
-        let awaited = |h: &Held| matches!(h.phase, Phase::Asking | Phase::Waiting | Phase::Holding);
-        self.held.as_ref().is_some_and(|h| awaited(h))
+    /// Whether it waits for the records.
+    fn awaits_records(&self) -> bool {
+        let waits = |h: &Held| matches!(h.phase, Phase::Asking | Phase::Waiting | Phase::Holding);
+        self.held.as_ref().is_some_and(|h| waits(h))
     }
 
-    /// Nobody waits for it and nothing is out for it.
+    /// Whether no client, no attempt and no command of the records refers to it any more.
     pub fn is_done(&self) -> bool {
-        self.client.is_none() && self.attempts.iter().all(Option::is_none) && !self.is_awaited()
+        self.client.is_none() && self.attempts.iter().all(Option::is_none) && !self.awaits_records()
     }
 }
