--- a/crates/daemon/sidecar/src/event_loop.rs
+++ b/crates/daemon/sidecar/src/event_loop.rs
@@ -633,7 +633,7 @@
         }
         // The other process's count is slightly out of date, so a part for what either may have opened since stays free.
         let used = other.map(|said| said.map_or(all, |s| s.held) + all / UNUSED_DIVISOR);
-        self.connections.hold(used.map_or(all, |used| all.saturating_sub(used).max(all / 2)));
+        self.connections.set_descriptor_limit(used.map_or(all, |used| all.saturating_sub(used).max(all / 2)));
         while self.connections.over_outwards() && self.close_idle_upstream() {}
         self.start_serving();
     }
--- a/crates/daemon/sidecar/src/event_loop/applications.rs
+++ b/crates/daemon/sidecar/src/event_loop/applications.rs
@@ -223,7 +223,7 @@
             };
             let mut front = application::front(input.filled());
             if let Ok(Front::Partial(_)) = front {
-                application::tighten(input);
+                application::compact_chunks(input);
                 if input.is_full() {
                     // It does not fit in a buffer even without its chunk framing.
                     front = application::large(input.filled());
--- a/crates/daemon/sidecar/src/event_loop/fleet_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/fleet_side.rs
@@ -127,7 +127,7 @@
             let watched = socket
                 .set_nonblocking(true)
                 .and_then(|()| registry.watch(socket, FIRST_SLOT_KEY + slot, Interest::Read));
-            fleet.slots[slot] = watched.ok().map(|s| Conn::asked(s, now));
+            fleet.slots[slot] = watched.ok().map(|s| Conn::accepted(s, now));
         }
     }
 
@@ -139,7 +139,7 @@
         while let Got::Batch(bytes) = got {
             let taken = self.batch_received(now, &bytes);
             let Some(Some(conn)) = self.fleet.as_mut().and_then(|f| f.slots.get_mut(slot)) else { return };
-            got = if taken { conn.taken(now) } else { Got::Ended };
+            got = if taken { conn.acknowledge_batch(now) } else { Got::Ended };
             self.records_pending = true;
         }
         let Some(fleet) = &mut self.fleet else { return };
@@ -147,7 +147,7 @@
         let stays = match got {
             Got::Nothing | Got::Batch(_) => true,
             Got::Ended => false,
-            Got::Body(body) if conn.is_asking() => {
+            Got::Body(body) if conn.is_initiator() => {
                 if let Err(bad) = fleet.members.handle_exchange_response(now, &body) {
                     debug!(self.log, "the response to an exchange was invalid"; "why" => ?bad);
                 }
@@ -178,14 +178,14 @@
         for slot in &mut fleet.slots {
             *slot = slot
                 .take()
-                .filter(|c| c.since + if c.stays { BATCH_IDLE_TIMEOUT } else { EXCHANGE_TIMEOUT } > now);
+                .filter(|c| c.since + if c.persistent { BATCH_IDLE_TIMEOUT } else { EXCHANGE_TIMEOUT } > now);
         }
         while let Some(exchange) = fleet.members.poll_exchange() {
             let slot = fleet.slot();
             fleet.slots[slot] = None;
             let made = connect(fleet.address, exchange.to)
                 .and_then(|socket| registry.watch(socket, FIRST_SLOT_KEY + slot, Interest::Both));
-            fleet.slots[slot] = made.ok().map(|s| Conn::asking(s, now, &exchange.bytes));
+            fleet.slots[slot] = made.ok().map(|s| Conn::initiate(s, now, &exchange.bytes));
         }
         let mut events = Vec::new();
         while let Some(event) = fleet.members.poll_event() {
--- a/crates/daemon/sidecar/src/event_loop/gateway_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/gateway_side.rs
@@ -260,7 +260,7 @@
             .map(|(i, (at, h))| (i, *at, *h))
             .collect();
         for (peer, at, handle) in asks {
-            match handle.and_then(|h| self.connections.peer(h)).map(|c| c.asked) {
+            match handle.and_then(|h| self.connections.peer(h)).map(|c| c.requested_at) {
                 // The response is awaited; after the limit the link counts as down.
                 Some(Some(since)) if now - since < OFFER_TIMEOUT => {}
                 Some(Some(_)) => self.offer_connection_lost(peer),
@@ -289,7 +289,7 @@
             Some(GatewayHalf::Out(o)) => o.offer_connections[peer],
             _ => None,
         };
-        let asked = handle.and_then(|h| self.connections.peer(h)).map(|c| c.ask(now));
+        let asked = handle.and_then(|h| self.connections.peer(h)).map(|c| c.request_offer(now));
         if !matches!(asked, Some(Ok(()))) {
             self.offer_connection_lost(peer);
         }
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -204,7 +204,7 @@
                 Effect::Send(to, said) => {
                     let index = h.link(Identity(to), now);
                     if let Some(link) = &mut h.links[index] {
-                        link.say(said);
+                        link.enqueue(said);
                     }
                 }
                 Effect::Write(group, epoch, write) => {
@@ -249,7 +249,7 @@
         let (Some(h), Some(fleet)) = (&mut self.records_side, &self.fleet) else { return };
         let Some(link) = &mut h.links[index] else { return };
         link.tick(now);
-        if link.wants(now) {
+        if link.needs_connection(now) {
             let at = fleet.members.others().find(|s| s.record.id == link.to).map(|s| s.record.at);
             match at {
                 Some(at) => {
--- a/crates/daemon/sidecar/src/memory/connections.rs
+++ b/crates/daemon/sidecar/src/memory/connections.rs
@@ -46,12 +46,12 @@
             max_connections: 0,
             applications: 0,
         };
-        new.hold(descriptors);
+        new.set_descriptor_limit(descriptors);
         new
     }
 
     /// Changes the limit on descriptors; connections beyond it are not closed here.
-    pub fn hold(&mut self, descriptors: usize) {
+    pub fn set_descriptor_limit(&mut self, descriptors: usize) {
         self.max_connections =
             descriptors.saturating_sub(RESERVED_DESCRIPTORS).clamp(16, Handle::MAX_ENTRIES);
     }
--- a/crates/daemon/sidecar/src/wire/application.rs
+++ b/crates/daemon/sidecar/src/wire/application.rs
@@ -307,7 +307,7 @@
 }
 
 /// Merges the chunks of an incomplete chunked body to free space in the buffer.
-pub fn tighten(input: &mut Buffer) {
+pub fn compact_chunks(input: &mut Buffer) {
     let mut room = http::empty_headers();
     let chunked = match http::request_head(input.filled(), &mut room) {
         Ok(Some(head)) if head.framing == Framing::Chunked => head.len,
--- a/crates/daemon/sidecar/src/wire/batches.rs
+++ b/crates/daemon/sidecar/src/wire/batches.rs
@@ -32,7 +32,7 @@
     /// When the current request began, the last one ended, or the connection was opened.
     pub since: Micros,
     /// Earliest time of the next attempt to connect.
-    pub again: Micros,
+    pub reconnect_at: Micros,
     calling: bool,
     output: Vec<u8>,
     written: usize,
@@ -58,7 +58,7 @@
             socket: None,
             queue: VecDeque::new(),
             since: now,
-            again: now,
+            reconnect_at: now,
             calling: false,
             output: Vec::new(),
             written: 0,
@@ -68,7 +68,7 @@
     }
 
     /// Queues a message; drops the oldest one if the queue is full.
-    pub fn say(&mut self, said: StoreMessage) {
+    pub fn enqueue(&mut self, said: StoreMessage) {
         if self.queue.len() >= MAX_QUEUED {
             self.queue.pop_front();
             self.lost += 1;
@@ -77,8 +77,8 @@
     }
 
     /// Whether a connection should be opened now.
-    pub fn wants(&self, now: Micros) -> bool {
-        self.socket.is_none() && !self.queue.is_empty() && now >= self.again
+    pub fn needs_connection(&self, now: Micros) -> bool {
+        self.socket.is_none() && !self.queue.is_empty() && now >= self.reconnect_at
     }
 
     /// Takes the connection being opened, or the error if it could not be created.
@@ -97,7 +97,7 @@
         // The queued messages are delayed by now: only the newest are kept, which are the most useful.
         let excess = self.queue.len().saturating_sub(64);
         self.queue.drain(..excess);
-        self.again = now + RECONNECT_DELAY;
+        self.reconnect_at = now + RECONNECT_DELAY;
     }
 
     /// Closes the connection if its timeout has passed.
--- a/crates/daemon/sidecar/src/wire/fleet.rs
+++ b/crates/daemon/sidecar/src/wire/fleet.rs
@@ -18,9 +18,9 @@
     socket: Watched<TcpStream>,
     /// When it was opened or accepted, or the last batch was received.
     pub since: Micros,
-    asks: bool,
+    initiator: bool,
     /// It is persistent and receives batches.
-    pub stays: bool,
+    pub persistent: bool,
     input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
@@ -41,18 +41,26 @@
 
 impl Conn {
     /// An exchange begun by this side, on a connection being opened.
-    pub fn asking(socket: Watched<TcpStream>, since: Micros, body: &[u8]) -> Self {
+    pub fn initiate(socket: Watched<TcpStream>, since: Micros, body: &[u8]) -> Self {
         let head = format!(
             "POST {PATH} HTTP/1.1\r\nHost: fleet\r\nContent-Type: application/octet-stream\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
             body.len()
         );
         let output = [head.as_bytes(), body].concat();
-        Conn { socket, since, asks: true, stays: false, input: Vec::new(), output, written: 0 }
+        Conn { socket, since, initiator: true, persistent: false, input: Vec::new(), output, written: 0 }
     }
 
     /// An accepted connection.
-    pub fn asked(socket: Watched<TcpStream>, since: Micros) -> Self {
-        Conn { socket, since, asks: false, stays: false, input: Vec::new(), output: Vec::new(), written: 0 }
+    pub fn accepted(socket: Watched<TcpStream>, since: Micros) -> Self {
+        Conn {
+            socket,
+            since,
+            initiator: false,
+            persistent: false,
+            input: Vec::new(),
+            output: Vec::new(),
+            written: 0,
+        }
     }
 
     /// Responds; bytes that the socket doesn't accept now are written later.
@@ -67,7 +75,7 @@
     }
 
     /// Acknowledges a batch; the next one may follow.
-    pub fn taken(&mut self, now: Micros) -> Got {
+    pub fn acknowledge_batch(&mut self, now: Micros) -> Got {
         self.since = now;
         self.output = b"HTTP/1.1 204 No Content\r\n\r\n".to_vec();
         self.written = 0;
@@ -79,8 +87,8 @@
     }
 
     /// Whether this side began the exchange.
-    pub fn is_asking(&self) -> bool {
-        self.asks
+    pub fn is_initiator(&self) -> bool {
+        self.initiator
     }
 
     /// Writes and reads as far as the socket allows.
@@ -104,7 +112,7 @@
                 Err(e) => return Err(e),
             }
         }
-        if !self.asks && !self.stays && !self.output.is_empty() {
+        if !self.initiator && !self.persistent && !self.output.is_empty() {
             self.socket.get().shutdown(std::net::Shutdown::Write)?;
         }
         self.socket.set(Interest::Read)?;
@@ -119,7 +127,7 @@
                 }
                 Ok(n) => {
                     read += n;
-                    if !self.asks && !self.stays && !self.output.is_empty() {
+                    if !self.initiator && !self.persistent && !self.output.is_empty() {
                         // The response is sent: further bytes are discarded until the other end closes.
                         continue;
                     }
@@ -148,7 +156,7 @@
         }
         let bad = |b: http::MessageError| io::Error::other(format!("{b:?}"));
         let mut lines = http::empty_headers();
-        let (len, framing) = if self.asks {
+        let (len, framing) = if self.initiator {
             match http::response_head(&self.input, &mut lines).map_err(bad)? {
                 None => return Ok(Got::Nothing),
                 Some(head) if head.status != 200 => return Ok(Got::Ended),
@@ -159,7 +167,7 @@
                 None => return Ok(Got::Nothing),
                 Some(head) if head.method == "POST" && head.target == PATH => (head.len, head.framing),
                 Some(head) if head.method == "POST" && head.target == batches::PATH => {
-                    self.stays = true;
+                    self.persistent = true;
                     (head.len, head.framing)
                 }
                 Some(_) => return Ok(Got::Ended),
@@ -170,7 +178,7 @@
             return Ok(if n > MAX_EXCHANGE_BYTES { Got::Ended } else { Got::Nothing });
         }
         let body = self.input[len..len + n].to_vec();
-        if self.stays {
+        if self.persistent {
             self.input.drain(..len + n);
             return Ok(Got::Batch(body));
         }
@@ -199,7 +207,7 @@
     #[test]
     fn an_answer_that_comes_together_with_the_end_is_an_answer() {
         let (_registry, near, mut far) = pair();
-        let mut conn = Conn::asking(near, 0, b"mine");
+        let mut conn = Conn::initiate(near, 0, b"mine");
         assert_eq!(conn.advance(), Got::Nothing);
         let mut asked = [0; 4096];
         assert!(far.read(&mut asked).expect("asked") > 0);
@@ -214,7 +222,7 @@
         };
         assert_eq!(got, Got::Body(b"theirs".to_vec()));
         let (_registry, near, far) = pair();
-        let mut conn = Conn::asking(near, 0, b"mine");
+        let mut conn = Conn::initiate(near, 0, b"mine");
         drop(far);
         let ended = (0..10_000).any(|_| conn.advance() == Got::Ended);
         assert!(ended, "a connection closed without a response has ended");
--- a/crates/daemon/sidecar/src/wire/peer.rs
+++ b/crates/daemon/sidecar/src/wire/peer.rs
@@ -20,7 +20,7 @@
     /// The far gateway's index.
     pub peer: usize,
     /// When the request was sent that has no response yet.
-    pub asked: Option<Micros>,
+    pub requested_at: Option<Micros>,
     output: Vec<u8>,
     input: Vec<u8>,
 }
@@ -28,12 +28,12 @@
 impl Conn {
     /// A connection being opened.
     pub fn new(socket: Watched<TcpStream>, peer: usize) -> Self {
-        Conn { socket, peer, asked: None, output: Vec::new(), input: Vec::new() }
+        Conn { socket, peer, requested_at: None, output: Vec::new(), input: Vec::new() }
     }
 
     /// Requests the offer.
-    pub fn ask(&mut self, now: Micros) -> io::Result<()> {
-        self.asked = Some(now);
+    pub fn request_offer(&mut self, now: Micros) -> io::Result<()> {
+        self.requested_at = Some(now);
         self.output = format!("GET {OFFER_PATH} HTTP/1.1\r\nHost: gateway\r\n\r\n").into_bytes();
         self.flush()
     }
@@ -72,7 +72,7 @@
             return Ok(None);
         };
         self.input.drain(..body.end);
-        self.asked = None;
+        self.requested_at = None;
         value.map(Some).ok_or_else(|| io::Error::other("the response has no offer header"))
     }
 }
