--- a/crates/daemon/mesh/src/upstream_gate/delivery.rs
+++ b/crates/daemon/mesh/src/upstream_gate/delivery.rs
@@ -134,9 +134,10 @@
     received
 }
 
-/// Returns whether a response must not be returned because it may be wrong: a success that lacks the upstream's stamp
-/// or states that the request was not delivered, or a status that promises that the request did not run where the
-/// upstream has not stated so and a retry could run the request twice.
+/// Returns whether a response must not be returned because it may be wrong. That is a response with a content coding,
+/// which nobody asked for; a success without the upstream's stamp, the header by which an upstream marks its own
+/// responses; a success or redirect that states that the request was not delivered; or a status that promises that the
+/// request did not run where the upstream has not stated so and a retry could run the request twice.
 fn is_untrustworthy(response: &Response, is_idempotent: bool) -> bool {
     let is_promise = matches!(response.status, 408 | 429 | 503);
     response.has_content_encoding
--- a/crates/daemon/mesh/src/upstream_gate/responses.rs
+++ b/crates/daemon/mesh/src/upstream_gate/responses.rs
@@ -1,4 +1,5 @@
-//! Responses to origins: the gate's own status, and the encoding of responses.
+//! Responses to origins, the sidecars that forward their clients' requests to this gate: the gate's own status, and the
+//! encoding of responses.
 use crate::forwarding_headers::{self, GateStatus};
 use crate::peer_connection::ReceivedResponse;
 use crate::response_replay_cache::{ReplayEntry, StoredResponse};
--- a/crates/daemon/mesh/src/upstream_gate/sidecar_connection.rs
+++ b/crates/daemon/mesh/src/upstream_gate/sidecar_connection.rs
@@ -184,10 +184,10 @@
     let (Some(remainder), Some(framing)) = (received.remainder.take(), framing) else { return true };
     drop(received);
     let Some(mut write) = connection.take_write_half() else { return false };
-    let runs_once = !forwarding.is_idempotent;
+    let is_non_idempotent = !forwarding.is_idempotent;
     let is_complete = tokio::select! {
         is_complete = remainder.forward(&node_state.pool, &mut write, framing) => is_complete,
-        () = wait_until_cancelled(connection, runs_once) => {
+        () = wait_until_cancelled(connection, is_non_idempotent) => {
             _cancelled = DepartedRequest::new(node_state, DepartedPeer::Origin);
             false
         }
@@ -198,8 +198,8 @@
 
 /// Returns once the origin of an idempotent request has disconnected. A non-idempotent request continues until its
 /// response can't be written.
-async fn wait_until_cancelled(connection: &mut Connection, runs_once: bool) {
-    if runs_once {
+async fn wait_until_cancelled(connection: &mut Connection, is_non_idempotent: bool) {
+    if is_non_idempotent {
         std::future::pending::<()>().await;
     }
     connection.wait_for_event().await;
--- a/crates/daemon/mesh/src/upstream_gate/streamed_request.rs
+++ b/crates/daemon/mesh/src/upstream_gate/streamed_request.rs
@@ -52,7 +52,7 @@
         BodyBuffer::streamed(Vec::new(), head.content_length(), node_state.body_budget.reservation());
     let Some(write) = connection.take_write_half() else { return false };
     let (write, has_response) = (Mutex::new(write), Cell::new(false));
-    let runs_once = forwarding.as_ref().is_some_and(|forwarding| !forwarding.is_idempotent);
+    let is_non_idempotent = forwarding.as_ref().is_some_and(|forwarding| !forwarding.is_idempotent);
     let has_begun = Cell::new(false);
     let responding = async {
         let received = match &forwarding {
@@ -75,12 +75,12 @@
             // non-idempotent request. If the origin closes its sending direction, such a request continues only if it
             // has begun.
             Ok(()) => match connection.wait_for_event().await {
-                ConnectionEvent::Broken if runs_once => {
+                ConnectionEvent::Broken if is_non_idempotent => {
                     let _orphaned = DepartedRequest::carried_on(node_state, DepartedPeer::Origin);
                     count_orphaned(node_state);
                     std::future::pending().await
                 }
-                ConnectionEvent::Closed if runs_once && has_begun.get() => {
+                ConnectionEvent::Closed if is_non_idempotent && has_begun.get() => {
                     let _carried_on = DepartedRequest::carried_on(node_state, DepartedPeer::Origin);
                     std::future::pending().await
                 }
--- a/crates/daemon/sidecar/src/event_loop.rs
+++ b/crates/daemon/sidecar/src/event_loop.rs
@@ -48,7 +48,8 @@
 const LISTENER_KEY: usize = usize::MAX - 1;
 const STOP_KEY: usize = usize::MAX - 2;
 const RELOAD_KEY: usize = usize::MAX - 3;
-/// Maximum number of times that the records are advanced in one iteration of the loop.
+/// Maximum number of times in one iteration of the loop that the records (the fleet's replicated store, `records_side.rs`)
+/// process their input and have their effects carried out.
 const MAX_RECORDS_ROUNDS: usize = 4;
 /// Interval of the periodic housekeeping.
 const HOUSEKEEPING_INTERVAL: Micros = 250_000;
@@ -89,7 +90,8 @@
     Records,
     /// Retry the claim of a key that another sidecar has claimed.
     RetryClaim(Handle),
-    /// Read again a document whose next version the operator in this slot waits for.
+    /// Read a document of the records again: the operator on the management connection in this slot waits for a later
+    /// version of it.
     ReadDocument(usize),
     /// A response that is not stored yet is sent without the `X-Held` header.
     StoreTimeout(Handle),
@@ -109,8 +111,8 @@
     pub buffer_bytes: usize,
     /// A connection to an upstream that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// A response that is not complete within this time after its first byte is given up, apart from the time that its
-    /// bytes may take: the time left is worth more for a retry.
+    /// A response that is not complete within this time after its first byte, extended by `EventLoop::transfer_time` for the
+    /// bytes received, is given up, so that the request's remaining time can be used for a retry.
     pub completion_timeout: Micros,
     /// Upstreams close connections that have been idle for this long; `None`: not known.
     pub upstream_idle_timeout: Option<Micros>,
@@ -161,7 +163,7 @@
     pub classes: Vec<String>,
     /// The lock file by which this process and a second one of the same sidecar know of each other.
     pub seat: Option<Seat>,
-    /// Membership and records of its fleet, if it is in one.
+    /// Its membership of the fleet with the sockets for it, and its part in the records, if it is in a fleet.
     pub peers: Option<Peers>,
     /// Version of the list that the balancer was started with.
     pub seq: u64,
@@ -204,6 +206,7 @@
     discovery: Option<SocketAddr>,
     gateway: Option<GatewayHalf>,
     management: Management,
+    /// The lock file by which this process and a second one of the same sidecar know of each other.
     seat: Option<Seat>,
     fleet: Option<Fleet>,
     records_side: Option<RecordsSide>,
@@ -211,7 +214,8 @@
     ordered_drains: Vec<String>,
     /// The records were given input in this iteration and must be advanced.
     records_pending: bool,
-    view: Option<silvercross_swim::View>,
+    /// How much of the fleet this member sees, as last reported by membership; kept to log each change of it.
+    fleet_view: Option<silvercross_swim::View>,
     view_log_pacing: Paced,
     member_log_pacing: Paced,
     /// Another process of this sidecar is running; the two share the limits.
@@ -222,7 +226,8 @@
     /// It accepts connections and has said so in its lock file. Only used beside another process.
     serving: bool,
     seq: u64,
-    watch: Option<Handle>,
+    /// The connection on which discovery sends changes of the list, while the balancer is subscribed to them.
+    discovery_watch: Option<Handle>,
     bounds: Bounds,
     upstream_idle_limit: Micros,
     stop: Option<Stop>,
@@ -253,7 +258,7 @@
             ordered_drains: Vec::new(),
             records_pending: false,
             fleet: peers.map(|p| Fleet::new(p, &registry, balancer.instances())).transpose()?,
-            view: None,
+            fleet_view: None,
             view_log_pacing: Paced::default(),
             member_log_pacing: Paced::default(),
             has_neighbour: false,
@@ -273,7 +278,7 @@
             gateway,
             seat,
             seq,
-            watch: None,
+            discovery_watch: None,
             bounds,
             upstream_idle_limit,
             stop: None,
@@ -316,12 +321,12 @@
             }
             let limit = wake.map(|at| Duration::from_micros((at - self.balancer.now()).max(0) as u64));
             self.registry.wait(&mut events, limit)?;
-            // Operators first: they wait a second, however much work there is in this iteration.
+            // Operators first, so that their calls do not wait for the other work of this iteration.
             for event in events.iter().filter(|e| Management::is_key(e.key)) {
                 self.catch_panic(None, |l| l.management_ready(event.key));
             }
-            let peers = |key| Fleet::is_key(key) || RecordsSide::is_key(key);
-            for event in events.iter().filter(|e| !Management::is_key(e.key) && !peers(e.key)) {
+            let is_fleet_key = |key| Fleet::is_key(key) || RecordsSide::is_key(key);
+            for event in events.iter().filter(|e| !Management::is_key(e.key) && !is_fleet_key(e.key)) {
                 match event.key {
                     LISTENER_KEY => self.catch_panic(None, |l| {
                         l.accept();
@@ -441,7 +446,7 @@
                     self.counts.failed += 1;
                     self.fail(request);
                 }
-                Step::Subscribe(on) => self.watch(on),
+                Step::Subscribe(on) => self.set_discovery_watch(on),
                 Step::FetchList => self.call_discovery(Purpose::Call),
                 Step::CloseIdle(upstream) => {
                     self.connections.idle_to(upstream).into_iter().for_each(|h| self.close_upstream(h));
@@ -526,6 +531,7 @@
 
     fn summary(&self, what: &'static str) {
         let c = &self.counts;
+        // `taken` counts the requests accepted since the start, `open` the present requests without a final response.
         info!(self.log, "{}", what; "taken" => c.accepted, "served" => c.served, "refused" => c.refused,
             "failed" => c.failed, "client_gone" => c.client_gone, "bad_requests" => c.bad_requests, "attempts" => c.attempts,
             "attempts_failed" => c.attempts_failed, "connects" => c.connects, "panics" => c.panics,
--- a/crates/daemon/sidecar/src/event_loop/applications.rs
+++ b/crates/daemon/sidecar/src/event_loop/applications.rs
@@ -6,7 +6,7 @@
 use crate::wire::application::{self, Asked, Call, Front, Got, State};
 use crate::wire::upstream::{Cause, Stage, Work};
 use silvercross_core::interface::Micros;
-use silvercross_facade::Request as Placed;
+use silvercross_facade::Request as BalancerRequest;
 use silvercross_gateway::offer::RemoteOutcome;
 use silvercross_net::http::{self, Framing, MessageError};
 use silvercross_net::registry::Interest;
@@ -28,7 +28,7 @@
 /// Maximum number of requests that a client may have sent ahead of the responses.
 const MAX_REQUESTS_AHEAD: u32 = 16;
 /// Header line of a response to a request that was certainly not executed.
-const UNSEEN: &str = "X-Unprocessed: 1\r\n";
+const UNPROCESSED: &str = "X-Unprocessed: 1\r\n";
 /// Time for a client to close its end after a response that ended the connection.
 const LINGER_TIMEOUT: Micros = 1_000_000;
 
@@ -202,7 +202,7 @@
             r.bytes.take().into_iter().for_each(|b| self.pool.put_back(b));
         }
         self.close_application(handle);
-        self.guest_ended(request, RemoteOutcome::Disconnected);
+        self.remote_request_ended(request, RemoteOutcome::Disconnected);
         let sent = self.requests.get(request).is_some_and(|r| !r.attempts.is_empty());
         self.release_claim(request, sent);
         let decision = self.balancer.client_disconnected(request);
@@ -332,12 +332,12 @@
             Err(why) => return self.reject_unprocessed(handle, end, why),
         };
         let Some(mut bytes) = self.pool.take() else {
-            self.withdraw_guest(guest);
+            self.withdraw_remote_request(guest);
             return self.refuse_without_buffer(handle);
         };
         let Some(c) = self.connections.application(handle) else { return };
         let Some(mut input) = c.input.take() else {
-            self.withdraw_guest(guest);
+            self.withdraw_remote_request(guest);
             return self.pool.put_back(bytes);
         };
         let (mut fits, mut upload) = (true, None);
@@ -356,7 +356,7 @@
                     Err(bad) => {
                         self.pool.put_back(bytes);
                         self.pool.put_back(input);
-                        self.withdraw_guest(guest);
+                        self.withdraw_remote_request(guest);
                         return self.refuse_bad(handle, bad);
                     }
                 }
@@ -376,14 +376,14 @@
             (c.stalled_at, c.send_by) = (None, None);
         }
         if !input.is_empty() && !coming {
-            // The requests received behind it wait from now on at the latest.
+            // Requests pipelined after this one wait from now on, if not already: that time is taken off their budgets.
             c.ahead_since.get_or_insert(self.balancer.now());
             c.ahead += 1;
         }
         c.tidy(&mut self.pool);
         if !fits {
             self.pool.put_back(bytes);
-            self.withdraw_guest(guest);
+            self.withdraw_remote_request(guest);
             return self.refuse_bad(handle, MessageError::HeadTooLarge);
         }
         let id = call.id.clone().into_boxed_str();
@@ -401,7 +401,7 @@
         let request = match self.requests.insert_with(|_| Ok::<_, ()>(taken)) {
             Ok(Some(request)) => request,
             _ => {
-                self.withdraw_guest(guest);
+                self.withdraw_remote_request(guest);
                 return self.answer(handle, 503, b"", &[b"too many requests\n"]);
             }
         };
@@ -414,7 +414,7 @@
             c.send_by.get_or_insert(now + REQUEST_TIMEOUT);
             self.set_client_timeout(handle, REQUEST_TIMEOUT);
         }
-        let placed = Placed {
+        let balancer_request = BalancerRequest {
             handle: request,
             class,
             tenant: call.tenant.map_or(0, |t| self.balancer.tenant_named(&t)),
@@ -425,11 +425,14 @@
             write: call.write,
         };
         if coming {
-            let decision = self.balancer.pick_incomplete(placed);
+            let decision = self.balancer.pick_incomplete(balancer_request);
             return self.queue_steps(decision);
         }
-        let Some(placed) = self.claim_first(request, placed, &call.class, &call.head) else { return };
-        let decision = self.balancer.pick(placed);
+        let Some(balancer_request) = self.claim_first(request, balancer_request, &call.class, &call.head)
+        else {
+            return;
+        };
+        let decision = self.balancer.pick(balancer_request);
         self.queue_steps(decision);
     }
 
@@ -458,12 +461,12 @@
             c.input.iter_mut().for_each(|i| i.consume(end));
             c.tidy(&mut self.pool);
         }
-        let lines = format!("{UNSEEN}{}", self.gateway_lines());
+        let lines = format!("{UNPROCESSED}{}", self.gateway_lines());
         self.answer(handle, 503, lines.as_bytes(), &[why.as_bytes(), b"\n"]);
     }
 
     /// A request from the far site that was admitted is not processed after all.
-    fn withdraw_guest(&mut self, guest: Option<Guest>) {
+    fn withdraw_remote_request(&mut self, guest: Option<Guest>) {
         if let (Some(GatewayHalf::In(i)), Some(g)) = (self.gateway.as_mut(), guest) {
             i.offer.ended(g.began, RemoteOutcome::Disconnected, 0, g.expected, g.left);
         }
@@ -477,7 +480,7 @@
         if self.gateway.is_none() {
             return self.answer_call(request, 503, lines.as_bytes(), &[b"refused\n"]);
         }
-        self.guest_ended(request, RemoteOutcome::Rejected);
+        self.remote_request_ended(request, RemoteOutcome::Rejected);
         self.refuse_or_fail(request, lines);
     }
 
@@ -488,7 +491,7 @@
         if self.gateway.is_none() {
             return self.answer_call(request, 502, b"", &[b"failed\n"]);
         }
-        self.guest_ended(request, RemoteOutcome::Failed);
+        self.remote_request_ended(request, RemoteOutcome::Failed);
         self.refuse_or_fail(request, "");
     }
 
@@ -498,7 +501,7 @@
         match ran {
             true => self.answer_call(request, 502, offer.as_bytes(), &[b"failed\n"]),
             false => {
-                let lines = format!("{UNSEEN}{offer}{lines}");
+                let lines = format!("{UNPROCESSED}{offer}{lines}");
                 self.answer_call(request, 503, lines.as_bytes(), &[b"refused\n"]);
             }
         }
--- a/crates/daemon/sidecar/src/event_loop/discovery_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/discovery_side.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 impl EventLoop {
-    pub(super) fn watch(&mut self, on: bool) {
-        if let Some(old) = self.watch.take() {
+    pub(super) fn set_discovery_watch(&mut self, on: bool) {
+        if let Some(old) = self.discovery_watch.take() {
             self.connections.remove(old);
         }
         if on {
@@ -34,7 +34,7 @@
             Ok(Some(handle)) => {
                 self.balancer.set_timer(now + discovery::SILENCE, Wake::DiscoveryTimeout(handle));
                 if purpose == Purpose::Watch {
-                    self.watch = Some(handle);
+                    self.discovery_watch = Some(handle);
                 }
             }
             Ok(None) => self.pass_to_balancer(&DiscoveryEvent::Broken),
@@ -48,7 +48,7 @@
     /// Discovery is at another address from now on: connections to the old one are closed, and the decision module has the
     /// new one called. Its versions need not continue the old one's, so the complete list is requested.
     pub(super) fn discovery_moved(&mut self, to: SocketAddr) {
-        (self.discovery, self.seq, self.watch) = (Some(to), 0, None);
+        (self.discovery, self.seq, self.discovery_watch) = (Some(to), 0, None);
         for handle in self.connections.to_discovery() {
             self.connections.remove(handle);
         }
@@ -90,8 +90,8 @@
     pub(super) fn discovery_broken(&mut self, handle: Handle, why: &str) {
         warn!(self.log, "discovery broke off; the last list stays in use"; "why" => why);
         self.connections.remove(handle);
-        if self.watch == Some(handle) {
-            self.watch = None;
+        if self.discovery_watch == Some(handle) {
+            self.discovery_watch = None;
         }
         self.pass_to_balancer(&DiscoveryEvent::Broken);
     }
--- a/crates/daemon/sidecar/src/event_loop/fleet_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/fleet_side.rs
@@ -25,9 +25,11 @@
 const EXCHANGE_TIMEOUT: Micros = 5_000_000;
 /// A connection on which no batch has arrived for this long is closed; the other member can open a new one.
 const BATCH_IDLE_TIMEOUT: Micros = 30_000_000;
-/// A smaller number of senders applies once it has not changed for this many protocol periods; a greater one at once.
-const SMALLER_AFTER_PERIODS: i64 = 10;
-/// The list of other members in the folder is updated once per this many protocol periods.
+/// The number of sidecars that send requests, by which the balancer divides shared budgets, is lowered only after it has not
+/// changed for this many protocol periods; it is raised at once.
+const FEWER_SENDERS_DELAY_PERIODS: i64 = 10;
+/// The addresses of other members that are stored for this member's next start are updated once per this many protocol
+/// periods.
 const FOLDER_UPDATE_PERIODS: i64 = 10;
 /// Maximum length of a datagram that is read, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
@@ -38,6 +40,7 @@
     datagrams: Watched<UdpSocket>,
     listener: Watched<TcpListener>,
     slots: [Option<Conn>; MAX_SLOTS],
+    /// Storage of this member's identity and of other members' addresses for its next start; `None`: nothing is stored.
     folder: Option<Folder>,
     address: SocketAddr,
     period: Micros,
@@ -48,7 +51,7 @@
     /// Number of senders according to membership that is not in force yet, and from when it applies if it is smaller than the
     /// present one.
     pending_senders: Option<(u32, Micros)>,
-    /// When the list in the folder is updated next.
+    /// When the addresses in `folder` are updated next.
     folder_update_at: Micros,
 }
 
@@ -226,18 +229,20 @@
             Event::View(view) => {
                 let (live, failed) = fleet.members.size();
                 if let Some(n) = fleet.members.senders() {
-                    fleet.pending_senders = Some((n as u32, now + SMALLER_AFTER_PERIODS * fleet.period));
+                    fleet.pending_senders =
+                        Some((n as u32, now + FEWER_SENDERS_DELAY_PERIODS * fleet.period));
                 }
-                if self.view_log_pacing.pass(now).is_some() || self.view != Some(view) {
-                    info!(self.log, "view of the fleet"; "view" => view.name(), "live" => live, "failed" => failed);
+                if self.view_log_pacing.pass(now).is_some() || self.fleet_view != Some(view) {
+                    info!(self.log, "this member's view of the fleet or the number of senders changed"; "view" => view.name(), "live" => live, "failed" => failed);
                 }
-                self.view = Some(view);
+                self.fleet_view = Some(view);
             }
             Event::Changed { id, name, state, by } => {
                 if state == State::Suspect {
-                    debug!(self.log, "member"; "name" => name, "id" => id.to_string(), "state" => state.name(), "by" => by.to_string());
+                    debug!(self.log, "a member is suspected to have failed"; "name" => name, "id" => id.to_string(), "state" => state.name(), "by" => by.to_string());
                 } else if let Some(before) = self.member_log_pacing.pass(now) {
-                    info!(self.log, "member"; "name" => name, "id" => id.to_string(), "state" => state.name(), "by" => by.to_string(),
+                    // `untold`: lines suppressed since the previous one.
+                    info!(self.log, "a member's state changed"; "name" => name, "id" => id.to_string(), "state" => state.name(), "by" => by.to_string(),
                         "untold" => before);
                 }
             }
@@ -247,6 +252,7 @@
                 self.queue_steps(decision);
             }
             Event::Refuted(state) => {
+                // `held`: the state in which another member reported this one.
                 info!(self.log, "this member was reported as suspect or failed, and refuted it"; "held" => state.name());
             }
             Event::StoodDown { same_identity, other } => {
@@ -279,7 +285,7 @@
         if let Some(fleet) = &mut self.fleet {
             fleet.configured_senders = self.balancer.instances();
             if let Some(n) = fleet.members.senders() {
-                fleet.pending_senders = Some((n as u32, now + SMALLER_AFTER_PERIODS * fleet.period));
+                fleet.pending_senders = Some((n as u32, now + FEWER_SENDERS_DELAY_PERIODS * fleet.period));
             }
         }
     }
--- a/crates/daemon/sidecar/src/event_loop/gateway_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/gateway_side.rs
@@ -43,7 +43,7 @@
     pub offer_connections: Vec<Option<Handle>>,
     /// When offers are requested next.
     pub next_offer_at: Micros,
-    /// Limits the rate of log lines about statements.
+    /// Limits the rate of log lines about ignored offers.
     pub log_pacing: Paced,
 }
 
@@ -73,7 +73,8 @@
             address: Some(*at),
             zone: self.far_site.clone(),
             kind: "gateway".into(),
-            // Each has its own cell, so that no two are in one group of upstreams that drop duplicates.
+            // Each has a cell of its own: far gateways do not drop each other's duplicates, as the upstreams of one cell may
+            // do (`DedupGroup::Cell`).
             cell: 1_000_000 + i as u32,
             health: if open.get(i).copied().unwrap_or(false) { Health::Ready } else { Health::Draining },
             size: 1.0,
@@ -100,7 +101,7 @@
                 let hops_so_far = hops_so_far.leave(&o.home).map_err(hops::HopError::reason)?;
                 o.peers.may_cross(now, left, 1.0).map_err(|why| match why {
                     CrossingRefused::NoRoom => "the other side has no room",
-                    CrossingRefused::NoTime => "there is no time left for the way",
+                    CrossingRefused::NoTime => "the request's remaining time is less than the expected response time of the other side",
                 })?;
                 (hops_so_far, None)
             }
@@ -118,7 +119,7 @@
     }
 
     /// A request from the far site has its final response, or its sender has disconnected.
-    pub(super) fn guest_ended(&mut self, request: Handle, how: RemoteOutcome) {
+    pub(super) fn remote_request_ended(&mut self, request: Handle, how: RemoteOutcome) {
         let now = self.balancer.now();
         let guest = self.requests.get_mut(request).and_then(|r| r.guest.take());
         if let (Some(GatewayHalf::In(i)), Some(g)) = (self.gateway.as_mut(), guest) {
@@ -166,8 +167,8 @@
         }
     }
 
-    /// An attempt has ended. If it went to a far gateway: `took` is its duration if it was served, `offer` the offer in its
-    /// response.
+    /// An attempt has ended, with this report to the balancer, or `None` if it was cancelled. If it went to a far gateway:
+    /// `took` is its duration if it was served, `offer` the offer in its response.
     pub(super) fn peer_attempt_ended(
         &mut self,
         to: SocketAddr,
--- a/crates/daemon/sidecar/src/event_loop/operators.rs
+++ b/crates/daemon/sidecar/src/event_loop/operators.rs
@@ -109,7 +109,7 @@
     }
 
     /// A command that took time is done: sends its response.
-    pub(super) fn command_answered(&mut self, slot: usize, bytes: Vec<u8>) {
+    pub(super) fn send_command_response(&mut self, slot: usize, bytes: Vec<u8>) {
         let Some(Some(c)) = self.management.slots.get_mut(slot) else { return };
         if !c.is_answered() && !c.answer(bytes) {
             self.management.slots[slot] = None;
@@ -156,7 +156,7 @@
                 response(431, "the call is too large\n")
             }
             Err(MessageError::Malformed(why)) => response(400, &format!("{why}\n")),
-            Err(MessageError::IdInUse | MessageError::TooManyAhead) => response(400, "not a call\n"),
+            Err(MessageError::IdInUse | MessageError::TooManyAhead) => response(400, "the call is invalid\n"),
         }
     }
 
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -9,7 +9,7 @@
 use crate::memory::requests::{Held, Phase};
 use crate::wire::batches::Link;
 use silvercross_core::interface::Micros;
-use silvercross_facade::Request as Placed;
+use silvercross_facade::Request as BalancerRequest;
 use silvercross_idempotency_store::command::MAX_VALUE_BYTES;
 use silvercross_idempotency_store::placement::MemberStatus;
 use silvercross_idempotency_store::{
@@ -80,7 +80,7 @@
     wake: Option<Watched<UnixStream>>,
     classes: Vec<HeldClass>,
     /// Maximum time that a request waits for its claim or for the store of its response.
-    ask: Micros,
+    max_wait: Micros,
     links: Vec<Option<Link>>,
     link_indices: BTreeMap<Identity, usize>,
     /// Commands under way, by their id.
@@ -95,14 +95,14 @@
 impl RecordsSide {
     /// Registers the store's wake-up stream with the poller.
     pub fn new(parts: RecordsParts, registry: &Registry) -> io::Result<Self> {
-        let RecordsParts { records, mut store, classes, ask } = parts;
+        let RecordsParts { records, mut store, classes, ask: max_wait } = parts;
         let wake = store.as_mut().and_then(|s| s.wake.take());
         Ok(RecordsSide {
             records,
             store,
             wake: wake.map(|w| registry.watch(w, STORE_KEY, Interest::Read)).transpose()?,
             classes,
-            ask,
+            max_wait,
             links: (0..MAX_LINKS).map(|_| None).collect(),
             link_indices: BTreeMap::new(),
             commands: HashMap::new(),
@@ -225,7 +225,7 @@
                     error!(self.log, "this member has given up its copy of a group of the records";
                         "group" => group, "why" => ?why, "mend" => "restart this process: it joins under a new identity");
                     if let Some(Err(e)) = h.store.as_ref().map(Store::give_up) {
-                        error!(self.log, "the store of a given up copy could not be set aside"; "error" => e.to_string());
+                        error!(self.log, "the store file of a copy that was given up could not be renamed or removed"; "error" => e.to_string());
                     }
                 }
                 Effect::DrainsChanged => drains = true,
@@ -304,10 +304,10 @@
     pub(super) fn claim_first(
         &mut self,
         request: Handle,
-        placed: Placed,
+        placed: BalancerRequest,
         class: &str,
         head: &[u8],
-    ) -> Option<Placed> {
+    ) -> Option<BalancerRequest> {
         let Some(h) = &mut self.records_side else { return Some(placed) };
         let Some(number) = h.classes.iter().position(|c| c.name == class) else { return Some(placed) };
         let key = head.split(|b| *b == b'\n').find_map(|line| {
@@ -347,7 +347,7 @@
         }
         held.phase = Phase::Asking;
         let window_ms = h.classes[held.class].window_ms;
-        let wait = h.ask.min((held.until - now) / 2);
+        let wait = h.max_wait.min((held.until - now) / 2);
         let command = Command::Take { key: held.key.clone(), window_ms };
         let id = h.records.submit_for_key(now, &held.key.clone(), command, now + wait.max(1_000));
         h.commands.insert(id, Waiter::Claim(request));
@@ -368,7 +368,7 @@
                 }
                 self.response_stored(request, marked);
             }
-            Waiter::Operator(slot) => self.command_done(slot, outcome),
+            Waiter::Operator(slot) => self.operator_command_ended(slot, outcome),
         }
         self.run_steps();
     }
@@ -449,7 +449,7 @@
                             request,
                             503,
                             b"Retry-After: 1\r\n",
-                            &[b"the records can't be asked; nothing ran\n"],
+                            &[b"the request's idempotency key could not be claimed; the request was not executed\n"],
                         );
                     }
                     false => self.pick_claimed(now, request, false),
@@ -488,7 +488,7 @@
         let window_ms = h.classes[held.class].window_ms;
         // Storing continues after this limit, for later retries, although this client then gets its response without the
         // header.
-        let until = now + h.ask.min(held.until - RESPONSE_MARGIN - now);
+        let until = now + h.max_wait.min(held.until - RESPONSE_MARGIN - now);
         let command = Command::Hold { key: held.key.clone(), window_ms, answer };
         let id = h.records.submit_for_key(now, &held.key.clone(), command.clone(), now + BACKGROUND_TIMEOUT);
         h.commands.insert(id, Waiter::Store(request));
@@ -610,7 +610,9 @@
         }
     }
 
-    fn command_done(&mut self, slot: usize, outcome: Result<Outcome, SubmitError>) {
+    /// An operator's command has an outcome, which is sent as the response; a document that is not newer than the operator
+    /// waits for is read again later instead.
+    fn operator_command_ended(&mut self, slot: usize, outcome: Result<Outcome, SubmitError>) {
         let now = self.balancer.now();
         if let (Some(h), Ok(Outcome::Document(version, _))) = (&mut self.records_side, &outcome) {
             let waits = |a: &(String, u64, Micros)| *version <= a.1 && now + DOCUMENT_POLL_INTERVAL < a.2;
@@ -628,13 +630,14 @@
             }
             Ok(Outcome::Other(version)) => response(409, &format!("{{\"version\":{version}}}\n")),
             Ok(Outcome::Full) => response(507, "there is no room\n"),
-            Ok(_) => response(400, "not done\n"),
-            Err(SubmitError::Unavailable { sent: false }) => {
-                response(503, "most holders can't be asked; nothing was done\n")
-            }
+            Ok(_) => response(400, "the command was rejected\n"),
+            Err(SubmitError::Unavailable { sent: false }) => response(
+                503,
+                "the group of replicas that stores this is unknown or does not respond; nothing was done\n",
+            ),
             Err(_) => response(504, "it may have been done, or may yet be\n"),
         };
-        self.command_answered(slot, bytes);
+        self.send_command_response(slot, bytes);
     }
 
     /// Founds the records here: creates a copy of each group.
@@ -744,4 +747,5 @@
 }
 
 /// Response to operators if the fleet has no records.
-pub(super) const NO_RECORDS: &str = "this sidecar's fleet holds nothing: its file has no [records]\n";
+pub(super) const NO_RECORDS: &str =
+    "this sidecar has no records: it was started without a --fleet file that has [records]\n";
--- a/crates/daemon/sidecar/src/event_loop/streams.rs
+++ b/crates/daemon/sidecar/src/event_loop/streams.rs
@@ -21,7 +21,8 @@
 const MAX_BYTES_PER_TURN: usize = 256 * 1024;
 /// A stream that makes no progress for this long is ended.
 pub(super) const STREAM_IDLE_TIMEOUT: Micros = 10_000_000;
-/// Minimum rate at which a sender may use extra time, in bytes per second.
+/// Minimum transfer rate in bytes per second: a sender's time limit is extended by the time that the bytes received take at
+/// this rate.
 const MIN_BYTES_PER_S: i64 = 32_000;
 
 impl EventLoop {
@@ -302,15 +303,16 @@
         false
     }
 
-    /// Writes a client's output buffer; `true` once it is empty.
-    fn flush_relay(&mut self, client: Handle, moved: bool) -> bool {
+    /// Writes a client's output buffer; `true` once it is empty. `has_new_bytes`: bytes were put into it just before, which
+    /// counts as progress of the stream.
+    fn flush_relay(&mut self, client: Handle, has_new_bytes: bool) -> bool {
         let now = self.balancer.now();
         let Some(a) = self.connections.application(client) else { return false };
         let State::Passing(request, _) = a.state else { return false };
         let before = a.output.as_ref().map_or(0, |b| b.filled().len());
         let flushed = a.flush(&mut self.pool);
         let left = a.output.as_ref().map_or(0, |b| b.filled().len());
-        if moved || left < before {
+        if has_new_bytes || left < before {
             a.stalled_at = a.stalled_at.map(|_| now + STREAM_IDLE_TIMEOUT);
         }
         match flushed {
@@ -332,7 +334,7 @@
         let now = self.balancer.now();
         self.counts.served += 1;
         self.stop.iter_mut().for_each(|s| s.note_activity(now));
-        self.guest_ended(attempt.request, RemoteOutcome::Served);
+        self.remote_request_ended(attempt.request, RemoteOutcome::Served);
         let clean = |c: &mut crate::wire::upstream::Conn| {
             let passing = c.passing.take()?;
             let rest = c.buffer.as_ref().is_some_and(|b| !b.is_empty());
@@ -361,7 +363,7 @@
     /// A response that was being relayed failed: its client must not take it for complete.
     pub(super) fn relay_failed(&mut self, handle: Handle, attempt: Attempt, cause: Cause) {
         self.counts.failed += 1;
-        self.guest_ended(attempt.request, RemoteOutcome::Failed);
+        self.remote_request_ended(attempt.request, RemoteOutcome::Failed);
         let client = self.connections.upstream(handle).and_then(|c| c.passing.take()).map(|p| p.client);
         if let Some(r) = self.requests.get_mut(attempt.request) {
             r.client = None;
--- a/crates/daemon/sidecar/src/event_loop/upstreams.rs
+++ b/crates/daemon/sidecar/src/event_loop/upstreams.rs
@@ -19,7 +19,8 @@
 const LAST_BYTE_DELAY: Micros = 1_500;
 /// ... for this long after the last such break; without breaks there is no delay.
 const DELAY_LAST_BYTE_FOR: Micros = 10_000_000;
-/// Minimum time for which a connection is idle between two requests: see `Connections::take_idle`.
+/// A connection is reused only after it was idle for this long: bytes that an upstream sends by mistake after a response
+/// would be taken for the response to the next request (see `Connections::take_idle`).
 const MIN_IDLE_TIME: Micros = 5_000;
 /// Maximum number of times that an attempt is given more of its request's body in one iteration of the loop.
 const MAX_FEEDS_PER_TURN: usize = 4;
@@ -27,7 +28,7 @@
 const IN_PROGRESS: i32 = 115;
 
 impl EventLoop {
-    pub(super) fn send(&mut self, attempt: Attempt, upstream: Upstream, to: SocketAddr, limit: Micros) {
+    pub(super) fn send(&mut self, attempt: Attempt, upstream: Upstream, to: SocketAddr, time_limit: Micros) {
         self.counts.attempts += 1;
         let Some(r) = self.requests.get_mut(attempt.request) else {
             return self.report(attempt, Report::NotSent);
@@ -47,7 +48,7 @@
             return self.report(attempt, Report::NotSent);
         };
         let (head, body) = bytes.0.filled().split_at(bytes.1);
-        let Some(buffer) = upstream::compose(&mut self.pool, head, body, limit) else {
+        let Some(buffer) = upstream::compose(&mut self.pool, head, body, time_limit) else {
             return self.attempt_not_started(attempt, upstream, to, Cause::NoRoom);
         };
         let kept = self.take_idle(upstream, to);
@@ -70,7 +71,7 @@
         (c.more, c.passing) = (more, None);
         c.work = Work::Busy(attempt, if reused { Stage::Writing } else { Stage::Connecting });
         debug!(self.log, "attempt"; "request" => attempt.request.number(), "number" => attempt.number,
-            "upstream" => upstream.0, "host" => self.balancer.name_of(upstream), "limit_us" => limit, "reused" => reused);
+            "upstream" => upstream.0, "host" => self.balancer.name_of(upstream), "limit_us" => time_limit, "reused" => reused);
         if let Some(r) = self.requests.get_mut(attempt.request) {
             r.attempts[attempt.number as usize] = Some(handle);
         }
@@ -258,7 +259,7 @@
         let now = self.balancer.now();
         let sent = self.connections.upstream(handle).map(|c| (c.to, now - c.sent_at));
         if answer.report == Report::Error {
-            self.may_have_run(attempt);
+            self.mark_may_have_run(attempt);
         }
         if let Some((to, took)) = sent {
             self.peer_attempt_ended(to, Some(answer.report), took, answer.offer.as_deref());
@@ -270,7 +271,7 @@
                 let parts: Vec<&[u8]> =
                     answer.parts.iter().filter_map(|p| buffer.filled().get(p.clone())).collect();
                 self.counts.served += 1;
-                self.guest_ended(attempt.request, RemoteOutcome::Served);
+                self.remote_request_ended(attempt.request, RemoteOutcome::Served);
                 let mut lines = answer.lines;
                 lines.extend_from_slice(self.gateway_lines().as_bytes());
                 match self.must_store_response(attempt.request) {
@@ -290,7 +291,7 @@
             self.delay_last_byte_until = self.balancer.now() + DELAY_LAST_BYTE_FOR;
         }
         if matches!(error.report(), Report::Reset | Report::Error) {
-            self.may_have_run(attempt);
+            self.mark_may_have_run(attempt);
         }
         let upstream = self.connections.upstream(handle).map(|c| c.upstream.0);
         debug!(self.log, "attempt failed"; "request" => attempt.request.number(), "number" => attempt.number,
@@ -315,7 +316,7 @@
     }
 
     /// An attempt was sent completely and not rejected unprocessed: from now on its request may have been executed.
-    fn may_have_run(&mut self, attempt: Attempt) {
+    fn mark_may_have_run(&mut self, attempt: Attempt) {
         if let Some(r) = self.requests.get_mut(attempt.request) {
             r.may_have_run = true;
         }
@@ -363,7 +364,7 @@
         let called_off = handle.and_then(|h| self.connections.upstream(h)).map(|c| (c.to, c.work));
         if let Some((to, work)) = called_off {
             if matches!(work, Work::Busy(_, Stage::Waiting | Stage::Reading | Stage::Passing)) {
-                self.may_have_run(attempt);
+                self.mark_may_have_run(attempt);
             }
             self.peer_attempt_ended(to, None, 0, None);
         }
