--- a/crates/control/idempotency-store/tests/wire_bytes.rs
+++ b/crates/control/idempotency-store/tests/wire_bytes.rs
@@ -1,10 +1,12 @@
-//! The bytes of everything that replicas of the store say to each other, log and keep, held fixed: processes of different builds
-//! talk to each other and read each other's disks.
+//! Compares the encoding of all messages, log entries and persisted state of the store with recorded bytes, since processes of
+//! different builds communicate and read each other's disks.
 
 use serde::{de::DeserializeOwned, Serialize};
-use silvercross_idempotency_store::holder::Line;
-use silvercross_idempotency_store::machine::{Logged, Machine};
-use silvercross_idempotency_store::{Answer, Card, Command, Epoch, Outcome, Said, Take};
+use silvercross_idempotency_store::group_replica::CommandEntry;
+use silvercross_idempotency_store::machine::{SessionCommand, StateMachine};
+use silvercross_idempotency_store::{
+    Command, Epoch, GroupInfo, Outcome, StoreMessage, StoredResponse, TakeOutcome,
+};
 use silvercross_raft::{Entry, Envelope, Group, HardState, Message, Node, Payload, Snapshot};
 use std::fmt::{Debug, Write};
 
@@ -20,11 +22,15 @@
 
 fn add_bytes(lines: &mut String, name: &str, bytes: &[u8]) {
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    writeln!(lines, "{name} {hex}").expect("a string grows");
+    writeln!(lines, "{name} {hex}").expect("written to a string");
 }
 
-fn answer(body: Option<&[u8]>) -> Answer {
-    Answer { status: 201, lines: b"content-type: text/plain\r\n".to_vec(), body: body.map(<[u8]>::to_vec) }
+fn answer(body: Option<&[u8]>) -> StoredResponse {
+    StoredResponse {
+        status: 201,
+        lines: b"content-type: text/plain\r\n".to_vec(),
+        body: body.map(<[u8]>::to_vec),
+    }
 }
 
 fn commands() -> Vec<(&'static str, Command)> {
@@ -44,9 +50,9 @@
 fn outcomes() -> Vec<(&'static str, Outcome)> {
     vec![
         ("session", Outcome::Session(9)),
-        ("take-yours", Outcome::Take(Take::Yours)),
-        ("take-held", Outcome::Take(Take::Held(answer(None)))),
-        ("take-busy", Outcome::Take(Take::Busy { by: 4, passed_ms: Some(700), over: true })),
+        ("take-yours", Outcome::Take(TakeOutcome::Yours)),
+        ("take-held", Outcome::Take(TakeOutcome::Held(answer(None)))),
+        ("take-busy", Outcome::Take(TakeOutcome::Busy { by: 4, passed_ms: Some(700), over: true })),
         ("done", Outcome::Done(300)),
         ("document", Outcome::Document(2, Some(vec![1]))),
         ("other", Outcome::Other(5)),
@@ -66,7 +72,7 @@
     vec![entry(Payload::Nothing), entry(Payload::Change(group())), entry(Payload::Command(vec![0, 255]))]
 }
 
-/// What replicas of a log say.
+/// Raft messages between replicas of a group.
 fn messages() -> Vec<(&'static str, Message)> {
     let (term, last, last_term, round) = (3, 400, 2, 9);
     vec![
@@ -103,37 +109,44 @@
     ]
 }
 
-fn said() -> Vec<(&'static str, Said)> {
+fn other_messages() -> Vec<(&'static str, StoreMessage)> {
     let (group, epoch) = (2, Epoch(1 << 40 | 77));
-    let card =
-        Card { group, epoch, changed: 9, voters: vec![1, 300], learners: vec![5], term: 3, leader: Some(1) };
+    let info = GroupInfo {
+        group,
+        epoch,
+        changed: 9,
+        voters: vec![1, 300],
+        learners: vec![5],
+        term: 3,
+        leader: Some(1),
+    };
     vec![
-        ("not-here", Said::NotHere { group, number: 8, leader: Some(1) }),
-        ("over", Said::Over { group, epoch }),
-        ("who", Said::Who),
-        ("known", Said::Known(vec![card], 12, vec!["upstream-1".to_string()])),
+        ("not-here", StoreMessage::NotHere { group, number: 8, leader: Some(1) }),
+        ("over", StoreMessage::Over { group, epoch }),
+        ("who", StoreMessage::Who),
+        ("known", StoreMessage::Known(vec![info], 12, vec!["upstream-1".to_string()])),
     ]
 }
 
 #[test]
-fn what_is_said_logged_and_kept_has_the_bytes_it_always_had() {
+fn messages_log_entries_and_persisted_state_match_the_recorded_bytes() {
     let mut lines = String::new();
     let epoch = Epoch(1 << 40 | 77);
     for (name, message) in messages() {
         let envelope =
             Envelope { group: 2, epoch: epoch.0, from: Node(1), to: Node(300), writes: 17, message };
-        add(&mut lines, &format!("said/replica-{name}"), Said::Replica(envelope));
+        add(&mut lines, &format!("said/replica-{name}"), StoreMessage::Replica(envelope));
     }
     for (name, command) in commands() {
-        let said = Said::Ask { group: 2, epoch, session: 11, number: 8, below: 6, command };
-        add(&mut lines, &format!("said/ask-{name}"), said);
+        let message = StoreMessage::Ask { group: 2, epoch, session: 11, number: 8, below: 6, command };
+        add(&mut lines, &format!("said/ask-{name}"), message);
     }
     for (name, outcome) in outcomes() {
-        let said = Said::Told { group: 2, epoch, session: 11, number: 8, outcome };
-        add(&mut lines, &format!("said/told-{name}"), said);
+        let message = StoreMessage::Told { group: 2, epoch, session: 11, number: 8, outcome };
+        add(&mut lines, &format!("said/told-{name}"), message);
     }
-    for (name, said) in said() {
-        add(&mut lines, &format!("said/{name}"), said);
+    for (name, message) in other_messages() {
+        add(&mut lines, &format!("said/{name}"), message);
     }
     for (i, entry) in entries().into_iter().enumerate() {
         add(&mut lines, &format!("disk/entry-{i}"), entry);
@@ -142,15 +155,15 @@
     let snapshot = Snapshot { index: 400, term: 2, at_ms: 70_000, group: group(), data: vec![1, 2, 3] };
     add(&mut lines, "disk/snapshot", snapshot);
 
-    let mut machine = Machine::default();
+    let mut machine = StateMachine::default();
     for (i, (name, command)) in commands().into_iter().enumerate() {
         let (number, session) = (i as u64, u64::from(i > 0));
-        let logged = Logged { by: 4, session, number, below: 0, command };
-        add(&mut lines, &format!("log/{name}"), Line { office_ms: 500, logged: logged.clone() });
+        let logged = SessionCommand { by: 4, session, number, below: 0, command };
+        add(&mut lines, &format!("log/{name}"), CommandEntry { office_ms: 500, logged: logged.clone() });
         machine.apply(number + 1, 1_000 + number, 500, logged);
     }
-    let kept = machine.snapshot();
-    assert_eq!(Machine::restore(&kept).as_ref(), Some(&machine));
-    add_bytes(&mut lines, "disk/machine", &kept);
-    assert!(lines == TABLE, "the bytes have changed; they are now:\n{lines}");
+    let snapshot_bytes = machine.snapshot();
+    assert_eq!(StateMachine::restore(&snapshot_bytes).as_ref(), Some(&machine));
+    add_bytes(&mut lines, "disk/machine", &snapshot_bytes);
+    assert!(lines == TABLE, "the encoding has changed; it is now:\n{lines}");
 }
--- a/crates/daemon/sidecar/src/lifecycle/start.rs
+++ b/crates/daemon/sidecar/src/lifecycle/start.rs
@@ -2,11 +2,11 @@
 use super::seat::Seat;
 use super::store::OpenDisk;
 use super::{config, fleet, logging};
-use crate::event_loop::{Anew, Bounds, EventLoop, Parts};
+use crate::event_loop::{Bounds, EventLoop, Parts, ReloadedConfig};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use silvercross_core::interface::Micros;
 use silvercross_core::interface::Settings;
-use silvercross_facade::{Balancer, Clock, Make};
+use silvercross_facade::{Balancer, Clock, DeciderFactory};
 use silvercross_net::registry::Registry;
 use slog::{error, info, warn};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -31,7 +31,11 @@
 
 /// The same with something else in the module's place, where the two are compared, or with another disk under the records, where
 /// disks are broken on purpose.
-pub fn run_deciding(make: Option<Make>, fleet: Option<&Path>, disk: Option<OpenDisk>) -> Result<(), String> {
+pub fn run_deciding(
+    make: Option<DeciderFactory>,
+    fleet: Option<&Path>,
+    disk: Option<OpenDisk>,
+) -> Result<(), String> {
     let var = |name: &str| std::env::var(name).ok();
     let level = logging::level(var("SILVERCROSS_LOG").as_deref())?;
     let config = config::read(var)?;
@@ -53,7 +57,7 @@
             listen(config.listen, beside).map_err(|e| format!("cannot listen on {}: {e}", config.listen))?,
         ),
     };
-    let door = match config.management {
+    let management_listener = match config.management {
         Some(at) => Some(listen(at, false).map_err(|e| format!("cannot listen on {at}: {e}"))?),
         None => None,
     };
@@ -62,8 +66,10 @@
     let registry = Registry::new().map_err(|e| format!("no poller: {e}"))?;
     let (log, flush) = logging::start(&config.name, level);
     let listen_at = listener.as_ref().and_then(|l| l.local_addr().ok()).unwrap_or(config.listen);
-    let management =
-        door.as_ref().and_then(|d| d.local_addr().ok()).map_or_else(String::new, |a| a.to_string());
+    let management = management_listener
+        .as_ref()
+        .and_then(|d| d.local_addr().ok())
+        .map_or_else(String::new, |a| a.to_string());
     info!(log, "started"; "listen" => listen_at.to_string(), "management" => management, "discovery" => config.discovery.to_string(),
         "known" => config.known.len(), "seq" => config.seq, "memory_mb" => config.memory_mb,
         "sockets" => config.sockets, "fleet" => fleet_at, "version" => env!("CARGO_PKG_VERSION"));
@@ -79,7 +85,7 @@
         None => Balancer::new(settings, config.front, seed, &config.known, clock),
         Some(make) => {
             let other = make(settings.clone(), seed, clock.now());
-            Balancer::deciding(other, settings, config.front, &config.known, clock)
+            Balancer::with_decider(other, settings, config.front, &config.known, clock)
         }
     };
     let made = EventLoop::new(Parts {
@@ -93,11 +99,11 @@
             let new = config::reread(var, &in_force)?;
             let (discovery, bounds) = (new.discovery, bounds_of(&new));
             in_force = new.file;
-            Ok(Anew { discovery, settings: Some((new.settings, new.front, bounds)) })
+            Ok(ReloadedConfig { discovery, settings: Some((new.settings, new.front, bounds)) })
         }),
         discovery: Some(discovery),
-        gate: None,
-        door,
+        gateway: None,
+        management_listener,
         classes,
         seat,
         peers,
@@ -118,9 +124,9 @@
     Bounds {
         descriptors: config.sockets,
         buffer_bytes: (config.memory_mb as f64 * 1e6 * BUFFER_SHARE) as usize,
-        connect_limit: config.settings.connect_timeout,
-        whole_limit: whole_limit(&config.settings),
-        idle_close: config.front.idle_close,
+        connect_timeout: config.settings.connect_timeout,
+        completion_timeout: whole_limit(&config.settings),
+        upstream_idle_timeout: config.front.upstream_idle_timeout,
     }
 }
 
