--- a/crates/control/mesh-config/src/error.rs
+++ b/crates/control/mesh-config/src/error.rs
@@ -123,7 +123,7 @@
     },
     /// No entry is stored under a name, and the item may have been withdrawn at this version or a later one.
     #[error(
-        "{version} is not above {floor}, the highest edition at which this name may have been withdrawn (raise the edition \
+        "{version} is not above {floor}, up to which names like it were dropped and are no longer known (raise the edition \
          above that)"
     )]
     VersionNotAboveFloor {
