--- a/crates/control/control-store/src/protocol/calls.rs
+++ b/crates/control/control-store/src/protocol/calls.rs
@@ -24,7 +24,7 @@
 
     fn begin_call(&mut self, now: Instant, token: u64, key: &str, request: Request<V::Change>) {
         if self.slot_or_insert(now, key).is_none() {
-            let reason = format!("too many keys, or a key that is too long ({} bytes)", key.len());
+            let reason = format!("no room for a further key ({} bytes)", key.len());
             let outcome = CallOutcome::Rejected(Rejection { conflict: false, reason });
             self.push_effect(Effect::Answer { token, outcome });
             return;
--- a/crates/control/event-feed/src/error.rs
+++ b/crates/control/event-feed/src/error.rs
@@ -22,18 +22,18 @@
     fn cause(self) -> &'static str {
         match self {
             CursorError::TooLong => "it is too long",
-            CursorError::BadCharacter => "a character is not base64url",
-            CursorError::TooShort => "it is too short",
-            CursorError::BadChecksum => "the checksum does not match",
-            CursorError::UnknownFormat => "the format version is not supported",
-            CursorError::Malformed => "the content is malformed",
+            CursorError::BadCharacter => "a letter is foreign",
+            CursorError::TooShort => "it is cut short",
+            CursorError::BadChecksum => "it is cut short or changed",
+            CursorError::UnknownFormat => "it is of another version",
+            CursorError::Malformed => "it does not hold together",
         }
     }
 }
 
 impl fmt::Display for CursorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "invalid cursor: {} (start without a cursor, from a snapshot)", self.cause())
+        write!(f, "the cursor can't be read: {} (begin without one, from a snapshot)", self.cause())
     }
 }
 
--- a/crates/control/idempotency-store/src/command.rs
+++ b/crates/control/idempotency-store/src/command.rs
@@ -85,8 +85,8 @@
         };
         match () {
             () if name.is_empty() || name.len() > MAX_KEY_BYTES => Err("a key or name has 1 to 512 bytes"),
-            () if bytes > MAX_VALUE_BYTES => Err("a value must not exceed 65536 bytes"),
-            () if window == 0 || window > MAX_WINDOW_MS => Err("a window must be between 1 ms and one day"),
+            () if bytes > MAX_VALUE_BYTES => Err("65536 bytes at most are held under one key"),
+            () if window == 0 || window > MAX_WINDOW_MS => Err("a window is 1 ms to a day"),
             () => Ok(()),
         }
     }
--- a/crates/control/idempotency-store/src/records.rs
+++ b/crates/control/idempotency-store/src/records.rs
@@ -247,9 +247,9 @@
     /// Starts a new epoch of a group from this process's replica, after a majority of its voters was lost for good. Entries that
     /// only the lost voters had are lost. Returns the epoch, and the log index and term that it continues from.
     pub fn recover(&mut self, now: Micros, group: u32) -> Result<(Epoch, Index, u64), &'static str> {
-        let local = self.replicas.get(&group).ok_or("this process has no replica of that group")?;
+        let local = self.replicas.get(&group).ok_or("this process holds no copy of that group")?;
         if local.replica.ended().is_some() {
-            return Err("this process's replica has ended, so its data can't be trusted");
+            return Err("this process's copy ended: what it holds is not to be trusted");
         }
         let (epoch, replica) = (local.epoch, &local.replica.raft);
         let mut machine = local.replica.machine.clone();
--- a/crates/control/throttle/src/lapse.rs
+++ b/crates/control/throttle/src/lapse.rs
@@ -85,17 +85,17 @@
 enum LapseRejection {
     #[error("a lapse has at least one step")]
     NoSteps,
-    #[error("edition {version} already has {total_steps} steps")]
+    #[error("edition {version} stands with {total_steps} steps")]
     DifferentStepCount { version: u64, total_steps: u32 },
-    #[error("the lapse has no renewal to that edition (renew first)")]
+    #[error("that edition was not begun (renew first)")]
     NotRenewed,
-    #[error("the lapse already has another due time")]
+    #[error("another instant stands already")]
     DifferentDueTime,
-    #[error("the lapse has already begun")]
+    #[error("it has begun already")]
     AlreadyBegun,
     #[error("step {to} is above the last, {total_steps}")]
     AboveLastStep { to: u32, total_steps: u32 },
-    #[error("the lapse has not begun")]
+    #[error("it has not begun")]
     NotBegun,
     #[error("step {to} does not follow {step}")]
     StepSkipped { to: u32, step: u32 },
--- a/crates/daemon/sidecar/src/event_loop/gateway_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/gateway_side.rs
@@ -101,7 +101,7 @@
                 let hops_so_far = hops_so_far.leave(&o.home).map_err(hops::HopError::reason)?;
                 o.peers.may_cross(now, left, 1.0).map_err(|why| match why {
                     CrossingRefused::NoRoom => "the other side has no room",
-                    CrossingRefused::NoTime => "the request's remaining time is less than the expected response time of the other side",
+                    CrossingRefused::NoTime => "there is no time left for the way",
                 })?;
                 (hops_so_far, None)
             }
--- a/crates/daemon/sidecar/src/event_loop/operators.rs
+++ b/crates/daemon/sidecar/src/event_loop/operators.rs
@@ -156,7 +156,7 @@
                 response(431, "the call is too large\n")
             }
             Err(MessageError::Malformed(why)) => response(400, &format!("{why}\n")),
-            Err(MessageError::IdInUse | MessageError::TooManyAhead) => response(400, "the call is invalid\n"),
+            Err(MessageError::IdInUse | MessageError::TooManyAhead) => response(400, "not a call\n"),
         }
     }
 
--- a/crates/daemon/sidecar/src/event_loop/records_side.rs
+++ b/crates/daemon/sidecar/src/event_loop/records_side.rs
@@ -449,7 +449,7 @@
                             request,
                             503,
                             b"Retry-After: 1\r\n",
-                            &[b"the request's idempotency key could not be claimed; the request was not executed\n"],
+                            &[b"the records can't be asked; nothing ran\n"],
                         );
                     }
                     false => self.pick_claimed(now, request, false),
@@ -630,11 +630,10 @@
             }
             Ok(Outcome::Other(version)) => response(409, &format!("{{\"version\":{version}}}\n")),
             Ok(Outcome::Full) => response(507, "there is no room\n"),
-            Ok(_) => response(400, "the command was rejected\n"),
-            Err(SubmitError::Unavailable { sent: false }) => response(
-                503,
-                "the group of replicas that stores this is unknown or does not respond; nothing was done\n",
-            ),
+            Ok(_) => response(400, "not done\n"),
+            Err(SubmitError::Unavailable { sent: false }) => {
+                response(503, "most holders can't be asked; nothing was done\n")
+            }
             Err(_) => response(504, "it may have been done, or may yet be\n"),
         };
         self.send_command_response(slot, bytes);
@@ -747,5 +746,4 @@
 }
 
 /// Response to operators if the fleet has no records.
-pub(super) const NO_RECORDS: &str =
-    "this sidecar has no records: it was started without a --fleet file that has [records]\n";
+pub(super) const NO_RECORDS: &str = "this sidecar's fleet holds nothing: its file has no [records]\n";
