--- a/crates/daemon/mesh/src/disk.rs
+++ b/crates/daemon/mesh/src/disk.rs
@@ -1,11 +1,11 @@
-//! The control store's disk: one redb file in `dataDir`, written by a thread of its own.
+//! Persistent storage of the control store: one redb file in `dataDir`, written by a dedicated thread.
 //!
-//! Writes that have gathered share one transaction, and each is acknowledged only after that transaction is synced. A write
-//! that finds no space is retried until there is some; a failed sync ends the process, for what the disk holds is then
-//! unknown. A file is quarantined only if its content is shown to be damaged. Why: `docs/design/control.md`.
+//! Pending writes share one transaction, and each is acknowledged only after that transaction is synced. A write that
+//! runs out of space is retried until there is some; a failed sync ends the process, since the content on disk is then
+//! unknown. A file is quarantined only if its content is proven to be damaged. Rationale: `docs/design/control.md`.
 //!
-//! Knows nothing of nodes, replicas or links. Read on in `thread.rs`, then `recovery.rs` (what the start makes of what it finds),
-//! `writer.rs` and `database.rs`.
+//! Independent of nodes, replicas and links. Start reading at `thread.rs`, then `recovery.rs` (opening, reading and
+//! quarantining at startup), `writer.rs` and `database.rs`.
 mod database;
 mod error;
 mod folder;
--- a/crates/daemon/mesh/src/disk/database.rs
+++ b/crates/daemon/mesh/src/disk/database.rs
@@ -1,6 +1,6 @@
-//! The redb file itself: opening or creating it, reading it, one transaction of writes.
+//! The redb file: opening or creating it, reading it, and writing one transaction.
 //!
-//! Table, key and file names are stored data and stay as they are, whatever the code calls what they hold.
+//! Names of tables, keys and files are stored data and must not change, even where the code uses other terms.
 use super::error::DiskError;
 use super::folder::Folder;
 use super::io_faults::{FaultRecordingBackend, IoFaultLog};
@@ -10,28 +10,28 @@
 use redb::{Database, Error, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError};
 use silvercross_control_store::StoredState;
 
-/// Stored name of the table of keys: a key's name to its [`silvercross_control_store::StoredKey`] in bitcode.
+/// Table of keys: maps a key's name to its [`silvercross_control_store::StoredKey`], encoded with bitcode.
 pub(super) const KEYS_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("keys");
-/// Stored name of the table of single records.
+/// Table of the records that exist once per database.
 pub(super) const MARKER_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("marker");
-/// Stored name, in the marker table, of the metadata record: replica set and votes, in bitcode.
+/// Key, in the marker table, of the metadata record: replica set and votes, encoded with bitcode.
 const METADATA_KEY: &str = "roster";
-/// Stored name, in the marker table, of a record that is written to see whether there is space again. Nobody reads it.
+/// Key, in the marker table, of a record that is written to check that there is space again. Never read.
 const SPACE_PROBE_KEY: &str = "room";
-/// Size of that record in bytes: with less space than this the next writes would find none again.
+/// Size of that record in bytes: enough that the writes after it don't run out of space at once.
 const SPACE_PROBE_BYTES: usize = 16 * 1024;
 /// File name of the database.
 pub(super) const DATABASE_FILE: &str = "ledger.redb";
-/// File name of a database until it is complete: what bears [`DATABASE_FILE`] was made to its end and synced.
+/// File name of a database under creation; it is renamed to [`DATABASE_FILE`] once complete and synced.
 const INCOMPLETE_FILE: &str = "ledger.new";
-/// Memory that redb may use for pages of the file, in bytes.
+/// Size of redb's page cache, in bytes.
 const CACHE_BYTES: usize = 1 << 20;
-/// Files up to this size, in bytes, are read through memory where the disk has no space to open them.
+/// Files up to this size, in bytes, are read through a copy in memory if the disk is out of space.
 const MAX_COPIED_BYTES: u64 = 64 << 20;
-/// Such a copy is made in chunks of this size, in bytes.
+/// Chunk size of that copy, in bytes.
 const COPY_CHUNK_BYTES: usize = 64 * 1024;
 
-/// An open database and the faults noted of its file.
+/// An open database and the I/O faults recorded on its file.
 pub(super) struct OpenDatabase {
     pub(super) database: Database,
     pub(super) faults: IoFaultLog,
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Opens the file, or creates it where there is none and `create` allows it. What is in it, and its name, are durable
-    /// before this returns.
+    /// Opens the file, or creates it if it is missing and `create` is set. Its content and its name are durable when this
+    /// returns.
     ///
     /// # Errors
-    /// [`DiskError::FileMissing`] where there is none and none may be created; others as the file or redb says.
+    /// [`DiskError::FileMissing`] if it is missing and `create` is not set; otherwise the error of the file or of redb.
     pub(super) fn open<F: Folder>(folder: &F, create: bool) -> Result<OpenDatabase, DiskError> {
         let path = database_path(folder);
         let from_io = |error: std::io::Error| DiskError::from_io(&path, &error);
@@ -71,15 +71,15 @@
                 open
             }
         };
-        // The name given by an earlier start may not be durable yet either.
+        // Also for an existing file: an earlier process may have renamed it and ended before the sync.
         folder.sync().map_err(|error| DiskError::from_sync(&path, &error))?;
         Ok(open)
     }
 
-    /// All that the database holds.
+    /// Reads the whole content of the database.
     ///
     /// # Errors
-    /// [`DiskError::Damaged`] if a record can't be decoded or the keys are missing.
+    /// [`DiskError::Damaged`] if a record can't be decoded, or if there is metadata but no table of keys.
     pub(super) fn read_all(&self) -> Result<StoredState<ControlValue>, DiskError> {
         let from_redb = |error: Error| DiskError::from_redb(&self.path, error, &self.faults);
         let damaged = |cause: String| DiskError::Damaged { path: self.path.clone(), cause };
@@ -108,8 +108,8 @@
         Ok(disk)
     }
 
-    /// Writes all of these in one transaction; synced when it returns. With `probe_space` enough is written besides to show
-    /// that there is space again.
+    /// Writes all of these in one transaction, which is synced on return. `probe_space` also writes the probe record, to
+    /// make sure that there is space for further writes.
     pub(super) fn write(&self, writes: &[DiskWrite], probe_space: bool) -> Result<(), Error> {
         let transaction = self.database.begin_write()?;
         {
@@ -136,7 +136,7 @@
     format!("{}/{DATABASE_FILE}", folder.path())
 }
 
-/// Syncs what a process that has ended may have left unsynced; nothing is said of it before.
+/// Syncs writes that an earlier process may have left unsynced, before any of the content is used.
 fn sync_content(path: &str, content: &impl StorageBackend) -> Result<(), DiskError> {
     if content.len().map_err(|error| DiskError::from_io(path, &error))? == 0 {
         return Err(DiskError::Damaged { path: path.to_string(), cause: "the file is empty".to_string() });
@@ -144,7 +144,7 @@
     content.sync_data().map_err(|error| DiskError::from_sync(path, &error))
 }
 
-/// What the file holds, read through a copy in memory: redb writes when it opens a file, and there is no space for that.
+/// Reads the file through a copy in memory: redb writes when it opens a file, which fails on a full disk.
 pub(super) fn read_through_copy<F: Folder>(folder: &F) -> Result<StoredState<ControlValue>, DiskError> {
     let path = database_path(folder);
     let from_io = |error: std::io::Error| DiskError::from_io(&path, &error);
--- a/crates/daemon/mesh/src/disk/folder.rs
+++ b/crates/daemon/mesh/src/disk/folder.rs
@@ -1,6 +1,6 @@
-//! The folder that holds the control state: the few operations on it that this module needs.
+//! The data folder of the control store and the file operations that this module needs.
 //!
-//! A trait, so that a test can take the power away between any two of them.
+//! Behind a trait, so that tests can simulate a power loss between any two operations.
 use super::error::DiskError;
 use redb::backends::FileBackend;
 use redb::StorageBackend;
@@ -13,31 +13,31 @@
     /// An open file.
     type Content: StorageBackend;
 
-    /// The file of this name, if there is one.
+    /// Opens the file of this name; `None` if it does not exist.
     fn open(&self, name: &str) -> Result<Option<Self::Content>, Error>;
-    /// A new and empty file, in the place of one of this name.
+    /// Creates an empty file, replacing an existing one of this name.
     fn create(&self, name: &str) -> Result<Self::Content, Error>;
-    /// Gives a file another name. Durable once the folder is synced.
+    /// Renames a file. Durable once the folder is synced.
     fn rename(&self, from: &str, to: &str) -> Result<(), Error>;
-    /// Makes the names durable.
+    /// Syncs the folder, which makes created and renamed files durable under their names.
     fn sync(&self) -> Result<(), Error>;
-    /// Its path, for the operator.
+    /// The path of the folder, for messages to the operator.
     fn path(&self) -> String;
 }
 
-/// A folder of this machine. While this value lives no other process of this program can use the folder.
+/// A folder in the file system, locked against other processes of this program while this value lives.
 #[derive(Debug)]
 pub(super) struct DataFolder {
     path: PathBuf,
-    /// Locked, where the system has locks for folders; the lock of the file in it is redb's.
+    /// Holds the lock, where the system supports locks on folders; redb locks the database file itself.
     handle: File,
 }
 
 impl DataFolder {
-    /// Locks the folder, created if it is not there.
+    /// Locks the folder, and creates it first if it does not exist.
     ///
     /// # Errors
-    /// [`DiskError::InUse`] if another process has it; [`DiskError::Inaccessible`] for whatever the system says.
+    /// [`DiskError::InUse`] if another process holds the lock; [`DiskError::Inaccessible`] for any other I/O error.
     pub(super) fn lock(path: &Path) -> Result<DataFolder, DiskError> {
         let inaccessible = |error: Error| DiskError::Inaccessible {
             path: format!("dataDir {}", path.display()),
@@ -45,7 +45,7 @@
         };
         if !path.exists() {
             std::fs::create_dir_all(path).map_err(inaccessible)?;
-            // Its own name is durable once the folder above is synced.
+            // A new folder is durable only once its parent is synced.
             if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
                 File::open(parent).and_then(|parent| parent.sync_all()).map_err(inaccessible)?;
             }
@@ -53,7 +53,7 @@
         let handle = File::open(path).map_err(inaccessible)?;
         match handle.try_lock() {
             Err(TryLockError::WouldBlock) => Err(DiskError::InUse { path: path.display().to_string() }),
-            // Where there are no locks for folders redb's own is all there is.
+            // Where folders can't be locked, redb's lock on the file is the only one.
             Ok(()) | Err(TryLockError::Error(_)) => Ok(DataFolder { path: path.to_owned(), handle }),
         }
     }
--- a/crates/daemon/mesh/src/disk/messages.rs
+++ b/crates/daemon/mesh/src/disk/messages.rs
@@ -1,12 +1,12 @@
-//! What goes to the writer thread and what comes back from it.
+//! Messages to and from the writer thread.
 use super::error::DiskError;
 use crate::control_value::ControlValue;
 use silvercross_control_store::{Metadata, StoredKey};
 use std::sync::mpsc;
 
-/// What the control store wants durable as one transaction.
+/// Records that the control store needs written in one transaction.
 pub(crate) struct DiskWrite {
-    /// Its number, given back by [`DiskEvent::Synced`]. Numbers rise.
+    /// Its number, reported by [`DiskEvent::Synced`]. Numbers increase.
     pub(crate) number: u64,
     /// The metadata record, if it is to be written.
     pub(crate) metadata: Option<Metadata>,
@@ -14,7 +14,7 @@
     pub(crate) keys: Vec<StoredKey<ControlValue>>,
 }
 
-/// Where writes go in. Without bound: the store itself has few writes under way at a time.
+/// Sends writes to the thread. Unbounded, since the store limits the number of writes in flight itself.
 pub(crate) type DiskWriteSender = mpsc::Sender<DiskWrite>;
 
 /// What the writer thread reports.
@@ -22,10 +22,10 @@
 pub(crate) enum DiskEvent {
     /// This write and all before it are synced.
     Synced(u64),
-    /// The disk takes no writes, and why. Pending ones are retried.
+    /// The disk is out of space. Pending writes are retried.
     OutOfSpace(DiskError),
-    /// The disk takes writes again.
+    /// Writes succeed again.
     SpaceAvailable,
-    /// What the disk holds is unknown from here on: the process has to end. Nothing is reported after this.
+    /// The content on disk is unknown, so the process has to end. This is the last event.
     Failed(DiskError),
 }
--- a/crates/daemon/mesh/src/disk/recovery.rs
+++ b/crates/daemon/mesh/src/disk/recovery.rs
@@ -1,5 +1,5 @@
-//! What the start makes of the folder: the content is read; a damaged file is quarantined and a new one begun; any other error
-//! leaves everything as it is.
+//! Startup: reads the content of the folder. A damaged file is quarantined and a new one created; any other error leaves
+//! the files as they are.
 use super::database::{read_through_copy, OpenDatabase, DATABASE_FILE};
 use super::error::DiskError;
 use super::folder::Folder;
@@ -7,26 +7,27 @@
 use crate::control_value::ControlValue;
 use silvercross_control_store::StoredState;
 
-/// File names of damaged databases. Each is kept, for it is the evidence; with both taken the operator is asked.
+/// File names of quarantined databases. They are kept for diagnosis; with both taken the operator has to step in.
 pub(super) const QUARANTINE_FILES: [&str; 2] = ["ledger.unreadable", "ledger.unreadable.2"];
 
-/// What was found at the start.
+/// The state of the folder at startup.
 pub(super) struct Recovered<F: Folder> {
-    /// The content; empty if there was none or it was damaged.
+    /// The content; empty if there was no file or it was damaged.
     pub(super) disk: StoredState<ControlValue>,
-    /// A file was quarantined, now or at an earlier start: an empty disk is one that lost its content, not a new one.
+    /// A file was quarantined, at this start or an earlier one: an empty store has lost its content and is not a new one.
     pub(super) content_lost: bool,
-    /// Why a file was quarantined now.
+    /// Why a file was quarantined at this start.
     pub(super) quarantined: Option<DiskError>,
-    /// Who writes from here on.
+    /// Writes to the database from now on.
     pub(super) writer: Writer<F>,
 }
 
-/// Reads what the folder holds and gets it ready for writes. A disk without space is no error: what it holds is read, and the
-/// writer says that it takes no writes.
+/// Reads the content of the folder and prepares it for writes. A full disk is no error: the content is read, and the
+/// writer is marked as out of space.
 ///
 /// # Errors
-/// Whatever else keeps the folder from being used; nothing is changed then.
+/// Any other error that makes the folder unusable. Unless the database is damaged, its file is neither renamed nor
+/// replaced then.
 pub(super) fn recover<F: Folder>(folder: F) -> Result<Recovered<F>, DiskError> {
     let path = folder.path();
     let mut quarantined = None;
@@ -36,7 +37,7 @@
             disk = content;
             database
         }),
-        // Without space to open it, what is there can still be read.
+        // A full disk prevents opening, but the content can still be read.
         Err(out_of_space @ DiskError::OutOfSpace { .. }) => read_through_copy(&folder).and_then(|content| {
             disk = content;
             Err(out_of_space)
@@ -67,7 +68,7 @@
     Ok(Recovered { disk, content_lost, quarantined, writer })
 }
 
-/// Gives the database a quarantine name and makes that durable.
+/// Renames the database to a free quarantine name and syncs the folder.
 fn quarantine<F: Folder>(folder: &F) -> Result<(), DiskError> {
     let path = folder.path();
     for name in QUARANTINE_FILES {
--- a/crates/daemon/mesh/src/disk/tests.rs
+++ b/crates/daemon/mesh/src/disk/tests.rs
@@ -1,6 +1,6 @@
-//! The disk: who may open it, what is quarantined, a disk that is full, and power that goes between any two operations.
+//! Tests of locking, quarantine, full disks, and power loss between any two operations.
 //!
-//! In the package, for what is tested (recovery over a folder in memory, one attempt of the writer) is not public.
+//! Inside the crate, since recovery over a folder in memory and single attempts of the writer are not public.
 mod memory_folder;
 mod old_store;
 
@@ -30,7 +30,7 @@
     DiskWrite { number, metadata, keys: keys.iter().map(stored).collect() }
 }
 
-/// What is written one after the other.
+/// The writes of a test, in order.
 fn writes() -> Vec<DiskWrite> {
     vec![
         write(1, &[], true),
@@ -40,10 +40,10 @@
     ]
 }
 
-/// What stands after the first so many of them.
-fn content_after(many: usize) -> StoredState<ControlValue> {
+/// The expected content after the first `count` of [`writes`].
+fn content_after(count: usize) -> StoredState<ControlValue> {
     let mut disk = StoredState::default();
-    for w in writes().into_iter().take(many) {
+    for w in writes().into_iter().take(count) {
         disk.metadata = w.metadata.or(disk.metadata);
         for stored in w.keys {
             disk.keys.retain(|k| k.key != stored.key);
@@ -54,8 +54,8 @@
     disk
 }
 
-/// All writes on one folder: opened, written to, closed in the middle and opened again. How many writes were acknowledged to be synced, and
-/// how many were requested for.
+/// Applies all writes to one folder, which is closed and opened again halfway. Returns how many writes were acknowledged
+/// and how many were requested.
 fn write_all(folder: &MemoryFolder) -> (usize, usize) {
     let (mut acknowledged, mut requested) = (0, 0);
     let mut writer = None;
@@ -94,12 +94,12 @@
         for (how, after) in folder.after_power_loss() {
             let case = format!("power after {power} operations, {how}");
             let found = recover(after.clone()).unwrap_or_else(|e| panic!("{case}: {e}"));
-            let stands = (acknowledged..=requested).find(|many| content_after(*many) == found.disk);
+            let stands = (acknowledged..=requested).find(|count| content_after(*count) == found.disk);
             let stands = stands.unwrap_or_else(|| {
-                panic!("{case}: {acknowledged} were acknowledged, and {:?} stands", found.disk)
+                panic!("{case}: {acknowledged} were acknowledged, and the disk holds {:?}", found.disk)
             });
             assert!(!found.content_lost, "{case}: a good file was quarantined");
-            // And it goes on.
+            // Further writes succeed.
             let mut writer = found.writer;
             writer.pending.push(write(9, &[("z", 9)], true));
             assert_eq!(writer.attempt(), [DiskEvent::Synced(9)], "{case}");
@@ -111,13 +111,13 @@
         }
     }
     println!(
-        "{} operations, {cases} cases, {ahead} of them with a write there that was not acknowledged",
+        "{} operations, {cases} cases, {ahead} of them with an unacknowledged write on disk",
         whole.operations()
     );
     assert!(cases >= 600 && ahead >= 4, "{cases} cases, {ahead} ahead");
 }
 
-/// A whole file of redb's in which one record can't be decoded.
+/// An intact redb file in which one record can't be decoded.
 fn unreadable_record() -> Vec<u8> {
     let folder = MemoryFolder::default();
     let writer = recover(folder.clone()).expect("opens").writer;
@@ -147,25 +147,25 @@
         ("a record of another form", unreadable_record()),
     ];
     for (which, bytes) in damaged {
-        let begin = || {
+        let damaged_folder = || {
             let folder = MemoryFolder::default();
             folder.put(DATABASE_FILE, bytes.clone());
             folder
         };
-        let folder = begin();
+        let folder = damaged_folder();
         let found = recover(folder.clone()).unwrap_or_else(|e| panic!("{which}: {e}"));
         assert!(
             found.content_lost && found.quarantined.is_some() && found.disk == StoredState::default(),
             "{which}"
         );
-        // What redb itself could open has its note in it that it was open.
+        // redb marks a file that it opens, so a file that it could open differs from the original.
         let evidence = folder.bytes(QUARANTINE_FILES[0]);
         let opens = which.contains("table") || which.contains("record");
         assert!(evidence.as_ref().is_some_and(|e| opens || *e == bytes), "{which}: the evidence");
         drop(found);
-        // Power lost at any operation in the middle of it: it is lost all the same, whatever is there.
+        // A power loss at any operation of the quarantine: the loss of the content is still detected.
         for power in 0..=folder.operations() {
-            let folder = begin();
+            let folder = damaged_folder();
             folder.power_lost_after(power);
             drop(recover(folder.clone()));
             for (how, after) in folder.after_power_loss() {
@@ -173,7 +173,7 @@
                 assert!(found.content_lost, "{which}, power after {power}, {how}: taken for a new disk");
             }
         }
-        // A second one keeps the first, a third one is the operator's.
+        // A second damaged file keeps the first one; a third one is left to the operator.
         folder.put(DATABASE_FILE, vec![8; 5000]);
         assert!(recover(folder.clone()).is_ok_and(|f| f.content_lost), "{which}");
         folder.put(DATABASE_FILE, vec![9; 5000]);
@@ -188,7 +188,7 @@
         );
         assert!(folder.bytes(DATABASE_FILE) == Some(vec![9; 5000]), "{which}: the third is left as it is");
         // A folder that can't be synced does not hold the new name for sure.
-        let folder = begin();
+        let folder = damaged_folder();
         folder.fail_once(Operation::FolderSync, ErrorKind::Other);
         let failed = recover(folder).err();
         assert!(matches!(failed, Some(DiskError::SyncFailed { .. })), "{which}: {failed:?}");
@@ -218,7 +218,11 @@
         assert_eq!(failed.exit_code(), code, "{what:?} {kind}: {failed:?}");
         assert_eq!(folder.names(), [DATABASE_FILE], "{what:?} {kind}");
         folder.fail(None);
-        assert_eq!(recover(folder).expect("opens").disk, content_after(4), "{what:?} {kind}: all is there");
+        assert_eq!(
+            recover(folder).expect("opens").disk,
+            content_after(4),
+            "{what:?} {kind}: the content is intact"
+        );
     }
 }
 
@@ -226,33 +230,33 @@
 fn a_disk_that_fills_up_at_any_operation_ends_nothing_and_loses_nothing() {
     let whole = MemoryFolder::default();
     write_all(&whole);
-    let mut waited = 0;
+    let mut waiting_runs = 0;
     for full in 0..whole.operations() {
         let folder = MemoryFolder::default();
         folder.out_of_space_from(Some(full));
         let (acknowledged, requested) = write_all(&folder);
-        assert_eq!(requested, 4, "full from {full}: the writes ended");
-        waited += usize::from(acknowledged < 4);
-        // The next process starts while the disk is still full: it has what was acknowledged, and says that there is no room.
+        assert_eq!(requested, 4, "full from {full}: writing stopped");
+        waiting_runs += usize::from(acknowledged < 4);
+        // The next process starts while the disk is still full: it reads what was acknowledged and is out of space.
         let next = folder.after_kill();
         let found = recover(next.clone()).unwrap_or_else(|e| panic!("full from {full}: {e}"));
         assert!(
-            (acknowledged..=4).any(|many| content_after(many) == found.disk),
+            (acknowledged..=4).any(|count| content_after(count) == found.disk),
             "full from {full}: {acknowledged} acknowledged, {:?}",
             found.disk
         );
         assert!(found.writer.out_of_space.is_some() && !found.content_lost, "full from {full}");
         let mut writer = found.writer;
         assert_eq!(writer.attempt(), [], "full from {full}: acknowledged once");
-        // Power may go then too.
+        // A power loss while the disk is full.
         for (how, after) in next.after_power_loss() {
             let found = recover(after).unwrap_or_else(|e| panic!("full from {full}, {how}: {e}")).disk;
             assert!(
-                (acknowledged..=4).any(|many| content_after(many) == found),
+                (acknowledged..=4).any(|count| content_after(count) == found),
                 "full from {full}, {how}: {found:?}"
             );
         }
-        // Room again: all that waited is written, and that is acknowledged.
+        // With space again all pending writes are written and acknowledged.
         writer.pending.extend(writes());
         next.out_of_space_from(None);
         let events = writer.attempt();
@@ -261,7 +265,7 @@
         drop(writer);
         assert_eq!(recover(next).expect("opens").disk, content_after(4), "full from {full}");
     }
-    assert!(waited > 20, "{waited} runs in which a write waited");
+    assert!(waiting_runs > 20, "{waiting_runs} runs in which a write had to wait");
 }
 
 #[test]
@@ -281,9 +285,9 @@
     let events = writer.attempt();
     assert!(
         matches!(&events[..], [DiskEvent::Failed(_)]),
-        "{events:?}: no sync is tried twice, whatever its error"
+        "{events:?}: a failed sync must not be retried, whatever its error"
     );
-    // Any other error of a write is the end as well.
+    // Any other write error is final as well.
     folder.fail(Some((Operation::Write, ErrorKind::Other)));
     let mut writer = recover(folder.after_kill()).err();
     assert!(matches!(writer.take(), Some(DiskError::Inaccessible { .. })));
@@ -317,49 +321,49 @@
     assert_eq!(sizes[39], sizes[239], "bytes after 40 writes and after 240");
 }
 
-/// A folder of its own for each test.
-fn place() -> PathBuf {
+/// A path for a temporary folder, unique to each test.
+fn temp_folder() -> PathBuf {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-    let place = std::env::temp_dir().join(format!("silvercross-disk-{}-{number}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&place);
-    place
+    let folder_path = std::env::temp_dir().join(format!("silvercross-disk-{}-{number}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder_path);
+    folder_path
 }
 
 #[test]
 fn a_folder_in_use_is_left_as_it_is() {
-    let place = place();
-    let mut running = recover(DataFolder::lock(&place).expect("taken")).expect("opens").writer;
+    let folder_path = temp_folder();
+    let mut running = recover(DataFolder::lock(&folder_path).expect("taken")).expect("opens").writer;
     running.pending.extend(writes());
     assert_eq!(running.attempt().len(), 4);
     let names = || {
-        std::fs::read_dir(&place)
+        std::fs::read_dir(&folder_path)
             .expect("a folder")
             .map(|e| e.expect("a name").file_name())
             .collect::<Vec<_>>()
     };
-    let second = open(&place).err().expect("the folder is in use");
+    let second = open(&folder_path).err().expect("the folder is in use");
     assert!(
-        matches!(&second, in_use @ DiskError::InUse { .. } if in_use.to_string().contains(&place.display().to_string())),
+        matches!(&second, in_use @ DiskError::InUse { .. } if in_use.to_string().contains(&folder_path.display().to_string())),
         "{second:?}"
     );
     assert_eq!((second.exit_code(), names()), (2, vec![DATABASE_FILE.into()]));
     assert!(
-        matches!(DataFolder::lock(&place).err(), Some(DiskError::InUse { .. })),
-        "whatever it has open in there"
+        matches!(DataFolder::lock(&folder_path).err(), Some(DiskError::InUse { .. })),
+        "the folder itself is locked"
     );
     running.pending.push(write(5, &[("a", 7)], false));
-    assert_eq!(running.attempt(), [DiskEvent::Synced(5)], "the running one goes on");
+    assert_eq!(running.attempt(), [DiskEvent::Synced(5)], "the running process can still write");
     drop(running);
-    // A program that takes redb's lock alone, as earlier versions did.
-    let other = Database::builder().create(place.join(DATABASE_FILE)).expect("opens");
-    let second = open(&place).err().expect("the file is in use");
+    // Another program that holds only redb's lock on the file, as earlier versions did.
+    let other = Database::builder().create(folder_path.join(DATABASE_FILE)).expect("opens");
+    let second = open(&folder_path).err().expect("the file is in use");
     assert!(matches!(second, DiskError::InUse { .. }), "{second:?}");
     assert_eq!(names(), [DATABASE_FILE]);
     drop(other);
-    let opened = open(&place).expect("opens");
+    let opened = open(&folder_path).expect("opens");
     assert_eq!(opened.disk.keys.iter().find(|k| k.key == "a").map(|k| k.promised.round), Some(7));
     assert!(!opened.content_lost);
     drop(opened);
-    std::fs::remove_dir_all(&place).expect("removed");
+    std::fs::remove_dir_all(&folder_path).expect("removed");
 }
--- a/crates/daemon/mesh/src/disk/tests/memory_folder.rs
+++ b/crates/daemon/mesh/src/disk/tests/memory_folder.rs
@@ -1,11 +1,11 @@
-//! A folder in memory that loses power between any two operations, runs full, and fails as it is told to.
+//! A simulated folder in memory with power loss between any two operations, a full disk, and injected errors.
 use super::super::folder::Folder;
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// An operation that no sync covers yet.
+/// A change of a file's content.
 #[derive(Clone, Debug)]
 enum Change {
     Write(usize, Vec<u8>),
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug)]
 enum NameChange {
-    Made(String, usize),
+    Created(String, usize),
     Renamed(String, String, usize),
 }
 
@@ -32,16 +32,16 @@
     durable_names: BTreeMap<String, usize>,
     /// Changes of names since the folder was synced.
     unsynced: Vec<NameChange>,
-    /// Operations that change something, so far.
-    done: usize,
-    /// Power goes after so many.
-    power: Option<usize>,
-    /// Writes find no room after so many operations.
-    full: Option<usize>,
-    /// This kind of operation fails, and how.
-    fails: Option<(Operation, ErrorKind)>,
-    /// Once alone, as a disk that tells of an error only to whoever asks first.
-    once: bool,
+    /// Number of modifying operations so far.
+    operation_count: usize,
+    /// Power is lost after this many operations.
+    operations_before_power_loss: Option<usize>,
+    /// The disk is full after this many operations.
+    operations_before_full: Option<usize>,
+    /// Kind of operation that fails, and the kind of its error.
+    injected_error: Option<(Operation, ErrorKind)>,
+    /// Only the next operation of that kind fails, like a disk that reports an error only once.
+    fails_once: bool,
 }
 
 /// Kinds of operations.
@@ -56,7 +56,7 @@
     FolderSync,
 }
 
-/// Of the operations that no sync covers, which a loss of power leaves.
+/// Which unsynced writes survive a power loss.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Kept {
     None,
@@ -74,33 +74,33 @@
 pub(super) const KEPT: [Kept; 8] =
     [Kept::None, Kept::All, Kept::Even, Kept::Odd, Kept::Last, Kept::NotLast, Kept::Torn, Kept::TornFront];
 
-/// The folder; a clone is the same one.
+/// The folder; clones share their content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemoryFolder(Arc<Mutex<Inner>>);
 
-/// A file of it.
+/// A file in the folder.
 #[derive(Debug)]
 pub(super) struct File(MemoryFolder, usize);
 
 impl Inner {
-    fn may(&mut self, what: Operation) -> Result<(), Error> {
-        if let Some((_, kind)) = self.fails.filter(|f| f.0 == what) {
-            if self.once {
-                self.fails = None;
+    fn begin(&mut self, what: Operation) -> Result<(), Error> {
+        if let Some((_, kind)) = self.injected_error.filter(|f| f.0 == what) {
+            if self.fails_once {
+                self.injected_error = None;
             }
             return Err(kind.into());
         }
         if matches!(what, Operation::Open | Operation::Read) {
             return Ok(());
         }
-        if self.power.is_some_and(|power| self.done >= power) {
+        if self.operations_before_power_loss.is_some_and(|power| self.operation_count >= power) {
             return Err(Error::other("no power"));
         }
         let grows = matches!(what, Operation::Write | Operation::Create);
-        if grows && self.full.is_some_and(|full| self.done >= full) {
+        if grows && self.operations_before_full.is_some_and(|full| self.operation_count >= full) {
             return Err(ErrorKind::StorageFull.into());
         }
-        self.done += 1;
+        self.operation_count += 1;
         Ok(())
     }
 }
@@ -117,7 +117,7 @@
     }
 }
 
-fn left(content: &Content, kept: Kept) -> Vec<u8> {
+fn content_after_power_loss(content: &Content, kept: Kept) -> Vec<u8> {
     let mut bytes = content.synced.clone();
     let last = content.unsynced.len().saturating_sub(1);
     for (i, op) in content.unsynced.iter().enumerate() {
@@ -149,44 +149,45 @@
         self.0.lock().expect("no test panics in here")
     }
 
-    /// How many operations there were.
+    /// Number of modifying operations so far.
     pub(super) fn operations(&self) -> usize {
-        self.inner().done
+        self.inner().operation_count
     }
 
-    /// Power goes after so many operations from the start.
+    /// Simulates a power loss after this many operations in total.
     pub(super) fn power_lost_after(&self, operations: usize) {
-        self.inner().power = Some(operations);
+        self.inner().operations_before_power_loss = Some(operations);
     }
 
-    /// Writes find no room after so many operations; `None`: there is room.
+    /// Simulates a full disk after this many operations in total; `None`: there is space.
     pub(super) fn out_of_space_from(&self, operations: Option<usize>) {
-        self.inner().full = operations;
+        self.inner().operations_before_full = operations;
     }
 
-    /// Operations of this kind fail so; `None`: all goes well.
+    /// Makes all operations of a kind fail; `None`: no errors.
     pub(super) fn fail(&self, how: Option<(Operation, ErrorKind)>) {
         let mut inner = self.inner();
-        (inner.fails, inner.once) = (how, false);
+        (inner.injected_error, inner.fails_once) = (how, false);
     }
 
-    /// The next one of this kind fails.
+    /// Makes the next operation of this kind fail.
     pub(super) fn fail_once(&self, what: Operation, kind: ErrorKind) {
         let mut inner = self.inner();
-        (inner.fails, inner.once) = (Some((what, kind)), true);
+        (inner.injected_error, inner.fails_once) = (Some((what, kind)), true);
     }
 
-    /// Operation the folder holds.
+    /// Names of the files in the folder.
     pub(super) fn names(&self) -> Vec<String> {
         self.inner().names.keys().cloned().collect()
     }
 
-    /// A file's content, and a way to put another there.
+    /// Current content of a file.
     pub(super) fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let inner = self.inner();
         inner.names.get(name).map(|file| inner.files[*file].current.clone())
     }
 
+    /// Adds or replaces a file, durably.
     pub(super) fn put(&self, name: &str, bytes: Vec<u8>) {
         let mut inner = self.inner();
         let file = inner.files.len();
@@ -195,7 +196,7 @@
         inner.durable_names.insert(name.to_string(), file);
     }
 
-    /// All that a loss of power now could leave: each unsynced name kept or lost by itself, for each way in which unsynced writes are.
+    /// Possible states after a power loss: every subset of the unsynced name changes, with every [`Kept`] of unsynced writes.
     pub(super) fn after_power_loss(&self) -> Vec<(String, MemoryFolder)> {
         let inner = self.inner();
         let mut all = Vec::new();
@@ -203,7 +204,7 @@
             let mut durable_names = inner.durable_names.clone();
             for (_, name) in inner.unsynced.iter().enumerate().filter(|(i, _)| names >> i & 1 == 1) {
                 match name {
-                    NameChange::Made(name, file) => durable_names.insert(name.clone(), *file),
+                    NameChange::Created(name, file) => durable_names.insert(name.clone(), *file),
                     NameChange::Renamed(from, to, file) => {
                         durable_names.retain(|name, known| name != from || known != file);
                         durable_names.insert(to.clone(), *file)
@@ -213,7 +214,7 @@
             for kept in KEPT {
                 let after = MemoryFolder::default();
                 for (name, file) in &durable_names {
-                    after.put(name, left(&inner.files[*file], kept));
+                    after.put(name, content_after_power_loss(&inner.files[*file], kept));
                 }
                 all.push((format!("names {names:b}, writes {kept:?}"), after));
             }
@@ -221,11 +222,11 @@
         all
     }
 
-    /// As the next process finds it after this one was killed.
+    /// The folder as the next process finds it after this one was killed.
     pub(super) fn after_kill(&self) -> MemoryFolder {
         let mut inner = self.inner().clone();
-        (inner.done, inner.power) = (0, None);
-        inner.full = inner.full.map(|_| 0);
+        (inner.operation_count, inner.operations_before_power_loss) = (0, None);
+        inner.operations_before_full = inner.operations_before_full.map(|_| 0);
         MemoryFolder(Arc::new(Mutex::new(inner)))
     }
 }
@@ -235,23 +236,23 @@
 
     fn open(&self, name: &str) -> Result<Option<File>, Error> {
         let mut inner = self.inner();
-        inner.may(Operation::Open)?;
+        inner.begin(Operation::Open)?;
         Ok(inner.names.get(name).map(|file| File(self.clone(), *file)))
     }
 
     fn create(&self, name: &str) -> Result<File, Error> {
         let mut inner = self.inner();
-        inner.may(Operation::Create)?;
+        inner.begin(Operation::Create)?;
         let file = inner.files.len();
         inner.files.push(Content::default());
         inner.names.insert(name.to_string(), file);
-        inner.unsynced.push(NameChange::Made(name.to_string(), file));
+        inner.unsynced.push(NameChange::Created(name.to_string(), file));
         Ok(File(self.clone(), file))
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<(), Error> {
         let mut inner = self.inner();
-        inner.may(Operation::Rename)?;
+        inner.begin(Operation::Rename)?;
         let file = inner.names.remove(from).ok_or(ErrorKind::NotFound)?;
         inner.names.insert(to.to_string(), file);
         inner.unsynced.push(NameChange::Renamed(from.to_string(), to.to_string(), file));
@@ -260,7 +261,7 @@
 
     fn sync(&self) -> Result<(), Error> {
         let mut inner = self.inner();
-        inner.may(Operation::FolderSync)?;
+        inner.begin(Operation::FolderSync)?;
         inner.durable_names = inner.names.clone();
         inner.unsynced.clear();
         Ok(())
@@ -278,7 +279,7 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
         let mut inner = self.0.inner();
-        inner.may(Operation::Read)?;
+        inner.begin(Operation::Read)?;
         let at = offset as usize;
         let piece = inner.files[self.1].current.get(at..at + out.len()).ok_or(ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(piece);
@@ -295,7 +296,7 @@
 
     fn sync_data(&self) -> Result<(), Error> {
         let mut inner = self.0.inner();
-        inner.may(Operation::Sync)?;
+        inner.begin(Operation::Sync)?;
         let content = &mut inner.files[self.1];
         content.synced = content.current.clone();
         content.unsynced.clear();
@@ -306,7 +307,7 @@
 impl File {
     fn change(&self, op: Change) -> Result<(), Error> {
         let mut inner = self.0.inner();
-        inner.may(Operation::Write)?;
+        inner.begin(Operation::Write)?;
         let content = &mut inner.files[self.1];
         apply(&mut content.current, &op);
         content.unsynced.push(op);
--- a/crates/daemon/mesh/src/disk/tests/old_store.rs
+++ b/crates/daemon/mesh/src/disk/tests/old_store.rs
@@ -1,4 +1,5 @@
-//! A store that the program of version 0.1.0 wrote (`tests/data/control-store-0.1.0`): it is read, written to and read again.
+//! Compatibility with a store written by version 0.1.0 (`tests/data/control-store-0.1.0`): it is read, written and read
+//! again.
 use super::super::database::DATABASE_FILE;
 use super::super::{open, DiskEvent, DiskWrite};
 use crate::control_value::ControlValue;
@@ -7,18 +8,18 @@
 use std::path::PathBuf;
 
 const STORE: &[u8] = include_bytes!("../../../tests/data/control-store-0.1.0/control-store.redb");
-/// One line per record of it: its key, then its bytes in hexadecimal.
+/// One line per record of the store: its key, then its bytes in hexadecimal.
 const RECORDS: &str = include_str!("../../../tests/data/control-store-0.1.0/records.hex");
-/// The configuration in it, as operators read it.
+/// The configuration in the store, as returned to operators.
 const CONFIGURATION: &str = include_str!("../../../tests/data/control-store-0.1.0/configuration.json");
 
-/// A folder with a copy of the store.
-fn copied(name: &str) -> PathBuf {
-    let place = std::env::temp_dir().join(format!("silvercross-{name}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&place);
-    std::fs::create_dir_all(&place).expect("made");
-    std::fs::write(place.join(DATABASE_FILE), STORE).expect("copied");
-    place
+/// Creates a temporary folder with a copy of the store.
+fn copy_store(name: &str) -> PathBuf {
+    let folder_path = std::env::temp_dir().join(format!("silvercross-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder_path);
+    std::fs::create_dir_all(&folder_path).expect("made");
+    std::fs::write(folder_path.join(DATABASE_FILE), STORE).expect("copied");
+    folder_path
 }
 
 fn line(name: &str, bytes: &[u8]) -> String {
@@ -39,8 +40,8 @@
 
 #[test]
 fn a_store_of_version_0_1_0_is_read_written_and_read_again() {
-    let place = copied("old-store");
-    let mut opened = open(&place).expect("opens");
+    let folder_path = copy_store("old-store");
+    let mut opened = open(&folder_path).expect("opens");
     assert!(!opened.content_lost && opened.quarantined.is_none());
     let mut disk = opened.disk;
     assert!(lines(&disk) == RECORDS, "the records have changed; they are now:\n{}", lines(&disk));
@@ -53,7 +54,7 @@
     assert_eq!(configuration.to_json(), CONFIGURATION.trim_end());
     assert_eq!(*value(&disk, "evacuation/quay"), ControlValue::Evacuation(true));
 
-    // Written to as a replica would: a changed key, a new one, and the metadata.
+    // Write as a replica does: a changed key, a new key and the metadata.
     let changed = disk.keys.iter_mut().find(|stored| stored.key == "evacuation/quay").expect("there");
     changed.accepted = Revision { sequence: changed.accepted.sequence + 1, ..changed.accepted };
     changed.value = ControlValue::Evacuation(false);
@@ -70,12 +71,12 @@
     opened.writes.send(write).expect("the thread runs");
     assert_eq!(opened.events.blocking_recv(), Some(DiskEvent::Synced(1)));
     drop(opened.writes);
-    // The thread lets go of the folder when there is nobody left to write.
+    // The thread releases the folder once the last sender is dropped.
     assert_eq!(opened.events.blocking_recv(), None);
 
-    let again = open(&place).expect("opens");
+    let again = open(&folder_path).expect("opens");
     assert!(!again.content_lost && again.quarantined.is_none());
     assert_eq!(again.disk, disk);
     drop(again);
-    std::fs::remove_dir_all(&place).expect("removed");
+    std::fs::remove_dir_all(&folder_path).expect("removed");
 }
--- a/crates/daemon/mesh/src/disk/thread.rs
+++ b/crates/daemon/mesh/src/disk/thread.rs
@@ -1,4 +1,4 @@
-//! The writer thread: opens the folder at the start, gathers writes and reports what became of them.
+//! The writer thread: batches writes and reports their outcome; and opening the folder at startup.
 use super::error::DiskError;
 use super::folder::{DataFolder, Folder};
 use super::messages::{DiskEvent, DiskWrite, DiskWriteSender};
@@ -11,35 +11,36 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
-/// Name of the thread, as the system lists it.
+/// Name of the thread in the operating system.
 const THREAD_NAME: &str = "control-disk";
-/// Stack of the thread, in bytes.
+/// Stack size of the thread, in bytes.
 const THREAD_STACK_BYTES: usize = 512 * 1024;
-/// Writes that share a transaction, at most.
+/// Most writes taken from the channel before each transaction.
 const MAX_BATCHED_WRITES: usize = 64;
-/// A disk without space is tried again after this.
+/// Interval between attempts while the disk is out of space.
 const OUT_OF_SPACE_RETRY: Duration = Duration::from_secs(1);
 
-/// What the disk holds, and how it is written from here on.
+/// The content read at startup and the channels of the writer thread.
 pub(crate) struct OpenedDisk {
     /// The content as it was read.
     pub(crate) disk: StoredState<ControlValue>,
-    /// A file was quarantined, now or at an earlier start: an empty disk is one that lost its content and no new one,
+    /// A file was quarantined, at this start or an earlier one: an empty store has lost its content and is not a new one,
     /// whatever the settings say.
     pub(crate) content_lost: bool,
-    /// Why a file was quarantined now.
+    /// Why a file was quarantined at this start.
     pub(crate) quarantined: Option<DiskError>,
-    /// Where writes go in.
+    /// Sends writes to the thread.
     pub(crate) writes: DiskWriteSender,
-    /// What becomes of them.
+    /// Outcomes of writes and changes in the state of the disk.
     pub(crate) events: UnboundedReceiver<DiskEvent>,
 }
 
-/// Opens what is there, or begins anew, and starts the thread. It ends when the last sender of writes is dropped, or when the
-/// disk has failed.
+/// Opens or creates the database and starts the writer thread. The thread ends when the last sender of writes is dropped
+/// or the disk fails.
 ///
 /// # Errors
-/// Whatever keeps the folder from being used; nothing is changed then.
+/// Any error that makes the folder unusable. Unless the database is damaged, its file is neither renamed nor replaced
+/// then.
 pub(crate) fn open(dir: &Path) -> Result<OpenedDisk, DiskError> {
     let recovered = recover(DataFolder::lock(dir)?)?;
     let (writes, received) = mpsc::channel::<DiskWrite>();
@@ -53,7 +54,7 @@
     Ok(OpenedDisk { disk: recovered.disk, content_lost, quarantined, writes, events })
 }
 
-/// The thread, until nobody writes any more or the disk has failed.
+/// Body of the thread: runs until all senders are dropped or the disk fails.
 fn run<F: Folder>(
     mut writer: Writer<F>,
     received: &mpsc::Receiver<DiskWrite>,
@@ -69,7 +70,7 @@
             let Ok(first) = received.recv() else { return };
             writer.pending.push(first);
         }
-        // What has gathered meanwhile shares a sync. The store has few writes under way at a time.
+        // Writes that arrived in the meantime share one sync. The store has few writes in flight at a time.
         writer.pending.extend(received.try_iter().take(MAX_BATCHED_WRITES));
         for event in writer.attempt() {
             let failed = matches!(event, DiskEvent::Failed(_));
--- a/crates/daemon/mesh/src/disk/writer.rs
+++ b/crates/daemon/mesh/src/disk/writer.rs
@@ -1,25 +1,25 @@
-//! Who writes: puts all that is pending into one transaction and says what is synced.
+//! Writes all pending writes in one transaction and reports which are synced.
 use super::database::OpenDatabase;
 use super::error::DiskError;
 use super::folder::Folder;
 use super::io_faults::IoFault;
 use super::messages::{DiskEvent, DiskWrite};
 
-/// The database and what is to be written to it.
+/// The database and the writes pending for it.
 pub(super) struct Writer<F: Folder> {
     pub(super) folder: F,
     /// `None` while it can't be opened.
     pub(super) database: Option<OpenDatabase>,
-    /// The file has been there: if it is gone its content is lost, and a new one would not have it.
+    /// The file has existed. If it is missing now its content is lost, so it must not be created again.
     pub(super) file_created: bool,
-    /// Not synced yet, in order. As many as the store has under way.
+    /// Writes not synced yet, in order. Bounded by the number that the store has in flight.
     pub(super) pending: Vec<DiskWrite>,
-    /// Why it takes no writes.
+    /// The error while the disk is out of space.
     pub(super) out_of_space: Option<DiskError>,
 }
 
 impl<F: Folder> Writer<F> {
-    /// Tries to write all that is pending; without space before, also whether there is some now.
+    /// Tries to write all pending writes. After running out of space, also checks that there is space again.
     pub(super) fn attempt(&mut self) -> Vec<DiskEvent> {
         match self.write_pending() {
             Ok(()) => {
@@ -28,8 +28,8 @@
                 space_available.into_iter().chain(synced).collect()
             }
             Err(error @ DiskError::OutOfSpace { .. }) => {
-                // After an error redb takes nothing more; the file is opened again with the next try, and what of the failed
-                // transaction came onto the disk is undone or overwritten by then.
+                // redb accepts no writes after an error. The next attempt opens the file again, and what the failed
+                // transaction left on disk is rolled back or overwritten.
                 self.database = None;
                 let is_first = self.out_of_space.replace(error.clone()).is_none();
                 is_first.then_some(DiskEvent::OutOfSpace(error)).into_iter().collect()
@@ -47,7 +47,7 @@
         let probe_space = self.out_of_space.is_some();
         open.write(&self.pending, probe_space)
             .map_err(|error| DiskError::from_redb(&open.path, error, &open.faults))?;
-        // A failed write to the file may be made up for by a later one; after a failed sync nobody knows what the disk holds.
+        // A failed write may be repaired by a later one; after a failed sync the content on disk is unknown.
         match open.faults.take() {
             Some(IoFault::Sync) => {
                 Err(DiskError::SyncFailed { path: open.path.clone(), cause: "a sync failed".to_string() })
