--- a/crates/daemon/mesh/src/control.rs
+++ b/crates/daemon/mesh/src/control.rs
@@ -1,8 +1,8 @@
-//! Calls of upstreams, operators and the platform over HTTP.
+//! HTTP calls from upstreams, operators and the platform.
 //!
-//! `calls.rs` and `member_calls.rs` declare each call beside its handler; `call.rs` is what a call is and how it is found,
-//! `response.rs` what is answered, `changes.rs` how keys of the control store are changed and callers redirected, `listener.rs`
-//! the connections. Paths, statuses and keys of JSON are the wire's (`docs/operators/mesh.md`).
+//! `calls.rs` and `member_calls.rs` declare each call beside its handler. `call.rs` defines calls and finds the one that a
+//! request means, `response.rs` defines responses, `changes.rs` changes keys of the control store and redirects callers,
+//! and `listener.rs` serves connections. Paths, statuses and JSON keys are part of the protocol (`docs/operators/mesh.md`).
 mod call;
 mod calls;
 mod changes;
--- a/crates/daemon/mesh/src/control/call.rs
+++ b/crates/daemon/mesh/src/control/call.rs
@@ -1,21 +1,21 @@
-//! What a call is, and how a request finds the one that it means.
+//! Declaring calls, and finding the call that a request means.
 use super::response::CallResponse;
 use crate::node_state::NodeState;
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// A handler at work.
-pub(super) type Handling<'c> = Pin<Box<dyn Future<Output = CallResponse> + 'c>>;
+/// The future of a handler.
+pub(super) type HandlerFuture<'c> = Pin<Box<dyn Future<Output = CallResponse> + 'c>>;
 
-/// A call that may be made.
+/// A call that a listener can serve.
 pub(crate) struct Call {
     /// Its HTTP method.
     pub(super) method: &'static str,
-    /// Its path, with `{}` at the end where a name stands.
+    /// Its path; a trailing `{}` stands for a name.
     pub(super) path: &'static str,
-    /// Who answers: gets the name in the path and the body.
-    pub(super) handler: for<'c> fn(&'c Rc<NodeState>, &'c str, &'c [u8]) -> Handling<'c>,
+    /// Handles the call; gets the name in the path and the body.
+    pub(super) handler: for<'c> fn(&'c Rc<NodeState>, &'c str, &'c [u8]) -> HandlerFuture<'c>,
 }
 
 /// Declares a call: its constant, method, path and handler.
@@ -31,23 +31,23 @@
 }
 pub(super) use call;
 
-/// A call, and the name in the path.
+/// The call that a request means and the name in its path.
 pub(super) struct FoundCall<'c> {
     pub(super) call: &'c Call,
     pub(super) name: String,
 }
 
-/// Why a request means no call.
+/// Why no call was found for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoSuchCall {
     /// No call has this path.
     Path,
-    /// The calls of this path have other methods.
+    /// The calls with this path have other methods.
     Method,
 }
 
 impl NoSuchCall {
-    /// The HTTP status that says so.
+    /// The HTTP status of the response.
     pub(super) fn status(self) -> u16 {
         match self {
             NoSuchCall::Path => 404,
@@ -56,10 +56,10 @@
     }
 }
 
-/// The call that a method and target mean.
+/// Find the call for a method and target.
 ///
 /// # Errors
-/// [`NoSuchCall`].
+/// [`NoSuchCall`] if no call has this path, or none with this path has this method.
 pub(super) fn find<'c>(
     calls: &'c [&'c Call],
     method: &str,
@@ -69,7 +69,7 @@
     let mut error = NoSuchCall::Path;
     for call in calls {
         let name = match call.path.strip_suffix("{}") {
-            Some(before) => path.strip_prefix(before).filter(|name| !name.is_empty() && !name.contains('/')),
+            Some(prefix) => path.strip_prefix(prefix).filter(|name| !name.is_empty() && !name.contains('/')),
             None => (path == call.path).then_some(""),
         };
         let Some(name) = name else { continue };
--- a/crates/daemon/mesh/src/control/calls.rs
+++ b/crates/daemon/mesh/src/control/calls.rs
@@ -1,4 +1,4 @@
-//! The calls, each declared beside its handler, and which may be made where.
+//! The calls, each declared beside its handler, and the lists of calls served by each listener.
 use super::call::{call, Call};
 use super::changes::{change_configuration, change_key, redirect};
 use super::member_calls::{MEMBERS_LAPSE, MEMBERS_LIST, MEMBERS_RENEW};
@@ -10,7 +10,7 @@
 use silvercross_control_store::CallOutcome;
 use std::rc::Rc;
 
-/// All calls at `control`.
+/// Calls served at the address `control`.
 pub(crate) const CONTROL_CALLS: [&Call; 11] = [
     &HEARTBEAT,
     &SIGN_OFF,
@@ -24,7 +24,7 @@
     &MEMBERS_RENEW,
     &MEMBERS_LAPSE,
 ];
-/// All calls at `ready`.
+/// Calls served at the address `ready`.
 pub(crate) const READY_CALLS: [&Call; 2] = [&READY, &METRICS];
 
 call!(HEARTBEAT, "POST", "/-/Stations.Heartbeat/{}", heartbeat);
--- a/crates/daemon/mesh/src/control/changes.rs
+++ b/crates/daemon/mesh/src/control/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the control store's keys, and callers sent to a node that can make them.
+//! Changing keys of the control store, and redirecting callers to a replica.
 use super::response::CallResponse;
 use crate::control_value::{ControlChange, CONFIGURATION_KEY};
 use crate::node_state::{GaugeGuard, NodeState};
@@ -6,7 +6,7 @@
 use slog::info;
 use std::rc::Rc;
 
-/// Change the configuration as the body of a call at `path` says.
+/// Apply the configuration update in the body of a call to `path`.
 pub(super) async fn change_configuration(
     node_state: &Rc<NodeState>,
     body: &[u8],
@@ -20,7 +20,7 @@
     change_key(node_state, CONFIGURATION_KEY, change, path).await
 }
 
-/// Change a key for a call at `path`.
+/// Change a key on behalf of a call to `path`.
 pub(super) async fn change_key(
     node_state: &Rc<NodeState>,
     key: &str,
@@ -53,7 +53,7 @@
     CallResponse::error(if rejection.conflict { 409 } else { 400 }, &rejection.reason)
 }
 
-/// This node is no replica of the control store: one that is is named.
+/// Redirect a call to `path` to a replica of the control store, since this node is none.
 pub(super) fn redirect(node_state: &NodeState, path: &str) -> CallResponse {
     match node_state.control_address() {
         Some(address) => CallResponse::redirect(format!("http://{address}{path}")),
--- a/crates/daemon/mesh/src/control/listener.rs
+++ b/crates/daemon/mesh/src/control/listener.rs
@@ -1,4 +1,4 @@
-//! Connections for calls: one task each, one call at a time on it.
+//! Connections for calls: one task per connection, which serves one call at a time.
 use super::call::{find, Call};
 use super::response::CallResponse;
 use crate::event_stream;
@@ -12,20 +12,20 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// A connection on which no call comes is closed after this.
+/// A connection without a call is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// A call comes whole within this: its head, and then its body.
+/// Timeout for reading the head of a call, and again for its body.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Connections at a time; those beyond it are closed.
+/// Concurrent connections; further ones are closed at once.
 pub(super) const MAX_CONNECTIONS: u64 = 256;
-/// Behind a last answer, what still comes is read away for so long.
+/// Input after the last response is read and discarded for at most this long.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// The largest head, in bytes.
+/// Largest head of a call, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// After a failed accept the next one is tried after this.
+/// Delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Accept connections for these calls, for as long as the process lives.
+/// Accept connections and serve these calls until the process ends.
 pub(crate) async fn listen(
     node_state: Rc<NodeState>,
     listener: TcpListener,
@@ -47,7 +47,7 @@
             let mut connection = Connection::new(stream, PeerKind::External(MAX_HEAD_BYTES));
             let reader = serve_connection(&node_state, &mut connection, calls).await;
             open.set(open.get() - 1);
-            // Readers of events have a limit of their own.
+            // Event streams have a limit of their own, so the connection no longer counts here.
             if let Some(EventReader { request, body }) = reader {
                 event_stream::serve(node_state, connection, *request, body).await;
             }
@@ -55,20 +55,20 @@
     }
 }
 
-/// A call for events, which takes its connection over.
+/// A call for the event stream, which takes over its connection.
 struct EventReader {
     request: Box<RequestHead>,
     body: Vec<u8>,
 }
 
-/// What follows on a connection.
+/// What a connection does after a call.
 enum Next {
     Call,
     End,
     Events(EventReader),
 }
 
-/// Serve calls until the connection ends, or until one takes it over.
+/// Serve calls until the connection ends or an event stream takes it over.
 async fn serve_connection(
     node_state: &Rc<NodeState>,
     connection: &mut Connection,
@@ -86,7 +86,7 @@
 async fn serve_call(node_state: &Rc<NodeState>, connection: &mut Connection, calls: &[&Call]) -> Next {
     let request = match connection.read_request_head(IDLE_TIMEOUT, READ_TIMEOUT, MAX_BODY_BYTES).await {
         Ok(request) => request,
-        Err(ReadError::Invalid(bad)) => return answer_unreadable(connection, &bad).await,
+        Err(ReadError::Invalid(error)) => return respond_unreadable(connection, &error).await,
         Err(_) => return Next::End,
     };
     if request.expects_continue && connection.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
@@ -94,7 +94,7 @@
     }
     let body = match timeout(READ_TIMEOUT, connection.read_body(request.framing, MAX_BODY_BYTES)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(ReadError::Invalid(bad))) => return answer_unreadable(connection, &bad).await,
+        Ok(Err(ReadError::Invalid(error))) => return respond_unreadable(connection, &error).await,
         _ => return Next::End,
     };
     let serves_events = find(calls, "GET", super::calls::STATE.path).is_ok();
@@ -106,7 +106,7 @@
         Err(error) => CallResponse::error(error.status(), "no such call"),
     };
     let response = response.with_bounded_redirections(&request.target);
-    // Who calls again goes elsewhere.
+    // While stopping, close the connection so that the caller connects to another node.
     let close = !request.keep_alive || node_state.stopping();
     let (lines, content) = (response.lines.as_bytes(), response.body.as_bytes());
     let bytes = wire::encode_response(response.status, lines, content, close, false);
@@ -117,10 +117,10 @@
     }
 }
 
-/// A call that can't be read: say why. What still comes of it is read away, else the close would reset the connection and cost the
-/// answer.
-async fn answer_unreadable(connection: &mut Connection, bad: &MessageError) -> Next {
-    let bytes = wire::encode_response(wire::error_status(bad), b"", b"", true, false);
+/// Respond to a call that can't be read. Its remaining input is read and discarded: closing with unread input would reset
+/// the connection, and the caller could lose the response.
+async fn respond_unreadable(connection: &mut Connection, error: &MessageError) -> Next {
+    let bytes = wire::encode_response(wire::error_status(error), b"", b"", true, false);
     if connection.write(&bytes).await.is_ok() {
         connection.close_gracefully(DRAIN_TIMEOUT).await;
     }
--- a/crates/daemon/mesh/src/control/member_calls.rs
+++ b/crates/daemon/mesh/src/control/member_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls that concern members.
+//! Operators' calls on members.
 use super::call::{call, Call};
 use super::changes::{change_configuration, redirect};
 use super::response::CallResponse;
@@ -25,8 +25,8 @@
     change_member(node_state, &path, name, lapsed_item).await
 }
 
-/// Read a member's item as it stands, change it, and send it as the next version. Of two that do so at once, one holds and the
-/// other is a conflict, unless both say the same.
+/// Read a member's current item, change it, and write it as the next version. Of two concurrent changes one is committed
+/// and the other rejected as a conflict, unless they are equal.
 async fn change_member(
     node_state: &Rc<NodeState>,
     path: &str,
--- a/crates/daemon/mesh/src/control/response.rs
+++ b/crates/daemon/mesh/src/control/response.rs
@@ -1,20 +1,20 @@
-//! What a caller is answered.
+//! Responses to calls.
 use serde_json::json;
 
-/// The longest reason, in bytes: it may quote what was sent, and an upstream reads no answer of over 4 KiB.
+/// Longest reason, in bytes: it may quote the request, and upstreams read no response of over 4 KiB.
 const MAX_REASON_BYTES: usize = 512;
-/// When a caller that could not be served here now comes back, in seconds.
+/// Value of `Retry-After`, in seconds.
 const RETRY_AFTER_S: f64 = 0.2;
-/// A caller follows so many redirections, and is sent no further.
+/// Most redirections of one call, as many as callers follow; then the call is answered with 503 and `Retry-After`.
 const MAX_REDIRECTIONS: u32 = 2;
-/// In the address that a caller is redirected to: how often it was before. A name of the wire.
+/// Query parameter of a redirect's address: the number of redirections so far. Part of the protocol.
 const REDIRECTIONS_PARAMETER: &str = "via";
 
-/// What a caller is answered.
+/// The response to a call.
 pub(super) struct CallResponse {
     /// The HTTP status.
     pub(super) status: u16,
-    /// Header lines besides the framing, each with its line end.
+    /// Header lines except those for framing, each with its line end.
     pub(super) lines: String,
     /// The body.
     pub(super) body: String,
@@ -23,38 +23,38 @@
 }
 
 impl CallResponse {
-    /// A JSON body.
+    /// A response with a JSON body.
     pub(super) fn json(status: u16, body: String) -> Self {
         let lines = "Content-Type: application/json\r\n".to_string();
         CallResponse { status, lines, body, redirect_to: None }
     }
 
-    /// An error, with its reason and the mend.
+    /// An error response, with the reason and how to fix it.
     pub(super) fn error(status: u16, reason: &str) -> Self {
         let reason = &reason[..reason.floor_char_boundary(MAX_REASON_BYTES)];
         CallResponse::json(status, json!({ "error": reason }).to_string())
     }
 
-    /// Done.
+    /// An empty success response.
     pub(super) fn ok() -> Self {
         CallResponse::json(200, "{}".to_string())
     }
 
-    /// What became of it is not known here now: the caller sends it again.
+    /// The outcome is not known here: the caller has to retry.
     pub(super) fn retry_later() -> Self {
         let mut response = CallResponse::error(503, "not settled here now (send it again, anywhere)");
         response.lines.push_str(&format!("Retry-After: {RETRY_AFTER_S}\r\n"));
         response
     }
 
-    /// Another node serves this call, at this address.
+    /// A redirect to the address of another node that serves this call.
     pub(super) fn redirect(address: String) -> Self {
         let (lines, body) = (String::new(), String::new());
         CallResponse { status: 307, lines, body, redirect_to: Some(address) }
     }
 
-    /// The answer to a call of this target. A caller is redirected no oftener than it follows: nodes may each take the other for
-    /// a replica, while what they know of each other is old.
+    /// The response to a call with this target. The number of redirections is limited: nodes with outdated views may each
+    /// take the other for a replica and redirect in a loop.
     pub(super) fn with_bounded_redirections(mut self, target: &str) -> Self {
         let Some(address) = self.redirect_to.take() else { return self };
         let redirections = redirections_before(target);
@@ -67,7 +67,7 @@
     }
 }
 
-/// How often this call was redirected before.
+/// How often a call with this target was redirected before.
 fn redirections_before(target: &str) -> u32 {
     let query = target.split_once('?').map_or("", |(_, query)| query);
     let count =
--- a/crates/daemon/mesh/src/control_value.rs
+++ b/crates/daemon/mesh/src/control_value.rs
@@ -1,8 +1,8 @@
-//! What stands under a key of the control store: the configuration, whether a zone is evacuated, or how far a member's lapse has
-//! come; and the changes that calls make of it.
+//! Values of the control store (the configuration, whether a zone is evacuated, the state of a member's lapse) and the
+//! changes that calls make to them.
 //!
-//! Both are stored and go between nodes in bitcode: the order and types of variants and fields are the format. Knows nothing of
-//! nodes, calls or disks.
+//! Both are stored and sent between nodes in bitcode: the order and types of variants and fields are the format.
+//! Independent of nodes, calls and disks.
 use bitcode::{Decode, Encode};
 use silvercross_control_store::{Rejection, State};
 use silvercross_mesh_config::{
@@ -12,11 +12,11 @@
 use silvercross_mesh_membership::MAX_CONTROL_ENTRY_BYTES;
 use silvercross_throttle::{LapseChange, LapseState, MemberListChange};
 
-/// The key of the whole configuration: one key, so that a call over many items is one change. Stored data.
+/// Key of the whole configuration: a single key, so that a call on many items is one change. Stored data.
 pub(crate) const CONFIGURATION_KEY: &str = "configuration";
-/// What a list of members takes on nodes, at most: its items as sent, and as they are used.
+/// Upper bound of a delivered member list, in bytes: its items as sent and as parsed.
 const MEMBER_LIST_BYTES_BOUND: usize = 3 * MAX_MEMBER_LIST_BYTES;
-/// Before a zone's name: the key of its evacuation. Stored data.
+/// Prefix of the key of a zone's evacuation, before the zone's name. Stored data.
 const EVACUATION_PREFIX: &str = "evacuation/";
 
 /// The key of a zone's evacuation.
@@ -24,44 +24,44 @@
     format!("{EVACUATION_PREFIX}{zone}")
 }
 
-/// The zone whose evacuation is under a key; `None`: the key is another one.
+/// The zone whose evacuation a key holds; `None` for any other key.
 pub(crate) fn evacuated_zone(key: &str) -> Option<&str> {
     key.strip_prefix(EVACUATION_PREFIX)
 }
 
-/// The content of a key. What was there before members is encoded as it was: a form is only added at the end.
+/// The value of a key. Variants are only added at the end, so that older stored data keeps its encoding.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub(crate) enum ControlValue {
-    /// Nothing was ever written.
+    /// Never written.
     #[default]
     Blank,
-    /// All items, as long as no call has said anything of members.
+    /// All items, as long as no call has changed members.
     Configuration(Configuration),
-    /// Whether nothing more is to be sent to the zone's upstreams.
+    /// Whether the zone is evacuated: its upstreams get no further requests.
     Evacuation(bool),
-    /// All items, members as well.
+    /// All items, including members.
     WithMembers(Box<ConfigurationWithMembers>),
-    /// How far a member's lapse has come.
+    /// The state of a member's lapse.
     Lapse(LapseState),
-    /// All items, and the versions that were taken before those that stand. Nodes get what stands alone.
+    /// All items, and the history of superseded versions. Nodes get only the current items.
     Versioned(Box<VersionedConfiguration>),
 }
 
-/// What a call changes under a key.
+/// A change of a key's value by a call.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) enum ControlChange {
-    /// Items set and dropped.
+    /// Sets and withdraws items.
     Patch(ConfigurationChange),
-    /// A zone's evacuation begins or ends.
+    /// Starts or ends a zone's evacuation.
     Evacuate(bool),
-    /// Items set and dropped, members among them.
+    /// Sets and withdraws items, including members.
     Call(Box<ConfigurationUpdate>),
-    /// A member's lapse goes on.
+    /// Advances a member's lapse.
     Lapse(LapseChange),
 }
 
 impl ControlValue {
-    /// The keys that exist because of this content, besides those that always do: of members whose slowing has a date.
+    /// The keys that exist because of this value: the lapse keys of members with a lapse time.
     pub(crate) fn named_keys(&self) -> Vec<String> {
         match self {
             ControlValue::WithMembers(whole) => {
@@ -122,8 +122,8 @@
 }
 
 impl ControlValue {
-    /// Sets and drops items, unless nodes could not be given what would stand then. One that is too large already, taken by an older
-    /// build, may only shrink.
+    /// Sets and withdraws items, unless the result would be too large to be delivered to nodes. A configuration that is too
+    /// large already, accepted by an older build, may only shrink.
     fn apply_items_if_deliverable(
         &mut self,
         change: &ConfigurationChange,
@@ -142,9 +142,9 @@
         Ok(has_changed)
     }
 
-    /// The bytes that nodes are given, at most.
+    /// Upper bound of the bytes delivered to nodes.
     fn delivered_bytes_bound(&self) -> usize {
-        let of_members = |whole: &ConfigurationWithMembers| {
+        let member_list_bound = |whole: &ConfigurationWithMembers| {
             if whole.member_list == Default::default() {
                 0
             } else {
@@ -154,23 +154,23 @@
         match self {
             ControlValue::Configuration(configuration) => configuration.delivered_bytes_bound(),
             ControlValue::WithMembers(whole) => {
-                whole.configuration.delivered_bytes_bound() + of_members(whole)
+                whole.configuration.delivered_bytes_bound() + member_list_bound(whole)
             }
             ControlValue::Versioned(versioned) => {
                 let whole = &versioned.current;
-                whole.configuration.delivered_bytes_bound() + of_members(whole)
+                whole.configuration.delivered_bytes_bound() + member_list_bound(whole)
             }
             ControlValue::Blank | ControlValue::Evacuation(_) | ControlValue::Lapse(_) => 0,
         }
     }
 
-    /// The bytes that nodes are given.
+    /// The bytes delivered to nodes.
     fn delivered_bytes(&self) -> usize {
         bitcode::encode(&self.clone().delivered()).len()
     }
 
-    /// Sets and drops items. A form that knows more is taken only when there is more to know: what was taken before once
-    /// something was overtaken, members once a call said something of them.
+    /// Sets and withdraws items. A richer variant is used only when needed: `Versioned` once a version was superseded,
+    /// `WithMembers` once a call changed members.
     fn apply_items(
         &mut self,
         change: &ConfigurationChange,
@@ -178,7 +178,7 @@
     ) -> Result<bool, Rejection> {
         let before = std::mem::take(self);
         let was_blank = before == ControlValue::Blank;
-        let knew_members = matches!(before, ControlValue::WithMembers(_) | ControlValue::Versioned(_));
+        let had_members = matches!(before, ControlValue::WithMembers(_) | ControlValue::Versioned(_));
         let mut versioned = match before {
             ControlValue::Blank => VersionedConfiguration::default(),
             ControlValue::Configuration(configuration) => VersionedConfiguration {
@@ -200,7 +200,7 @@
             ControlValue::Versioned(Box::new(versioned))
         } else if was_blank && !has_changed {
             ControlValue::Blank
-        } else if !knew_members && (!has_changed || members.is_empty()) {
+        } else if !had_members && (!has_changed || members.is_empty()) {
             ControlValue::Configuration(versioned.current.configuration)
         } else {
             ControlValue::WithMembers(Box::new(versioned.current))
@@ -208,19 +208,20 @@
         outcome
     }
 
-    /// What nodes and readers get: what stands, without what was taken before.
+    /// The value as nodes and readers get it: the current items without the history.
     pub(crate) fn published(self) -> ControlValue {
         match self {
-            ControlValue::Versioned(tracked) if tracked.current.member_list == Default::default() => {
-                ControlValue::Configuration(tracked.current.configuration)
+            ControlValue::Versioned(versioned) if versioned.current.member_list == Default::default() => {
+                ControlValue::Configuration(versioned.current.configuration)
             }
-            ControlValue::Versioned(tracked) => ControlValue::WithMembers(Box::new(tracked.current)),
+            ControlValue::Versioned(versioned) => ControlValue::WithMembers(Box::new(versioned.current)),
             other => other,
         }
     }
 
-    /// What goes down the relay tree: what stands, without the text of routes, destinations and limits as it was sent. Nodes route by the
-    /// items as parsed, and the text is most of the bytes; operators' reads are answered from the control store, which has it.
+    /// The value as sent down the relay tree: the current items without the raw JSON of routes, destinations and limits.
+    /// Nodes use the parsed items, and the raw JSON is most of the bytes; operators' reads are served from the control
+    /// store, which keeps it.
     pub(crate) fn delivered(self) -> ControlValue {
         let mut delivered = self.published();
         match &mut delivered {
--- a/crates/daemon/mesh/src/control_value/tests.rs
+++ b/crates/daemon/mesh/src/control_value/tests.rs
@@ -1,4 +1,4 @@
-//! Values and changes under the keys of the control store. In the package, for a program has no library to import.
+//! Tests of control store values and changes. Inside the crate, since a binary can't be imported.
 use super::*;
 use silvercross_control_store::StoredKey;
 
@@ -16,8 +16,8 @@
     assert_eq!(zone, ControlValue::Evacuation(true));
 }
 
-/// Orders for a zone carry no version: one that comes again while it holds changes nothing, and one that comes after its
-/// opposite is a new one, for nothing tells it from a late one.
+/// Evacuation changes carry no version: a repeated one changes nothing, and one after its opposite is applied as new, since
+/// a late duplicate can't be told apart.
 #[test]
 fn an_evacuation_again_is_acknowledged_and_the_last_order_holds() {
     let mut zone = ControlValue::Blank;
@@ -27,21 +27,21 @@
     }
 }
 
-/// Disks that were written before there were members are read, and without members nothing is written differently.
+/// Compatibility: data written before members existed is readable, and without members the encoding is unchanged.
 #[test]
 fn without_members_disk_and_links_hold_the_bytes_they_held_before_there_were_any() {
     let patch = br#"{"withdraw":{"routes":[{"name":"r","edition":2}]}}"#;
     let patch = silvercross_mesh_config::parse_change(patch).expect("well-formed");
-    let mut page = ControlValue::Blank;
-    page.apply(&ControlChange::Patch(patch.clone())).expect("valid");
+    let mut configuration = ControlValue::Blank;
+    configuration.apply(&ControlChange::Patch(patch.clone())).expect("valid");
     let before: [(ControlValue, &[u8]); 3] = [
         (ControlValue::Blank, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 0]),
         (ControlValue::Evacuation(true), &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 2, 1]),
-        (page, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 1, 1, 1, 114, 1, 6, 2, 6, 1, 0, 0, 6, 1]),
+        (configuration, &[1, 107, 6, 0, 4, 0, 6, 0, 4, 0, 6, 0, 1, 1, 1, 114, 1, 6, 2, 6, 1, 0, 0, 6, 1]),
     ];
-    for (page, bytes) in before {
+    for (old_value, bytes) in before {
         let (promised, accepted) = Default::default();
-        let stored = StoredKey { key: "k".to_string(), promised, accepted, value: page };
+        let stored = StoredKey { key: "k".to_string(), promised, accepted, value: old_value };
         assert_eq!(bitcode::encode(&stored), bytes, "{:?}", stored.value);
         assert_eq!(bitcode::decode::<StoredKey<ControlValue>>(bytes).ok(), Some(stored));
     }
@@ -49,13 +49,13 @@
     assert_eq!(bitcode::encode(&ControlChange::Patch(patch)), [0, 1, 1, 114, 1, 6, 2, 6, 0, 0, 0]);
 }
 
-/// What was overtaken is kept where the key is, and nobody else gets it.
+/// Superseded versions are stored with the key but not published to nodes.
 #[test]
 fn nodes_get_what_stands_alone() {
     let patch = |body: &str| {
         ControlChange::Patch(silvercross_mesh_config::parse_change(body.as_bytes()).expect("well-formed"))
     };
-    let at = |edition: u64, path: &str| {
+    let destination = |edition: u64, path: &str| {
         patch(&format!(
             r#"{{"deliver":{{"destinations":[{{"name":"d","healthPath":"{path}","edition":{edition}}}]}}}}"#
         ))
@@ -63,28 +63,27 @@
     let mut control_value = ControlValue::Blank;
     assert_eq!(control_value.apply(&patch("{}")), Ok(false));
     assert_eq!(control_value, ControlValue::Blank);
-    assert_eq!(control_value.apply(&at(1, "/a")), Ok(true));
+    assert_eq!(control_value.apply(&destination(1, "/a")), Ok(true));
     assert!(matches!(control_value, ControlValue::Configuration(_)));
-    assert_eq!(control_value.apply(&at(2, "/b")), Ok(true));
+    assert_eq!(control_value.apply(&destination(2, "/b")), Ok(true));
     assert!(matches!(control_value, ControlValue::Versioned(_)));
     let mut plain = ControlValue::Blank;
-    assert_eq!(plain.apply(&at(2, "/b")), Ok(true));
+    assert_eq!(plain.apply(&destination(2, "/b")), Ok(true));
     assert_eq!(bitcode::encode(&control_value.clone().published()), bitcode::encode(&plain));
-    // On disk it is one value.
-    let mut again: ControlValue =
-        bitcode::decode(&bitcode::encode(&control_value)).expect("as it was written");
+    // The history survives encoding.
+    let mut again: ControlValue = bitcode::decode(&bitcode::encode(&control_value)).expect("it decodes");
     assert_eq!(again, control_value);
-    assert_eq!(again.apply(&at(1, "/a")), Ok(false));
-    assert!(again.apply(&at(1, "/c")).expect_err("another content").conflict);
+    assert_eq!(again.apply(&destination(1, "/a")), Ok(false));
+    assert!(again.apply(&destination(1, "/c")).expect_err("another content").conflict);
     assert_eq!(again, control_value);
-    // Members, sent later.
+    // A later call that adds members.
     let members = br#"{"deliver":{"members":[{"name":"ana","key":"k","plan":"full","edition":1}]}}"#;
     let members = silvercross_mesh_config::parse_update(members).expect("well-formed");
     assert_eq!(control_value.apply(&ControlChange::Call(Box::new(members))), Ok(true));
     assert!(matches!(control_value.published(), ControlValue::WithMembers(_)));
 }
 
-/// Seen in service: a change took relays on thin links 0.3 s to hand on, three quarters of it text that no sidecar reads.
+/// Delivered values leave out the raw JSON, which no sidecar reads and which slows relaying over links of low bandwidth.
 #[test]
 fn what_is_delivered_routes_alike_in_less_than_half_of_the_bytes() {
     let routes: Vec<String> = (0..310)
@@ -113,7 +112,7 @@
     assert_eq!(table(&whole), table(&delivered));
 }
 
-/// Found by reading: what was acknowledged and is larger than an entry was dropped by every sidecar, and in force at none.
+/// Guards against acknowledging a configuration larger than a control entry, which every sidecar would drop.
 #[test]
 fn what_nodes_could_not_be_given_is_rejected_and_may_still_shrink() {
     let long = "x".repeat(2_000);
@@ -142,10 +141,10 @@
     let before = value.clone();
     let rejection = value.apply(&patch(1_500, 1_500, true, 1)).expect_err("6 MB");
     assert!(!rejection.conflict && rejection.reason.contains("withdraw"), "{rejection}");
-    assert_eq!(value, before, "nothing of it stands");
+    assert_eq!(value, before, "no part of it is applied");
     let delivered = |value: &ControlValue| bitcode::encode(&value.clone().delivered()).len();
     assert!(delivered(&value) <= MAX_CONTROL_ENTRY_BYTES);
     assert_eq!(value.apply(&patch(0, 1_000, false, 2)), Ok(true));
-    assert_eq!(value.apply(&patch(1_500, 1_000, true, 1)), Ok(true), "there is room again");
+    assert_eq!(value.apply(&patch(1_500, 1_000, true, 1)), Ok(true), "there is space again");
     assert!(delivered(&value) <= MAX_CONTROL_ENTRY_BYTES);
 }
