--- a/crates/daemon/mesh/src/wire.rs
+++ b/crates/daemon/mesh/src/wire.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 connections to clients, upstreams, operators and other sidecars: heads and bodies are read from them and
-//! encoded for them.
+//! HTTP/1.1 connections to clients, upstreams, operators and other sidecars: reading and
+//! encoding heads and bodies.
 //!
-//! Knows no route, no upstream and no retry. What a head means is parsed by `silvercross_net::http`, how a body ends by
-//! `silvercross_net::stream`; here are the sockets, the limits by kind of peer, and the headers of this mesh. Read on in
-//! `wire/connection.rs`, then `wire/reading.rs`.
+//! Independent of routes, upstreams and retries. Heads are parsed by `silvercross_net::http` and body framing is decoded by
+//! `silvercross_net::stream`; this module has the sockets, the limits by kind of peer, and the headers of this mesh. Start
+//! reading at `wire/connection.rs`, then `wire/reading.rs`.
 mod connection;
 mod error;
 pub(crate) mod header_names;
--- a/crates/daemon/mesh/src/wire/connection.rs
+++ b/crates/daemon/mesh/src/wire/connection.rs
@@ -1,6 +1,6 @@
-//! One TCP connection: its two halves, the bytes received but not parsed yet, whether it can be reused, and its end.
+//! One TCP connection: its two halves, the bytes received but not parsed yet, whether it can be reused, and closing it.
 //!
-//! Knows no message: those are read in `reading.rs` and encoded in `writing.rs`.
+//! Messages are read in `reading.rs` and encoded in `writing.rs`.
 use super::PeerKind;
 use crate::mutation::{self, Mutation};
 use bytes::BytesMut;
@@ -12,14 +12,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// Room made for one read.
+/// Buffer space reserved for one read, in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// Input that is read away before a close; more is left unread.
+/// Most input that is read and discarded before a close, in bytes.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
 #[derive(Debug)]
 enum Halves {
-    /// Both are here.
+    /// Both halves are in place.
     Joined(TcpStream),
     /// The write half was taken out.
     ReadOnly(OwnedReadHalf),
@@ -34,7 +34,7 @@
     pub(super) received: BytesMut,
     /// When the other end's close was first seen.
     closed_since: Option<Instant>,
-    /// Who is at its other end.
+    /// The kind of peer at the other end.
     pub(crate) peer: PeerKind,
 }
 
@@ -43,21 +43,22 @@
 pub(crate) enum ConnectionEvent {
     /// Bytes were received.
     Received,
-    /// The other end closed in order.
+    /// The other end closed in an orderly way.
     Closed,
     /// The connection broke.
     Broken,
 }
 
 impl Connection {
-    /// Over a stream that is connected.
+    /// Create a connection over a connected stream.
     pub(crate) fn new(stream: TcpStream, peer: PeerKind) -> Self {
         let _ = stream.set_nodelay(true);
         Connection { halves: Halves::Joined(stream), received: BytesMut::new(), closed_since: None, peer }
     }
 
     /// Whether an idle connection can carry another request: nothing was received that was not asked for, and the other
-    /// end has not closed. The system is asked, not the reactor, which knows only what had arrived when it last looked.
+    /// end has not closed. This peeks at the socket instead of asking the reactor, which knows only what had
+    /// arrived at its last poll.
     pub(crate) fn is_reusable(&self) -> bool {
         let Halves::Joined(stream) = &self.halves else { return false };
         if mutation::is_active(Mutation::SurplusBytesKept) {
@@ -68,7 +69,7 @@
         self.received.is_empty() && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether bytes were received behind the last message.
+    /// Whether bytes were received after the last message.
     pub(crate) fn has_unread_bytes(&self) -> bool {
         !self.received.is_empty() && !mutation::is_active(Mutation::SurplusBytesKept)
     }
@@ -83,12 +84,12 @@
         self.closed_since.unwrap_or_else(Instant::now)
     }
 
-    /// Whether both halves are here.
+    /// Whether both halves are in place.
     pub(crate) fn has_both_halves(&self) -> bool {
         matches!(self.halves, Halves::Joined(_))
     }
 
-    /// Take the write half out, so that both directions can proceed at the same time; `None` if it is not here.
+    /// Take the write half out, so that both directions can proceed at the same time; `None` if it is not in place.
     pub(crate) fn take_write_half(&mut self) -> Option<OwnedWriteHalf> {
         match std::mem::replace(&mut self.halves, Halves::Taken) {
             Halves::Joined(stream) => {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Receive bytes behind those that are here; 0: the other end has closed.
+    /// Receive bytes and append them to the buffer; 0: the other end has closed.
     pub(super) async fn receive(&mut self) -> io::Result<usize> {
         self.received.reserve(READ_BYTES);
         let length = match &mut self.halves {
@@ -124,7 +125,7 @@
         Ok(length)
     }
 
-    /// Wait until bytes are received, which are kept, or the connection ends.
+    /// Wait until bytes are received, which stay in the buffer, or the connection ends.
     pub(crate) async fn wait_for_event(&mut self) -> ConnectionEvent {
         match self.receive().await {
             Ok(0) => ConnectionEvent::Closed,
@@ -138,7 +139,7 @@
         !self.received.is_empty() || matches!(timeout(idle_timeout, self.receive()).await, Ok(Ok(n)) if n > 0)
     }
 
-    /// Write bytes; both halves have to be here.
+    /// Write bytes; both halves have to be in place.
     ///
     /// # Errors
     /// Those of the socket, and `NotConnected` while the write half is out.
@@ -149,22 +150,22 @@
         }
     }
 
-    /// Have the next close reset the connection: what was written can't be taken for complete.
+    /// Make the close reset the connection, so that the other end can't take what was written for complete.
     pub(crate) fn reset_on_close(&mut self) {
         if let Halves::Joined(stream) = &self.halves {
             let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
         }
     }
 
-    /// Close the write half in order.
+    /// Shut down the write half.
     pub(crate) async fn shut_down_writing(&mut self) {
         if let Halves::Joined(stream) = &mut self.halves {
             let _ = stream.shutdown().await;
         }
     }
 
-    /// Close in order behind a last message: input is read away for at most this long, as a close with bytes unread
-    /// resets the connection, and the other end could lose the message.
+    /// Close gracefully after a last message: input is read and discarded for at most `discard_timeout`, since a close with
+    /// unread bytes resets the connection and the other end could lose the message.
     pub(crate) async fn close_gracefully(&mut self, discard_timeout: Duration) {
         self.shut_down_writing().await;
         let read = async {
--- a/crates/daemon/mesh/src/wire/error.rs
+++ b/crates/daemon/mesh/src/wire/error.rs
@@ -8,13 +8,13 @@
 pub(crate) enum ReadError {
     /// The connection ended between two messages.
     Closed,
-    /// It ended, or broke, within a message.
+    /// The connection ended or broke within a message.
     Interrupted,
     /// What was received is not a message within the limits.
     Invalid(MessageError),
     /// The message was not complete in time.
     TimedOut,
-    /// The memory for buffered bodies is in use.
+    /// The memory budget for buffered bodies is exhausted.
     BodyBudgetExhausted,
 }
 
@@ -27,8 +27,8 @@
             ReadError::Interrupted => {
                 write!(f, "the connection ended within a message (it may have been processed)")
             }
-            ReadError::Invalid(bad) => {
-                write!(f, "the message is not valid HTTP/1.1 within the limits: {bad:?}")
+            ReadError::Invalid(error) => {
+                write!(f, "the message is not valid HTTP/1.1 within the limits: {error:?}")
             }
             ReadError::TimedOut => {
                 write!(f, "the message was not complete in time (send it faster or raise the limit)")
@@ -47,7 +47,7 @@
 }
 
 impl From<MessageError> for ReadError {
-    fn from(bad: MessageError) -> Self {
-        ReadError::Invalid(bad)
+    fn from(error: MessageError) -> Self {
+        ReadError::Invalid(error)
     }
 }
--- a/crates/daemon/mesh/src/wire/header_names.rs
+++ b/crates/daemon/mesh/src/wire/header_names.rs
@@ -1,6 +1,5 @@
-//! Names of headers on the wire, as the pages give them; `Member-Step` alone is in `member_throttle/step_header.rs`. The old
-//! words stay here because clients, upstreams and sidecars of other versions send them. Names are read without regard to
-//! case.
+//! Header names on the wire, as documented; only `Member-Step` is in `member_throttle/step_header.rs`. They must not change,
+//! because clients, upstreams and sidecars of other versions send them. Names are compared case-insensitively.
 
 /// On a request: its correlation id, returned with its response.
 pub(crate) const ATTEMPT_ID: &str = "Attempt-Id";
@@ -12,7 +11,7 @@
 pub(crate) const SENDER: &str = "Sender";
 /// On a request between sidecars: what the upstream gate needs to know of it (`forwarding_headers`).
 pub(crate) const FORWARDING: &str = "Waybill";
-/// On a response between sidecars: the gate's own status, as against the upstream's.
+/// On a response between sidecars: the gate's own status, as opposed to the upstream's.
 pub(crate) const GATE_STATUS: &str = "Waybill-Return";
 /// On a response between sidecars, the first of its connection and those to an attempt query: the incarnation of the
 /// gate's process, in hexadecimal.
@@ -26,6 +25,6 @@
 /// On a response: how long the upstream is still warming up, in milliseconds.
 pub(super) const WARM_UP_LEFT_MS: &str = "Cold-Ms";
 
-/// Headers of a request that this program sets itself, or that are for it alone: they are not forwarded as they come.
+/// Request headers that are not forwarded as received: this program sets them itself or is their only reader.
 pub(super) const NOT_FORWARDED: [&str; 6] =
     [DEADLINE_MS, EXPECTED_UPSTREAM, SENDER, "host", FORWARDING, GATE_STATUS];
--- a/crates/daemon/mesh/src/wire/limits.rs
+++ b/crates/daemon/mesh/src/wire/limits.rs
@@ -1,4 +1,4 @@
-//! How large the parts of a message may be, by the kind of peer that sends it.
+//! Size limits of messages, by the kind of peer that sends them.
 
 /// A body of up to this many bytes is buffered whole, so that it can be sent again if it has not run; a larger one is
 /// streamed.
@@ -14,7 +14,7 @@
 /// Header lines of any head.
 pub(super) const MAX_PARSED_HEADER_LINES: usize = MAX_HEADER_LINES + MAX_ADDED_HEADER_LINES;
 
-/// Who is at the other end of a connection; the limits of what it may send depend on that.
+/// The kind of peer at the other end of a connection, which determines the limits of what it may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerKind {
     /// A client, an upstream or an operator: heads of this many bytes, [`MAX_HEAD_BYTES`] at most.
--- a/crates/daemon/mesh/src/wire/reading.rs
+++ b/crates/daemon/mesh/src/wire/reading.rs
@@ -1,4 +1,4 @@
-//! Messages as they are read from a connection: a request's head, a response, and bodies whole, in part or streamed.
+//! Reading messages from a connection: heads of requests, responses, and bodies whole, in part or streamed.
 use super::request_head::{self, RequestHead};
 use super::response::{self, ParsedResponseHead, Response};
 use super::{Connection, ReadError, MAX_BUFFERED_BODY_BYTES};
@@ -76,7 +76,7 @@
         timeout(head_timeout, read).await.unwrap_or(Err(ReadError::TimedOut))
     }
 
-    /// What it means that the other end has closed before a message was complete.
+    /// The error for a close by the other end before a message was complete.
     fn end_of_input(&self) -> ReadError {
         match self.received.is_empty() {
             true => ReadError::Closed,
--- a/crates/daemon/mesh/src/wire/request_head.rs
+++ b/crates/daemon/mesh/src/wire/request_head.rs
@@ -1,4 +1,4 @@
-//! The head of a request as it is read: the headers that matter here by name, the others to be forwarded.
+//! Parsing heads of requests: headers that this program uses by name, and the others to be forwarded.
 use super::header_names::{ATTEMPT_ID, DEADLINE_MS, EXPECTED_UPSTREAM, FORWARDING, NOT_FORWARDED, SENDER};
 use super::limits::MAX_PARSED_HEADER_LINES;
 use super::ReadError;
@@ -6,9 +6,9 @@
 use silvercross_net::http::{self, Framing, Limits, MessageError};
 use silvercross_time::Duration;
 
-/// What a request that states no timeout is given.
+/// Timeout of a request that states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
-/// The longest time that a sender can state; a longer one counts as this.
+/// Longest timeout that a sender can state, in milliseconds; longer ones are reduced to this.
 const MAX_TIMEOUT_MS: f64 = 1e9;
 
 /// The head of a request, in owned parts.
@@ -36,7 +36,7 @@
     pub(crate) framing: Framing,
     /// Whether the connection may carry another request.
     pub(crate) keep_alive: bool,
-    /// Its sender holds the body back until it reads 100 (Continue) (RFC 9110, 10.1.1).
+    /// Its sender sends the body only after 100 (Continue) (RFC 9110, 10.1.1).
     pub(crate) expects_continue: bool,
     /// HTTP/1.0: its sender understands no chunks.
     pub(crate) is_http_10: bool,
@@ -88,7 +88,7 @@
         method: parsed.method.to_string(),
         target: http::origin_form(parsed.target).to_string(),
         host: host.unwrap_or("").to_string(),
-        // An empty id can't tell one response from another.
+        // An empty id does not distinguish responses.
         attempt_id: headers.one(ATTEMPT_ID)?.filter(|id| !id.is_empty()).map(str::to_string),
         timeout: headers.one(DEADLINE_MS)?.map(parse_timeout).transpose()?,
         expected_upstream: headers.one(EXPECTED_UPSTREAM)?.map(str::to_string),
--- a/crates/daemon/mesh/src/wire/response.rs
+++ b/crates/daemon/mesh/src/wire/response.rs
@@ -1,4 +1,4 @@
-//! A response as it is read: the headers that matter here by name, the others to be forwarded.
+//! Parsing heads of responses: headers that this program uses by name, and the others to be forwarded.
 use super::header_names::{
     ATTEMPT_ID, GATE_INCARNATION, GATE_STATUS, NOT_DELIVERED, UPSTREAM_ID, UPSTREAM_STAMP, WARM_UP_LEFT_MS,
 };
@@ -9,7 +9,7 @@
 use silvercross_net::http::{self, Framing, Limits};
 use silvercross_time::Duration;
 
-/// The longest warm-up that an upstream can state; a longer one counts as this.
+/// Longest warm-up that an upstream can state, in milliseconds; longer ones are reduced to this.
 const MAX_WARM_UP_MS: f64 = 1e9;
 
 /// A response: its head and its body, or as much of the body as is buffered.
@@ -23,11 +23,11 @@
     pub(crate) attempt_id: Option<String>,
     /// The id of the upstream, if it states one.
     pub(crate) upstream_id: Option<String>,
-    /// It has the upstream's stamp, so it is the upstream's own.
+    /// It has the upstream's stamp, so the upstream itself sent it.
     pub(crate) has_upstream_stamp: bool,
     /// It says that the request did not run.
     pub(crate) is_not_delivered: bool,
-    /// It has a content coding, which nobody asked for.
+    /// It has a content coding, which no request asks for.
     pub(crate) has_content_encoding: bool,
     /// How long its upstream is still warming up.
     pub(crate) warm_up_left: Option<Duration>,
@@ -43,7 +43,7 @@
     pub(crate) content_length: Option<usize>,
     /// The body, or its beginning.
     pub(crate) body: Vec<u8>,
-    /// The buffered body's part of the budget.
+    /// The share of the body budget that the buffered body takes.
     pub(crate) reservation: Option<BodyReservation>,
 }
 
@@ -54,7 +54,7 @@
     pub(super) framing: Framing,
 }
 
-/// Parse the head of a response; `None` while it is incomplete. Only a sidecar's headers about its gate are believed.
+/// Parse the head of a response; `None` while it is incomplete. Headers about the gate are accepted only from sidecars.
 pub(super) fn parse(
     bytes: &[u8],
     limits: Limits,
--- a/crates/daemon/mesh/src/wire/writing.rs
+++ b/crates/daemon/mesh/src/wire/writing.rs
@@ -1,12 +1,12 @@
-//! Messages as they are written: status lines, heads, and bodies whole or in parts.
+//! Encoding and writing messages: status lines, heads, and bodies whole or in parts.
 //!
-//! `silvercross_net::http` encodes responses too, for the sidecar of today: into a fixed buffer, with the length ahead of
+//! `silvercross_net::http` encodes responses too, for `silvercross-sidecar`: into a fixed buffer, with the length ahead of
 //! the other headers and other reason phrases. Clients see those bytes, so the two encoders stay apart; parsing is shared.
 use silvercross_net::http::{Framing, MessageError};
 use std::io;
 use tokio::io::AsyncWriteExt;
 
-/// The end of a body in chunks.
+/// The last chunk of a chunked body.
 pub(crate) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// A response's first bytes, or all of them.
@@ -29,7 +29,7 @@
     pub(crate) body: &'r [u8],
     /// The length of the whole body, where it is known.
     pub(crate) content_length: Option<usize>,
-    /// The connection ends behind it.
+    /// The connection is closed after it.
     pub(crate) closes: bool,
     /// Its receiver understands no chunks.
     pub(crate) is_http_10: bool,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Encode a whole response. `lines`: header lines, each with its line end; `closes`: the connection ends behind it;
+/// Encode a whole response. `lines`: header lines, each with its line end; `closes`: the connection is closed after it;
 /// `is_head_request`: its length is stated, its body left out.
 pub(crate) fn encode_response(
     status: u16,
@@ -95,8 +95,8 @@
     out
 }
 
-/// Encode the beginning of a response whose body is streamed. Without a stated length the remainder goes in chunks, and
-/// to a receiver that understands none its end is that of the connection (RFC 9112, 6.3).
+/// Encode the beginning of a response whose body is streamed. Without a known length the remainder is sent in
+/// chunks, or, to an HTTP/1.0 receiver, ends with the connection (RFC 9112, 6.3).
 pub(crate) fn encode_response_start(start: ResponseStart<'_>) -> EncodedResponse {
     let ResponseStart { status, lines, body, content_length, closes, is_http_10 } = start;
     let framing = match content_length {
@@ -117,7 +117,7 @@
     EncodedResponse { bytes, remainder: Some(framing) }
 }
 
-/// Write a part of a body, as a chunk where it is framed so.
+/// Write a part of a body, as a chunk if the body is chunked.
 pub(crate) async fn write_body_part(
     to: &mut (impl AsyncWriteExt + Unpin),
     bytes: &[u8],
@@ -134,9 +134,9 @@
     to.write_all(bytes).await
 }
 
-/// The status that tells a sender what is wrong with its message.
-pub(crate) fn error_status(bad: &MessageError) -> u16 {
-    match bad {
+/// The HTTP status that reports a message error to its sender.
+pub(crate) fn error_status(error: &MessageError) -> u16 {
+    match error {
         MessageError::HeadTooLarge => 431,
         MessageError::BodyTooLarge => 413,
         MessageError::TooManyAhead => 429,
