--- a/crates/daemon/mesh/src/settings.rs
+++ b/crates/daemon/mesh/src/settings.rs
@@ -1,8 +1,8 @@
-//! The settings file that a machine hands its process, and what of it can change while the process runs.
+//! The settings file of a process, and which settings can be reloaded while it runs.
 //!
-//! `node_settings.rs` holds the values as the rest of the process gets them, `file.rs` reads and checks them, `error.rs` says
-//! what is wrong and how to mend it, `watched_file.rs` notices that the file has changed. Keys are the operators' and stay as
-//! they are (`docs/operators/mesh.md`).
+//! `node_settings.rs` holds the validated values, `file.rs` parses and validates the file, `error.rs` describes errors and how
+//! to fix them, `watched_file.rs` detects changes of the file. The keys are a public interface and must not be renamed
+//! (`docs/operators/mesh.md`).
 mod error;
 mod file;
 mod node_settings;
--- a/crates/daemon/mesh/src/settings/error.rs
+++ b/crates/daemon/mesh/src/settings/error.rs
@@ -1,32 +1,32 @@
-//! What is wrong with a settings file, with its key and the mend.
+//! Errors in a settings file, each with its key and how to fix it.
 use std::fmt;
 use std::path::PathBuf;
 
-/// The variable that names the file.
+/// The environment variable that names the settings file.
 pub(crate) const SETTINGS_FILE_VARIABLE: &str = "SILVERCROSS_NODE_FILE";
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum SettingsError {
     /// The file can't be read.
     Unreadable { path: PathBuf, cause: String },
-    /// The content of the file is faulty.
+    /// The content of the file is invalid.
     InFile { path: PathBuf, fault: Box<SettingsError> },
-    /// No YAML, or a key that is missing or of another type. `key` is empty where the fault has none.
+    /// Not YAML, or a key that is missing or of the wrong type. `key` is empty if the error concerns no key.
     Malformed { key: String, cause: String },
     /// `internalPorts` is empty.
     NoPorts,
-    /// `internalPorts` falls.
+    /// `internalPorts` ends below its first port.
     PortsReversed { first: u16, last: u16 },
     /// `zone` is empty.
     NoZone,
     /// `heartbeatS` is out of range.
     HeartbeatOutOfRange { seconds: f64 },
-    /// A sidecar needs this key of `countersAt`.
+    /// A key of `countersAt` that a sidecar needs is missing.
     MissingAddress { key: &'static str, machine_class: String },
     /// An entry of `bounds` without `=`.
     LimitWithoutValue { entry: String },
-    /// An entry of `bounds` whose value is no number from 0 on.
+    /// An entry of `bounds` whose value is not a non-negative number.
     LimitNotANumber { entry: String },
 }
 
--- a/crates/daemon/mesh/src/settings/file.rs
+++ b/crates/daemon/mesh/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file read by figment and checked as a whole. Keys that it doesn't know are disregarded.
+//! Parses the settings file with figment and validates it. Unknown keys are ignored.
 use super::error::SettingsError;
 use super::node_settings::{NodeSettings, PortRange, ReloadableSettings, RuleLimits};
 use figment::providers::{Format, Yaml};
@@ -13,13 +13,13 @@
 const MAX_HEARTBEAT_S: f64 = 3600.0;
 /// The largest span of a limit, in microseconds.
 const MAX_LIMIT_MICROS: f64 = 1e15;
-/// Memory of a process whose file does not say, and the least that counts, in MiB.
+/// Default memory of a process and the smallest value that is used, in MiB.
 const DEFAULT_MEMORY_MB: u64 = 256;
 const MIN_MEMORY_MB: u64 = 32;
-/// File descriptors of a process whose file does not say.
+/// Default number of file descriptors of a process.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
 
-/// The keys of the file, named as operators write them.
+/// The keys of the settings file.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct SettingsFile {
@@ -66,20 +66,20 @@
     1.5
 }
 
-/// Read the file and check it as a whole.
+/// Reads and validates the settings file.
 ///
 /// # Errors
-/// The first fault, with the file's path.
+/// The first error found, with the file's path.
 pub(crate) fn read(path: &Path) -> Result<NodeSettings, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| SettingsError::Unreadable { path: path.to_owned(), cause: error.to_string() })?;
     parse(&text).map_err(|fault| SettingsError::InFile { path: path.to_owned(), fault: Box::new(fault) })
 }
 
-/// Read settings from their text.
+/// Parses and validates settings from text.
 ///
 /// # Errors
-/// The first fault.
+/// The first error found.
 pub(crate) fn parse(text: &str) -> Result<NodeSettings, SettingsError> {
     let file: SettingsFile = Figment::from(Yaml::string(text)).extract().map_err(|error| {
         SettingsError::Malformed { key: error.path.join("."), cause: error.kind.to_string() }
@@ -147,7 +147,7 @@
     }
 }
 
-/// Entries `name=number`; names that it doesn't know are disregarded.
+/// Parses entries `name=number`; unknown names are ignored.
 fn rule_limits(entries: &[String]) -> Result<RuleLimits, SettingsError> {
     let mut limits = RuleLimits::default();
     for entry in entries {
--- a/crates/daemon/mesh/src/settings/node_settings.rs
+++ b/crates/daemon/mesh/src/settings/node_settings.rs
@@ -1,63 +1,63 @@
-//! What a process knows of itself and its machine from its settings.
+//! The settings of a process and its machine.
 use silvercross_mesh_membership::Node;
 use silvercross_time::Duration;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// The ports between nodes, both included.
+/// The port range for traffic between nodes, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PortRange {
-    /// Links and datagrams use this one.
+    /// The port of links and datagrams.
     pub(crate) first: u16,
-    /// The last free one.
+    /// The last port of the range.
     pub(crate) last: u16,
 }
 
-/// What a process knows of itself and its machine.
+/// The settings of a process and its machine.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct NodeSettings {
-    /// The machine's name, for logs.
+    /// The node's name, for logs.
     pub(crate) name: String,
-    /// Whether it is one of the few that hold the control state.
+    /// Whether this is a control node, which holds the control state.
     pub(crate) is_control: bool,
-    /// Its address.
+    /// The node's IPv4 address.
     pub(crate) ip: Ipv4Addr,
-    /// Its zone.
+    /// The node's zone.
     pub(crate) zone: String,
-    /// All zones that are named, in order.
+    /// All configured zones, in order.
     pub(crate) zones: Vec<String>,
-    /// Where other sidecars bring requests.
+    /// Listen address for requests from other sidecars.
     pub(crate) inbound_address: Option<SocketAddr>,
-    /// Where the machine's clients connect.
+    /// Listen address for the machine's clients.
     pub(crate) outbound_address: Option<SocketAddr>,
-    /// Where the platform asks for readiness.
+    /// Listen address for the platform's readiness probes.
     pub(crate) ready_address: Option<SocketAddr>,
-    /// Where upstreams and operators call.
+    /// Listen address for calls of upstreams and operators.
     pub(crate) control_address: Option<SocketAddr>,
-    /// The ports between nodes.
+    /// The port range for traffic between nodes.
     pub(crate) internal_ports: PortRange,
     /// Control addresses of machines that may be up.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time.
     pub(crate) is_first_start: bool,
-    /// Memory for this process, in bytes.
+    /// Memory limit of this process, in bytes.
     pub(crate) memory_bytes: u64,
-    /// File descriptors for this process.
+    /// File descriptor limit of this process.
     pub(crate) max_descriptors: u64,
-    /// Where the disk is, if there is one.
+    /// The data directory, if there is a disk.
     pub(crate) data_dir: Option<PathBuf>,
     /// The upstream on this machine.
     pub(crate) upstream_address: Option<SocketAddr>,
-    /// Its service.
+    /// The service of that upstream.
     pub(crate) upstream_service: String,
-    /// What can change while the process runs.
+    /// Settings that can be reloaded while the process runs.
     pub(crate) reloadable: ReloadableSettings,
 }
 
-/// What can change while the process runs, besides the seeds.
+/// Settings that can be reloaded while the process runs, besides the seeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReloadableSettings {
-    /// Time between an upstream's heartbeats.
+    /// Interval between an upstream's heartbeats.
     pub(crate) heartbeat_interval: Duration,
     /// The limits of the rules.
     pub(crate) limits: RuleLimits,
@@ -66,17 +66,17 @@
 /// The limits of the rules (`bounds` in the file).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RuleLimits {
-    /// Attempts at a draining upstream end within this.
+    /// Time in which attempts at a draining upstream end.
     pub(crate) drain_timeout: Duration,
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL.
     pub(crate) grace: Duration,
-    /// Retries, as a share of the requests.
+    /// Allowed retries as a fraction of the requests.
     pub(crate) retry_ratio: f64,
-    /// And so many more.
+    /// Retries allowed in addition to the fraction.
     pub(crate) retry_allowance: f64,
-    /// The rate of an upstream that warms up is exceeded by no more than this multiple.
+    /// Largest multiple by which the rate of a warming-up upstream may be exceeded.
     pub(crate) warm_up_overrun: f64,
-    /// And so many more requests.
+    /// Requests allowed in addition to the multiple.
     pub(crate) warm_up_allowance: f64,
 }
 
@@ -94,7 +94,7 @@
 }
 
 impl RuleLimits {
-    /// Those that admission at the upstream keeps.
+    /// The limits that admission control at the upstream enforces.
     pub(crate) fn admission_settings(&self) -> silvercross_admission::AdmissionSettings {
         silvercross_admission::AdmissionSettings {
             drain_timeout: self.drain_timeout,
@@ -105,7 +105,7 @@
 }
 
 impl NodeSettings {
-    /// The seeds as nodes; those without an IPv4 address are none.
+    /// The seeds as nodes; seeds without an IPv4 address are skipped.
     pub(crate) fn seed_nodes(&self) -> Vec<Node> {
         let node = |seed: &SocketAddr| match seed.ip() {
             IpAddr::V4(v4) => Some(Node(v4.to_bits())),
--- a/crates/daemon/mesh/src/settings/tests.rs
+++ b/crates/daemon/mesh/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! The settings file as operators write it. In the package, for a program has no library to import.
+//! Tests of the settings file format. In the package, because a binary has no library to import.
 use super::{parse, read, SETTINGS_FILE_VARIABLE};
 use silvercross_time::Duration;
 use std::path::Path;
--- a/crates/daemon/mesh/src/settings/watched_file.rs
+++ b/crates/daemon/mesh/src/settings/watched_file.rs
@@ -1,20 +1,20 @@
-//! Whether the settings file has changed since it was read last.
+//! Detects whether the settings file has changed since it was last read.
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// What is looked at to see a change.
+/// File metadata that is compared to detect a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileStamp {
     modified: SystemTime,
     length: u64,
 }
 
-/// The settings file as it was last looked at.
+/// The settings file and its metadata at the last check.
 #[derive(Default)]
 pub(crate) struct WatchedSettingsFile {
     path: RefCell<Option<PathBuf>>,
-    /// `None`: it could not be looked at.
+    /// `None`: its metadata could not be read.
     seen: Cell<Option<FileStamp>>,
 }
 
@@ -24,13 +24,13 @@
 }
 
 impl WatchedSettingsFile {
-    /// This is the file, read a moment ago.
+    /// Starts watching the file, which was just read.
     pub(crate) fn begin(&self, path: &Path) {
         self.seen.set(stamp(path));
         *self.path.borrow_mut() = Some(path.to_path_buf());
     }
 
-    /// The path, if the file looks different from when it was seen last, or if `always`; it counts as seen from here on.
+    /// Returns the path if the file's metadata changed since the last check, or if `always`, and records the new metadata.
     pub(crate) fn changed(&self, always: bool) -> Option<PathBuf> {
         let path = self.path.borrow().clone()?;
         let stamp = stamp(&path);
