--- a/crates/daemon/mesh/src/event_stream.rs
+++ b/crates/daemon/mesh/src/event_stream.rs
@@ -1,8 +1,8 @@
-//! What happens in the mesh as events, for other tools: JSON lines at `control`, read at once or followed.
+//! Events of the mesh for other tools: JSON lines at the control address, read once or followed.
 //!
-//! Off unless the role is started with `--feed`. `silvercross-event-feed` decides which events there are and who has missed
-//! which; `state.rs` hands it what this node learns, `query.rs` reads what a reader asks for, `serve.rs` answers.
-//! Paths, parameters and the keys of the JSON are the wire's.
+//! Off unless the process is started with `--feed`. `silvercross-event-feed` keeps the events and detects which ones a reader
+//! missed; `state.rs` publishes what this node learns, `query.rs` parses readers' calls, `serve.rs` answers them. Paths,
+//! parameters and JSON keys are part of the wire protocol.
 mod query;
 mod serve;
 mod state;
--- a/crates/daemon/mesh/src/event_stream/query.rs
+++ b/crates/daemon/mesh/src/event_stream/query.rs
@@ -1,35 +1,35 @@
-//! What a reader of events asks for: the query of its call, and cursors in the body, one a line.
+//! Parses a call for events: the query parameters, and cursors in the body, one a line.
 use crate::wire::RequestHead;
 use silvercross_event_feed::{Cursor, CursorError, Filter};
 use std::fmt;
 
-/// The path of the event stream. A name of the wire.
+/// The path of the event stream. Part of the wire protocol.
 pub(super) const EVENTS_PATH: &str = "/-/Post.Events";
-/// Lines of one response, at most.
+/// Largest `limit` of one response, in lines.
 const MAX_LINES_PER_RESPONSE: usize = 1_000;
 
-/// What is asked for.
+/// A parsed call for events.
 pub(super) struct EventQuery {
-    /// Where the reader stands.
+    /// The reader's position.
     pub(super) cursor: Cursor,
-    /// Which events it wants.
+    /// Selects the events.
     pub(super) filter: Filter,
-    /// Whether it follows, or gets one response.
+    /// Whether the reader follows the stream, or gets one response.
     pub(super) follow: bool,
-    /// Lines of that response, at most.
+    /// Most lines of that one response.
     pub(super) limit: usize,
 }
 
-/// Why a call can't be read.
+/// Why a call is invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum QueryError {
-    /// A parameter that is none.
+    /// A parameter that is not known.
     UnknownParameter { name: String },
     /// `limit` is out of range.
     BadLimit { value: String },
-    /// A cursor, and what is wrong with it.
+    /// A cursor is invalid.
     BadCursor(CursorError),
-    /// The body is no text.
+    /// The body is not UTF-8 text.
     BodyNotText,
 }
 
@@ -50,7 +50,7 @@
 
 impl std::error::Error for QueryError {}
 
-/// Whether this is a call for events.
+/// Whether the request is a call for events.
 pub(crate) fn is_event_stream_call(request: &RequestHead) -> bool {
     let path = request.target.split('?').next();
     matches!(request.method.as_str(), "GET" | "POST") && path == Some(EVENTS_PATH)
@@ -61,10 +61,10 @@
 }
 
 impl EventQuery {
-    /// Read a call.
+    /// Parses a call.
     ///
     /// # Errors
-    /// The first fault.
+    /// The first error found.
     pub(super) fn read(target: &str, body: &[u8]) -> Result<EventQuery, QueryError> {
         let (cursor, filter) = (Cursor::default(), Filter::default());
         let mut query = EventQuery { cursor, filter, follow: false, limit: MAX_LINES_PER_RESPONSE };
@@ -94,7 +94,7 @@
     }
 }
 
-/// Text with its `%XX` decoded; what is no code stays as it is.
+/// Decodes `%XX` in text; invalid sequences are kept.
 fn percent_decoded_lossy(text: &str) -> String {
     let mut decoded = Vec::with_capacity(text.len());
     let bytes = text.as_bytes();
--- a/crates/daemon/mesh/src/event_stream/serve.rs
+++ b/crates/daemon/mesh/src/event_stream/serve.rs
@@ -1,4 +1,4 @@
-//! Readers of events answered: with what there is, or for as long as they follow.
+//! Serves readers of events: one response with the current events, or a stream for readers that follow.
 use super::query::EventQuery;
 use super::state::EventStream;
 use crate::node_state::NodeState;
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// Readers that follow at a time; those beyond are told to come back.
+/// Most concurrent followers; further readers are told to retry later.
 const MAX_FOLLOWERS: usize = 1_100;
-/// Lines that are written to a follower at a time.
+/// Most lines per write to a follower.
 const LINES_PER_WRITE: usize = 64;
-/// What gathers in this time goes in one write.
+/// Delay before a write, in which events are batched.
 const GATHER_TIME: Duration = Duration::from_millis(50);
-/// A reader that takes nothing for so long is let go.
+/// A reader that a write is blocked on for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Without events an empty line goes so often, so that an end is noticed at both sides.
+/// Interval of empty lines while there are no events, so that both sides detect a lost connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
-/// A cursor goes to a follower after so many events,
+/// A cursor is sent to a follower after this many events,
 const CURSOR_AFTER_LINES: usize = 64;
-/// or so long after the last one, if there were events since.
+/// or this long after the last cursor, if there were events since.
 const CURSOR_INTERVAL: Duration = Duration::from_secs(10);
-/// When a reader that found too many others comes back, in seconds.
+/// `Retry-After` for a reader beyond the limit, in seconds.
 const RETRY_AFTER_S: u32 = 5;
 
-/// One more follower for as long as it lives.
+/// Counts one follower until it is dropped.
 struct Follower<'e>(&'e Cell<usize>);
 
 impl<'e> Follower<'e> {
@@ -49,7 +49,7 @@
     wire::encode_response(status, lines.as_bytes(), body.as_bytes(), true, false)
 }
 
-/// Answer a call for events; the connection ends with it.
+/// Answers a call for events, and closes the connection afterwards.
 pub(crate) async fn serve(
     node_state: Rc<NodeState>,
     mut connection: Connection,
@@ -71,7 +71,7 @@
         }
         (Some(stream), Ok(query)) => current_events(&node_state, stream, query),
     };
-    // A reader that is gone needs no answer.
+    // A failed write means that the reader is gone.
     let _ = timeout(WRITE_TIMEOUT, connection.write(&bytes)).await;
 }
 
@@ -84,7 +84,7 @@
     wire::encode_response(200, b"Content-Type: application/x-ndjson\r\n", &output, true, false)
 }
 
-/// When a follower gets a cursor.
+/// Decides when a follower is sent a cursor.
 struct CursorSchedule {
     lines_since: usize,
     last: Instant,
@@ -92,7 +92,7 @@
 }
 
 impl CursorSchedule {
-    /// So many lines were written, and whether that is all there is; whether a cursor is due.
+    /// Records that `lines` were written and returns whether a cursor is due; `is_all`: no further events are available.
     fn is_due(&mut self, lines: usize, is_all: bool) -> bool {
         self.lines_since += lines;
         let is_late = self.lines_since > 0 && self.last.elapsed() >= CURSOR_INTERVAL;
@@ -127,7 +127,7 @@
                 return;
             }
         }
-        // Many wait for long: none keeps memory meanwhile.
+        // Many followers wait for long: frees the buffer meanwhile.
         output = Vec::new();
         if !is_all {
             continue;
@@ -136,7 +136,7 @@
         if !stream.feed.borrow().has_more(&reader) {
             tokio::select! {
                 _ = appended => tokio::time::sleep(GATHER_TIME).await,
-                // A follower says nothing; if it does, or ends, it is over.
+                // A follower sends nothing: data or a closed connection ends the stream.
                 _ = connection.wait_for_event() => return,
                 _ = node_state.idle_connections_closing() => return,
                 _ = tokio::time::sleep(KEEPALIVE_INTERVAL) => output.push(b'\n'),
--- a/crates/daemon/mesh/src/event_stream/state.rs
+++ b/crates/daemon/mesh/src/event_stream/state.rs
@@ -1,4 +1,4 @@
-//! The events of this process: what it learns of nodes, upstreams and control entries, handed to the feed. Knows nothing of readers'
+//! Publishes what this process learns of nodes, upstreams and control entries to the event feed. Independent of readers'
 //! connections.
 use crate::control_value::{evacuated_zone, ControlValue, CONFIGURATION_KEY};
 use crate::peers::{RecordBody, UpstreamRecord};
@@ -10,17 +10,17 @@
 use std::net::Ipv4Addr;
 use tokio::sync::Notify;
 
-/// Longer texts of items are cut in events, in characters.
+/// Longest text of an item in an event, in characters; longer ones are truncated.
 const MAX_TEXT_CHARS: usize = 200;
-/// No more destinations of a route are named in an event.
+/// Most destinations of a route that an event names.
 const MAX_NAMED_DESTINATIONS: usize = 8;
 
 /// The events of this process.
 pub(crate) struct EventStream {
     pub(super) feed: RefCell<EventFeed>,
-    /// Notified when there are events that were not there before.
+    /// Notified when events were appended.
     pub(super) appended: Notify,
-    /// Readers that follow.
+    /// Number of readers that follow the stream.
     pub(super) followers: Cell<usize>,
     rejected_calls: Cell<u64>,
 }
@@ -33,22 +33,22 @@
     Ipv4Addr::from_bits(bits).to_string()
 }
 
-/// An item of the configuration, or that it was dropped.
+/// A configuration item, present or deleted.
 struct Item<'i> {
-    /// What it is an item of.
+    /// The collection that it belongs to.
     collection: &'i str,
     name: &'i str,
     version: u64,
 }
 
-/// What an event says of an item that stands.
+/// The content of an event about a present item.
 struct ItemContent {
     service: String,
     state: Value,
 }
 
 impl EventStream {
-    /// Nothing has happened yet.
+    /// Creates an event stream without events.
     pub(crate) fn new() -> Self {
         EventStream {
             feed: RefCell::new(EventFeed::new(Limits::default())),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counters, under the names of the metrics page.
+    /// The counters, with the keys of the metrics page.
     pub(crate) fn metrics(&self) -> Value {
         let feed = self.feed.borrow().metrics();
         json!({ "followers": self.followers.get(), "keys": feed.keys, "events": feed.events,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// What is known of a node and of its upstream, as its record says.
+    /// Publishes the state of a node and of its upstream from the node's record.
     pub(crate) fn record(&self, record: &NodeRecord<RecordBody>) {
         let position = Position {
             epoch: record.incarnation,
@@ -112,7 +112,7 @@
         self.append(EventContent { key, position, zone, ..event });
     }
 
-    /// A control entry is in force here.
+    /// Publishes a control entry that is now in force on this node.
     pub(crate) fn control_entry(&self, key: &str, revision: Revision, value: &ControlValue) {
         let (round, owner, change) = revision.into();
         let position = Position { epoch: round, owner, ..Position::default() };
@@ -144,11 +144,11 @@
         }
     }
 
-    /// An item stands, or with no content was dropped. `content` is asked for only where that is new.
+    /// Publishes a configuration item; without content it was deleted. `content` is called only if this version is new.
     fn item(&self, item: &Item, content: impl FnOnce() -> Option<ItemContent>) {
         let key = format!("item/{}/{}", item.collection, item.name);
         let position = Position { version: item.version.saturating_add(1), ..Position::default() };
-        // Most stand as they stood: nothing is made of them.
+        // Most items are unchanged: skips building their content.
         if self.feed.borrow().last_position(&key).is_some_and(|seen| seen >= position) {
             return;
         }
@@ -195,7 +195,7 @@
         }
     }
 
-    /// A call was rejected by the node at `own_ip`, in this incarnation of it. Only that node tells of it.
+    /// Publishes that this node, at `own_ip` and in this incarnation, rejected a call. No other node publishes it.
     pub(crate) fn call_rejected(&self, own_ip: Ipv4Addr, incarnation: u64, key: &str, reason: &str) {
         let number = self.rejected_calls.get() + 1;
         self.rejected_calls.set(number);
