--- a/crates/daemon/mesh/src/member_throttle.rs
+++ b/crates/daemon/mesh/src/member_throttle.rs
@@ -1,9 +1,9 @@
-//! Members on one node: whose a request is and how long it waits, how far each member's lapse has come, and, where this node
-//! owns a lapse's key, the singleton that takes it on.
+//! Throttling of members on one node: identifies the member of a request and delays it, tracks the progress of each member's
+//! lapse, and, if this node owns a lapse's key, advances it as a singleton.
 //!
-//! Everything is decided in `silvercross-throttle`; here time passes and requests wait. Where there is no member, a request costs
-//! one look at a flag, and no task runs. Read on in `state.rs`, then `requests.rs` (the data path), `lapse_owner.rs` (the
-//! singleton), and `report.rs` and `item_changes.rs` (operators' calls).
+//! `silvercross-throttle` makes all decisions; this module provides clocks and timers. Without members a request costs one
+//! check of a flag, and the lapse owner sleeps. Start with `state.rs`, then `requests.rs` (the data path), `lapse_owner.rs`
+//! (the singleton), and `report.rs` and `item_changes.rs` (operators' calls).
 mod item_changes;
 mod lapse_owner;
 mod report;
--- a/crates/daemon/mesh/src/member_throttle/item_changes.rs
+++ b/crates/daemon/mesh/src/member_throttle/item_changes.rs
@@ -1,22 +1,22 @@
-//! Operators' changes of one member: its item as it stands, changed, and sent as the next version. Keys are the wire's.
+//! Operators' changes of one member: its current item, modified, as the next version. Keys are part of the wire protocol.
 use serde_json::{json, Map, Value};
 use std::fmt;
 
-/// What a renewal may change of an item.
+/// Keys of an item that a renewal may change.
 const RENEWABLE_KEYS: [&str; 4] = ["plan", "lapsesAt", "lapsesInS", "slowing"];
-/// What a lapse that begins now is sent as, in seconds: no span may be 0.
+/// Time until a lapse that is to begin now, in seconds: spans must not be 0.
 const AT_ONCE_S: f64 = 0.001;
 
-/// Why a member's item can't be changed so.
+/// Why a change of a member's item is invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ItemChangeError {
-    /// The item that stands is none.
+    /// The current item can't be parsed.
     UnreadableItem,
-    /// The body of the call is no JSON object.
+    /// The body of the call is not a JSON object.
     UnreadableBody,
-    /// A key that a renewal doesn't change.
+    /// A key that a renewal can't change.
     NotRenewable { key: String },
-    /// Nothing says until when.
+    /// The end of the trial is missing.
     NoEnd,
 }
 
@@ -42,7 +42,7 @@
 
 impl std::error::Error for ItemChangeError {}
 
-/// A name out of a call's path, where `%20` stands for a blank; `None` if it is no text.
+/// Percent-decodes a name from a call's path; `None` if it is not valid text.
 pub(crate) fn percent_decoded(path: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(path.len());
     let mut rest = path.as_bytes();
@@ -72,11 +72,11 @@
     json!({ "deliver": { "members": [item] } }).to_string()
 }
 
-/// The call that renews a member: its item's next version, with what `body` changes of it. Without a body a trial that was
-/// given for a span gets the same span again.
+/// The patch that renews a member: its item's next version, with the changes of `body`. Without a body a trial that was given
+/// as a span gets the same span again.
 ///
 /// # Errors
-/// What keeps the item from being renewed so.
+/// Why the item can't be renewed this way.
 pub(crate) fn renewed_item(item: &str, body: &[u8]) -> Result<String, ItemChangeError> {
     let mut item = next_version(item)?;
     let given = if body.trim_ascii().is_empty() { b"{}" } else { body };
@@ -102,7 +102,7 @@
     Ok(patch(item))
 }
 
-/// The call that ends a member's trial now.
+/// The patch that ends a member's trial now.
 ///
 /// # Errors
 /// [`ItemChangeError::UnreadableItem`].
--- a/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
+++ b/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
@@ -1,4 +1,5 @@
-//! The singleton that takes lapses on: it runs on the node that owns a lapse's key, by the time of day that the replicas agree on.
+//! The singleton that advances lapses: it runs on the node that owns a lapse's key, by the wall-clock time that the replicas
+//! agree on.
 use super::state::{LapseOwner, MemberThrottle};
 use super::wall_clock::wall_micros;
 use crate::control_value::{ControlChange, CONFIGURATION_KEY};
@@ -10,20 +11,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// An owner looks after what is due so often.
+/// Interval at which an owner evaluates due lapses.
 const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// Lapses that are due and that it looks at each time, and as many that were stirred; the rest come next.
+/// Most due lapses evaluated at each check, and as many that were marked for evaluation; the rest follow at the next one.
 const MAX_LAPSES_AT_A_TIME: usize = 128;
-/// The machine's clock is read so often.
+/// Interval at which the machine's wall clock is read.
 const CLOCK_READ_INTERVAL: Duration = Duration::from_secs(1);
-/// The other replicas are asked for their time so often where it is known; where not, as often as the clock is read.
+/// Interval at which the other replicas are asked for their wall clocks while the time is known; while it is not, they are
+/// asked as often as the local clock is read.
 const PEERS_ASK_INTERVAL: Duration = Duration::from_secs(10);
 
 fn is_due(last: Option<Instant>, now: Instant, interval: Duration) -> bool {
     last.is_none_or(|last| now - last >= interval)
 }
 
-/// Look after lapses, for as long as the process lives; sleeps while there is no member.
+/// Advances lapses until the process ends; sleeps while there is no member.
 pub(crate) async fn run_lapse_owner(node_state: Rc<NodeState>) {
     let members = &node_state.member_throttle;
     loop {
@@ -37,7 +39,7 @@
     }
 }
 
-/// Read this machine's clock, and ask the other replicas for theirs.
+/// Reads this machine's wall clock, and asks the other replicas for theirs.
 fn look_after_clocks(node_state: &Rc<NodeState>) {
     let now = node_state.now();
     let mut owner = node_state.member_throttle.owner.borrow_mut();
@@ -50,7 +52,7 @@
     }
     let is_known = owner.clock.wall_time(now).is_some();
     if is_known && !owner.is_time_known {
-        // What waits for the time of day need not wait for its next look.
+        // Lapses that waited for the time to be known are evaluated at once.
         owner.stirred.extend(owner.owned.keys().cloned());
     }
     owner.is_time_known = is_known;
@@ -61,7 +63,7 @@
     }
 }
 
-/// The lapses whose keys this node owns, and, where it owns the configuration, those that have no key yet.
+/// The lapses whose keys this node owns, and, if it owns the configuration, those that have no key yet.
 fn owned_lapses(node_state: &NodeState, members: &MemberThrottle) -> BTreeMap<String, Epoch> {
     let index = members.index();
     let observed = members.observed.borrow();
@@ -81,7 +83,7 @@
 }
 
 impl LapseOwner {
-    /// These are owned from now on: new ones are looked at, those lost are forgotten.
+    /// Replaces the owned lapses: new ones are marked for evaluation, those no longer owned are removed.
     fn set_owned(&mut self, owned: BTreeMap<String, Epoch>) {
         for name in self.owned.keys().filter(|name| !owned.contains_key(*name)) {
             self.timer.forget(name);
@@ -95,14 +97,14 @@
         self.stirred.retain(|name| self.owned.contains_key(name));
     }
 
-    /// Those to look at now.
+    /// The lapses to evaluate now.
     fn due(&mut self, now: Instant) -> BTreeSet<String> {
         let due = self.timer.due(now, MAX_LAPSES_AT_A_TIME).into_iter();
         due.chain(self.stirred.iter().take(MAX_LAPSES_AT_A_TIME).cloned()).collect()
     }
 }
 
-/// Decide on what is due, and propose the changes that follow.
+/// Evaluates the due lapses and proposes the resulting changes.
 fn look_after_lapses(node_state: &Rc<NodeState>) {
     let now = node_state.now();
     let members = &node_state.member_throttle;
@@ -115,7 +117,7 @@
         let Some(epoch) = owner.owned.get(&name).copied() else { continue };
         let blank = LapseState::default();
         let lapse = match observed.get(&name) {
-            // The owner's own value under this epoch, written anew, is on its way here.
+            // The owner rewrites the value under its own epoch, and that has not arrived here yet.
             Some(observed) if observed.epoch != epoch => continue,
             Some(observed) => &observed.lapse,
             None => &blank,
--- a/crates/daemon/mesh/src/member_throttle/report.rs
+++ b/crates/daemon/mesh/src/member_throttle/report.rs
@@ -1,4 +1,4 @@
-//! The members as they stand on this node, for operators. The keys of the JSON are the wire's.
+//! Reports the state of members on this node to operators. The JSON keys are part of the wire protocol.
 use crate::node_state::NodeState;
 use serde_json::{json, Value};
 use silvercross_mesh_membership::Revision;
@@ -27,7 +27,7 @@
     })
 }
 
-/// The members as they stand on this node, and where the other nodes can be asked the same.
+/// The state of members on this node, and the control addresses of the other nodes.
 pub(crate) fn members_report(node_state: &NodeState) -> Value {
     let (settings, now) = (&node_state.settings, node_state.now());
     let index = node_state.member_throttle.index();
--- a/crates/daemon/mesh/src/member_throttle/requests.rs
+++ b/crates/daemon/mesh/src/member_throttle/requests.rs
@@ -1,4 +1,4 @@
-//! Members' requests on the data path: whose a request is, and how long it waits before it is sent.
+//! Throttles members' requests on the data path: identifies the member, and delays the request before it is sent.
 use super::state::MemberThrottle;
 use super::step_header::header_values;
 use crate::node_state::NodeState;
@@ -10,23 +10,23 @@
 use silvercross_time::Duration;
 use tokio::sync::oneshot;
 
-/// What becomes of a request before it is sent.
+/// The outcome of throttling a request.
 pub(crate) enum ThrottleDecision {
-    /// It goes on.
+    /// The request proceeds.
     Proceed {
-        /// The step that holds for it to its end, if it is a member's on trial.
+        /// The step that applies to the whole request, if its member is not on the full plan.
         step: Option<ThrottleStep>,
-        /// How long it has waited.
+        /// How long the request was delayed.
         delayed: Duration,
     },
-    /// It has too little time left.
+    /// The request has too little time left for its delay.
     Reject {
         /// The step in force.
         step: ThrottleStep,
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
-    /// It names no member, and such are rejected.
+    /// The request identifies no member, and such requests are rejected.
     UnknownMember,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Takes a request out of those that wait, however its waiting ends.
+/// Removes a request from the delay queue when it is dropped, however its delay ends.
 struct DelayedRequest<'m> {
     members: &'m MemberThrottle,
     ticket: DelayTicket,
@@ -48,8 +48,8 @@
     }
 }
 
-/// Find out whose a request is, and have it wait. Its body of `bytes` was taken, but it was sent nowhere; `budget` is the time
-/// that its client allows.
+/// Identifies the member of a request and delays it. Its body of `bytes` was read, but no attempt was sent; `budget` is the
+/// client's timeout.
 pub(crate) async fn throttle_request(
     node_state: &NodeState,
     request: &RequestHead,
@@ -88,7 +88,7 @@
     let tenth = (step.step * 10).div_ceil(step.total_steps.max(1)).min(10) as usize;
     let count = &members.delays_by_tenth[tenth];
     count.set(count.get() + 1);
-    // It goes on when its time is up, or earlier when the process stops.
+    // The request proceeds when its delay has passed, or earlier when the process stops.
     let _ = tokio::time::timeout(wait.to_std(), released).await;
     drop(delayed_request);
     let delayed = (node_state.now() - from).max(Duration::ZERO);
--- a/crates/daemon/mesh/src/member_throttle/state.rs
+++ b/crates/daemon/mesh/src/member_throttle/state.rs
@@ -1,5 +1,5 @@
-//! What one node knows of members: who they are, how far each lapse has come, the requests that wait, and what the owner of lapses
-//! remembers. Knows nothing of the rest of the process.
+//! Member state of one node: the members, the progress of each lapse, the delayed requests, and the state of the lapse owner.
+//! Independent of the rest of the process.
 use super::wall_clock::{wall_micros, WallClock};
 use serde_json::{json, Value};
 use silvercross_control_store::Epoch;
@@ -15,54 +15,54 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// Requests that wait at a time; further ones go on at once.
+/// Most requests that are delayed at a time; further ones proceed at once.
 const MAX_DELAYED_REQUESTS: usize = 1024;
-/// Bytes of their bodies, together.
+/// Most bytes of delayed requests' bodies, in total.
 const MAX_DELAYED_BYTES: usize = 8 << 20;
-/// Delayed requests are counted by the tenth of the steps that held for them, 0 to 10.
+/// Number of counters of delayed requests, one for each tenth of the step in force, 0 to 10.
 pub(super) const STEP_TENTHS: usize = 11;
 
-/// A lapse as a control entry told it.
+/// A lapse as read from its control entry.
 pub(super) struct ObservedLapse {
-    /// The ownership under which it was written.
+    /// The epoch of the owner that wrote it.
     pub(super) epoch: Epoch,
     pub(super) lapse: LapseState,
 }
 
-/// The members, as one node knows them.
+/// The members and their lapses as this node knows them.
 pub(crate) struct MemberThrottle {
-    /// A header names members.
+    /// Whether the configuration names a header that identifies members.
     is_enabled: Cell<bool>,
     index: RefCell<Rc<MemberIndex>>,
     pub(super) lapses: RefCell<LapseView>,
-    /// Every lapse that was told, by member; no more than there are control entries.
+    /// Every lapse read from a control entry, by member; bounded by the number of control entries.
     pub(super) observed: RefCell<BTreeMap<String, ObservedLapse>>,
     pub(super) delayed: RefCell<DelayQueue<oneshot::Sender<()>>>,
     pub(super) owner: RefCell<LapseOwner>,
-    /// Told when members or lapses have changed.
+    /// Notified when members or lapses have changed.
     pub(super) changed: Notify,
     pub(super) delays_by_tenth: [Cell<u64>; STEP_TENTHS],
     pub(super) rejected: Cell<u64>,
 }
 
-/// What the owner of lapses' keys remembers.
+/// State of the lapse owner.
 pub(super) struct LapseOwner {
     pub(super) timer: LapseTimer,
     pub(super) clock: TrustedClock,
-    /// When the time of day was read last.
+    /// When the wall clock was last read.
     pub(super) clock_read_at: Option<Instant>,
-    /// When the other replicas were asked for theirs.
+    /// When the other replicas were last asked for their wall clocks.
     pub(super) peers_asked_at: Option<Instant>,
-    /// The time of day was known at the last look.
+    /// Whether the wall-clock time was known at the last check.
     pub(super) is_time_known: bool,
-    /// The lapses looked after, and under which ownership.
+    /// The lapses that this node owns, with the epoch of the ownership.
     pub(super) owned: BTreeMap<String, Epoch>,
-    /// To be looked at though not due.
+    /// Lapses to evaluate at the next check though their timer is not due.
     pub(super) stirred: BTreeSet<String>,
 }
 
 impl MemberThrottle {
-    /// There are no members yet. `is_only_replica`: nobody else could tell the time.
+    /// Creates a throttle without members. `is_only_replica`: there is no other replica to compare wall clocks with.
     pub(crate) fn new(is_only_replica: bool) -> Self {
         let owner = LapseOwner {
             timer: LapseTimer::new(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether requests are to be looked at. Until a call sends members' header they are not.
+    /// Whether requests are throttled. They are not until the configuration names the members' header.
     pub(crate) fn is_enabled(&self) -> bool {
         self.is_enabled.get()
     }
@@ -96,12 +96,12 @@
         self.index.borrow().members().next().is_some()
     }
 
-    /// The members by their keys.
+    /// The index of the members by key.
     pub(super) fn index(&self) -> Rc<MemberIndex> {
         self.index.borrow().clone()
     }
 
-    /// These are the members from now on.
+    /// Replaces the members.
     pub(crate) fn set_members(&self, now: Instant, log: &Logger, list: &MemberList) {
         let index = Rc::new(MemberIndex::new(list));
         self.is_enabled.set(index.header().is_some());
@@ -119,7 +119,7 @@
         self.changed.notify_one();
     }
 
-    /// The control entry of a lapse is in force; `None`: nothing was written there yet. Other keys change nothing.
+    /// Applies the control entry of a lapse; `None`: nothing was written to it yet. Ignores other keys.
     pub(crate) fn apply_lapse(
         &self,
         now: Instant,
@@ -137,27 +137,27 @@
         self.changed.notify_one();
     }
 
-    /// This replica's time of day; nothing where there is no member and it is not looked after.
+    /// This replica's wall clock; `None` if there is no member or the clock was never read.
     pub(crate) fn wall_clock(&self, now: Instant) -> Option<WallClock> {
         let owner = self.owner.borrow();
         (self.has_members() && owner.clock_read_at.is_some())
             .then(|| WallClock { wall_micros: wall_micros(), stepped: owner.clock.stepped(now) })
     }
 
-    /// Another replica told its time of day.
+    /// Records the wall clock that another replica reported.
     pub(crate) fn wall_clock_reported(&self, reading: PeerClockReading) {
         self.owner.borrow_mut().clock.observe_peer(reading);
     }
 
-    /// The process stops: all that wait go on, and nothing waits any more.
+    /// Releases all delayed requests when the process stops; later ones are not delayed.
     pub(crate) fn release_waiting(&self) {
         for waiting in self.delayed.borrow_mut().release_all() {
-            // Its request may have ended meanwhile.
+            // The request may have ended meanwhile.
             let _ = waiting.send(());
         }
     }
 
-    /// Counters, under the names of the metrics page; nothing where no member was ever sent.
+    /// The counters, with the keys of the metrics page; `None` if members are neither enabled nor present.
     pub(crate) fn metrics(&self) -> Option<Value> {
         if !self.is_enabled() && !self.has_members() {
             return None;
@@ -173,7 +173,7 @@
     }
 }
 
-/// One line for each change.
+/// Logs one line for each transition of a lapse.
 fn log_transition(log: &Logger, name: &str, transition: Option<LapseTransition>) {
     let Some(LapseTransition { to, .. }) = transition else { return };
     info!(log, "member"; "name" => name, "step" => to.step, "of" => to.total_steps, "lapsed" => to.begun, "edition" => to.version);
--- a/crates/daemon/mesh/src/member_throttle/step_header.rs
+++ b/crates/daemon/mesh/src/member_throttle/step_header.rs
@@ -1,7 +1,7 @@
-//! The header that tells a member the step that held for its request.
+//! The response header with the step that applied to a member's request.
 use silvercross_throttle::ThrottleStep;
 
-/// On responses to members' requests: `STEP/STEPS`. A name of the wire.
+/// On responses to members' requests: `STEP/STEPS`. Part of the wire protocol.
 const STEP_HEADER: &str = "Member-Step";
 
 /// The values of a header among header lines.
@@ -13,7 +13,7 @@
     })
 }
 
-/// Put the step among a response's header lines; one that came from elsewhere is left out.
+/// Sets the step in a response's header lines; a header of this name that is already there is removed.
 pub(crate) fn set_step_header(lines: &mut Vec<u8>, step: Option<ThrottleStep>) {
     if header_values(lines, STEP_HEADER).next().is_some() {
         let mut kept = Vec::with_capacity(lines.len());
--- a/crates/daemon/mesh/src/member_throttle/tests.rs
+++ b/crates/daemon/mesh/src/member_throttle/tests.rs
@@ -1,4 +1,4 @@
-//! In the package, for a program has no library to import.
+//! In the package, because a binary has no library to import.
 use super::step_header::header_values;
 use super::{lapsed_item, percent_decoded, renewed_item, set_step_header};
 use serde_json::{json, Value};
--- a/crates/daemon/mesh/src/member_throttle/wall_clock.rs
+++ b/crates/daemon/mesh/src/member_throttle/wall_clock.rs
@@ -1,16 +1,16 @@
-//! The machine's time of day, which may step at any moment; `silvercross-throttle` decides whether it is believed.
+//! The machine's wall clock, which may step at any moment; `silvercross-throttle` decides whether it is trusted.
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A replica's time of day.
+/// A reading of a replica's wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WallClock {
     /// In microseconds since 1970.
     pub(crate) wall_micros: i64,
-    /// Whether that clock was set lately.
+    /// Whether that clock stepped recently.
     pub(crate) stepped: bool,
 }
 
-/// The time of day, in microseconds since 1970.
+/// The wall-clock time, in microseconds since 1970.
 pub(super) fn wall_micros() -> i64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     i64::try_from(since.as_micros()).unwrap_or(i64::MAX)
