--- a/crates/daemon/mesh/src/members_command.rs
+++ b/crates/daemon/mesh/src/members_command.rs
@@ -1,7 +1,7 @@
-//! `silvercross-mesh members`: asks one sidecar where the other nodes are, and each of them how far its members are slowed. One
-//! moment's table, or one each second.
+//! `silvercross-mesh members`: asks one sidecar for the other nodes, and each of them how far members are throttled. Prints one
+//! table, or one each second.
 //!
-//! `client.rs` makes the calls, `table.rs` prints what came. Errors are for the operator's eyes alone and end as text.
+//! `client.rs` makes the calls, `table.rs` prints the responses. Errors are only shown to the operator, so they are plain text.
 mod client;
 mod table;
 
@@ -22,12 +22,12 @@
   --json            list, show: as JSON
   --watch           list, show: again each second, until interrupted
 Code 1: not reached or refused; 2: not understood.";
-/// Time between two tables of `--watch`.
+/// Interval of the tables of `--watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
-/// Exit code where nobody was reached, or the call was rejected.
+/// Exit code if no node was reached, or the call was rejected.
 const EXIT_NOT_DONE: i32 = 1;
 
-/// What is to be done.
+/// A subcommand of `members`.
 enum Command {
     List,
     Show(String),
@@ -35,16 +35,16 @@
     Lapse(String),
 }
 
-/// How `list` and `show` answer.
+/// The output options of `list` and `show`.
 struct Output {
     as_json: bool,
     watch: bool,
 }
 
-/// Read the rest of the command line and do it.
+/// Parses the rest of the command line and runs the subcommand.
 ///
 /// # Errors
-/// A command line that is not understood; what goes wrong later ends the process with its own code.
+/// An invalid command line; later failures exit the process with their own code.
 pub(crate) fn run(mut arguments: pico_args::Arguments) -> Result<()> {
     if arguments.contains(["-h", "--help"]) {
         println!("{HELP}");
--- a/crates/daemon/mesh/src/members_command/client.rs
+++ b/crates/daemon/mesh/src/members_command/client.rs
@@ -8,31 +8,31 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// A call is answered within this.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The largest answer, in bytes.
+/// The largest response, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 32 << 20;
-/// A call is made so many times, as often as it is redirected.
+/// Most attempts at a call that is redirected.
 const MAX_CALLS: usize = 3;
-/// The call that every node answers with its members.
+/// The path at which every node reports its members.
 const LIST_PATH: &str = "/-/Members.List";
 
-/// What one node said of members.
+/// One node's report on members.
 pub(super) struct NodeReport {
-    /// Its control address.
+    /// The node's control address.
     pub(super) address: String,
-    /// Its answer; `None`: it did not answer.
+    /// The node's response; `None`: it did not respond.
     pub(super) members: Option<Value>,
 }
 
 struct Response {
     status: u16,
-    /// Where it redirects the caller.
+    /// The redirect target.
     location: Option<String>,
     body: Value,
 }
 
-/// One call on a connection of its own, which ends with the answer.
+/// Makes one call on a connection of its own, which is closed after the response.
 async fn call_once(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<Response> {
     let length = body.len();
     let request = format!(
@@ -43,14 +43,14 @@
     stream.write_all(request.as_bytes()).await?;
     let mut bytes = Vec::new();
     stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut bytes).await?;
-    let mut room = http::empty_headers();
-    let head = http::response_head(&bytes, &mut room).ok().flatten().context("no answer")?;
+    let mut header_storage = http::empty_headers();
+    let head = http::response_head(&bytes, &mut header_storage).ok().flatten().context("no answer")?;
     let location = head.headers.one("location").ok().flatten().map(str::to_string);
     let body = serde_json::from_slice(bytes.get(head.len..).unwrap_or_default());
     Ok(Response { status: head.status, location, body: body.unwrap_or(Value::Null) })
 }
 
-/// A call, and the same again wherever it is redirected.
+/// Makes a call and follows redirects.
 async fn call(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<Response> {
     let (mut at, mut path) = (at, path.to_string());
     for _ in 0..MAX_CALLS {
@@ -67,7 +67,7 @@
     bail!("{at}: redirected again and again")
 }
 
-/// Change a member: `operation` is the call's name behind `Members.`.
+/// Changes a member; `operation` is the call's name after `Members.`.
 pub(super) async fn change_member(at: SocketAddr, operation: &str, name: &str, body: &str) -> Result<()> {
     let path = format!("/-/Members.{operation}/{}", percent_encoded(name));
     let response = call(at, "POST", &path, body).await?;
@@ -78,7 +78,7 @@
     }
 }
 
-/// A name as it stands in a path.
+/// Percent-encodes a name for a path.
 fn percent_encoded(name: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
     let encoded = |byte: u8| match is_plain(byte) {
@@ -88,7 +88,7 @@
     name.bytes().map(encoded).collect()
 }
 
-/// What each node says of its members, the one asked first of all.
+/// The members as reported by each node, first by the node at `at`.
 pub(super) async fn ask_all_nodes(at: SocketAddr) -> Result<Vec<NodeReport>> {
     let first = call(at, "GET", LIST_PATH, "").await?.body;
     let nodes = first["nodes"].as_array().into_iter().flatten();
--- a/crates/daemon/mesh/src/members_command/table.rs
+++ b/crates/daemon/mesh/src/members_command/table.rs
@@ -1,10 +1,10 @@
-//! What nodes said of members, printed for the operator: all members over all nodes, or one of them node by node.
+//! Prints the nodes' reports for the operator: all members over all nodes, or one member node by node.
 use super::client::NodeReport;
 use anyhow::{bail, Result};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-/// Print all members, or the one of this name.
+/// Prints all members, or the one of this name.
 pub(super) fn print(reports: &[NodeReport], name: Option<&str>, as_json: bool) -> Result<()> {
     match name {
         _ if as_json => print_json(reports, name),
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-/// A step of a member, and on how many nodes it holds.
+/// A step of a member, and the number of nodes on which it is in force.
 struct StepCount {
     step: u64,
     text: String,
