--- a/crates/daemon/mesh/src/graceful_stop/tests.rs
+++ b/crates/daemon/mesh/src/graceful_stop/tests.rs
@@ -1,8 +1,8 @@
-//! In the package, for a program has no library to import.
+//! In the package, because a binary has no library to import.
 use super::{GracefulStop, Phase};
 use silvercross_time::{Duration, Instant};
 
-/// A look so often, as `runtime.rs` has it, and in a process that is not told to end, in microseconds.
+/// Check intervals of `runtime.rs` while stopping and of `periodic.rs` before, in microseconds.
 const STOP_CHECK_INTERVAL: i64 = 50_000;
 const LOOK_INTERVAL: i64 = 300_000;
 
@@ -10,11 +10,11 @@
     Instant::from_micros(micros)
 }
 
-/// Stood still when; asked when; busy until; shut from and to.
+/// When suspended; when probed; busy until; earliest and latest shutdown.
 type Case<'c> = ((i64, i64), &'c [i64], i64, i64, i64);
 
-/// Tell a process to end at 0 with a grace of 6 s: it stands still within `still`, is asked at `asked`, and has something open
-/// until `open`. When it shuts.
+/// Signals a process at 0 with a grace of 6 s: it is suspended during `still`, probed at `asked`, and has open requests until
+/// `open`. Returns when it shuts.
 fn shuts(still: (i64, i64), asked: &[i64], open: i64) -> i64 {
     let awake = |t: i64| if t >= still.0 && t < still.1 { still.1 } else { t };
     let looked = (1..).map(|n| -n * LOOK_INTERVAL).find(|t| awake(*t) == *t).expect("once awake");
@@ -38,19 +38,19 @@
     let never = (S * 60, S * 60);
     let cases: [Case; 11] = [
         (never, &[], 0, 2 * S, 5 * S / 2),
-        // It is asked twice: it goes as soon as the platform knows.
+        // Two probes: it shuts as soon as the platform is informed.
         (never, &[S / 10, S + S / 10], 0, S + S / 2, 8 * S / 5),
-        // Once, or many times in a moment, is not twice.
+        // One probe, or several at once, do not count as two.
         (never, &[S / 10], 0, 2 * S, 5 * S / 2),
         (never, &[S / 10, S / 5, 2 * S / 5], 0, 2 * S, 5 * S / 2),
-        // What is open is waited for, within bounds.
+        // Waits for open requests until the deadline.
         (never, &[], 4 * S, 4 * S, 9 * S / 2),
         (never, &[], 60 * S, 5 * S, 6 * S),
-        // It stood still as it was told, and then had something to do.
+        // Suspended when signalled, busy or idle afterwards.
         ((-S, 4 * S), &[], 60 * S, 4 * S, 6 * S),
         ((-S, 4 * S), &[], 0, 4 * S, 9 * S / 2),
         ((-S / 2, 5 * S), &[], 60 * S, 5 * S, 6 * S),
-        // It stands still meanwhile.
+        // Suspended during the stop.
         ((S, 5 * S), &[], 60 * S, 5 * S, 6 * S),
         ((S, 5 * S), &[S / 2], 0, 5 * S, 6 * S),
     ];
--- a/crates/daemon/mesh/src/rate_limited_log.rs
+++ b/crates/daemon/mesh/src/rate_limited_log.rs
@@ -1,11 +1,11 @@
-//! Log lines for what anybody can cause at any rate: at most one in [`MIN_INTERVAL`], with how many it stands for.
+//! Rate limiting of log lines that remote parties can trigger: at most one in [`MIN_INTERVAL`], with the number of occurrences.
 use silvercross_time::{Duration, Instant};
 use std::cell::Cell;
 
-/// Time between two lines of a kind.
+/// Minimum time between two lines of the same kind.
 const MIN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// One kind of line.
+/// The rate limit of one kind of line.
 #[derive(Default)]
 pub(crate) struct RateLimitedLog {
     last_line: Cell<Option<Instant>>,
@@ -13,7 +13,7 @@
 }
 
 impl RateLimitedLog {
-    /// It happened once more: for how many a line is due now, if one is.
+    /// Records one occurrence; if a line is due, returns the number of occurrences it stands for.
     pub(crate) fn due(&self, now: Instant) -> Option<u64> {
         let count = self.since_last_line.get() + 1;
         if self.last_line.get().is_some_and(|last| now - last < MIN_INTERVAL) {
--- a/crates/daemon/mesh/src/rate_limited_log/tests.rs
+++ b/crates/daemon/mesh/src/rate_limited_log/tests.rs
@@ -1,4 +1,4 @@
-//! In the package, for a program has no library to import.
+//! In the package, because a binary has no library to import.
 use super::{RateLimitedLog, MIN_INTERVAL};
 use silvercross_time::{Duration, Instant};
 
--- a/crates/daemon/mesh/src/reload.rs
+++ b/crates/daemon/mesh/src/reload.rs
@@ -1,28 +1,28 @@
-//! Other settings in a running process: at SIGHUP, and when the file has changed.
+//! Reloads settings in a running process: on SIGHUP, and when the file has changed.
 //!
-//! What can change takes hold at once; the rest is named in the log; a file that can't be used changes nothing.
+//! Reloadable settings take effect at once; other changed keys are logged; an invalid file changes nothing.
 use crate::node_state::NodeState;
 use crate::settings::{self, NodeSettings, SettingsError};
 use slog::{info, warn};
 use std::rc::Rc;
 
-/// What came of looking at the file. Keys are the operators'.
+/// The outcome of a reload. Keys are those of the settings file.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ReloadOutcome {
-    /// It has not changed.
+    /// The file has not changed.
     Unchanged,
-    /// It can't be used.
+    /// The file is invalid.
     Unusable(SettingsError),
-    /// It was read.
+    /// The file was read.
     Reloaded {
-        /// The keys that differed and took hold.
+        /// The changed keys that took effect.
         in_force: Vec<&'static str>,
-        /// The keys that differ and take hold at the next start.
+        /// The changed keys that take effect at the next start.
         need_restart: Vec<&'static str>,
     },
 }
 
-/// Look at the file; `always`: read it even if it looks the same.
+/// Reloads the file if it has changed; `always`: even if it has not.
 pub(crate) fn reload(node_state: &Rc<NodeState>, always: bool) -> ReloadOutcome {
     let Some(path) = node_state.settings_file.changed(always) else { return ReloadOutcome::Unchanged };
     let settings = match settings::read(&path) {
@@ -43,7 +43,7 @@
     ReloadOutcome::Reloaded { in_force, need_restart }
 }
 
-/// The keys that differ and are read at the start only.
+/// The changed keys that are read only at the start.
 fn keys_read_at_start(old: &NodeSettings, new: &NodeSettings) -> Vec<&'static str> {
     let differ = [
         ("node", old.name != new.name),
--- a/crates/daemon/mesh/src/reload/tests.rs
+++ b/crates/daemon/mesh/src/reload/tests.rs
@@ -1,4 +1,4 @@
-//! In the package, for a program has no library to import.
+//! In the package, because a binary has no library to import.
 use super::{reload, ReloadOutcome};
 use crate::tests::support::{self, SidecarOptions};
 use silvercross_admission::UpstreamState;
@@ -28,7 +28,7 @@
         let limits = reloadable.limits;
         assert_eq!(reloadable.heartbeat_interval, Duration::from_millis(700));
         assert_eq!((limits.drain_timeout, limits.retry_allowance), (Duration::ZERO, 6.0));
-        // The gate goes by it: a leaving upstream gets nothing from here on.
+        // The gate applies the new limits: a draining upstream gets no more requests.
         sidecar.send_heartbeat();
         let draining = "{\"destination\":\"quotes\",\"state\":\"draining\",\"slots\":8,\"sequence\":2}";
         node_state.upstream_heartbeat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
