--- a/crates/daemon/mesh/src/command_line.rs
+++ b/crates/daemon/mesh/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: what is asked of the program, and how what goes wrong is told.
+//! Parses the command line and reports errors.
 //!
 //! Errors end here, as text on standard error and an exit code; this is the one place where they need no type.
 use crate::{disk, members_command, runtime, settings};
@@ -14,19 +14,19 @@
   --check           read the settings, say what is wrong with them, and end
   members   members and how far their slowing has come; silvercross-mesh members --help
 Logs are JSON lines on standard error; SILVERCROSS_LOG=debug|info|warning says how many.";
-/// The variable that says how many lines the log has.
+/// The environment variable that sets the log level.
 const LOG_LEVEL_VARIABLE: &str = "SILVERCROSS_LOG";
 /// Exit code of a process that can't start or run.
 const EXIT_FAILED: i32 = 2;
 
-/// What the command line asks of a node.
+/// The arguments of a node.
 struct NodeArguments {
     settings_path: PathBuf,
     only_check: bool,
     with_event_stream: bool,
 }
 
-/// Do what the command line asks; ends the process with its exit code if that fails.
+/// Runs the command line; on failure exits the process with the exit code of the error.
 pub(crate) fn main() {
     if let Err(error) = dispatch(pico_args::Arguments::from_env()) {
         eprintln!("silvercross-mesh: {error:#}");
@@ -59,7 +59,7 @@
     if let Some(extra) = arguments.finish().first() {
         bail!("{}: not understood\n{HELP}", extra.to_string_lossy());
     }
-    // What a process does follows from its settings; the two words only say it in listings.
+    // The settings determine the role; the word on the command line only shows it in process listings.
     if !matches!(role, Some("sidecar" | "control")) {
         bail!("say which it is\n{HELP}");
     }
@@ -80,7 +80,7 @@
     runtime::run(settings, log, &arguments.settings_path, arguments.with_event_stream)
 }
 
-/// The log of the node of this name: JSON lines on standard error.
+/// Opens the log of the node with this name: JSON lines on standard error.
 fn open_log(node: &str) -> Result<Logger> {
     let level = match std::env::var(LOG_LEVEL_VARIABLE).ok() {
         None => slog::Level::Info,
--- a/crates/daemon/mesh/src/main.rs
+++ b/crates/daemon/mesh/src/main.rs
@@ -1,13 +1,13 @@
-//! The mesh's program: one for all machines.
+//! The mesh's executable, the same on all machines.
 //!
 //! `silvercross-mesh sidecar` runs on machines with an upstream, `silvercross-mesh control` on those that hold the control state. It
-//! is sockets, timers and the disk; what is decided, is decided in the packages behind it (`docs/design/mesh.md`).
+//! does the I/O (sockets, timers, disk); the packages it depends on make the decisions (`docs/design/mesh.md`).
 //!
-//! Read on in `startup.rs` (what is brought up) and `runtime.rs` (signals and the stop). A request goes through
-//! `client_listener`, `service_balancer` and `peer_connection` to another sidecar's `upstream_gate`; what nodes tell each other goes through
-//! `peers`; `node_state` is what the tasks share.
+//! Start with `startup.rs` (startup) and `runtime.rs` (signals and shutdown). A request goes through
+//! `client_listener`, `service_balancer` and `peer_connection` to another sidecar's `upstream_gate`; `peers` handles messages
+//! between nodes; `node_state` is the state shared by the tasks.
 #![forbid(unsafe_code)]
-// Test files hold long tables of cases, and helpers that all tests share.
+// Not in tests: test files hold long tables of cases, and helpers that all tests share.
 #![cfg_attr(not(test), deny(missing_docs, unreachable_pub))]
 #![cfg_attr(not(test), deny(clippy::too_many_lines, clippy::too_many_arguments))]
 
--- a/crates/daemon/mesh/src/metrics.rs
+++ b/crates/daemon/mesh/src/metrics.rs
@@ -1,10 +1,10 @@
-//! The metrics page: counters and gauges of this process. The keys of the JSON are the operators' (`docs/operators/mesh.md`) and
-//! stay, whatever the code calls what they count.
+//! The metrics page: counters and gauges of this process. The JSON keys are a public interface (`docs/operators/mesh.md`) and
+//! keep their names even where the code uses others.
 use crate::node_state::{DepartedPeer, NodeState};
 use crate::service_balancer::UpstreamCounts;
 use serde_json::{json, Value};
 
-/// The counters and gauges, by name, in the order in which operators know them.
+/// The counters and gauges by name, in the documented order.
 pub(crate) fn metrics_report(node_state: &NodeState) -> Value {
     let counters = &node_state.counters;
     let load = node_state.gate.with_admission(|admission| admission.load());
--- a/crates/daemon/mesh/src/mutation.rs
+++ b/crates/daemon/mesh/src/mutation.rs
@@ -1,20 +1,20 @@
-//! Rules of the data path changed on purpose, so that tests can see the checkers catch it. Without the feature `mutants` no rule
-//! can be changed.
+//! Mutations that break rules of the data path, so that tests can verify that the checkers detect them. Without the feature
+//! `mutants` no mutation can be active.
 
-/// One rule that is not kept.
+/// A rule that is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutation {
-    /// A sidecar forgets a request that may run once as soon as its attempt has ended.
+    /// A sidecar forgets a request that may run only once as soon as its attempt has ended.
     ReplayEntryForgotten,
-    /// A connection on which something came behind a response is used again.
+    /// A connection on which surplus bytes followed a response is reused.
     SurplusBytesKept,
-    /// What another incarnation of a sidecar does not know counts as not begun.
+    /// An attempt that another incarnation of a sidecar does not know counts as not started.
     AnyIncarnation,
-    /// What was asked for before it came may still begin.
+    /// An attempt whose outcome was queried before it arrived may still start.
     LateStartAllowed,
-    /// What broke after it was written counts as not begun, also where it may run once.
+    /// An attempt that failed after it was written counts as not started, even if the request may run only once.
     NonIdempotentRetried,
-    /// A request is served to its end though its client has left.
+    /// A request is served to its end though its client has disconnected.
     DepartedClientServed,
 }
 
@@ -23,19 +23,19 @@
     static ACTIVE: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
-/// Change one rule on this thread, or none.
+/// Activates one mutation on this thread, or none.
 #[cfg(all(test, feature = "mutants"))]
 pub(crate) fn set_mutation(mutation: Option<Mutation>) {
     ACTIVE.set(mutation);
 }
 
-/// Whether this rule is changed on this thread.
+/// Whether the mutation is active on this thread.
 #[cfg(all(test, feature = "mutants"))]
 pub(crate) fn is_active(mutation: Mutation) -> bool {
     ACTIVE.get() == Some(mutation)
 }
 
-/// No rule can be changed.
+/// No mutation can be active.
 #[cfg(not(all(test, feature = "mutants")))]
 #[inline(always)]
 pub(crate) fn is_active(_: Mutation) -> bool {
--- a/crates/daemon/mesh/src/periodic.rs
+++ b/crates/daemon/mesh/src/periodic.rs
@@ -1,4 +1,4 @@
-//! What only the passing of time tells: an upstream that fell silent, settings that changed, connections that expired.
+//! Periodic checks: for a silent upstream, changed settings and expired connections.
 use crate::metrics::metrics_report;
 use crate::node_state::NodeState;
 use crate::reload;
@@ -6,14 +6,14 @@
 use slog::{debug, warn};
 use std::rc::Rc;
 
-/// Time between two looks. A process that stands still for longer than a second has missed some.
+/// Interval of the checks. A process that was suspended for more than a second has missed some.
 const LOOK_INTERVAL: Duration = Duration::from_millis(300);
-/// The settings file is looked at so often.
+/// Interval at which the settings file is checked.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
-/// The metrics go to the log so often, at the level of debugging.
+/// Interval at which the metrics are logged, at debug level.
 const METRICS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Look after what only time tells, for as long as the process lives.
+/// Runs the periodic checks until the process ends.
 pub(crate) async fn run(node_state: Rc<NodeState>) {
     let mut metrics_logged_at = node_state.now();
     let mut settings_checked_at = metrics_logged_at;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Say so when the disk was found to hold an older state than it had confirmed; `known` are those that were logged.
+/// Logs when the disk was found to hold an older state than it had confirmed; `known` counts those already logged.
 fn log_rollbacks(node_state: &NodeState, known: &mut u64) {
     let rollbacks = node_state.peers.control_store(|store| store.metrics().disk_rollbacks).unwrap_or(0);
     if rollbacks > *known {
--- a/crates/daemon/mesh/src/runtime.rs
+++ b/crates/daemon/mesh/src/runtime.rs
@@ -1,4 +1,4 @@
-//! A node's life as a process: started, told to reload or to stop by signals, ended in order.
+//! The process lifecycle of a node: startup, reload and stop on signals, graceful shutdown.
 use crate::disk::DiskError;
 use crate::graceful_stop::Phase;
 use crate::node_state::NodeState;
@@ -13,17 +13,17 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::JoinHandle;
 
-/// Between two looks at what a process that stops is to do.
+/// Interval at which a stopping process checks its stop phase.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two looks at whether something that the end waits for is done.
+/// Interval at which shutdown checks whether what it waits for is done.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// The other nodes hear that this one leaves within this.
+/// Time for the other nodes to learn that this one leaves.
 const LEAVE_TIME: Duration = Duration::from_millis(60);
 
-/// Run a node until it is told to stop or can't go on.
+/// Runs a node until it is told to stop or fails.
 ///
 /// # Errors
-/// What keeps it from starting, or a disk that failed. It is logged too.
+/// A failure to start, or a failed disk. It is also logged.
 pub(crate) fn run(
     settings: NodeSettings,
     log: Logger,
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// Why the disk has failed, once it has.
+/// Waits until the disk has failed, and returns why.
 async fn disk_failure(task: &mut Option<JoinHandle<DiskError>>) -> DiskError {
     match task {
         Some(task) => task.await.unwrap_or_else(|error| DiskError::ThreadEnded { cause: error.to_string() }),
@@ -76,15 +76,15 @@
     }
 }
 
-/// The platform asks once a second and must be told "not ready" twice; what was read is answered; then the end, within the
-/// grace.
+/// Stops gracefully: serves until the platform, which probes once a second, was told "not ready" twice, answers what was read,
+/// and ends within the grace period.
 async fn stop(node_state: &Rc<NodeState>) {
     node_state.begin_stop();
     let end_by = serve_until_shut(node_state).await;
-    // From now on nobody gets in; whoever did meanwhile is answered before the end.
+    // From here on no connection is accepted; requests accepted so far are answered before the end.
     node_state.close_idle_connections();
     node_state.close_listeners();
-    // A replica that can be replaced stays until it is, for a second loss would leave no majority.
+    // A replica that can be replaced stays until it is replaced, because a second loss would leave no majority.
     wait_while(node_state, end_by, || node_state.peers.is_replica_needed()).await;
     node_state.peers.leave_membership(node_state);
     tokio::time::sleep(LEAVE_TIME).await;
@@ -92,7 +92,7 @@
     info!(node_state.log, "ended"; "open" => node_state.open_requests.get());
 }
 
-/// Serve on until nobody is to get in any more; by when the process ends.
+/// Serves until no more requests are to be accepted; returns the deadline of the process.
 async fn serve_until_shut(node_state: &Rc<NodeState>) -> Instant {
     let (mut is_closing_idle, mut end_by) = (false, node_state.now());
     loop {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Wait while this is so, at the latest until the process ends.
+/// Waits while the condition holds, at the latest until the deadline of the process.
 async fn wait_while(node_state: &NodeState, end_by: Instant, is_so: impl Fn() -> bool) {
     while is_so() && node_state.now() < end_by {
         tokio::time::sleep(END_CHECK_INTERVAL).await;
--- a/crates/daemon/mesh/src/startup.rs
+++ b/crates/daemon/mesh/src/startup.rs
@@ -1,7 +1,7 @@
-//! A node brought up: its disk is read, its deciders are made, its addresses are bound and its tasks begin.
+//! Starts a node: reads its disk, creates its decision modules, binds its addresses and spawns its tasks.
 //!
-//! In this order, so that nothing is said to others before what the disk holds is known, and no client is accepted before all
-//! addresses are bound.
+//! In this order, so that nothing is sent to other nodes before the content of the disk is known, and no client is accepted
+//! before all addresses are bound.
 use crate::control_value::{evacuation_key, CONFIGURATION_KEY};
 use crate::disk::{self, DiskEvent};
 use crate::event_stream::EventStream;
@@ -27,11 +27,11 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// A node that is up.
+/// A started node.
 pub(crate) struct StartedNode {
-    /// What its tasks share.
+    /// The state shared by its tasks.
     pub(crate) node_state: Rc<NodeState>,
-    /// Ends when its disk has failed, with the reason; `None` where it has none.
+    /// Ends with the reason when the disk has failed; `None` on a node without a disk.
     pub(crate) disk_task: Option<JoinHandle<disk::DiskError>>,
 }
 
@@ -41,7 +41,7 @@
     disk_events: UnboundedReceiver<DiskEvent>,
 }
 
-/// Bring a node up. Its tasks run for as long as the process lives.
+/// Starts a node. Its tasks run until the process ends.
 ///
 /// # Errors
 /// A disk that can't be used ([`disk::DiskError`]) or an address that can't be bound, named by its key.
@@ -70,7 +70,7 @@
     let node_state = NodeState::new(settings, log, gate, peers, clock, Pcg64Mcg::seed_from_u64(seed));
     node_state.settings_file.begin(settings_path);
     if with_event_stream {
-        // Nobody else sets it.
+        // Set only here, so this can't fail.
         let _ = node_state.event_stream.set(EventStream::new());
     }
     start_listeners(&node_state).await?;
@@ -81,14 +81,14 @@
     Ok(StartedNode { node_state, disk_task })
 }
 
-/// Membership as this node begins with it: itself, and the seeds.
+/// The initial membership: this node and the seeds.
 fn membership(settings: &NodeSettings, now: Instant, seed: u64) -> Membership<RecordBody> {
     let config = MembershipConfig {
         local_node: Node(settings.ip.to_bits()),
         zone: settings.zone.clone(),
         is_control: settings.is_control,
         seeds: settings.seed_nodes(),
-        // Later than any earlier process at this address had: the clock's beginning is 1970.
+        // Higher than that of any earlier process at this address, because the clock counts from 1970.
         incarnation: now.as_micros() as u64,
         random_seed: seed,
     };
@@ -100,7 +100,7 @@
     Membership::new(now, config, body)
 }
 
-/// The control store by what the disk holds; `None` on a node without a disk.
+/// Opens the control store from the disk; `None` on a node without a disk.
 fn open_control_store(
     settings: &NodeSettings,
     log: &Logger,
@@ -119,7 +119,7 @@
         node: store_node(Node(settings.ip.to_bits())),
         replica_set: settings.seed_nodes().into_iter().map(store_node).collect(),
         keys,
-        // A disk that lost its content is no new one, whatever the settings say.
+        // A disk that lost its content must not count as a new one, whatever the settings say.
         is_first_start: settings.is_first_start && !opened.content_lost,
         seed,
     };
@@ -128,7 +128,7 @@
     Ok(Some(OpenedControlStore { local, disk_events: opened.events }))
 }
 
-/// Bind the addresses for clients, other sidecars, the platform and operators, and begin to serve them.
+/// Binds the addresses for clients, other sidecars, the platform and operators, and starts to serve them.
 async fn start_listeners(node_state: &Rc<NodeState>) -> Result<()> {
     let settings = &node_state.settings;
     let outbound = bind_key("countersAt.outbound", settings.outbound_address).await?;
@@ -148,7 +148,7 @@
     Ok(())
 }
 
-/// Begin the tasks that no connection begins.
+/// Spawns the tasks that do not belong to a connection.
 fn start_tasks(node_state: &Rc<NodeState>, links: TcpListener) {
     spawn_local(peers::accept_links(node_state.clone(), links));
     spawn_local(peers::receive_datagrams(node_state.clone()));
--- a/crates/daemon/mesh/src/state_report.rs
+++ b/crates/daemon/mesh/src/state_report.rs
@@ -1,5 +1,5 @@
-//! The state page: who is there, what is in force, and, on a control node, the control store's keys. The keys of the JSON are the
-//! operators' and stay, whatever the code calls what they show.
+//! The state page: known nodes, revisions in force, and, on a control node, the control store's keys. The JSON keys are a public
+//! interface and keep their names even where the code uses others.
 use crate::control_value::ControlValue;
 use crate::node_state::NodeState;
 use crate::peers::RecordBody;
@@ -29,7 +29,7 @@
         "service": upstream.map(|upstream| upstream.service.clone()), "at": at })
 }
 
-/// What the control store on this node holds: each key as it stands here, and what this replica is to it.
+/// The content of this node's control store: each key's state, and this replica's role for it.
 fn store_report(store: &ControlStore<ControlValue>) -> Value {
     let keys: Vec<Value> = store
         .key_states()
@@ -61,7 +61,7 @@
         "diskFull": metrics.disk_full, "unsaid": metrics.replies_withheld })
 }
 
-/// The disk under the control store: whether it takes writes, and if not what an operator has to do.
+/// The state of the control store's disk: whether it accepts writes, and if not, what an operator has to do.
 fn disk_report(node_state: &NodeState) -> Value {
     match node_state.peers.disk_full() {
         None => json!({ "state": "ok" }),
@@ -79,7 +79,7 @@
     row.collect()
 }
 
-/// Who is there, what is in force, and, where this node has a control store, its keys.
+/// Known nodes, revisions in force, and, if this node has a control store, its keys.
 pub(crate) fn state_report(node_state: &NodeState) -> Value {
     let (settings, peers) = (&node_state.settings, &node_state.peers);
     let revisions: Vec<Value> = node_state
