--- a/crates/daemon/mesh/src/command_line.rs
+++ b/crates/daemon/mesh/src/command_line.rs
@@ -10,10 +10,10 @@
   sidecar   beside an upstream: carries requests
   control   on a machine with a disk: holds the control state
   --settings FILE   the machine's settings (YAML); else the file named in SILVERCROSS_NODE_FILE
-  --feed            tell other tools what happens, at control: GET /-/Post.Events
-  --check           read the settings, say what is wrong with them, and end
+  --feed            publish events for other tools at the control address: GET /-/Post.Events
+  --check           validate the settings and exit
   members   members and how far their slowing has come; silvercross-mesh members --help
-Logs are JSON lines on standard error; SILVERCROSS_LOG=debug|info|warning says how many.";
+Logs are JSON lines on standard error; SILVERCROSS_LOG=debug|info|warning sets the level.";
 /// The environment variable that sets the log level.
 const LOG_LEVEL_VARIABLE: &str = "SILVERCROSS_LOG";
 /// Exit code of a process that can't start or run.
@@ -61,7 +61,7 @@
     }
     // The settings determine the role; the word on the command line only shows it in process listings.
     if !matches!(role, Some("sidecar" | "control")) {
-        bail!("say which it is\n{HELP}");
+        bail!("missing or unknown role (give sidecar or control)\n{HELP}");
     }
     let variable = settings::SETTINGS_FILE_VARIABLE;
     let settings_path = settings_path
--- a/crates/daemon/mesh/src/event_stream/serve.rs
+++ b/crates/daemon/mesh/src/event_stream/serve.rs
@@ -15,7 +15,7 @@
 /// Most lines per write to a follower.
 const LINES_PER_WRITE: usize = 64;
 /// Delay before a write, in which events are batched.
-const GATHER_TIME: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// A reader that a write is blocked on for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval of empty lines while there are no events, so that both sides detect a lost connection.
@@ -58,7 +58,7 @@
 ) {
     let bytes = match (node_state.event_stream.get(), EventQuery::read(&request.target, &body)) {
         (None, _) => {
-            error_response(404, "no feed here (start the role with --feed, or ask another node)", "")
+            error_response(404, "no event stream here (start the node with --feed, or ask another one)", "")
         }
         (_, Err(error)) => error_response(400, &error.to_string(), ""),
         (Some(stream), Ok(query)) if query.follow => {
@@ -67,7 +67,7 @@
                 return follow(&node_state, stream, &mut connection, query).await;
             }
             let retry_after = format!("Retry-After: {RETRY_AFTER_S}\r\n");
-            error_response(503, "enough readers follow here (ask another node)", &retry_after)
+            error_response(503, "too many followers on this node (ask another node)", &retry_after)
         }
         (Some(stream), Ok(query)) => current_events(&node_state, stream, query),
     };
@@ -95,8 +95,8 @@
     /// Records that `lines` were written and returns whether a cursor is due; `is_all`: no further events are available.
     fn is_due(&mut self, lines: usize, is_all: bool) -> bool {
         self.lines_since += lines;
-        let is_late = self.lines_since > 0 && self.last.elapsed() >= CURSOR_INTERVAL;
-        let is_due = self.is_first && is_all || self.lines_since >= CURSOR_AFTER_LINES || is_late;
+        let is_overdue = self.lines_since > 0 && self.last.elapsed() >= CURSOR_INTERVAL;
+        let is_due = self.is_first && is_all || self.lines_since >= CURSOR_AFTER_LINES || is_overdue;
         if is_due {
             *self = CursorSchedule { lines_since: 0, last: Instant::now(), is_first: false };
         }
@@ -135,7 +135,7 @@
         let appended = stream.appended.notified();
         if !stream.feed.borrow().has_more(&reader) {
             tokio::select! {
-                _ = appended => tokio::time::sleep(GATHER_TIME).await,
+                _ = appended => tokio::time::sleep(BATCH_DELAY).await,
                 // A follower sends nothing: data or a closed connection ends the stream.
                 _ = connection.wait_for_event() => return,
                 _ = node_state.idle_connections_closing() => return,
--- a/crates/daemon/mesh/src/graceful_stop.rs
+++ b/crates/daemon/mesh/src/graceful_stop.rs
@@ -5,13 +5,13 @@
 /// Number of consecutive "not ready" replies after which the platform sends no new work.
 const NOT_READY_REPLIES_NEEDED: u32 = 2;
 /// The platform probes once a second: probes closer together than this count as one.
-const MIN_QUESTION_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which the platform counts as informed, even without probes.
-const PLATFORM_KNOWS_AFTER: Duration = Duration::from_millis(2_200);
+const PLATFORM_INFORMED_AFTER: Duration = Duration::from_millis(2_200);
 /// Time in which requests that the platform sent before it was informed have arrived.
 const LATE_ARRIVALS_WAIT: Duration = Duration::from_millis(200);
 /// Time without open requests after which the process ends.
-const QUIET_BEFORE_END: Duration = Duration::from_millis(250);
+const IDLE_BEFORE_END: Duration = Duration::from_millis(250);
 /// Time after the signal in which every request is accepted. A later request is accepted only if its timeout ends by
 /// [`GracefulStop::answer_by`], so that it is certain to be answered.
 const UNCONDITIONAL_ACCEPT_SPAN: Duration = Duration::from_millis(2_800);
@@ -41,7 +41,7 @@
     end_by: Instant,
     not_ready_replies: u32,
     last_reply: Option<Instant>,
-    quiet_since: Option<Instant>,
+    idle_since: Option<Instant>,
 }
 
 impl GracefulStop {
@@ -49,7 +49,7 @@
     pub(crate) fn new(last_awake: Instant, notified_at: Instant, grace: Duration) -> Self {
         let from = if notified_at - last_awake > MAX_AWAKE_INTERVAL { last_awake } else { notified_at };
         let end_by = from + (grace - EXIT_MARGIN).max(Duration::ZERO);
-        GracefulStop { from, end_by, not_ready_replies: 0, last_reply: None, quiet_since: None }
+        GracefulStop { from, end_by, not_ready_replies: 0, last_reply: None, idle_since: None }
     }
 
     /// The deadline for answers to all open and later requests.
@@ -71,7 +71,7 @@
 
     /// Records that a probe of the platform was answered "not ready".
     pub(crate) fn not_ready_reply(&mut self, now: Instant) {
-        let is_new = self.last_reply.is_none_or(|at| now - at >= MIN_QUESTION_INTERVAL);
+        let is_new = self.last_reply.is_none_or(|at| now - at >= MIN_PROBE_INTERVAL);
         if self.not_ready_replies < NOT_READY_REPLIES_NEEDED && is_new {
             self.not_ready_replies += 1;
             self.last_reply = Some(now);
@@ -83,14 +83,14 @@
         if now >= self.end_by {
             return Phase::Shut;
         }
-        let knows_at = self.from + PLATFORM_KNOWS_AFTER.min((self.end_by - self.from) / 2);
+        let informed_at = self.from + PLATFORM_INFORMED_AFTER.min((self.end_by - self.from) / 2);
         let was_answered = self.last_reply.filter(|_| self.not_ready_replies >= NOT_READY_REPLIES_NEEDED);
-        if now < was_answered.map_or(knows_at, |at| (at + LATE_ARRIVALS_WAIT).min(knows_at)) {
+        if now < was_answered.map_or(informed_at, |at| (at + LATE_ARRIVALS_WAIT).min(informed_at)) {
             return Phase::Serve;
         }
-        self.quiet_since = (!is_busy).then(|| self.quiet_since.unwrap_or(now));
-        match self.quiet_since {
-            Some(since) if now - since >= QUIET_BEFORE_END => Phase::Shut,
+        self.idle_since = (!is_busy).then(|| self.idle_since.unwrap_or(now));
+        match self.idle_since {
+            Some(since) if now - since >= IDLE_BEFORE_END => Phase::Shut,
             _ => Phase::CloseIdle,
         }
     }
--- a/crates/daemon/mesh/src/graceful_stop/tests.rs
+++ b/crates/daemon/mesh/src/graceful_stop/tests.rs
@@ -4,7 +4,7 @@
 
 /// Check intervals of `runtime.rs` while stopping and of `periodic.rs` before, in microseconds.
 const STOP_CHECK_INTERVAL: i64 = 50_000;
-const LOOK_INTERVAL: i64 = 300_000;
+const PERIODIC_CHECK_INTERVAL: i64 = 300_000;
 
 const fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
@@ -13,20 +13,22 @@
 /// When suspended; when probed; busy until; earliest and latest shutdown.
 type Case<'c> = ((i64, i64), &'c [i64], i64, i64, i64);
 
-/// Signals a process at 0 with a grace of 6 s: it is suspended during `still`, probed at `asked`, and has open requests until
-/// `open`. Returns when it shuts.
-fn shuts(still: (i64, i64), asked: &[i64], open: i64) -> i64 {
-    let awake = |t: i64| if t >= still.0 && t < still.1 { still.1 } else { t };
-    let looked = (1..).map(|n| -n * LOOK_INTERVAL).find(|t| awake(*t) == *t).expect("once awake");
-    let heard = awake(0);
-    let mut graceful_stop = GracefulStop::new(at(looked), at(heard), Duration::from_secs(6));
-    let (mut now, mut asked) = (heard, asked.iter().copied().filter(|a| *a >= heard).peekable());
+/// Signals a process at 0 with a grace of 6 s: it is suspended during `suspended`, probed at `probes`, and has open requests
+/// until `busy_until`. Returns when it shuts.
+fn shuts(suspended: (i64, i64), probes: &[i64], busy_until: i64) -> i64 {
+    let awake_at = |t: i64| if t >= suspended.0 && t < suspended.1 { suspended.1 } else { t };
+    let last_awake =
+        (1..).map(|n| -n * PERIODIC_CHECK_INTERVAL).find(|t| awake_at(*t) == *t).expect("once awake");
+    let notified_at = awake_at(0);
+    let mut graceful_stop = GracefulStop::new(at(last_awake), at(notified_at), Duration::from_secs(6));
+    let (mut now, mut probes) =
+        (notified_at, probes.iter().copied().filter(|a| *a >= notified_at).peekable());
     loop {
-        now = awake(now + STOP_CHECK_INTERVAL);
-        while asked.next_if(|a| *a <= now).is_some() {
+        now = awake_at(now + STOP_CHECK_INTERVAL);
+        while probes.next_if(|a| *a <= now).is_some() {
             graceful_stop.not_ready_reply(at(now));
         }
-        if graceful_stop.phase(at(now), now < open) == Phase::Shut {
+        if graceful_stop.phase(at(now), now < busy_until) == Phase::Shut {
             return now;
         }
     }
@@ -54,8 +56,8 @@
         ((S, 5 * S), &[], 60 * S, 5 * S, 6 * S),
         ((S, 5 * S), &[S / 2], 0, 5 * S, 6 * S),
     ];
-    for (n, (still, asked, open, from, to)) in cases.into_iter().enumerate() {
-        let shut_at = shuts(still, asked, open);
+    for (n, (suspended, probes, busy_until, from, to)) in cases.into_iter().enumerate() {
+        let shut_at = shuts(suspended, probes, busy_until);
         assert!((from..to).contains(&shut_at), "case {n}: shut at {shut_at}");
     }
 }
@@ -79,7 +81,7 @@
     let short = GracefulStop::new(at(0), at(0), Duration::from_secs(1));
     assert!(
         !short.accepts_request(at(500_000), Duration::from_secs(60)),
-        "a short grace has a second half too"
+        "the limit also applies in the second half of a short grace period"
     );
 }
 
--- a/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
+++ b/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 
 /// Interval at which an owner evaluates due lapses.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Most due lapses evaluated at each check, and as many that were marked for evaluation; the rest follow at the next one.
-const MAX_LAPSES_AT_A_TIME: usize = 128;
+const MAX_LAPSES_PER_CHECK: usize = 128;
 /// Interval at which the machine's wall clock is read.
 const CLOCK_READ_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which the other replicas are asked for their wall clocks while the time is known; while it is not, they are
 /// asked as often as the local clock is read.
-const PEERS_ASK_INTERVAL: Duration = Duration::from_secs(10);
+const PEER_CLOCKS_INTERVAL: Duration = Duration::from_secs(10);
 
 fn is_due(last: Option<Instant>, now: Instant, interval: Duration) -> bool {
     last.is_none_or(|last| now - last >= interval)
@@ -30,9 +30,9 @@
     let members = &node_state.member_throttle;
     loop {
         if members.has_members() {
-            look_after_clocks(&node_state);
-            look_after_lapses(&node_state);
-            tokio::time::sleep(LOOK_INTERVAL.to_std()).await;
+            refresh_clocks(&node_state);
+            evaluate_lapses(&node_state);
+            tokio::time::sleep(CHECK_INTERVAL.to_std()).await;
         } else {
             members.changed.notified().await;
         }
@@ -40,25 +40,25 @@
 }
 
 /// Reads this machine's wall clock, and asks the other replicas for theirs.
-fn look_after_clocks(node_state: &Rc<NodeState>) {
+fn refresh_clocks(node_state: &Rc<NodeState>) {
     let now = node_state.now();
     let mut owner = node_state.member_throttle.owner.borrow_mut();
     let owner = &mut *owner;
     if is_due(owner.clock_read_at, now, CLOCK_READ_INTERVAL) {
         owner.clock_read_at = Some(now);
         if owner.clock.observe_local(now, UnixTime::from_micros(wall_micros())) {
-            info!(node_state.log, "the time of day was set");
+            info!(node_state.log, "the wall clock stepped");
         }
     }
     let is_known = owner.clock.wall_time(now).is_some();
     if is_known && !owner.is_time_known {
         // Lapses that waited for the time to be known are evaluated at once.
-        owner.stirred.extend(owner.owned.keys().cloned());
+        owner.marked.extend(owner.owned.keys().cloned());
     }
     owner.is_time_known = is_known;
-    let interval = if is_known { PEERS_ASK_INTERVAL } else { CLOCK_READ_INTERVAL };
-    if is_due(owner.peers_asked_at, now, interval) {
-        owner.peers_asked_at = Some(now);
+    let interval = if is_known { PEER_CLOCKS_INTERVAL } else { CLOCK_READ_INTERVAL };
+    if is_due(owner.peer_clocks_requested_at, now, interval) {
+        owner.peer_clocks_requested_at = Some(now);
         node_state.peers.request_wall_clocks(node_state);
     }
 }
@@ -90,22 +90,22 @@
         }
         for (name, epoch) in &owned {
             if self.owned.get(name) != Some(epoch) {
-                self.stirred.insert(name.clone());
+                self.marked.insert(name.clone());
             }
         }
         self.owned = owned;
-        self.stirred.retain(|name| self.owned.contains_key(name));
+        self.marked.retain(|name| self.owned.contains_key(name));
     }
 
     /// The lapses to evaluate now.
     fn due(&mut self, now: Instant) -> BTreeSet<String> {
-        let due = self.timer.due(now, MAX_LAPSES_AT_A_TIME).into_iter();
-        due.chain(self.stirred.iter().take(MAX_LAPSES_AT_A_TIME).cloned()).collect()
+        let due = self.timer.due(now, MAX_LAPSES_PER_CHECK).into_iter();
+        due.chain(self.marked.iter().take(MAX_LAPSES_PER_CHECK).cloned()).collect()
     }
 }
 
 /// Evaluates the due lapses and proposes the resulting changes.
-fn look_after_lapses(node_state: &Rc<NodeState>) {
+fn evaluate_lapses(node_state: &Rc<NodeState>) {
     let now = node_state.now();
     let members = &node_state.member_throttle;
     let owned = owned_lapses(node_state, members);
@@ -115,14 +115,14 @@
     owner.set_owned(owned);
     for name in owner.due(now) {
         let Some(epoch) = owner.owned.get(&name).copied() else { continue };
-        let blank = LapseState::default();
+        let default_lapse = LapseState::default();
         let lapse = match observed.get(&name) {
             // The owner rewrites the value under its own epoch, and that has not arrived here yet.
             Some(observed) if observed.epoch != epoch => continue,
             Some(observed) => &observed.lapse,
-            None => &blank,
+            None => &default_lapse,
         };
-        owner.stirred.remove(&name);
+        owner.marked.remove(&name);
         let member = index.member(&name);
         let decision = owner.timer.decide(now, &name, epoch, lapse, member, &owner.clock);
         if let Some(change) = decision.proposal {
@@ -136,7 +136,7 @@
         let proposed = format!("{change:?}");
         let outcome = node_state.peers.change_key(&node_state, &lapse_key(&member), change).await;
         if let Some(CallOutcome::Rejected(rejection)) = outcome {
-            debug!(node_state.log, "a lapse's change is rejected"; "member" => &member, "change" => proposed,
+            debug!(node_state.log, "lapse change rejected"; "member" => &member, "change" => proposed,
                 "why" => rejection.reason);
         }
     });
--- a/crates/daemon/mesh/src/member_throttle/state.rs
+++ b/crates/daemon/mesh/src/member_throttle/state.rs
@@ -52,13 +52,13 @@
     /// When the wall clock was last read.
     pub(super) clock_read_at: Option<Instant>,
     /// When the other replicas were last asked for their wall clocks.
-    pub(super) peers_asked_at: Option<Instant>,
+    pub(super) peer_clocks_requested_at: Option<Instant>,
     /// Whether the wall-clock time was known at the last check.
     pub(super) is_time_known: bool,
     /// The lapses that this node owns, with the epoch of the ownership.
     pub(super) owned: BTreeMap<String, Epoch>,
     /// Lapses to evaluate at the next check though their timer is not due.
-    pub(super) stirred: BTreeSet<String>,
+    pub(super) marked: BTreeSet<String>,
 }
 
 impl MemberThrottle {
@@ -68,10 +68,10 @@
             timer: LapseTimer::new(),
             clock: TrustedClock::new(ClockSettings::default(), is_only_replica),
             clock_read_at: None,
-            peers_asked_at: None,
+            peer_clocks_requested_at: None,
             is_time_known: false,
             owned: BTreeMap::new(),
-            stirred: BTreeSet::new(),
+            marked: BTreeSet::new(),
         };
         MemberThrottle {
             is_enabled: Cell::new(false),
@@ -114,7 +114,7 @@
                 }
             }
         }
-        self.owner.borrow_mut().stirred.extend(index.members().map(|member| member.name.clone()));
+        self.owner.borrow_mut().marked.extend(index.members().map(|member| member.name.clone()));
         *self.index.borrow_mut() = index;
         self.changed.notify_one();
     }
@@ -133,7 +133,7 @@
         log_transition(log, name, self.lapses.borrow_mut().observe(now, name, &lapse));
         let epoch = Epoch { round: revision.epoch, owner: revision.owner as u32 };
         self.observed.borrow_mut().insert(name.to_string(), ObservedLapse { epoch, lapse });
-        self.owner.borrow_mut().stirred.insert(name.to_string());
+        self.owner.borrow_mut().marked.insert(name.to_string());
         self.changed.notify_one();
     }
 
--- a/crates/daemon/mesh/src/members_command.rs
+++ b/crates/daemon/mesh/src/members_command.rs
@@ -50,18 +50,18 @@
         println!("{HELP}");
         return Ok(());
     }
-    let word = arguments.subcommand()?;
+    let operation = arguments.subcommand()?;
     let at: Option<SocketAddr> = arguments.opt_value_from_str("--at")?;
     let output = Output { as_json: arguments.contains("--json"), watch: arguments.contains("--watch") };
     let renewal = renewal(&mut arguments)?;
     let name: Option<String> = arguments.opt_free_from_str()?;
     let extra = arguments.finish();
-    let command = match (word.as_deref(), name) {
+    let command = match (operation.as_deref(), name) {
         (Some("list"), None) => Command::List,
         (Some("show"), Some(name)) => Command::Show(name),
         (Some("lapse"), Some(name)) => Command::Lapse(name),
         (Some("renew"), Some(name)) => Command::Renew(name, renewal),
-        _ => bail!("say what is to be done\n{HELP}"),
+        _ => bail!("missing or invalid subcommand or NAME\n{HELP}"),
     };
     if let Some(extra) = extra.first() {
         bail!("{}: not understood\n{HELP}", extra.to_string_lossy());
--- a/crates/daemon/mesh/src/members_command/client.rs
+++ b/crates/daemon/mesh/src/members_command/client.rs
@@ -61,10 +61,10 @@
         }
         let location = response.location.as_deref();
         let target = location.and_then(|location| location.strip_prefix("http://")?.split_once('/'));
-        let (host, rest) = target.with_context(|| format!("{at}: it names nobody to ask"))?;
-        (at, path) = (host.parse().with_context(|| format!("{host}: no address"))?, format!("/{rest}"));
+        let (host, rest) = target.with_context(|| format!("{at}: redirect without a valid location"))?;
+        (at, path) = (host.parse().with_context(|| format!("{host}: not an address"))?, format!("/{rest}"));
     }
-    bail!("{at}: redirected again and again")
+    bail!("{at}: too many redirects")
 }
 
 /// Changes a member; `operation` is the call's name after `Members.`.
--- a/crates/daemon/mesh/src/periodic.rs
+++ b/crates/daemon/mesh/src/periodic.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// Interval of the checks. A process that was suspended for more than a second has missed some.
-const LOOK_INTERVAL: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Interval at which the settings file is checked.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which the metrics are logged, at debug level.
@@ -20,7 +20,7 @@
     let mut published_replica_set = Vec::new();
     let mut rollbacks = 0;
     loop {
-        tokio::time::sleep(LOOK_INTERVAL.to_std()).await;
+        tokio::time::sleep(CHECK_INTERVAL.to_std()).await;
         let now = node_state.now();
         node_state.note_awake();
         node_state.check_newest_in_force();
--- a/crates/daemon/mesh/src/reload.rs
+++ b/crates/daemon/mesh/src/reload.rs
@@ -1,6 +1,7 @@
 //! Reloads settings in a running process: on SIGHUP, and when the file has changed.
 //!
-//! Reloadable settings take effect at once; other changed keys are logged; an invalid file changes nothing.
+//! Reloadable settings take effect at once; other changed keys are logged; an unreadable or invalid file
+//! changes nothing.
 use crate::node_state::NodeState;
 use crate::settings::{self, NodeSettings, SettingsError};
 use slog::{info, warn};
@@ -11,7 +12,7 @@
 pub(crate) enum ReloadOutcome {
     /// The file has not changed.
     Unchanged,
-    /// The file is invalid.
+    /// The file is unreadable or invalid.
     Unusable(SettingsError),
     /// The file was read.
     Reloaded {
@@ -28,7 +29,7 @@
     let settings = match settings::read(&path) {
         Ok(settings) => settings,
         Err(error) => {
-            warn!(node_state.log, "settings file unusable, nothing is changed"; "why" => error.to_string());
+            warn!(node_state.log, "settings file unusable, no setting is changed"; "why" => error.to_string());
             return ReloadOutcome::Unusable(error);
         }
     };
@@ -45,7 +46,7 @@
 
 /// The changed keys that are read only at the start.
 fn keys_read_at_start(old: &NodeSettings, new: &NodeSettings) -> Vec<&'static str> {
-    let differ = [
+    let comparisons = [
         ("node", old.name != new.name),
         ("ip", old.ip != new.ip),
         ("zone", old.zone != new.zone),
@@ -61,7 +62,7 @@
         ("localStation", old.upstream_address != new.upstream_address),
         ("destination", old.upstream_service != new.upstream_service),
     ];
-    differ.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
+    comparisons.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
 }
 
 #[cfg(test)]
--- a/crates/daemon/mesh/src/reload/tests.rs
+++ b/crates/daemon/mesh/src/reload/tests.rs
@@ -31,7 +31,8 @@
         // The gate applies the new limits: a draining upstream gets no more requests.
         sidecar.send_heartbeat();
         let draining = "{\"destination\":\"quotes\",\"state\":\"draining\",\"slots\":8,\"sequence\":2}";
-        node_state.upstream_heartbeat("i-127.0.0.1", serde_json::from_str(draining).expect("a beat"));
+        node_state
+            .upstream_heartbeat("i-127.0.0.1", serde_json::from_str(draining).expect("valid heartbeat"));
         let state =
             node_state.gate.with_admission(|admission| admission.upstream().map(|upstream| upstream.state));
         assert!(
--- a/crates/daemon/mesh/src/runtime.rs
+++ b/crates/daemon/mesh/src/runtime.rs
@@ -18,7 +18,7 @@
 /// Interval at which shutdown checks whether what it waits for is done.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Time for the other nodes to learn that this one leaves.
-const LEAVE_TIME: Duration = Duration::from_millis(60);
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_millis(60);
 
 /// Runs a node until it is told to stop or fails.
 ///
@@ -80,20 +80,20 @@
 /// and ends within the grace period.
 async fn stop(node_state: &Rc<NodeState>) {
     node_state.begin_stop();
-    let end_by = serve_until_shut(node_state).await;
+    let end_by = serve_until_shutdown(node_state).await;
     // From here on no connection is accepted; requests accepted so far are answered before the end.
     node_state.close_idle_connections();
     node_state.close_listeners();
     // A replica that can be replaced stays until it is replaced, because a second loss would leave no majority.
     wait_while(node_state, end_by, || node_state.peers.is_replica_needed()).await;
     node_state.peers.leave_membership(node_state);
-    tokio::time::sleep(LEAVE_TIME).await;
+    tokio::time::sleep(LEAVE_PROPAGATION_TIME).await;
     wait_while(node_state, end_by, || node_state.is_busy()).await;
     info!(node_state.log, "ended"; "open" => node_state.open_requests.get());
 }
 
 /// Serves until no more requests are to be accepted; returns the deadline of the process.
-async fn serve_until_shut(node_state: &Rc<NodeState>) -> Instant {
+async fn serve_until_shutdown(node_state: &Rc<NodeState>) -> Instant {
     let (mut is_closing_idle, mut end_by) = (false, node_state.now());
     loop {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
@@ -112,8 +112,8 @@
 }
 
 /// Waits while the condition holds, at the latest until the deadline of the process.
-async fn wait_while(node_state: &NodeState, end_by: Instant, is_so: impl Fn() -> bool) {
-    while is_so() && node_state.now() < end_by {
+async fn wait_while(node_state: &NodeState, end_by: Instant, condition: impl Fn() -> bool) {
+    while condition() && node_state.now() < end_by {
         tokio::time::sleep(END_CHECK_INTERVAL).await;
     }
 }
--- a/crates/daemon/mesh/src/settings/error.rs
+++ b/crates/daemon/mesh/src/settings/error.rs
@@ -5,7 +5,7 @@
 /// The environment variable that names the settings file.
 pub(crate) const SETTINGS_FILE_VARIABLE: &str = "SILVERCROSS_NODE_FILE";
 
-/// Why settings are invalid.
+/// Why settings can't be used.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum SettingsError {
     /// The file can't be read.
@@ -62,7 +62,7 @@
                 write!(f, "bounds: {entry:?} has no = (write name=number)")
             }
             SettingsError::LimitNotANumber { entry } => {
-                write!(f, "bounds: {entry:?} is no number from 0 on (write name=number)")
+                write!(f, "bounds: {entry:?} is not a non-negative number (write name=number)")
             }
         }
     }
