--- a/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
+++ b/crates/daemon/mesh/src/member_throttle/lapse_owner.rs
@@ -1,4 +1,5 @@
-//! The singleton that takes lapses on: it runs on the node that owns a lapse's key, by the time of day that the replicas agree on.
+//! The singleton that advances lapses: it runs on the node that owns a lapse's key, by the wall-clock time that the replicas
+//! agree on.
 use super::state::{LapseOwner, MemberThrottle};
 use super::wall_clock::wall_micros;
 use crate::control_value::{ControlChange, CONFIGURATION_KEY};
@@ -10,58 +11,59 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// An owner looks after what is due so often.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// Lapses that are due and that it looks at each time, and as many that were stirred; the rest come next.
-const MAX_LAPSES_AT_A_TIME: usize = 128;
-/// The machine's clock is read so often.
+/// Interval at which an owner evaluates due lapses.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Most due lapses evaluated at each check, and as many that were marked for evaluation; the rest follow at the next one.
+const MAX_LAPSES_PER_CHECK: usize = 128;
+/// Interval at which the machine's wall clock is read.
 const CLOCK_READ_INTERVAL: Duration = Duration::from_secs(1);
-/// The other replicas are asked for their time so often where it is known; where not, as often as the clock is read.
-const PEERS_ASK_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval at which the other replicas are asked for their wall clocks while the time is known; while it is not, they are
+/// asked as often as the local clock is read.
+const PEER_CLOCKS_INTERVAL: Duration = Duration::from_secs(10);
 
 fn is_due(last: Option<Instant>, now: Instant, interval: Duration) -> bool {
     last.is_none_or(|last| now - last >= interval)
 }
 
-/// Look after lapses, for as long as the process lives; sleeps while there is no member.
+/// Advances lapses until the process ends; sleeps while there is no member.
 pub(crate) async fn run_lapse_owner(node_state: Rc<NodeState>) {
     let members = &node_state.member_throttle;
     loop {
         if members.has_members() {
-            look_after_clocks(&node_state);
-            look_after_lapses(&node_state);
-            tokio::time::sleep(LOOK_INTERVAL.to_std()).await;
+            refresh_clocks(&node_state);
+            evaluate_lapses(&node_state);
+            tokio::time::sleep(CHECK_INTERVAL.to_std()).await;
         } else {
             members.changed.notified().await;
         }
     }
 }
 
-/// Read this machine's clock, and ask the other replicas for theirs.
-fn look_after_clocks(node_state: &Rc<NodeState>) {
+/// Reads this machine's wall clock, and asks the other replicas for theirs.
+fn refresh_clocks(node_state: &Rc<NodeState>) {
     let now = node_state.now();
     let mut owner = node_state.member_throttle.owner.borrow_mut();
     let owner = &mut *owner;
     if is_due(owner.clock_read_at, now, CLOCK_READ_INTERVAL) {
         owner.clock_read_at = Some(now);
         if owner.clock.observe_local(now, UnixTime::from_micros(wall_micros())) {
-            info!(node_state.log, "the time of day was set");
+            info!(node_state.log, "the wall clock stepped");
         }
     }
     let is_known = owner.clock.wall_time(now).is_some();
     if is_known && !owner.is_time_known {
-        // What waits for the time of day need not wait for its next look.
-        owner.stirred.extend(owner.owned.keys().cloned());
+        // Lapses that waited for the time to be known are evaluated at once.
+        owner.marked.extend(owner.owned.keys().cloned());
     }
     owner.is_time_known = is_known;
-    let interval = if is_known { PEERS_ASK_INTERVAL } else { CLOCK_READ_INTERVAL };
-    if is_due(owner.peers_asked_at, now, interval) {
-        owner.peers_asked_at = Some(now);
+    let interval = if is_known { PEER_CLOCKS_INTERVAL } else { CLOCK_READ_INTERVAL };
+    if is_due(owner.peer_clocks_requested_at, now, interval) {
+        owner.peer_clocks_requested_at = Some(now);
         node_state.peers.request_wall_clocks(node_state);
     }
 }
 
-/// The lapses whose keys this node owns, and, where it owns the configuration, those that have no key yet.
+/// The lapses whose keys this node owns, and, if it owns the configuration, those that have no key yet.
 fn owned_lapses(node_state: &NodeState, members: &MemberThrottle) -> BTreeMap<String, Epoch> {
     let index = members.index();
     let observed = members.observed.borrow();
@@ -81,29 +83,29 @@
 }
 
 impl LapseOwner {
-    /// These are owned from now on: new ones are looked at, those lost are forgotten.
+    /// Replaces the owned lapses: new ones are marked for evaluation, those no longer owned are removed.
     fn set_owned(&mut self, owned: BTreeMap<String, Epoch>) {
         for name in self.owned.keys().filter(|name| !owned.contains_key(*name)) {
             self.timer.forget(name);
         }
         for (name, epoch) in &owned {
             if self.owned.get(name) != Some(epoch) {
-                self.stirred.insert(name.clone());
+                self.marked.insert(name.clone());
             }
         }
         self.owned = owned;
-        self.stirred.retain(|name| self.owned.contains_key(name));
+        self.marked.retain(|name| self.owned.contains_key(name));
     }
 
-    /// Those to look at now.
+    /// The lapses to evaluate now.
     fn due(&mut self, now: Instant) -> BTreeSet<String> {
-        let due = self.timer.due(now, MAX_LAPSES_AT_A_TIME).into_iter();
-        due.chain(self.stirred.iter().take(MAX_LAPSES_AT_A_TIME).cloned()).collect()
+        let due = self.timer.due(now, MAX_LAPSES_PER_CHECK).into_iter();
+        due.chain(self.marked.iter().take(MAX_LAPSES_PER_CHECK).cloned()).collect()
     }
 }
 
-/// Decide on what is due, and propose the changes that follow.
-fn look_after_lapses(node_state: &Rc<NodeState>) {
+/// Evaluates the due lapses and proposes the resulting changes.
+fn evaluate_lapses(node_state: &Rc<NodeState>) {
     let now = node_state.now();
     let members = &node_state.member_throttle;
     let owned = owned_lapses(node_state, members);
@@ -113,14 +115,14 @@
     owner.set_owned(owned);
     for name in owner.due(now) {
         let Some(epoch) = owner.owned.get(&name).copied() else { continue };
-        let blank = LapseState::default();
+        let default_lapse = LapseState::default();
         let lapse = match observed.get(&name) {
-            // The owner's own value under this epoch, written anew, is on its way here.
+            // The owner rewrites the value under its own epoch, and that has not arrived here yet.
             Some(observed) if observed.epoch != epoch => continue,
             Some(observed) => &observed.lapse,
-            None => &blank,
+            None => &default_lapse,
         };
-        owner.stirred.remove(&name);
+        owner.marked.remove(&name);
         let member = index.member(&name);
         let decision = owner.timer.decide(now, &name, epoch, lapse, member, &owner.clock);
         if let Some(change) = decision.proposal {
@@ -134,7 +136,7 @@
         let proposed = format!("{change:?}");
         let outcome = node_state.peers.change_key(&node_state, &lapse_key(&member), change).await;
         if let Some(CallOutcome::Rejected(rejection)) = outcome {
-            debug!(node_state.log, "a lapse's change is rejected"; "member" => &member, "change" => proposed,
+            debug!(node_state.log, "lapse change rejected"; "member" => &member, "change" => proposed,
                 "why" => rejection.reason);
         }
     });
