--- a/crates/daemon/sidecar/src/memory/connections.rs
+++ b/crates/daemon/sidecar/src/memory/connections.rs
@@ -206,7 +206,7 @@
     }
 
     /// The connection from an application that has been idle for longest, those never used before those used. One that was
-    /// accepted less than [`FIRST_USE_TIMEOUT`] ago and is not used yet is left out, as its first request is about to arrive.
+    /// accepted less than `FIRST_USE_TIMEOUT` ago and is not used yet is left out, as its first request is about to arrive.
     pub fn idle_application(&self, now: Micros) -> Option<Handle> {
         let closable = |c: &application::Conn| c.is_idle() && (c.used || c.since + FIRST_USE_TIMEOUT <= now);
         let since = |(h, c): (Handle, &Connection)| match c {
--- a/crates/daemon/sidecar/src/wire/application.rs
+++ b/crates/daemon/sidecar/src/wire/application.rs
@@ -128,7 +128,7 @@
     }
 
     /// Discards a bounded amount of received bytes; `false` once the other end has closed, the socket has failed, or the
-    /// socket is reported ready after [`MAX_DISCARDED_BYTES`].
+    /// socket is reported ready after `MAX_DISCARDED_BYTES`.
     pub fn discard(&mut self) -> bool {
         let mut chunk = [0; 4096];
         if self.wasted >= MAX_DISCARDED_BYTES {
@@ -449,7 +449,7 @@
     }
 
     #[test]
-    fn a_sender_that_waits_for_a_word_is_noticed() {
+    fn a_sender_that_waits_for_100_continue_is_detected() {
         let text = format!("{POST}Content-Length: 3\r\nExpect: 100-continue\r\n\r\n");
         assert_eq!(front(text.as_bytes()), Ok(Front::Partial(true)));
         assert_eq!(front(format!("{text}a").as_bytes()), Ok(Front::Partial(false)));
--- a/crates/daemon/sidecar/src/wire/discovery.rs
+++ b/crates/daemon/sidecar/src/wire/discovery.rs
@@ -350,7 +350,7 @@
     }
 
     #[test]
-    fn a_bad_entry_spoils_its_list() {
+    fn an_invalid_entry_invalidates_its_list() {
         for (from, to) in [
             ("draining", "odd"),
             ("\"s-1\"", "\"\""),
--- a/crates/daemon/sidecar/src/wire/upstream.rs
+++ b/crates/daemon/sidecar/src/wire/upstream.rs
@@ -365,7 +365,7 @@
     }
 
     #[test]
-    fn turned_away_needs_its_header() {
+    fn rejected_unprocessed_requires_the_header() {
         let text =
             |status: &str, more: &str| format!("HTTP/1.1 {status} X\r\n{more}Content-Length: 0\r\n\r\n");
         assert_eq!(report_of(&text("503", "X-Unprocessed: 1\r\n")), Some(Report::Rejected));
@@ -389,7 +389,7 @@
     }
 
     #[test]
-    fn a_spoilt_answer_is_known_by_its_head() {
+    fn invalid_framing_is_detected_from_the_head() {
         let parsed = |lines: &str| read_answer(format!("HTTP/1.1 200 OK\r\n{lines}\r\n").as_bytes(), false);
         for lines in [
             "Content-Length: 3221225472\r\n",
