--- a/crates/daemon/sidecar/src/lifecycle/config.rs
+++ b/crates/daemon/sidecar/src/lifecycle/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: environment variables, and the JSON file that one of them names.
+//! The configuration: environment variables, and the JSON file that `PROXY_CONFIG` names.
 use crate::wire::discovery;
 use serde::Deserialize;
 use silvercross_core::interface::Settings;
@@ -6,31 +6,31 @@
 use silvercross_settings::ProxySettings;
 use std::net::SocketAddr;
 
-/// All that a sidecar is told at its start.
+/// A sidecar's configuration, as read and checked.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The sidecar's name, which stays the same across restarts.
     pub name: String,
-    /// Where the application connects.
+    /// Address on which the application's connections are accepted.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Discovery's address.
     pub discovery: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// Address of the management listener, if there is one.
     pub management: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Memory it may use, in MB.
+    /// Memory limit of the process, in MB.
     pub memory_mb: usize,
-    /// Descriptors it may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// The list as last known here, and its version.
+    /// The last known list of upstreams, used until discovery sends one.
     pub known: Vec<Host>,
-    /// That list's version.
+    /// Version of the `known` list.
     pub seq: u64,
-    /// The module's settings.
+    /// Settings of the balancing module.
     pub settings: Settings,
-    /// The names behind them.
+    /// The names that the settings refer to.
     pub front: ProxySettings,
-    /// The whole file, against which the next one is held.
+    /// The whole file, with which a reloaded file is compared.
     pub file: serde_json::Value,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Read the configuration. `var` looks a variable of the environment up; the error is one plain line.
+/// Reads the configuration. `var` looks up an environment variable; the error is a single line.
 pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let path = var("PROXY_CONFIG").ok_or("PROXY_CONFIG is not set: it names the configuration file")?;
     let text =
@@ -74,19 +74,18 @@
     parse(&text, var).map_err(|e| format!("bad configuration {path}: {e}"))
 }
 
-/// Read the configuration again, of a process that has been told to: whole and good, and with every key that the one in
-/// force has, or nothing is taken. What the file says of discovery holds over the variable that the process was started
-/// with: a variable can't be replaced, and would pin the old address for good.
+/// Reads the configuration again on a reload. A file that is invalid, or that lacks a key of the configuration in force, is
+/// rejected as a whole. Discovery's address is taken from the file and not from the environment variable: the variables of
+/// a running process cannot be replaced, so the old address would stay for good.
 pub fn reread(var: impl Fn(&str) -> Option<String>, in_force: &serde_json::Value) -> Result<Config, String> {
     let new = read(|name| var(name).filter(|_| name != "PROXY_DISCOVERY"))?;
-    held_against(&new.file, in_force)?;
+    check_reloaded_keys(&new.file, in_force)?;
     Ok(new)
 }
 
-fn held_against(new: &serde_json::Value, in_force: &serde_json::Value) -> Result<(), String> {
+fn check_reloaded_keys(new: &serde_json::Value, in_force: &serde_json::Value) -> Result<(), String> {
     let keys = in_force.as_object().into_iter().flatten().map(|(key, _)| key);
-    keys.filter(|key| new.get(key.as_str()).is_none())
-        .try_for_each(|key| Err(format!("{key}: it is missing")))?;
+    keys.filter(|key| new.get(key.as_str()).is_none()).try_for_each(|key| Err(format!("{key}: missing")))?;
     for key in ["settings", "limits"] {
         if let (Some(new), Some(old)) = (new.get(key), in_force.get(key)) {
             silvercross_settings::check_keys_present(new, old, key)?;
@@ -95,22 +94,24 @@
     Ok(())
 }
 
-/// Read the configuration's text. Where a variable says the same as the file, the variable holds.
+/// Parses the configuration's text. An environment variable takes precedence over the file.
 pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let whole_file: serde_json::Value = serde_json::from_str(text).map_err(|e| one_line(&e.to_string()))?;
-    let file: File = serde_json::from_str(text).map_err(|e| one_line(&e.to_string()))?;
-    silvercross_settings::check(&file.settings, None).map_err(|e| one_line(&e))?;
+    let whole_file: serde_json::Value =
+        serde_json::from_str(text).map_err(|e| to_single_line(&e.to_string()))?;
+    let file: File = serde_json::from_str(text).map_err(|e| to_single_line(&e.to_string()))?;
+    silvercross_settings::check(&file.settings, None).map_err(|e| to_single_line(&e))?;
     let address = |name: &str, fallback: &str| {
         let text = var(name).unwrap_or_else(|| fallback.to_string());
         text.parse::<SocketAddr>()
-            .map_err(|_| format!("{name} {text:?} is no address such as 127.0.0.1:3000"))
+            .map_err(|_| format!("{name} {text:?} is not an address such as 127.0.0.1:3000"))
     };
-    let (settings, front) = silvercross_settings::read_value(file.settings).map_err(|e| one_line(&e))?;
+    let (settings, front) =
+        silvercross_settings::read_value(file.settings).map_err(|e| to_single_line(&e))?;
     let (known, seq) = match file.known {
         serde_json::Value::Null => (Vec::new(), 0),
         list => {
             let told = discovery::read_list(list.to_string().as_bytes())
-                .map_err(|e| one_line(&format!("known: {e}")))?;
+                .map_err(|e| to_single_line(&format!("known: {e}")))?;
             match told.news {
                 DiscoveryEvent::List { hosts, .. } => (hosts, told.seq),
                 DiscoveryEvent::Broken | DiscoveryEvent::Moved => (Vec::new(), 0),
@@ -127,8 +128,8 @@
         listen: address("PROXY_LISTEN", &file.listen)?,
         discovery: address("PROXY_DISCOVERY", &file.discovery)?,
         seed: seed(&file.seed)?,
-        memory_mb: whole("limits.memory_mb", file.limits.memory_mb, 16.0)?,
-        sockets: whole("limits.sockets", file.limits.sockets, 64.0)?,
+        memory_mb: parse_limit("limits.memory_mb", file.limits.memory_mb, 16.0)?,
+        sockets: parse_limit("limits.sockets", file.limits.sockets, 64.0)?,
         known,
         seq,
         settings,
@@ -143,18 +144,18 @@
         serde_json::Value::String(s) => {
             u64::from_str_radix(s, 16).map_err(|_| format!("seed {s:?} is not hexadecimal"))
         }
-        other => other.as_u64().ok_or_else(|| format!("seed {other} is no whole number")),
+        other => other.as_u64().ok_or_else(|| format!("seed {other} is not a non-negative integer")),
     }
 }
 
-fn whole(name: &str, value: f64, least: f64) -> Result<usize, String> {
+fn parse_limit(name: &str, value: f64, least: f64) -> Result<usize, String> {
     match value {
         v if (least..=1e9).contains(&v) => Ok(v as usize),
         v => Err(format!("{name} {v} is not at least {least}")),
     }
 }
 
-fn one_line(text: &str) -> String {
+fn to_single_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
 
@@ -162,18 +163,18 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+    const VALID_CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
         "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
         "known":{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","class":"m2","block":0,"health":"ready","share":1.0,"born_ms":0}]},
         "settings":{"areas":["a"],"classes":[{"name":"x","aim_s":0.5,"deadline_s":2.0,"effect":"repeatable"}],"limits":{"idle_close_s":60.0},"rules":{}}}"#;
 
-    fn none(_: &str) -> Option<String> {
+    fn no_variables(_: &str) -> Option<String> {
         None
     }
 
     #[test]
     fn a_good_configuration_is_read() {
-        let c = parse(GOOD, none).expect("good");
+        let c = parse(VALID_CONFIG, no_variables).expect("good");
         assert_eq!(
             (c.seed, c.memory_mb, c.sockets, c.seq, c.known.len()),
             (0x8c1f30d27a5be964, 192, 1024, 41, 1)
@@ -183,25 +184,26 @@
 
     #[test]
     fn a_file_that_lacks_what_the_one_in_force_has_is_turned_down() {
-        let of = |text: &str| parse(text, none).expect("good").file;
-        let good = of(GOOD);
-        assert_eq!(held_against(&good, &good), Ok(()));
+        let of = |text: &str| parse(text, no_variables).expect("good").file;
+        let good = of(VALID_CONFIG);
+        assert_eq!(check_reloaded_keys(&good, &good), Ok(()));
         for (from, to, key) in [
             ("\"discovery\":", "\"discover\":", "discovery:"),
             ("\"cores\":1.0,", "", "limits.cores:"),
             ("\"areas\":[\"a\"],", "", "settings.areas:"),
             (",\"limits\":{\"idle_close_s\":60.0}", ",\"limits\":{}", "settings.limits.idle_close_s:"),
         ] {
-            let text = GOOD.replacen(from, to, 1);
+            let text = VALID_CONFIG.replacen(from, to, 1);
             let new: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-            let why = held_against(&new, &good).expect_err(key);
+            let why = check_reloaded_keys(&new, &good).expect_err(key);
             assert!(why.starts_with(key), "{why}");
         }
     }
 
     #[test]
     fn a_variable_holds_over_the_file() {
-        let c = parse(GOOD, |v| (v == "PROXY_LISTEN").then(|| "127.0.0.2:9".to_string())).expect("good");
+        let c =
+            parse(VALID_CONFIG, |v| (v == "PROXY_LISTEN").then(|| "127.0.0.2:9".to_string())).expect("good");
         assert_eq!((c.listen.to_string().as_str(), c.discovery.port()), ("127.0.0.2:9", 8500));
     }
 
@@ -216,7 +218,9 @@
             ("\"settings\":", "\"setting\":"),
             ("}}", "}"),
         ] {
-            let Err(why) = parse(&GOOD.replacen(from, to, 1), none) else { panic!("{to} was taken") };
+            let Err(why) = parse(&VALID_CONFIG.replacen(from, to, 1), no_variables) else {
+                panic!("{to} was taken")
+            };
             assert!(!why.is_empty() && !why.contains('\n'), "{why}");
         }
     }
--- a/crates/daemon/sidecar/src/lifecycle/logging.rs
+++ b/crates/daemon/sidecar/src/lifecycle/logging.rs
@@ -1,72 +1,72 @@
-//! The log: JSON, one line an entry, on standard error, written by a thread of its own. The loop hands entries over
-//! and never waits: when the thread falls behind, entries are dropped and their number is logged.
+//! The log: JSON, one entry per line, on standard error, written by a thread of its own. The event loop queues entries
+//! and never blocks: if the thread falls behind, entries are dropped and their number is logged.
 use silvercross_core::interface::Micros;
 use slog::{o, Drain, Level, LevelFilter, Logger};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Entries that may wait for the thread.
-const WAITING: usize = 512;
-/// How long the end of the process waits for the last entries.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Capacity of the queue to the log thread, in entries.
+const QUEUE_CAPACITY: usize = 512;
+/// Maximum time that the end of the process waits for the queued entries to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Lines about the same limit come no closer than this.
-const PACE: Micros = 10_000_000;
+/// Minimum interval between two lines of the same kind.
+const MIN_INTERVAL: Micros = 10_000_000;
 
-/// Writes out what is waiting when the process ends.
+/// Writes the queued entries when the process ends.
 pub struct Flush(AsyncGuard);
 
-/// A log that shows entries of this level and above.
+/// Starts a log of entries of at least this level.
 pub fn start(name: &str, level: Level) -> (Logger, Flush) {
     let json = slog_json::Json::default(std::io::stderr()).fuse();
     let (drain, guard) = Async::new(json)
-        .chan_size(WAITING)
+        .chan_size(QUEUE_CAPACITY)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
     let log = Logger::root(LevelFilter::new(drain, level).fuse(), o!("sidecar" => name.to_string()));
     let panics = log.clone();
-    // The usual hook writes to standard error from the thread that panics, and so could block the loop.
+    // The default hook writes to standard error from the panicking thread and could block the event loop.
     std::panic::set_hook(Box::new(move |info| slog::error!(panics, "panic"; "what" => info.to_string())));
     (log, Flush(guard))
 }
 
-/// The level that the environment asks for.
+/// Parses the log level; without one it is `Info`.
 pub fn level(text: Option<&str>) -> Result<Level, String> {
     match text {
         None => Ok(Level::Info),
-        Some(text) => text.parse().map_err(|()| format!("SILVERCROSS_LOG {text:?} is no log level")),
+        Some(text) => text.parse().map_err(|()| format!("SILVERCROSS_LOG {text:?} is not a log level")),
     }
 }
 
-/// Lets one line of a kind through every so often, so that trouble cannot flood the log.
+/// Rate limit for log lines of one kind, so that a lasting fault does not flood the log.
 #[derive(Default)]
 pub struct Paced {
-    until: Option<Micros>,
-    held: u64,
+    next_at: Option<Micros>,
+    suppressed: u64,
 }
 
 impl Paced {
-    /// `Some`, with how many were held back since the last, if this one may be logged.
+    /// Returns the number of lines suppressed since the last one logged if a line may be logged now, otherwise `None`.
     pub fn pass(&mut self, now: Micros) -> Option<u64> {
-        if self.until.is_some_and(|until| now < until) {
-            self.held += 1;
+        if self.next_at.is_some_and(|next_at| now < next_at) {
+            self.suppressed += 1;
             return None;
         }
-        self.until = Some(now + PACE);
-        Some(std::mem::take(&mut self.held))
+        self.next_at = Some(now + MIN_INTERVAL);
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
 impl Flush {
-    /// Write out what is waiting, but not for long: whoever reads the log may have stopped.
+    /// Writes the queued entries, with a time limit: the reader of standard error may have stopped reading.
     pub fn finish(self) {
         let (done, wait) = mpsc::channel();
         std::thread::spawn(move || {
             drop(self.0);
             let _ = done.send(());
         });
-        let _ = wait.recv_timeout(LAST_WORDS);
+        let _ = wait.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
@@ -78,9 +78,9 @@
     fn lines_of_a_kind_are_paced_and_counted() {
         let mut paced = Paced::default();
         assert_eq!(paced.pass(5), Some(0));
-        assert_eq!([paced.pass(6), paced.pass(PACE)], [None, None]);
-        assert_eq!(paced.pass(PACE + 5), Some(2));
-        assert_eq!(paced.pass(PACE * 3), Some(0));
+        assert_eq!([paced.pass(6), paced.pass(MIN_INTERVAL)], [None, None]);
+        assert_eq!(paced.pass(MIN_INTERVAL + 5), Some(2));
+        assert_eq!(paced.pass(MIN_INTERVAL * 3), Some(0));
     }
 
     #[test]
--- a/crates/daemon/sidecar/src/lifecycle/mod.rs
+++ b/crates/daemon/sidecar/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! How the process starts and stops: configuration, log, sockets, signals.
+//! Start and stop of the process (configuration, log, sockets, signals), and the operator commands.
 pub mod config;
 pub mod fleet;
 pub mod gateway;
--- a/crates/daemon/sidecar/src/lifecycle/stop.rs
+++ b/crates/daemon/sidecar/src/lifecycle/stop.rs
@@ -1,60 +1,63 @@
-//! Stop: what a planned restart owes its clients. The loop asks this file when to do what.
+//! Graceful shutdown: until when a stopping process accepts connections, answers requests and stays alive.
 use silvercross_core::interface::Micros;
 
-/// The platform kills no sooner than the longest deadline, or this where that is longer, and 0.7 s more after it asked.
-const LONGEST: Micros = 3_000_000;
-/// All is answered so long after the longest deadline: a request that came in the last 0.4 s has all of its time ...
-const ANSWER_AFTER: Micros = 450_000;
-/// ... and after this the process ends whatever is left.
-const END_AFTER: Micros = 600_000;
-/// New connections go on coming for up to 0.4 s; the listener stays for that long with a margin ...
-const LISTEN_FOR: Micros = 900_000;
-/// ... and for so long after the last one came or the last answer went out.
-const QUIET: Micros = 300_000;
+/// Cap on the longest deadline that a stop waits for. The platform kills the process 0.7 s after the longest deadline, of
+/// which at most this much counts, has passed since the stop signal.
+const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
+/// Requests are answered until this long after the longest deadline. Connections arrive for up to 0.4 s after the signal, and
+/// a request of the last of them still has its whole deadline.
+const ANSWER_MARGIN: Micros = 450_000;
+/// The process ends this long after the longest deadline, whatever is unfinished.
+const END_MARGIN: Micros = 600_000;
+/// The listener stays open for this long: new connections arrive for up to 0.4 s after the signal, and there is a margin.
+const MIN_LISTEN_TIME: Micros = 900_000;
+/// The process stays alive for this long after the last new connection or the last answer.
+const QUIET_PERIOD: Micros = 300_000;
 
-/// A stop that has begun.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
     began: Micros,
-    active: Micros,
-    longest: Micros,
+    last_activity: Micros,
+    longest_deadline: Micros,
 }
 
 impl Stop {
-    /// It begins now, where the longest deadline of a class is this.
-    pub fn begin(now: Micros, longest: Micros) -> Self {
-        Stop { began: now, active: now, longest: longest.min(LONGEST) }
+    /// Begins a shutdown now; `longest_deadline` is the longest deadline of any class.
+    pub fn begin(now: Micros, longest_deadline: Micros) -> Self {
+        Stop { began: now, last_activity: now, longest_deadline: longest_deadline.min(MAX_COUNTED_DEADLINE) }
     }
 
-    /// By when all that was taken has to be answered.
+    /// Time by which all accepted requests have to be answered.
     pub fn answer_by(&self) -> Micros {
-        self.began + self.longest + ANSWER_AFTER
+        self.began + self.longest_deadline + ANSWER_MARGIN
     }
 
     fn end_by(&self) -> Micros {
-        (self.began + self.longest + END_AFTER).max(self.began + LISTEN_FOR)
+        (self.began + self.longest_deadline + END_MARGIN).max(self.began + MIN_LISTEN_TIME)
     }
 
-    /// A connection came, or an answer went out.
+    /// Records a new connection or a sent answer.
     pub fn note_activity(&mut self, now: Micros) {
-        self.active = now;
+        self.last_activity = now;
     }
 
-    /// Whether the process may end, with so many connections that are still in the middle of something.
+    /// Whether the process may end, with `busy` connections that still have something unfinished.
     pub fn may_end(&self, now: Micros, busy: usize) -> bool {
-        let quiet = busy == 0 && now >= self.began + LISTEN_FOR && now >= self.active + QUIET;
+        let quiet =
+            busy == 0 && now >= self.began + MIN_LISTEN_TIME && now >= self.last_activity + QUIET_PERIOD;
         quiet || self.is_due(now)
     }
 
-    /// Whether it ends whatever is left.
+    /// Whether the process has to end now, whatever is unfinished.
     pub fn is_due(&self, now: Micros) -> bool {
         now >= self.end_by()
     }
 
-    /// When to ask again.
+    /// Time of the next check.
     pub fn look_again(&self, now: Micros) -> Micros {
-        // Never at once: the loop asks whether it may end only when nothing is due.
-        (now + QUIET / 3).min(self.end_by()).max(now + 1_000)
+        // Always in the future: the loop checks whether it may end only when no timer is due.
+        (now + QUIET_PERIOD / 3).min(self.end_by()).max(now + 1_000)
     }
 }
 
@@ -76,15 +79,15 @@
 
     #[test]
     fn it_finishes_what_it_has_but_ends_before_it_is_killed() {
-        // Killed 0.7 s after the longest deadline, of which no more than 3 s count.
-        for (longest, killed) in [(6_000 * MS, 3_700 * MS), (2_500 * MS, 3_200 * MS)] {
-            let stop = Stop::begin(0, longest);
+        // The platform kills 0.7 s after the longest deadline, of which at most 3 s count.
+        for (longest_deadline, killed) in [(6_000 * MS, 3_700 * MS), (2_500 * MS, 3_200 * MS)] {
+            let stop = Stop::begin(0, longest_deadline);
             assert!(stop.answer_by() + 100 * MS < killed && !stop.may_end(stop.answer_by() + 100 * MS, 1));
             assert!(stop.may_end(killed - 100 * MS, 1));
         }
         let stop = Stop::begin(0, 6_000 * MS);
         for now in [0, 3_599 * MS, 3_600 * MS, 9_000 * MS] {
-            assert!(stop.look_again(now) > now, "a timer that is always due would hold the loop");
+            assert!(stop.look_again(now) > now, "a timer that is always due would keep the loop from ending");
         }
     }
 }
