--- a/crates/daemon/sidecar/src/lifecycle/members.rs
+++ b/crates/daemon/sidecar/src/lifecycle/members.rs
@@ -1,70 +1,72 @@
-//! The command `members`: asks running sidecars over their doors who is in the fleet, and where their views differ.
+//! The command `members`: queries the management listeners of running sidecars for the fleet's members, and compares their
+//! views.
 use clap::Args;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A door that has not answered by then is told of as silent.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// An answer is no longer.
-const LONGEST: u64 = 4 << 20;
+/// Timeout for connecting to a sidecar's management address, and for each read from it.
+const TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-/// What is asked.
+/// Arguments of `members`.
 #[derive(Debug, Args)]
 pub struct Order {
-    /// A sidecar's management address; several: with commas.
+    /// A sidecar's management address; several are separated by commas.
     #[arg(long, required = true, value_delimiter = ',')]
     at: Vec<SocketAddr>,
-    /// Print what it told, as JSON.
+    /// Print the responses as JSON.
     #[arg(long)]
     json: bool,
-    /// Ask all of them and show where they differ; the exit code is 0 only if they don't.
+    /// Query all of them and show where their views differ; the exit code is 0 only if they agree.
     #[arg(long)]
     compare: bool,
 }
 
-/// Ask, and print. The error is one plain line.
+/// Queries the sidecars and prints the result. The error is a single line.
 pub fn run(order: &Order, out: &mut impl Write) -> Result<(), String> {
-    let told: Vec<(SocketAddr, Result<Value, String>)> = order.at.iter().map(|at| (*at, ask(*at))).collect();
+    let views: Vec<(SocketAddr, Result<Value, String>)> =
+        order.at.iter().map(|at| (*at, fetch_members(*at))).collect();
     let io = |e: std::io::Error| format!("cannot write: {e}");
-    let mut silent = 0;
-    for (at, value) in &told {
+    let mut failed_count = 0;
+    for (at, value) in &views {
         match value {
             Ok(value) if order.json => writeln!(out, "{value}").map_err(io)?,
             Ok(value) if !order.compare => show(value, out).map_err(io)?,
             Ok(_) => {}
             Err(why) => {
-                silent += 1;
+                failed_count += 1;
                 writeln!(out, "{at}: {why}").map_err(io)?;
             }
         }
     }
     if order.compare {
-        let good: Vec<_> = told.iter().filter_map(|(at, v)| Some((at, v.as_ref().ok()?))).collect();
+        let good: Vec<_> = views.iter().filter_map(|(at, v)| Some((at, v.as_ref().ok()?))).collect();
         let differ = compare(&good, out).map_err(io)?;
         if differ > 0 {
             return Err(format!("{differ} of {} differ from the first", good.len()));
         }
     }
-    match silent {
+    match failed_count {
         0 => Ok(()),
-        n => Err(format!("{n} of {} did not tell", told.len())),
+        n => Err(format!("{n} of {} did not answer", views.len())),
     }
 }
 
-fn ask(at: SocketAddr) -> Result<Value, String> {
-    let fault = |e: std::io::Error| format!("it can't be asked: {e}");
-    let mut socket = TcpStream::connect_timeout(&at, PATIENCE).map_err(fault)?;
-    socket.set_read_timeout(Some(PATIENCE)).map_err(fault)?;
+fn fetch_members(at: SocketAddr) -> Result<Value, String> {
+    let fault = |e: std::io::Error| format!("request failed: {e}");
+    let mut socket = TcpStream::connect_timeout(&at, TIMEOUT).map_err(fault)?;
+    socket.set_read_timeout(Some(TIMEOUT)).map_err(fault)?;
     socket.write_all(b"GET /admin/members HTTP/1.1\r\nHost: door\r\n\r\n").map_err(fault)?;
     let mut text = String::new();
-    socket.take(LONGEST).read_to_string(&mut text).map_err(fault)?;
-    let (head, body) = text.split_once("\r\n\r\n").ok_or("it told nothing")?;
+    socket.take(MAX_RESPONSE_BYTES).read_to_string(&mut text).map_err(fault)?;
+    let (head, body) = text.split_once("\r\n\r\n").ok_or("incomplete response")?;
     if !head.starts_with("HTTP/1.1 200 ") {
         return Err(body.trim().to_string());
     }
-    serde_json::from_str(body).map_err(|e| format!("it told what is no list: {e}"))
+    serde_json::from_str(body).map_err(|e| format!("invalid response: {e}"))
 }
 
 fn show(v: &Value, out: &mut impl Write) -> std::io::Result<()> {
@@ -100,7 +102,7 @@
     Ok(())
 }
 
-/// Members that one holds to be there, by identity and name.
+/// Members that a sidecar regards as alive or suspect, and the sidecar itself: identity and name, sorted.
 fn live(v: &Value) -> Vec<(String, String)> {
     let mut live: Vec<(String, String)> = v["others"]
         .as_array()
@@ -114,13 +116,13 @@
     live
 }
 
-/// How many see others than the first one does.
-fn compare(told: &[(&SocketAddr, &Value)], out: &mut impl Write) -> std::io::Result<usize> {
-    let Some((first_at, first)) = told.first() else { return Ok(0) };
+/// Prints the differences from the first sidecar's view; returns the number of sidecars whose view differs.
+fn compare(views: &[(&SocketAddr, &Value)], out: &mut impl Write) -> std::io::Result<usize> {
+    let Some((first_at, first)) = views.first() else { return Ok(0) };
     let base = live(first);
     writeln!(out, "{first_at} ({}): {} live, {}", first["name"], base.len(), first["view"])?;
     let mut differ = 0;
-    for (at, v) in &told[1..] {
+    for (at, v) in &views[1..] {
         let other = live(v);
         writeln!(out, "{at} ({}): {} live, {}", v["name"], other.len(), v["view"])?;
         differ += usize::from(other != base);
--- a/crates/daemon/sidecar/src/lifecycle/migrate.rs
+++ b/crates/daemon/sidecar/src/lifecycle/migrate.rs
@@ -1,42 +1,42 @@
-//! `silvercross migrate`: an old configuration file in, its counterpart for the new shape out. The old file is never touched.
+//! `silvercross migrate`: converts an old configuration file to the new format. The old file is never changed.
 use silvercross_settings::migrate::{migrate, Target};
 use std::fs::{self, OpenOptions};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// What to migrate, and what the old file cannot tell.
+/// Arguments of `migrate`: the old file, and values that it does not contain.
 #[derive(clap::Args, Debug)]
 pub struct Order {
-    /// The configuration for the old shape (JSON).
+    /// The old configuration file (JSON).
     old: PathBuf,
-    /// Where the new one is written; a file that is there already is left alone.
+    /// The new configuration file; an existing file is not overwritten.
     #[arg(long, required_unless_present = "dry_run")]
     to: Option<PathBuf>,
-    /// Change nothing: only say what would be changed, and what could not be carried over.
+    /// Write nothing: only print what would be changed, and what could not be converted.
     #[arg(long)]
     dry_run: bool,
-    /// How many sidecars the pool has.
+    /// Number of sidecars in the pool.
     #[arg(long)]
     sidecars: Option<u32>,
-    /// This sidecar's number among them, from 0.
+    /// Index of this sidecar in the pool, from 0.
     #[arg(long)]
     number: Option<u32>,
-    /// Where the front reaches this sidecar.
+    /// Address on which the front reaches this sidecar.
     #[arg(long)]
     listen: Option<String>,
-    /// Where the list of upstreams comes from.
+    /// Address from which the list of upstreams comes.
     #[arg(long)]
     discovery: Option<String>,
-    /// A zone of the new deployment, this sidecar's own first; once for each.
+    /// A zone of the new deployment; repeat it for each zone, this sidecar's own first.
     #[arg(long = "zone")]
     zones: Vec<String>,
-    /// Whether upstreams do less work for a subject that they met lately.
+    /// Whether upstreams do less work for a subject that they have served recently.
     #[arg(long)]
     warm_keys: Option<bool>,
 }
 
-/// Do it; the error is one plain line, and nothing has been written then.
-pub fn run(order: &Order, say: &mut impl Write) -> Result<(), String> {
+/// Runs the migration. The error is a single line; if the file cannot be converted or written, none is created.
+pub fn run(order: &Order, out: &mut impl Write) -> Result<(), String> {
     let shown = order.old.display();
     let text = fs::read_to_string(&order.old).map_err(|e| format!("cannot read {shown}: {e}"))?;
     let old = serde_json::from_str(&text).map_err(|e| format!("{shown}: {e}"))?;
@@ -50,27 +50,27 @@
     };
     let new = migrate(&old, &target).map_err(|why| format!("{shown}: {why}"))?;
     let text = serde_json::to_string_pretty(&new.file).map_err(|e| e.to_string())? + "\n";
-    // What this program would not start with must not be written.
+    // A configuration that this program would reject at the start must not be written.
     super::config::parse(&text, |_| None)
-        .map_err(|why| format!("{shown}: what came of it is no good: {why}"))?;
+        .map_err(|why| format!("{shown}: the converted configuration is invalid: {why}"))?;
     if let Some(output) = order.to.as_deref().filter(|_| !order.dry_run) {
         write_new(output, &text).map_err(|e| format!("cannot write {}: {e}", output.display()))?;
     }
-    let mut told = String::new();
-    new.changed.iter().for_each(|c| told += &format!("changed  {c}\n"));
-    new.left.iter().for_each(|l| told += &format!("left     {l}\n"));
-    told += if order.dry_run { "nothing was written\n" } else { "written\n" };
-    say.write_all(told.as_bytes()).map_err(|e| e.to_string())
+    let mut report = String::new();
+    new.changed.iter().for_each(|c| report += &format!("changed  {c}\n"));
+    new.left.iter().for_each(|l| report += &format!("left     {l}\n"));
+    report += if order.dry_run { "nothing was written\n" } else { "written\n" };
+    out.write_all(report.as_bytes()).map_err(|e| e.to_string())
 }
 
-/// The whole file or none: under another name first, and never over one that is there.
+/// Writes the whole file or nothing: first under another name, and never over an existing file.
 fn write_new(output: &Path, text: &str) -> std::io::Result<()> {
     let mut part = output.as_os_str().to_owned();
     part.push(".part");
     let part = PathBuf::from(part);
     let mut file = OpenOptions::new().write(true).create_new(true).open(&part)?;
     let written = file.write_all(text.as_bytes()).and_then(|()| file.sync_all());
-    // A link fails where a file is there already; a rename would replace it.
+    // A hard link fails if the file exists; a rename would replace it.
     let written = written.and_then(|()| fs::hard_link(&part, output));
     let _ = fs::remove_file(&part);
     written
--- a/crates/daemon/sidecar/src/lifecycle/start.rs
+++ b/crates/daemon/sidecar/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! Start: configuration, log, listening socket, signals, then the loop until it ends.
+//! Startup: configuration, log, listening sockets and signals; then runs the event loop until it ends.
 use super::seat::Seat;
 use super::store::OpenDisk;
 use super::{config, fleet, logging};
@@ -15,22 +15,23 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 
-/// Connections the machine accepts before the loop does.
+/// Maximum number of established connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Share of the memory that buffers may take: the module, the tables and the program need the rest.
+/// Share of the memory limit that is available for buffers; the balancing module, the tables and the program need the rest.
 const BUFFER_SHARE: f64 = 0.6;
 
-/// An answer that has begun gets this part of the shortest aim to be whole, and so long at least.
-const WHOLE_PART: Micros = 5;
-const WHOLE_LEAST: Micros = 100_000;
+/// A response that has begun must be complete within the shortest latency target divided by this, and has at least
+/// `MIN_COMPLETION_TIMEOUT`.
+const COMPLETION_DIVISOR: Micros = 5;
+const MIN_COMPLETION_TIMEOUT: Micros = 100_000;
 
-/// Run the sidecar until it is told to stop. The error is one plain line.
+/// Runs the sidecar until it is told to stop. The error is a single line.
 pub fn run(fleet: Option<&Path>) -> Result<(), String> {
     run_deciding(None, fleet, None)
 }
 
-/// The same with something else in the module's place, where the two are compared, or with another disk under the records, where
-/// disks are broken on purpose.
+/// Like [`run`], with another decider in place of the balancing module, for comparisons, or with another disk backend under
+/// the records, for tests that inject disk faults.
 pub fn run_deciding(
     make: Option<DeciderFactory>,
     fleet: Option<&Path>,
@@ -41,16 +42,16 @@
     let config = config::read(var)?;
     let fleet = fleet.map(Path::to_path_buf).or_else(|| var("PROXY_FLEET").map(Into::into));
     let fleet = fleet.map(|path| fleet::read(&path)).transpose()?;
-    // First of all: until they are caught these signals kill.
+    // Before anything is opened: until they are caught, these signals kill the process.
     let (stops, reloads) = (signals(&[SIGTERM, SIGINT]), signals(&[SIGHUP]));
     let stops = stops.map_err(|e| format!("cannot catch signals: {e}"))?;
     let reloads = reloads.map_err(|e| format!("cannot catch signals: {e}"))?;
-    // Only what operators can ask for its readiness is ever started beside another.
+    // A second process is started beside this one only if operators can query its readiness.
     let beside = config.management.is_some();
     let clock = Clock::system();
     let shared = var("TMPDIR").filter(|_| beside);
     let seat = shared.and_then(|dir| Seat::take(Path::new(&dir), clock.now()));
-    // Beside an old process that serves, this one listens once it can serve too.
+    // Beside another process of this sidecar, this one listens only when it can serve too.
     let listener = match seat.as_ref().is_some_and(Seat::has_neighbour) {
         true => None,
         false => Some(
@@ -63,7 +64,7 @@
     };
     let peers = fleet.map(|f| fleet::join(&f, &config.name, clock.now(), disk)).transpose()?;
     let fleet_at = peers.as_ref().map_or_else(String::new, |p| p.at.to_string());
-    let registry = Registry::new().map_err(|e| format!("no poller: {e}"))?;
+    let registry = Registry::new().map_err(|e| format!("cannot create the poller: {e}"))?;
     let (log, flush) = logging::start(&config.name, level);
     let listen_at = listener.as_ref().and_then(|l| l.local_addr().ok()).unwrap_or(config.listen);
     let management = management_listener
@@ -113,33 +114,34 @@
     });
     let ended = made.and_then(EventLoop::run);
     if let Err(e) = &ended {
-        error!(log, "the loop has failed"; "error" => e.to_string());
+        error!(log, "event loop failed"; "error" => e.to_string());
     }
     flush.finish();
-    ended.map_err(|e| format!("the loop has failed: {e}"))
+    ended.map_err(|e| format!("event loop failed: {e}"))
 }
 
-/// What a loop keeps to by its configuration.
+/// Limits of the event loop that follow from the configuration.
 pub(crate) fn bounds_of(config: &config::Config) -> Bounds {
     Bounds {
         descriptors: config.sockets,
         buffer_bytes: (config.memory_mb as f64 * 1e6 * BUFFER_SHARE) as usize,
         connect_timeout: config.settings.connect_timeout,
-        completion_timeout: whole_limit(&config.settings),
+        completion_timeout: completion_timeout(&config.settings),
         upstream_idle_timeout: config.front.upstream_idle_timeout,
     }
 }
 
-/// An answer is sent in one go, and its 64 KiB at most are a moment's work: a part of the shortest aim is plenty.
-fn whole_limit(settings: &Settings) -> Micros {
+/// Time within which a response that has begun must be complete. Upstreams send a response at once, and it has 64 KiB at
+/// most, so a fraction of the shortest latency target is enough.
+fn completion_timeout(settings: &Settings) -> Micros {
     let shortest = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0);
-    (shortest / WHOLE_PART).max(WHOLE_LEAST)
+    (shortest / COMPLETION_DIVISOR).max(MIN_COMPLETION_TIMEOUT)
 }
 
-/// Listen at an address; `beside`: another process of this sidecar may listen there too.
+/// Listens on an address; with `beside`, another process of this sidecar may listen there too.
 pub(crate) fn listen(at: SocketAddr, beside: bool) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
-    // A restart comes back under the same address while old connections still fade out.
+    // A restarted process binds the same address while its old connections are still closing.
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(beside)?;
     socket.set_nonblocking(true)?;
@@ -148,7 +150,7 @@
     Ok(socket.into())
 }
 
-/// A stream that becomes readable when one of these signals comes.
+/// Returns a stream that becomes readable when one of these signals arrives.
 pub(crate) fn signals(which: &[i32]) -> io::Result<UnixStream> {
     let (read, write) = UnixStream::pair()?;
     read.set_nonblocking(true)?;
