--- a/crates/daemon/sidecar/src/lifecycle/fleet.rs
+++ b/crates/daemon/sidecar/src/lifecycle/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet's file, the folder in which a member keeps who it is, and the sockets for its peers. Without a fleet's file none of
-//! it exists: no listener, no datagram, no disk, no thread.
+//! The fleet file, the folder in which a member stores its identity, and the sockets for its peers. Without a fleet file none
+//! of them exists: no listener, no datagrams, no disk access, no thread.
 use super::store::{self, OpenDisk, Store};
 use serde::{Deserialize, Serialize};
 use silvercross_idempotency_store::command::MAX_WINDOW_MS;
@@ -13,116 +13,116 @@
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Addresses of others that are kept for the next start.
-const KEPT: usize = 256;
-/// The file in the folder.
-const FILE: &str = "member.toml";
-/// Held locked by the process that uses the folder.
-const LOCK: &str = "member.lock";
+/// Maximum number of peer addresses stored for the next start, and of seeds.
+const MAX_ADDRESSES: usize = 256;
+/// Name of the file with the member's identity.
+const MEMBER_FILE: &str = "member.toml";
+/// Name of the file that is locked by the process that uses the folder.
+const LOCK_FILE: &str = "member.lock";
 
-/// A fleet's file, as read.
+/// A fleet file, as read.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
-    /// What the fleet is called.
+    /// Name of the fleet.
     name: String,
-    /// 32 hexadecimal digits, drawn once for the fleet.
+    /// 32 hexadecimal digits, generated once for the fleet.
     identity: String,
-    /// Where this member takes datagrams and exchanges; port 0: any.
+    /// Address for datagrams and exchanges; port 0 picks a free port.
     listen: SocketAddr,
-    /// Where others reach it, if that is not where it listens.
+    /// Address at which the other members reach this one, if it is not `listen`.
     #[serde(default)]
     advertise: Option<SocketAddr>,
-    /// Its zone.
+    /// Zone of the member.
     #[serde(default)]
     zone: String,
-    /// Where it keeps who it is; none: it is somebody new at each start.
+    /// Folder in which the member stores its identity; without one it has a new identity at each start.
     #[serde(default)]
     folder: Option<PathBuf>,
     /// The protocol period.
     #[serde(default = "second")]
     period_ms: f64,
-    /// A failed member is forgotten after this.
+    /// Time after which a failed member is forgotten.
     #[serde(default = "ten_minutes")]
     forget_s: f64,
-    /// Whom to ask first.
+    /// Addresses of members to contact first.
     seeds: Vec<SocketAddr>,
-    /// What the fleet holds for its clients; none: nothing.
+    /// Settings of the records (the fleet's replicated store), if the fleet has any.
     #[serde(default)]
     records: Option<RecordsFile>,
 }
 
-/// What the fleet holds; the same in each member's file.
+/// Settings of the records; the same in each member's file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RecordsFile {
-    /// How many groups keys are spread over.
+    /// Number of groups that the keys are spread over.
     #[serde(default = "one")]
     groups: u32,
-    /// Voters of each.
+    /// Number of voters of each group.
     #[serde(default = "three")]
     holders: usize,
-    /// The least election timeout.
+    /// Minimum election timeout.
     #[serde(default = "second")]
     election_ms: f64,
-    /// What is asked of the records is waited for so long at most.
+    /// Timeout of a request to the records.
     #[serde(default = "ask_ms")]
     ask_ms: f64,
-    /// A holder that is away for so long is replaced.
+    /// Time after which an unreachable holder is replaced.
     #[serde(default = "minute")]
     replace_after_s: f64,
-    /// Entries between two snapshots.
+    /// Number of log entries between two snapshots.
     #[serde(default = "snapshot_every")]
     snapshot_every: usize,
-    /// The classes whose answers are held.
+    /// The classes whose responses are stored.
     #[serde(default, rename = "class")]
     classes: Vec<ClassFile>,
 }
 
-/// One of them.
+/// Settings of a class whose responses are stored.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClassFile {
-    /// Its name.
+    /// Name of the class.
     name: String,
-    /// How long its answers are held.
+    /// How long its responses are stored.
     window_s: f64,
-    /// What happens when most holders can't be asked.
+    /// What happens if a majority of the holders cannot be reached.
     #[serde(default)]
     without: Without,
 }
 
-/// What happens to a request of a held class when most holders can't be asked.
+/// What happens to a request of a stored class if a majority of the holders cannot be reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Without {
-    /// It is served, and its answer is not marked.
+    /// It is served, and its response is not marked as stored.
     #[default]
     Serve,
-    /// It is refused at once; nothing ran.
+    /// It is refused at once and not executed.
     Refuse,
 }
 
-/// A class whose answers are held.
+/// A class whose responses are stored.
 #[derive(Clone, Debug)]
 pub struct HeldClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How long, in milliseconds.
+    /// How long its responses are stored, in milliseconds.
     pub window_ms: u64,
-    /// When most holders can't be asked.
+    /// What happens if a majority of the holders cannot be reached.
     pub without: Without,
 }
 
-/// What a loop needs to hold, and to ask.
+/// What an event loop needs to hold records and to query them.
 pub struct RecordsParts {
-    /// What decides.
+    /// State machine of the records.
     pub records: Records,
-    /// What is kept; none: copies are in memory alone, and gone with the process.
+    /// Durable store; without one the copies are in memory only and are lost with the process.
     pub store: Option<Store>,
-    /// The classes.
+    /// The classes whose responses are stored.
     pub classes: Vec<HeldClass>,
-    /// What is asked is waited for so long at most.
+    /// Timeout of a request to the records.
     pub ask: Micros,
 }
 
@@ -149,46 +149,46 @@
     600.0
 }
 
-/// Who a member is, as kept in its folder.
+/// Identity of a member, as stored in its folder.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-struct Kept {
+struct StoredMember {
     identity: String,
     born_ms: u64,
     life: u32,
     at: Option<SocketAddr>,
     others: Vec<SocketAddr>,
-    /// Which file its store of records is: a copy is another one.
+    /// Identity of the file of its store of records ([`store::file_identity`]); a copy has another one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     store: Option<String>,
 }
 
-/// A member's folder, locked for as long as this lives.
+/// A member's folder, locked for the lifetime of this value.
 pub struct Folder {
     path: PathBuf,
-    kept: Kept,
+    kept: StoredMember,
     _lock: File,
-    /// To the thread that writes; one that is full is written next time.
+    /// Queue to the writing thread; if it is full, the list is written by a later call.
     writer: Option<SyncSender<String>>,
 }
 
-/// All that a loop needs to be a member.
+/// What an event loop needs to be a member of a fleet.
 pub struct Peers {
-    /// What decides.
+    /// State machine of the membership protocol.
     pub members: Members,
-    /// For what may be lost.
+    /// Socket for messages that may be lost.
     pub datagrams: UdpSocket,
-    /// For exchanges.
+    /// Listener for exchanges.
     pub listener: TcpListener,
-    /// What is kept.
+    /// The member's folder, if it has one.
     pub folder: Option<Folder>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub at: SocketAddr,
     /// The protocol period.
     pub period: Micros,
-    /// What it holds and asks for, if the fleet holds anything.
+    /// The records, if the fleet has any.
     pub records: Option<RecordsParts>,
-    /// Why it is somebody new, where that was not to be expected.
+    /// Why the member has a new identity, if it should have kept its old one.
     pub anew: Option<&'static str>,
 }
 
@@ -196,19 +196,19 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// 64 bits that no other process draws: from the machine's own source.
-fn draw() -> Result<u64, String> {
+/// Returns a random non-zero number from the operating system.
+fn random_nonzero() -> Result<u64, String> {
     let mut bytes = [0; 8];
     let read = File::open("/dev/urandom").and_then(|mut f| f.read_exact(&mut bytes));
-    read.map_err(|e| format!("no random numbers for an identity: {e}"))?;
+    read.map_err(|e| format!("cannot read random numbers: {e}"))?;
     Ok(u64::from_le_bytes(bytes) | 1)
 }
 
-/// Read and check a fleet's file: each fault by its key, with its mend.
+/// Reads and checks a fleet file. The error names the faulty key and the valid values.
 pub fn read(path: &Path) -> Result<FleetFile, String> {
     let text = std::fs::read_to_string(path)
-        .map_err(|e| format!("cannot read the fleet's file {}: {e}", path.display()))?;
-    parse(&text).map_err(|e| format!("bad fleet's file {}: {e}", path.display()))
+        .map_err(|e| format!("cannot read the fleet file {}: {e}", path.display()))?;
+    parse(&text).map_err(|e| format!("bad fleet file {}: {e}", path.display()))
 }
 
 fn parse(text: &str) -> Result<FleetFile, String> {
@@ -223,14 +223,14 @@
     if file.identity.len() != 32 || u128::from_str_radix(&file.identity, 16).is_err() {
         return fault(
             "identity",
-            "32 hexadecimal digits, drawn once for the fleet and the same in each member's file",
+            "32 hexadecimal digits, generated once for the fleet and the same in each member's file",
         );
     }
     if file.zone.len() > 64 {
         return fault("zone", "64 bytes at most");
     }
     if file.listen.ip().is_unspecified() && file.advertise.is_none() {
-        return fault("listen", "others can't reach every address: name one, or say `advertise`");
+        return fault("listen", "others cannot reach an unspecified address: name one, or set `advertise`");
     }
     if file.advertise.is_some_and(|a| a.port() == 0 || a.ip().is_unspecified()) {
         return fault("advertise", "an address and a port that others reach");
@@ -241,7 +241,7 @@
     if !(1.0..=1e7).contains(&file.forget_s) {
         return fault("forget_s", "1 to 10000000; 600 suits most");
     }
-    if file.seeds.is_empty() || file.seeds.len() > KEPT {
+    if file.seeds.is_empty() || file.seeds.len() > MAX_ADDRESSES {
         return fault("seeds", "1 to 256 addresses of members, the own among them or not");
     }
     if let Some(r) = &file.records {
@@ -275,7 +275,7 @@
     Ok(file)
 }
 
-/// Become a member: the folder is locked and its start counted before anything is said.
+/// Joins the fleet. The folder is locked and the start number stored before any message is sent.
 pub fn join(file: &FleetFile, name: &str, now: Micros, disk: Option<OpenDisk>) -> Result<Peers, String> {
     let bound = TcpListener::bind(file.listen).and_then(|l| {
         l.set_nonblocking(true)?;
@@ -287,8 +287,8 @@
     let (listener, datagrams, at) = bound.map_err(|e| format!("listen: {}: {e}", file.listen))?;
     let advertised = file.advertise.unwrap_or(at);
     let mut folder = file.folder.as_deref().map(Folder::open).transpose()?;
-    let fresh = Kept {
-        identity: Identity(draw()?).to_string(),
+    let fresh = StoredMember {
+        identity: Identity(random_nonzero()?).to_string(),
         born_ms: now_ms(),
         life: 0,
         at: None,
@@ -297,7 +297,7 @@
     };
     let mut kept = folder.as_ref().map_or(fresh, |f| f.kept.clone());
     let anew = match (&mut folder, &file.records) {
-        (Some(folder), Some(_)) => own_store(folder, &mut kept)?,
+        (Some(folder), Some(_)) => check_store_identity(folder, &mut kept)?,
         _ => None,
     };
     kept.life = kept.life.checked_add(1).ok_or("folder: it has been started too often")?;
@@ -308,7 +308,8 @@
         folder.write_now()?;
     }
     let id: Identity = kept.identity.parse().map_err(|e: silvercross_swim::InvalidIdentity| e.to_string())?;
-    let records = file.records.as_ref().map(|r| hold(r, id, folder.as_mut(), now, disk)).transpose()?;
+    let records =
+        file.records.as_ref().map(|r| open_records(r, id, folder.as_mut(), now, disk)).transpose()?;
     let seeds = file.seeds.iter().chain(&kept.others).copied().collect();
     let start = Start {
         id,
@@ -319,7 +320,7 @@
         zone: file.zone.clone(),
         at: advertised,
         seeds,
-        seed: draw()?,
+        seed: random_nonzero()?,
     };
     let period = (file.period_ms * 1e3) as Micros;
     let identity = u128::from_str_radix(&file.identity, 16).unwrap_or(0);
@@ -329,11 +330,14 @@
     Ok(Peers { members, datagrams, listener, folder, at, period, records, anew })
 }
 
-/// Whether the folder's store is the one that this identity wrote. A copy, an older one put back, or one that is missing is not:
-/// whoever holds it must not vote by it, so it is put aside and the member is somebody new. Why, if that is so.
-fn own_store(folder: &mut Folder, kept: &mut Kept) -> Result<Option<&'static str>, String> {
+/// Checks that the folder's store is the file that this identity wrote. If it is a copy, was restored or is missing, the
+/// member must not vote from it: the store is set aside, the member gets a new identity, and the reason is returned.
+fn check_store_identity(
+    folder: &mut Folder,
+    kept: &mut StoredMember,
+) -> Result<Option<&'static str>, String> {
     let path = folder.path.join(store::FILE);
-    let there = store::which(&path);
+    let there = store::file_identity(&path);
     let why = match (&kept.store, &there) {
         (None, None) => None,
         (Some(own), Some(file)) if own == file => None,
@@ -344,8 +348,8 @@
         if there.is_some() {
             store::set_aside(&path).map_err(|e| format!("folder: {}: {e}", path.display()))?;
         }
-        *kept = Kept {
-            identity: Identity(draw()?).to_string(),
+        *kept = StoredMember {
+            identity: Identity(random_nonzero()?).to_string(),
             born_ms: now_ms(),
             life: 0,
             store: None,
@@ -355,8 +359,8 @@
     Ok(why)
 }
 
-/// The records' part of a member.
-fn hold(
+/// Opens the store of records, if there is a folder, and creates what the event loop needs for the records.
+fn open_records(
     file: &RecordsFile,
     id: Identity,
     folder: Option<&mut Folder>,
@@ -368,10 +372,10 @@
         let path = folder.path.join(store::FILE);
         let (opened, found) = Store::open(&path, id.0, disk)?;
         (store, kept) = (Some(opened), found);
-        folder.kept.store = store::which(&path);
+        folder.kept.store = store::file_identity(&path);
         folder.write_now()?;
     }
-    let mut config = silvercross_idempotency_store::Config::new(file.groups, file.holders, draw()?);
+    let mut config = silvercross_idempotency_store::Config::new(file.groups, file.holders, random_nonzero()?);
     config.replace_after = (file.replace_after_s * 1e6) as Micros;
     config.snapshot_every = file.snapshot_every;
     let election_timeout = (file.election_ms * 1e3) as Micros;
@@ -393,22 +397,22 @@
 }
 
 impl Folder {
-    /// Open a folder that nobody else uses; made if it is not there.
+    /// Opens and locks a folder that no other process uses, and creates it if it does not exist.
     fn open(path: &Path) -> Result<Self, String> {
         let fault = |e: &dyn std::fmt::Display| format!("folder: {}: {e}", path.display());
         std::fs::create_dir_all(path).map_err(|e| fault(&e))?;
-        let lock = File::options().create(true).truncate(false).write(true).open(path.join(LOCK));
+        let lock = File::options().create(true).truncate(false).write(true).open(path.join(LOCK_FILE));
         let lock = lock.map_err(|e| fault(&e))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
-                return Err(fault(&"another process uses it: each has a folder of its own"))
+                return Err(fault(&"another process uses it: each needs a folder of its own"))
             }
             Err(TryLockError::Error(e)) => return Err(fault(&e)),
         }
-        let file = path.join(FILE);
+        let file = path.join(MEMBER_FILE);
         let kept = match std::fs::read_to_string(&file) {
-            Ok(text) => toml::from_str::<Kept>(&text)
+            Ok(text) => toml::from_str::<StoredMember>(&text)
                 .map_err(|e| e.message().replace(['\n', '\r'], " "))
                 .and_then(|k| k.identity.parse::<Identity>().map(|_| k).map_err(|e| e.to_string()))
                 .map_err(|e| {
@@ -417,8 +421,8 @@
                         file.display()
                     )
                 })?,
-            Err(e) if e.kind() == std::io::ErrorKind::NotFound => Kept {
-                identity: Identity(draw()?).to_string(),
+            Err(e) if e.kind() == std::io::ErrorKind::NotFound => StoredMember {
+                identity: Identity(random_nonzero()?).to_string(),
                 born_ms: now_ms(),
                 life: 0,
                 at: None,
@@ -430,16 +434,16 @@
         Ok(Folder { path: path.to_path_buf(), kept, _lock: lock, writer: None })
     }
 
-    /// Write what is kept, and have it on the disk before going on.
+    /// Writes the member's identity and syncs it before returning.
     fn write_now(&self) -> Result<(), String> {
         let text = toml::to_string(&self.kept).map_err(|e| e.to_string())?;
         write(&self.path, &text).map_err(|e| format!("folder: {}: {e}", self.path.display()))
     }
 
-    /// Keep these addresses for the next start; written by a thread, the loop never waits.
+    /// Stores the peers' addresses for the next start. A thread writes them, so that the event loop never blocks.
     pub fn keep(&mut self, others: Vec<SocketAddr>) {
-        let others: Vec<SocketAddr> = others.into_iter().take(KEPT).collect();
-        // Nobody known is no reason to forget those who were.
+        let others: Vec<SocketAddr> = others.into_iter().take(MAX_ADDRESSES).collect();
+        // An empty list does not replace the addresses stored before.
         if others.is_empty() || others == self.kept.others {
             return;
         }
@@ -448,13 +452,13 @@
             let path = self.path.clone();
             std::thread::spawn(move || {
                 for text in from {
-                    // The list is a help at the next start; without it there are the seeds.
+                    // A failure is ignored: without the list the next start still has the seeds.
                     let _ = write(&path, &text);
                 }
             });
             to
         });
-        let kept = Kept { others, ..self.kept.clone() };
+        let kept = StoredMember { others, ..self.kept.clone() };
         if let Ok(text) = toml::to_string(&kept) {
             if writer.try_send(text).is_ok() {
                 self.kept = kept;
@@ -464,7 +468,7 @@
 }
 
 fn write(folder: &Path, text: &str) -> std::io::Result<()> {
-    let (new, file) = (folder.join("member.new"), folder.join(FILE));
+    let (new, file) = (folder.join("member.new"), folder.join(MEMBER_FILE));
     let mut f = File::create(&new)?;
     f.write_all(text.as_bytes())?;
     f.sync_all()?;
@@ -476,11 +480,11 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = "name = \"orders\"\nidentity = \"00112233445566778899aabbccddeeff\"\nlisten = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:7946\"]\n";
+    const VALID_FILE: &str = "name = \"orders\"\nidentity = \"00112233445566778899aabbccddeeff\"\nlisten = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:7946\"]\n";
 
     #[test]
     fn each_fault_is_told_by_its_key() {
-        assert!(parse(GOOD).is_ok());
+        assert!(parse(VALID_FILE).is_ok());
         for (from, to, key) in [
             ("name = \"orders\"", "name = \"\"", "name"),
             ("00112233445566778899aabbccddeeff", "0011", "identity"),
@@ -498,7 +502,7 @@
                 "records.class.window_s",
             ),
         ] {
-            let why = parse(&GOOD.replace(from, to)).expect_err(key);
+            let why = parse(&VALID_FILE.replace(from, to)).expect_err(key);
             assert!(why.contains(key) && !why.contains('\n'), "{key}: {why}");
         }
     }
@@ -507,7 +511,7 @@
     fn a_folder_counts_starts_is_held_by_one_and_a_spoilt_one_is_told() {
         let dir = std::env::temp_dir().join(format!("silvercross-member-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
-        let file = parse(&format!("{GOOD}folder = {dir:?}\n")).expect("good");
+        let file = parse(&format!("{VALID_FILE}folder = {dir:?}\n")).expect("good");
         let first = join(&file, "n1", 0, None).expect("joined");
         let (id, life) = (first.members.me().id, first.members.me().incarnation.start_number());
         assert_eq!(life, 1);
@@ -517,7 +521,7 @@
         let second = join(&file, "n1", 0, None).expect("joined");
         assert_eq!((second.members.me().id, second.members.me().incarnation.start_number()), (id, 2));
         drop(second);
-        std::fs::write(dir.join(FILE), "identity = 3").expect("written");
+        std::fs::write(dir.join(MEMBER_FILE), "identity = 3").expect("written");
         let Err(why) = join(&file, "n1", 0, None) else { panic!("a spoilt file was taken") };
         assert!(why.contains("remove the file"), "{why}");
         std::fs::remove_dir_all(&dir).expect("removed");
--- a/crates/daemon/sidecar/src/lifecycle/gateway.rs
+++ b/crates/daemon/sidecar/src/lifecycle/gateway.rs
@@ -1,5 +1,5 @@
-//! `silvercross gateway`: two loops in one process, the outward half and the inward half of one gateway, each on a thread of its
-//! own, with nothing shared but the log. Their settings are checked as a whole before anything listens.
+//! `silvercross gateway`: runs the outward and the inward half of a gateway in one process. Each half is an event loop on a
+//! thread of its own; they share only the log. The settings of both are checked before anything listens.
 use super::{config, logging, start};
 use crate::event_loop::gateway_side::{GatewayHalf, Inward, Outward};
 use crate::event_loop::{Bounds, EventLoop, Parts, ReloadedConfig};
@@ -16,10 +16,10 @@
 use std::path::Path;
 use std::thread;
 
-/// The most far gateways.
-const MOST_PEERS: usize = 64;
+/// Maximum number of far gateways.
+const MAX_PEERS: usize = 64;
 
-/// What a gateway is told: `deploy/gateway.example.toml` says what each key means.
+/// The gateway file; `deploy/gateway.example.toml` documents the keys.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -73,45 +73,45 @@
     let wrong = |key: &str, why: &str| Err(format!("{key}: {why}"));
     for (key, name) in [("site", &file.site), ("far", &file.far)] {
         if !is_name(name) {
-            return wrong(key, "a site's name is made of letters, digits, '-', '_' and '.'");
+            return wrong(key, "a site's name consists of letters, digits, '-', '_' and '.'");
         }
     }
     let (l, near) = (&file.link, file.near.listen);
     if file.site == file.far {
-        return wrong("far", "it is this site");
+        return wrong("far", "must not be this site");
     }
-    if l.peers.is_empty() || l.peers.len() > MOST_PEERS {
-        return wrong("link.peers", "from 1 to 64 far gateways are needed");
+    if l.peers.is_empty() || l.peers.len() > MAX_PEERS {
+        return wrong("link.peers", "must list 1 to 64 far gateways");
     }
     if l.peers.iter().enumerate().any(|(i, p)| l.peers[..i].contains(p)) {
-        return wrong("link.peers", "an address stands twice");
+        return wrong("link.peers", "an address is listed twice");
     }
     let own = |p: &SocketAddr| p.port() != 0 && (*p == l.listen || *p == near);
     if l.peers.iter().any(own) {
         return wrong("link.peers", "an address is this gateway's own");
     }
     if near.port() != 0 && near == l.listen {
-        return wrong("link.listen", "it is near.listen too");
+        return wrong("link.listen", "must differ from near.listen");
     }
     if l.first > l.most || l.most == 0 || l.most > 100_000 {
-        return wrong("link.most", "it is from 1 to 100000, and not under link.first");
+        return wrong("link.most", "must be from 1 to 100000, and at least link.first");
     }
     if !(10..=10_000).contains(&l.holds_ms) {
-        return wrong("link.holds_ms", "it is from 10 to 10000");
+        return wrong("link.holds_ms", "must be from 10 to 10000");
     }
     if !(50..=10_000).contains(&l.ask_ms) {
-        return wrong("link.ask_ms", "it is from 50 to 10000");
+        return wrong("link.ask_ms", "must be from 50 to 10000");
     }
     Ok(file)
 }
 
-/// Run a gateway until it is told to stop. The error is one plain line.
+/// Runs a gateway until it is told to stop. The error is a single line.
 pub fn run(path: &Path) -> Result<(), String> {
     let level = logging::level(std::env::var("SILVERCROSS_LOG").ok().as_deref())?;
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {shown}: {e}"))?;
     let file = parse(&text).map_err(|e| format!("bad gateway file {shown}: {e}"))?;
-    // Beside the file unless it is said where.
+    // A relative path is resolved against the gateway file's folder.
     let settings = path.parent().unwrap_or(Path::new(".")).join(&file.settings);
     let json =
         std::fs::read_to_string(&settings).map_err(|e| format!("cannot read {}: {e}", settings.display()))?;
@@ -141,14 +141,14 @@
         inside.and(out)
     });
     if let Err(e) = &ended {
-        error!(log, "a half has failed"; "error" => e.clone());
+        error!(log, "gateway half failed"; "error" => e.clone());
     }
     flush.finish();
     ended
 }
 
 fn bounds(config: &config::Config) -> Bounds {
-    // Each half has half of what the process may use.
+    // Each half of the gateway gets half of the process's limits.
     Bounds {
         descriptors: config.sockets / 2,
         buffer_bytes: config.memory_mb * 300_000,
@@ -169,7 +169,7 @@
     let l = &file.link;
     let limits =
         Limits { initial_slots: l.first, max_slots: l.most, validity: Micros::from(l.holds_ms) * 1000 };
-    // A life's number is its start: no two of one gateway are alike.
+    // The start time is the number of this run, so that no two runs of one gateway have the same.
     let offer = Offer::new(limits, balancer.now() as u64, balancer.now());
     let gate = GatewayHalf::In(Inward { home: file.site.clone(), offer, far_gateways: l.peers.len() as u32 });
     let path = settings.to_path_buf();
@@ -224,9 +224,9 @@
         listen_at: near.local_addr().map_err(fault)?,
         listener: Some(near),
         stops: start::signals(&[SIGTERM, SIGINT]).map_err(fault)?,
-        // Of what can be read again nothing concerns this half.
+        // This half uses nothing that a reload can change.
         reloads: never,
-        reread: Box::new(|| Err("the outward half has nothing to read again".into())),
+        reread: Box::new(|| Err("the outward half has nothing to reload".into())),
         discovery: None,
         gateway: Some(GatewayHalf::Out(gate)),
         management_listener: None,
--- a/crates/daemon/sidecar/src/lifecycle/store.rs
+++ b/crates/daemon/sidecar/src/lifecycle/store.rs
@@ -1,7 +1,7 @@
-//! What a holder of records keeps on its disk: one file in the member's folder, by redb, written by a thread of its own so that
-//! no sync holds the loop. Each write is one transaction, synced before the loop hears of it. redb was chosen against
-//! a log file of our own (the torn and the foreign file would have to be told by our own code) and SQLite (C); it also lets
-//! another store stand under it, which rehearsals use to break disks.
+//! Durable storage of a holder of records: one redb database in the member's folder, written by a thread of its own so that
+//! no sync blocks the event loop. A write is committed and synced before its completion is reported to the loop. redb
+//! detects torn and foreign files, for which a log file would need code of its own; unlike SQLite it is not written in C; and
+//! it accepts another storage backend, with which tests inject disk faults.
 use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use serde::{Deserialize, Serialize};
 use silvercross_idempotency_store::Epoch;
@@ -12,20 +12,20 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, Sender};
 
-/// The file in the folder.
+/// Name of the database file in the member's folder.
 pub const FILE: &str = "records.redb";
-/// Memory that the store may use for itself.
-const CACHE: usize = 8 * 1024 * 1024;
-/// What of each group is not in the log, by the group's number: [`Meta`].
+/// Size of the database's cache, in bytes.
+const CACHE_BYTES: usize = 8 * 1024 * 1024;
+/// [`Meta`] of each group, by the group's number.
 const META: TableDefinition<u32, &[u8]> = TableDefinition::new("meta");
-/// Each group's snapshot.
+/// Snapshot of each group, by the group's number.
 const SNAPSHOT: TableDefinition<u32, &[u8]> = TableDefinition::new("snapshot");
-/// Entries by group and place.
+/// Log entries, by the group's number and the entry's index.
 const LOG: TableDefinition<(u32, u64), &[u8]> = TableDefinition::new("log");
-/// Whose it is, under key 0.
+/// Identity of the member that the store belongs to, under key 0.
 const OWNER: TableDefinition<u32, u64> = TableDefinition::new("owner");
 
-/// Opens what is under the store; none: the file itself. Only rehearsals bring one.
+/// Opens the storage backend of the database in place of the file. Only tests and simulations supply one.
 pub type OpenDisk = fn(&Path) -> io::Result<Box<dyn StorageBackend>>;
 
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
@@ -35,40 +35,40 @@
     writes: u64,
 }
 
-/// What each group's copy was, as it was kept.
+/// Stored state of each group: its number, epoch and Raft state.
 pub type Kept = Vec<(u32, Epoch, PersistentState)>;
 
-/// What came of a write.
+/// Result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Done {
-    /// Which group.
+    /// Number of the group.
     pub group: u32,
-    /// Which epoch of it.
+    /// Epoch of the group.
     pub epoch: Epoch,
     /// The write's number.
     pub number: u64,
-    /// It is durable; else nothing is known of it, and nothing more is written.
+    /// Whether the write is durable. If not, its outcome is unknown and nothing more is written.
     pub well: bool,
 }
 
-/// The store as the loop has it.
+/// The event loop's handle to the store and its thread.
 pub struct Store {
     to: Sender<(u32, Epoch, Write)>,
     done: Receiver<Done>,
-    /// Becomes readable when something is done; not blocking.
+    /// Becomes readable when a write is done; non-blocking.
     pub wake: Option<UnixStream>,
     path: PathBuf,
 }
 
-/// Which file a path is, so that a copy of it is told from it: device, inode, and when it was made, since an inode's number is
-/// given again. A machine that does not tell when a file was made is taken without.
-pub fn which(path: &Path) -> Option<String> {
+/// Identifies the file at a path, so that a copy can be told from the original: device, inode, and creation time, since inode
+/// numbers are reused. Without a creation time (not every file system has one) device and inode have to do.
+pub fn file_identity(path: &Path) -> Option<String> {
     let m = std::fs::metadata(path).ok()?;
     let made = m.created().ok().and_then(|t| t.duration_since(std::time::UNIX_EPOCH).ok());
     Some(format!("{:x}:{:x}:{:x}", m.dev(), m.ino(), made.map_or(0, |t| t.as_nanos())))
 }
 
-/// Put a store aside that is not to be used any more: nothing is lost, and nobody votes by it.
+/// Renames a store that must not be used any more: its data stays, and no member votes from it.
 pub fn set_aside(path: &Path) -> io::Result<()> {
     let free = |n: &u32| !path.with_extension(format!("aside-{n}")).exists();
     match (1..1000).find(free) {
@@ -102,13 +102,13 @@
 }
 
 impl Store {
-    /// Open the store of this owner, made if it is not there. The error is one plain line.
+    /// Opens the store of this owner, and creates it if it does not exist. The error is a single line.
     pub fn open(path: &Path, owner: u64, disk: Option<OpenDisk>) -> Result<(Self, Kept), String> {
         let fault = |e: &dyn std::fmt::Display| {
             format!("folder: {}: {e}; move the file away, and the member is somebody new", path.display())
         };
         let mut builder = Builder::new();
-        builder.set_cache_size(CACHE);
+        builder.set_cache_size(CACHE_BYTES);
         let database = match disk {
             None => builder.create(path),
             Some(open) => builder.create_with_backend(Backing(open(path).map_err(|e| fault(&e))?)),
@@ -122,7 +122,7 @@
         wake.set_nonblocking(true).map_err(|e| fault(&e))?;
         wakes.set_nonblocking(true).map_err(|e| fault(&e))?;
         let work = move || {
-            // What comes from several groups at once shares a sync.
+            // Writes that are queued together, of any group, share one sync.
             while let Ok(first) = jobs.recv() {
                 let batch: Vec<_> = std::iter::once(first).chain(jobs.try_iter().take(63)).collect();
                 let said: Vec<_> = batch.iter().map(|(g, e, w)| (*g, *e, w.number)).collect();
@@ -142,32 +142,32 @@
         Ok((Store { to, done, wake: Some(wake), path: path.to_path_buf() }, kept))
     }
 
-    /// Have something written; `false`: nothing is written any more.
+    /// Queues a write; `false` if the thread has ended and nothing is written any more.
     pub fn write(&self, group: u32, epoch: Epoch, write: Write) -> bool {
         self.to.send((group, epoch, write)).is_ok()
     }
 
-    /// The next thing that is done.
+    /// Returns the next completed write, if there is one.
     pub fn poll(&self) -> Option<Done> {
         self.done.try_recv().ok()
     }
 
-    /// It failed, or is older than what was promised from it: never again.
+    /// Sets the store aside for good, because it failed or is older than what was promised from it.
     pub fn give_up(&self) -> io::Result<()> {
         set_aside(&self.path)
     }
 }
 
-fn code<T: Serialize>(what: &T) -> Vec<u8> {
-    // Coding into a growing vector has nothing to fail on.
+fn encode<T: Serialize>(what: &T) -> Vec<u8> {
+    // Encoding into a growable vector does not fail.
     postcard::to_allocvec(what).unwrap_or_default()
 }
 
 fn read<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, redb::Error> {
-    postcard::from_bytes(bytes).map_err(|_| redb::Error::Corrupted("what is kept can't be read".into()))
+    postcard::from_bytes(bytes).map_err(|_| redb::Error::Corrupted("stored data cannot be decoded".into()))
 }
 
-/// What is there; `None`: it is somebody else's.
+/// Creates the tables if needed and returns the stored state; `None` if the store belongs to another member.
 fn prepare(database: &Database, owner: u64) -> Result<Option<Kept>, redb::Error> {
     let made = database.begin_write()?;
     {
@@ -207,7 +207,7 @@
     Ok(Some(kept))
 }
 
-/// All of these in one transaction, in order, and synced.
+/// Applies the writes in order in one transaction, and syncs it.
 fn commit(database: &Database, batch: Vec<(u32, Epoch, Write)>) -> Result<(), redb::Error> {
     let all = database.begin_write()?;
     {
@@ -217,7 +217,7 @@
             let held: Option<Meta> = meta.get(group)?.map(|m| read(m.value())).transpose()?;
             let mut m = held.unwrap_or_default();
             if m.epoch != epoch.0 {
-                // Another epoch of the group begins with nothing of the one before.
+                // A new epoch of the group keeps no data of the previous one.
                 m = Meta { epoch: epoch.0, ..Meta::default() };
                 snapshots.remove(group)?;
                 log.retain_in((group, 0)..(group + 1, 0), |_, _| false)?;
@@ -228,12 +228,12 @@
             }
             if let Some(snapshot) = &write.snapshot {
                 log.retain_in((group, 0)..(group, snapshot.index + 1), |_, _| false)?;
-                snapshots.insert(group, code(snapshot).as_slice())?;
+                snapshots.insert(group, encode(snapshot).as_slice())?;
             }
             for (index, entry) in &write.entries {
-                log.insert((group, *index), code(entry).as_slice())?;
+                log.insert((group, *index), encode(entry).as_slice())?;
             }
-            meta.insert(group, code(&m).as_slice())?;
+            meta.insert(group, encode(&m).as_slice())?;
         }
     }
     all.commit()?;
@@ -249,7 +249,7 @@
         Entry { term: 1, at_ms: 5, payload: Payload::Command(vec![n]) }
     }
 
-    fn wait(store: &Store) -> Done {
+    fn wait_for_write(store: &Store) -> Done {
         loop {
             match store.poll() {
                 Some(done) => return done,
@@ -260,7 +260,7 @@
 
     #[test]
     fn what_was_written_is_there_again_and_equals_what_memory_would_hold() {
-        let dir = tempdir("store");
+        let dir = create_test_directory("store");
         let path = dir.join(FILE);
         let epoch = Epoch(1 << 40);
         let group = Group::of(vec![Node(7)]);
@@ -283,18 +283,18 @@
             for w in writes {
                 like.apply(w.clone());
                 assert!(store.write(3, epoch, w));
-                assert!(wait(&store).well);
+                assert!(wait_for_write(&store).well);
             }
         }
-        let (store, kept) = reopened(&path, 9);
+        let (store, kept) = reopen(&path, 9);
         let (g, e, d) = kept.first().expect("kept");
         assert_eq!((*g, *e, d.hard_state, d.writes), (3, epoch, like.hard_state, 4));
         assert_eq!((&d.snapshot, &d.entries), (&like.snapshot, &like.entries));
-        // Another epoch has nothing of this one.
+        // A new epoch keeps no data of this one.
         assert!(store.write(3, Epoch(2 << 40), Write { number: 1, ..Write::default() }));
-        assert!(wait(&store).well);
+        assert!(wait_for_write(&store).well);
         drop(store);
-        let (store, kept) = reopened(&path, 9);
+        let (store, kept) = reopen(&path, 9);
         assert_eq!(kept[0].2.entries, vec![]);
         drop(store);
         let why = loop {
@@ -305,16 +305,16 @@
             }
         };
         assert!(why.contains("move the file away"), "{why}");
-        let before = which(&path);
+        let before = file_identity(&path);
         std::fs::copy(&path, dir.join("copy")).expect("copied");
-        assert_ne!(which(&dir.join("copy")), before);
+        assert_ne!(file_identity(&dir.join("copy")), before);
         set_aside(&path).expect("moved");
         assert!(!path.exists() && dir.join("records.aside-1").exists());
         std::fs::remove_dir_all(&dir).expect("removed");
     }
 
-    /// The thread of the one before lets go of the file a moment after its store.
-    fn reopened(path: &Path, owner: u64) -> (Store, Kept) {
+    /// Opens the store again, retrying until the thread of the previous one has closed the file.
+    fn reopen(path: &Path, owner: u64) -> (Store, Kept) {
         loop {
             match Store::open(path, owner, None) {
                 Ok(all) => return all,
@@ -325,14 +325,14 @@
 
     #[test]
     fn a_spoilt_store_is_told() {
-        let dir = tempdir("spoilt");
+        let dir = create_test_directory("spoilt");
         std::fs::write(dir.join(FILE), b"not a store at all").expect("written");
         let Err(why) = Store::open(&dir.join(FILE), 9, None) else { panic!("a spoilt store was taken") };
         assert!(why.contains("somebody new") && !why.contains('\n'), "{why}");
         std::fs::remove_dir_all(&dir).expect("removed");
     }
 
-    fn tempdir(name: &str) -> PathBuf {
+    fn create_test_directory(name: &str) -> PathBuf {
         let dir = std::env::temp_dir().join(format!("silvercross-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
         std::fs::create_dir_all(&dir).expect("made");
