--- a/crates/daemon/mesh/src/event_stream/serve.rs
+++ b/crates/daemon/mesh/src/event_stream/serve.rs
@@ -58,7 +58,7 @@
 ) {
     let bytes = match (node_state.event_stream.get(), EventQuery::read(&request.target, &body)) {
         (None, _) => {
-            error_response(404, "no event stream here (start the node with --feed, or ask another one)", "")
+            error_response(404, "no feed here (start the role with --feed, or ask another node)", "")
         }
         (_, Err(error)) => error_response(400, &error.to_string(), ""),
         (Some(stream), Ok(query)) if query.follow => {
@@ -67,7 +67,7 @@
                 return follow(&node_state, stream, &mut connection, query).await;
             }
             let retry_after = format!("Retry-After: {RETRY_AFTER_S}\r\n");
-            error_response(503, "too many followers on this node (ask another node)", &retry_after)
+            error_response(503, "enough readers follow here (ask another node)", &retry_after)
         }
         (Some(stream), Ok(query)) => current_events(&node_state, stream, query),
     };
--- a/crates/daemon/mesh/src/member_throttle/item_changes.rs
+++ b/crates/daemon/mesh/src/member_throttle/item_changes.rs
@@ -27,7 +27,7 @@
                 write!(f, "the item can't be read (send it anew with Config.Patch)")
             }
             ItemChangeError::UnreadableBody => {
-                write!(f, "the body is not a JSON object (send {{\"lapsesInS\":...}} or nothing)")
+                write!(f, "the body is no JSON object (send {{\"lapsesInS\":...}} or nothing)")
             }
             ItemChangeError::NotRenewable { key } => write!(
                 f,
