--- a/crates/daemon/mesh/src/tests/interrupted_requests.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests.rs
@@ -1,6 +1,6 @@
-//! Requests interrupted at each place in turn: an origin, two gates and their upstreams in one process, on sockets of loopback
-//! and in paused time, with a relay on each link between them. One request is interrupted on its way, at a stated byte, by a
-//! stated fault; what its client and the upstreams saw is then checked against the rules. Nothing is random.
+//! Interrupts requests at every point: an origin, two gates and their upstreams run in one process, on loopback sockets and
+//! in paused time, with a relay on each link. Each case injects one fault at a given byte offset of one request, and checks
+//! what the client and the upstreams observed against the delivery rules. The cases are deterministic.
 mod case;
 mod checker;
 mod client;
@@ -16,13 +16,12 @@
 pub(crate) use case::Case;
 pub(crate) use run::run_case;
 
-/// Behind a head, and behind this many bytes of a body, not each byte is a place of its own.
+/// In bodies larger than this, only boundaries are tested, not each byte.
 const SMALL_BODY_BYTES: usize = 64;
-/// A stride beyond all heads: the boundaries alone.
+/// A stride longer than any message, which selects the boundaries only.
 const BOUNDARIES_ONLY: usize = usize::MAX;
 
-/// The places to interrupt a message of these bytes: each `stride`th byte of its head and of a small body, and all
-/// boundaries.
+/// The offsets at which to interrupt a message: each `stride`th byte of its head and of a small body, and all boundaries.
 fn offsets(bytes: &[u8], stride: usize) -> Vec<usize> {
     let head = bytes.windows(4).position(|w| w == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4);
     let dense = if bytes.len() - head <= SMALL_BODY_BYTES { bytes.len() } else { head };
@@ -35,7 +34,7 @@
     offsets
 }
 
-/// All cases of one request, whose bytes on each link are known from a run without interruption.
+/// All interruptions of one request; a run without interruption gives the bytes on each link.
 fn cases_of(plain: Case, stride: usize) -> Vec<Case> {
     let observed = run_case(plain, 0);
     assert!(observed.violations.is_empty(), "{plain:?}: {:?}", observed.violations);
@@ -72,7 +71,7 @@
     cases
 }
 
-/// All that a request may be like, on each link that it has to pass.
+/// Every combination of request, upstream behaviour and path, without interruption.
 fn plain_cases() -> impl Iterator<Item = Case> {
     const REQUESTS: [RequestKind; 4] =
         [RequestKind::Safe, RequestKind::Once, RequestKind::HeldBackUpload, RequestKind::LargeUpload];
@@ -97,7 +96,8 @@
     })
 }
 
-/// A few hundred: all boundaries of a request that may run once, on reused connections, and each `STEP`th of all.
+/// A few hundred cases: all boundaries of a request that may run once, on reused connections, and each `STEP`th boundary
+/// case of all selected combinations.
 pub(crate) fn selected_cases() -> Vec<Case> {
     const STEP: usize = 11;
     let once = Case {
@@ -108,7 +108,7 @@
         interruption: None,
     };
     let mut cases = cases_of(once, BOUNDARIES_ONLY);
-    // A large body costs most, and is carried alike whatever it is answered.
+    // Large bodies are slow to test, and are forwarded the same way whatever the response.
     let is_large_request = |case: &Case| case.request == RequestKind::LargeUpload;
     let is_large_response = |case: &Case| case.upstream == UpstreamBehaviour::ServesLong;
     let selected = plain_cases().filter(|case| match (is_large_request(case), is_large_response(case)) {
@@ -121,7 +121,7 @@
     cases
 }
 
-/// Each byte where the upstream serves, all boundaries where it fails or rejects.
+/// Each byte where the upstream serves the request, all boundaries where it fails or rejects it.
 fn all_cases() -> Vec<Case> {
     let stride = |case: &Case| match case.upstream {
         UpstreamBehaviour::Serves => 1,
@@ -130,11 +130,11 @@
     plain_cases().flat_map(|plain| cases_of(plain, stride(&plain))).collect()
 }
 
-/// What came of many cases.
+/// The combined results of many cases.
 #[derive(Default)]
 struct Summary {
     violations: Vec<String>,
-    /// How often each fault ended in each status.
+    /// The number of cases by fault and response status.
     statuses: BTreeMap<(String, String), usize>,
 }
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// Run cases until none is left.
+/// Runs cases until none is left.
 fn run_next_cases(cases: &[Case], next: &AtomicUsize) -> Summary {
     let mut summary = Summary::default();
     loop {
@@ -161,7 +161,7 @@
     }
 }
 
-/// Run all cases on this many threads.
+/// Runs all cases on this many threads.
 fn run_all(cases: &[Case], threads: usize) -> Summary {
     let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
--- a/crates/daemon/mesh/src/tests/interrupted_requests/case.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/case.rs
@@ -3,92 +3,92 @@
 /// The request that is interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
-    /// It may run more than once.
+    /// A request that may run more than once.
     Safe,
-    /// It may run once.
+    /// A request that may run at most once.
     Once,
-    /// An upload that is held back until its gate asks for it.
+    /// An upload whose body is withheld until the gate asks for it.
     HeldBackUpload,
-    /// An upload that is streamed.
+    /// An upload whose body is streamed.
     LargeUpload,
 }
 
-/// What the first upstream that it reaches answers; later ones serve it.
+/// How the first upstream that receives the request answers; later ones serve it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpstreamBehaviour {
     Serves,
     Fails,
     Rejects,
-    /// It serves with a response that is streamed.
+    /// Serves the request with a streamed response.
     ServesLong,
 }
 
-/// Between which two ends.
+/// The link on which the interruption occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Link {
-    /// An origin and a gate.
+    /// Between an origin and a gate.
     Sidecars,
-    /// A gate and its upstream.
+    /// Between a gate and its upstream.
     Upstream,
 }
 
-/// Which way the bytes go.
+/// The direction of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Direction {
     Request,
     Response,
 }
 
-/// What is done to a connection.
+/// The fault injected into a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Nothing is forwarded any more, in either direction, and nobody is told.
+    /// Forwarding stops in both directions, and the connection stays open.
     Silence,
     /// Both sides are reset.
     Reset,
-    /// Both sides are closed in order.
+    /// Both sides are closed with a FIN.
     Close,
-    /// Nothing is forwarded until the client has its response; then all of it is.
+    /// Forwarding pauses until the client has its response, then resumes.
     Freeze,
-    /// The gate's process is killed, and another one stands at its address.
+    /// The gate's process is killed and replaced by another one at the same address.
     Restart,
-    /// The sender is reset; the rest of the request arrives only once the client has its response.
+    /// The sender's side is reset; the rest of the request is delivered only once the client has its response.
     DelayedRequest,
-    /// The sender gets the response of another request.
+    /// The sender receives the response to another request.
     ForeignResponse,
-    /// A byte is sent behind the response.
+    /// One extra byte follows the response.
     SurplusByte,
     /// The response is sent twice.
     DoubleResponse,
-    /// The byte arrives only once the next request was forwarded.
+    /// One extra byte follows the response, after the next request was forwarded.
     LateSurplusByte,
-    /// The second response does.
+    /// The response is sent again after the next request was forwarded.
     LateDoubleResponse,
 }
 
-/// Where a request is interrupted, and how.
+/// Where and how a request is interrupted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Interruption {
     pub(crate) link: Link,
     pub(crate) direction: Direction,
-    /// Bytes that are forwarded before.
+    /// Bytes forwarded before the interruption.
     pub(crate) offset: usize,
     pub(crate) fault: Fault,
 }
 
-/// One case.
+/// One test case: a request, its path and at most one interruption.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Case {
     pub(crate) request: RequestKind,
     pub(crate) upstream: UpstreamBehaviour,
-    /// Other requests went before it, so that connections are reused and incarnations known.
+    /// Earlier requests were sent, so that connections are reused and incarnations are known.
     pub(crate) is_warm: bool,
-    /// The upstream is beside the origin itself.
+    /// The upstream is attached to the origin itself.
     pub(crate) is_local: bool,
     pub(crate) interruption: Option<Interruption>,
 }
 
-/// The bytes of one direction of one link.
+/// Identifies the traffic of one direction on one link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Traffic {
     pub(crate) link: Link,
--- a/crates/daemon/mesh/src/tests/interrupted_requests/checker.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/checker.rs
@@ -1,13 +1,13 @@
-//! Checks the rules, by what client and upstreams saw.
+//! Checks the delivery rules against what the client and the upstreams observed.
 use super::case::{Case, Fault, RequestKind, UpstreamBehaviour};
 use super::client::{request_body, ClientResponse, Conversation};
 use super::upstream::{response_body, UpstreamRun, INTERRUPTED_ID};
 
-/// The rules that were violated.
+/// Describes each violated rule.
 pub(super) fn violations(case: Case, conversation: &Conversation, log: &[UpstreamRun]) -> Vec<String> {
     let mut violations = Vec::new();
     if conversation.has_surplus {
-        violations.push("MIXED: bytes that nobody asked for".to_string());
+        violations.push("MIXED: bytes received beyond the expected responses".to_string());
     }
     violations.extend(reused_after_surplus(case, conversation));
     for run in log {
@@ -19,7 +19,7 @@
     for (id, response) in &conversation.responses {
         match response {
             Some(response) => violations.extend(check_response(case, id, response, log)),
-            // A response that has begun to be forwarded can only be broken off.
+            // A response whose forwarding has begun can only be aborted.
             None if *id == INTERRUPTED_ID
                 && case.upstream == UpstreamBehaviour::ServesLong
                 && case.interruption.is_some() => {}
@@ -29,7 +29,7 @@
     violations
 }
 
-/// The request behind a surplus byte has to go on a connection of its own.
+/// The request after surplus bytes must be sent on a new connection.
 fn reused_after_surplus(case: Case, conversation: &Conversation) -> Option<String> {
     let interruption = case.interruption?;
     let is_surplus = matches!(interruption.fault, Fault::SurplusByte | Fault::DoubleResponse);
--- a/crates/daemon/mesh/src/tests/interrupted_requests/client.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/client.rs
@@ -1,5 +1,5 @@
-//! The client's side of a case: requests before and behind the one that is interrupted, on one connection as long as that
-//! lasts.
+//! The client of a case: sends requests before and after the interrupted one, on one connection for as long as it stays
+//! open.
 use super::case::{Case, RequestKind};
 use super::message_reader::{Message, MessageReader};
 use super::relay::Plan;
@@ -12,12 +12,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// No client waits longer, in paused time.
+/// The longest that a client waits for a response, in paused time.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(120);
-/// Whatever is still on its way has arrived by then, and all attempts are forgotten.
+/// After this time all delayed bytes have arrived and all attempt records have expired.
 const SETTLING_TIME: Duration = Duration::from_secs(90);
 
-/// What a client got for one request.
+/// The response that a client received to one request.
 pub(super) struct ClientResponse {
     pub(super) status: String,
     /// The response's attempt id.
@@ -27,11 +27,11 @@
     pub(super) body: Vec<u8>,
 }
 
-/// What a client got in all.
+/// All responses that a client received.
 pub(super) struct Conversation {
     /// By attempt id; `None`: no response.
     pub(super) responses: BTreeMap<&'static str, Option<ClientResponse>>,
-    /// More was received than was asked for.
+    /// Bytes were received beyond the expected responses.
     pub(super) has_surplus: bool,
 }
 
@@ -62,7 +62,7 @@
     [head.into_bytes(), body].concat()
 }
 
-/// Send all requests of a case, and wait until everything has settled.
+/// Sends all requests of a case and waits for [`SETTLING_TIME`] to pass.
 pub(super) async fn converse(case: Case, origin: &Sidecar, plan: &Plan) -> Conversation {
     let mut connection = None;
     let mut responses = BTreeMap::new();
--- a/crates/daemon/mesh/src/tests/interrupted_requests/message_reader.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/message_reader.rs
@@ -1,15 +1,15 @@
-//! Reads whole messages from a connection; whatever is wrong with one ends it.
+//! Reads complete HTTP messages from a connection; a malformed message ends it.
 use crate::tests::support::header_value;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// A connection and what was received beyond the last message.
+/// A connection with the bytes received beyond the last message.
 pub(super) struct MessageReader {
     pub(super) stream: TcpStream,
     received: Vec<u8>,
 }
 
-/// A message.
+/// An HTTP message.
 pub(super) struct Message {
     pub(super) head: String,
     pub(super) body: Vec<u8>,
@@ -20,7 +20,7 @@
         MessageReader { stream, received: Vec::new() }
     }
 
-    /// Whether more was received than was read.
+    /// Whether bytes beyond the last message were received.
     pub(super) fn has_surplus(&self) -> bool {
         !self.received.is_empty() || matches!(self.stream.try_read(&mut [0; 1]), Ok(n) if n > 0)
     }
@@ -32,7 +32,7 @@
         Some(())
     }
 
-    /// Read up to the end of a separator.
+    /// Reads up to and including a separator.
     async fn read_until(&mut self, separator: &[u8]) -> Option<Vec<u8>> {
         loop {
             match self.received.windows(separator.len()).position(|w| w == separator) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Read a whole message; `None`: the connection ended before.
+    /// Reads a complete message; `None` if the connection ended first.
     pub(super) async fn read(&mut self) -> Option<Message> {
         let head = String::from_utf8(self.read_until(b"\r\n\r\n").await?).ok()?;
         let body = match header_value(&head, "transfer-encoding") {
--- a/crates/daemon/mesh/src/tests/interrupted_requests/relay.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/relay.rs
@@ -1,4 +1,4 @@
-//! A relay of bytes between two ends, which interrupts one connection once.
+//! A TCP relay that injects one fault into one connection.
 use super::case::{Direction, Fault, Interruption, Link, Traffic};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,31 +9,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Where the interruption falls, and what was seen of it; shared by all relays of a case.
+/// The planned interruption and the observed traffic; shared by all relays of a case.
 #[derive(Default)]
 pub(super) struct Plan {
     interruption: Option<Interruption>,
-    /// From now on a connection may be interrupted.
+    /// Whether a connection may be interrupted.
     pub(super) is_armed: Cell<bool>,
-    /// It has been.
+    /// Whether the interruption has taken place.
     pub(super) is_interrupted: Cell<bool>,
-    /// The bytes of the chosen connections.
+    /// The bytes forwarded on the chosen connections.
     pub(super) carried: RefCell<BTreeMap<Traffic, Vec<u8>>>,
-    /// On each link the first connection that carried a request since the plan was armed.
+    /// For each link, the first connection that carried a request after the plan was armed.
     chosen: RefCell<BTreeMap<Link, u64>>,
     connections: Cell<u64>,
-    /// What is frozen is forwarded.
+    /// Whether withheld bytes may be forwarded.
     is_resumed: Cell<bool>,
     resumed: Notify,
 }
 
 impl Plan {
-    /// Armed later, by the client.
+    /// Creates a plan that the client arms later.
     pub(super) fn new(interruption: Option<Interruption>) -> Plan {
         Plan { interruption, ..Plan::default() }
     }
 
-    /// Forward what is frozen.
+    /// Lets withheld bytes be forwarded.
     pub(super) fn resume(&self) {
         self.is_resumed.set(true);
         self.resumed.notify_waiters();
@@ -46,16 +46,16 @@
     }
 }
 
-/// A response that belongs to no request of a case.
+/// A response that belongs to none of the case's requests.
 const FOREIGN_RESPONSE: &[u8] =
     b"HTTP/1.1 200 X\r\nAttempt-Id: zz\r\nPostmark: zz.1\r\nContent-Length: 4\r\n\r\n#END";
 
-/// A relay before an address, which may come to stand for another process.
+/// A relay in front of an address; its target may be replaced by another process.
 #[derive(Clone)]
 pub(super) struct Relay {
     pub(super) address: SocketAddr,
     to: Rc<Cell<SocketAddr>>,
-    /// Where the process stands that takes the place of a killed one.
+    /// The address of the process that replaces a killed one.
     pub(super) next: Rc<Cell<Option<SocketAddr>>>,
     link: Link,
     plan: Rc<Plan>,
@@ -63,20 +63,20 @@
 
 /// One connection through a relay.
 struct RelayedConnection {
-    /// `None` once it was reset while the request goes on.
+    /// `None` after the sender's side was reset while the request is still delivered.
     sender: Option<TcpStream>,
     receiver: TcpStream,
     is_chosen: bool,
-    /// Bytes forwarded since it was chosen, by direction.
+    /// Bytes forwarded since the connection was chosen, by direction.
     forwarded: [usize; 2],
-    /// The response so far.
+    /// The part of the response received so far.
     response: Vec<u8>,
-    /// To be sent behind the next request.
+    /// Bytes to send to the client side after the next request was forwarded.
     late: Vec<u8>,
 }
 
 impl Relay {
-    /// Start a relay at this address of loopback.
+    /// Starts a relay on this loopback address.
     pub(super) async fn start(ip: Ipv4Addr, to: SocketAddr, link: Link, plan: &Rc<Plan>) -> Relay {
         let listener = TcpListener::bind((ip, 0)).await.expect("a port");
         let address = listener.local_addr().expect("bound");
@@ -86,7 +86,7 @@
         tokio::task::spawn_local(async move {
             while let Ok((sender, _)) = listener.accept().await {
                 let Ok(receiver) = TcpStream::connect(accepting.to.get()).await else { continue };
-                // Each write goes out at once, not only with the next request's acknowledgement.
+                // Disables Nagle's algorithm, so that a write does not wait for an acknowledgement.
                 for stream in [&sender, &receiver] {
                     stream.set_nodelay(true).expect("an option");
                 }
@@ -109,7 +109,7 @@
         let (mut requests, mut responses) = (vec![0; 64 * 1024], vec![0; 64 * 1024]);
         loop {
             let Some(sender) = &mut connection.sender else {
-                // Whatever is answered, nobody is there to read it.
+                // The sender is gone, so the response is discarded.
                 let _ = tokio::io::copy(&mut connection.receiver, &mut tokio::io::sink()).await;
                 return;
             };
@@ -119,7 +119,7 @@
                 read = connection.receiver.read(&mut responses) => (Direction::Response, read),
             };
             let bytes = match read {
-                // Ends are passed on as they are.
+                // An orderly close or a reset is propagated to the other side.
                 Ok(0) => return,
                 Err(_) => return connection.reset(),
                 Ok(n) if direction == Direction::Request => requests[..n].to_vec(),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The interruption, if it is to come on this connection in this direction.
+    /// The interruption, if it applies to this connection and direction and has not taken place.
     fn pending_interruption(
         &self,
         connection: &RelayedConnection,
@@ -150,7 +150,7 @@
         })
     }
 
-    /// Forward bytes, interrupted if it is time; `None`: the connection has ended.
+    /// Forwards bytes and injects the fault at its offset; `None` if the connection has ended.
     async fn forward(
         &self,
         connection: &mut RelayedConnection,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Send something behind a response that is complete, at once or with the next request.
+    /// Sends surplus bytes after a complete response, at once or after the next request.
     async fn add_surplus(
         &self,
         connection: &mut RelayedConnection,
@@ -215,7 +215,7 @@
         Some(())
     }
 
-    /// Interrupt a connection; `None`: it has ended.
+    /// Injects a fault into a connection; `None` if the connection has ended.
     async fn interrupt(&self, connection: &mut RelayedConnection, fault: Fault) -> Option<()> {
         match fault {
             Fault::Silence => std::future::pending().await,
@@ -225,7 +225,7 @@
             }
             Fault::Close => None,
             Fault::Restart => {
-                // The system of a killed process closes in order towards its upstream, and resets who sends.
+                // The kernel of a killed process sends a FIN to its upstream and a reset to the sender.
                 connection.sender.as_ref().into_iter().for_each(reset_on_close);
                 self.next.take().into_iter().for_each(|next| self.to.set(next));
                 None
@@ -257,7 +257,7 @@
         to.write_all(bytes).await.ok()
     }
 
-    /// Both sides are reset as they are dropped.
+    /// Makes both sides send a reset when they are dropped.
     fn reset(&self) {
         self.sender.as_ref().into_iter().for_each(reset_on_close);
         reset_on_close(&self.receiver);
@@ -265,7 +265,7 @@
 }
 
 impl Fault {
-    /// It adds something behind a complete response.
+    /// Whether the fault adds bytes after a complete response.
     fn comes_behind_response(self) -> bool {
         matches!(
             self,
--- a/crates/daemon/mesh/src/tests/interrupted_requests/run.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/run.rs
@@ -9,23 +9,23 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-/// What came of a case.
+/// The result of a case.
 pub(crate) struct Observed {
-    /// Rules that were violated.
+    /// Descriptions of the violated rules.
     pub(crate) violations: Vec<String>,
-    /// Bytes of the interrupted request and its response, by link.
+    /// Bytes of the interrupted request and its response, by link and direction.
     pub(crate) carried: BTreeMap<Traffic, Vec<u8>>,
-    /// The status that the interrupted request ended with.
+    /// The status of the response to the interrupted request.
     pub(crate) status: String,
 }
 
-/// A sidecar and the relay before its upstream.
+/// A sidecar and the relay in front of its upstream.
 struct Gate {
     sidecar: Sidecar,
     upstream: Relay,
 }
 
-/// Where the nodes of case `number` stand: the ports of one address of loopback are soon used up.
+/// The address of a node of case `number`; each case has its own, so that ephemeral ports are not exhausted.
 fn ip(number: usize, last_octet: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 1 + (number / 250 % 250) as u8, (number % 250) as u8, last_octet)
 }
@@ -63,7 +63,7 @@
     origin.learn_sidecar(&gate.reached_at(relay.address));
 }
 
-/// Run one case from its start.
+/// Runs one case.
 pub(crate) fn run_case(case: Case, number: usize) -> Observed {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/daemon/mesh/src/tests/interrupted_requests/upstream.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that runs all that comes whole, and keeps a log of it.
+//! An upstream that runs and logs each request that arrives complete.
 use super::case::UpstreamBehaviour;
 use super::message_reader::{Message, MessageReader};
 use crate::tests::support::header_value;
@@ -9,22 +9,22 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// The attempt id of the request that is interrupted.
+/// The attempt id of the interrupted request.
 pub(super) const INTERRUPTED_ID: &str = "x";
 
 /// What an upstream did with one request.
 pub(super) struct UpstreamRun {
     pub(super) id: String,
     pub(super) status: u16,
-    /// Tells its response from all others.
+    /// Identifies the response to this request.
     pub(super) stamp: String,
     pub(super) body: Vec<u8>,
 }
 
-/// What all upstreams of a case did, in order.
+/// The requests that the upstreams of a case received, in order.
 pub(super) type RunLog = Rc<RefCell<Vec<UpstreamRun>>>;
 
-/// Start an upstream; the first of all that gets the interrupted request answers it by `behaviour`.
+/// Starts an upstream; the first upstream that receives the interrupted request answers by `behaviour`.
 pub(super) async fn start_upstream(ip: Ipv4Addr, behaviour: UpstreamBehaviour, log: RunLog) -> SocketAddr {
     let listener = TcpListener::bind((ip, 0)).await.expect("a port");
     let address = listener.local_addr().expect("bound");
