--- a/crates/daemon/mesh/src/tests/added_routes.rs
+++ b/crates/daemon/mesh/src/tests/added_routes.rs
@@ -10,17 +10,17 @@
 const ADDED_ROUTES: usize = 24;
 const CLIENTS: usize = 24;
 const REQUESTS_PER_CLIENT: usize = 56;
-/// Requests on the first route before the others are added: it has its statistics by then.
+/// Requests sent on the first route before the others are added, so that it has statistics.
 const REQUESTS_BEFORE: usize = 200;
 
-/// Requests that were served.
+/// The number of served requests.
 #[derive(Default)]
 struct Served {
     on_first_route: Cell<u64>,
     on_added_routes: Cell<u64>,
 }
 
-/// Send requests on an added route and on the first one in turn.
+/// Sends requests alternately on an added route and on the first one.
 async fn send_in_turn(client: usize, to: SocketAddr, added_route: String, served: Rc<Served>) {
     let mut connection = TestConnection::connect(to).await;
     for number in 0..REQUESTS_PER_CLIENT {
@@ -37,7 +37,7 @@
     }
 }
 
-/// More clients than the upstream has slots send requests on old and new routes in turn.
+/// More clients than the upstream has slots send requests alternately on old and new routes.
 #[test]
 fn routes_added_later_are_served_like_the_first() {
     support::run(async {
--- a/crates/daemon/mesh/src/tests/connection_reuse.rs
+++ b/crates/daemon/mesh/src/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Which connections carry a further request.
+//! Which connections may be reused for another request.
 use crate::peer_connection;
 use crate::tests::support::{self, post, scripted_mesh, ClientResult, ScriptedMesh, GOOD_RESPONSE};
 use crate::wire::{Connection, PeerKind};
@@ -27,7 +27,7 @@
     }
 }
 
-/// What was received since the reactor last looked is seen all the same.
+/// Bytes or a close that arrived since the reactor last polled must prevent reuse.
 #[test]
 fn a_byte_on_an_idle_connection_is_seen_before_reuse() {
     support::run(async {
@@ -39,7 +39,7 @@
             let (mut other_end, _) = listener.accept().expect("a connection");
             let connection = Connection::new(stream, PeerKind::Sidecar);
             assert!(connection.is_reusable());
-            // No await from here on: the reactor has no chance to hear of it.
+            // No await from here on, so the reactor cannot observe the event.
             if closes {
                 drop(other_end);
             } else {
--- a/crates/daemon/mesh/src/tests/control_redirects.rs
+++ b/crates/daemon/mesh/src/tests/control_redirects.rs
@@ -1,4 +1,4 @@
-//! Operators' calls at nodes without control state are redirected to one that holds it.
+//! Control calls at nodes without control state are redirected to a node that holds it.
 use crate::control::{self, CONTROL_CALLS};
 use crate::tests::support::{
     self, bind_upstream, call, header_value, status, CallResponse, SidecarOptions, TestConnection,
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::TcpListener;
 
-/// Follow redirects as callers do; the statuses.
+/// Follows redirects as a caller would; returns the statuses.
 async fn follow(mut to: SocketAddr, path: &str) -> Vec<String> {
     let (mut path, mut statuses) = (path.to_string(), Vec::new());
     loop {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Each of two nodes takes the other for a control node; neither is one.
+/// Two nodes each take the other for a control node, though neither is one; the redirects must not loop.
 #[test]
 fn a_control_call_is_redirected_at_most_twice() {
     support::run(async {
@@ -59,12 +59,12 @@
     named: &'k [u8],
 }
 
-/// In zone a.
+/// A node in zone a.
 fn near(last_octet: u8, stopping: bool, named: &[u8]) -> KnownNode<'_> {
     KnownNode { last_octet, zone: "a", stopping, named }
 }
 
-/// In zone b.
+/// A node in zone b.
 fn far(last_octet: u8, named: &[u8]) -> KnownNode<'_> {
     KnownNode { last_octet, zone: "b", stopping: false, named }
 }
@@ -76,7 +76,7 @@
         let cases: [(&[KnownNode], Option<u8>); 6] = [
             (&[far(11, &[]), near(12, false, &[11])], None),
             (&[far(11, &[11, 12, 13]), near(12, false, &[11, 12, 13])], Some(12)),
-            // The first was removed, and has not heard so.
+            // Node 11 was removed from the control nodes and has not learned of it.
             (
                 &[
                     near(11, false, &[11, 12, 13]),
--- a/crates/daemon/mesh/src/tests/departed_clients.rs
+++ b/crates/daemon/mesh/src/tests/departed_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that leave while their requests are served: the upstream sees its connection end, on every hop and at once.
+//! Clients that disconnect while their requests are served: each hop ends the request at once, and the upstream sees its
+//! connection end.
 use crate::node_state::{DepartedPeer, DepartureCounts};
 use crate::tests::support::{
     self, bind_upstream, patterned_bytes, status, upstream_response_head, BoundUpstream, Sidecar,
@@ -10,37 +11,37 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Leaving {
-    /// It closes in order.
+    /// It closes the connection with a FIN.
     Closes,
     /// It resets the connection.
     Resets,
-    /// It closes its sending direction only.
+    /// It closes only its sending direction.
     HalfCloses,
-    /// It closes with the beginning of a next request sent behind this one.
+    /// It sends part of another request, then closes the connection.
     ClosesBehindNextRequest,
 }
 
 const WAYS_OF_LEAVING: [Leaving; 4] =
     [Leaving::Closes, Leaving::Resets, Leaving::HalfCloses, Leaving::ClosesBehindNextRequest];
 
-/// Where the upstream stands.
+/// The sidecar that the upstream is attached to.
 #[derive(Clone, Copy, Debug)]
 enum UpstreamAt {
-    /// Beside the sidecar that the client is connected to.
+    /// The sidecar that the client is connected to.
     SameSidecar,
-    /// Beside another one.
+    /// Another sidecar.
     OtherSidecar,
 }
 
 const UPSTREAM_PLACES: [UpstreamAt; 2] = [UpstreamAt::SameSidecar, UpstreamAt::OtherSidecar];
 
-/// Requests that the upstream takes at a time.
+/// Concurrent requests that the upstream accepts.
 const SLOTS: usize = 8;
 
-/// Origin and upstream, ready for requests.
+/// An origin, a gate and its upstream, ready for requests.
 struct Mesh {
     origin: Sidecar,
     gate: Sidecar,
@@ -66,7 +67,7 @@
         Mesh { origin, gate, upstream: listener, sent_requests: Cell::new(0) }
     }
 
-    /// A client's request, and the upstream's end of it once it has all of it.
+    /// Sends a request, and returns the client's and the upstream's connection once the upstream has received all of it.
     async fn begin_request(&self, route: &str) -> (TestConnection, TestConnection) {
         let client = self.send_request(route, &[]).await;
         let upstream = self.accept_request().await;
@@ -96,7 +97,7 @@
         self.gate.node_state.gate.with_admission(|admission| admission.load())
     }
 
-    /// Nothing of any request is left on any hop.
+    /// Waits until no request is left on any hop.
     async fn until_idle(&self) {
         while self.load().in_flight + self.load().pending > 0
             || self.origin.node_state.open_requests.get() > 0
@@ -109,16 +110,16 @@
         self.origin.node_state.departures.counts(DepartedPeer::Client)
     }
 
-    /// No upstream is avoided, and nobody counts it as rejected or failed.
+    /// Asserts that no upstream is avoided and no request was counted as rejected or failed.
     fn assert_nobody_failed(&self, case: &str) {
         let balancer = self.origin.node_state.service_balancer(SERVICE).expect("a service");
-        assert_eq!(balancer.upstream_counts().avoided, 0, "{case}: the upstream has not failed");
+        assert_eq!(balancer.upstream_counts().avoided, 0, "{case}: the upstream must not be avoided");
         let (origin, gate) = (&self.origin.node_state.counters, &self.gate.node_state.counters);
         assert_eq!((origin.failed_requests.get(), gate.rejected_by_gate.get()), (0, 0), "{case}");
     }
 }
 
-/// The client leaves. What is left of it: a half-closed connection is still there.
+/// Disconnects the client; returns its connection if it is only half-closed.
 async fn leave(mut client: TestConnection, way: Leaving) -> Option<TestConnection> {
     match way {
         Leaving::Closes => None,
@@ -156,7 +157,7 @@
     });
 }
 
-/// It may have begun, so it is not left in doubt; a client that still reads gets its response.
+/// A request that may have begun runs to its end; a client that still reads gets the response.
 #[test]
 fn what_may_run_once_and_has_begun_is_carried_on() {
     support::run(async {
@@ -191,7 +192,7 @@
     });
 }
 
-/// A place in the gate's queue comes back at once, whatever kind of request it is of.
+/// The place in the gate's queue is freed at once, whatever the kind of request.
 #[test]
 fn what_waits_at_a_gate_is_dropped_when_its_client_leaves() {
     support::run(async {
@@ -213,7 +214,7 @@
                     running.push((client, mesh.accept_request().await));
                 };
                 assert!(running.len() >= SLOTS, "{case}");
-                // One that may run once can begin for a moment after an orderly close.
+                // After an orderly close, a request that may run once could still begin for a moment.
                 leave(waiting, if route == "once" { Leaving::Resets } else { Leaving::Closes }).await;
                 while mesh.load().pending > 0 {
                     tokio::task::yield_now().await;
@@ -226,7 +227,7 @@
     });
 }
 
-/// While nothing of a request has come to an upstream, its client's leaving ends it whatever it waits for.
+/// Until a request has reached an upstream, its client's departure ends it, whatever it waits for.
 #[test]
 fn what_waits_for_an_upstream_or_for_its_body_is_dropped_when_its_client_leaves() {
     support::run(async {
@@ -253,7 +254,7 @@
     });
 }
 
-/// A response that is too large to be buffered ends with its reader, on every hop.
+/// A response that is too large to be buffered is aborted on every hop when its client disconnects.
 #[test]
 fn a_streamed_response_ends_when_its_client_leaves() {
     support::run(async {
@@ -269,7 +270,7 @@
                 let first = patterned_bytes(MAX_BUFFERED_BODY_BYTES + 1);
                 let (received, ()) = tokio::join!(client.read_head(), upstream.send(&first));
                 assert_eq!(status(&received), "200", "{case}");
-                // The upstream is silent from here on: nothing is written to the client that could tell of its leaving.
+                // The upstream sends nothing more, so no failed write to the client can reveal the departure.
                 let _half_closed = leave(client, way).await;
                 assert_eq!(upstream.receive().await, 0, "{case}: the upstream sees the end");
                 mesh.until_idle().await;
@@ -278,7 +279,7 @@
     });
 }
 
-/// What a mutant that ignores leavers does to a request, for the tests of the checks.
+/// Whether the upstream sees a client's departure; used by the mutation tests.
 #[cfg(feature = "mutants")]
 pub(super) fn leaver_is_noticed() -> bool {
     let noticed = std::rc::Rc::new(std::cell::Cell::new(false));
--- a/crates/daemon/mesh/src/tests/forwarding_headers.rs
+++ b/crates/daemon/mesh/src/tests/forwarding_headers.rs
@@ -1,4 +1,4 @@
-//! What sidecars tell each other of a request, as it stands in header lines.
+//! The encoding of the forwarding headers between sidecars.
 use crate::forwarding_headers::{
     decode, encode, ForwardingHeaders, GateStatus, ENCODING_VERSION, MAX_ENCODED_LENGTH,
 };
@@ -35,7 +35,7 @@
     }
 }
 
-/// As sidecars of earlier versions wrote them: fields in this order, times as plain integers of microseconds.
+/// Compatibility with earlier versions: the order of fields, and times as integer microseconds.
 #[test]
 fn encoded_bytes_are_those_of_earlier_versions() {
     let first = ForwardingHeaders {
--- a/crates/daemon/mesh/src/tests/graceful_stop.rs
+++ b/crates/daemon/mesh/src/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! Requests that come while a sidecar stops.
+//! Requests that arrive while a sidecar stops.
 use super::support::{
     self, bind_upstream, header_value, status, upstream_response_head, BoundUpstream, SidecarOptions,
     TestConnection,
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// An upstream that serves each request, and how many it got.
+/// Starts an upstream that serves each request, and returns its request count.
 fn count_requests(listener: TcpListener) -> Rc<Cell<u32>> {
     let requests = Rc::new(Cell::new(0));
     let counted = requests.clone();
@@ -32,8 +32,8 @@
     requests
 }
 
-/// Late in the grace a request is rejected with when to come back, and nothing of it reaches an upstream, unless its timeout
-/// ends before the process does: the sidecar would give it up with an upstream at work.
+/// Late in the grace period a request is rejected with Retry-After before it reaches an upstream, unless its timeout ends
+/// before the process does: the sidecar might have to abandon it while an upstream runs it.
 #[test]
 fn late_in_its_grace_a_sidecar_rejects_what_it_might_have_to_give_up() {
     support::run_paused(async {
@@ -45,7 +45,7 @@
         gate.send_heartbeat();
         origin.learn_sidecar(&gate);
         origin.node_state.begin_stop();
-        // The grace is 6 s, so that all is answered 5 s after the signal.
+        // The grace period is 6 s, so all responses are due 5 s after the signal.
         for (advance_ms, timeout_ms, expected, delivered) in
             [(2000, 5000, "200", 1), (1000, 5000, "503", 1), (0, 500, "200", 2), (1700, 500, "503", 2)]
         {
--- a/crates/daemon/mesh/src/tests/heartbeats.rs
+++ b/crates/daemon/mesh/src/tests/heartbeats.rs
@@ -1,11 +1,11 @@
-//! Heartbeats of an upstream at its sidecar.
+//! Heartbeats that an upstream sends to its sidecar.
 use crate::control::{self, CONTROL_CALLS};
 use crate::tests::support::{
     self, bind_upstream, call, header_value, status, CallResponse, SidecarOptions, TestConnection,
 };
 use std::collections::BTreeMap;
 
-/// No response to a heartbeat is larger.
+/// The largest permitted response to a heartbeat.
 const MAX_RESPONSE_BYTES: usize = 4096;
 const HEARTBEAT: &str = "/-/Stations.Heartbeat/i-127.0.0.1";
 const SIGN_OFF: &str = "/-/Stations.SignOff/i-127.0.0.1";
@@ -16,7 +16,7 @@
     )
 }
 
-/// While more requests are open than the upstream has slots for, then as the process stops.
+/// Heartbeats are answered while more requests are open than the upstream has slots, and while the process stops.
 #[test]
 fn heartbeats_are_answered_in_few_bytes_while_all_else_waits() {
     support::run(async {
@@ -25,7 +25,7 @@
         sidecar.send_heartbeat();
         let calls = bind_upstream().await;
         tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls.listener, &CONTROL_CALLS));
-        // The upstream accepts connections and answers nothing.
+        // The upstream accepts connections but never responds.
         let mut waiting: Vec<TestConnection> = Vec::new();
         for number in 0..40 {
             let mut client = TestConnection::connect(sidecar.outbound).await;
--- a/crates/daemon/mesh/src/tests/idle_timeout.rs
+++ b/crates/daemon/mesh/src/tests/idle_timeout.rs
@@ -1,14 +1,14 @@
-//! How long clients' connections may be idle, also while the limit changes.
+//! The idle timeout of client connections, also while the limit changes.
 use crate::idle_timeout::{keep_alive_header, IdleTimeout, CLOSE_DELAY};
 use crate::tests::support::{
     self, bind_upstream, header_value, status, SidecarOptions, TestConnection, ATTEMPT_ID_LINE,
 };
 use silvercross_time::{Duration, Instant};
 
-/// Seconds, and the limit in seconds that is set then.
+/// A time and the limit that is set at that time, both in seconds.
 type LimitChange = (i64, i64);
 
-/// What was set before a connection is looked at, and how long it is kept then, in seconds.
+/// Changes of the limit, the time at which the timeout is evaluated, and the expected timeout, in seconds.
 struct Case<'c> {
     changes: &'c [LimitChange],
     looked_at: i64,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Send a request with a header of this many bytes; the status, and the idle timeout that the response states.
+/// Sends a request with a header of this many bytes; returns the status and the response's Keep-Alive value.
 async fn request(connection: &mut TestConnection, filler_bytes: usize) -> (String, Option<String>) {
     let filler = "x".repeat(filler_bytes);
     let request = format!("GET /none HTTP/1.1\r\nHost: h\r\nFiller: {filler}\r\n{ATTEMPT_ID_LINE}\r\n");
@@ -57,7 +57,7 @@
     (status(&head).to_string(), header_value(&head, "keep-alive"))
 }
 
-/// The next request on a connection that was idle goes by the limits in force as it comes.
+/// The next request on an idle connection is subject to the limits in force when it arrives.
 #[test]
 fn an_idle_connection_is_not_closed_by_a_shorter_limit_and_its_next_request_uses_the_newest() {
     support::run(async {
@@ -75,7 +75,7 @@
     });
 }
 
-/// Two connections are idle under a short limit, one at a sidecar where a longer one comes meanwhile.
+/// Two connections are idle under a short limit; one sidecar's limit is then raised.
 #[test]
 fn an_idle_connection_is_closed_in_time_and_kept_by_a_longer_limit() {
     support::run(async {
--- a/crates/daemon/mesh/src/tests/large_bodies.rs
+++ b/crates/daemon/mesh/src/tests/large_bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies that are streamed, and the budget of buffered ones.
+//! Streamed bodies, and the memory budget of buffered bodies.
 use crate::body_budget::BodyBudget;
 use crate::tests::support::{
     self, bind_upstream, header_value, patterned_bytes, status, upstream_response_head, BoundUpstream,
@@ -13,13 +13,13 @@
 
 const LARGE: usize = 6 * MAX_BUFFERED_BODY_BYTES + 12_345;
 
-/// A sidecar with its own upstream.
+/// A sidecar and the listener of its upstream.
 struct Gate {
     sidecar: Sidecar,
     upstream: TcpListener,
 }
 
-/// An origin that knows of `count` gates.
+/// Starts an origin that knows `count` gates.
 async fn start_mesh(count: u8) -> (Sidecar, Vec<Gate>) {
     let nobody = bind_upstream().await.address;
     let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
@@ -33,7 +33,7 @@
     (origin, gates)
 }
 
-/// An origin and a gate before an upstream; the same sidecar if it is beside the origin.
+/// Starts an origin and a gate in front of an upstream; one sidecar is both if the upstream is local.
 async fn start_pair(is_local: bool) -> (Sidecar, Gate) {
     if is_local {
         let BoundUpstream { listener, address } = bind_upstream().await;
@@ -44,13 +44,13 @@
     (origin, gates.remove(0))
 }
 
-/// What an upstream received.
+/// A request as an upstream received it.
 struct UpstreamRequest {
     head: String,
     body: ReceivedBody,
 }
 
-/// The most that any of these budgets has had reserved.
+/// The largest reservation seen in any of these budgets.
 struct PeakReservation {
     budgets: [Rc<BodyBudget>; 2],
     bytes: Cell<u64>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The header line that states a body's end.
+/// The header line that frames a body.
 fn framing(is_chunked: bool, length: usize) -> String {
     match is_chunked {
         true => "Transfer-Encoding: chunked\r\n".to_string(),
@@ -71,7 +71,7 @@
     }
 }
 
-/// Send a body in parts of this many bytes.
+/// Sends a body in parts of this many bytes.
 async fn send_body(
     connection: &mut TestConnection,
     body: &[u8],
@@ -94,7 +94,7 @@
     }
 }
 
-/// An upstream that reads one request and answers it with this body.
+/// Runs an upstream that reads one request and answers it with this body.
 async fn answer_once(
     listener: TcpListener,
     response_body: Vec<u8>,
@@ -143,7 +143,7 @@
             );
             let max_reserved = 2 * (MAX_BUFFERED_BODY_BYTES as u64 + 65_536);
             assert!(peak.bytes.get() <= max_reserved, "{}", peak.bytes.get());
-            // The same connection serves on.
+            // The connection is still usable.
             client.send(format!("GET /none HTTP/1.1\r\nHost: h\r\n{ATTEMPT_ID_LINE}\r\n").as_bytes()).await;
             assert_eq!(status(&client.read_head().await), "404");
             let reserved = peak.budgets.each_ref().map(|budget| budget.reserved_bytes());
@@ -158,7 +158,7 @@
     support::run(async {
         let (origin, gates) = start_mesh(2).await;
         let [first, second] = <[Gate; 2]>::try_from(gates).unwrap_or_else(|_| panic!("two gates"));
-        // The first gate has heard of no upstream, so it rejects all.
+        // The first gate has received no heartbeat, so it rejects all requests.
         second.sidecar.send_heartbeat();
         let body = patterned_bytes(LARGE);
         let (listener, expected) = (second.upstream, body.clone());
@@ -189,7 +189,7 @@
     });
 }
 
-/// How a client's connection ended: closed in order, or with this error.
+/// Reads until the connection ends; `None` if it was closed by a FIN, else the error.
 async fn read_to_end(client: &mut TestConnection) -> Option<ErrorKind> {
     let mut buffer = vec![0; 1 << 16];
     loop {
@@ -229,7 +229,7 @@
             let head = client.read_head().await;
             assert_eq!(status(&head), "200", "{head}");
             if version == "1.0" {
-                // No length and no chunks: only a reset shows it.
+                // Without a length or chunks, only a reset shows that the response is incomplete.
                 assert_eq!(read_to_end(&mut client).await, Some(ErrorKind::ConnectionReset));
             } else {
                 assert!(!client.read_body(&head).await.is_complete);
@@ -250,7 +250,7 @@
                 "POST /up/x HTTP/1.1\r\nHost: h\r\n{ATTEMPT_ID_LINE}Content-Length: {body_bytes}\r\n\r\n"
             );
             client.send(head.as_bytes()).await;
-            // Refused before its end, the rest finds a closed connection.
+            // The write may fail: an early rejection closes the connection.
             let _ = client.stream.write_all(&patterned_bytes(body_bytes)).await;
             let head = client.read_head().await;
             assert_eq!(status(&head), "503", "{head}");
--- a/crates/daemon/mesh/src/tests/mod.rs
+++ b/crates/daemon/mesh/src/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of whole sidecars in one process, on sockets of loopback. They stand inside the package because a program has no
-//! library to import: they call its private items, and hand to sidecars what membership would bring.
+//! Tests of whole sidecars in one process, on loopback sockets. They are part of the binary crate because they use its
+//! private items; records and configuration are applied directly instead of through membership.
 mod added_routes;
 mod connection_reuse;
 mod control_redirects;
--- a/crates/daemon/mesh/src/tests/mutations_detected.rs
+++ b/crates/daemon/mesh/src/tests/mutations_detected.rs
@@ -1,9 +1,8 @@
-//! The checker of interrupted requests is checked itself: each rule of the request path that is broken on purpose is
-//! detected.
+//! Mutation tests of the checker of interrupted requests: each rule that a mutation breaks must be reported.
 use crate::mutation::{self, Mutation};
 use crate::tests::interrupted_requests::{run_case, selected_cases};
 
-/// The first violation that the checker finds with this mutation; empty if there is none.
+/// The first violation that the checker reports under this mutation; empty if there is none.
 fn first_violation(mutation: Mutation) -> String {
     let cases = selected_cases();
     mutation::set_mutation(Some(mutation));
@@ -55,5 +54,5 @@
     mutation::set_mutation(Some(Mutation::DepartedClientServed));
     let noticed = leaver_is_noticed();
     mutation::set_mutation(None);
-    assert!(!noticed, "the request of a client that has left goes on");
+    assert!(!noticed, "the mutation was not detected: the request of a departed client was ended");
 }
--- a/crates/daemon/mesh/src/tests/open_requests.rs
+++ b/crates/daemon/mesh/src/tests/open_requests.rs
@@ -1,5 +1,4 @@
-//! Requests that are open while the settings file, the configuration or the process' own state changes end as if nothing
-//! had.
+//! Open requests complete unaffected when the settings file, the configuration or the process state changes.
 use crate::reload::{self, ReloadOutcome};
 use crate::tests::support::routes::{deliver_routes, route, withdraw_routes, RouteItem};
 use crate::tests::support::{
@@ -9,22 +8,22 @@
 use crate::wire::MAX_BUFFERED_BODY_BYTES;
 use std::path::{Path, PathBuf};
 
-/// What happens while a request is open.
+/// A change that is made while a request is open.
 #[derive(Clone, Copy, Debug)]
 enum Change {
-    /// SIGHUP, with other seeds and bounds in the file.
+    /// The settings file is reloaded with other seeds and bounds.
     Settings,
-    /// Its route is withdrawn.
+    /// The request's route is withdrawn.
     RouteWithdrawn,
-    /// All routes of its service are withdrawn.
+    /// All routes of the request's service are withdrawn.
     AllRoutesWithdrawn,
-    /// Its route leads to another service, which has no upstream.
+    /// The route is moved to another service, which has no upstream.
     RouteMoved,
-    /// Its route has less time, one attempt, another priority.
+    /// The route gets a shorter timeout, one attempt and another priority.
     RouteAltered,
-    /// Limits that it would not keep.
+    /// Limits are set that the request would exceed.
     Limits,
-    /// The process is told to end.
+    /// The process is told to stop.
     Stop,
 }
 
@@ -38,7 +37,7 @@
     Change::Stop,
 ];
 
-/// A request that is open meanwhile.
+/// A request that is open during the change.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     method: &'static str,
@@ -54,7 +53,7 @@
     OpenRequest { method: "GET", route: "safe", body_bytes: 0, response_bytes: 2 * MAX_BUFFERED_BODY_BYTES },
 ];
 
-/// What is sent of a large body before the change.
+/// The bytes of a large body that are sent before the change.
 const FIRST_PART_BYTES: usize = MAX_BUFFERED_BODY_BYTES + MAX_BUFFERED_BODY_BYTES / 2;
 
 impl Change {
@@ -94,8 +93,8 @@
     }
 }
 
-/// Change both sidecars while a request is open between them: a small request is at its upstream whole, a large one in part;
-/// of a large response a part is at the client.
+/// Changes both sidecars while a request is open between them: a small request has reached its upstream in full, a large
+/// one in part; of a large response, the client has a part.
 async fn change_while_open(change: Change, request: OpenRequest, path: &Path) {
     let OpenRequest { method, route, body_bytes, response_bytes } = request;
     let case = format!("{change:?} {request:?}");
--- a/crates/daemon/mesh/src/tests/request_framing.rs
+++ b/crates/daemon/mesh/src/tests/request_framing.rs
@@ -1,5 +1,4 @@
-//! Requests as clients and callers may send them: in pieces, several at a time, broken off, or with bytes that could be read
-//! in two ways.
+//! Requests that are fragmented, pipelined, truncated or ambiguously framed.
 use crate::control;
 use crate::tests::support::{
     self, bind_upstream, header_value, post_head, scripted_mesh, status, upload_head, ScriptedMesh,
@@ -8,14 +7,14 @@
 use crate::wire::MAX_BUFFERED_BODY_BYTES;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// What a client writes and what comes of it.
+/// The bytes that a client writes, and the expected result.
 struct Case<'t> {
     name: &'t str,
     bytes: String,
-    /// It closes its half behind that.
+    /// Whether the client half-closes the connection after writing.
     closes: bool,
     statuses: &'t [&'t str],
-    /// Attempt ids that reach the upstream.
+    /// Attempt ids expected at the upstream.
     attempt_ids: &'t [&'t str],
 }
 
@@ -67,7 +66,7 @@
         support::run(async move {
             let ScriptedMesh { origin, log, .. } = scripted_mesh(&[GOOD_RESPONSE; 8]).await;
             let mut client = TestConnection::connect(origin.outbound).await;
-            // Where it is answered before its end, the rest finds a closed connection.
+            // The write may fail: an early response closes the connection.
             let _ = client.stream.write_all(bytes.as_bytes()).await;
             if closes {
                 let _ = client.stream.shutdown().await;
@@ -77,7 +76,7 @@
                 assert_eq!(status(&head), *expected, "{name}: {head}");
                 client.read_body(&head).await;
             }
-            // Nothing else comes of it: the connection is closed, or serves the next request.
+            // No further response follows: the connection is closed, or serves the next request.
             if !closes && client.stream.write_all(post_head("last", 0).as_bytes()).await.is_ok() {
                 let head = client.read_head().await;
                 let is_last = header_value(&head, "attempt-id").as_deref() == Some("last");
@@ -121,7 +120,7 @@
     });
 }
 
-/// 408 promises that the request has not run; nothing is promised once a part of it went on.
+/// 408 promises that the request has not run, which cannot be promised once a part of it was forwarded.
 #[test]
 fn a_stalled_body_is_answered_408_only_if_none_of_it_was_forwarded() {
     for (body_bytes, sent, is_promised) in [
--- a/crates/daemon/mesh/src/tests/response_replay.rs
+++ b/crates/daemon/mesh/src/tests/response_replay.rs
@@ -1,4 +1,4 @@
-//! Requests that may run once, and what a gate remembers of them for origins whose connection broke.
+//! Requests that may run at most once, and the gate's record of them for origins whose connection broke.
 use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus, ENCODING_VERSION};
 use crate::node_state::DepartedPeer;
 use crate::response_replay_cache::{
@@ -15,15 +15,15 @@
 use std::rc::Rc;
 use tokio::sync::Semaphore;
 
-/// An upstream that runs each request once it is permitted to.
+/// An upstream that answers each request only when a permit is available.
 #[derive(Clone)]
 struct GatedUpstream {
     address: SocketAddr,
-    /// Attempt ids that came.
+    /// Attempt ids of the received requests.
     ran: Rc<RefCell<Vec<String>>>,
-    /// A permit for each request that came.
+    /// One permit per received request.
     received: Rc<Semaphore>,
-    /// A permit for each response that may go.
+    /// One permit per response that may be sent.
     permitted: Rc<Semaphore>,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Wait until one more request has come.
+    /// Waits for one more request to arrive.
     async fn wait_for_request(&self) {
         self.received.acquire().await.expect("open").forget();
     }
@@ -91,7 +91,7 @@
         client
     }
 
-    /// One request goes well; the origin then knows the gate's incarnation, and its next connection is a new one.
+    /// Sends one successful request, which tells the origin the gate's incarnation, and closes the pooled connection.
     async fn learn_incarnation(&self) {
         self.upstream.permitted.add_permits(1);
         assert_eq!(status(&self.post("first").await.read_head().await), "200");
@@ -119,7 +119,7 @@
             let (gate, origin) = (&mesh.gate.node_state.counters, &mesh.origin.node_state.counters);
             if action == RelayAction::ResetWhenNotified {
                 mesh.relay.reset.notify_one();
-                // It goes on, and the origin's query waits for it.
+                // The request keeps running, and the origin's query waits for its response.
                 while gate.orphaned_requests.get() == 0 || origin.outcome_queries.get() == 0 {
                     tokio::task::yield_now().await;
                 }
@@ -143,11 +143,11 @@
         let mut client = mesh.post("b").await;
         mesh.upstream.permitted.add_permits(1);
         let head = client.read_head().await;
-        // Nothing ran, so it may have been sent again; else its client is promised that nothing ran.
+        // The request did not run, so either a retry succeeded or the client is told that nothing ran.
         assert!(matches!(status(&head), "200" | "503"), "{head}");
         let runs = mesh.runs_of("b");
         assert_eq!(runs, usize::from(status(&head) == "200"));
-        // The request itself, late.
+        // The original request arrives late.
         let mut late = TestConnection::connect(mesh.gate.inbound).await;
         let kept = mesh.relay.kept.borrow().clone();
         assert!(!kept.is_empty());
@@ -167,7 +167,7 @@
                 mesh.learn_incarnation().await;
             }
             mesh.next_action(RelayAction::KeepRequest);
-            // Another process has taken the gate's place.
+            // Another process replaces the gate.
             let other = support::start_sidecar(2, mesh.upstream.address, SidecarOptions::default()).await;
             other.send_heartbeat();
             if is_known {
@@ -181,7 +181,7 @@
     });
 }
 
-/// A request that may run once, as an origin sends it to a gate, or a query about it.
+/// A request that may run at most once, as an origin sends it to a gate, or a query about its outcome.
 fn once_request(replay_key: u64, is_query: bool) -> String {
     let forwarding = forwarding_headers::encode(&ForwardingHeaders {
         version: ENCODING_VERSION,
@@ -196,7 +196,7 @@
     format!("GET /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: d{replay_key}\r\nWaybill: {forwarding}\r\n\r\n")
 }
 
-/// What a gate says became of an attempt.
+/// The status that a gate reports for an attempt.
 async fn query_status(gate: &Sidecar, replay_key: u64) -> Option<GateStatus> {
     let mut querying = TestConnection::connect(gate.inbound).await;
     querying.send(once_request(replay_key, true).as_bytes()).await;
@@ -204,7 +204,7 @@
     header_value(&head, "waybill-return").and_then(|t| forwarding_headers::decode(&t))
 }
 
-/// An origin that hangs up cancels what has not begun: it never runs, and the gate says so.
+/// An origin that disconnects cancels a request that has not begun: it never runs, and the gate reports so.
 #[test]
 fn a_request_cancelled_by_its_origin_before_it_began_never_runs() {
     support::run(async {
@@ -233,7 +233,7 @@
     });
 }
 
-/// Once it has begun it is not left in doubt: it runs on, once, and its origin can ask for the response.
+/// Once begun, the request runs to its end, once, and its origin can query the response.
 #[test]
 fn a_request_that_may_run_once_runs_on_when_its_origin_hangs_up() {
     support::run(async {
@@ -247,7 +247,7 @@
         while counts().departures == 0 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(gate.gate.with_admission(|admission| admission.load()).in_flight, 1, "it runs on");
+        assert_eq!(gate.gate.with_admission(|admission| admission.load()).in_flight, 1, "still in flight");
         assert_eq!((counts().carried_on, gate.counters.orphaned_requests.get()), (1, 0));
         mesh.upstream.permitted.add_permits(1);
         let mut querying = TestConnection::connect(mesh.gate.inbound).await;
--- a/crates/daemon/mesh/src/tests/response_validation.rs
+++ b/crates/daemon/mesh/src/tests/response_validation.rs
@@ -1,4 +1,4 @@
-//! Responses of upstreams that are not as they should be.
+//! Invalid or early upstream responses.
 use crate::tests::support::{
     self, bind_upstream, header_value, post, scripted_mesh, status, upload_head, BoundUpstream, ScriptedMesh,
     Sidecar, SidecarOptions, TestConnection, GOOD_RESPONSE,
@@ -12,22 +12,23 @@
 #[test]
 fn only_a_response_with_its_attempt_id_counts_and_only_the_upstream_promises_that_nothing_ran() {
     let cases = [
-        // Without an attempt id it may be any request's: a failure, and the promise that nothing ran.
+        // Without an attempt id the response may belong to any request, so neither a failure nor a promise that nothing ran
+        // counts.
         ("once", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", "502"),
         ("once", "HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", "502"),
         ("once", "HTTP/1.1 503 X\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n", "502"),
         ("once", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", "502"),
-        // These promise that nothing ran, which this upstream has not said.
+        // These statuses promise that nothing ran, which this upstream has not stated.
         ("once", "HTTP/1.1 503 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n", "502"),
         ("once", "HTTP/1.1 429 X\r\nAttempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", "502"),
         ("once", "HTTP/1.1 408 X\r\nAttempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", "502"),
-        // A success did run, whatever else it says.
+        // A successful request ran, which contradicts Not-Delivered.
         (
             "once",
             "HTTP/1.1 200 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nNot-Delivered: x\r\nContent-Length: 0\r\n\r\n",
             "502",
         ),
-        // And those that are as they should be.
+        // Valid responses.
         ("once", "HTTP/1.1 503 X\r\nAttempt-Id: {id}\r\nNot-Delivered: full\r\nContent-Length: 0\r\n\r\n", "503"),
         ("once", "HTTP/1.1 500 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n", "500"),
         ("once", "HTTP/1.1 404 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 0\r\n\r\n", "404"),
@@ -41,8 +42,8 @@
     }
 }
 
-/// An upstream that answers behind each request's head, reads no more, and keeps all connections open; the attempt ids that
-/// it saw.
+/// Starts an upstream that answers after each request's head, reads no further, and keeps all connections open; returns the
+/// attempt ids that it received.
 fn answer_heads(listener: TcpListener, text: &'static str) -> Rc<RefCell<Vec<String>>> {
     let attempt_ids = Rc::new(RefCell::new(Vec::new()));
     let seen = attempt_ids.clone();
@@ -60,12 +61,12 @@
     attempt_ids
 }
 
-/// Upload a body that is full of requests, and read the response's head while it is being sent.
+/// Uploads a body that consists of request lines, and reads the response's head during the upload.
 async fn upload_until_answered(origin: &Sidecar, id: &str, body_bytes: usize) -> String {
     let mut client = TestConnection::connect(origin.outbound).await;
     client.send(upload_head(id, body_bytes).as_bytes()).await;
     let (mut read, mut write) = client.stream.into_split();
-    // Answered before its end, the rest may find a closed connection.
+    // The write may fail: the connection may be closed after an early response.
     let writing = tokio::task::spawn_local(async move {
         let body = "POST /once/x HTTP/1.1\r\n\r\n".repeat(body_bytes / 25 + 1);
         let _ = write.write_all(&body.as_bytes()[..body_bytes]).await;
@@ -80,8 +81,7 @@
     String::from_utf8_lossy(&received).into_owned()
 }
 
-/// The response counts, its connection carries nothing further, and what is unread of a body is nowhere taken for a
-/// request.
+/// An early response is used, its connection is not reused, and the unread part of the body is never parsed as a request.
 #[test]
 fn a_response_before_the_request_is_complete_counts_and_ends_the_connection() {
     const REJECTED: &str =
@@ -106,7 +106,7 @@
                 }
                 let ran = attempt_ids.borrow().clone();
                 assert!(ran.iter().all(|id| ["a", "b"].contains(&id.as_str())), "{ran:?}");
-                // Each on a connection of its own, though the upstream kept them all open.
+                // Each request used its own connection, although the upstream kept all of them open.
                 assert_eq!(ran.iter().filter(|id| *id == "b").count(), 1, "{ran:?}");
             });
         }
--- a/crates/daemon/mesh/src/tests/stopping.rs
+++ b/crates/daemon/mesh/src/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! What a process that stops shows: to the platform, to clients, to callers, to the other sidecars.
+//! How a stopping process announces it: to the platform, to clients, to control callers and to other sidecars.
 use crate::control::{self, READY_CALLS};
 use crate::tests::support::{
     self, answer_all, bind_upstream, call, header_value, status, CallResponse, SidecarOptions,
--- a/crates/daemon/mesh/src/tests/support/control_calls.rs
+++ b/crates/daemon/mesh/src/tests/support/control_calls.rs
@@ -1,13 +1,13 @@
-//! Calls of a sidecar's control listeners.
+//! Calls to a sidecar's control listeners.
 use super::{ReceivedBody, TestConnection};
 
-/// What a call was answered.
+/// The response to a call.
 pub(crate) struct CallResponse {
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// Make a call on a connection that is kept.
+/// Makes a call on a persistent connection.
 pub(crate) async fn call(
     connection: &mut TestConnection,
     method: &str,
--- a/crates/daemon/mesh/src/tests/support/mod.rs
+++ b/crates/daemon/mesh/src/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Sidecars of one process on real sockets of loopback, with clients and upstreams of the test's own. What membership would
-//! bring, records and the configuration, is handed to them.
+//! Sidecars in the test process on loopback sockets, with the test's own clients and upstreams. Records and configuration
+//! are applied directly instead of through membership.
 mod control_calls;
 mod relay;
 pub(crate) mod routes;
@@ -26,10 +26,10 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// No test waits longer than this for one event.
+/// The longest that a test waits for one event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Run a test in the one thread that sidecars run in.
+/// Runs a test on a single-threaded runtime, as sidecars run.
 pub(crate) fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let local = tokio::task::LocalSet::new();
@@ -38,7 +38,7 @@
     });
 }
 
-/// The same in paused time, which passes only while nothing else can be done.
+/// Like [`run`], in paused time, which advances only while all tasks are idle.
 pub(crate) fn run_paused(test: impl Future<Output = ()>) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(true).build().expect("a runtime");
--- a/crates/daemon/mesh/src/tests/support/relay.rs
+++ b/crates/daemon/mesh/src/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! Stands before a sidecar's gate, and breaks connections between sidecars.
+//! A TCP relay in front of a sidecar's gate that breaks connections between sidecars.
 use super::{Sidecar, TestConnection};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -17,19 +17,19 @@
     ResetWhenNotified,
     /// The request is forwarded, its response dropped, then both sides are reset.
     DropResponse,
-    /// The request is kept back, and the origin's side reset.
+    /// The request is withheld, and the origin's side is reset.
     KeepRequest,
 }
 
-/// A relay before a sidecar's gate.
+/// A relay in front of a sidecar's gate.
 #[derive(Clone)]
 pub(crate) struct Relay {
     pub(crate) address: SocketAddr,
-    /// Where it forwards to.
+    /// The address that connections are forwarded to.
     pub(crate) to: Rc<Cell<SocketAddr>>,
-    /// For the next connections; all others are forwarded.
+    /// Actions for the next connections, in order; further connections are forwarded.
     pub(crate) actions: Rc<RefCell<VecDeque<RelayAction>>>,
-    /// Requests that were kept back.
+    /// The bytes of withheld requests.
     pub(crate) kept: Rc<RefCell<Vec<u8>>>,
     pub(crate) reset: Rc<Notify>,
 }
@@ -39,7 +39,7 @@
 }
 
 impl Relay {
-    /// Before a sidecar, which the origin learns of at the relay's address.
+    /// Starts a relay in front of a gate, and gives the origin the relay's address for that gate.
     pub(crate) async fn between(origin: &Sidecar, gate: &Sidecar) -> Relay {
         let listener = TcpListener::bind((gate.ip, 0)).await.expect("a port");
         let address = listener.local_addr().expect("bound");
--- a/crates/daemon/mesh/src/tests/support/routes.rs
+++ b/crates/daemon/mesh/src/tests/support/routes.rs
@@ -1,7 +1,7 @@
-//! Changes of routes, as operators send them.
+//! Route changes in the format that operators send.
 use super::SERVICE;
 
-/// A route of host `h`, below a path of its own name.
+/// A route of host `h` whose path prefix is its name.
 #[derive(Clone, Copy)]
 pub(crate) struct RouteItem<'r> {
     pub(crate) name: &'r str,
@@ -12,13 +12,13 @@
 }
 
 impl<'r> RouteItem<'r> {
-    /// A route to the service of all sidecars.
+    /// A route to [`SERVICE`](super::SERVICE).
     pub(crate) fn new(name: &'r str, kind: &'r str) -> Self {
         RouteItem { name, kind, service: SERVICE, max_attempts: 2, version: 1 }
     }
 }
 
-/// A route as it stands in a change.
+/// Encodes a route for a change.
 pub(crate) fn route(item: RouteItem) -> String {
     let RouteItem { name, kind, service, max_attempts, version } = item;
     format!(
@@ -27,7 +27,7 @@
     )
 }
 
-/// A change that adds these routes, or changes them.
+/// A change that adds or updates these routes.
 pub(crate) fn deliver_routes(routes: &[String]) -> String {
     format!("{{\"deliver\":{{\"depots\":[{{\"depot\":\"h\",\"lanes\":[{}]}}]}}}}", routes.join(","))
 }
--- a/crates/daemon/mesh/src/tests/support/scripted_mesh.rs
+++ b/crates/daemon/mesh/src/tests/support/scripted_mesh.rs
@@ -1,4 +1,4 @@
-//! An origin and a gate, with an upstream that answers by a script.
+//! An origin and a gate, with an upstream that sends scripted responses.
 use super::{
     bind_upstream, header_value, start_sidecar, status, ReceivedBody, Sidecar, SidecarOptions, TestConnection,
 };
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A response as it should be, `{id}` to be replaced.
+/// A valid response; `{id}` is replaced by the attempt id.
 pub(crate) const GOOD_RESPONSE: &str =
     "HTTP/1.1 200 X\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 2\r\n\r\nok";
 
@@ -17,14 +17,14 @@
     pub(crate) attempt_ids: RefCell<Vec<String>>,
 }
 
-/// An origin, and a gate before a scripted upstream.
+/// An origin, and a gate in front of a scripted upstream.
 pub(crate) struct ScriptedMesh {
     pub(crate) origin: Sidecar,
     pub(crate) gate: Sidecar,
     pub(crate) log: Rc<UpstreamLog>,
 }
 
-/// Start an origin and a gate whose upstream answers each request with the next of these texts, `{id}` replaced.
+/// Starts an origin and a gate whose upstream answers each request with the next of these texts, `{id}` replaced.
 pub(crate) async fn scripted_mesh(texts: &[&str]) -> ScriptedMesh {
     let nobody = bind_upstream().await.address;
     let log = Rc::new(UpstreamLog::default());
@@ -68,14 +68,14 @@
     }
 }
 
-/// What a client got.
+/// The response that a client received.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ClientResult {
     pub(crate) status: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// Send an empty POST on a connection of its own.
+/// Sends an empty POST on a new connection.
 pub(crate) async fn post(origin: &Sidecar, route: &str, id: &str) -> ClientResult {
     let mut client = TestConnection::connect(origin.outbound).await;
     let request = format!(
@@ -93,7 +93,7 @@
     format!("POST /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {id}\r\nContent-Length: {body_bytes}\r\n\r\n")
 }
 
-/// The head of an upload that its client waits three seconds for.
+/// The head of an upload with a deadline of three seconds.
 pub(crate) fn upload_head(id: &str, body_bytes: usize) -> String {
     post_head(id, body_bytes).replace("\r\n\r\n", "\r\nDeadline-Ms: 3000\r\n\r\n").replace("once", "up")
 }
--- a/crates/daemon/mesh/src/tests/support/sidecar.rs
+++ b/crates/daemon/mesh/src/tests/support/sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar in the test's own process.
+//! A sidecar that runs in the test process.
 use crate::control_value::{ControlChange, ControlValue, CONFIGURATION_KEY};
 use crate::node_state::{Heartbeat, NodeState};
 use crate::peers::{Peers, RecordBody, UpstreamRecord};
@@ -19,13 +19,13 @@
 /// The service of all sidecars and routes.
 pub(crate) const SERVICE: &str = "quotes";
 
-/// A sidecar.
+/// A running sidecar.
 #[derive(Clone)]
 pub(crate) struct Sidecar {
     pub(crate) node_state: Rc<NodeState>,
-    /// Where its clients connect.
+    /// The address for clients.
     pub(crate) outbound: SocketAddr,
-    /// Where other sidecars connect.
+    /// The address for other sidecars.
     pub(crate) inbound: SocketAddr,
     pub(crate) ip: Ipv4Addr,
     /// The configuration in force.
@@ -38,7 +38,7 @@
     pub(crate) settings: String,
 }
 
-/// Settings that a test changes.
+/// Settings that tests override.
 #[derive(Clone, Copy)]
 pub(crate) struct SidecarOptions {
     pub(crate) memory_bytes: u64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The runtime's time, which a test may have paused; never 0.
+/// The runtime's clock, which a test may have paused; never 0.
 fn now() -> i64 {
     thread_local! {
         static START: tokio::time::Instant = tokio::time::Instant::now();
@@ -59,12 +59,12 @@
     START.with(|start| 1_000_000_000 + start.elapsed().as_micros() as i64)
 }
 
-/// Start a sidecar at 127.0.0.`last_octet`, before `upstream`; the configuration is in force, and no other node known.
+/// Starts a sidecar at 127.0.0.`last_octet` in front of `upstream`, with the configuration applied and no other node known.
 pub(crate) async fn start_sidecar(last_octet: u8, upstream: SocketAddr, options: SidecarOptions) -> Sidecar {
     start_sidecar_with_settings(last_octet, upstream, options).await.sidecar
 }
 
-/// The same, with the settings that it was started with.
+/// Like [`start_sidecar`], and also returns the text of the settings.
 pub(crate) async fn start_sidecar_with_settings(
     last_octet: u8,
     upstream: SocketAddr,
@@ -73,7 +73,7 @@
     start_sidecar_at(Ipv4Addr::new(127, 0, 0, last_octet), upstream, options).await
 }
 
-/// The same, at an address of this machine.
+/// Like [`start_sidecar_with_settings`], at a given local address.
 pub(crate) async fn start_sidecar_at(
     ip: Ipv4Addr,
     upstream: SocketAddr,
@@ -130,7 +130,7 @@
     )
 }
 
-/// Membership of a node that knows itself only, and that its state is current.
+/// The membership of a node that knows only itself and has confirmed that its state is current.
 fn isolated_membership(ip: Ipv4Addr, inbound: u16, now: Instant) -> Membership<RecordBody> {
     let body = RecordBody { inbound_port: inbound, ..RecordBody::default() };
     let config = MembershipConfig {
@@ -146,7 +146,8 @@
     membership
 }
 
-/// A control node links with the sidecar, says that a majority has acknowledged nothing so far, and goes.
+/// Simulates a control node that links with the sidecar, reports that a majority has acknowledged no
+/// revisions, and leaves.
 fn become_current(membership: &mut Membership<RecordBody>, now: Instant) {
     let node = Node(Ipv4Addr::new(127, 0, 0, 250).to_bits());
     let body = RecordBody::default();
@@ -173,12 +174,12 @@
 }
 
 impl Sidecar {
-    /// The same sidecar, as others see it that reach its gate at another address.
+    /// The same sidecar with another gate address, as peers behind a relay see it.
     pub(crate) fn reached_at(&self, inbound: SocketAddr) -> Sidecar {
         Sidecar { inbound, ..self.clone() }
     }
 
-    /// Its upstream sends a heartbeat.
+    /// Delivers a heartbeat of the sidecar's upstream.
     pub(crate) fn send_heartbeat(&self) {
         let text = format!(
             "{{\"destination\":\"{SERVICE}\",\"zone\":\"a\",\"slots\":8,\"state\":\"ready\",\"coldLeftS\":0,\"sequence\":1}}"
@@ -187,7 +188,7 @@
         assert!(self.node_state.upstream_heartbeat(&format!("i-{}", self.ip), heartbeat));
     }
 
-    /// Change the configuration that is in force.
+    /// Applies a change to the configuration in force.
     pub(crate) fn apply_change(&self, change: &str) {
         let change = silvercross_mesh_config::parse_change(change.as_bytes()).expect("a change");
         let mut control_value = self.control_value.borrow_mut();
@@ -200,7 +201,7 @@
         );
     }
 
-    /// Other limits for clients: seconds idle, and bytes of a head.
+    /// Sets the client limits: idle seconds and head bytes.
     pub(crate) fn set_limits(&self, version: u64, idle_seconds: f64, head_bytes: usize) {
         self.apply_change(&format!(
             "{{\"deliver\":{{\"sizeLimits\":{{\"envelopeBytes\":{head_bytes},\"contentBytes\":268435456,\"envelopeS\":3,\
@@ -208,7 +209,7 @@
         ));
     }
 
-    /// This sidecar learns of a control node: where it takes calls, and which nodes it says are control nodes.
+    /// Adds the record of a control node: its address for calls, and the nodes that it names as control nodes.
     pub(crate) fn learn_control_node(
         &self,
         calls: SocketAddr,
@@ -223,7 +224,7 @@
         self.node_state.apply_record(node_record(Node(ip.to_bits()), zone, true, body));
     }
 
-    /// This sidecar learns of another one and its upstream.
+    /// Adds the record of another sidecar and its upstream.
     pub(crate) fn learn_sidecar(&self, other: &Sidecar) {
         let upstream = UpstreamRecord {
             id: format!("i-{}", other.ip),
--- a/crates/daemon/mesh/src/tests/support/test_connection.rs
+++ b/crates/daemon/mesh/src/tests/support/test_connection.rs
@@ -1,24 +1,24 @@
-//! The other end of a sidecar's connection: a client's, an upstream's or another sidecar's, as bytes.
+//! The remote end of a sidecar's connection, as a client, an upstream or another sidecar, at the level of bytes.
 use super::EVENT_TIMEOUT;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The id of requests that need no id of their own.
+/// The attempt id header of requests that need no distinct id.
 pub(crate) const ATTEMPT_ID_LINE: &str = "Attempt-Id: a1\r\n";
 
-/// A connection and what was received on it beyond what was asked for.
+/// A connection with the bytes received but not yet read.
 pub(crate) struct TestConnection {
     pub(crate) stream: TcpStream,
     received: Vec<u8>,
 }
 
-/// A body as it was received.
+/// A received body.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ReceivedBody {
     pub(crate) bytes: Vec<u8>,
-    /// The end that its head states was reached.
+    /// Whether the end stated by the head was reached.
     pub(crate) is_complete: bool,
 }
 
@@ -35,7 +35,7 @@
         self.stream.write_all(bytes).await.expect("written");
     }
 
-    /// Receive some bytes; 0: the other end has closed, or broken off.
+    /// Receives some bytes; 0 if the other end has closed or reset the connection.
     pub(crate) async fn receive(&mut self) -> usize {
         let mut buffer = vec![0; 64 * 1024];
         let read = timeout(EVENT_TIMEOUT, self.stream.read(&mut buffer)).await;
@@ -44,7 +44,7 @@
         length
     }
 
-    /// Whether the other end has neither closed nor sent anything, once all tasks of this process had their turn.
+    /// Whether the other end has neither closed nor sent anything, after all tasks of this process have had a turn.
     pub(crate) async fn is_open_and_quiet(&mut self) -> bool {
         for _ in 0..64 {
             tokio::task::yield_now().await;
@@ -53,7 +53,7 @@
         matches!(self.stream.try_read(&mut buffer), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Read a head, the blank line included; empty if the connection ended.
+    /// Reads a head including the blank line; empty if the connection ended.
     pub(crate) async fn read_head(&mut self) -> String {
         loop {
             if let Some(end) = self.received.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Read this many bytes, or fewer if the connection ended.
+    /// Reads this many bytes, or fewer if the connection ended.
     pub(crate) async fn read_bytes(&mut self, length: usize) -> Vec<u8> {
         while self.received.len() < length && self.receive().await > 0 {}
         self.received.drain(..length.min(self.received.len())).collect()
     }
 
-    /// Read a line, its end cut off.
+    /// Reads a line without its line end.
     async fn read_line(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.received.windows(2).position(|w| w == b"\r\n") {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Read the body behind a head.
+    /// Reads the body that follows a head.
     pub(crate) async fn read_body(&mut self, head: &str) -> ReceivedBody {
         if let Some(length) = header_value(head, "content-length") {
             let length = length.parse().expect("a number");
@@ -124,7 +124,7 @@
     head.split(' ').nth(1).unwrap_or("")
 }
 
-/// Bytes in which a misplaced part would show.
+/// Patterned bytes, in which a misplaced part would be detected.
 pub(crate) fn patterned_bytes(length: usize) -> Vec<u8> {
     (0..length as u64).map(|i| (i.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56) as u8).collect()
 }
--- a/crates/daemon/mesh/src/tests/support/upstream.rs
+++ b/crates/daemon/mesh/src/tests/support/upstream.rs
@@ -1,28 +1,28 @@
-//! What a test's own upstream needs.
+//! Helpers for upstreams that a test runs itself.
 use super::{header_value, TestConnection};
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Where an upstream listens.
+/// The listener of an upstream and its address.
 pub(crate) struct BoundUpstream {
     pub(crate) listener: TcpListener,
     pub(crate) address: SocketAddr,
 }
 
-/// A free address of loopback. Once the listener is dropped, nobody answers there.
+/// Binds a free loopback address. Once the listener is dropped, connections to it are refused.
 pub(crate) async fn bind_upstream() -> BoundUpstream {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     BoundUpstream { listener, address }
 }
 
-/// The head of an upstream's response to a request's head. `framing`: the header line that states the body's end.
+/// The head of an upstream's response to a request; `framing` is the header line that frames the body.
 pub(crate) fn upstream_response_head(request_head: &str, status: u16, framing: &str) -> String {
     let id = header_value(request_head, "attempt-id").unwrap_or_default();
     format!("HTTP/1.1 {status} X\r\nAttempt-Id: {id}\r\nPostmark: p\r\n{framing}\r\n")
 }
 
-/// Answer each request on each connection with an empty response.
+/// Answers each request on each connection with an empty response.
 pub(crate) fn answer_all(listener: TcpListener) {
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
--- a/crates/daemon/mesh/src/tests/upstream_gate.rs
+++ b/crates/daemon/mesh/src/tests/upstream_gate.rs
@@ -1,11 +1,11 @@
-//! The gate as other sidecars meet it: the largest head, connections beyond the limit.
+//! Limits of the gate towards other sidecars: head size and number of connections.
 use crate::forwarding_headers::{self, GateStatus};
 use crate::tests::support::{
     self, bind_upstream, header_value, status, upstream_response_head, SidecarOptions, TestConnection,
 };
 use crate::upstream_gate::{MEMORY_RETRY_AFTER, SIDECAR_CONNECTION_DIVISOR};
 
-/// Header lines and bytes of a head that a client may send.
+/// The limits on header lines and bytes of a client's request head.
 const MAX_HEADER_LINES: usize = 64;
 const MAX_HEAD_BYTES: usize = 16_384;
 
@@ -17,7 +17,7 @@
     )
 }
 
-/// What a sidecar adds to a head must not make it too large for the next one.
+/// The headers that a sidecar adds must not push a request head over the limit of the next sidecar.
 #[test]
 fn the_largest_head_of_a_client_passes_between_sidecars() {
     support::run(async {
@@ -63,7 +63,7 @@
         let counters = &gate.node_state.counters;
         let mut first = TestConnection::connect(gate.inbound).await;
         let mut second = TestConnection::connect(gate.inbound).await;
-        // Neither is idle.
+        // A partial head keeps both connections from being idle.
         first.send(b"GET").await;
         second.send(b"GET").await;
         while counters.hop_connections.get() < 2 || counters.idle_hop_connections.get() > 0 {
@@ -81,7 +81,7 @@
         let mut fourth = TestConnection::connect(gate.inbound).await;
         fourth.send(REQUEST).await;
         assert!(header_value(&fourth.read_head().await, "waybill-life").is_some());
-        // An idle one gives way.
+        // An idle connection is closed to admit a new one.
         let mut fifth = TestConnection::connect(gate.inbound).await;
         assert_eq!(fourth.receive().await, 0);
         fifth.send(REQUEST).await;
