--- a/crates/daemon/mesh/src/tests/added_routes.rs
+++ b/crates/daemon/mesh/src/tests/added_routes.rs
@@ -71,7 +71,7 @@
             })
             .collect();
         for client in clients {
-            client.await.expect("it ends");
+            client.await.expect("completed without panic");
         }
         let (first, added) = (served.on_first_route.get(), served.on_added_routes.get());
         assert!(first > 0 && added * 10 >= first * 9, "{first} on the first route, {added} on added ones");
--- a/crates/daemon/mesh/src/tests/connection_reuse.rs
+++ b/crates/daemon/mesh/src/tests/connection_reuse.rs
@@ -32,11 +32,12 @@
 fn a_byte_on_an_idle_connection_is_seen_before_reuse() {
     support::run(async {
         for closes in [false, true] {
-            let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-            let address = listener.local_addr().expect("bound");
-            let stream =
-                peer_connection::connect(None, address, Duration::from_secs(5)).await.expect("a connection");
-            let (mut other_end, _) = listener.accept().expect("a connection");
+            let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("free port");
+            let address = listener.local_addr().expect("bound listener");
+            let stream = peer_connection::connect(None, address, Duration::from_secs(5))
+                .await
+                .expect("open connection");
+            let (mut other_end, _) = listener.accept().expect("accepted connection");
             let connection = Connection::new(stream, PeerKind::Sidecar);
             assert!(connection.is_reusable());
             // No await from here on, so the reactor cannot observe the event.
--- a/crates/daemon/mesh/src/tests/control_redirects.rs
+++ b/crates/daemon/mesh/src/tests/control_redirects.rs
@@ -17,8 +17,8 @@
             return statuses;
         };
         let location = location.strip_prefix("http://").and_then(|t| t.split_once('/'));
-        let (host, rest) = location.expect("an address");
-        (to, path) = (host.parse().expect("an address"), format!("/{rest}"));
+        let (host, rest) = location.expect("absolute redirect");
+        (to, path) = (host.parse().expect("socket address"), format!("/{rest}"));
     }
 }
 
@@ -31,8 +31,8 @@
         let mut sidecars = Vec::new();
         for last_octet in [1, 2] {
             let sidecar = support::start_sidecar(last_octet, nobody, SidecarOptions::default()).await;
-            let calls = TcpListener::bind((sidecar.node_state.settings.ip, 0)).await.expect("a port");
-            addresses.push(calls.local_addr().expect("bound"));
+            let calls = TcpListener::bind((sidecar.node_state.settings.ip, 0)).await.expect("free port");
+            addresses.push(calls.local_addr().expect("bound listener"));
             tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CONTROL_CALLS));
             sidecars.push(sidecar);
         }
--- a/crates/daemon/mesh/src/tests/departed_clients.rs
+++ b/crates/daemon/mesh/src/tests/departed_clients.rs
@@ -86,7 +86,7 @@
     }
 
     async fn accept_request(&self) -> TestConnection {
-        let (stream, _) = self.upstream.accept().await.expect("a connection");
+        let (stream, _) = self.upstream.accept().await.expect("accepted connection");
         let mut upstream = TestConnection::from_stream(stream);
         let head = upstream.read_head().await;
         assert!(upstream.read_body(&head).await.is_complete, "{head}");
@@ -112,7 +112,7 @@
 
     /// Asserts that no upstream is avoided and no request was counted as rejected or failed.
     fn assert_nobody_failed(&self, case: &str) {
-        let balancer = self.origin.node_state.service_balancer(SERVICE).expect("a service");
+        let balancer = self.origin.node_state.service_balancer(SERVICE).expect("known service");
         assert_eq!(balancer.upstream_counts().avoided, 0, "{case}: the upstream must not be avoided");
         let (origin, gate) = (&self.origin.node_state.counters, &self.gate.node_state.counters);
         assert_eq!((origin.failed_requests.get(), gate.rejected_by_gate.get()), (0, 0), "{case}");
@@ -125,7 +125,7 @@
         Leaving::Closes => None,
         Leaving::Resets => {
             let socket = socket2::SockRef::from(&client.stream);
-            socket.set_linger(Some(std::time::Duration::ZERO)).expect("an option of the socket");
+            socket.set_linger(Some(std::time::Duration::ZERO)).expect("SO_LINGER is set");
             None
         }
         Leaving::HalfCloses => {
--- a/crates/daemon/mesh/src/tests/heartbeats.rs
+++ b/crates/daemon/mesh/src/tests/heartbeats.rs
@@ -35,7 +35,7 @@
             client.send(request.as_bytes()).await;
             waiting.push(client);
         }
-        let (_silent, _) = upstream.listener.accept().await.expect("a connection");
+        let (_silent, _) = upstream.listener.accept().await.expect("accepted connection");
         let long = "x".repeat(8000);
         let cases: BTreeMap<&str, (String, &str)> = [
             ("ready", (heartbeat("ready", 2), "200")),
--- a/crates/daemon/mesh/src/tests/interrupted_requests.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests.rs
@@ -167,14 +167,14 @@
     std::thread::scope(|scope| {
         let running: Vec<_> = (0..threads).map(|_| scope.spawn(|| run_next_cases(cases, &next))).collect();
         let mut summary = Summary::default();
-        running.into_iter().for_each(|thread| summary.add(thread.join().expect("it ends")));
+        running.into_iter().for_each(|thread| summary.add(thread.join().expect("completed without panic")));
         summary
     })
 }
 
 fn check_all(cases: &[Case], threads: usize) {
     let Summary { violations, statuses } = run_all(cases, threads);
-    println!("{} cases, answered {statuses:?}", cases.len());
+    println!("{} cases, by fault and status: {statuses:?}", cases.len());
     let shown: Vec<_> = violations.iter().take(20).collect();
     assert!(violations.is_empty(), "{} violations: {shown:#?}", violations.len());
     for status in ["200", "500", "502", "503", "504"] {
--- a/crates/daemon/mesh/src/tests/interrupted_requests/checker.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/checker.rs
@@ -23,7 +23,7 @@
             None if *id == INTERRUPTED_ID
                 && case.upstream == UpstreamBehaviour::ServesLong
                 && case.interruption.is_some() => {}
-            None => violations.push(format!("{id}: no answer")),
+            None => violations.push(format!("{id}: no response")),
         }
     }
     violations
@@ -49,14 +49,14 @@
     let runs: Vec<&UpstreamRun> = log.iter().filter(|run| run.id == id && run.status != 503).collect();
     let arrived = log.iter().filter(|run| run.id == id).count();
     if runs.len() > if is_safe { 2 } else { 1 } || arrived > 2 {
-        violations.push(format!("TWICE: {id} ran {} times and came {arrived} times", runs.len()));
+        violations.push(format!("TWICE: {id} ran {} times and arrived {arrived} times", runs.len()));
     }
     let is_promise = matches!(response.status.as_str(), "408" | "421" | "429" | "503");
     if is_promise && !is_safe && !runs.is_empty() {
         violations.push(format!("REFUSED: {id} with {}, and ran", response.status));
     }
     if response.id != id {
-        violations.push(format!("MIXED: {id} got the answer of {:?}", response.id));
+        violations.push(format!("MIXED: {id} received the response to {:?}", response.id));
     }
     let run = response.stamp.as_ref().and_then(|stamp| runs.iter().find(|run| run.stamp == *stamp));
     let is_upstreams = run.is_some_and(|run| {
--- a/crates/daemon/mesh/src/tests/interrupted_requests/client.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/client.rs
@@ -88,7 +88,7 @@
     id: &str,
 ) -> Option<ClientResponse> {
     if connection.is_none() {
-        let stream = TcpStream::connect(origin.outbound).await.expect("a connection");
+        let stream = TcpStream::connect(origin.outbound).await.expect("open connection");
         *connection = Some(MessageReader::new(stream));
     }
     let open = connection.as_mut()?;
--- a/crates/daemon/mesh/src/tests/interrupted_requests/relay.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/relay.rs
@@ -78,8 +78,8 @@
 impl Relay {
     /// Starts a relay on this loopback address.
     pub(super) async fn start(ip: Ipv4Addr, to: SocketAddr, link: Link, plan: &Rc<Plan>) -> Relay {
-        let listener = TcpListener::bind((ip, 0)).await.expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind((ip, 0)).await.expect("free port");
+        let address = listener.local_addr().expect("bound listener");
         let relay =
             Relay { address, to: Rc::new(Cell::new(to)), next: Rc::default(), link, plan: plan.clone() };
         let accepting = relay.clone();
@@ -88,7 +88,7 @@
                 let Ok(receiver) = TcpStream::connect(accepting.to.get()).await else { continue };
                 // Disables Nagle's algorithm, so that a write does not wait for an acknowledgement.
                 for stream in [&sender, &receiver] {
-                    stream.set_nodelay(true).expect("an option");
+                    stream.set_nodelay(true).expect("TCP_NODELAY is set");
                 }
                 tokio::task::spawn_local(accepting.clone().relay(RelayedConnection {
                     sender: Some(sender),
--- a/crates/daemon/mesh/src/tests/interrupted_requests/run.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/run.rs
@@ -55,7 +55,7 @@
 async fn put_behind_relay(origin: &Sidecar, gate: Sidecar, case: Case, plan: &Rc<Plan>) {
     let relay = Relay::start(gate.ip, gate.inbound, Link::Sidecars, plan).await;
     if case.interruption.is_some_and(|interruption| interruption.fault == Fault::Restart) {
-        let upstream = gate.node_state.settings.upstream_address.expect("one");
+        let upstream = gate.node_state.settings.upstream_address.expect("configured upstream");
         let next = start_sidecar_at(gate.ip, upstream, SidecarOptions::default()).await.sidecar;
         next.send_heartbeat();
         relay.next.set(Some(next.inbound));
@@ -69,7 +69,7 @@
         .enable_all()
         .start_paused(true)
         .build()
-        .expect("a runtime");
+        .expect("runtime is built");
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
         let plan = Rc::new(Plan::new(case.interruption));
--- a/crates/daemon/mesh/src/tests/interrupted_requests/upstream.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/upstream.rs
@@ -26,8 +26,8 @@
 
 /// Starts an upstream; the first upstream that receives the interrupted request answers by `behaviour`.
 pub(super) async fn start_upstream(ip: Ipv4Addr, behaviour: UpstreamBehaviour, log: RunLog) -> SocketAddr {
-    let listener = TcpListener::bind((ip, 0)).await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind((ip, 0)).await.expect("free port");
+    let address = listener.local_addr().expect("bound listener");
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let log = log.clone();
--- a/crates/daemon/mesh/src/tests/large_bodies.rs
+++ b/crates/daemon/mesh/src/tests/large_bodies.rs
@@ -101,7 +101,7 @@
     is_chunked: bool,
     peak: Rc<PeakReservation>,
 ) -> UpstreamRequest {
-    let (stream, _) = listener.accept().await.expect("a connection");
+    let (stream, _) = listener.accept().await.expect("accepted connection");
     let mut connection = TestConnection::from_stream(stream);
     let head = connection.read_head().await;
     let body = connection.read_body(&head).await;
@@ -133,7 +133,7 @@
             assert_eq!(status(&head), "200", "{head}");
             let received = client.read_body(&head).await;
             assert!(received == ReceivedBody { bytes: response_body, is_complete: true });
-            let request = upstream.await.expect("it ends");
+            let request = upstream.await.expect("completed without panic");
             assert!(request.body == ReceivedBody { bytes: body, is_complete: true });
             let head = request.head;
             assert_eq!(header_value(&head, "sender").as_deref(), Some("quotes"));
@@ -157,14 +157,14 @@
     const REQUESTS: u64 = 4;
     support::run(async {
         let (origin, gates) = start_mesh(2).await;
-        let [first, second] = <[Gate; 2]>::try_from(gates).unwrap_or_else(|_| panic!("two gates"));
+        let [first, second] = <[Gate; 2]>::try_from(gates).unwrap_or_else(|_| panic!("expected two gates"));
         // The first gate has received no heartbeat, so it rejects all requests.
         second.sidecar.send_heartbeat();
         let body = patterned_bytes(LARGE);
         let (listener, expected) = (second.upstream, body.clone());
         let upstream = tokio::task::spawn_local(async move {
             for _ in 0..REQUESTS {
-                let (stream, _) = listener.accept().await.expect("a connection");
+                let (stream, _) = listener.accept().await.expect("accepted connection");
                 let mut connection = TestConnection::from_stream(stream);
                 let head = connection.read_head().await;
                 let received = connection.read_body(&head).await;
@@ -183,7 +183,7 @@
             let head = client.read_head().await;
             assert_eq!(status(&head), "200", "{head}");
         }
-        upstream.await.expect("it ends");
+        upstream.await.expect("completed without panic");
         assert_eq!(first.sidecar.node_state.body_budget.reserved_bytes(), 0);
         assert_eq!(second.sidecar.node_state.counters.delivered_requests.get(), REQUESTS);
     });
@@ -213,7 +213,7 @@
             let Gate { sidecar, upstream } = gates.remove(0);
             sidecar.send_heartbeat();
             tokio::task::spawn_local(async move {
-                let (stream, _) = upstream.accept().await.expect("a connection");
+                let (stream, _) = upstream.accept().await.expect("accepted connection");
                 let mut connection = TestConnection::from_stream(stream);
                 let head = connection.read_head().await;
                 connection.send(upstream_response_head(&head, 200, framing).as_bytes()).await;
--- a/crates/daemon/mesh/src/tests/open_requests.rs
+++ b/crates/daemon/mesh/src/tests/open_requests.rs
@@ -117,7 +117,7 @@
     client.send(head.as_bytes()).await;
     let first = if body_bytes > MAX_BUFFERED_BODY_BYTES { FIRST_PART_BYTES } else { body_bytes };
     client.send(&body[..first]).await;
-    let (stream, _) = listener.accept().await.expect("a connection");
+    let (stream, _) = listener.accept().await.expect("accepted connection");
     let mut upstream = TestConnection::from_stream(stream);
     let request_head = upstream.read_head().await;
     if response_bytes < MAX_BUFFERED_BODY_BYTES {
@@ -157,6 +157,6 @@
                 change_while_open(change, request, &path).await;
             }
         }
-        std::fs::remove_file(&path).expect("removed");
+        std::fs::remove_file(&path).expect("file is removed");
     });
 }
--- a/crates/daemon/mesh/src/tests/response_replay.rs
+++ b/crates/daemon/mesh/src/tests/response_replay.rs
@@ -54,7 +54,7 @@
             }
             self.ran.borrow_mut().push(header_value(&head, "attempt-id").unwrap_or_default());
             self.received.add_permits(1);
-            self.permitted.acquire().await.expect("open").forget();
+            self.permitted.acquire().await.expect("open semaphore").forget();
             connection.send(upstream_response_head(&head, 200, "Content-Length: 2\r\n").as_bytes()).await;
             connection.send(b"ok").await;
         }
@@ -62,7 +62,7 @@
 
     /// Waits for one more request to arrive.
     async fn wait_for_request(&self) {
-        self.received.acquire().await.expect("open").forget();
+        self.received.acquire().await.expect("open semaphore").forget();
     }
 }
 
@@ -279,7 +279,7 @@
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
         let cache = ResponseReplayCache::new(clock, &mut rng, 100 * MEMORY_DIVISOR);
         for replay_key in 1..=3 {
-            let entry = cache.begin(replay_key).expect("not known");
+            let entry = cache.begin(replay_key).expect("new replay key");
             entry.set_begun();
             entry.set_response(StoredResponse { bytes: Rc::new(vec![0; 40]), states_incarnation: false });
         }
@@ -289,7 +289,7 @@
         cache.acknowledge(3);
         assert!(matches!(cache.query(3).await, AttemptOutcome::MayHaveRun));
         assert!(cache.begin(2).is_err());
-        drop(cache.begin(4).expect("not known"));
+        drop(cache.begin(4).expect("new replay key"));
         assert!(matches!(cache.query(4).await, AttemptOutcome::NotRun));
         assert!(matches!(cache.query(5).await, AttemptOutcome::NeverReceived));
         assert!(cache.begin(5).is_err());
--- a/crates/daemon/mesh/src/tests/support/mod.rs
+++ b/crates/daemon/mesh/src/tests/support/mod.rs
@@ -31,16 +31,17 @@
 
 /// Runs a test on a single-threaded runtime, as sidecars run.
 pub(crate) fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime is built");
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
-        timeout(3 * EVENT_TIMEOUT, test).await.expect("in time");
+        timeout(3 * EVENT_TIMEOUT, test).await.expect("test within its timeout");
     });
 }
 
 /// Like [`run`], in paused time, which advances only while all tasks are idle.
 pub(crate) fn run_paused(test: impl Future<Output = ()>) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = runtime.enable_all().start_paused(true).build().expect("a runtime");
+    let runtime = runtime.enable_all().start_paused(true).build().expect("runtime is built");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
--- a/crates/daemon/mesh/src/tests/support/relay.rs
+++ b/crates/daemon/mesh/src/tests/support/relay.rs
@@ -41,8 +41,8 @@
 impl Relay {
     /// Starts a relay in front of a gate, and gives the origin the relay's address for that gate.
     pub(crate) async fn between(origin: &Sidecar, gate: &Sidecar) -> Relay {
-        let listener = TcpListener::bind((gate.ip, 0)).await.expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind((gate.ip, 0)).await.expect("free port");
+        let address = listener.local_addr().expect("bound listener");
         let relay = Relay {
             address,
             to: Rc::new(Cell::new(gate.inbound)),
@@ -68,7 +68,7 @@
             self.kept.borrow_mut().extend_from_slice(head.as_bytes());
             return reset_on_close(connection.stream);
         }
-        let mut onward = TcpStream::connect(self.to.get()).await.expect("a connection");
+        let mut onward = TcpStream::connect(self.to.get()).await.expect("open connection");
         match action {
             RelayAction::DropResponse => {
                 let mut connection = TestConnection::from_stream(stream);
--- a/crates/daemon/mesh/src/tests/support/sidecar.rs
+++ b/crates/daemon/mesh/src/tests/support/sidecar.rs
@@ -79,15 +79,16 @@
     upstream: SocketAddr,
     options: SidecarOptions,
 ) -> StartedSidecar {
-    let bind = || async { TcpListener::bind((ip, 0)).await.expect("a port") };
+    let bind = || async { TcpListener::bind((ip, 0)).await.expect("free port") };
     let (clients, sidecars) = (bind().await, bind().await);
-    let (outbound, inbound) = (clients.local_addr().expect("bound"), sidecars.local_addr().expect("bound"));
+    let (outbound, inbound) =
+        (clients.local_addr().expect("bound listener"), sidecars.local_addr().expect("bound listener"));
     let text = settings_text(ip, outbound, inbound, upstream);
-    let mut settings = settings::parse(&text).expect("settings");
+    let mut settings = settings::parse(&text).expect("valid settings");
     (settings.memory_bytes, settings.max_descriptors) = (options.memory_bytes, options.descriptors);
     let clock = silvercross_facade::Clock::from_fn(now);
     let membership = isolated_membership(ip, inbound.port(), Instant::from_micros(clock.now()));
-    let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
+    let udp = UdpSocket::bind((ip, 0)).await.expect("free port");
     let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
         settings.reloadable.limits.admission_settings(),
     ));
@@ -98,8 +99,9 @@
     tokio::task::spawn_local(upstream_gate::listen(node_state.clone(), sidecars));
     tokio::task::spawn_local(upstream_gate::run_timer(node_state.clone()));
     let mut control_value = ControlValue::Blank;
-    let change = silvercross_mesh_config::parse_change(configuration().as_bytes()).expect("a configuration");
-    control_value.apply(&ControlChange::Patch(change)).expect("applies");
+    let change =
+        silvercross_mesh_config::parse_change(configuration().as_bytes()).expect("valid configuration");
+    control_value.apply(&ControlChange::Patch(change)).expect("change is applied");
     node_state.apply_control_entry(CONFIGURATION_KEY, Revision::new(1, 1, 1), control_value.clone());
     let control_value = Rc::new(RefCell::new(control_value));
     StartedSidecar { sidecar: Sidecar { node_state, outbound, inbound, ip, control_value }, settings: text }
@@ -160,7 +162,7 @@
         Effect::SendMessage { message: MembershipMessage::FreshnessRequest { number }, .. } => Some(number),
         _ => None,
     });
-    let number = asked.expect("a sidecar that starts asks");
+    let number = asked.expect("a starting sidecar sends a freshness request");
     membership.receive(now, node, MembershipMessage::FreshnessReply { number, revisions: Some(Vec::new()) });
     let gone =
         MembershipMessage::Update { records: vec![NodeRecord { gone: true, ..record }], entries: Vec::new() };
@@ -184,15 +186,15 @@
         let text = format!(
             "{{\"destination\":\"{SERVICE}\",\"zone\":\"a\",\"slots\":8,\"state\":\"ready\",\"coldLeftS\":0,\"sequence\":1}}"
         );
-        let heartbeat: Heartbeat = serde_json::from_str(&text).expect("a heartbeat");
+        let heartbeat: Heartbeat = serde_json::from_str(&text).expect("valid heartbeat");
         assert!(self.node_state.upstream_heartbeat(&format!("i-{}", self.ip), heartbeat));
     }
 
     /// Applies a change to the configuration in force.
     pub(crate) fn apply_change(&self, change: &str) {
-        let change = silvercross_mesh_config::parse_change(change.as_bytes()).expect("a change");
+        let change = silvercross_mesh_config::parse_change(change.as_bytes()).expect("valid change");
         let mut control_value = self.control_value.borrow_mut();
-        control_value.apply(&ControlChange::Patch(change)).expect("applies");
+        control_value.apply(&ControlChange::Patch(change)).expect("change is applied");
         let number = self.node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |r| r.sequence) + 1;
         self.node_state.apply_control_entry(
             CONFIGURATION_KEY,
--- a/crates/daemon/mesh/src/tests/support/test_connection.rs
+++ b/crates/daemon/mesh/src/tests/support/test_connection.rs
@@ -24,7 +24,7 @@
 
 impl TestConnection {
     pub(crate) async fn connect(to: SocketAddr) -> TestConnection {
-        TestConnection::from_stream(TcpStream::connect(to).await.expect("a connection"))
+        TestConnection::from_stream(TcpStream::connect(to).await.expect("open connection"))
     }
 
     pub(crate) fn from_stream(stream: TcpStream) -> TestConnection {
@@ -39,7 +39,7 @@
     pub(crate) async fn receive(&mut self) -> usize {
         let mut buffer = vec![0; 64 * 1024];
         let read = timeout(EVENT_TIMEOUT, self.stream.read(&mut buffer)).await;
-        let length = read.expect("an event in time").unwrap_or(0);
+        let length = read.expect("event within the timeout").unwrap_or(0);
         self.received.extend_from_slice(&buffer[..length]);
         length
     }
@@ -57,7 +57,7 @@
     pub(crate) async fn read_head(&mut self) -> String {
         loop {
             if let Some(end) = self.received.windows(4).position(|w| w == b"\r\n\r\n") {
-                return String::from_utf8(self.received.drain(..end + 4).collect()).expect("text");
+                return String::from_utf8(self.received.drain(..end + 4).collect()).expect("UTF-8 head");
             }
             if self.receive().await == 0 {
                 return String::new();
@@ -87,7 +87,7 @@
     /// Reads the body that follows a head.
     pub(crate) async fn read_body(&mut self, head: &str) -> ReceivedBody {
         if let Some(length) = header_value(head, "content-length") {
-            let length = length.parse().expect("a number");
+            let length = length.parse().expect("numeric Content-Length");
             let bytes = self.read_bytes(length).await;
             let is_complete = bytes.len() == length;
             return ReceivedBody { bytes, is_complete };
@@ -100,7 +100,7 @@
             let Some(size) = self.read_line().await else {
                 return ReceivedBody { bytes, is_complete: false };
             };
-            let size = usize::from_str_radix(&size, 16).expect("a size");
+            let size = usize::from_str_radix(&size, 16).expect("hexadecimal chunk size");
             let chunk = self.read_bytes(size).await;
             let is_complete = chunk.len() == size && self.read_line().await.is_some();
             bytes.extend(chunk);
--- a/crates/daemon/mesh/src/tests/support/upstream.rs
+++ b/crates/daemon/mesh/src/tests/support/upstream.rs
@@ -11,8 +11,8 @@
 
 /// Binds a free loopback address. Once the listener is dropped, connections to it are refused.
 pub(crate) async fn bind_upstream() -> BoundUpstream {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let address = listener.local_addr().expect("bound listener");
     BoundUpstream { listener, address }
 }
 
--- a/crates/daemon/mesh/src/tests/upstream_gate.rs
+++ b/crates/daemon/mesh/src/tests/upstream_gate.rs
@@ -28,7 +28,7 @@
         gate.send_heartbeat();
         origin.learn_sidecar(&gate);
         tokio::task::spawn_local(async move {
-            let (stream, _) = upstream.listener.accept().await.expect("a connection");
+            let (stream, _) = upstream.listener.accept().await.expect("accepted connection");
             let mut connection = TestConnection::from_stream(stream);
             loop {
                 let head = connection.read_head().await;
