--- a/crates/daemon/mesh/src/tests/added_routes.rs
+++ b/crates/daemon/mesh/src/tests/added_routes.rs
@@ -43,8 +43,8 @@
     support::run(async {
         let upstream = bind_upstream().await;
         answer_all(upstream.listener);
-        let nobody = bind_upstream().await.address;
-        let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let unused_address = bind_upstream().await.address;
+        let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
         let gate = support::start_sidecar(2, upstream.address, SidecarOptions::default()).await;
         gate.send_heartbeat();
         origin.learn_sidecar(&gate);
--- a/crates/daemon/mesh/src/tests/control_redirects.rs
+++ b/crates/daemon/mesh/src/tests/control_redirects.rs
@@ -26,11 +26,11 @@
 #[test]
 fn a_control_call_is_redirected_at_most_twice() {
     support::run(async {
-        let nobody = bind_upstream().await.address;
+        let unused_address = bind_upstream().await.address;
         let mut addresses = Vec::new();
         let mut sidecars = Vec::new();
         for last_octet in [1, 2] {
-            let sidecar = support::start_sidecar(last_octet, nobody, SidecarOptions::default()).await;
+            let sidecar = support::start_sidecar(last_octet, unused_address, SidecarOptions::default()).await;
             let calls = TcpListener::bind((sidecar.node_state.settings.ip, 0)).await.expect("free port");
             addresses.push(calls.local_addr().expect("bound listener"));
             tokio::task::spawn_local(control::listen(sidecar.node_state.clone(), calls, &CONTROL_CALLS));
@@ -60,38 +60,38 @@
 }
 
 /// A node in zone a.
-fn near(last_octet: u8, stopping: bool, named: &[u8]) -> KnownNode<'_> {
+fn zone_a_node(last_octet: u8, stopping: bool, named: &[u8]) -> KnownNode<'_> {
     KnownNode { last_octet, zone: "a", stopping, named }
 }
 
 /// A node in zone b.
-fn far(last_octet: u8, named: &[u8]) -> KnownNode<'_> {
+fn zone_b_node(last_octet: u8, named: &[u8]) -> KnownNode<'_> {
     KnownNode { last_octet, zone: "b", stopping: false, named }
 }
 
 #[test]
 fn a_control_call_is_redirected_to_a_node_that_most_name() {
     support::run(async {
-        let nobody = bind_upstream().await.address;
+        let unused_address = bind_upstream().await.address;
         let cases: [(&[KnownNode], Option<u8>); 6] = [
-            (&[far(11, &[]), near(12, false, &[11])], None),
-            (&[far(11, &[11, 12, 13]), near(12, false, &[11, 12, 13])], Some(12)),
+            (&[zone_b_node(11, &[]), zone_a_node(12, false, &[11])], None),
+            (&[zone_b_node(11, &[11, 12, 13]), zone_a_node(12, false, &[11, 12, 13])], Some(12)),
             // Node 11 was removed from the control nodes and has not learned of it.
             (
                 &[
-                    near(11, false, &[11, 12, 13]),
-                    far(12, &[12, 13, 14]),
-                    far(13, &[12, 13, 14]),
-                    far(14, &[12, 13, 14]),
+                    zone_a_node(11, false, &[11, 12, 13]),
+                    zone_b_node(12, &[12, 13, 14]),
+                    zone_b_node(13, &[12, 13, 14]),
+                    zone_b_node(14, &[12, 13, 14]),
                 ],
                 Some(12),
             ),
-            (&[near(11, true, &[11, 12]), far(12, &[11, 12])], Some(12)),
-            (&[near(11, true, &[11])], Some(11)),
-            (&[near(11, false, &[11, 12]), near(12, false, &[])], Some(11)),
+            (&[zone_a_node(11, true, &[11, 12]), zone_b_node(12, &[11, 12])], Some(12)),
+            (&[zone_a_node(11, true, &[11])], Some(11)),
+            (&[zone_a_node(11, false, &[11, 12]), zone_a_node(12, false, &[])], Some(11)),
         ];
         for (number, (known, expected)) in cases.into_iter().enumerate() {
-            let sidecar = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+            let sidecar = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
             let ip = |last_octet: &u8| Ipv4Addr::new(127, 0, 0, *last_octet);
             for node in known {
                 let named: Vec<Ipv4Addr> = node.named.iter().map(ip).collect();
--- a/crates/daemon/mesh/src/tests/departed_clients.rs
+++ b/crates/daemon/mesh/src/tests/departed_clients.rs
@@ -13,7 +13,7 @@
 
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaving {
+enum DepartureKind {
     /// It closes the connection with a FIN.
     Closes,
     /// It resets the connection.
@@ -24,19 +24,24 @@
     ClosesBehindNextRequest,
 }
 
-const WAYS_OF_LEAVING: [Leaving; 4] =
-    [Leaving::Closes, Leaving::Resets, Leaving::HalfCloses, Leaving::ClosesBehindNextRequest];
+const DEPARTURE_KINDS: [DepartureKind; 4] = [
+    DepartureKind::Closes,
+    DepartureKind::Resets,
+    DepartureKind::HalfCloses,
+    DepartureKind::ClosesBehindNextRequest,
+];
 
 /// The sidecar that the upstream is attached to.
 #[derive(Clone, Copy, Debug)]
-enum UpstreamAt {
+enum UpstreamLocation {
     /// The sidecar that the client is connected to.
     SameSidecar,
     /// Another sidecar.
     OtherSidecar,
 }
 
-const UPSTREAM_PLACES: [UpstreamAt; 2] = [UpstreamAt::SameSidecar, UpstreamAt::OtherSidecar];
+const UPSTREAM_LOCATIONS: [UpstreamLocation; 2] =
+    [UpstreamLocation::SameSidecar, UpstreamLocation::OtherSidecar];
 
 /// Concurrent requests that the upstream accepts.
 const SLOTS: usize = 8;
@@ -50,16 +55,16 @@
 }
 
 impl Mesh {
-    async fn start(upstream_at: UpstreamAt) -> Mesh {
+    async fn start(upstream_location: UpstreamLocation) -> Mesh {
         let BoundUpstream { listener, address } = bind_upstream().await;
         let gate = support::start_sidecar(2, address, SidecarOptions::default()).await;
         gate.send_heartbeat();
         gate.learn_sidecar(&gate);
-        let origin = match upstream_at {
-            UpstreamAt::SameSidecar => gate.clone(),
-            UpstreamAt::OtherSidecar => {
-                let nobody = bind_upstream().await.address;
-                let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let origin = match upstream_location {
+            UpstreamLocation::SameSidecar => gate.clone(),
+            UpstreamLocation::OtherSidecar => {
+                let unused_address = bind_upstream().await.address;
+                let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
                 origin.learn_sidecar(&gate);
                 origin
             }
@@ -98,7 +103,7 @@
     }
 
     /// Waits until no request is left on any hop.
-    async fn until_idle(&self) {
+    async fn wait_until_idle(&self) {
         while self.load().in_flight + self.load().pending > 0
             || self.origin.node_state.open_requests.get() > 0
         {
@@ -111,7 +116,7 @@
     }
 
     /// Asserts that no upstream is avoided and no request was counted as rejected or failed.
-    fn assert_nobody_failed(&self, case: &str) {
+    fn assert_no_failures(&self, case: &str) {
         let balancer = self.origin.node_state.service_balancer(SERVICE).expect("known service");
         assert_eq!(balancer.upstream_counts().avoided, 0, "{case}: the upstream must not be avoided");
         let (origin, gate) = (&self.origin.node_state.counters, &self.gate.node_state.counters);
@@ -120,19 +125,19 @@
 }
 
 /// Disconnects the client; returns its connection if it is only half-closed.
-async fn leave(mut client: TestConnection, way: Leaving) -> Option<TestConnection> {
-    match way {
-        Leaving::Closes => None,
-        Leaving::Resets => {
+async fn disconnect(mut client: TestConnection, departure: DepartureKind) -> Option<TestConnection> {
+    match departure {
+        DepartureKind::Closes => None,
+        DepartureKind::Resets => {
             let socket = socket2::SockRef::from(&client.stream);
             socket.set_linger(Some(std::time::Duration::ZERO)).expect("SO_LINGER is set");
             None
         }
-        Leaving::HalfCloses => {
+        DepartureKind::HalfCloses => {
             client.stream.shutdown().await.expect("half-closed");
             Some(client)
         }
-        Leaving::ClosesBehindNextRequest => {
+        DepartureKind::ClosesBehindNextRequest => {
             client.send(b"GET /safe/next HTTP/1.1\r\nHost: h\r\n").await;
             None
         }
@@ -142,15 +147,15 @@
 #[test]
 fn a_client_that_leaves_ends_its_repeatable_request_on_every_hop() {
     support::run(async {
-        for upstream_at in UPSTREAM_PLACES {
-            for way in WAYS_OF_LEAVING {
-                let case = format!("{upstream_at:?} {way:?}");
-                let mesh = Mesh::start(upstream_at).await;
+        for upstream_location in UPSTREAM_LOCATIONS {
+            for departure in DEPARTURE_KINDS {
+                let case = format!("{upstream_location:?} {departure:?}");
+                let mesh = Mesh::start(upstream_location).await;
                 let (client, mut upstream) = mesh.begin_request("safe").await;
-                let _half_closed = leave(client, way).await;
-                assert_eq!(upstream.receive().await, 0, "{case}: the upstream sees the end");
-                mesh.until_idle().await;
-                mesh.assert_nobody_failed(&case);
+                let _half_closed = disconnect(client, departure).await;
+                assert_eq!(upstream.receive().await, 0, "{case}: the upstream connection must end");
+                mesh.wait_until_idle().await;
+                mesh.assert_no_failures(&case);
                 assert_eq!((mesh.departures().departures, mesh.departures().outlived), (1, 0), "{case}");
             }
         }
@@ -161,14 +166,14 @@
 #[test]
 fn what_may_run_once_and_has_begun_is_carried_on() {
     support::run(async {
-        for upstream_at in UPSTREAM_PLACES {
-            for way in WAYS_OF_LEAVING {
+        for upstream_location in UPSTREAM_LOCATIONS {
+            for departure in DEPARTURE_KINDS {
                 for body in [vec![], patterned_bytes(40_000)] {
-                    let case = format!("{upstream_at:?} {way:?} {}", body.len());
-                    let mesh = Mesh::start(upstream_at).await;
+                    let case = format!("{upstream_location:?} {departure:?} {}", body.len());
+                    let mesh = Mesh::start(upstream_location).await;
                     let client = mesh.send_request("once", &body).await;
                     let mut upstream = mesh.accept_request().await;
-                    let half_closed = leave(client, way).await;
+                    let half_closed = disconnect(client, departure).await;
                     while mesh.departures().departures == 0 {
                         tokio::task::yield_now().await;
                     }
@@ -179,10 +184,14 @@
                         "Content-Length: 0\r\n",
                     );
                     upstream.send(head.as_bytes()).await;
-                    mesh.until_idle().await;
-                    mesh.assert_nobody_failed(&case);
+                    mesh.wait_until_idle().await;
+                    mesh.assert_no_failures(&case);
                     assert_eq!(mesh.departures().carried_on, 1, "{case}");
-                    assert_eq!(mesh.gate.node_state.counters.delivered_requests.get(), 1, "{case}: once");
+                    assert_eq!(
+                        mesh.gate.node_state.counters.delivered_requests.get(),
+                        1,
+                        "{case}: delivered once"
+                    );
                     if let Some(mut client) = half_closed {
                         assert_eq!(status(&client.read_head().await), "200", "{case}");
                     }
@@ -196,10 +205,10 @@
 #[test]
 fn what_waits_at_a_gate_is_dropped_when_its_client_leaves() {
     support::run(async {
-        for upstream_at in UPSTREAM_PLACES {
+        for upstream_location in UPSTREAM_LOCATIONS {
             for route in ["safe", "once"] {
-                let case = format!("{upstream_at:?} {route}");
-                let mesh = Mesh::start(upstream_at).await;
+                let case = format!("{upstream_location:?} {route}");
+                let mesh = Mesh::start(upstream_location).await;
                 let mut running = Vec::new();
                 let waiting = loop {
                     let client = mesh
@@ -215,11 +224,15 @@
                 };
                 assert!(running.len() >= SLOTS, "{case}");
                 // After an orderly close, a request that may run once could still begin for a moment.
-                leave(waiting, if route == "once" { Leaving::Resets } else { Leaving::Closes }).await;
+                disconnect(
+                    waiting,
+                    if route == "once" { DepartureKind::Resets } else { DepartureKind::Closes },
+                )
+                .await;
                 while mesh.load().pending > 0 {
                     tokio::task::yield_now().await;
                 }
-                mesh.assert_nobody_failed(&case);
+                mesh.assert_no_failures(&case);
                 let delivered = mesh.gate.node_state.counters.delivered_requests.get();
                 assert_eq!(delivered, running.len() as u64, "{case}");
             }
@@ -231,9 +244,9 @@
 #[test]
 fn what_waits_for_an_upstream_or_for_its_body_is_dropped_when_its_client_leaves() {
     support::run(async {
-        let nobody = bind_upstream().await.address;
+        let unused_address = bind_upstream().await.address;
         for (route, body_bytes) in [("safe", 0), ("once", 0), ("up", 2 * MAX_BUFFERED_BODY_BYTES)] {
-            let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+            let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
             let mut client = TestConnection::connect(origin.outbound).await;
             let head = format!(
                 "POST /{route}/x HTTP/1.1\r\nHost: h\r\n{ATTEMPT_ID_LINE}Content-Length: {body_bytes}\r\n\r\n"
@@ -258,10 +271,10 @@
 #[test]
 fn a_streamed_response_ends_when_its_client_leaves() {
     support::run(async {
-        for upstream_at in UPSTREAM_PLACES {
-            for way in WAYS_OF_LEAVING {
-                let case = format!("{upstream_at:?} {way:?}");
-                let mesh = Mesh::start(upstream_at).await;
+        for upstream_location in UPSTREAM_LOCATIONS {
+            for departure in DEPARTURE_KINDS {
+                let case = format!("{upstream_location:?} {departure:?}");
+                let mesh = Mesh::start(upstream_location).await;
                 let (mut client, mut upstream) = mesh.begin_request("safe").await;
                 let bytes = 4 * MAX_BUFFERED_BODY_BYTES;
                 let framing = format!("Content-Length: {bytes}\r\n");
@@ -271,9 +284,9 @@
                 let (received, ()) = tokio::join!(client.read_head(), upstream.send(&first));
                 assert_eq!(status(&received), "200", "{case}");
                 // The upstream sends nothing more, so no failed write to the client can reveal the departure.
-                let _half_closed = leave(client, way).await;
-                assert_eq!(upstream.receive().await, 0, "{case}: the upstream sees the end");
-                mesh.until_idle().await;
+                let _half_closed = disconnect(client, departure).await;
+                assert_eq!(upstream.receive().await, 0, "{case}: the upstream connection must end");
+                mesh.wait_until_idle().await;
             }
         }
     });
@@ -281,11 +294,11 @@
 
 /// Whether the upstream sees a client's departure; used by the mutation tests.
 #[cfg(feature = "mutants")]
-pub(super) fn leaver_is_noticed() -> bool {
-    let noticed = std::rc::Rc::new(std::cell::Cell::new(false));
-    let result = noticed.clone();
+pub(super) fn departure_is_detected() -> bool {
+    let detected = std::rc::Rc::new(std::cell::Cell::new(false));
+    let result = detected.clone();
     support::run(async move {
-        let mesh = Mesh::start(UpstreamAt::OtherSidecar).await;
+        let mesh = Mesh::start(UpstreamLocation::OtherSidecar).await;
         let (client, mut upstream) = mesh.begin_request("safe").await;
         drop(client);
         while mesh.departures().departures == 0 {
@@ -293,5 +306,5 @@
         }
         result.set(!upstream.is_open_and_quiet().await);
     });
-    noticed.get()
+    detected.get()
 }
--- a/crates/daemon/mesh/src/tests/graceful_stop.rs
+++ b/crates/daemon/mesh/src/tests/graceful_stop.rs
@@ -39,8 +39,8 @@
     support::run_paused(async {
         let BoundUpstream { listener, address } = bind_upstream().await;
         let requests = count_requests(listener);
-        let nobody = bind_upstream().await.address;
-        let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let unused_address = bind_upstream().await.address;
+        let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
         let gate = support::start_sidecar(2, address, SidecarOptions::default()).await;
         gate.send_heartbeat();
         origin.learn_sidecar(&gate);
--- a/crates/daemon/mesh/src/tests/idle_timeout.rs
+++ b/crates/daemon/mesh/src/tests/idle_timeout.rs
@@ -61,8 +61,8 @@
 #[test]
 fn an_idle_connection_is_not_closed_by_a_shorter_limit_and_its_next_request_uses_the_newest() {
     support::run(async {
-        let nobody = bind_upstream().await.address;
-        let sidecar = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let unused_address = bind_upstream().await.address;
+        let sidecar = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
         sidecar.set_limits(2, 15.0, 300);
         let mut connection = TestConnection::connect(sidecar.outbound).await;
         assert_eq!(request(&mut connection, 1).await, ("404".into(), Some("timeout=15".into())));
@@ -79,9 +79,9 @@
 #[test]
 fn an_idle_connection_is_closed_in_time_and_kept_by_a_longer_limit() {
     support::run(async {
-        let nobody = bind_upstream().await.address;
-        let lengthening = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
-        let unchanged = support::start_sidecar(2, nobody, SidecarOptions::default()).await;
+        let unused_address = bind_upstream().await.address;
+        let lengthening = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
+        let unchanged = support::start_sidecar(2, unused_address, SidecarOptions::default()).await;
         for sidecar in [&lengthening, &unchanged] {
             *sidecar.node_state.idle_timeout.borrow_mut() = IdleTimeout::default();
             sidecar.set_limits(2, 0.05, 16384);
--- a/crates/daemon/mesh/src/tests/interrupted_requests.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests.rs
@@ -72,7 +72,7 @@
 }
 
 /// Every combination of request, upstream behaviour and path, without interruption.
-fn plain_cases() -> impl Iterator<Item = Case> {
+fn uninterrupted_cases() -> impl Iterator<Item = Case> {
     const REQUESTS: [RequestKind; 4] =
         [RequestKind::Safe, RequestKind::Once, RequestKind::HeldBackUpload, RequestKind::LargeUpload];
     const UPSTREAMS: [UpstreamBehaviour; 4] = [
@@ -111,11 +111,12 @@
     // Large bodies are slow to test, and are forwarded the same way whatever the response.
     let is_large_request = |case: &Case| case.request == RequestKind::LargeUpload;
     let is_large_response = |case: &Case| case.upstream == UpstreamBehaviour::ServesLong;
-    let selected = plain_cases().filter(|case| match (is_large_request(case), is_large_response(case)) {
-        (false, false) => true,
-        (true, true) => false,
-        _ => !case.is_warm,
-    });
+    let selected =
+        uninterrupted_cases().filter(|case| match (is_large_request(case), is_large_response(case)) {
+            (false, false) => true,
+            (true, true) => false,
+            _ => !case.is_warm,
+        });
     let others: Vec<Case> = selected.flat_map(|plain| cases_of(plain, BOUNDARIES_ONLY)).collect();
     cases.extend(others.into_iter().step_by(STEP));
     cases
@@ -127,7 +128,7 @@
         UpstreamBehaviour::Serves => 1,
         _ => BOUNDARIES_ONLY,
     };
-    plain_cases().flat_map(|plain| cases_of(plain, stride(&plain))).collect()
+    uninterrupted_cases().flat_map(|plain| cases_of(plain, stride(&plain))).collect()
 }
 
 /// The combined results of many cases.
--- a/crates/daemon/mesh/src/tests/interrupted_requests/checker.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/checker.rs
@@ -59,13 +59,14 @@
         violations.push(format!("MIXED: {id} received the response to {:?}", response.id));
     }
     let run = response.stamp.as_ref().and_then(|stamp| runs.iter().find(|run| run.stamp == *stamp));
-    let is_upstreams = run.is_some_and(|run| {
+    let is_from_upstream = run.is_some_and(|run| {
         let is_long = is_interrupted && case.upstream == UpstreamBehaviour::ServesLong;
         run.status.to_string() == response.status
             && response.body == response_body(&run.stamp, is_long).into_bytes()
     });
-    let is_sidecars = response.stamp.is_none() && matches!(response.status.as_str(), "502" | "503" | "504");
-    if !is_upstreams && !is_sidecars {
+    let is_from_sidecar =
+        response.stamp.is_none() && matches!(response.status.as_str(), "502" | "503" | "504");
+    if !is_from_upstream && !is_from_sidecar {
         let (status, stamp) = (&response.status, &response.stamp);
         let body = String::from_utf8_lossy(&response.body);
         violations.push(format!("MIXED: {id} with {status} {stamp:?} {body:?}"));
--- a/crates/daemon/mesh/src/tests/interrupted_requests/relay.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/relay.rs
@@ -173,7 +173,7 @@
             Direction::Response => connection.response.extend_from_slice(&bytes),
         }
         match interruption {
-            Some(interruption) if interruption.fault.comes_behind_response() => {
+            Some(interruption) if interruption.fault.adds_surplus() => {
                 connection.write(direction, &bytes).await?;
                 self.add_surplus(connection, direction, interruption.fault).await?;
             }
@@ -266,7 +266,7 @@
 
 impl Fault {
     /// Whether the fault adds bytes after a complete response.
-    fn comes_behind_response(self) -> bool {
+    fn adds_surplus(self) -> bool {
         matches!(
             self,
             Fault::SurplusByte | Fault::DoubleResponse | Fault::LateSurplusByte | Fault::LateDoubleResponse
--- a/crates/daemon/mesh/src/tests/large_bodies.rs
+++ b/crates/daemon/mesh/src/tests/large_bodies.rs
@@ -21,8 +21,8 @@
 
 /// Starts an origin that knows `count` gates.
 async fn start_mesh(count: u8) -> (Sidecar, Vec<Gate>) {
-    let nobody = bind_upstream().await.address;
-    let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+    let unused_address = bind_upstream().await.address;
+    let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
     let mut gates = Vec::new();
     for last_octet in 2..2 + count {
         let BoundUpstream { listener, address } = bind_upstream().await;
@@ -241,9 +241,9 @@
 #[test]
 fn bodies_beyond_the_buffer_budget_are_refused_with_retry_after() {
     support::run(async {
-        let nobody = bind_upstream().await.address;
+        let unused_address = bind_upstream().await.address;
         let options = SidecarOptions { memory_bytes: 4 * 100_000, ..SidecarOptions::default() };
-        let origin = support::start_sidecar(1, nobody, options).await;
+        let origin = support::start_sidecar(1, unused_address, options).await;
         for body_bytes in [99_000, 200_000, 99_000] {
             let mut client = TestConnection::connect(origin.outbound).await;
             let head = format!(
--- a/crates/daemon/mesh/src/tests/mutations_detected.rs
+++ b/crates/daemon/mesh/src/tests/mutations_detected.rs
@@ -49,10 +49,10 @@
 
 #[test]
 fn serving_a_departed_client_is_detected() {
-    use crate::tests::departed_clients::leaver_is_noticed;
-    assert!(leaver_is_noticed());
+    use crate::tests::departed_clients::departure_is_detected;
+    assert!(departure_is_detected());
     mutation::set_mutation(Some(Mutation::DepartedClientServed));
-    let noticed = leaver_is_noticed();
+    let detected = departure_is_detected();
     mutation::set_mutation(None);
-    assert!(!noticed, "the mutation was not detected: the request of a departed client was ended");
+    assert!(!detected, "the mutation was not detected: the request of a departed client was ended");
 }
--- a/crates/daemon/mesh/src/tests/open_requests.rs
+++ b/crates/daemon/mesh/src/tests/open_requests.rs
@@ -99,8 +99,8 @@
     let OpenRequest { method, route, body_bytes, response_bytes } = request;
     let case = format!("{change:?} {request:?}");
     let BoundUpstream { listener, address } = bind_upstream().await;
-    let nobody = bind_upstream().await.address;
-    let origin = support::start_sidecar_with_settings(1, nobody, SidecarOptions::default()).await;
+    let unused_address = bind_upstream().await.address;
+    let origin = support::start_sidecar_with_settings(1, unused_address, SidecarOptions::default()).await;
     let gate = support::start_sidecar_with_settings(2, address, SidecarOptions::default()).await;
     gate.sidecar.send_heartbeat();
     origin.sidecar.learn_sidecar(&gate.sidecar);
--- a/crates/daemon/mesh/src/tests/request_framing.rs
+++ b/crates/daemon/mesh/src/tests/request_framing.rs
@@ -94,8 +94,8 @@
 #[test]
 fn a_control_call_rejected_unread_gets_its_response_before_an_orderly_close() {
     support::run(async {
-        let nobody = bind_upstream().await.address;
-        let sidecar = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let unused_address = bind_upstream().await.address;
+        let sidecar = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
         let calls = bind_upstream().await;
         tokio::task::spawn_local(control::listen(
             sidecar.node_state.clone(),
--- a/crates/daemon/mesh/src/tests/response_replay.rs
+++ b/crates/daemon/mesh/src/tests/response_replay.rs
@@ -76,9 +76,9 @@
 
 impl RelayedMesh {
     async fn start() -> RelayedMesh {
-        let nobody = bind_upstream().await.address;
+        let unused_address = bind_upstream().await.address;
         let upstream = GatedUpstream::start().await;
-        let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
         let gate = support::start_sidecar(2, upstream.address, SidecarOptions::default()).await;
         gate.send_heartbeat();
         let relay = Relay::between(&origin, &gate).await;
--- a/crates/daemon/mesh/src/tests/response_validation.rs
+++ b/crates/daemon/mesh/src/tests/response_validation.rs
@@ -93,9 +93,9 @@
     {
         for body_bytes in [20_000, MAX_BUFFERED_BODY_BYTES + 4_000_000] {
             support::run_paused(async move {
-                let nobody = bind_upstream().await.address;
+                let unused_address = bind_upstream().await.address;
                 let BoundUpstream { listener, address } = bind_upstream().await;
-                let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+                let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
                 let gate = support::start_sidecar(2, address, SidecarOptions::default()).await;
                 gate.send_heartbeat();
                 origin.learn_sidecar(&gate);
--- a/crates/daemon/mesh/src/tests/stopping.rs
+++ b/crates/daemon/mesh/src/tests/stopping.rs
@@ -10,8 +10,8 @@
     support::run(async {
         let upstream = bind_upstream().await;
         answer_all(upstream.listener);
-        let nobody = bind_upstream().await.address;
-        let sidecar = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let unused_address = bind_upstream().await.address;
+        let sidecar = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
         let gate = support::start_sidecar(2, upstream.address, SidecarOptions::default()).await;
         gate.send_heartbeat();
         sidecar.learn_sidecar(&gate);
@@ -23,10 +23,15 @@
             if is_stopping {
                 sidecar.node_state.begin_stop();
             }
-            let CallResponse { head: ready_head, body: why } =
+            let CallResponse { head: ready_head, body: ready_body } =
                 call(&mut platform, "GET", "/-/ready", "").await;
-            let says_so = status(&ready_head) == "503" && String::from_utf8_lossy(&why).contains("stopping");
-            assert_eq!((says_so, sidecar.node_state.stopping()), (is_stopping, is_stopping), "{ready_head}");
+            let reports_stopping =
+                status(&ready_head) == "503" && String::from_utf8_lossy(&ready_body).contains("stopping");
+            assert_eq!(
+                (reports_stopping, sidecar.node_state.stopping()),
+                (is_stopping, is_stopping),
+                "{ready_head}"
+            );
             let request = format!("GET /safe/x HTTP/1.1\r\nHost: h\r\n{ATTEMPT_ID_LINE}\r\n");
             client.send(request.as_bytes()).await;
             let response_head = client.read_head().await;
--- a/crates/daemon/mesh/src/tests/support/scripted_mesh.rs
+++ b/crates/daemon/mesh/src/tests/support/scripted_mesh.rs
@@ -26,10 +26,10 @@
 
 /// Starts an origin and a gate whose upstream answers each request with the next of these texts, `{id}` replaced.
 pub(crate) async fn scripted_mesh(texts: &[&str]) -> ScriptedMesh {
-    let nobody = bind_upstream().await.address;
+    let unused_address = bind_upstream().await.address;
     let log = Rc::new(UpstreamLog::default());
     let address = scripted_upstream(texts, log.clone()).await;
-    let origin = start_sidecar(1, nobody, SidecarOptions::default()).await;
+    let origin = start_sidecar(1, unused_address, SidecarOptions::default()).await;
     let gate = start_sidecar(2, address, SidecarOptions::default()).await;
     gate.send_heartbeat();
     origin.learn_sidecar(&gate);
--- a/crates/daemon/mesh/src/tests/upstream_gate.rs
+++ b/crates/daemon/mesh/src/tests/upstream_gate.rs
@@ -22,8 +22,8 @@
 fn the_largest_head_of_a_client_passes_between_sidecars() {
     support::run(async {
         let upstream = bind_upstream().await;
-        let nobody = bind_upstream().await.address;
-        let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let unused_address = bind_upstream().await.address;
+        let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
         let gate = support::start_sidecar(2, upstream.address, SidecarOptions::default()).await;
         gate.send_heartbeat();
         origin.learn_sidecar(&gate);
@@ -38,10 +38,10 @@
                 connection.send(upstream_response_head(&head, 200, "Content-Length: 0\r\n").as_bytes()).await;
             }
         });
-        let room = MAX_HEAD_BYTES - request_with(MAX_HEADER_LINES, 0).len() - 4;
+        let max_filler_bytes = MAX_HEAD_BYTES - request_with(MAX_HEADER_LINES, 0).len() - 4;
         for (header_lines, filler_bytes, expected) in [
-            (MAX_HEADER_LINES, room, "200"),
-            (MAX_HEADER_LINES, room + 20, "431"),
+            (MAX_HEADER_LINES, max_filler_bytes, "200"),
+            (MAX_HEADER_LINES, max_filler_bytes + 20, "431"),
             (MAX_HEADER_LINES + 1, 0, "431"),
         ] {
             let mut client = TestConnection::connect(origin.outbound).await;
