--- a/crates/daemon/mesh/src/tests/interrupted_requests/checker.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/checker.rs
@@ -1,13 +1,13 @@
-//! Checks the rules, by what client and upstreams saw.
+//! Checks the delivery rules against what the client and the upstreams observed.
 use super::case::{Case, Fault, RequestKind, UpstreamBehaviour};
 use super::client::{request_body, ClientResponse, Conversation};
 use super::upstream::{response_body, UpstreamRun, INTERRUPTED_ID};
 
-/// The rules that were violated.
+/// Describes each violated rule.
 pub(super) fn violations(case: Case, conversation: &Conversation, log: &[UpstreamRun]) -> Vec<String> {
     let mut violations = Vec::new();
     if conversation.has_surplus {
-        violations.push("MIXED: bytes that nobody asked for".to_string());
+        violations.push("MIXED: bytes received beyond the expected responses".to_string());
     }
     violations.extend(reused_after_surplus(case, conversation));
     for run in log {
@@ -19,17 +19,17 @@
     for (id, response) in &conversation.responses {
         match response {
             Some(response) => violations.extend(check_response(case, id, response, log)),
-            // A response that has begun to be forwarded can only be broken off.
+            // A response whose forwarding has begun can only be aborted.
             None if *id == INTERRUPTED_ID
                 && case.upstream == UpstreamBehaviour::ServesLong
                 && case.interruption.is_some() => {}
-            None => violations.push(format!("{id}: no answer")),
+            None => violations.push(format!("{id}: no response")),
         }
     }
     violations
 }
 
-/// The request behind a surplus byte has to go on a connection of its own.
+/// The request after surplus bytes must be sent on a new connection.
 fn reused_after_surplus(case: Case, conversation: &Conversation) -> Option<String> {
     let interruption = case.interruption?;
     let is_surplus = matches!(interruption.fault, Fault::SurplusByte | Fault::DoubleResponse);
@@ -49,23 +49,24 @@
     let runs: Vec<&UpstreamRun> = log.iter().filter(|run| run.id == id && run.status != 503).collect();
     let arrived = log.iter().filter(|run| run.id == id).count();
     if runs.len() > if is_safe { 2 } else { 1 } || arrived > 2 {
-        violations.push(format!("TWICE: {id} ran {} times and came {arrived} times", runs.len()));
+        violations.push(format!("TWICE: {id} ran {} times and arrived {arrived} times", runs.len()));
     }
     let is_promise = matches!(response.status.as_str(), "408" | "421" | "429" | "503");
     if is_promise && !is_safe && !runs.is_empty() {
         violations.push(format!("REFUSED: {id} with {}, and ran", response.status));
     }
     if response.id != id {
-        violations.push(format!("MIXED: {id} got the answer of {:?}", response.id));
+        violations.push(format!("MIXED: {id} received the response to {:?}", response.id));
     }
     let run = response.stamp.as_ref().and_then(|stamp| runs.iter().find(|run| run.stamp == *stamp));
-    let is_upstreams = run.is_some_and(|run| {
+    let is_from_upstream = run.is_some_and(|run| {
         let is_long = is_interrupted && case.upstream == UpstreamBehaviour::ServesLong;
         run.status.to_string() == response.status
             && response.body == response_body(&run.stamp, is_long).into_bytes()
     });
-    let is_sidecars = response.stamp.is_none() && matches!(response.status.as_str(), "502" | "503" | "504");
-    if !is_upstreams && !is_sidecars {
+    let is_from_sidecar =
+        response.stamp.is_none() && matches!(response.status.as_str(), "502" | "503" | "504");
+    if !is_from_upstream && !is_from_sidecar {
         let (status, stamp) = (&response.status, &response.stamp);
         let body = String::from_utf8_lossy(&response.body);
         violations.push(format!("MIXED: {id} with {status} {stamp:?} {body:?}"));
--- a/crates/daemon/mesh/src/tests/interrupted_requests/run.rs
+++ b/crates/daemon/mesh/src/tests/interrupted_requests/run.rs
@@ -9,23 +9,23 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-/// What came of a case.
+/// The result of a case.
 pub(crate) struct Observed {
-    /// Rules that were violated.
+    /// Descriptions of the violated rules.
     pub(crate) violations: Vec<String>,
-    /// Bytes of the interrupted request and its response, by link.
+    /// Bytes of the interrupted request and its response, by link and direction.
     pub(crate) carried: BTreeMap<Traffic, Vec<u8>>,
-    /// The status that the interrupted request ended with.
+    /// The status of the response to the interrupted request.
     pub(crate) status: String,
 }
 
-/// A sidecar and the relay before its upstream.
+/// A sidecar and the relay in front of its upstream.
 struct Gate {
     sidecar: Sidecar,
     upstream: Relay,
 }
 
-/// Where the nodes of case `number` stand: the ports of one address of loopback are soon used up.
+/// The address of a node of case `number`; each case has its own, so that ephemeral ports are not exhausted.
 fn ip(number: usize, last_octet: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 1 + (number / 250 % 250) as u8, (number % 250) as u8, last_octet)
 }
@@ -55,7 +55,7 @@
 async fn put_behind_relay(origin: &Sidecar, gate: Sidecar, case: Case, plan: &Rc<Plan>) {
     let relay = Relay::start(gate.ip, gate.inbound, Link::Sidecars, plan).await;
     if case.interruption.is_some_and(|interruption| interruption.fault == Fault::Restart) {
-        let upstream = gate.node_state.settings.upstream_address.expect("one");
+        let upstream = gate.node_state.settings.upstream_address.expect("configured upstream");
         let next = start_sidecar_at(gate.ip, upstream, SidecarOptions::default()).await.sidecar;
         next.send_heartbeat();
         relay.next.set(Some(next.inbound));
@@ -63,13 +63,13 @@
     origin.learn_sidecar(&gate.reached_at(relay.address));
 }
 
-/// Run one case from its start.
+/// Runs one case.
 pub(crate) fn run_case(case: Case, number: usize) -> Observed {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build()
-        .expect("a runtime");
+        .expect("runtime is built");
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
         let plan = Rc::new(Plan::new(case.interruption));
--- a/crates/daemon/mesh/src/tests/support/sidecar.rs
+++ b/crates/daemon/mesh/src/tests/support/sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar in the test's own process.
+//! A sidecar that runs in the test process.
 use crate::control_value::{ControlChange, ControlValue, CONFIGURATION_KEY};
 use crate::node_state::{Heartbeat, NodeState};
 use crate::peers::{Peers, RecordBody, UpstreamRecord};
@@ -19,13 +19,13 @@
 /// The service of all sidecars and routes.
 pub(crate) const SERVICE: &str = "quotes";
 
-/// A sidecar.
+/// A running sidecar.
 #[derive(Clone)]
 pub(crate) struct Sidecar {
     pub(crate) node_state: Rc<NodeState>,
-    /// Where its clients connect.
+    /// The address for clients.
     pub(crate) outbound: SocketAddr,
-    /// Where other sidecars connect.
+    /// The address for other sidecars.
     pub(crate) inbound: SocketAddr,
     pub(crate) ip: Ipv4Addr,
     /// The configuration in force.
@@ -38,7 +38,7 @@
     pub(crate) settings: String,
 }
 
-/// Settings that a test changes.
+/// Settings that tests override.
 #[derive(Clone, Copy)]
 pub(crate) struct SidecarOptions {
     pub(crate) memory_bytes: u64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The runtime's time, which a test may have paused; never 0.
+/// The runtime's clock, which a test may have paused; never 0.
 fn now() -> i64 {
     thread_local! {
         static START: tokio::time::Instant = tokio::time::Instant::now();
@@ -59,12 +59,12 @@
     START.with(|start| 1_000_000_000 + start.elapsed().as_micros() as i64)
 }
 
-/// Start a sidecar at 127.0.0.`last_octet`, before `upstream`; the configuration is in force, and no other node known.
+/// Starts a sidecar at 127.0.0.`last_octet` in front of `upstream`, with the configuration applied and no other node known.
 pub(crate) async fn start_sidecar(last_octet: u8, upstream: SocketAddr, options: SidecarOptions) -> Sidecar {
     start_sidecar_with_settings(last_octet, upstream, options).await.sidecar
 }
 
-/// The same, with the settings that it was started with.
+/// Like [`start_sidecar`], and also returns the text of the settings.
 pub(crate) async fn start_sidecar_with_settings(
     last_octet: u8,
     upstream: SocketAddr,
@@ -73,21 +73,22 @@
     start_sidecar_at(Ipv4Addr::new(127, 0, 0, last_octet), upstream, options).await
 }
 
-/// The same, at an address of this machine.
+/// Like [`start_sidecar_with_settings`], at a given local address.
 pub(crate) async fn start_sidecar_at(
     ip: Ipv4Addr,
     upstream: SocketAddr,
     options: SidecarOptions,
 ) -> StartedSidecar {
-    let bind = || async { TcpListener::bind((ip, 0)).await.expect("a port") };
+    let bind = || async { TcpListener::bind((ip, 0)).await.expect("free port") };
     let (clients, sidecars) = (bind().await, bind().await);
-    let (outbound, inbound) = (clients.local_addr().expect("bound"), sidecars.local_addr().expect("bound"));
+    let (outbound, inbound) =
+        (clients.local_addr().expect("bound listener"), sidecars.local_addr().expect("bound listener"));
     let text = settings_text(ip, outbound, inbound, upstream);
-    let mut settings = settings::parse(&text).expect("settings");
+    let mut settings = settings::parse(&text).expect("valid settings");
     (settings.memory_bytes, settings.max_descriptors) = (options.memory_bytes, options.descriptors);
     let clock = silvercross_facade::Clock::from_fn(now);
     let membership = isolated_membership(ip, inbound.port(), Instant::from_micros(clock.now()));
-    let udp = UdpSocket::bind((ip, 0)).await.expect("a port");
+    let udp = UdpSocket::bind((ip, 0)).await.expect("free port");
     let gate = upstream_gate::UpstreamGate::new(AdmissionController::new(
         settings.reloadable.limits.admission_settings(),
     ));
@@ -98,8 +99,9 @@
     tokio::task::spawn_local(upstream_gate::listen(node_state.clone(), sidecars));
     tokio::task::spawn_local(upstream_gate::run_timer(node_state.clone()));
     let mut control_value = ControlValue::Blank;
-    let change = silvercross_mesh_config::parse_change(configuration().as_bytes()).expect("a configuration");
-    control_value.apply(&ControlChange::Patch(change)).expect("applies");
+    let change =
+        silvercross_mesh_config::parse_change(configuration().as_bytes()).expect("valid configuration");
+    control_value.apply(&ControlChange::Patch(change)).expect("change is applied");
     node_state.apply_control_entry(CONFIGURATION_KEY, Revision::new(1, 1, 1), control_value.clone());
     let control_value = Rc::new(RefCell::new(control_value));
     StartedSidecar { sidecar: Sidecar { node_state, outbound, inbound, ip, control_value }, settings: text }
@@ -130,7 +132,7 @@
     )
 }
 
-/// Membership of a node that knows itself only, and that its state is current.
+/// The membership of a node that knows only itself and has confirmed that its state is current.
 fn isolated_membership(ip: Ipv4Addr, inbound: u16, now: Instant) -> Membership<RecordBody> {
     let body = RecordBody { inbound_port: inbound, ..RecordBody::default() };
     let config = MembershipConfig {
@@ -146,7 +148,8 @@
     membership
 }
 
-/// A control node links with the sidecar, says that a majority has acknowledged nothing so far, and goes.
+/// Simulates a control node that links with the sidecar, reports that a majority has acknowledged no
+/// revisions, and leaves.
 fn become_current(membership: &mut Membership<RecordBody>, now: Instant) {
     let node = Node(Ipv4Addr::new(127, 0, 0, 250).to_bits());
     let body = RecordBody::default();
@@ -159,7 +162,7 @@
         Effect::SendMessage { message: MembershipMessage::FreshnessRequest { number }, .. } => Some(number),
         _ => None,
     });
-    let number = asked.expect("a sidecar that starts asks");
+    let number = asked.expect("a starting sidecar sends a freshness request");
     membership.receive(now, node, MembershipMessage::FreshnessReply { number, revisions: Some(Vec::new()) });
     let gone =
         MembershipMessage::Update { records: vec![NodeRecord { gone: true, ..record }], entries: Vec::new() };
@@ -173,25 +176,25 @@
 }
 
 impl Sidecar {
-    /// The same sidecar, as others see it that reach its gate at another address.
+    /// The same sidecar with another gate address, as peers behind a relay see it.
     pub(crate) fn reached_at(&self, inbound: SocketAddr) -> Sidecar {
         Sidecar { inbound, ..self.clone() }
     }
 
-    /// Its upstream sends a heartbeat.
+    /// Delivers a heartbeat of the sidecar's upstream.
     pub(crate) fn send_heartbeat(&self) {
         let text = format!(
             "{{\"destination\":\"{SERVICE}\",\"zone\":\"a\",\"slots\":8,\"state\":\"ready\",\"coldLeftS\":0,\"sequence\":1}}"
         );
-        let heartbeat: Heartbeat = serde_json::from_str(&text).expect("a heartbeat");
+        let heartbeat: Heartbeat = serde_json::from_str(&text).expect("valid heartbeat");
         assert!(self.node_state.upstream_heartbeat(&format!("i-{}", self.ip), heartbeat));
     }
 
-    /// Change the configuration that is in force.
+    /// Applies a change to the configuration in force.
     pub(crate) fn apply_change(&self, change: &str) {
-        let change = silvercross_mesh_config::parse_change(change.as_bytes()).expect("a change");
+        let change = silvercross_mesh_config::parse_change(change.as_bytes()).expect("valid change");
         let mut control_value = self.control_value.borrow_mut();
-        control_value.apply(&ControlChange::Patch(change)).expect("applies");
+        control_value.apply(&ControlChange::Patch(change)).expect("change is applied");
         let number = self.node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |r| r.sequence) + 1;
         self.node_state.apply_control_entry(
             CONFIGURATION_KEY,
@@ -200,7 +203,7 @@
         );
     }
 
-    /// Other limits for clients: seconds idle, and bytes of a head.
+    /// Sets the client limits: idle seconds and head bytes.
     pub(crate) fn set_limits(&self, version: u64, idle_seconds: f64, head_bytes: usize) {
         self.apply_change(&format!(
             "{{\"deliver\":{{\"sizeLimits\":{{\"envelopeBytes\":{head_bytes},\"contentBytes\":268435456,\"envelopeS\":3,\
@@ -208,7 +211,7 @@
         ));
     }
 
-    /// This sidecar learns of a control node: where it takes calls, and which nodes it says are control nodes.
+    /// Adds the record of a control node: its address for calls, and the nodes that it names as control nodes.
     pub(crate) fn learn_control_node(
         &self,
         calls: SocketAddr,
@@ -223,7 +226,7 @@
         self.node_state.apply_record(node_record(Node(ip.to_bits()), zone, true, body));
     }
 
-    /// This sidecar learns of another one and its upstream.
+    /// Adds the record of another sidecar and its upstream.
     pub(crate) fn learn_sidecar(&self, other: &Sidecar) {
         let upstream = UpstreamRecord {
             id: format!("i-{}", other.ip),
