--- a/crates/daemon/sidecar/tests/boundaries.rs
+++ b/crates/daemon/sidecar/tests/boundaries.rs
@@ -1,4 +1,5 @@
-//! What may not leak: events and actions stay behind the facade, `unsafe` in one file, a folder keeps to its job.
+//! Source checks: core events and actions are used only behind the facade, `unsafe` stays in one file, and `wire` and
+//! `memory` do not depend on the event loop.
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -10,7 +11,7 @@
             found.extend(sources(&path));
         } else if path.extension().is_some_and(|e| e == "rs") {
             let text = fs::read_to_string(&path).expect("text");
-            // Comments may speak of anything.
+            // Comments are not checked.
             let code =
                 text.lines().filter(|l| !l.trim_start().starts_with("//")).collect::<Vec<_>>().join("\n");
             found.push((path, code));
@@ -25,9 +26,9 @@
     found
 }
 
-/// The sources of all packages, in whatever group of `crates/` they are.
+/// The sources of all packages in every group under `crates/`.
 fn workspace() -> Vec<(PathBuf, String)> {
-    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).ancestors().nth(2).expect("the folder of all groups");
+    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).ancestors().nth(2).expect("the crates folder");
     let folders = |folder: &Path| -> Vec<PathBuf> {
         fs::read_dir(folder)
             .expect("a folder")
--- a/crates/daemon/sidecar/tests/common/mod.rs
+++ b/crates/daemon/sidecar/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the program and stands in for those it talks to. Every port is the machine's choice; waits end with what
-//! they wait for, and only a test that has gone wrong runs into their limits.
+//! Starts the program and fake peers for it. Ports are chosen by the system; waits end as soon as their condition holds, so
+//! only a failing test reaches the timeouts.
 #![allow(dead_code)]
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes on the slowest machine.
+/// Timeout of every wait, longer than any step takes on a slow machine.
 pub const LONG: Duration = Duration::from_secs(60);
 
 pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
@@ -20,12 +20,12 @@
         if let Some(found) = look() {
             return found;
         }
-        assert!(started.elapsed() < LONG, "never came: {what}");
+        assert!(started.elapsed() < LONG, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// One message read off a stream: its head, and its body by `Content-Length`.
+/// An HTTP message read from a stream; the body is delimited by `Content-Length`.
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// `None`: the stream ended or broke first.
+/// Returns `None` if the stream ends or fails before the message is complete.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -57,22 +57,22 @@
     Some(message)
 }
 
-/// What an upstream does with a request.
+/// How a fake upstream responds to a request.
 #[derive(Clone)]
 pub enum Does {
     /// Sends these bytes and keeps the connection.
     Says(String),
     /// Sends these bytes one by one, then closes.
     Trickles(String),
-    /// Closes the connection without a word.
+    /// Closes the connection without a response.
     Closes,
-    /// Nothing, until the connection ends.
+    /// Sends nothing until the connection ends.
     Hangs,
-    /// Sends these bytes, then nothing, until the connection ends.
+    /// Sends these bytes, then nothing until the connection ends.
     SaysAndHangs(String),
-    /// Sends the request's body back, and a moment later the same answer again.
+    /// Echoes the request body, and repeats the same response 1 ms later.
     EchoesTwice,
-    /// Waits for a word from the test, then sends these bytes.
+    /// Waits for a signal from the test, then sends these bytes.
     Waits(Arc<Mutex<Receiver<()>>>, String),
 }
 
@@ -86,7 +86,7 @@
     (go, Does::Waits(Arc::new(Mutex::new(wait)), text))
 }
 
-/// Stands in for an upstream.
+/// A fake upstream that records the requests it receives.
 pub struct Upstream {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<Message>>>,
@@ -159,7 +159,7 @@
     }
 }
 
-/// An address where nothing listens, and nothing will: the port stays bound for as long as the tests run.
+/// An address that refuses connections: the port stays bound, without a listener, until the test process ends.
 pub fn nowhere() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -178,7 +178,7 @@
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// Stands in for discovery: tells what the test gives it to every watch, and counts watches.
+/// A fake discovery service: sends the initial list to every watch and records the watch requests.
 pub struct Discovery {
     pub address: SocketAddr,
     pub asked: Arc<Mutex<Vec<String>>>,
@@ -208,18 +208,18 @@
         self.asked.lock().expect("whole").len()
     }
 
-    /// Wait until so many watches were told.
+    /// Waits until at least this many watches have received the initial list.
     pub fn told(&self, watches: usize) {
         until("a watch", || (self.watches() >= watches).then_some(()));
     }
 
-    /// End the newest watch with its last chunk, and keep its connection.
+    /// Ends the newest watch with the terminating chunk and keeps its connection open.
     pub fn end_chunks(&self) {
         let mut watches = self.watches.lock().expect("whole");
         watches.last_mut().expect("a watch").write_all(b"0\r\n\r\n").expect("told");
     }
 
-    /// Tell the newest watch.
+    /// Sends a line to the newest watch.
     pub fn tell(&self, line: &str) {
         let mut watches = self.watches.lock().expect("whole");
         let newest = watches.last_mut().expect("a watch");
@@ -231,11 +231,11 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// The program, running.
+/// A running sidecar process.
 pub struct Sidecar {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where operators connect.
+    /// The address of the management endpoint.
     pub management: Option<SocketAddr>,
     pub log: Arc<Mutex<Vec<String>>>,
     pub config: PathBuf,
@@ -320,7 +320,7 @@
         assert!(told.expect("run").success());
     }
 
-    /// Replace the configuration and say so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         let new = self.config.with_extension("new");
         std::fs::write(&new, config).expect("written");
@@ -344,13 +344,13 @@
     }
 }
 
-/// A connection of the application's.
+/// An application's connection to the sidecar.
 pub struct Client {
     pub read: BufReader<TcpStream>,
     pub write: TcpStream,
 }
 
-/// A call, with an id of its own.
+/// A request with a unique correlation id.
 pub fn call(class: &str, time_left_ms: u64, body: &str) -> String {
     static IDS: AtomicUsize = AtomicUsize::new(0x9b1f_03aa);
     let id = IDS.fetch_add(1, Ordering::SeqCst);
@@ -375,7 +375,7 @@
         self.hear()
     }
 
-    /// Whether the other end has closed, in order and with nothing more to say.
+    /// Whether the peer has closed the connection cleanly, with no bytes left to read.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.read.read(&mut [0]), Ok(0))
     }
--- a/crates/daemon/sidecar/tests/fleet.rs
+++ b/crates/daemon/sidecar/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The program as a member of a fleet: two find each other, a drain heard by one keeps the other from the upstream although its
-//! own discovery is dark, a planned stop is no failure, and without the file there is nothing of it.
+//! Fleet membership: two members find each other, a drain learned by one keeps the other from the upstream although its own
+//! discovery is unreachable, a planned stop is not reported as a failure, and without a fleet file the feature is off.
 mod common;
 use common::*;
 use std::io::{Read, Write};
@@ -16,7 +16,7 @@
     serde_json::from_str(body).unwrap_or(serde_json::Value::Null)
 }
 
-/// A port that is free for datagrams and connections just now.
+/// A UDP port that was free when the call was made.
 fn port() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bound");
     socket.local_addr().expect("known")
@@ -51,11 +51,12 @@
     let discovery = Discovery::start(list(1, true, &known));
     let (at_1, at_2) = (port(), port());
     let one = start("fleet-one", discovery.address, &known, &fleet(at_1, at_1));
-    // The second one's discovery is dark: it has the known list alone.
+    // The second member's discovery is unreachable: it has only the configured list.
     let mut two = start("fleet-two", nowhere(), &known, &fleet(at_2, at_1));
-    let (door_1, door_2) = (one.management.expect("a door"), two.management.expect("a door"));
+    let (door_1, door_2) =
+        (one.management.expect("a management address"), two.management.expect("a management address"));
     for door in [door_1, door_2] {
-        until("each lists the other", || (members(door)["live"] == 2).then_some(()));
+        until("each member to list the other", || (members(door)["live"] == 2).then_some(()));
     }
     until("the watch", || (discovery.watches() > 0).then_some(()));
     discovery.tell(&list(2, false, &[entry("s-a", a.address, "draining")]));
@@ -67,7 +68,11 @@
         let mut client = two.connect();
         assert_eq!(client.ask(&call("read", 5_000, "")).status(), 200);
     }
-    assert_eq!(a.requests(), before, "the second one was told by the first alone, and keeps away");
+    assert_eq!(
+        a.requests(),
+        before,
+        "the second member learned of the drain from the first alone and avoids the upstream"
+    );
     let program = Command::new(env!("CARGO_BIN_EXE_silvercross"))
         .args(["members", "--compare", "--at", &format!("{door_1},{door_2}")])
         .output()
@@ -75,7 +80,7 @@
     assert!(program.status.success(), "{}", String::from_utf8_lossy(&program.stdout));
     two.terminate();
     assert!(two.ended().success());
-    until("it left, and has not failed", || {
+    until("the member to be listed as left, not as failed", || {
         let told = members(door_1);
         (told["others"][0]["state"] == "left" && told["failed"] == 0).then_some(())
     });
@@ -95,7 +100,7 @@
     let mut without = common::command(&config(nowhere(), &[], 256));
     without.env("PROXY_MANAGEMENT", "127.0.0.1:0");
     let without = Sidecar::run(without);
-    assert_eq!(members(without.management.expect("a door")), serde_json::Value::Null);
+    assert_eq!(members(without.management.expect("a management address")), serde_json::Value::Null);
     let pid = without.child.id();
     let udp = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).unwrap_or_default();
     let links = std::fs::read_dir(format!("/proc/{pid}/fd"))
@@ -106,5 +111,5 @@
         .collect();
     let datagrams =
         udp.lines().skip(1).filter(|l| sockets.iter().any(|s| l.split_whitespace().nth(9) == Some(s)));
-    assert_eq!(datagrams.count(), 0, "no datagram socket");
+    assert_eq!(datagrams.count(), 0, "no UDP socket is open");
 }
--- a/crates/daemon/sidecar/tests/gateway.rs
+++ b/crates/daemon/sidecar/tests/gateway.rs
@@ -1,5 +1,5 @@
-//! Two gateways as processes, a far site of stand-in servers, and a client in a sidecar's place: what crosses, what does not,
-//! and what is said of it.
+//! Two gateway processes, fake servers at the far site, and a client in place of a sidecar: which requests cross the link,
+//! which do not, and which response the client gets.
 mod common;
 
 use common::*;
@@ -66,11 +66,11 @@
     Some(Client { read: BufReader::new(stream.try_clone().ok()?), write: stream })
 }
 
-/// The near side lets nobody in before it has heard an offer.
+/// Connects to the near listener, which is closed until the gateway has received an offer from its peer.
 fn near(g: &Gateway) -> Client {
     until("an offer", || {
         let mut c = client(g.near)?;
-        // One that came before the door was first closed is told that there is no room.
+        // A connection made before the listener was first closed is refused for lack of capacity.
         c.write.write_all(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").ok()?;
         (read_message(&mut c.read)?.status() == 200).then_some(c)
     })
@@ -93,14 +93,15 @@
     let mut c = near(&home);
     let answer = c.ask(&call("commit", 5_000, "order"));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"from afar"[..]));
-    assert_eq!(answer.header("x-gateway-offer"), None, "what gateways say to each other stays between them");
+    assert_eq!(answer.header("x-gateway-offer"), None, "the offer header is not passed to clients");
     let seen = server.seen.lock().expect("whole");
     assert_eq!(
         (seen.len(), seen[0].header("x-gateway-hops"), seen[0].body.as_slice()),
         (1, Some("home"), &b"order"[..])
     );
     drop(seen);
-    // What has crossed, or left this site before, goes nowhere; nor does what comes over the link without its hops.
+    // A request that has already crossed the link or left this site is not forwarded; nor is one that arrives over the link
+    // without its hops.
     for (at, mark) in
         [(home.near, "far"), (home.near, "home"), (far.link, "far"), (far.link, "home,far"), (far.link, ",")]
     {
@@ -139,18 +140,19 @@
     let (home, far) = pair(&[server.address]);
     assert_eq!(near(&home).ask(&call("read", 5_000, "")).status(), 200);
     drop(far);
-    until("the closed door", || client(home.near).is_none().then_some(()));
+    until("the listener to close", || client(home.near).is_none().then_some(()));
 }
 
-/// Seen: with the link cut, connections that were busy as the door closed stayed, and all that came on them was sent back
-/// unseen; to the sidecars' modules that said that everything is slow, home too.
+/// Guards against a past fault: with the link cut, connections that were busy when the listener closed stayed open, and
+/// every later request on them was returned unprocessed, from which the sidecars concluded that every upstream was slow,
+/// those at home included.
 #[test]
 fn a_connection_that_was_busy_as_the_door_closed_ends_with_its_answer() {
     let server = Upstream::start(Does::Hangs);
     let (home, far) = pair(&[server.address]);
     let mut c = near(&home);
     c.say(&call("commit", 50_000, "order"));
-    until("the order over there", || (server.requests() == 1).then_some(()));
+    until("the order to reach the far server", || (server.requests() == 1).then_some(()));
     drop(far);
     let answer = c.hear();
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")), "{}", answer.head);
@@ -158,7 +160,7 @@
 
 #[test]
 fn a_peer_that_is_no_gateway_is_never_trusted() {
-    // It answers what is asked of it with something else, with a huge offer, and with a negative one.
+    // The peer answers without an offer, with a huge one, and with a negative one.
     for offer in [
         "",
         "X-Gateway-Offer: life=1;seq=1;slots=999999999;for_ms=1000\r\n",
@@ -167,7 +169,7 @@
         let peer =
             Upstream::start(Does::Says(format!("HTTP/1.1 200 OK\r\n{offer}Content-Length: 0\r\n\r\n")));
         let home = gateway("home", "far", peer.address, &[]);
-        until("some questions", || (peer.requests() >= 3).then_some(()));
+        until("three requests for an offer", || (peer.requests() >= 3).then_some(()));
         assert!(client(home.near).is_none(), "{offer}");
     }
 }
@@ -180,7 +182,7 @@
     let told =
         Command::new("sh").arg("-c").arg(format!("kill -TERM {}", far.child.id())).status().expect("run");
     assert!(told.success());
-    let status = until("its end", || far.child.try_wait().expect("asked"));
+    let status = until("the gateway to end", || far.child.try_wait().expect("asked"));
     assert!(status.success());
-    until("the closed door", || client(home.near).is_none().then_some(()));
+    until("the listener to close", || client(home.near).is_none().then_some(()));
 }
--- a/crates/daemon/sidecar/tests/in_service.rs
+++ b/crates/daemon/sidecar/tests/in_service.rs
@@ -1,4 +1,4 @@
-//! What operators do with the running program: ask its door, replace its settings, replace the process.
+//! Operation of the running program: management requests, changes of settings, and replacement of the process.
 mod common;
 use common::*;
 use std::collections::HashSet;
@@ -13,7 +13,7 @@
 
 const LONG_LEFT: u64 = 6_000;
 
-/// A program with a door at a port of the machine's choice.
+/// Starts a sidecar with a management endpoint on a port chosen by the system.
 fn with_door(config: &str) -> Sidecar {
     let mut command = command(config);
     command.env("PROXY_MANAGEMENT", "127.0.0.1:0");
@@ -37,7 +37,7 @@
     answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
 }
 
-/// A figure by its line's beginning.
+/// The metric whose line begins with `name`.
 fn figure(at: SocketAddr, name: &str) -> u64 {
     let answer = get(at, "/admin/stats");
     let of = |l: &str| l.strip_prefix(name).and_then(|rest| rest.trim().parse().ok());
@@ -49,7 +49,7 @@
 }
 
 fn healthy(at: SocketAddr) -> bool {
-    // Before it listens, and after its end, nobody says anything.
+    // Nothing answers before the process listens and after it has ended.
     let Ok(mut stream) = TcpStream::connect(at) else { return false };
     let mut answer = String::new();
     let asked = stream.write_all(b"GET /admin/health HTTP/1.1\r\n\r\n");
@@ -61,19 +61,23 @@
     let discovery = Discovery::start(list(1, true, &[]));
     let up = Upstream::start(ok("served"));
     let sidecar = with_door(&config(discovery.address, &[entry("s-1", up.address, "ready")], 1024));
-    let door = sidecar.management.expect("a door");
-    assert_eq!(status(&get(door, "/admin/health")), 503, "no list was told");
+    let door = sidecar.management.expect("a management address");
+    assert_eq!(status(&get(door, "/admin/health")), 503, "not ready before the first list");
     discovery.told(1);
     let tell = list(2, true, &[entry("s-1", up.address, "ready"), entry("s-2", up.address, "draining")]);
     discovery.tell(&tell);
-    until("the yes", || healthy(door).then_some(()));
+    until("healthy status", || healthy(door).then_some(()));
     assert_eq!((figure(door, "svc_registry_entries"), figure(door, "svc_out_of_rotation")), (2, 1));
     assert_eq!(status(&get(door, "/admin")), 404);
     assert_eq!(status(&said(door, "POST /admin/stats HTTP/1.1\r\nContent-Length: 0\r\n\r\n")), 405);
     assert_eq!(status(&said(door, "what?\r\n\r\n")), 400);
     let long = format!("GET /admin/stats HTTP/1.1\r\nX: {}\r\n\r\n", "a".repeat(5_000));
     assert_eq!(status(&said(door, &long)), 431);
-    assert_eq!(status(&get(sidecar.address, "/admin/stats").replace('\0', "")), 404, "not at the other port");
+    assert_eq!(
+        status(&get(sidecar.address, "/admin/stats").replace('\0', "")),
+        404,
+        "management is not served on the application port"
+    );
 }
 
 #[test]
@@ -88,7 +92,7 @@
     let bad = Upstream::start(Does::Says("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n".into()));
     for (upstream, what) in [(&up, "fulfilled"), (&bad, "faulted")] {
         let sidecar = with_door(&config(nowhere(), &[entry("s-1", upstream.address, "ready")], 1024));
-        let door = sidecar.management.expect("a door");
+        let door = sidecar.management.expect("a management address");
         let mut client = sidecar.connect();
         for _ in 0..7 {
             client.ask(&call("commit", LONG_LEFT, ""));
@@ -97,9 +101,9 @@
         assert_eq!(figure(door, "svc_relayed_total"), upstream.requests() as u64);
         assert_eq!(figure(door, "svc_open_requests"), 0);
     }
-    // Nothing to send to: refused, and nothing was relayed.
+    // Without an upstream the request is refused and nothing is relayed.
     let sidecar = with_door(&config(nowhere(), &[], 1024));
-    let door = sidecar.management.expect("a door");
+    let door = sidecar.management.expect("a management address");
     assert_eq!(sidecar.connect().ask(&call("read", LONG_LEFT, "")).status(), 503);
     assert_eq!((by_class(door, "throttled", "read"), figure(door, "svc_relayed_total")), (1, 0));
 }
@@ -109,14 +113,15 @@
     let (_go, does) = waits("served");
     let up = Upstream::start(does);
     let sidecar = with_door(&config(nowhere(), &[entry("s-1", up.address, "ready")], 64));
-    let door = sidecar.management.expect("a door");
-    // Requests that hang (so few that the module, which knows nothing yet, refuses none), connections beyond the limit, and callers that say nothing.
+    let door = sidecar.management.expect("a management address");
+    // Requests that hang (few enough that the core, which has no observations yet, refuses none), connections beyond the
+    // limit, and silent management connections.
     let mut hanging: Vec<Client> = (0..4).map(|_| sidecar.connect()).collect();
     hanging.iter_mut().for_each(|c| c.say(&call("commit", LONG_LEFT, "")));
     let _crowd: Vec<Client> = (0..80).map(|_| sidecar.connect()).collect();
     let _silent: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(door).expect("accepted")).collect();
-    until("the figures", || (figure(door, "svc_open_requests") == 4).then_some(()));
-    assert_eq!(status(&get(door, "/admin/health")), 503, "no list was told yet");
+    until("the open requests", || (figure(door, "svc_open_requests") == 4).then_some(()));
+    assert_eq!(status(&get(door, "/admin/health")), 503, "not ready before the first list");
 }
 
 #[test]
@@ -124,20 +129,20 @@
     let (go, does) = waits("served");
     let up = Upstream::start(does);
     let mut sidecar = with_door(&config(nowhere(), &[entry("s-1", up.address, "ready")], 1024));
-    let door = sidecar.management.expect("a door");
-    until("the yes", || healthy(door).then_some(()));
+    let door = sidecar.management.expect("a management address");
+    until("healthy status", || healthy(door).then_some(()));
     let mut client = sidecar.connect();
     client.say(&call("commit", LONG_LEFT, ""));
     until("the attempt", || (up.requests() == 1).then_some(()));
     sidecar.terminate();
-    until("the no", || get(door, "/admin/health").contains("stopping").then_some(()));
+    until("the stopping status", || get(door, "/admin/health").contains("stopping").then_some(()));
     assert_eq!(figure(door, "svc_open_requests"), 1);
     go.send(()).expect("waited for");
     assert_eq!(client.hear().status(), 200);
     assert!(sidecar.ended().success());
 }
 
-/// A port that nobody else gets while this lives; nothing listens on it by itself.
+/// Reserves a port for as long as the value lives, without listening on it.
 struct Port {
     _held: socket2::Socket,
     at: SocketAddr,
@@ -172,13 +177,13 @@
 struct Seen {
     asked: AtomicUsize,
     served: AtomicUsize,
-    /// Requests that met a refused or reset connection, or one that ended without a word.
+    /// Ids of requests whose connection was refused, reset, or closed without a response.
     turned: Mutex<Vec<String>>,
     /// Statuses other than 200.
     other: Mutex<Vec<u16>>,
 }
 
-/// A client that keeps its connection for as long as it is let, and counts what its requests meet.
+/// Sends requests, reusing the connection while the sidecar keeps it open, and records their outcomes.
 fn client(at: SocketAddr, seen: &Seen, over: &AtomicBool) {
     let mut kept: Option<Client> = None;
     while !over.load(Ordering::SeqCst) {
@@ -214,9 +219,11 @@
     let (port, dir) = (Port::reserve(), shared_folder("upgrades"));
     let file = config(discovery.address, &[entry("s-1", up.address, "ready")], 1024);
     let mut old = Sidecar::run(beside(&file, port.at, &dir));
-    until("the first yes", || healthy(old.management.expect("a door")).then_some(()));
+    until("healthy status of the first process", || {
+        healthy(old.management.expect("a management address")).then_some(())
+    });
     let (seen, over) = (Arc::new(Seen::default()), Arc::new(AtomicBool::new(false)));
-    // So few that the module, which knows nothing at its start, refuses none.
+    // Few enough that the core, which has no observations at its start, refuses none.
     let clients: Vec<_> = (0..4)
         .map(|_| {
             let (seen, over, at) = (seen.clone(), over.clone(), port.at);
@@ -225,11 +232,11 @@
         .collect();
     for _ in 0..UPGRADES {
         let new = Sidecar::run(beside(&file, port.at, &dir));
-        until("the yes", || healthy(new.management.expect("a door")).then_some(()));
+        until("healthy status", || healthy(new.management.expect("a management address")).then_some(()));
         let before = seen.served.load(Ordering::SeqCst);
         old.terminate();
         assert!(old.ended().success());
-        until("service", || (seen.served.load(Ordering::SeqCst) > before + 20).then_some(()));
+        until("the successor to serve", || (seen.served.load(Ordering::SeqCst) > before + 20).then_some(()));
         old = new;
     }
     over.store(true, Ordering::SeqCst);
@@ -242,10 +249,19 @@
         .filter_map(|m| m.head.lines().find(|l| l.starts_with("X-Correlation-Id")).map(str::to_string))
         .collect();
     let turned = seen.turned.lock().expect("whole");
-    assert_eq!(turned.iter().filter(|id| ran.contains(*id)).count(), 0, "lost: it ran and nobody was told");
+    assert_eq!(
+        turned.iter().filter(|id| ran.contains(*id)).count(),
+        0,
+        "requests ran at the upstream but got no response"
+    );
     assert_eq!(*seen.other.lock().expect("whole"), Vec::<u16>::new());
-    assert!(turned.len() <= 2 * UPGRADES, "{} of {:?} met a closed door", turned.len(), seen.asked);
-    println!("{} of {:?} requests met a closed door", turned.len(), seen.asked);
+    assert!(
+        turned.len() <= 2 * UPGRADES,
+        "{} of {:?} requests found no open connection",
+        turned.len(),
+        seen.asked
+    );
+    println!("{} of {:?} requests found no open connection", turned.len(), seen.asked);
 }
 
 #[test]
@@ -255,15 +271,17 @@
     let (port, dir) = (Port::reserve(), shared_folder("dies"));
     let file = config(discovery.address, &[entry("s-1", up.address, "ready")], 1024);
     let mut old = Sidecar::run(beside(&file, port.at, &dir));
-    until("the first yes", || healthy(old.management.expect("a door")).then_some(()));
-    // One that finds no list yet takes no connections: its known list is empty and discovery is dark.
+    until("healthy status of the first process", || {
+        healthy(old.management.expect("a management address")).then_some(())
+    });
+    // A successor without a list accepts no connections: its configured list is empty and discovery is unreachable.
     let dark = Sidecar::run(beside(&config(nowhere(), &[], 1024), port.at, &dir));
-    assert!(!healthy(dark.management.expect("a door")));
+    assert!(!healthy(dark.management.expect("a management address")));
     for _ in 0..20 {
         assert_eq!(old.connect().ask(&call("commit", LONG_LEFT, "")).status(), 200);
     }
     drop(dark);
-    // With its would-be successor gone it stops as ever: it goes on taking connections for a while.
+    // With the successor gone the old process stops as usual: it keeps accepting connections for a while.
     let mut client = old.connect();
     assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).status(), 200);
     old.terminate();
@@ -278,7 +296,7 @@
     let up = Upstream::start(does);
     let good = config(nowhere(), &[entry("s-1", up.address, "ready")], 1024);
     let sidecar = with_door(&good);
-    let door = sidecar.management.expect("a door");
+    let door = sidecar.management.expect("a management address");
     let mut open = sidecar.connect();
     open.say(&call("commit", LONG_LEFT, ""));
     until("the attempt", || (up.requests() == 1).then_some(()));
@@ -313,15 +331,17 @@
     .collect();
     for (n, text) in broken.iter().enumerate() {
         sidecar.reload(text);
-        until("a refusal", || (figure(door, "svc_cfg_invalid_total") == n as u64 + 1).then_some(()));
+        until("the configuration to be rejected", || {
+            (figure(door, "svc_cfg_invalid_total") == n as u64 + 1).then_some(())
+        });
     }
     assert_eq!(figure(door, "svc_cfg_accepted_total"), 0);
-    // One class comes, one is dropped.
+    // One class is added, one removed.
     sidecar.reload(&good.replacen("\"name\":\"commit\"", "\"name\":\"order\"", 1));
-    until("the new file", || (figure(door, "svc_cfg_accepted_total") == 1).then_some(()));
+    until("the new configuration", || (figure(door, "svc_cfg_accepted_total") == 1).then_some(()));
     assert_eq!(by_class(door, "fulfilled", "order"), 0);
     let mut client = sidecar.connect();
-    assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).status(), 400, "dropped");
+    assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).status(), 400, "a removed class is rejected");
     let mut client = sidecar.connect();
     client.say(&call("order", LONG_LEFT, ""));
     until("its attempt", || (up.requests() == 2).then_some(()));
@@ -334,17 +354,20 @@
 fn a_successor_serves_in_the_dark_from_the_known_list_and_outlives_the_old_one_killed() {
     let up = Upstream::start(ok("served"));
     let (port, dir) = (Port::reserve(), shared_folder("dark"));
-    // Discovery answers nobody: each process has to do with the list it knew.
+    // Discovery is unreachable: each process uses the list it already has.
     let file = config(nowhere(), &[entry("s-1", up.address, "ready")], 1024);
     let mut old = Sidecar::run(beside(&file, port.at, &dir));
-    until("the first yes", || healthy(old.management.expect("a door")).then_some(()));
+    until("healthy status of the first process", || {
+        healthy(old.management.expect("a management address")).then_some(())
+    });
     let new = Sidecar::run(beside(&file, port.at, &dir));
-    // New settings may come to either in the meantime.
+    // Either process may be reloaded in the meantime.
     old.reload(&file);
     new.reload(&file);
-    until("the yes", || healthy(new.management.expect("a door")).then_some(()));
-    until("the new file", || {
-        let taken = |s: &Sidecar| figure(s.management.expect("a door"), "svc_cfg_accepted_total") == 1;
+    until("healthy status", || healthy(new.management.expect("a management address")).then_some(()));
+    until("the new configuration", || {
+        let taken =
+            |s: &Sidecar| figure(s.management.expect("a management address"), "svc_cfg_accepted_total") == 1;
         (taken(&old) && taken(&new)).then_some(())
     });
     old.child.kill().expect("killed");
@@ -352,5 +375,5 @@
     for _ in 0..20 {
         assert_eq!(new.connect().ask(&call("commit", LONG_LEFT, "")).status(), 200);
     }
-    until("both seats", || new.has_logged("\"paired\":false").then_some(()));
+    until("the old process's place to be released", || new.has_logged("\"paired\":false").then_some(()));
 }
--- a/crates/daemon/sidecar/tests/migrate.rs
+++ b/crates/daemon/sidecar/tests/migrate.rs
@@ -1,4 +1,4 @@
-//! `silvercross migrate`: the old file stays, nothing is overwritten, and what is written starts and serves.
+//! `silvercross migrate`: the old file is kept, nothing is overwritten, and the sidecar starts and serves with the new file.
 mod common;
 use common::*;
 use std::path::{Path, PathBuf};
@@ -54,7 +54,7 @@
     }
     assert_eq!(std::fs::read_to_string(dir.join("new.json")).expect("read"), "mine");
     assert_eq!(std::fs::read_to_string(dir.join("old.json")).expect("read"), old);
-    assert_eq!(files(&dir), ["new.json", "old.json"], "nothing is left behind");
+    assert_eq!(files(&dir), ["new.json", "old.json"], "no temporary file is left behind");
     std::fs::write(dir.join("old.json"), old.replace("on_request", "pushed")).expect("written");
     let out = migrate(&dir, &["--to", "other.json"]);
     let told = String::from_utf8_lossy(&out.stderr).into_owned();
--- a/crates/daemon/sidecar/tests/old_store.rs
+++ b/crates/daemon/sidecar/tests/old_store.rs
@@ -1,5 +1,4 @@
-//! A store of records that the sidecar of version 0.1.0 wrote (`data/records-store-0.1.0`): it is read, written to and read
-//! again.
+//! Compatibility with the record store of version 0.1.0 (`data/records-store-0.1.0`): it is read, written to and read again.
 use silvercross_idempotency_store::group_replica::CommandEntry;
 use silvercross_idempotency_store::machine::StateMachine;
 use silvercross_idempotency_store::Epoch;
@@ -10,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 const STORE: &[u8] = include_bytes!("data/records-store-0.1.0/records.redb");
-/// What is in it, one line each: its name, then its bytes in hexadecimal.
+/// The expected content of the store, one record a line: its name, then its bytes in hexadecimal.
 const RECORDS: &str = include_str!("data/records-store-0.1.0/records.hex");
-/// The member whose store it is.
+/// The identity of the member that wrote the store.
 const OWNER: u64 = 0x8bff_85de_cadc_779d;
 
 fn line<T: serde::Serialize>(lines: &mut String, name: &str, what: &T) {
@@ -21,7 +20,7 @@
     writeln!(lines, "{name} {hex}").expect("a string grows");
 }
 
-/// All that is kept, and the state that the log makes.
+/// All persisted records, and the state after applying the log, in the format of `RECORDS`.
 fn lines(kept: &Kept) -> String {
     let mut lines = String::new();
     for (group, epoch, durable) in kept {
@@ -57,12 +56,12 @@
         if let Some(found) = look() {
             return found;
         }
-        assert!(started.elapsed() < Duration::from_secs(60), "never came: {what}");
+        assert!(started.elapsed() < Duration::from_secs(60), "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// The thread of a store before it may hold the file for a moment longer.
+/// Opens the store, retrying because the thread of the previous store may still hold the file.
 fn open(path: &Path) -> (Store, Kept) {
     wait("the store", || Store::open(path, OWNER, None).ok())
 }
@@ -77,7 +76,7 @@
 
     let (store, kept) = open(&path);
     assert!(lines(&kept) == RECORDS, "the records have changed; they are now:\n{}", lines(&kept));
-    // What operators and upstreams were told stands in it: an answer, and a document that was written.
+    // Appends an entry behind the existing ones.
     let (group, epoch, before): &(u32, Epoch, PersistentState) = kept.first().expect("one group");
     let last = before.snapshot.index + before.entries.len() as u64;
     let added = Entry { payload: Payload::Nothing, ..before.entries.last().expect("entries").clone() };
--- a/crates/daemon/sidecar/tests/records.rs
+++ b/crates/daemon/sidecar/tests/records.rs
@@ -1,5 +1,5 @@
-//! The program as one of three that hold for each other: an answer of one is given by the others, documents and their changes,
-//! an ordered drain, a store that is told from its copy; and nothing of it without the table.
+//! Replicated records among three sidecars: a response recorded through one is replayed by the others, documents and their
+//! changes, an ordered drain, detection of a copied store; and without the `records` table the feature is off.
 mod common;
 use common::*;
 use std::io::{Read, Write};
@@ -26,9 +26,9 @@
     path
 }
 
-/// Where a process takes what other members say.
+/// The address on which a process receives messages from other members.
 fn fleet_of(s: &Sidecar) -> SocketAddr {
-    let told = door(s.management.expect("a door"), "GET /admin/members").1;
+    let told = door(s.management.expect("a management address"), "GET /admin/members").1;
     let told: serde_json::Value = serde_json::from_str(&told).expect("a list");
     told["at"].as_str().and_then(|a| a.parse().ok()).expect("an address")
 }
@@ -66,64 +66,64 @@
     let seed = fleet_of(&first);
     let mut all = vec![first];
     all.extend((1..3).map(|n| start(&dir, n, seed, &known)));
-    let doors: Vec<SocketAddr> = all.iter().map(|s| s.management.expect("a door")).collect();
-    // Without a founding nothing is held, and the class refuses.
+    let doors: Vec<SocketAddr> = all.iter().map(|s| s.management.expect("a management address")).collect();
+    // Until the group is founded no records are held, and the class refuses requests.
     let refused = all[0].connect().ask(&keyed("00", "k0"));
     assert_eq!((refused.status(), upstream.requests()), (503, 0));
     assert_eq!(door(doors[0], "POST /admin/records/found").0, 200);
-    assert_eq!(door(doors[0], "POST /admin/records/found").0, 409, "one founding");
+    assert_eq!(door(doors[0], "POST /admin/records/found").0, 409, "the group is founded only once");
     for d in &doors {
-        until("each knows three holders", || {
+        until("each member to know three voters", || {
             let v = records(*d);
             (v["groups"][0]["known"]["voters"].as_array()?.len() == 3).then_some(())
         });
     }
-    // An answer of one is the others' answer, and the upstream saw it once.
+    // The response recorded through one is replayed by the others, and the upstream got one request.
     for (n, s) in all.iter().enumerate() {
-        let answer = until("a marked answer", || {
+        let answer = until("a recorded response", || {
             let a = s.connect().ask(&keyed(&format!("1{n}"), "k1"));
             (a.status() == 200).then_some(a)
         });
         assert_eq!((answer.header("X-Held"), answer.body.as_slice()), (Some("1"), b"done".as_slice()));
     }
     assert_eq!(upstream.requests(), 1);
-    // A document: written at one, waited for at another.
+    // A document written at one member ends a wait at another.
     let waits = std::thread::spawn({
         let at = doors[1];
         move || door(at, "GET /admin/documents/d?above=0&wait_ms=4000")
     });
-    let put = until("written", || {
+    let put = until("the document to be written", || {
         Some(door(doors[2], "POST /admin/documents/d?expect=0&value=x")).filter(|p| p.0 == 200)
     });
     assert_eq!(put.1, "{\"version\":1}");
     let told = waits.join().expect("answered");
     assert!(told.1.contains("\"version\":1") && told.1.contains("\"x\""), "{told:?}");
     assert_eq!(door(doors[0], "POST /admin/documents/d?expect=0&value=y").0, 409);
-    // An ordered drain reaches everybody.
+    // An ordered drain reaches every member.
     assert_eq!(door(doors[1], "POST /admin/drains/s-a").0, 200);
     for d in &doors {
-        until("the drain is known", || (records(*d)["drains"][0] == "s-a").then_some(()));
+        until("the drain to be known", || (records(*d)["drains"][0] == "s-a").then_some(()));
     }
     assert_eq!(door(doors[1], "DELETE /admin/drains/s-a").0, 200);
-    // One dies; the two others still hold. It comes back with a copy of its folder: it is somebody new.
+    // One member dies, and the other two still serve the records. Restarted with a copy of its store, it gets a new identity.
     let id = records(doors[2])["id"].clone();
     let mut gone = all.pop().expect("three");
     gone.signal("KILL");
     gone.ended();
-    let answer = until("still held", || {
+    let answer = until("the record to be served by the remaining members", || {
         let a = all[0].connect().ask(&keyed("20", "k1"));
         (a.status() == 200).then_some(a)
     });
     assert_eq!((answer.header("X-Held"), upstream.requests()), (Some("1"), 1));
     let store = dir.join("disk-2/records.redb");
     let bytes = std::fs::read(&store).expect("kept");
-    // The old file stays where it was, so that the copy is another one for sure.
+    // Keeping the old file ensures that the copy is a different file.
     std::fs::rename(&store, dir.join("moved")).expect("moved");
     std::fs::write(&store, bytes).expect("copied");
     let back = start(&dir, 2, seed, &known);
-    assert_ne!(records(back.management.expect("a door"))["id"], id);
-    assert!(dir.join("disk-2/records.aside-1").exists(), "the copy is put aside, not lost");
-    until("it says so", || back.has_logged("somebody new").then_some(()));
+    assert_ne!(records(back.management.expect("a management address"))["id"], id);
+    assert!(dir.join("disk-2/records.aside-1").exists(), "the copied store is set aside, not deleted");
+    until("the log line on the new identity", || back.has_logged("somebody new").then_some(()));
 }
 
 #[test]
@@ -133,7 +133,7 @@
     let mut command = command(&config(nowhere(), &known, 256));
     command.env("PROXY_MANAGEMENT", "127.0.0.1:0");
     let s = Sidecar::run(command);
-    let at = s.management.expect("a door");
+    let at = s.management.expect("a management address");
     for line in [
         "GET /admin/records",
         "POST /admin/records/found",
--- a/crates/daemon/sidecar/tests/sockets.rs
+++ b/crates/daemon/sidecar/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Starts the program and speaks to it over sockets.
+//! Tests of the running program over sockets.
 mod common;
 use common::*;
 use std::io::Read;
@@ -19,7 +19,7 @@
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"served"[..]));
         assert_eq!(answer.header("X-Note"), Some("kept"));
         ids.push(text.lines().nth(2).expect("an id").to_string());
-        // A connection rests a little before it is used again.
+        // An upstream connection is not reused at once.
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     let seen = up.seen.lock().expect("whole");
@@ -94,7 +94,7 @@
     for text in [
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nser\r\n3\r\nved\r\n0\r\n\r\n",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved",
-        // Its connection ends in order, and so does the answer.
+        // Delimited by an orderly close of the connection.
         "HTTP/1.1 200 OK\r\n\r\nserved",
         "HTTP/1.0 200 OK\r\n\r\nserved",
     ] {
@@ -132,7 +132,7 @@
     let mut client = sidecar.connect();
     assert_eq!(client.ask("GET /elsewhere HTTP/1.1\r\n\r\n").status(), 404);
     assert_eq!(client.ask("PUT /api HTTP/1.1\r\nContent-Length: 0\r\n\r\n").status(), 405);
-    assert_eq!(up.requests(), 0, "none of it went on");
+    assert_eq!(up.requests(), 0, "no request reached the upstream");
     assert_eq!(client.ask(&good).status(), 200);
 }
 
@@ -150,7 +150,7 @@
     go.send(()).expect("waited for");
     assert_eq!(first.hear().body, b"served");
     assert_eq!(up.requests(), 1);
-    // Once it is answered its id is free.
+    // The id is free again once the request is answered.
     go.send(()).expect("waited for");
     assert_eq!(first.ask(&text).status(), 200);
 }
@@ -161,7 +161,7 @@
     let sidecar = Sidecar::start(nowhere(), &[entry("s-1", up.address, "ready")]);
     let (mut silent, mut asked, mut slow) = (sidecar.connect(), sidecar.connect(), sidecar.connect());
     assert_eq!(asked.ask(&call("commit", LONG_LEFT, "")).status(), 200);
-    // A head that goes on: its time runs from the first byte, whatever follows.
+    // An endless head: its timeout runs from the first byte, whatever follows.
     slow.write.set_nodelay(true).expect("set");
     slow.say("GET /api HTTP/1.1\r\n");
     let mut writer = slow.write.try_clone().expect("copied");
@@ -179,7 +179,7 @@
 fn silent_connections_give_way_to_those_that_ask() {
     let up = Upstream::start(ok("served"));
     let sidecar = Sidecar::with(&config(nowhere(), &[entry("s-1", up.address, "ready")], 64));
-    // One that is of use, then many that say nothing: they push each other out, not the one that asks.
+    // One used connection, then many silent ones: these evict each other, not the used one.
     let mut used = sidecar.connect();
     assert_eq!(used.ask(&call("commit", LONG_LEFT, "")).status(), 200);
     let mut silent = Vec::new();
@@ -225,7 +225,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
     ] {
         let up = Upstream::start(Does::SaysAndHangs(text.into()));
-        // With no upstream left that says more, only the judgement of this answer can end the wait.
+        // The deadline is far off, so only the handling of this response can end the wait.
         let slow = config(nowhere(), &[entry("s-1", up.address, "ready")], 1024).replace("6.0", "600.0");
         let sidecar = Sidecar::with(&slow);
         assert_eq!(sidecar.connect().ask(&call("commit", 600_000, "")).status(), 502, "{text}");
@@ -280,7 +280,7 @@
     for _ in 0..4 {
         assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).status(), 200);
     }
-    assert!(full.requests() > 0, "or the test shows nothing");
+    assert!(full.requests() > 0, "the full upstream was never tried");
 }
 
 #[test]
@@ -320,18 +320,20 @@
     let discovery = Discovery::start(list(2, true, &[entry("s-1", old.address, "ready")]));
     let sidecar = Sidecar::start(discovery.address, &[]);
     let mut client = sidecar.connect();
-    // It is ready once it knows an upstream.
+    // Ready once an upstream is known.
     until("readiness", || (client.ask("GET /healthz HTTP/1.1\r\n\r\n").status() == 200).then_some(()));
     assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).body, b"old");
     // The same name at another address.
     discovery.tell(&list(3, false, &[entry("s-1", new.address, "ready")]));
-    until("the move", || (client.ask(&call("commit", LONG_LEFT, "")).body == b"new").then_some(()));
+    until("the upstream's new address", || {
+        (client.ask(&call("commit", LONG_LEFT, "")).body == b"new").then_some(())
+    });
     until("its idle connection's end", || (old.ended.load(Ordering::SeqCst) == 1).then_some(()));
     discovery.tell("{\"seq\":4,\"hosts\":[{\"host\":");
     until("another watch", || (discovery.watches() == 2).then_some(()));
     assert!(
         discovery.asked.lock().expect("whole")[1].contains("since=3"),
-        "from where the last good news was"
+        "resumes after the last valid change"
     );
     assert!([&b"old"[..], b"new"].contains(&client.ask(&call("commit", LONG_LEFT, "")).body.as_slice()));
 }
@@ -366,9 +368,9 @@
     let sidecar = Sidecar::start(discovery.address, &[]);
     until("the watch", || (discovery.watches() == 1).then_some(()));
     discovery.end_chunks();
-    until("another after its last chunk", || (discovery.watches() == 2).then_some(()));
-    // From here on the stand-in says nothing, not even the lines that a watch says while nothing changes.
-    until("another after silence", || (discovery.watches() == 3).then_some(()));
+    until("a new watch after the last chunk", || (discovery.watches() == 2).then_some(()));
+    // From here on the fake discovery sends nothing, not even the keep-alive lines of an unchanged watch.
+    until("a new watch after silence", || (discovery.watches() == 3).then_some(()));
     let log = sidecar.log.lock().expect("whole");
     let why: Vec<_> = log.iter().filter(|l| l.contains("broke off")).collect();
     assert!(why[0].contains("Closed") && why[1].contains("silence"), "{why:?}");
@@ -412,25 +414,32 @@
     let (old, new) = (Upstream::start(ok("old")), Upstream::start(ok("new")));
     let first = Discovery::start(list(7, true, &[entry("s-1", old.address, "ready")]));
     let second = Discovery::start(list(3, true, &[entry("s-2", new.address, "ready")]));
-    // The variable holds over the file at the start, and no longer once the file has been replaced.
+    // The environment variable overrides the file at the start, but not once the file has been replaced.
     let mut command = command(&config(nowhere(), &[], 1024));
     command.env("PROXY_DISCOVERY", first.address.to_string());
     let mut sidecar = Sidecar::run(command);
     let mut client = sidecar.connect();
     until("the first list", || (client.ask("GET /healthz HTTP/1.1\r\n\r\n").status() == 200).then_some(()));
     assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).body, b"old");
-    // A file that can't be read changes nothing, and is one line in the log.
+    // A file that can't be parsed changes nothing and is logged in one line.
     sidecar.reload("{\"name\":");
-    until("the line", || sidecar.has_logged("the configuration stays as it was").then_some(()));
+    until("the log line", || sidecar.has_logged("the configuration stays as it was").then_some(()));
     assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).body, b"old");
-    // Discovery elsewhere: asked for all it has, while the client's connection and the list stay.
+    // A new discovery address: its full list is requested, while the client's connection and the current list stay.
     sidecar.reload(&config(second.address, &[], 1024));
     until("the second watch", || (second.watches() == 1).then_some(()));
-    assert!(second.asked.lock().expect("whole")[0].contains("since=0"), "versions of another service");
-    until("its list", || (client.ask(&call("commit", LONG_LEFT, "")).body == b"new").then_some(()));
+    assert!(
+        second.asked.lock().expect("whole")[0].contains("since=0"),
+        "versions of the first service do not apply to the second"
+    );
+    until("the second discovery's list", || {
+        (client.ask(&call("commit", LONG_LEFT, "")).body == b"new").then_some(())
+    });
     second.tell(&list(4, false, &[entry("s-1", old.address, "ready"), entry("s-2", new.address, "gone")]));
-    until("its change", || (client.ask(&call("commit", LONG_LEFT, "")).body == b"old").then_some(()));
-    assert_eq!(first.watches(), 1, "the first is asked no more");
+    until("a change from the second discovery", || {
+        (client.ask(&call("commit", LONG_LEFT, "")).body == b"old").then_some(())
+    });
+    assert_eq!(first.watches(), 1, "the first discovery gets no further watch");
     sidecar.terminate();
     assert!(sidecar.ended().success());
 }
@@ -440,7 +449,7 @@
     let up = Upstream::start(ok("served"));
     let discovery = Discovery::start(list(1, true, &[entry("s-1", up.address, "ready")]));
     let sidecar = Sidecar::start(nowhere(), &[]);
-    until("a broken call", || sidecar.has_logged("discovery broke off").then_some(()));
+    until("a failed watch", || sidecar.has_logged("discovery broke off").then_some(()));
     sidecar.reload(&config(discovery.address, &[], 1024));
     let mut client = sidecar.connect();
     until("the list", || (client.ask("GET /healthz HTTP/1.1\r\n\r\n").status() == 200).then_some(()));
@@ -458,7 +467,7 @@
     until("the attempt", || (up.requests() == 1).then_some(()));
     sidecar.terminate();
     assert!(idle.is_closed(), "an idle connection is closed");
-    // A new connection is still taken, and its request answered.
+    // A new connection is still accepted and its request answered.
     let mut late = sidecar.connect();
     late.say(&call("commit", LONG_LEFT, ""));
     until("the late attempt", || (up.requests() == 2).then_some(()));
@@ -490,8 +499,8 @@
 fn at_the_limit_of_descriptors_more_connections_are_still_accepted_and_told_no() {
     let (go, does) = waits("served");
     let up = Upstream::start(does);
-    // 64 descriptors, less those the process needs: room for 14 from applications, and as many to upstreams.
-    // Many names for one upstream, so that nothing is refused for a crowd there.
+    // 64 descriptors, less those the process needs, leave 14 for applications and as many for upstreams.
+    // Many names for one upstream, so that no request is refused for its load.
     let known: Vec<_> = (0..16).map(|n| entry(&format!("s-{n}"), up.address, "ready")).collect();
     let sidecar = Sidecar::with(&config(nowhere(), &known, 64));
     let ask = |_| {
@@ -500,8 +509,8 @@
         client
     };
     let mut busy: Vec<_> = (0..14).map(ask).collect();
-    until("all at work", || (up.requests() == 14).then_some(()));
-    // More than can be accepted at once: each is told in its turn.
+    until("all requests at the upstream", || (up.requests() == 14).then_some(()));
+    // More than can be accepted at once: each is refused in turn.
     let mut more: Vec<_> = (0..40).map(ask).collect();
     for client in &mut more {
         let answer = client.hear();
@@ -519,14 +528,14 @@
 fn idle_connections_give_way_to_new_ones_at_the_limit() {
     let up = Upstream::start(ok("served"));
     let sidecar = Sidecar::with(&config(nowhere(), &[entry("s-1", up.address, "ready")], 64));
-    // Each is used and kept open: far more than there are descriptors for, yet nobody is turned away.
+    // Each is used and kept open: more connections than descriptors, yet none is refused.
     let mut clients = Vec::new();
     for _ in 0..100 {
         let mut client = sidecar.connect();
         assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).status(), 200);
         clients.push(client);
     }
-    assert!(clients[0].is_closed(), "the longest idle has gone");
+    assert!(clients[0].is_closed(), "the longest idle connection is closed");
     assert_eq!(clients[99].ask(&call("commit", LONG_LEFT, "")).status(), 200);
 }
 
@@ -546,7 +555,7 @@
     assert_eq!([client.hear().status(), client.hear().status()], [200, 200]);
     let seen = up.seen.lock().expect("whole");
     let left: u64 = seen[1].header("X-Time-Left-Ms").and_then(|v| v.parse().ok()).expect("a number");
-    // The margin of 10 ms and most of the wait are off it.
+    // The margin of 10 ms and most of the wait are deducted.
     assert!(left <= 4_920, "{left}");
 }
 
--- a/crates/daemon/sidecar/tests/streams.rs
+++ b/crates/daemon/sidecar/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Messages larger than a buffer, through the running program: whole, in bounded memory, and never whole where they broke off.
+//! Messages larger than a buffer pass through the running program complete and in bounded memory; a truncated message is
+//! never presented as complete.
 mod common;
 use common::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,12 +12,12 @@
 const LONG_LEFT: u64 = 6_000;
 const MB32: usize = 32 << 20;
 
-/// Bytes that differ from place to place, so that none can be lost, doubled or swapped unseen.
+/// Bytes that vary with their offset, so that lost, repeated or swapped data is detected.
 fn body(len: usize) -> Vec<u8> {
     (0..len).map(|n| (n / 7 + n / 65_537) as u8).collect()
 }
 
-/// An upstream that does this with each connection.
+/// Starts an upstream that runs this function for each connection.
 fn upstream(does: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
@@ -30,7 +31,7 @@
     at
 }
 
-/// The body of a message in chunks; `None` if it ends before its last one.
+/// Reads a chunked body; `None` if it ends before the last chunk.
 fn chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut all = Vec::new();
     loop {
@@ -48,7 +49,7 @@
     }
 }
 
-/// A message of any framing; `None` if it is not whole.
+/// Reads a message with a chunked body or a `Content-Length`; `None` if it is incomplete.
 fn read_any(from: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -65,7 +66,7 @@
     Some(message)
 }
 
-/// Sends each request's body back, framed as it is told.
+/// Starts an upstream that echoes each request body in the given framing.
 fn echo(framing: &'static str) -> SocketAddr {
     upstream(move |stream| {
         let mut write = stream.try_clone().expect("copied");
@@ -111,7 +112,7 @@
     Sidecar::run(command)
 }
 
-/// A figure of the process's, in kB, by its name.
+/// A field of the process's `/proc` status, in kB.
 fn status_of(sidecar: &Sidecar, name: &str) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", sidecar.child.id())).expect("read");
     let line = status.lines().find_map(|l| l.strip_prefix(name)).expect("there");
@@ -119,7 +120,7 @@
 }
 
 fn figure(sidecar: &Sidecar, what: &str) -> u64 {
-    let mut stream = TcpStream::connect(sidecar.management.expect("a door")).expect("accepted");
+    let mut stream = TcpStream::connect(sidecar.management.expect("a management address")).expect("accepted");
     stream.write_all(b"GET /admin/stats HTTP/1.1\r\n\r\n").expect("written");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("a whole answer");
@@ -147,8 +148,8 @@
                 let answer = read_any(&mut client.read).expect("a whole answer");
                 writer.join().expect("the writer's end");
                 assert_eq!(answer.status(), 200);
-                assert!(answer.body == *all, "not the bytes that were sent");
-                // The connection goes on.
+                assert!(answer.body == *all, "the response differs from the bytes sent");
+                // The connection stays usable.
                 assert_eq!(client.ask(&call("commit", LONG_LEFT, "small")).body, b"small");
             })
         })
@@ -205,7 +206,7 @@
 
 #[test]
 fn an_answer_that_breaks_off_is_never_whole_to_its_client() {
-    // All of the head and a part of the body, then an end, in each framing.
+    // The whole head and a part of the body, then the connection ends, in each framing.
     for (lines, reset) in [
         ("Content-Length: 500000\r\n", false),
         ("Content-Length: 500000\r\n", true),
@@ -219,7 +220,7 @@
                 let chunk = if lines.starts_with("Transfer") { "493e0\r\n" } else { "" };
                 let _ = write.write_all(format!("HTTP/1.1 200 OK\r\n{lines}\r\n{chunk}").as_bytes());
                 let _ = write.write_all(&body(200_000));
-                // What has come so far is passed on first.
+                // Lets the sidecar pass on the part sent so far.
                 thread::sleep(Duration::from_millis(50));
                 if reset {
                     let _ = socket2::SockRef::from(&write).set_linger(Some(Duration::ZERO));
@@ -236,7 +237,7 @@
         let whole = ended.is_ok() && !has("content-length: 500000") && !has("transfer-encoding: chunked");
         assert!(!whole && shown.starts_with("HTTP/1.1 200 OK"), "{lines:?}: {shown}");
         assert!(!text.ends_with(b"0\r\n\r\n"), "{lines:?}: no last chunk");
-        until("the figure", || (figure(&sidecar, "faulted") == 1).then_some(()));
+        until("the fault to be counted", || (figure(&sidecar, "faulted") == 1).then_some(()));
     }
 }
 
@@ -252,7 +253,7 @@
         e.fetch_add(1, Ordering::SeqCst);
     });
     let sidecar = started(at);
-    // The client leaves in the middle; or says what is no chunk; or says no more.
+    // The client closes in mid-body, sends an invalid chunk, or stops sending.
     let mut client = sidecar.connect();
     client.say(&head(1 << 20));
     client.write.write_all(&body(400_000)).expect("written");
@@ -268,13 +269,13 @@
     client.say(&head(1 << 20));
     client.write.write_all(&body(100_000)).expect("written");
     assert_eq!(client.hear().status(), 408);
-    until("their end", || (ended.load(Ordering::SeqCst) == 3).then_some(()));
+    until("the end of all attempts", || (ended.load(Ordering::SeqCst) == 3).then_some(()));
     assert_eq!(whole.load(Ordering::SeqCst), 0);
 }
 
 #[test]
 fn an_early_no_ends_a_body_and_an_unseen_one_goes_elsewhere_only_while_it_is_held() {
-    // Turned away before anything past the first buffer was read: the other upstream gets the whole.
+    // Refused before anything past the first buffer was read: the other upstream gets the whole body.
     let seen: Arc<Mutex<Vec<usize>>> = Arc::default();
     let s = seen.clone();
     let good = upstream(move |stream| {
@@ -295,7 +296,7 @@
         assert_eq!(client.hear().status(), 200);
     }
     assert_eq!(*seen.lock().expect("whole"), [500_000; 6]);
-    // An upstream that says no in the middle: its no is the answer, and the rest is not read.
+    // An upstream that responds with an error in mid-body: the request fails, and the rest of the body is not read.
     let says_no = upstream(|stream| {
         let mut write = stream.try_clone().expect("copied");
         let mut read = BufReader::new(stream);
@@ -323,7 +324,7 @@
         slow.write.write_all(piece).expect("written");
         thread::sleep(Duration::from_millis(100));
     }
-    // 64 kB a second: with its head it takes longer than a request of any speed may stand still.
+    // 64 kB a second: with the head this takes longer than a request may stall.
     for piece in all.chunks(3_200) {
         slow.write.write_all(piece).expect("written");
         thread::sleep(Duration::from_millis(50));
