--- a/crates/daemon/sidecar/tests/fleet.rs
+++ b/crates/daemon/sidecar/tests/fleet.rs
@@ -53,8 +53,7 @@
     let one = start("fleet-one", discovery.address, &known, &fleet(at_1, at_1));
     // The second member's discovery is unreachable: it has only the configured list.
     let mut two = start("fleet-two", nowhere(), &known, &fleet(at_2, at_1));
-    let (door_1, door_2) =
-        (one.management.expect("a management address"), two.management.expect("a management address"));
+    let (door_1, door_2) = (one.management.expect("management"), two.management.expect("management"));
     for door in [door_1, door_2] {
         until("each member to list the other", || (members(door)["live"] == 2).then_some(()));
     }
@@ -100,7 +99,7 @@
     let mut without = common::command(&config(nowhere(), &[], 256));
     without.env("PROXY_MANAGEMENT", "127.0.0.1:0");
     let without = Sidecar::run(without);
-    assert_eq!(members(without.management.expect("a management address")), serde_json::Value::Null);
+    assert_eq!(members(without.management.expect("management")), serde_json::Value::Null);
     let pid = without.child.id();
     let udp = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).unwrap_or_default();
     let links = std::fs::read_dir(format!("/proc/{pid}/fd"))
--- a/crates/daemon/sidecar/tests/in_service.rs
+++ b/crates/daemon/sidecar/tests/in_service.rs
@@ -61,7 +61,7 @@
     let discovery = Discovery::start(list(1, true, &[]));
     let up = Upstream::start(ok("served"));
     let sidecar = with_door(&config(discovery.address, &[entry("s-1", up.address, "ready")], 1024));
-    let door = sidecar.management.expect("a management address");
+    let door = sidecar.management.expect("management");
     assert_eq!(status(&get(door, "/admin/health")), 503, "not ready before the first list");
     discovery.told(1);
     let tell = list(2, true, &[entry("s-1", up.address, "ready"), entry("s-2", up.address, "draining")]);
@@ -92,7 +92,7 @@
     let bad = Upstream::start(Does::Says("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n".into()));
     for (upstream, what) in [(&up, "fulfilled"), (&bad, "faulted")] {
         let sidecar = with_door(&config(nowhere(), &[entry("s-1", upstream.address, "ready")], 1024));
-        let door = sidecar.management.expect("a management address");
+        let door = sidecar.management.expect("management");
         let mut client = sidecar.connect();
         for _ in 0..7 {
             client.ask(&call("commit", LONG_LEFT, ""));
@@ -103,7 +103,7 @@
     }
     // Without an upstream the request is refused and nothing is relayed.
     let sidecar = with_door(&config(nowhere(), &[], 1024));
-    let door = sidecar.management.expect("a management address");
+    let door = sidecar.management.expect("management");
     assert_eq!(sidecar.connect().ask(&call("read", LONG_LEFT, "")).status(), 503);
     assert_eq!((by_class(door, "throttled", "read"), figure(door, "svc_relayed_total")), (1, 0));
 }
@@ -113,7 +113,7 @@
     let (_go, does) = waits("served");
     let up = Upstream::start(does);
     let sidecar = with_door(&config(nowhere(), &[entry("s-1", up.address, "ready")], 64));
-    let door = sidecar.management.expect("a management address");
+    let door = sidecar.management.expect("management");
     // Requests that hang (few enough that the core, which has no observations yet, refuses none), connections beyond the
     // limit, and silent management connections.
     let mut hanging: Vec<Client> = (0..4).map(|_| sidecar.connect()).collect();
@@ -129,7 +129,7 @@
     let (go, does) = waits("served");
     let up = Upstream::start(does);
     let mut sidecar = with_door(&config(nowhere(), &[entry("s-1", up.address, "ready")], 1024));
-    let door = sidecar.management.expect("a management address");
+    let door = sidecar.management.expect("management");
     until("healthy status", || healthy(door).then_some(()));
     let mut client = sidecar.connect();
     client.say(&call("commit", LONG_LEFT, ""));
@@ -219,9 +219,7 @@
     let (port, dir) = (Port::reserve(), shared_folder("upgrades"));
     let file = config(discovery.address, &[entry("s-1", up.address, "ready")], 1024);
     let mut old = Sidecar::run(beside(&file, port.at, &dir));
-    until("healthy status of the first process", || {
-        healthy(old.management.expect("a management address")).then_some(())
-    });
+    until("healthy status", || healthy(old.management.expect("management")).then_some(()));
     let (seen, over) = (Arc::new(Seen::default()), Arc::new(AtomicBool::new(false)));
     // Few enough that the core, which has no observations at its start, refuses none.
     let clients: Vec<_> = (0..4)
@@ -232,11 +230,11 @@
         .collect();
     for _ in 0..UPGRADES {
         let new = Sidecar::run(beside(&file, port.at, &dir));
-        until("healthy status", || healthy(new.management.expect("a management address")).then_some(()));
+        until("healthy status", || healthy(new.management.expect("management")).then_some(()));
         let before = seen.served.load(Ordering::SeqCst);
         old.terminate();
         assert!(old.ended().success());
-        until("the successor to serve", || (seen.served.load(Ordering::SeqCst) > before + 20).then_some(()));
+        until("service", || (seen.served.load(Ordering::SeqCst) > before + 20).then_some(()));
         old = new;
     }
     over.store(true, Ordering::SeqCst);
@@ -271,12 +269,10 @@
     let (port, dir) = (Port::reserve(), shared_folder("dies"));
     let file = config(discovery.address, &[entry("s-1", up.address, "ready")], 1024);
     let mut old = Sidecar::run(beside(&file, port.at, &dir));
-    until("healthy status of the first process", || {
-        healthy(old.management.expect("a management address")).then_some(())
-    });
+    until("healthy status", || healthy(old.management.expect("management")).then_some(()));
     // A successor without a list accepts no connections: its configured list is empty and discovery is unreachable.
     let dark = Sidecar::run(beside(&config(nowhere(), &[], 1024), port.at, &dir));
-    assert!(!healthy(dark.management.expect("a management address")));
+    assert!(!healthy(dark.management.expect("management")));
     for _ in 0..20 {
         assert_eq!(old.connect().ask(&call("commit", LONG_LEFT, "")).status(), 200);
     }
@@ -296,7 +292,7 @@
     let up = Upstream::start(does);
     let good = config(nowhere(), &[entry("s-1", up.address, "ready")], 1024);
     let sidecar = with_door(&good);
-    let door = sidecar.management.expect("a management address");
+    let door = sidecar.management.expect("management");
     let mut open = sidecar.connect();
     open.say(&call("commit", LONG_LEFT, ""));
     until("the attempt", || (up.requests() == 1).then_some(()));
@@ -341,7 +337,7 @@
     until("the new configuration", || (figure(door, "svc_cfg_accepted_total") == 1).then_some(()));
     assert_eq!(by_class(door, "fulfilled", "order"), 0);
     let mut client = sidecar.connect();
-    assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).status(), 400, "a removed class is rejected");
+    assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).status(), 400, "dropped");
     let mut client = sidecar.connect();
     client.say(&call("order", LONG_LEFT, ""));
     until("its attempt", || (up.requests() == 2).then_some(()));
@@ -357,17 +353,14 @@
     // Discovery is unreachable: each process uses the list it already has.
     let file = config(nowhere(), &[entry("s-1", up.address, "ready")], 1024);
     let mut old = Sidecar::run(beside(&file, port.at, &dir));
-    until("healthy status of the first process", || {
-        healthy(old.management.expect("a management address")).then_some(())
-    });
+    until("healthy status", || healthy(old.management.expect("management")).then_some(()));
     let new = Sidecar::run(beside(&file, port.at, &dir));
     // Either process may be reloaded in the meantime.
     old.reload(&file);
     new.reload(&file);
-    until("healthy status", || healthy(new.management.expect("a management address")).then_some(()));
+    until("healthy status", || healthy(new.management.expect("management")).then_some(()));
     until("the new configuration", || {
-        let taken =
-            |s: &Sidecar| figure(s.management.expect("a management address"), "svc_cfg_accepted_total") == 1;
+        let taken = |s: &Sidecar| figure(s.management.expect("bound"), "svc_cfg_accepted_total") == 1;
         (taken(&old) && taken(&new)).then_some(())
     });
     old.child.kill().expect("killed");
@@ -375,5 +368,5 @@
     for _ in 0..20 {
         assert_eq!(new.connect().ask(&call("commit", LONG_LEFT, "")).status(), 200);
     }
-    until("the old process's place to be released", || new.has_logged("\"paired\":false").then_some(()));
+    until("the old process to be gone", || new.has_logged("\"paired\":false").then_some(()));
 }
--- a/crates/daemon/sidecar/tests/records.rs
+++ b/crates/daemon/sidecar/tests/records.rs
@@ -28,7 +28,7 @@
 
 /// The address on which a process receives messages from other members.
 fn fleet_of(s: &Sidecar) -> SocketAddr {
-    let told = door(s.management.expect("a management address"), "GET /admin/members").1;
+    let told = door(s.management.expect("management"), "GET /admin/members").1;
     let told: serde_json::Value = serde_json::from_str(&told).expect("a list");
     told["at"].as_str().and_then(|a| a.parse().ok()).expect("an address")
 }
@@ -66,7 +66,7 @@
     let seed = fleet_of(&first);
     let mut all = vec![first];
     all.extend((1..3).map(|n| start(&dir, n, seed, &known)));
-    let doors: Vec<SocketAddr> = all.iter().map(|s| s.management.expect("a management address")).collect();
+    let doors: Vec<SocketAddr> = all.iter().map(|s| s.management.expect("management")).collect();
     // Until the group is founded no records are held, and the class refuses requests.
     let refused = all[0].connect().ask(&keyed("00", "k0"));
     assert_eq!((refused.status(), upstream.requests()), (503, 0));
@@ -117,11 +117,11 @@
     assert_eq!((answer.header("X-Held"), upstream.requests()), (Some("1"), 1));
     let store = dir.join("disk-2/records.redb");
     let bytes = std::fs::read(&store).expect("kept");
-    // Keeping the old file ensures that the copy is a different file.
+    // Keeping the old file ensures that the copy gets another inode.
     std::fs::rename(&store, dir.join("moved")).expect("moved");
     std::fs::write(&store, bytes).expect("copied");
     let back = start(&dir, 2, seed, &known);
-    assert_ne!(records(back.management.expect("a management address"))["id"], id);
+    assert_ne!(records(back.management.expect("management"))["id"], id);
     assert!(dir.join("disk-2/records.aside-1").exists(), "the copied store is set aside, not deleted");
     until("the log line on the new identity", || back.has_logged("somebody new").then_some(()));
 }
@@ -133,7 +133,7 @@
     let mut command = command(&config(nowhere(), &known, 256));
     command.env("PROXY_MANAGEMENT", "127.0.0.1:0");
     let s = Sidecar::run(command);
-    let at = s.management.expect("a management address");
+    let at = s.management.expect("management");
     for line in [
         "GET /admin/records",
         "POST /admin/records/found",
--- a/crates/daemon/sidecar/tests/sockets.rs
+++ b/crates/daemon/sidecar/tests/sockets.rs
@@ -325,9 +325,7 @@
     assert_eq!(client.ask(&call("commit", LONG_LEFT, "")).body, b"old");
     // The same name at another address.
     discovery.tell(&list(3, false, &[entry("s-1", new.address, "ready")]));
-    until("the upstream's new address", || {
-        (client.ask(&call("commit", LONG_LEFT, "")).body == b"new").then_some(())
-    });
+    until("the move", || (client.ask(&call("commit", LONG_LEFT, "")).body == b"new").then_some(()));
     until("its idle connection's end", || (old.ended.load(Ordering::SeqCst) == 1).then_some(()));
     discovery.tell("{\"seq\":4,\"hosts\":[{\"host\":");
     until("another watch", || (discovery.watches() == 2).then_some(()));
@@ -432,13 +430,9 @@
         second.asked.lock().expect("whole")[0].contains("since=0"),
         "versions of the first service do not apply to the second"
     );
-    until("the second discovery's list", || {
-        (client.ask(&call("commit", LONG_LEFT, "")).body == b"new").then_some(())
-    });
+    until("its list", || (client.ask(&call("commit", LONG_LEFT, "")).body == b"new").then_some(()));
     second.tell(&list(4, false, &[entry("s-1", old.address, "ready"), entry("s-2", new.address, "gone")]));
-    until("a change from the second discovery", || {
-        (client.ask(&call("commit", LONG_LEFT, "")).body == b"old").then_some(())
-    });
+    until("its change", || (client.ask(&call("commit", LONG_LEFT, "")).body == b"old").then_some(()));
     assert_eq!(first.watches(), 1, "the first discovery gets no further watch");
     sidecar.terminate();
     assert!(sidecar.ended().success());
--- a/crates/daemon/sidecar/tests/streams.rs
+++ b/crates/daemon/sidecar/tests/streams.rs
@@ -120,7 +120,7 @@
 }
 
 fn figure(sidecar: &Sidecar, what: &str) -> u64 {
-    let mut stream = TcpStream::connect(sidecar.management.expect("a management address")).expect("accepted");
+    let mut stream = TcpStream::connect(sidecar.management.expect("management")).expect("accepted");
     stream.write_all(b"GET /admin/stats HTTP/1.1\r\n\r\n").expect("written");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("a whole answer");
