--- a/crates/daemon/sidecar/tests/in_service.rs
+++ b/crates/daemon/sidecar/tests/in_service.rs
@@ -327,9 +327,7 @@
     .collect();
     for (n, text) in broken.iter().enumerate() {
         sidecar.reload(text);
-        until("the configuration to be rejected", || {
-            (figure(door, "svc_cfg_invalid_total") == n as u64 + 1).then_some(())
-        });
+        until("a rejection", || (figure(door, "svc_cfg_invalid_total") == n as u64 + 1).then_some(()));
     }
     assert_eq!(figure(door, "svc_cfg_accepted_total"), 0);
     // One class is added, one removed.
