--- a/crates/daemon/sidecar/tests/common/mod.rs
+++ b/crates/daemon/sidecar/tests/common/mod.rs
@@ -12,15 +12,15 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of every wait, longer than any step takes on a slow machine.
-pub const LONG: Duration = Duration::from_secs(60);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+pub fn until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let started = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(started.elapsed() < LONG, "timed out waiting for {what}");
+        assert!(started.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -59,9 +59,9 @@
 
 /// How a fake upstream responds to a request.
 #[derive(Clone)]
-pub enum Does {
+pub enum Behavior {
     /// Sends these bytes and keeps the connection.
-    Says(String),
+    Responds(String),
     /// Sends these bytes one by one, then closes.
     Trickles(String),
     /// Closes the connection without a response.
@@ -69,21 +69,24 @@
     /// Sends nothing until the connection ends.
     Hangs,
     /// Sends these bytes, then nothing until the connection ends.
-    SaysAndHangs(String),
+    RespondsAndHangs(String),
     /// Echoes the request body, and repeats the same response 1 ms later.
     EchoesTwice,
     /// Waits for a signal from the test, then sends these bytes.
     Waits(Arc<Mutex<Receiver<()>>>, String),
 }
 
-pub fn ok(body: &str) -> Does {
-    Does::Says(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Note: kept\r\n\r\n{body}", body.len()))
+pub fn ok(body: &str) -> Behavior {
+    Behavior::Responds(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Note: kept\r\n\r\n{body}",
+        body.len()
+    ))
 }
 
-pub fn waits(body: &str) -> (Sender<()>, Does) {
+pub fn ok_after_signal(body: &str) -> (Sender<()>, Behavior) {
     let (go, wait) = channel();
-    let Does::Says(text) = ok(body) else { unreachable!() };
-    (go, Does::Waits(Arc::new(Mutex::new(wait)), text))
+    let Behavior::Responds(text) = ok(body) else { unreachable!() };
+    (go, Behavior::Waits(Arc::new(Mutex::new(wait)), text))
 }
 
 /// A fake upstream that records the requests it receives.
@@ -95,7 +98,7 @@
 }
 
 impl Upstream {
-    pub fn start(does: Does) -> Self {
+    pub fn start(behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let new = Upstream {
             address: listener.local_addr().expect("bound"),
@@ -107,9 +110,9 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 accepted.fetch_add(1, Ordering::SeqCst);
-                let (does, seen, ended) = (does.clone(), seen.clone(), ended.clone());
+                let (behavior, seen, ended) = (behavior.clone(), seen.clone(), ended.clone());
                 thread::spawn(move || {
-                    serve(stream, &does, &seen);
+                    serve(stream, &behavior, &seen);
                     ended.fetch_add(1, Ordering::SeqCst);
                 });
             }
@@ -122,28 +125,28 @@
     }
 }
 
-fn serve(stream: TcpStream, does: &Does, seen: &Mutex<Vec<Message>>) -> Option<()> {
+fn serve(stream: TcpStream, behavior: &Behavior, seen: &Mutex<Vec<Message>>) -> Option<()> {
     let mut write = stream.try_clone().ok()?;
     let mut read = BufReader::new(stream);
     loop {
         let message = read_message(&mut read)?;
         seen.lock().expect("whole").push(message);
-        match does {
-            Does::Says(text) => write.write_all(text.as_bytes()).ok()?,
-            Does::Trickles(text) => {
+        match behavior {
+            Behavior::Responds(text) => write.write_all(text.as_bytes()).ok()?,
+            Behavior::Trickles(text) => {
                 for byte in text.as_bytes() {
                     write.write_all(&[*byte]).ok()?;
                     thread::yield_now();
                 }
                 return None;
             }
-            Does::Closes => return None,
-            Does::Hangs => drop(read.read(&mut [0])),
-            Does::SaysAndHangs(text) => {
+            Behavior::Closes => return None,
+            Behavior::Hangs => drop(read.read(&mut [0])),
+            Behavior::RespondsAndHangs(text) => {
                 write.write_all(text.as_bytes()).ok()?;
                 drop(read.read(&mut [0]));
             }
-            Does::EchoesTwice => {
+            Behavior::EchoesTwice => {
                 let body = seen.lock().expect("whole").last().map(|m| m.body.clone()).unwrap_or_default();
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                 let answer = [head.as_bytes(), &body].concat();
@@ -151,7 +154,7 @@
                 thread::sleep(Duration::from_millis(1));
                 write.write_all(&answer).ok()?;
             }
-            Does::Waits(wait, text) => {
+            Behavior::Waits(wait, text) => {
                 wait.lock().expect("whole").recv().ok()?;
                 write.write_all(text.as_bytes()).ok()?;
             }
@@ -209,7 +212,7 @@
     }
 
     /// Waits until at least this many watches have received the initial list.
-    pub fn told(&self, watches: usize) {
+    pub fn wait_for_watches(&self, watches: usize) {
         until("a watch", || (self.watches() >= watches).then_some(()));
     }
 
@@ -220,7 +223,7 @@
     }
 
     /// Sends a line to the newest watch.
-    pub fn tell(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         let mut watches = self.watches.lock().expect("whole");
         let newest = watches.last_mut().expect("a watch");
         newest.write_all(chunk(line).as_bytes()).expect("told");
@@ -307,7 +310,7 @@
 
     pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("accepted");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_LIMIT)).expect("set");
         Client { read: BufReader::new(stream.try_clone().expect("copied")), write: stream }
     }
 
@@ -362,17 +365,17 @@
 }
 
 impl Client {
-    pub fn say(&mut self, text: &str) {
+    pub fn send_text(&mut self, text: &str) {
         self.write.write_all(text.as_bytes()).expect("written");
     }
 
-    pub fn hear(&mut self) -> Message {
+    pub fn receive(&mut self) -> Message {
         read_message(&mut self.read).expect("a whole answer")
     }
 
-    pub fn ask(&mut self, text: &str) -> Message {
-        self.say(text);
-        self.hear()
+    pub fn request(&mut self, text: &str) -> Message {
+        self.send_text(text);
+        self.receive()
     }
 
     /// Whether the peer has closed the connection cleanly, with no bytes left to read.
--- a/crates/daemon/sidecar/tests/fleet.rs
+++ b/crates/daemon/sidecar/tests/fleet.rs
@@ -53,19 +53,19 @@
     let one = start("fleet-one", discovery.address, &known, &fleet(at_1, at_1));
     // The second member's discovery is unreachable: it has only the configured list.
     let mut two = start("fleet-two", nowhere(), &known, &fleet(at_2, at_1));
-    let (door_1, door_2) = (one.management.expect("management"), two.management.expect("management"));
-    for door in [door_1, door_2] {
-        until("each member to list the other", || (members(door)["live"] == 2).then_some(()));
+    let (endpoint_1, endpoint_2) = (one.management.expect("management"), two.management.expect("management"));
+    for endpoint in [endpoint_1, endpoint_2] {
+        until("each member to list the other", || (members(endpoint)["live"] == 2).then_some(()));
     }
     until("the watch", || (discovery.watches() > 0).then_some(()));
-    discovery.tell(&list(2, false, &[entry("s-a", a.address, "draining")]));
+    discovery.send_line(&list(2, false, &[entry("s-a", a.address, "draining")]));
     until("the drain", || {
-        members(door_2)["drains"].as_array().is_some_and(|d| d.iter().any(|h| h == "s-a")).then_some(())
+        members(endpoint_2)["drains"].as_array().is_some_and(|d| d.iter().any(|h| h == "s-a")).then_some(())
     });
     let before = a.requests();
     for _ in 0..12 {
         let mut client = two.connect();
-        assert_eq!(client.ask(&call("read", 5_000, "")).status(), 200);
+        assert_eq!(client.request(&call("read", 5_000, "")).status(), 200);
     }
     assert_eq!(
         a.requests(),
@@ -73,14 +73,14 @@
         "the second member learned of the drain from the first alone and avoids the upstream"
     );
     let program = Command::new(env!("CARGO_BIN_EXE_silvercross"))
-        .args(["members", "--compare", "--at", &format!("{door_1},{door_2}")])
+        .args(["members", "--compare", "--at", &format!("{endpoint_1},{endpoint_2}")])
         .output()
         .expect("run");
     assert!(program.status.success(), "{}", String::from_utf8_lossy(&program.stdout));
     two.terminate();
     assert!(two.ended().success());
     until("the member to be listed as left, not as failed", || {
-        let told = members(door_1);
+        let told = members(endpoint_1);
         (told["others"][0]["state"] == "left" && told["failed"] == 0).then_some(())
     });
 }
--- a/crates/daemon/sidecar/tests/gateway.rs
+++ b/crates/daemon/sidecar/tests/gateway.rs
@@ -62,12 +62,12 @@
 
 fn client(at: SocketAddr) -> Option<Client> {
     let stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(LONG)).expect("set");
+    stream.set_read_timeout(Some(WAIT_LIMIT)).expect("set");
     Some(Client { read: BufReader::new(stream.try_clone().ok()?), write: stream })
 }
 
 /// Connects to the near listener, which is closed until the gateway has received an offer from its peer.
-fn near(g: &Gateway) -> Client {
+fn near_client(g: &Gateway) -> Client {
     until("an offer", || {
         let mut c = client(g.near)?;
         // A connection made before the listener was first closed is refused for lack of capacity.
@@ -82,7 +82,7 @@
     (home, far)
 }
 
-fn unseen(m: &Message) -> bool {
+fn is_unprocessed(m: &Message) -> bool {
     m.status() == 503 && m.header("x-unprocessed") == Some("1")
 }
 
@@ -90,8 +90,8 @@
 fn a_call_crosses_once_and_its_answer_comes_back() {
     let server = Upstream::start(ok("from afar"));
     let (home, far) = pair(&[server.address]);
-    let mut c = near(&home);
-    let answer = c.ask(&call("commit", 5_000, "order"));
+    let mut c = near_client(&home);
+    let answer = c.request(&call("commit", 5_000, "order"));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"from afar"[..]));
     assert_eq!(answer.header("x-gateway-offer"), None, "the offer header is not passed to clients");
     let seen = server.seen.lock().expect("whole");
@@ -106,21 +106,21 @@
         [(home.near, "far"), (home.near, "home"), (far.link, "far"), (far.link, "home,far"), (far.link, ",")]
     {
         let text = call("read", 5_000, "").replace("Host:", &format!("X-Gateway-Hops: {mark}\r\nHost:"));
-        let answer = client(at).expect("open").ask(&text);
-        assert!(unseen(&answer), "{mark}: {}", answer.head);
+        let answer = client(at).expect("open").request(&text);
+        assert!(is_unprocessed(&answer), "{mark}: {}", answer.head);
     }
-    let answer = client(far.link).expect("open").ask(&call("read", 5_000, ""));
-    assert!(unseen(&answer), "{}", answer.head);
+    let answer = client(far.link).expect("open").request(&call("read", 5_000, ""));
+    assert!(is_unprocessed(&answer), "{}", answer.head);
     assert_eq!(server.requests(), 1);
-    let offer = client(far.link).expect("open").ask("GET /gateway/offer HTTP/1.1\r\nHost: a\r\n\r\n");
+    let offer = client(far.link).expect("open").request("GET /gateway/offer HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(offer.header("x-gateway-offer").is_some_and(|v| v.contains("slots=")), "{}", offer.head);
 }
 
 #[test]
 fn what_may_have_run_over_there_fails_and_is_sent_nowhere_again() {
-    let servers = [Upstream::start(Does::Closes), Upstream::start(Does::Closes)];
+    let servers = [Upstream::start(Behavior::Closes), Upstream::start(Behavior::Closes)];
     let (home, _far) = pair(&servers.each_ref().map(|s| s.address));
-    let answer = near(&home).ask(&call("commit", 5_000, "order"));
+    let answer = near_client(&home).request(&call("commit", 5_000, "order"));
     assert_eq!((answer.status(), answer.header("x-unprocessed")), (502, None), "{}", answer.head);
     assert_eq!(servers.iter().map(Upstream::requests).sum::<usize>(), 1);
 }
@@ -128,17 +128,17 @@
 #[test]
 fn what_was_sent_back_unseen_over_there_is_sent_back_unseen() {
     let full = "HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
-    let server = Upstream::start(Does::Says(full.into()));
+    let server = Upstream::start(Behavior::Responds(full.into()));
     let (home, _far) = pair(&[server.address]);
-    let answer = near(&home).ask(&call("commit", 5_000, "order"));
-    assert!(unseen(&answer), "{}", answer.head);
+    let answer = near_client(&home).request(&call("commit", 5_000, "order"));
+    assert!(is_unprocessed(&answer), "{}", answer.head);
 }
 
 #[test]
 fn with_the_far_gateway_gone_nobody_is_let_in_until_one_is_back() {
     let server = Upstream::start(ok("from afar"));
     let (home, far) = pair(&[server.address]);
-    assert_eq!(near(&home).ask(&call("read", 5_000, "")).status(), 200);
+    assert_eq!(near_client(&home).request(&call("read", 5_000, "")).status(), 200);
     drop(far);
     until("the listener to close", || client(home.near).is_none().then_some(()));
 }
@@ -148,13 +148,13 @@
 /// those at home included.
 #[test]
 fn a_connection_that_was_busy_as_the_door_closed_ends_with_its_answer() {
-    let server = Upstream::start(Does::Hangs);
+    let server = Upstream::start(Behavior::Hangs);
     let (home, far) = pair(&[server.address]);
-    let mut c = near(&home);
-    c.say(&call("commit", 50_000, "order"));
+    let mut c = near_client(&home);
+    c.send_text(&call("commit", 50_000, "order"));
     until("the order to reach the far server", || (server.requests() == 1).then_some(()));
     drop(far);
-    let answer = c.hear();
+    let answer = c.receive();
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")), "{}", answer.head);
 }
 
@@ -166,8 +166,9 @@
         "X-Gateway-Offer: life=1;seq=1;slots=999999999;for_ms=1000\r\n",
         "X-Gateway-Offer: life=1;seq=1;slots=-4;for_ms=1000\r\n",
     ] {
-        let peer =
-            Upstream::start(Does::Says(format!("HTTP/1.1 200 OK\r\n{offer}Content-Length: 0\r\n\r\n")));
+        let peer = Upstream::start(Behavior::Responds(format!(
+            "HTTP/1.1 200 OK\r\n{offer}Content-Length: 0\r\n\r\n"
+        )));
         let home = gateway("home", "far", peer.address, &[]);
         until("three requests for an offer", || (peer.requests() >= 3).then_some(()));
         assert!(client(home.near).is_none(), "{offer}");
@@ -178,7 +179,7 @@
 fn a_gateway_drains_and_ends() {
     let server = Upstream::start(ok("from afar"));
     let (home, mut far) = pair(&[server.address]);
-    assert_eq!(near(&home).ask(&call("read", 5_000, "")).status(), 200);
+    assert_eq!(near_client(&home).request(&call("read", 5_000, "")).status(), 200);
     let told =
         Command::new("sh").arg("-c").arg(format!("kill -TERM {}", far.child.id())).status().expect("run");
     assert!(told.success());
--- a/crates/daemon/sidecar/tests/migrate.rs
+++ b/crates/daemon/sidecar/tests/migrate.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn place(name: &str) -> PathBuf {
+fn scratch(name: &str) -> PathBuf {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("migrate-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).expect("made");
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_dry_run_says_what_it_would_do_and_changes_nothing() {
-    let dir = place("dry");
+    let dir = scratch("dry");
     let old = config(nowhere(), &[entry("s-1", nowhere(), "ready")], 1024);
     std::fs::write(dir.join("old.json"), &old).expect("written");
     for more in [&["--dry-run"][..], &["--dry-run", "--to", "new.json"]] {
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_file_that_is_there_is_left_alone_and_a_bad_one_is_one_plain_line() {
-    let dir = place("there");
+    let dir = scratch("there");
     let old = config(nowhere(), &[], 1024);
     std::fs::write(dir.join("old.json"), &old).expect("written");
     std::fs::write(dir.join("new.json"), "mine").expect("written");
@@ -65,7 +65,7 @@
 
 #[test]
 fn what_was_written_starts_and_serves_from_a_list_that_comes_unasked() {
-    let dir = place("serves");
+    let dir = scratch("serves");
     let up = Upstream::start(ok("served"));
     let discovery = Discovery::start(list(7, true, &[entry("s-9", up.address, "ready")]));
     let old = config(nowhere(), &[entry("s-old", nowhere(), "ready")], 1024);
@@ -92,8 +92,8 @@
     let new = std::fs::read_to_string(dir.join("new.json")).expect("written");
     let sidecar = Sidecar::with(&new);
     let mut client = sidecar.connect();
-    until("the list", || (client.ask("GET /healthz HTTP/1.1\r\n\r\n").status() == 200).then_some(()));
+    until("the list", || (client.request("GET /healthz HTTP/1.1\r\n\r\n").status() == 200).then_some(()));
     let keyed = call("commit", 6_000, "").replacen("X-Service", "X-Session-Key: acct/1\r\nX-Service", 1);
-    assert_eq!(client.ask(&keyed).status(), 200);
+    assert_eq!(client.request(&keyed).status(), 200);
     assert_eq!(up.requests(), 1);
 }
--- a/crates/daemon/sidecar/tests/old_store.rs
+++ b/crates/daemon/sidecar/tests/old_store.rs
@@ -50,7 +50,7 @@
     machine
 }
 
-fn wait<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let started = Instant::now();
     loop {
         if let Some(found) = look() {
@@ -63,7 +63,7 @@
 
 /// Opens the store, retrying because the thread of the previous store may still hold the file.
 fn open(path: &Path) -> (Store, Kept) {
-    wait("the store", || Store::open(path, OWNER, None).ok())
+    until("the store", || Store::open(path, OWNER, None).ok())
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let write =
         Write { number: before.writes + 1, entries: [(last + 1, added.clone())].into(), ..Write::default() };
     assert!(store.write(*group, *epoch, write));
-    assert!(wait("the write", || store.poll()).well);
+    assert!(until("the write", || store.poll()).well);
     drop(store);
 
     let (store, again) = open(&path);
--- a/crates/daemon/sidecar/tests/records.rs
+++ b/crates/daemon/sidecar/tests/records.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 
-fn door(at: SocketAddr, line: &str) -> (u16, String) {
+fn admin(at: SocketAddr, line: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(at).expect("accepted");
     stream.write_all(format!("{line} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).expect("written");
     let mut text = String::new();
@@ -16,7 +16,7 @@
 }
 
 fn records(at: SocketAddr) -> serde_json::Value {
-    serde_json::from_str(&door(at, "GET /admin/records").1).unwrap_or(serde_json::Value::Null)
+    serde_json::from_str(&admin(at, "GET /admin/records").1).unwrap_or(serde_json::Value::Null)
 }
 
 fn scratch(name: &str) -> PathBuf {
@@ -28,7 +28,7 @@
 
 /// The address on which a process receives messages from other members.
 fn fleet_of(s: &Sidecar) -> SocketAddr {
-    let told = door(s.management.expect("management"), "GET /admin/members").1;
+    let told = admin(s.management.expect("management"), "GET /admin/members").1;
     let told: serde_json::Value = serde_json::from_str(&told).expect("a list");
     told["at"].as_str().and_then(|a| a.parse().ok()).expect("an address")
 }
@@ -66,13 +66,13 @@
     let seed = fleet_of(&first);
     let mut all = vec![first];
     all.extend((1..3).map(|n| start(&dir, n, seed, &known)));
-    let doors: Vec<SocketAddr> = all.iter().map(|s| s.management.expect("management")).collect();
+    let endpoints: Vec<SocketAddr> = all.iter().map(|s| s.management.expect("management")).collect();
     // Until the group is founded no records are held, and the class refuses requests.
-    let refused = all[0].connect().ask(&keyed("00", "k0"));
+    let refused = all[0].connect().request(&keyed("00", "k0"));
     assert_eq!((refused.status(), upstream.requests()), (503, 0));
-    assert_eq!(door(doors[0], "POST /admin/records/found").0, 200);
-    assert_eq!(door(doors[0], "POST /admin/records/found").0, 409, "the group is founded only once");
-    for d in &doors {
+    assert_eq!(admin(endpoints[0], "POST /admin/records/found").0, 200);
+    assert_eq!(admin(endpoints[0], "POST /admin/records/found").0, 409, "the group is founded only once");
+    for d in &endpoints {
         until("each member to know three voters", || {
             let v = records(*d);
             (v["groups"][0]["known"]["voters"].as_array()?.len() == 3).then_some(())
@@ -81,7 +81,7 @@
     // The response recorded through one is replayed by the others, and the upstream got one request.
     for (n, s) in all.iter().enumerate() {
         let answer = until("a recorded response", || {
-            let a = s.connect().ask(&keyed(&format!("1{n}"), "k1"));
+            let a = s.connect().request(&keyed(&format!("1{n}"), "k1"));
             (a.status() == 200).then_some(a)
         });
         assert_eq!((answer.header("X-Held"), answer.body.as_slice()), (Some("1"), b"done".as_slice()));
@@ -89,29 +89,29 @@
     assert_eq!(upstream.requests(), 1);
     // A document written at one member ends a wait at another.
     let waits = std::thread::spawn({
-        let at = doors[1];
-        move || door(at, "GET /admin/documents/d?above=0&wait_ms=4000")
+        let at = endpoints[1];
+        move || admin(at, "GET /admin/documents/d?above=0&wait_ms=4000")
     });
     let put = until("the document to be written", || {
-        Some(door(doors[2], "POST /admin/documents/d?expect=0&value=x")).filter(|p| p.0 == 200)
+        Some(admin(endpoints[2], "POST /admin/documents/d?expect=0&value=x")).filter(|p| p.0 == 200)
     });
     assert_eq!(put.1, "{\"version\":1}");
     let told = waits.join().expect("answered");
     assert!(told.1.contains("\"version\":1") && told.1.contains("\"x\""), "{told:?}");
-    assert_eq!(door(doors[0], "POST /admin/documents/d?expect=0&value=y").0, 409);
+    assert_eq!(admin(endpoints[0], "POST /admin/documents/d?expect=0&value=y").0, 409);
     // An ordered drain reaches every member.
-    assert_eq!(door(doors[1], "POST /admin/drains/s-a").0, 200);
-    for d in &doors {
+    assert_eq!(admin(endpoints[1], "POST /admin/drains/s-a").0, 200);
+    for d in &endpoints {
         until("the drain to be known", || (records(*d)["drains"][0] == "s-a").then_some(()));
     }
-    assert_eq!(door(doors[1], "DELETE /admin/drains/s-a").0, 200);
+    assert_eq!(admin(endpoints[1], "DELETE /admin/drains/s-a").0, 200);
     // One member dies, and the other two still serve the records. Restarted with a copy of its store, it gets a new identity.
-    let id = records(doors[2])["id"].clone();
+    let id = records(endpoints[2])["id"].clone();
     let mut gone = all.pop().expect("three");
     gone.signal("KILL");
     gone.ended();
     let answer = until("the record to be served by the remaining members", || {
-        let a = all[0].connect().ask(&keyed("20", "k1"));
+        let a = all[0].connect().request(&keyed("20", "k1"));
         (a.status() == 200).then_some(a)
     });
     assert_eq!((answer.header("X-Held"), upstream.requests()), (Some("1"), 1));
@@ -140,9 +140,9 @@
         "GET /admin/documents/d",
         "POST /admin/drains/s-a",
     ] {
-        assert_eq!(door(at, line).0, 404, "{line}");
+        assert_eq!(admin(at, line).0, 404, "{line}");
     }
-    let answer = s.connect().ask(&keyed("00", "k"));
+    let answer = s.connect().request(&keyed("00", "k"));
     assert_eq!((answer.status(), answer.header("X-Held")), (200, None));
-    assert!(!door(at, "GET /admin/stats").1.contains("svc_records"));
+    assert!(!admin(at, "GET /admin/stats").1.contains("svc_records"));
 }
--- a/crates/daemon/sidecar/tests/streams.rs
+++ b/crates/daemon/sidecar/tests/streams.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-const LONG_LEFT: u64 = 6_000;
+const BUDGET_MS: u64 = 6_000;
 const MB32: usize = 32 << 20;
 
 /// Bytes that vary with their offset, so that lost, repeated or swapped data is detected.
@@ -18,14 +18,14 @@
 }
 
 /// Starts an upstream that runs this function for each connection.
-fn upstream(does: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+fn upstream(handler: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
-    let does = Arc::new(does);
+    let handler = Arc::new(handler);
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let does = does.clone();
-            thread::spawn(move || does(stream));
+            let handler = handler.clone();
+            thread::spawn(move || handler(stream));
         }
     });
     at
@@ -102,7 +102,7 @@
 }
 
 fn head(length: usize) -> String {
-    call("commit", LONG_LEFT, "").replace("Content-Length: 0", &format!("Content-Length: {length}"))
+    call("commit", BUDGET_MS, "").replace("Content-Length: 0", &format!("Content-Length: {length}"))
 }
 
 fn started(at: SocketAddr) -> Sidecar {
@@ -119,7 +119,7 @@
     line.trim_matches([':', ' ', '\t']).trim_end_matches(" kB").parse().expect("a number")
 }
 
-fn figure(sidecar: &Sidecar, what: &str) -> u64 {
+fn metric(sidecar: &Sidecar, what: &str) -> u64 {
     let mut stream = TcpStream::connect(sidecar.management.expect("management")).expect("accepted");
     stream.write_all(b"GET /admin/stats HTTP/1.1\r\n\r\n").expect("written");
     let mut text = String::new();
@@ -137,7 +137,7 @@
             let (mut client, all) = (sidecar.connect(), all.clone());
             thread::spawn(move || {
                 let mut write = client.write.try_clone().expect("copied");
-                client.say(&head(all.len()));
+                client.send_text(&head(all.len()));
                 let (sent, slow) = (all.clone(), n == 0);
                 let writer = thread::spawn(move || {
                     for piece in sent.chunks(1 << 20) {
@@ -150,14 +150,14 @@
                 assert_eq!(answer.status(), 200);
                 assert!(answer.body == *all, "the response differs from the bytes sent");
                 // The connection stays usable.
-                assert_eq!(client.ask(&call("commit", LONG_LEFT, "small")).body, b"small");
+                assert_eq!(client.request(&call("commit", BUDGET_MS, "small")).body, b"small");
             })
         })
         .collect();
     clients.into_iter().for_each(|c| c.join().expect("a client's end"));
     let peak = status_of(&sidecar, "VmHWM");
     assert!(peak < 24 * 1024, "{peak} kB, with 256 MB passed on");
-    assert_eq!(figure(&sidecar, "fulfilled"), 8);
+    assert_eq!(metric(&sidecar, "fulfilled"), 8);
 }
 
 #[test]
@@ -169,19 +169,19 @@
             let mut client = sidecar.connect();
             if chunked {
                 let coding = "Transfer-Encoding: chunked\r\nExpect: 100-continue";
-                client.say(&call("commit", LONG_LEFT, "").replace("Content-Length: 0", coding));
+                client.send_text(&call("commit", BUDGET_MS, "").replace("Content-Length: 0", coding));
                 let mut line = String::new();
                 client.read.read_line(&mut line).expect("a word");
                 assert!(line.starts_with("HTTP/1.1 100 "), "{line}");
                 client.read.read_line(&mut line).expect("its end");
                 for piece in all.chunks(9_999) {
-                    client.say(&format!("{:x}\r\n", piece.len()));
+                    client.send_text(&format!("{:x}\r\n", piece.len()));
                     client.write.write_all(piece).expect("written");
-                    client.say("\r\n");
+                    client.send_text("\r\n");
                 }
-                client.say("0\r\n\r\n");
+                client.send_text("0\r\n\r\n");
             } else {
-                client.say(&head(all.len()));
+                client.send_text(&head(all.len()));
                 client.write.write_all(&all).expect("written");
             }
             let answer = read_any(&mut client.read).expect("a whole answer");
@@ -194,7 +194,7 @@
 fn a_client_of_the_old_version_gets_no_chunks() {
     let sidecar = started(echo("chunks"));
     let (mut client, all) = (sidecar.connect(), body(200_000));
-    client.say(&head(all.len()).replace("HTTP/1.1", "HTTP/1.0"));
+    client.send_text(&head(all.len()).replace("HTTP/1.1", "HTTP/1.0"));
     client.write.write_all(&all).expect("written");
     let mut text = Vec::new();
     client.read.read_to_end(&mut text).expect("an orderly end");
@@ -229,7 +229,7 @@
         });
         let sidecar = started(at);
         let mut client = sidecar.connect();
-        client.say(&call("commit", LONG_LEFT, ""));
+        client.send_text(&call("commit", BUDGET_MS, ""));
         let mut text = Vec::new();
         let ended = client.read.read_to_end(&mut text);
         let shown = String::from_utf8_lossy(&text[..text.len().min(200)]).to_string();
@@ -237,7 +237,7 @@
         let whole = ended.is_ok() && !has("content-length: 500000") && !has("transfer-encoding: chunked");
         assert!(!whole && shown.starts_with("HTTP/1.1 200 OK"), "{lines:?}: {shown}");
         assert!(!text.ends_with(b"0\r\n\r\n"), "{lines:?}: no last chunk");
-        until("the fault to be counted", || (figure(&sidecar, "faulted") == 1).then_some(()));
+        until("the fault to be counted", || (metric(&sidecar, "faulted") == 1).then_some(()));
     }
 }
 
@@ -255,20 +255,21 @@
     let sidecar = started(at);
     // The client closes in mid-body, sends an invalid chunk, or stops sending.
     let mut client = sidecar.connect();
-    client.say(&head(1 << 20));
+    client.send_text(&head(1 << 20));
     client.write.write_all(&body(400_000)).expect("written");
     drop(client);
     until("the attempt's end", || (ended.load(Ordering::SeqCst) == 1).then_some(()));
     let mut client = sidecar.connect();
-    client.say(&call("commit", LONG_LEFT, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
-    client.say("186a0\r\n");
+    client
+        .send_text(&call("commit", BUDGET_MS, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+    client.send_text("186a0\r\n");
     client.write.write_all(&body(100_000)).expect("written");
-    client.say("not the end of a chunk");
-    assert_eq!(client.hear().status(), 400);
+    client.send_text("not the end of a chunk");
+    assert_eq!(client.receive().status(), 400);
     let mut client = sidecar.connect();
-    client.say(&head(1 << 20));
+    client.send_text(&head(1 << 20));
     client.write.write_all(&body(100_000)).expect("written");
-    assert_eq!(client.hear().status(), 408);
+    assert_eq!(client.receive().status(), 408);
     until("the end of all attempts", || (ended.load(Ordering::SeqCst) == 3).then_some(()));
     assert_eq!(whole.load(Ordering::SeqCst), 0);
 }
@@ -291,9 +292,9 @@
     let sidecar = Sidecar::start(nowhere(), &known);
     for _ in 0..6 {
         let mut client = sidecar.connect();
-        client.say(&head(500_000));
+        client.send_text(&head(500_000));
         client.write.write_all(&body(500_000)).expect("written");
-        assert_eq!(client.hear().status(), 200);
+        assert_eq!(client.receive().status(), 200);
     }
     assert_eq!(*seen.lock().expect("whole"), [500_000; 6]);
     // An upstream that responds with an error in mid-body: the request fails, and the rest of the body is not read.
@@ -308,9 +309,9 @@
     });
     let sidecar = Sidecar::start(nowhere(), &[entry("s-1", says_no, "ready")]);
     let mut client = sidecar.connect();
-    client.say(&head(MB32));
+    client.send_text(&head(MB32));
     client.write.write_all(&body(200_000)).expect("written");
-    let answer = client.hear();
+    let answer = client.receive();
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
 }
 
@@ -331,14 +332,14 @@
     }
     assert!(read_any(&mut slow.read).expect("an answer").body == all);
     let mut trickle = sidecar.connect();
-    trickle.say(&head(1 << 20));
+    trickle.send_text(&head(1 << 20));
     let mut write = trickle.write.try_clone().expect("copied");
     let writer = thread::spawn(move || {
         while write.write_all(b"x").is_ok() {
             thread::sleep(Duration::from_millis(50));
         }
     });
-    assert_eq!(trickle.hear().status(), 408);
+    assert_eq!(trickle.receive().status(), 408);
     drop(trickle);
     writer.join().expect("the writer's end");
 }
