--- a/crates/daemon/sidecar/tests/in_service.rs
+++ b/crates/daemon/sidecar/tests/in_service.rs
@@ -271,12 +271,12 @@
     let mut old = Sidecar::run(replacement(&file, port.at, &dir));
     until("healthy status", || healthy(old.management.expect("management")).then_some(()));
     // A successor without a list accepts no connections: its configured list is empty and discovery is unreachable.
-    let dark = Sidecar::run(replacement(&config(nowhere(), &[], 1024), port.at, &dir));
-    assert!(!healthy(dark.management.expect("management")));
+    let not_ready = Sidecar::run(replacement(&config(nowhere(), &[], 1024), port.at, &dir));
+    assert!(!healthy(not_ready.management.expect("management")));
     for _ in 0..20 {
         assert_eq!(old.connect().request(&call("commit", BUDGET_MS, "")).status(), 200);
     }
-    drop(dark);
+    drop(not_ready);
     // With the successor gone the old process stops as usual: it keeps accepting connections for a while.
     let mut client = old.connect();
     assert_eq!(client.request(&call("commit", BUDGET_MS, "")).status(), 200);
--- a/crates/daemon/sidecar/tests/sockets.rs
+++ b/crates/daemon/sidecar/tests/sockets.rs
@@ -19,7 +19,7 @@
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"served"[..]));
         assert_eq!(answer.header("X-Note"), Some("kept"));
         ids.push(text.lines().nth(2).expect("an id").to_string());
-        // An upstream connection is not reused at once.
+        // An upstream connection is reused only after a short idle time.
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     let seen = up.seen.lock().expect("whole");
@@ -226,7 +226,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
     ] {
         let up = Upstream::start(Behavior::RespondsAndHangs(text.into()));
-        // The deadline is far off, so only the handling of this response can end the wait.
+        // The only upstream, and a distant deadline: only the handling of this response can end the wait.
         let slow = config(nowhere(), &[entry("s-1", up.address, "ready")], 1024).replace("6.0", "600.0");
         let sidecar = Sidecar::with(&slow);
         assert_eq!(sidecar.connect().request(&call("commit", 600_000, "")).status(), 502, "{text}");
@@ -368,7 +368,7 @@
     until("the watch", || (discovery.watches() == 1).then_some(()));
     discovery.end_chunks();
     until("a new watch after the last chunk", || (discovery.watches() == 2).then_some(()));
-    // From here on the fake discovery sends nothing, not even the keep-alive lines of an unchanged watch.
+    // From here on the fake discovery sends nothing, not even the heartbeats of an unchanged list.
     until("a new watch after silence", || (discovery.watches() == 3).then_some(()));
     let log = sidecar.log.lock().expect("whole");
     let why: Vec<_> = log.iter().filter(|l| l.contains("broke off")).collect();
