--- a/crates/daemon/sidecar/tests/common/mod.rs
+++ b/crates/daemon/sidecar/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the program and stands in for those it talks to. Every port is the machine's choice; waits end with what
-//! they wait for, and only a test that has gone wrong runs into their limits.
+//! Starts the program and fake peers for it. Ports are chosen by the system; waits end as soon as their condition holds, so
+//! only a failing test reaches the timeouts.
 #![allow(dead_code)]
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,21 +11,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes on the slowest machine.
-pub const LONG: Duration = Duration::from_secs(60);
+/// Timeout of every wait, longer than any step takes on a slow machine.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+pub fn until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let started = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(started.elapsed() < LONG, "never came: {what}");
+        assert!(started.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// One message read off a stream: its head, and its body by `Content-Length`.
+/// An HTTP message read from a stream; the body is delimited by `Content-Length`.
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// `None`: the stream ended or broke first.
+/// Returns `None` if the stream ends or fails before the message is complete.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -57,36 +57,39 @@
     Some(message)
 }
 
-/// What an upstream does with a request.
+/// How a fake upstream responds to a request.
 #[derive(Clone)]
-pub enum Does {
+pub enum Behavior {
     /// Sends these bytes and keeps the connection.
-    Says(String),
+    Responds(String),
     /// Sends these bytes one by one, then closes.
     Trickles(String),
-    /// Closes the connection without a word.
+    /// Closes the connection without a response.
     Closes,
-    /// Nothing, until the connection ends.
+    /// Sends nothing until the connection ends.
     Hangs,
-    /// Sends these bytes, then nothing, until the connection ends.
-    SaysAndHangs(String),
-    /// Sends the request's body back, and a moment later the same answer again.
+    /// Sends these bytes, then nothing until the connection ends.
+    RespondsAndHangs(String),
+    /// Echoes the request body, and repeats the same response 1 ms later.
     EchoesTwice,
-    /// Waits for a word from the test, then sends these bytes.
+    /// Waits for a signal from the test, then sends these bytes.
     Waits(Arc<Mutex<Receiver<()>>>, String),
 }
 
-pub fn ok(body: &str) -> Does {
-    Does::Says(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Note: kept\r\n\r\n{body}", body.len()))
+pub fn ok(body: &str) -> Behavior {
+    Behavior::Responds(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Note: kept\r\n\r\n{body}",
+        body.len()
+    ))
 }
 
-pub fn waits(body: &str) -> (Sender<()>, Does) {
+pub fn ok_after_signal(body: &str) -> (Sender<()>, Behavior) {
     let (go, wait) = channel();
-    let Does::Says(text) = ok(body) else { unreachable!() };
-    (go, Does::Waits(Arc::new(Mutex::new(wait)), text))
+    let Behavior::Responds(text) = ok(body) else { unreachable!() };
+    (go, Behavior::Waits(Arc::new(Mutex::new(wait)), text))
 }
 
-/// Stands in for an upstream.
+/// A fake upstream that records the requests it receives.
 pub struct Upstream {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<Message>>>,
@@ -95,7 +98,7 @@
 }
 
 impl Upstream {
-    pub fn start(does: Does) -> Self {
+    pub fn start(behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let new = Upstream {
             address: listener.local_addr().expect("bound"),
@@ -107,9 +110,9 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 accepted.fetch_add(1, Ordering::SeqCst);
-                let (does, seen, ended) = (does.clone(), seen.clone(), ended.clone());
+                let (behavior, seen, ended) = (behavior.clone(), seen.clone(), ended.clone());
                 thread::spawn(move || {
-                    serve(stream, &does, &seen);
+                    serve(stream, &behavior, &seen);
                     ended.fetch_add(1, Ordering::SeqCst);
                 });
             }
@@ -122,28 +125,28 @@
     }
 }
 
-fn serve(stream: TcpStream, does: &Does, seen: &Mutex<Vec<Message>>) -> Option<()> {
+fn serve(stream: TcpStream, behavior: &Behavior, seen: &Mutex<Vec<Message>>) -> Option<()> {
     let mut write = stream.try_clone().ok()?;
     let mut read = BufReader::new(stream);
     loop {
         let message = read_message(&mut read)?;
         seen.lock().expect("whole").push(message);
-        match does {
-            Does::Says(text) => write.write_all(text.as_bytes()).ok()?,
-            Does::Trickles(text) => {
+        match behavior {
+            Behavior::Responds(text) => write.write_all(text.as_bytes()).ok()?,
+            Behavior::Trickles(text) => {
                 for byte in text.as_bytes() {
                     write.write_all(&[*byte]).ok()?;
                     thread::yield_now();
                 }
                 return None;
             }
-            Does::Closes => return None,
-            Does::Hangs => drop(read.read(&mut [0])),
-            Does::SaysAndHangs(text) => {
+            Behavior::Closes => return None,
+            Behavior::Hangs => drop(read.read(&mut [0])),
+            Behavior::RespondsAndHangs(text) => {
                 write.write_all(text.as_bytes()).ok()?;
                 drop(read.read(&mut [0]));
             }
-            Does::EchoesTwice => {
+            Behavior::EchoesTwice => {
                 let body = seen.lock().expect("whole").last().map(|m| m.body.clone()).unwrap_or_default();
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                 let answer = [head.as_bytes(), &body].concat();
@@ -151,7 +154,7 @@
                 thread::sleep(Duration::from_millis(1));
                 write.write_all(&answer).ok()?;
             }
-            Does::Waits(wait, text) => {
+            Behavior::Waits(wait, text) => {
                 wait.lock().expect("whole").recv().ok()?;
                 write.write_all(text.as_bytes()).ok()?;
             }
@@ -159,7 +162,7 @@
     }
 }
 
-/// An address where nothing listens, and nothing will: the port stays bound for as long as the tests run.
+/// An address that refuses connections: the port stays bound, without a listener, until the test process ends.
 pub fn nowhere() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -178,7 +181,7 @@
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// Stands in for discovery: tells what the test gives it to every watch, and counts watches.
+/// A fake discovery service: sends the initial list to every watch and records the watch requests.
 pub struct Discovery {
     pub address: SocketAddr,
     pub asked: Arc<Mutex<Vec<String>>>,
@@ -208,19 +211,19 @@
         self.asked.lock().expect("whole").len()
     }
 
-    /// Wait until so many watches were told.
-    pub fn told(&self, watches: usize) {
+    /// Waits until at least this many watches have received the initial list.
+    pub fn wait_for_watches(&self, watches: usize) {
         until("a watch", || (self.watches() >= watches).then_some(()));
     }
 
-    /// End the newest watch with its last chunk, and keep its connection.
+    /// Ends the newest watch with the terminating chunk and keeps its connection open.
     pub fn end_chunks(&self) {
         let mut watches = self.watches.lock().expect("whole");
         watches.last_mut().expect("a watch").write_all(b"0\r\n\r\n").expect("told");
     }
 
-    /// Tell the newest watch.
-    pub fn tell(&self, line: &str) {
+    /// Sends a line to the newest watch.
+    pub fn send_line(&self, line: &str) {
         let mut watches = self.watches.lock().expect("whole");
         let newest = watches.last_mut().expect("a watch");
         newest.write_all(chunk(line).as_bytes()).expect("told");
@@ -231,11 +234,11 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// The program, running.
+/// A running sidecar process.
 pub struct Sidecar {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where operators connect.
+    /// The address of the management endpoint.
     pub management: Option<SocketAddr>,
     pub log: Arc<Mutex<Vec<String>>>,
     pub config: PathBuf,
@@ -307,7 +310,7 @@
 
     pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("accepted");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_LIMIT)).expect("set");
         Client { read: BufReader::new(stream.try_clone().expect("copied")), write: stream }
     }
 
@@ -320,7 +323,7 @@
         assert!(told.expect("run").success());
     }
 
-    /// Replace the configuration and say so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         let new = self.config.with_extension("new");
         std::fs::write(&new, config).expect("written");
@@ -344,13 +347,13 @@
     }
 }
 
-/// A connection of the application's.
+/// An application's connection to the sidecar.
 pub struct Client {
     pub read: BufReader<TcpStream>,
     pub write: TcpStream,
 }
 
-/// A call, with an id of its own.
+/// A request with a unique correlation id.
 pub fn call(class: &str, time_left_ms: u64, body: &str) -> String {
     static IDS: AtomicUsize = AtomicUsize::new(0x9b1f_03aa);
     let id = IDS.fetch_add(1, Ordering::SeqCst);
@@ -362,20 +365,20 @@
 }
 
 impl Client {
-    pub fn say(&mut self, text: &str) {
+    pub fn send_text(&mut self, text: &str) {
         self.write.write_all(text.as_bytes()).expect("written");
     }
 
-    pub fn hear(&mut self) -> Message {
+    pub fn receive(&mut self) -> Message {
         read_message(&mut self.read).expect("a whole answer")
     }
 
-    pub fn ask(&mut self, text: &str) -> Message {
-        self.say(text);
-        self.hear()
+    pub fn request(&mut self, text: &str) -> Message {
+        self.send_text(text);
+        self.receive()
     }
 
-    /// Whether the other end has closed, in order and with nothing more to say.
+    /// Whether the peer has closed the connection cleanly, with no bytes left to read.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.read.read(&mut [0]), Ok(0))
     }
