--- a/crates/daemon/mesh/src/tests/response_replay.rs
+++ b/crates/daemon/mesh/src/tests/response_replay.rs
@@ -1,4 +1,4 @@
-//! Requests that may run once, and what a gate remembers of them for origins whose connection broke.
+//! Requests that may run at most once, and the gate's record of them for origins whose connection broke.
 use crate::forwarding_headers::{self, ForwardingHeaders, GateStatus, ENCODING_VERSION};
 use crate::node_state::DepartedPeer;
 use crate::response_replay_cache::{
@@ -15,15 +15,15 @@
 use std::rc::Rc;
 use tokio::sync::Semaphore;
 
-/// An upstream that runs each request once it is permitted to.
+/// An upstream that answers each request only when a permit is available.
 #[derive(Clone)]
 struct GatedUpstream {
     address: SocketAddr,
-    /// Attempt ids that came.
+    /// Attempt ids of the received requests.
     ran: Rc<RefCell<Vec<String>>>,
-    /// A permit for each request that came.
+    /// One permit per received request.
     received: Rc<Semaphore>,
-    /// A permit for each response that may go.
+    /// One permit per response that may be sent.
     permitted: Rc<Semaphore>,
 }
 
@@ -54,15 +54,15 @@
             }
             self.ran.borrow_mut().push(header_value(&head, "attempt-id").unwrap_or_default());
             self.received.add_permits(1);
-            self.permitted.acquire().await.expect("open").forget();
+            self.permitted.acquire().await.expect("open semaphore").forget();
             connection.send(upstream_response_head(&head, 200, "Content-Length: 2\r\n").as_bytes()).await;
             connection.send(b"ok").await;
         }
     }
 
-    /// Wait until one more request has come.
+    /// Waits for one more request to arrive.
     async fn wait_for_request(&self) {
-        self.received.acquire().await.expect("open").forget();
+        self.received.acquire().await.expect("open semaphore").forget();
     }
 }
 
@@ -76,9 +76,9 @@
 
 impl RelayedMesh {
     async fn start() -> RelayedMesh {
-        let nobody = bind_upstream().await.address;
+        let unused_address = bind_upstream().await.address;
         let upstream = GatedUpstream::start().await;
-        let origin = support::start_sidecar(1, nobody, SidecarOptions::default()).await;
+        let origin = support::start_sidecar(1, unused_address, SidecarOptions::default()).await;
         let gate = support::start_sidecar(2, upstream.address, SidecarOptions::default()).await;
         gate.send_heartbeat();
         let relay = Relay::between(&origin, &gate).await;
@@ -91,7 +91,7 @@
         client
     }
 
-    /// One request goes well; the origin then knows the gate's incarnation, and its next connection is a new one.
+    /// Sends one successful request, which tells the origin the gate's incarnation, and closes the pooled connection.
     async fn learn_incarnation(&self) {
         self.upstream.permitted.add_permits(1);
         assert_eq!(status(&self.post("first").await.read_head().await), "200");
@@ -119,7 +119,7 @@
             let (gate, origin) = (&mesh.gate.node_state.counters, &mesh.origin.node_state.counters);
             if action == RelayAction::ResetWhenNotified {
                 mesh.relay.reset.notify_one();
-                // It goes on, and the origin's query waits for it.
+                // The request keeps running, and the origin's query waits for its response.
                 while gate.orphaned_requests.get() == 0 || origin.outcome_queries.get() == 0 {
                     tokio::task::yield_now().await;
                 }
@@ -143,11 +143,11 @@
         let mut client = mesh.post("b").await;
         mesh.upstream.permitted.add_permits(1);
         let head = client.read_head().await;
-        // Nothing ran, so it may have been sent again; else its client is promised that nothing ran.
+        // The request did not run, so either a retry succeeded or the client is told that nothing ran.
         assert!(matches!(status(&head), "200" | "503"), "{head}");
         let runs = mesh.runs_of("b");
         assert_eq!(runs, usize::from(status(&head) == "200"));
-        // The request itself, late.
+        // The original request arrives late.
         let mut late = TestConnection::connect(mesh.gate.inbound).await;
         let kept = mesh.relay.kept.borrow().clone();
         assert!(!kept.is_empty());
@@ -167,7 +167,7 @@
                 mesh.learn_incarnation().await;
             }
             mesh.next_action(RelayAction::KeepRequest);
-            // Another process has taken the gate's place.
+            // Another process replaces the gate.
             let other = support::start_sidecar(2, mesh.upstream.address, SidecarOptions::default()).await;
             other.send_heartbeat();
             if is_known {
@@ -181,7 +181,7 @@
     });
 }
 
-/// A request that may run once, as an origin sends it to a gate, or a query about it.
+/// A request that may run at most once, as an origin sends it to a gate, or a query about its outcome.
 fn once_request(replay_key: u64, is_query: bool) -> String {
     let forwarding = forwarding_headers::encode(&ForwardingHeaders {
         version: ENCODING_VERSION,
@@ -196,7 +196,7 @@
     format!("GET /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: d{replay_key}\r\nWaybill: {forwarding}\r\n\r\n")
 }
 
-/// What a gate says became of an attempt.
+/// The status that a gate reports for an attempt.
 async fn query_status(gate: &Sidecar, replay_key: u64) -> Option<GateStatus> {
     let mut querying = TestConnection::connect(gate.inbound).await;
     querying.send(once_request(replay_key, true).as_bytes()).await;
@@ -204,7 +204,7 @@
     header_value(&head, "waybill-return").and_then(|t| forwarding_headers::decode(&t))
 }
 
-/// An origin that hangs up cancels what has not begun: it never runs, and the gate says so.
+/// An origin that disconnects cancels a request that has not begun: it never runs, and the gate reports so.
 #[test]
 fn a_request_cancelled_by_its_origin_before_it_began_never_runs() {
     support::run(async {
@@ -233,7 +233,7 @@
     });
 }
 
-/// Once it has begun it is not left in doubt: it runs on, once, and its origin can ask for the response.
+/// Once begun, the request runs to its end, once, and its origin can query the response.
 #[test]
 fn a_request_that_may_run_once_runs_on_when_its_origin_hangs_up() {
     support::run(async {
@@ -247,7 +247,7 @@
         while counts().departures == 0 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(gate.gate.with_admission(|admission| admission.load()).in_flight, 1, "it runs on");
+        assert_eq!(gate.gate.with_admission(|admission| admission.load()).in_flight, 1, "still in flight");
         assert_eq!((counts().carried_on, gate.counters.orphaned_requests.get()), (1, 0));
         mesh.upstream.permitted.add_permits(1);
         let mut querying = TestConnection::connect(mesh.gate.inbound).await;
@@ -279,7 +279,7 @@
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
         let cache = ResponseReplayCache::new(clock, &mut rng, 100 * MEMORY_DIVISOR);
         for replay_key in 1..=3 {
-            let entry = cache.begin(replay_key).expect("not known");
+            let entry = cache.begin(replay_key).expect("new replay key");
             entry.set_begun();
             entry.set_response(StoredResponse { bytes: Rc::new(vec![0; 40]), states_incarnation: false });
         }
@@ -289,7 +289,7 @@
         cache.acknowledge(3);
         assert!(matches!(cache.query(3).await, AttemptOutcome::MayHaveRun));
         assert!(cache.begin(2).is_err());
-        drop(cache.begin(4).expect("not known"));
+        drop(cache.begin(4).expect("new replay key"));
         assert!(matches!(cache.query(4).await, AttemptOutcome::NotRun));
         assert!(matches!(cache.query(5).await, AttemptOutcome::NeverReceived));
         assert!(cache.begin(5).is_err());
--- a/crates/daemon/sidecar/tests/streams.rs
+++ b/crates/daemon/sidecar/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Messages larger than a buffer, through the running program: whole, in bounded memory, and never whole where they broke off.
+//! Messages larger than a buffer pass through the running program complete and in bounded memory; a truncated message is
+//! never presented as complete.
 mod common;
 use common::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,29 +9,29 @@
 use std::thread;
 use std::time::Duration;
 
-const LONG_LEFT: u64 = 6_000;
+const BUDGET_MS: u64 = 6_000;
 const MB32: usize = 32 << 20;
 
-/// Bytes that differ from place to place, so that none can be lost, doubled or swapped unseen.
+/// Bytes that vary with their offset, so that lost, repeated or swapped data is detected.
 fn body(len: usize) -> Vec<u8> {
     (0..len).map(|n| (n / 7 + n / 65_537) as u8).collect()
 }
 
-/// An upstream that does this with each connection.
-fn upstream(does: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Starts an upstream that runs this function for each connection.
+fn upstream(handler: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
-    let does = Arc::new(does);
+    let handler = Arc::new(handler);
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let does = does.clone();
-            thread::spawn(move || does(stream));
+            let handler = handler.clone();
+            thread::spawn(move || handler(stream));
         }
     });
     at
 }
 
-/// The body of a message in chunks; `None` if it ends before its last one.
+/// Reads a chunked body; `None` if it ends before the last chunk.
 fn chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut all = Vec::new();
     loop {
@@ -48,7 +49,7 @@
     }
 }
 
-/// A message of any framing; `None` if it is not whole.
+/// Reads a message with a chunked body or a `Content-Length`; `None` if it is incomplete.
 fn read_any(from: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -65,7 +66,7 @@
     Some(message)
 }
 
-/// Sends each request's body back, framed as it is told.
+/// Starts an upstream that echoes each request body in the given framing.
 fn echo(framing: &'static str) -> SocketAddr {
     upstream(move |stream| {
         let mut write = stream.try_clone().expect("copied");
@@ -101,7 +102,7 @@
 }
 
 fn head(length: usize) -> String {
-    call("commit", LONG_LEFT, "").replace("Content-Length: 0", &format!("Content-Length: {length}"))
+    call("commit", BUDGET_MS, "").replace("Content-Length: 0", &format!("Content-Length: {length}"))
 }
 
 fn started(at: SocketAddr) -> Sidecar {
@@ -111,15 +112,15 @@
     Sidecar::run(command)
 }
 
-/// A figure of the process's, in kB, by its name.
+/// A field of the process's `/proc` status, in kB.
 fn status_of(sidecar: &Sidecar, name: &str) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", sidecar.child.id())).expect("read");
     let line = status.lines().find_map(|l| l.strip_prefix(name)).expect("there");
     line.trim_matches([':', ' ', '\t']).trim_end_matches(" kB").parse().expect("a number")
 }
 
-fn figure(sidecar: &Sidecar, what: &str) -> u64 {
-    let mut stream = TcpStream::connect(sidecar.management.expect("a door")).expect("accepted");
+fn metric(sidecar: &Sidecar, what: &str) -> u64 {
+    let mut stream = TcpStream::connect(sidecar.management.expect("management")).expect("accepted");
     stream.write_all(b"GET /admin/stats HTTP/1.1\r\n\r\n").expect("written");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("a whole answer");
@@ -136,7 +137,7 @@
             let (mut client, all) = (sidecar.connect(), all.clone());
             thread::spawn(move || {
                 let mut write = client.write.try_clone().expect("copied");
-                client.say(&head(all.len()));
+                client.send_text(&head(all.len()));
                 let (sent, slow) = (all.clone(), n == 0);
                 let writer = thread::spawn(move || {
                     for piece in sent.chunks(1 << 20) {
@@ -147,16 +148,16 @@
                 let answer = read_any(&mut client.read).expect("a whole answer");
                 writer.join().expect("the writer's end");
                 assert_eq!(answer.status(), 200);
-                assert!(answer.body == *all, "not the bytes that were sent");
-                // The connection goes on.
-                assert_eq!(client.ask(&call("commit", LONG_LEFT, "small")).body, b"small");
+                assert!(answer.body == *all, "the response differs from the bytes sent");
+                // The connection stays usable.
+                assert_eq!(client.request(&call("commit", BUDGET_MS, "small")).body, b"small");
             })
         })
         .collect();
     clients.into_iter().for_each(|c| c.join().expect("a client's end"));
     let peak = status_of(&sidecar, "VmHWM");
     assert!(peak < 24 * 1024, "{peak} kB, with 256 MB passed on");
-    assert_eq!(figure(&sidecar, "fulfilled"), 8);
+    assert_eq!(metric(&sidecar, "fulfilled"), 8);
 }
 
 #[test]
@@ -168,19 +169,19 @@
             let mut client = sidecar.connect();
             if chunked {
                 let coding = "Transfer-Encoding: chunked\r\nExpect: 100-continue";
-                client.say(&call("commit", LONG_LEFT, "").replace("Content-Length: 0", coding));
+                client.send_text(&call("commit", BUDGET_MS, "").replace("Content-Length: 0", coding));
                 let mut line = String::new();
                 client.read.read_line(&mut line).expect("a word");
                 assert!(line.starts_with("HTTP/1.1 100 "), "{line}");
                 client.read.read_line(&mut line).expect("its end");
                 for piece in all.chunks(9_999) {
-                    client.say(&format!("{:x}\r\n", piece.len()));
+                    client.send_text(&format!("{:x}\r\n", piece.len()));
                     client.write.write_all(piece).expect("written");
-                    client.say("\r\n");
+                    client.send_text("\r\n");
                 }
-                client.say("0\r\n\r\n");
+                client.send_text("0\r\n\r\n");
             } else {
-                client.say(&head(all.len()));
+                client.send_text(&head(all.len()));
                 client.write.write_all(&all).expect("written");
             }
             let answer = read_any(&mut client.read).expect("a whole answer");
@@ -193,7 +194,7 @@
 fn a_client_of_the_old_version_gets_no_chunks() {
     let sidecar = started(echo("chunks"));
     let (mut client, all) = (sidecar.connect(), body(200_000));
-    client.say(&head(all.len()).replace("HTTP/1.1", "HTTP/1.0"));
+    client.send_text(&head(all.len()).replace("HTTP/1.1", "HTTP/1.0"));
     client.write.write_all(&all).expect("written");
     let mut text = Vec::new();
     client.read.read_to_end(&mut text).expect("an orderly end");
@@ -205,7 +206,7 @@
 
 #[test]
 fn an_answer_that_breaks_off_is_never_whole_to_its_client() {
-    // All of the head and a part of the body, then an end, in each framing.
+    // The whole head and a part of the body, then the connection ends, in each framing.
     for (lines, reset) in [
         ("Content-Length: 500000\r\n", false),
         ("Content-Length: 500000\r\n", true),
@@ -219,7 +220,7 @@
                 let chunk = if lines.starts_with("Transfer") { "493e0\r\n" } else { "" };
                 let _ = write.write_all(format!("HTTP/1.1 200 OK\r\n{lines}\r\n{chunk}").as_bytes());
                 let _ = write.write_all(&body(200_000));
-                // What has come so far is passed on first.
+                // Lets the sidecar pass on the part sent so far.
                 thread::sleep(Duration::from_millis(50));
                 if reset {
                     let _ = socket2::SockRef::from(&write).set_linger(Some(Duration::ZERO));
@@ -228,7 +229,7 @@
         });
         let sidecar = started(at);
         let mut client = sidecar.connect();
-        client.say(&call("commit", LONG_LEFT, ""));
+        client.send_text(&call("commit", BUDGET_MS, ""));
         let mut text = Vec::new();
         let ended = client.read.read_to_end(&mut text);
         let shown = String::from_utf8_lossy(&text[..text.len().min(200)]).to_string();
@@ -236,7 +237,7 @@
         let whole = ended.is_ok() && !has("content-length: 500000") && !has("transfer-encoding: chunked");
         assert!(!whole && shown.starts_with("HTTP/1.1 200 OK"), "{lines:?}: {shown}");
         assert!(!text.ends_with(b"0\r\n\r\n"), "{lines:?}: no last chunk");
-        until("the figure", || (figure(&sidecar, "faulted") == 1).then_some(()));
+        until("the fault to be counted", || (metric(&sidecar, "faulted") == 1).then_some(()));
     }
 }
 
@@ -252,29 +253,30 @@
         e.fetch_add(1, Ordering::SeqCst);
     });
     let sidecar = started(at);
-    // The client leaves in the middle; or says what is no chunk; or says no more.
+    // The client closes in mid-body, sends an invalid chunk, or stops sending.
     let mut client = sidecar.connect();
-    client.say(&head(1 << 20));
+    client.send_text(&head(1 << 20));
     client.write.write_all(&body(400_000)).expect("written");
     drop(client);
     until("the attempt's end", || (ended.load(Ordering::SeqCst) == 1).then_some(()));
     let mut client = sidecar.connect();
-    client.say(&call("commit", LONG_LEFT, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
-    client.say("186a0\r\n");
+    client
+        .send_text(&call("commit", BUDGET_MS, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+    client.send_text("186a0\r\n");
     client.write.write_all(&body(100_000)).expect("written");
-    client.say("not the end of a chunk");
-    assert_eq!(client.hear().status(), 400);
+    client.send_text("not the end of a chunk");
+    assert_eq!(client.receive().status(), 400);
     let mut client = sidecar.connect();
-    client.say(&head(1 << 20));
+    client.send_text(&head(1 << 20));
     client.write.write_all(&body(100_000)).expect("written");
-    assert_eq!(client.hear().status(), 408);
-    until("their end", || (ended.load(Ordering::SeqCst) == 3).then_some(()));
+    assert_eq!(client.receive().status(), 408);
+    until("the end of all attempts", || (ended.load(Ordering::SeqCst) == 3).then_some(()));
     assert_eq!(whole.load(Ordering::SeqCst), 0);
 }
 
 #[test]
 fn an_early_no_ends_a_body_and_an_unseen_one_goes_elsewhere_only_while_it_is_held() {
-    // Turned away before anything past the first buffer was read: the other upstream gets the whole.
+    // Refused before anything past the first buffer was read: the other upstream gets the whole body.
     let seen: Arc<Mutex<Vec<usize>>> = Arc::default();
     let s = seen.clone();
     let good = upstream(move |stream| {
@@ -290,12 +292,12 @@
     let sidecar = Sidecar::start(nowhere(), &known);
     for _ in 0..6 {
         let mut client = sidecar.connect();
-        client.say(&head(500_000));
+        client.send_text(&head(500_000));
         client.write.write_all(&body(500_000)).expect("written");
-        assert_eq!(client.hear().status(), 200);
+        assert_eq!(client.receive().status(), 200);
     }
     assert_eq!(*seen.lock().expect("whole"), [500_000; 6]);
-    // An upstream that says no in the middle: its no is the answer, and the rest is not read.
+    // An upstream that responds with an error in mid-body: the request fails, and the rest of the body is not read.
     let says_no = upstream(|stream| {
         let mut write = stream.try_clone().expect("copied");
         let mut read = BufReader::new(stream);
@@ -307,9 +309,9 @@
     });
     let sidecar = Sidecar::start(nowhere(), &[entry("s-1", says_no, "ready")]);
     let mut client = sidecar.connect();
-    client.say(&head(MB32));
+    client.send_text(&head(MB32));
     client.write.write_all(&body(200_000)).expect("written");
-    let answer = client.hear();
+    let answer = client.receive();
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
 }
 
@@ -323,21 +325,21 @@
         slow.write.write_all(piece).expect("written");
         thread::sleep(Duration::from_millis(100));
     }
-    // 64 kB a second: with its head it takes longer than a request of any speed may stand still.
+    // 64 kB a second: with the head this takes longer than a request may stall.
     for piece in all.chunks(3_200) {
         slow.write.write_all(piece).expect("written");
         thread::sleep(Duration::from_millis(50));
     }
     assert!(read_any(&mut slow.read).expect("an answer").body == all);
     let mut trickle = sidecar.connect();
-    trickle.say(&head(1 << 20));
+    trickle.send_text(&head(1 << 20));
     let mut write = trickle.write.try_clone().expect("copied");
     let writer = thread::spawn(move || {
         while write.write_all(b"x").is_ok() {
             thread::sleep(Duration::from_millis(50));
         }
     });
-    assert_eq!(trickle.hear().status(), 408);
+    assert_eq!(trickle.receive().status(), 408);
     drop(trickle);
     writer.join().expect("the writer's end");
 }
