--- a/crates/daemon/mesh/src/tests/support/sidecar.rs
+++ b/crates/daemon/mesh/src/tests/support/sidecar.rs
@@ -101,7 +101,7 @@
     let mut control_value = ControlValue::Blank;
     let change =
         silvercross_mesh_config::parse_change(configuration().as_bytes()).expect("valid configuration");
-    control_value.apply(&ControlChange::Patch(change)).expect("change is applied");
+    control_value.apply(&ControlChange::Patch(change)).expect("applies");
     node_state.apply_control_entry(CONFIGURATION_KEY, Revision::new(1, 1, 1), control_value.clone());
     let control_value = Rc::new(RefCell::new(control_value));
     StartedSidecar { sidecar: Sidecar { node_state, outbound, inbound, ip, control_value }, settings: text }
@@ -194,7 +194,7 @@
     pub(crate) fn apply_change(&self, change: &str) {
         let change = silvercross_mesh_config::parse_change(change.as_bytes()).expect("valid change");
         let mut control_value = self.control_value.borrow_mut();
-        control_value.apply(&ControlChange::Patch(change)).expect("change is applied");
+        control_value.apply(&ControlChange::Patch(change)).expect("applies");
         let number = self.node_state.revisions().get(CONFIGURATION_KEY).map_or(0, |r| r.sequence) + 1;
         self.node_state.apply_control_entry(
             CONFIGURATION_KEY,
