--- a/crates/daemon/sidecar/tests/fleet.rs
+++ b/crates/daemon/sidecar/tests/fleet.rs
@@ -16,10 +16,21 @@
     serde_json::from_str(body).unwrap_or(serde_json::Value::Null)
 }
 
-/// A port that is free for datagrams and connections just now.
+/// A port that is free for datagrams and connections. A TCP socket that does not listen holds it for as long as the tests run, so
+/// that port 0 gives it to no other listener; the program, which sets SO_REUSEADDR and names the port, can still bind it.
 fn port() -> SocketAddr {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("bound");
-    socket.local_addr().expect("known")
+    for _ in 0..50 {
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+        socket.set_reuse_address(true).expect("set");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+        let at = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("bound");
+        if UdpSocket::bind(at).is_ok() {
+            std::mem::forget(socket);
+            return at;
+        }
+    }
+    panic!("no port is free for both datagrams and connections");
 }
 
 fn file(name: &str, text: &str) -> PathBuf {
